--- a/ambershift/archive/stacks/keeping.py
+++ b/ambershift/archive/stacks/keeping.py
@@ -25,9 +25,17 @@
         if known and beat.sequence <= known.sequence and not (beat.draining and not known.draining):
             return False
         sequence = max(beat.sequence, known.sequence) if known else beat.sequence
-        life = Life(beat.id, beat.service, beat.address, beat.zone, beat.slots, sequence,
-                    beat.draining or known is not None and known.draining,
-                    now + beat.cold * MS if beat.cold else 0, born)
+        life = Life(
+            beat.id,
+            beat.service,
+            beat.address,
+            beat.zone,
+            beat.slots,
+            sequence,
+            beat.draining or known is not None and known.draining,
+            now + beat.cold * MS if beat.cold else 0,
+            born,
+        )
         self.lives[beat.id], self.heard[beat.id] = life, now
         return known is None or not life.alike(known, now)
 
@@ -47,6 +55,8 @@
         suspects = sum(span > SUSPECT * self.heartbeat for span in here)
         self.mass = suspects >= MASS_LEAST and 2 * suspects > len(here)
         limit = int((WARY_MISSED if self.mass else MISSED) * self.heartbeat)
-        return [id for id, span in quiet.items()
-                if span > (int(MISSED * self.heartbeat) if id in elsewhere else limit)]
-
+        return [
+            id
+            for id, span in quiet.items()
+            if span > (int(MISSED * self.heartbeat) if id in elsewhere else limit)
+        ]
--- a/ambershift/archive/stacks/listing.py
+++ b/ambershift/archive/stacks/listing.py
@@ -41,8 +41,9 @@
         lost, self._lost = self._lost, set()
         return lost
 
-    def refresh(self, now: int, ids: Iterable[str],
-                best: Callable[[str], Life | None]) -> tuple[list[Life], list[str]]:
+    def refresh(
+        self, now: int, ids: Iterable[str], best: Callable[[str], Life | None]
+    ) -> tuple[list[Life], list[str]]:
         """Look again at these lives. Returns what is new or changed on the list, and what is gone."""
         touched = set[str]()
         for id in ids:
--- a/ambershift/archive/stacks/machine.py
+++ b/ambershift/archive/stacks/machine.py
@@ -108,14 +108,22 @@
 
     def _known(self, now: int) -> list[tuple[str, Records]]:
         """The records of each keeper that isn't lost for long."""
-        return [("", self.exchange.own), *(
-            (peer, copy.records) for peer, copy in self.exchange.copies.items()
-            if peer not in self.lost or now < self.lost[peer] + KEEPER_LOST_DESKS)]
+        return [
+            ("", self.exchange.own),
+            *(
+                (peer, copy.records)
+                for peer, copy in self.exchange.copies.items()
+                if peer not in self.lost or now < self.lost[peer] + KEEPER_LOST_DESKS
+            ),
+        ]
 
     def flows(self) -> dict[tuple[str, str, str], int]:
         """What comes to desks linked elsewhere: by archivist, zone and pool, in requests per 100 s."""
-        return {(peer, one.zone, one.pool): one.rate for peer, copy in self.exchange.copies.items()
-                for one in copy.records.flows.values()}
+        return {
+            (peer, one.zone, one.pool): one.rate
+            for peer, copy in self.exchange.copies.items()
+            for one in copy.records.flows.values()
+        }
 
     def rates(self) -> dict[str, int]:
         """What comes to all desks, by pool or other sum, in requests per 100 s."""
@@ -127,8 +135,12 @@
 
     def most_desks(self, now: int) -> int:
         """The most desks that were known at once, here or elsewhere."""
-        self.exchange.most = max(self.exchange.most, len(self.directory(now)),
-                                 *(copy.most for copy in self.exchange.copies.values()), 0)
+        self.exchange.most = max(
+            self.exchange.most,
+            len(self.directory(now)),
+            *(copy.most for copy in self.exchange.copies.values()),
+            0,
+        )
         return self.exchange.most
 
     def _beat(self, now: int, beat: Beat) -> None:
@@ -166,9 +178,18 @@
         best = max(held, key=lambda one: (one.sequence, one.draining))
         if all(one.draining == best.draining and one.born >= best.born for one in held):
             return best
-        return Life(best.id, best.service, best.address, best.zone, best.slots, best.sequence,
-                    any(one.draining for one in held), best.cold_until, min(one.born for one in held),
-                    best.unsure)
+        return Life(
+            best.id,
+            best.service,
+            best.address,
+            best.zone,
+            best.slots,
+            best.sequence,
+            any(one.draining for one in held),
+            best.cold_until,
+            min(one.born for one in held),
+            best.unsure,
+        )
 
     def _hear(self, now: int, sender: str, message: Delta | Pulse | Ask, effects: list[Effect]) -> None:
         copy = self.exchange.copies.get(sender)
--- a/ambershift/archive/stacks/records.py
+++ b/ambershift/archive/stacks/records.py
@@ -36,9 +36,14 @@
     def alike(self, other: Life, now: int) -> bool:
         """Whether both tell the same to whoever sends there (the sequence and small shifts don't matter)."""
         mine, theirs = max(self.cold_until, now), max(other.cold_until, now)
-        return ((self.service, self.address, self.zone, self.slots, self.draining, self.unsure)
-                == (other.service, other.address, other.zone, other.slots, other.draining, other.unsure)
-                and (abs(mine - theirs) <= COLD_SLACK and (mine > now) == (theirs > now)))
+        return (self.service, self.address, self.zone, self.slots, self.draining, self.unsure) == (
+            other.service,
+            other.address,
+            other.zone,
+            other.slots,
+            other.draining,
+            other.unsure,
+        ) and (abs(mine - theirs) <= COLD_SLACK and (mine > now) == (theirs > now))
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,25 +104,45 @@
 
 def lived(now: int, life: Life) -> Lived:
     cold, age = max(0, life.cold_until - now) // MS, max(0, now - life.born) // MS
-    return Lived(life.id, life.service, life.address, life.zone, life.slots, life.sequence, life.draining,
-                 cold, age)
+    return Lived(
+        life.id, life.service, life.address, life.zone, life.slots, life.sequence, life.draining, cold, age
+    )
 
 
 def to_life(now: int, told: Lived) -> Life:
-    return Life(told.id, told.service, told.address, told.zone, told.slots, told.sequence, told.draining,
-                now + told.cold * MS if told.cold else 0, now - told.age * MS)
-
-
-def pack(now: int, start: int, since: int, upto: int, records: Iterable[Record], gone: Iterable[str],
-         most: int) -> Delta:
+    return Life(
+        told.id,
+        told.service,
+        told.address,
+        told.zone,
+        told.slots,
+        told.sequence,
+        told.draining,
+        now + told.cold * MS if told.cold else 0,
+        now - told.age * MS,
+    )
+
+
+def pack(
+    now: int, start: int, since: int, upto: int, records: Iterable[Record], gone: Iterable[str], most: int
+) -> Delta:
     lives, desks, flows = list[Lived](), list[Attached](), list[Flow]()
     for one in records:
         match one:
             case Life():
                 lives.append(lived(now, one))
             case Desk():
-                desks.append(Attached(one.name, one.life, one.zone, one.address, one.ready, one.leaving,
-                                      max(0, now - one.since) // MS))
+                desks.append(
+                    Attached(
+                        one.name,
+                        one.life,
+                        one.zone,
+                        one.address,
+                        one.ready,
+                        one.leaving,
+                        max(0, now - one.since) // MS,
+                    )
+                )
             case Flow():
                 flows.append(one)
     return Delta(start, since, upto, tuple(lives), tuple(desks), tuple(flows), tuple(gone), most)
@@ -128,8 +153,9 @@
     for life in delta.lives:
         records["b" + life.id] = to_life(now, life)
     for one in delta.desks:
-        records["d" + one.name] = Desk(one.name, one.life, one.zone, one.address, one.ready, one.leaving,
-                                       now - one.age * MS)
+        records["d" + one.name] = Desk(
+            one.name, one.life, one.zone, one.address, one.ready, one.leaving, now - one.age * MS
+        )
     for flow in delta.flows:
         records[flow_key(flow.zone, flow.pool)] = flow
     return records
--- a/ambershift/archive/stacks/registry.py
+++ b/ambershift/archive/stacks/registry.py
@@ -47,6 +47,7 @@
 RECALLED, NO_LIST = 304, 305  # Numbers of the log's events.
 HELD_MOST = 20_000  # Of these lives we remember that their end is held; others are just put again.
 
+
 class Side(Protocol):
     """Where the list is kept over a restart (`accession/sidefile.py`)."""
 
@@ -61,8 +62,16 @@
 
 
 class Registry:
-    def __init__(self, settings: Local, ledger: Ledger, send: Sending, steady: Callable[[], int], seed: int,
-                 log: Logging, side: Side | None = None) -> None:
+    def __init__(
+        self,
+        settings: Local,
+        ledger: Ledger,
+        send: Sending,
+        steady: Callable[[], int],
+        seed: int,
+        log: Logging,
+        side: Side | None = None,
+    ) -> None:
         """`side`: without one the list is in memory only."""
         self.settings, self.ledger, self.send, self.steady, self.log = settings, ledger, send, steady, log
         self.chance = random.Random(seed)
@@ -244,8 +253,9 @@
             return
         last = self.ledger.items().get(THE_CLEARED)
         told = [*(cleared_by(last) if last else ()), *ids][-REFUSED:]
-        item = Item(*THE_CLEARED, (last.version[0] + 1 if last else 1, self.settings.ip),
-                    msgspec.json.encode(told))
+        item = Item(
+            *THE_CLEARED, (last.version[0] + 1 if last else 1, self.settings.ip), msgspec.json.encode(told)
+        )
         self.clears = asyncio.ensure_future(self.ledger.put([item], PUT_LIMIT_S))
         self.clears.add_done_callback(lambda done: done.cancelled() or done.exception())
 
@@ -254,8 +264,9 @@
         if self.held.get(id, 0) < version:
             key = id, version
             if key not in self.holding:
-                item = Item(INSTANCE, id, (version, ""),
-                            msgspec.json.encode({"Service": service, "Address": address}))
+                item = Item(
+                    INSTANCE, id, (version, ""), msgspec.json.encode({"Service": service, "Address": address})
+                )
                 self.holding[key] = task = asyncio.ensure_future(self.ledger.put([item], PUT_LIMIT_S))
                 task.add_done_callback(lambda done: self._put(key, done))
             try:
@@ -289,5 +300,13 @@
 
 def backend(life: Life, now: int) -> Backend:
     """A life as desks are told of it."""
-    return Backend(life.id, life.service, life.address, life.zone, life.slots, life.draining,
-                   max(0, life.cold_until - now) // MS, life.unsure)
+    return Backend(
+        life.id,
+        life.service,
+        life.address,
+        life.zone,
+        life.slots,
+        life.draining,
+        max(0, life.cold_until - now) // MS,
+        life.unsure,
+    )
--- a/tests/archive_exchange.py
+++ b/tests/archive_exchange.py
@@ -33,8 +33,9 @@
         self.gate.set()
 
     def merge(self, items: Iterable[Item]) -> None:
-        newer = [one for one in items
-                 if (old := self.held.get(one.key)) is None or newest(old, one) is not old]
+        newer = [
+            one for one in items if (old := self.held.get(one.key)) is None or newest(old, one) is not old
+        ]
         self.held |= {one.key: one for one in newer}
         cleared = self.held.get(THE_CLEARED)
         for id in cleared_by(cleared) if cleared else ():
@@ -82,8 +83,24 @@
 class Node:
     def __init__(self, world: World, ip: str) -> None:
         zone = world.zones[ip]
-        settings = Local("", ip, "core", ip, zone, ZONES[zone], True, True, None, (7000, 7001), (),
-                         {"Control": f"{ip}:8080"}, ZONES, BEAT / SECOND, (1, 1, 1), Bounds())
+        settings = Local(
+            "",
+            ip,
+            "core",
+            ip,
+            zone,
+            ZONES[zone],
+            True,
+            True,
+            None,
+            (7000, 7001),
+            (),
+            {"Control": f"{ip}:8080"},
+            ZONES,
+            BEAT / SECOND,
+            (1, 1, 1),
+            Bounds(),
+        )
         self.ledger, self.logs = Ledger(world, ip), list[tuple[int, Any]]()
         self.sent: dict[str, list[msgspec.Struct]] = {}  # To desks.
 
@@ -98,8 +115,9 @@
 
         seed = next(world.seeds)
         self.registry = Registry(settings, self.ledger, send, lambda: world.now, seed, log)
-        self.controller = Controller(settings, self.ledger, self.registry, send_desk, send, lambda: world.now,
-                                     seed, log)
+        self.controller = Controller(
+            settings, self.ledger, self.registry, send_desk, send, lambda: world.now, seed, log
+        )
 
     def shown(self) -> set[str]:
         return {id for id, life in self.registry.lives().items() if not life.draining}
@@ -136,11 +154,14 @@
         if self.hears(to, sender):
             heapq.heappush(self.mail, (self.now + 20 * MS, next(self.order), sender, to, data))
 
-    def backend(self, id: str, service: str, zone: str, keeper: str, address: str = "",
-                **condition: Any) -> None:
-        body = {"Address": address or f"{id}:80",
-                "Information": {"Service": service, "ConfigVersion": "v1", "Zone": zone, "CapacitySlots": 4},
-                "Condition": {"State": "ready", "Sequence": 0, "ColdRemainingMs": 0} | condition}
+    def backend(
+        self, id: str, service: str, zone: str, keeper: str, address: str = "", **condition: Any
+    ) -> None:
+        body = {
+            "Address": address or f"{id}:80",
+            "Information": {"Service": service, "ConfigVersion": "v1", "Zone": zone, "CapacitySlots": 4},
+            "Condition": {"State": "ready", "Sequence": 0, "ColdRemainingMs": 0} | condition,
+        }
         self.beating[id] = keeper, body, self.now
 
     async def beat(self, id: str, keeper: str | None = None, **condition: Any) -> tuple[int, dict[str, Any]]:
@@ -150,8 +171,9 @@
         self.beating[id] = keeper or known, body, self.now + BEAT
         return await self.nodes[keeper or known].registry.beat(id, msgspec.json.encode(body))
 
-    def desk(self, name: str, ip: str, zone: str, ready: bool = True, leaving: bool = False,
-             **rates: int) -> list[msgspec.Struct]:
+    def desk(
+        self, name: str, ip: str, zone: str, ready: bool = True, leaving: bool = False, **rates: int
+    ) -> list[msgspec.Struct]:
         """A desk says Hello on a link to an archivist. Returns what it will have been sent."""
         self.desks[name] = ip, rates
         hello = fronts.Hello(name, "x", zone, f"{name}:80", ready, leaving)
--- a/tests/circulated.py
+++ b/tests/circulated.py
@@ -25,34 +25,72 @@
 
 def settings(**changed: Any) -> Local:
     plain: dict[str, Any] = dict(
-        file="", name="desk-1", machine_class="front", ip="127.0.0.1", zone="north", region="up",
-        counted=False, initial=True, folder=None, internal=(7000, 7001), seeds=(),
-        listen={"Front": "127.0.0.1:1", "Readiness": "127.0.0.1:2"}, zones=ZONES, heartbeat=1.5,
-        tolerated=(1, 1, 1), bounds=Bounds(retry_slack=64, cold_overrun=1.5, cold_slack=5))
+        file="",
+        name="desk-1",
+        machine_class="front",
+        ip="127.0.0.1",
+        zone="north",
+        region="up",
+        counted=False,
+        initial=True,
+        folder=None,
+        internal=(7000, 7001),
+        seeds=(),
+        listen={"Front": "127.0.0.1:1", "Readiness": "127.0.0.1:2"},
+        zones=ZONES,
+        heartbeat=1.5,
+        tolerated=(1, 1, 1),
+        bounds=Bounds(retry_slack=64, cold_overrun=1.5, cold_slack=5),
+    )
     return Local(**{**plain, **changed})
 
 
 def route(name: str, prefix: str, kind: str = "idempotent", version: int = 1, **more: Any) -> Item:
-    body = {"Name": name, "Host": "books.example", "PathPrefix": prefix, "RouteType": kind,
-            "TimeoutMs": 1500, "TargetMs": 600, "Priority": 1, "Service": "loans", "MaxAttempts": 2, **more}
+    body = {
+        "Name": name,
+        "Host": "books.example",
+        "PathPrefix": prefix,
+        "RouteType": kind,
+        "TimeoutMs": 1500,
+        "TargetMs": 600,
+        "Priority": 1,
+        "Service": "loans",
+        "MaxAttempts": 2,
+        **more,
+    }
     return Item(ROUTE, name, (version, ""), msgspec.json.encode(body))
 
 
-SERVICES = tuple(Item(SERVICE, name, (1, ""), msgspec.json.encode(
-    {"Name": name, "ConnectionCap": 100, "ColdStartS": 3.0, "ColdRateS": 11.0}))
-    for name in ("loans", "maps"))
+SERVICES = tuple(
+    Item(
+        SERVICE,
+        name,
+        (1, ""),
+        msgspec.json.encode({"Name": name, "ConnectionCap": 100, "ColdStartS": 3.0, "ColdRateS": 11.0}),
+    )
+    for name in ("loans", "maps")
+)
 PLAIN = Items((route("r1", "/read/"), route("w1", "/write/", "non_idempotent"), *SERVICES), True)
 
 
-def backend(id: str, address: str = "127.0.0.1:9", zone: str = "north", service: str = "loans",
-            slots: int = 4, draining: bool = False, cold: int = 0) -> Backend:
+def backend(
+    id: str,
+    address: str = "127.0.0.1:9",
+    zone: str = "north",
+    service: str = "loans",
+    slots: int = 4,
+    draining: bool = False,
+    cold: int = 0,
+) -> Backend:
     return Backend(id, service, address, zone, slots, draining, cold)
 
 
 def answer(head: bytes, status: int = 200, body: bytes = b"read", more: bytes = b"") -> bytes:
     attempt = head.partition(b"x-attempt-id: ")[2].partition(b"\r\n")[0]
-    return (b"HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nContent-Length: %d\r\n%s%s\r\n" % (
-        status, attempt, len(body), b"X-Server-Seal: 1.2\r\n" if status == 200 else b"", more)) + body
+    return (
+        b"HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nContent-Length: %d\r\n%s%s\r\n"
+        % (status, attempt, len(body), b"X-Server-Seal: 1.2\r\n" if status == 200 else b"", more)
+    ) + body
 
 
 class Shelf:
@@ -70,7 +108,7 @@
         self.connections += 1
         try:
             while True:
-                head = (await reader.readuntil(b"\r\n\r\n"))
+                head = await reader.readuntil(b"\r\n\r\n")
                 first, _, rest = head.partition(b"\r\n")
                 head = first + b"\r\n" + rest.lower()
                 length = head.partition(b"content-length: ")[2].partition(b"\r\n")[0]
@@ -106,13 +144,23 @@
     async def __aenter__(self) -> Rig:
         self.desk.hear(Cores((), True, 1))
         self.desk.hear(self.items)
-        put = tuple([backend(f"i-{number}", await shelf.start())
-                     for number, shelf in enumerate(self.shelves)])
+        put = tuple(
+            [backend(f"i-{number}", await shelf.start()) for number, shelf in enumerate(self.shelves)]
+        )
         self.desk.hear(Backends(put, (), True))
         speaks = partial(Reception, lambda: self.desk.routing.limits, lambda: time.monotonic_ns() + self.late)
-        config = uvicorn.Config(self.desk, "127.0.0.1", 0, http=speaks,  # type: ignore[arg-type]
-                                ws="none", lifespan="off", log_level="error", server_header=False,
-                                date_header=False, timeout_keep_alive=60)
+        config = uvicorn.Config(
+            self.desk,
+            "127.0.0.1",
+            0,
+            http=speaks,  # type: ignore[arg-type]
+            ws="none",
+            lifespan="off",
+            log_level="error",
+            server_header=False,
+            date_header=False,
+            timeout_keep_alive=60,
+        )
         self.server = uvicorn.Server(config)
         self.serving = asyncio.ensure_future(self.server.serve())
         while not self.server.started:
@@ -126,13 +174,23 @@
         for shelf in self.shelves:
             shelf.server.close()
 
-    async def ask(self, path: str = "/read/a", method: str = "GET", body: bytes = b"", left: int = 1500,
-                  attempt: str = "a1", more: str = "") -> tuple[int, bytes, bytes]:
+    async def ask(
+        self,
+        path: str = "/read/a",
+        method: str = "GET",
+        body: bytes = b"",
+        left: int = 1500,
+        attempt: str = "a1",
+        more: str = "",
+    ) -> tuple[int, bytes, bytes]:
         """Status, head and body of the answer; status 0 where the connection ended before it was whole."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         length = f"Content-Length: {len(body)}\r\n" if body else ""
-        writer.write(f"{method} {path} HTTP/1.1\r\nHost: Books.example:80\r\nX-Attempt-Id: {attempt}\r\n"
-                     f"X-Deadline-Remaining: {left}\r\n{length}{more}\r\n".encode() + body)
+        writer.write(
+            f"{method} {path} HTTP/1.1\r\nHost: Books.example:80\r\nX-Attempt-Id: {attempt}\r\n"
+            f"X-Deadline-Remaining: {left}\r\n{length}{more}\r\n".encode()
+            + body
+        )
         try:
             head = (await reader.readuntil(b"\r\n\r\n")).lower()
             length = head.partition(b"content-length: ")[2].partition(b"\r\n")[0].decode()
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -74,9 +74,18 @@
         self.sent: list[tuple[str, str, msgspec.Struct]] = []
         self.ledgers = {ip: FakeLedger(self, ip) for ip in IPS}
         self.registry = FakeRegistry()
-        self.machines = {ip: Enquiries(_local(ip), self.ledgers[ip], self.registry, self.steady,
-                                       self._sender(ip), lambda number, fields: None, number << 40)
-                         for number, ip in enumerate(IPS)}
+        self.machines = {
+            ip: Enquiries(
+                _local(ip),
+                self.ledgers[ip],
+                self.registry,
+                self.steady,
+                self._sender(ip),
+                lambda number, fields: None,
+                number << 40,
+            )
+            for number, ip in enumerate(IPS)
+        }
 
     def lose(self, *ips: str) -> None:
         """These and no others, from now on."""
@@ -92,12 +101,15 @@
             def arrive() -> None:
                 if not {own, to} & self.lost.keys():
                     self.machines[to].hear(own, decode(encode(message)))
+
             if own not in self.lost:
                 self.loop.call_later(TRIP, arrive)
+
         return send
 
-    async def call(self, ip: str, method: str, target: str, body: Any = b"",
-                   gone: bool = False) -> tuple[int, Any]:
+    async def call(
+        self, ip: str, method: str, target: str, body: Any = b"", gone: bool = False
+    ) -> tuple[int, Any]:
         """Status (0 if there was no answer) and what the JSON says (None for none)."""
         path, _, query = target.partition("?")
         whole = body if isinstance(body, bytes) else msgspec.json.encode(body)
@@ -112,15 +124,22 @@
 
         async def send(message: Any) -> None:
             got.append(message)
-        scope = {"type": "http", "method": method, "path": path, "query_string": query.encode(),
-                 "headers": []}
+
+        scope = {
+            "type": "http",
+            "method": method,
+            "path": path,
+            "query_string": query.encode(),
+            "headers": [],
+        }
         await self.machines[ip](scope, receive, send)
         if not got:
             return 0, None
         return got[0]["status"], msgspec.json.decode(got[1]["body"]) if got[1]["body"] else None
 
-    async def rpc(self, ip: str, name: str, of: str = "", body: Any = b"",
-                  gone: bool = False) -> tuple[int, Any]:
+    async def rpc(
+        self, ip: str, name: str, of: str = "", body: Any = b"", gone: bool = False
+    ) -> tuple[int, Any]:
         return await self.call(ip, "POST", f"/ambershift/rpc?call={name}&of={of}", body, gone)
 
 
@@ -220,7 +239,21 @@
 
 
 def _local(ip: str) -> Local:
-    return Local(file="", name=ip, machine_class="core", ip=ip, zone="riga-a", region="riga", counted=True,
-                 initial=True, folder=None, internal=(7000, 7001), seeds=(), listen={},
-                 zones={"riga-a": "riga", "riga-b": "riga"}, heartbeat=1.5, tolerated=(1, 1, 1),
-                 bounds=Bounds())
+    return Local(
+        file="",
+        name=ip,
+        machine_class="core",
+        ip=ip,
+        zone="riga-a",
+        region="riga",
+        counted=True,
+        initial=True,
+        folder=None,
+        internal=(7000, 7001),
+        seeds=(),
+        listen={},
+        zones={"riga-a": "riga", "riga-b": "riga"},
+        heartbeat=1.5,
+        tolerated=(1, 1, 1),
+        bounds=Bounds(),
+    )
--- a/tests/test_archive_accession.py
+++ b/tests/test_archive_accession.py
@@ -65,6 +65,7 @@
         replica = world.boxes[ip].replica
         assert replica is not None
         return replica.watching.settled()
+
     world.run(1.5)
     assert settled(one) == frozenset()  # Nobody is: all are.
     world.run(4)
@@ -129,8 +130,13 @@
         for _ in range(3):
             world.change("append", "10.0.0.1", "list/0")
             world.run(0.5)
-        world.kill(next(ip for ip, box in world.boxes.items() if box.replica and ip != "10.0.0.1"
-                        and box.replica._acceptor.record("list/0").value))
+        world.kill(
+            next(
+                ip
+                for ip, box in world.boxes.items()
+                if box.replica and ip != "10.0.0.1" and box.replica._acceptor.record("list/0").value
+            )
+        )
         prepared = len(world.sent["Prepare"])
         op = world.change("read", "10.0.0.1", "list/0")
         world.run(1)
--- a/tests/test_archive_accession_disk.py
+++ b/tests/test_archive_accession_disk.py
@@ -57,7 +57,7 @@
         with open(lost / f"{FILE}-wal", "r+b") as log:
             log.truncate(sizes[number - 1] + 37 * number)
             log.seek(-min(20, 37 * number), 2)
-            log.write(b"torn"[:min(20, 37 * number)])
+            log.write(b"torn"[: min(20, 37 * number)])
         again = Opened(lost)
         found = max(value[0] for value in again.rows["items"].values())
         assert found >= number
@@ -78,7 +78,7 @@
     elif trouble.startswith("damaged"):
         data = bytearray((tmp_path / FILE).read_bytes())
         at = 0 if trouble == "damaged" else 3 * 4096
-        data[at:at + 2000] = bytes(2000)
+        data[at : at + 2000] = bytes(2000)
         (tmp_path / FILE).write_bytes(data)
     again = Opened(tmp_path)
     assert again.rows == {} and again.disk.refused
@@ -122,9 +122,24 @@
 
 
 def settings(folder: Path) -> Local:
-    return Local(file="", name="one", machine_class="core", ip=IP, zone="z", region="r", counted=True,
-                 initial=True, folder=str(folder), internal=(1, 2), seeds=(f"{IP}:1",), listen={}, zones={},
-                 heartbeat=1.5, tolerated=(0, 0, 0), bounds=Bounds())
+    return Local(
+        file="",
+        name="one",
+        machine_class="core",
+        ip=IP,
+        zone="z",
+        region="r",
+        counted=True,
+        initial=True,
+        folder=str(folder),
+        internal=(1, 2),
+        seeds=(f"{IP}:1",),
+        listen={},
+        zones={},
+        heartbeat=1.5,
+        tolerated=(0, 0, 0),
+        bounds=Bounds(),
+    )
 
 
 def test_a_shelf_keeps_what_it_acknowledged(tmp_path: Path) -> None:
@@ -133,8 +148,14 @@
         return Verdict(str(count).encode(), count)
 
     async def life(initial: bool, work: Callable[[Shelf], Any]) -> Any:
-        shelf = Shelf(replace(settings(tmp_path), initial=initial), lambda ip, message: None,
-                      time.monotonic_ns, 7, lambda name: None, lambda number, fields: None)
+        shelf = Shelf(
+            replace(settings(tmp_path), initial=initial),
+            lambda ip, message: None,
+            time.monotonic_ns,
+            7,
+            lambda name: None,
+            lambda number, fields: None,
+        )
         await shelf.start()
         try:
             return await asyncio.wait_for(work(shelf), 10)
--- a/tests/test_archive_circulation_attempt.py
+++ b/tests/test_archive_circulation_attempt.py
@@ -53,8 +53,12 @@
         self.tries, self.over = Tries(repeatable, most, self.now + 1500 * MS), False
 
     @precondition(lambda self: self.tries is not None and not self.over)
-    @rule(stage=st.sampled_from(Stage), ending=st.sampled_from(Ending),
-          told=st.sampled_from(list(heads())), took=st.integers(0, 900))
+    @rule(
+        stage=st.sampled_from(Stage),
+        ending=st.sampled_from(Ending),
+        told=st.sampled_from(list(heads())),
+        took=st.integers(0, 900),
+    )
     def attempt(self, stage, ending, told, took):
         if not self.tries.may(self.now):
             self.over = True
--- a/tests/test_archive_circulation_path.py
+++ b/tests/test_archive_circulation_path.py
@@ -16,10 +16,13 @@
 def test_requests_pass_unchanged_and_connections_are_kept():
     async def playing():
         async with Rig(good) as rig:
-            status, head, body = await rig.ask("/read/a%2Fb/?x=%20y&z", left=900,
-                                               more="Connection: x-one\r\nX-One: 1\r\nX-Two: 2\r\nTE: x\r\n")
+            status, head, body = await rig.ask(
+                "/read/a%2Fb/?x=%20y&z",
+                left=900,
+                more="Connection: x-one\r\nX-One: 1\r\nX-Two: 2\r\nTE: x\r\n",
+            )
             assert (status, body) == (200, b"read:") and b"x-server-seal: 1.2" in head
-            sent, = rig.shelves[0].heads
+            (sent,) = rig.shelves[0].heads
             assert sent.startswith(b"GET /read/a%2Fb/?x=%20y&z HTTP/1.1\r\n")
             assert b"host: books.example:80" in sent and b"x-target-instance: i-0\r\n" in sent
             assert b"x-attempt-id: a1\r\n" in sent and b"x-two: 2" in sent
@@ -31,6 +34,7 @@
             assert rig.shelves[0].connections == 1
             assert [(await rig.ask(path))[0] for path in ("/read", "/other/", "/write/x")] == [404, 404, 200]
             assert rig.desk.idle() and rig.desk.report(1 << 62).came == {"loans": 4}
+
     run(playing)
 
 
@@ -52,15 +56,18 @@
             rig.desk.admission.flying = 0
             assert (await rig.ask("/read/cut"))[0] == 0
             assert rig.desk.idle() and not any(life.flying for life in rig.desk.roster.lives.values())
+
     run(playing)
 
 
 def scripted(*replies):
     """A backend that does these in turn, the last one again and again."""
+
     def do(head, body, writer):
         reply = replies[min(len(do.seen), len(replies) - 1)]
         do.seen.append(head)
         return reply(head, body, writer)
+
     do.seen = []
     return do
 
@@ -109,8 +116,16 @@
 
 # What the first backend does: the statuses a repeatable and another request get, with a good one beside it.
 CASES = [
-    (reset, 200, 502), (cut, 200, 502), (garbage, 200, 502), (foreign, 200, 504), (unsealed, 200, 502),
-    (promise, 200, 502), (away, 200, 200), (failing, 200, 500), (late, 200, 200), (good, 200, 200),
+    (reset, 200, 502),
+    (cut, 200, 502),
+    (garbage, 200, 502),
+    (foreign, 200, 504),
+    (unsealed, 200, 502),
+    (promise, 200, 502),
+    (away, 200, 200),
+    (failing, 200, 500),
+    (late, 200, 200),
+    (good, 200, 200),
 ]
 
 
@@ -132,6 +147,7 @@
                 more = wanted == 200 and bad not in (good, late)
                 assert len(second.seen) - before == more
                 lives["i-0"].pause = lives["i-0"].recent[1] = lives["i-0"].waiting = 0
+
     run(playing)
 
 
@@ -154,6 +170,7 @@
             assert (await rig.ask("/write/", left=90, more="Content-Length: 9\r\n"))[0] == 408
             assert (await rig.ask("/none/", "POST", b"x" * 1000))[0] == 404
             assert (await rig.ask(attempt=""))[0] == 400
+
     run(playing)
 
 
@@ -170,6 +187,7 @@
             await rig.shelves[0].ended.wait()  # At the deadline.
             assert rig.desk.steady() - began > 600_000_000
             assert rig.desk.roster.lives["i-0"].pause and not rig.desk.roster.lives["i-0"].flying
+
     run(playing)
 
 
@@ -183,6 +201,7 @@
             rig.desk.hear(Backends((backend("m", service="maps"),), (), False))
             assert {(await rig.ask())[0] for _ in range(5)} == {503}  # Nobody is at that address.
             assert rig.desk.report(1 << 62).came == {"loans": 5, "maps": 5}
+
     run(playing)
 
 
@@ -204,6 +223,7 @@
             assert (await rig.ask("/read/"))[0] == 200 and rig.shelves[0].connections == 5
             rig.desk.connections._steady = lambda: later + 3_700_000_000
             assert (await rig.ask("/read/"))[0] == 200 and rig.shelves[0].connections == 6
+
     run(playing)
 
 
@@ -219,6 +239,7 @@
             for _ in range(3):
                 assert (await rig.ask("/write/"))[0] == 200
             assert not rig.desk.roster.lives["i-0"].bad
+
     run(playing)
 
 
@@ -240,6 +261,7 @@
             for _ in range(6):
                 rig.desk.budget("loans").came(rig.desk.steady())
             assert (await rig.ask())[0] == 200 and not rig.desk.budget("loans").take(rig.desk.steady())
+
     run(playing)
 
 
@@ -254,9 +276,11 @@
                 wire = await opening(life, within)
                 rig.desk.hear(Items((Item(INSTANCE, "i-0", (1, ""), b"{}"),), False))
                 return wire
+
             rig.desk.connections.open = slowly
             assert (await rig.ask("/write/"))[0] == 200
             assert (len(first.seen), len(second.seen)) == (0, 1)
+
     run(playing)
 
 
@@ -274,6 +298,7 @@
             assert (await rig.ask())[0] == 200 and rig.shelves[0].connections == 2
             await rig.ask("/read/reset")
             assert life.pause > 0
+
     run(playing)
 
 
@@ -297,9 +322,12 @@
 
             async def send(message):
                 said.append(message)
+
             for leaving in (False, True):
                 rig.desk.leaving = leaving
-                await rig.desk({"type": "http", "server": ("", 2), "raw_path": b"/ambershift/readiness"},
-                               None, send)
+                await rig.desk(
+                    {"type": "http", "server": ("", 2), "raw_path": b"/ambershift/readiness"}, None, send
+                )
             assert [one["status"] for one in said if "status" in one] == [200, 503]
+
     run(playing)
--- a/tests/test_archive_circulation_pick.py
+++ b/tests/test_archive_circulation_pick.py
@@ -95,13 +95,16 @@
     assert hall.picks("loans|down|up") == {0, 1, 2, 3, 4}
 
 
-@pytest.mark.parametrize("leave", [
-    lambda hall: hall.desk.hear(Items((Item(INSTANCE, "i-1", (1, ""), b"{}"),), False)),
-    lambda hall: hall.tell(backend("i-1", draining=True)),
-    lambda hall: hall.tell(gone=("i-1",)),
-    lambda hall: hall.desk.hear(Withdraw("i-1", True)),
-    lambda hall: hall.desk.hear(Items((Item(ZONE, "north", (3, "m"), b"true"),), False)),
-])
+@pytest.mark.parametrize(
+    "leave",
+    [
+        lambda hall: hall.desk.hear(Items((Item(INSTANCE, "i-1", (1, ""), b"{}"),), False)),
+        lambda hall: hall.tell(backend("i-1", draining=True)),
+        lambda hall: hall.tell(gone=("i-1",)),
+        lambda hall: hall.desk.hear(Withdraw("i-1", True)),
+        lambda hall: hall.desk.hear(Items((Item(ZONE, "north", (3, "m"), b"true"),), False)),
+    ],
+)
 def test_nothing_goes_to_what_leaves_though_the_table_has_it_alone(hall, leave):
     hall.desk.hear(Bind("loans", 5, (("i-1", 1.0),)))
     assert hall.picks() == {1}
@@ -114,8 +117,16 @@
 def test_a_drained_life_stays_out_when_an_older_word_comes_again(hall):
     hall.desk.hear(Items((Item(INSTANCE, "i-1", (2, ""), None),), False))
     hall.tell(backend("i-1"), whole=True)
-    hall.desk.hear(Items((Item(INSTANCE, "i-1", (1, ""), b"{}"), Item(INSTANCE, "i-9", (1, ""), b"{}"),
-                          Item(ZONE, "hill", (1, "m"), b"true")), False))
+    hall.desk.hear(
+        Items(
+            (
+                Item(INSTANCE, "i-1", (1, ""), b"{}"),
+                Item(INSTANCE, "i-9", (1, ""), b"{}"),
+                Item(ZONE, "hill", (1, "m"), b"true"),
+            ),
+            False,
+        )
+    )
     hall.tell(backend("i-9"), backend("i-8", zone="hill"))  # Heard of only after their end.
     assert not any(hall.life(at).open(hall.now) for at in (1, 8, 9)) and hall.life(0).named is False
 
--- a/tests/test_archive_clearing.py
+++ b/tests/test_archive_clearing.py
@@ -73,8 +73,12 @@
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """All times a hundredth of what they are, but for those of a heartbeat."""
-    for where, name, value in ((clearing, "KEPT", 18), (clearing, "EVERY", 1), (machine, "STALE", 9),
-                               (listing, "KEPT", 6)):
+    for where, name, value in (
+        (clearing, "KEPT", 18),
+        (clearing, "EVERY", 1),
+        (machine, "STALE", 9),
+        (listing, "KEPT", 6),
+    ):
         monkeypatch.setattr(where, name, value * SECOND)
 
 
@@ -119,7 +123,10 @@
         assert held(world) == [{"c1-0"}] * 3
         # One archivist has told all.
         assert [any(one.kind == CLEARED for one in node.ledger.puts) for node in world.nodes.values()] == [
-            False, True, False]
+            False,
+            True,
+            False,
+        ]
         for node in world.nodes.values():
             stacks = node.registry.machine
             assert set(stacks.listing.ended) == set(stacks.clearing.since) == {"c1-0"}
@@ -131,6 +138,7 @@
         # Another copy that was away with the end brings it back to nobody.
         world.nodes["3"].ledger.merge([ended("a1-0")])
         assert held(world) == [{"c1-0"}] * 3
+
     asyncio.run(playing())
 
 
@@ -139,6 +147,7 @@
 def test_who_stood_still_brings_nobody_back(still: int) -> None:
     """Shorter than the ends are kept, it learns of them; longer, it lets go all that it knew, and takes no
     beat that waited for it."""
+
     async def playing() -> None:
         world = await three()
         world.frozen.add("3")
@@ -165,6 +174,7 @@
             await world.run(0.1)
             assert not any("c1-0" in world.nodes[ip].shown() for ip in "12")
         assert {"a1-0", "b1-0", "c1-1"} <= world.nodes["3"].shown()
+
     asyncio.run(playing())
 
 
--- a/tests/test_archive_codec.py
+++ b/tests/test_archive_codec.py
@@ -30,10 +30,16 @@
     assert codec.encode(Mark(count))[0] != codec.DEFLATED
 
 
-@given(st.integers(0, 1 << 63), st.sampled_from(("locks.initiate", "cells.replace", "watch", "")),
-       st.text(max_size=40), st.binary(max_size=2000), st.integers(0, 1 << 31))
-def test_errands_come_back_and_are_never_longer(number: int, name: str, of: str, body: bytes,
-                                                left: int) -> None:
+@given(
+    st.integers(0, 1 << 63),
+    st.sampled_from(("locks.initiate", "cells.replace", "watch", "")),
+    st.text(max_size=40),
+    st.binary(max_size=2000),
+    st.integers(0, 1 << 31),
+)
+def test_errands_come_back_and_are_never_longer(
+    number: int, name: str, of: str, body: bytes, left: int
+) -> None:
     for message in (Errand(number, name, of, body, left), Outcome(number, 200, body)):
         data = codec.encode(message)
         assert codec.decode(data) == message and len(data) <= len(msgspec.msgpack.encode(message))
@@ -46,8 +52,16 @@
     flipped = bytes([*data[:40], data[40] ^ 0x55, *data[41:]])
     short = codec.encode(Outcome(1, 200, b'{"Events":[],"Revision":934}'))
     assert short[0] == codec.KNOWN
-    for bad in (short[:-3], short[:1], b"\xc1\xff\xff", data[:-1], data[:1], flipped,
-                zlib.compress(b"no message" * 200), b""):
+    for bad in (
+        short[:-3],
+        short[:1],
+        b"\xc1\xff\xff",
+        data[:-1],
+        data[:1],
+        flipped,
+        zlib.compress(b"no message" * 200),
+        b"",
+    ):
         with pytest.raises(codec.UnreadableError):
             codec.decode(bad)
     monkeypatch.setattr(codec, "MESSAGE_MOST", 4000)
--- a/tests/test_archive_drill_scripts.py
+++ b/tests/test_archive_drill_scripts.py
@@ -18,10 +18,13 @@
         assert script() != []
 
 
-@pytest.mark.parametrize(("variant", "found"), [
-    ("stopped-unnoticed", False), ("order-of-one-who-left", False), ("late-order-carried-out", True)])
+@pytest.mark.parametrize(
+    ("variant", "found"),
+    [("stopped-unnoticed", False), ("order-of-one-who-left", False), ("late-order-carried-out", True)],
+)
 def test_of_the_guards_against_an_order_that_a_stopped_process_reads_either_is_enough(
-    variant: str, found: bool,
+    variant: str,
+    found: bool,
 ) -> None:
     with broken(BY_NAME[variant]):
         assert bool(late_order(stopped=True)) == found
--- a/tests/test_archive_enquiries.py
+++ b/tests/test_archive_enquiries.py
@@ -8,8 +8,16 @@
 
 from tests.enquiring import IPS, World, order, play
 
-ROUTE = {"Name": "r-1", "Host": "a.example", "PathPrefix": "/x/", "RouteType": "idempotent",
-         "TimeoutMs": 1500, "Service": "s1", "ServingRegions": [], "ConfigVersion": "r7"}
+ROUTE = {
+    "Name": "r-1",
+    "Host": "a.example",
+    "PathPrefix": "/x/",
+    "RouteType": "idempotent",
+    "TimeoutMs": 1500,
+    "Service": "s1",
+    "ServingRegions": [],
+    "ConfigVersion": "r7",
+}
 SERVICE = {"Name": "s1", "HealthPath": "/health", "ColdStartS": 3.0, "Tls": False, "ConfigVersion": "r7"}
 
 
@@ -22,8 +30,10 @@
     async def story(world: World) -> None:
         one, two, three = IPS
         limits = {"HeaderBytes": 16384, "ConfigVersion": "r7"}
-        first = {"Upsert": {"Routes": table(ROUTE), "Services": table(SERVICE), "Limits": limits},
-                 "Remove": {"Routes": []}}
+        first = {
+            "Upsert": {"Routes": table(ROUTE), "Services": table(SERVICE), "Limits": limits},
+            "Remove": {"Routes": []},
+        }
         assert await world.rpc(one, "configuration.modify", body=first) == (200, {})
         status, back = await world.rpc(two, "configuration.retrieve")
         assert status == 200 and back["Limits"] == limits
@@ -54,6 +64,7 @@
             assert (await world.rpc(one, wrong, "x", b"[1"))[0] == 400
         assert (await world.rpc(one, "numbers", "x"))[0] == 404
         assert (await world.call(one, "GET", "/ambershift/rpc?call=cells.retrieve&of=x"))[0] == 405
+
     play(story)
 
 
@@ -65,4 +76,5 @@
         assert sum(ledger.rounds for ledger in world.ledgers.values()) == 1
         assert world.ledgers[order("n/n")[0]].rounds == 1
         assert world.loop.now - begun < 0.15
+
     play(story)
--- a/tests/test_archive_enquiries_faults.py
+++ b/tests/test_archive_enquiries_faults.py
@@ -17,15 +17,25 @@
 ROUTE = {"Name": "r", "Host": "a", "PathPrefix": "/", "RouteType": "idempotent", "Service": "s"}
 
 
-@pytest.mark.parametrize(("theirs", "ours", "status"), [
-    ([], "", 200), (["again"], "", 200),
-    (["unclear"], "refused", 200), (["lost"], "refused", 200),  # The owner is asked again, as it is there.
-    (["refused"], "", 200), (["lost", "refused"], "", 200),  # The next one is asked: this machine.
-    (["refused"], "refused", 503),  # Nothing was done, and both say so.
-    (["refused"], "lost", 504), (["refused"], "unclear", 504), (["refused"], "hangs", 504),
-    (["lost", "refused"], "refused", 504), (["unclear", "refused"], "refused", 504),
-    (["lost"] * 20, "", 504), (["hangs"], "", 504),
-])
+@pytest.mark.parametrize(
+    ("theirs", "ours", "status"),
+    [
+        ([], "", 200),
+        (["again"], "", 200),
+        (["unclear"], "refused", 200),
+        (["lost"], "refused", 200),  # The owner is asked again, as it is there.
+        (["refused"], "", 200),
+        (["lost", "refused"], "", 200),  # The next one is asked: this machine.
+        (["refused"], "refused", 503),  # Nothing was done, and both say so.
+        (["refused"], "lost", 504),
+        (["refused"], "unclear", 504),
+        (["refused"], "hangs", 504),
+        (["lost", "refused"], "refused", 504),
+        (["unclear", "refused"], "refused", 504),
+        (["lost"] * 20, "", 504),
+        (["hangs"], "", 504),
+    ],
+)
 @pytest.mark.parametrize("kind", ["put", "lock", "number"])
 def test_a_promise_is_made_only_where_it_holds(theirs: list[str], ours: str, status: int, kind: str) -> None:
     async def story(world: World) -> None:
@@ -42,6 +52,7 @@
             answer = await world.call(entry, "POST", "/ambershift/numbers/n")
         assert answer[0] == (504 if (status, kind) == (503, "put") else status)
         assert world.loop.now - begun < 0.96
+
     play(story)
 
 
@@ -61,6 +72,7 @@
         assert world.ledgers[owner].rounds == 1
         world.ledgers[other].touch = False
         assert (await world.call(other, "POST", "/ambershift/numbers/n"))[0] == 503
+
     play(story)
 
 
@@ -71,6 +83,7 @@
             world.unsettled = unsettled
             assert (await world.call(entry, "POST", "/ambershift/numbers/n"))[0] == 200
             assert {ip: one.rounds for ip, one in world.ledgers.items() if one.rounds} == rounds
+
     play(story)
 
 
@@ -78,6 +91,7 @@
 def test_values_show_up_as_callers_were_told(seed: int) -> None:
     """Puts sent again until they get a clear answer, by two callers that race for three keys, with faults
     in every other round and machines that stay silent; a watch must hear of every put, once and in order."""
+
     async def story(world: World) -> None:
         luck = random.Random(seed)
         told: dict[str, set[tuple[int, int]]] = {}
@@ -118,7 +132,8 @@
                     after = 1  # The first was put before the watch began.
                 elif status == 200:
                     assert [event["Revision"] for event in found["Events"]] == list(
-                        range(after + 1, found["Revision"] + 1))
+                        range(after + 1, found["Revision"] + 1)
+                    )
                     heard.extend(tuple(event.values()) for event in found["Events"])
                     after = found["Revision"]
                 await asyncio.sleep(0.01)
@@ -133,9 +148,10 @@
         revisions = {value: revision for _, value, revision in events}
         assert len(revisions) == len(events)
         for value, answers in told.items():
-            (status, revision), = answers
+            ((status, revision),) = answers
             assert revisions.get(value) == (revision if status == 200 else None), (value, status)
         assert {status for answers in told.values() for status, _ in answers} >= {200, 412}
+
     play(story)
 
 
@@ -147,15 +163,17 @@
         async def delay_of(at: str, fault: str = "") -> float:
             put["Value"], put["AppliesTo"] = put["Value"] + "+", put["AppliesTo"] + 1
             begun = world.loop.now
-            watch = asyncio.create_task(world.call(
-                at, "GET", f"/ambershift/watch/g.?after={put['AppliesTo']}&WaitMs=5000"))
+            watch = asyncio.create_task(
+                world.call(at, "GET", f"/ambershift/watch/g.?after={put['AppliesTo']}&WaitMs=5000")
+            )
             await asyncio.sleep(0.7)
             world.ledgers[owner].faults = [fault]
             assert (await world.rpc(other, "cells.replace", "g.a", put))[0] == 200
             status, found = await watch
             assert status == 200 and found["Revision"] == put["AppliesTo"] + 1
             assert found["Events"] == [
-                {"Name": "g.a", "Value": put["Value"], "Revision": put["AppliesTo"] + 1}]
+                {"Name": "g.a", "Value": put["Value"], "Revision": put["AppliesTo"] + 1}
+            ]
             return world.loop.now - begun - 0.7
 
         assert (await world.rpc(other, "cells.replace", "g.a", put))[0] == 200
@@ -164,6 +182,7 @@
         assert await delay_of(entry) < 0.6  # It waits with the owner, who isn't known to be lost.
         world.lose()
         assert await delay_of(owner, "refused") < 0.6  # Put through another machine; word of it comes.
+
     play(story)
 
 
@@ -171,8 +190,10 @@
     async def story(world: World) -> None:
         owner, entry, other = order("g/g.")
         assert (await world.rpc(entry, "cells.replace", "g.a", {"Value": "v"}))[0] == 200
-        watches = [asyncio.create_task(world.call(at, "GET", "/ambershift/watch/g.?after=1&WaitMs=2000"))
-                   for at in (owner, other, entry)]
+        watches = [
+            asyncio.create_task(world.call(at, "GET", "/ambershift/watch/g.?after=1&WaitMs=2000"))
+            for at in (owner, other, entry)
+        ]
         await asyncio.sleep(0.3)
         rounds = {ip: ledger.rounds for ip, ledger in world.ledgers.items()}
         world.ledgers[owner].faults = ["refused"]
@@ -183,6 +204,7 @@
         assert world.loop.now - begun < 8 * TRIP
         others = [ledger.rounds - rounds[ip] for ip, ledger in world.ledgers.items()]
         assert sorted(others) == [0, 1, 1]  # The one refused, and the put itself.
+
     play(story)
 
 
@@ -208,6 +230,7 @@
             begun = world.loop.now
             answer = await world.call(at, "GET", f"/ambershift/watch/g.?after={after}&WaitMs={wait}")
             return *answer, round(world.loop.now - begun, 3)
+
         assert (await watch(entry, 0))[:2] == (200, {"Events": [], "Revision": 0})
         for number in range(1, 101):
             put = {"Value": f"v{number}", "AppliesTo": number - 1}
@@ -234,11 +257,14 @@
         assert (await waiting[1])[2] < 0.7
         for wrong in ("x", "-1"):
             assert (await world.call(entry, "GET", f"/ambershift/watch/g.?after={wrong}"))[0] == 400
+
     play(story)
 
 
-@pytest.mark.parametrize(("fault", "status", "held"), [
-    ("", 200, True), ("refused", 503, False), ("lost", 504, False), ("unclear", 504, True)])
+@pytest.mark.parametrize(
+    ("fault", "status", "held"),
+    [("", 200, True), ("refused", 503, False), ("lost", 504, False), ("unclear", 504, True)],
+)
 def test_what_operators_are_told(fault: str, status: int, held: bool) -> None:
     async def story(world: World) -> None:
         one, two, _ = IPS
@@ -258,6 +284,7 @@
         assert ("route", "q") not in world.items and ("route", "p") not in world.items
         world.ledgers[one].faults = ["hidden"]
         assert (await world.rpc(one, "configuration.retrieve"))[0] == 503
+
     play(story)
 
 
@@ -267,12 +294,18 @@
 
         def state() -> bytes | None:
             return world.items[("zone", "riga-a")].body
-        for at, name, body in ((one, "initiate", b"true"), (two, "terminate", b"false"),
-                               (three, "initiate", b"true"), (one, "terminate", b"false")):
+
+        for at, name, body in (
+            (one, "initiate", b"true"),
+            (two, "terminate", b"false"),
+            (three, "initiate", b"true"),
+            (one, "terminate", b"false"),
+        ):
             assert (await world.rpc(at, f"evacuation.{name}", "riga-a"))[0] == 200 and state() == body
         # Both at once, at one machine: whichever it was, they don't make one version of two meanings.
-        await asyncio.gather(*(world.rpc(one, f"evacuation.{name}", "riga-a")
-                               for name in ("initiate", "terminate")))
+        await asyncio.gather(
+            *(world.rpc(one, f"evacuation.{name}", "riga-a") for name in ("initiate", "terminate"))
+        )
         assert state() == b"false"
         # One that isn't known to hold may come up later: the next goes above it all the same.
         version = world.items[("zone", "riga-a")].version[0]
@@ -292,6 +325,7 @@
         await asyncio.sleep(0.2)
         assert (await world.rpc(three, "evacuation.initiate", "riga-a"))[0] == 200 and state() == b"true"
         assert msgspec.json.decode(state() or b"") is True
+
     play(story)
 
 
@@ -305,6 +339,7 @@
             world.loop.call_later(whole_after, lambda: setattr(ledger, "touch", True))
             status, _ = await world.call(owner, "POST", "/ambershift/numbers/n")
             return status, world.loop.now - begun
+
         assert (await world.call(entry, "POST", "/ambershift/numbers/n"))[0] == 200
         assert (await world.call(owner, "POST", "/ambershift/numbers/n"))[0] == 200
         status, lasted = await ask(0.08)
@@ -314,4 +349,5 @@
         await asyncio.sleep(1.5)
         status, lasted = await ask(3)
         assert status == 503 and lasted < 0.01  # It was out of touch before.
+
     play(story)
--- a/tests/test_archive_events.py
+++ b/tests/test_archive_events.py
@@ -16,10 +16,18 @@
     page = (ROOT / "docs/system-events.md").read_text()
     told = {int(number) for row in re.findall(r"^\| ([0-9, ]+) \|", page, re.M) for number in row.split(",")}
     assert told == EVENTS.keys()
-    written = {int(number) for file in (ROOT / "ambershift/archive").rglob("*.py")
-               for number in re.findall(r"\blog\((\d+),", file.read_text())}
+    written = {
+        int(number)
+        for file in (ROOT / "ambershift/archive").rglob("*.py")
+        for number in re.findall(r"\blog\((\d+),", file.read_text())
+    }
     assert written and written <= EVENTS.keys()
     for module in (journal, ledger, replica, enquiries):
-        named = {value for name, value in vars(module).items() if isinstance(value, int) and name.isupper()
-                 and (name.startswith("EVENT_") or module is enquiries)}
+        named = {
+            value
+            for name, value in vars(module).items()
+            if isinstance(value, int)
+            and name.isupper()
+            and (name.startswith("EVENT_") or module is enquiries)
+        }
         assert named and named <= EVENTS.keys()
--- a/tests/test_archive_guards.py
+++ b/tests/test_archive_guards.py
@@ -38,11 +38,13 @@
         # One that answers, but that it is out of touch.
         world.ledgers[owner].touch = False
         assert await number(world, entry) == 200 and world.ledgers[other].rounds == 4
+
     play(story)
 
 
 def test_a_watch_moves_back_with_its_owner() -> None:
     """Puts through the first choice are told to nobody: a watch must wait there."""
+
     async def story(world: World) -> None:
         owner, other, entry = order("g/g.")
         assert (await world.rpc(entry, "cells.replace", "g.a", {"Value": "a", "AppliesTo": 0}))[0] == 200
@@ -55,6 +57,7 @@
         assert (await world.rpc(other, "cells.replace", "g.b", {"Value": "b", "AppliesTo": 0}))[0] == 200
         await asyncio.sleep(2 * TRIP)
         assert watch.done() and watch.result()[1]["Revision"] == 2
+
     play(story)
 
 
@@ -69,6 +72,7 @@
         assert not second.done()
         handing.settle("b", Outcome(at, 200, b"{}"))
         assert (await second).status == 200
+
     asyncio.run(story())
 
 
@@ -93,8 +97,16 @@
                 return 0
 
         numbers = iter(range(1, 100))
-        self.proposer = Proposer(self.out, self.voters, Acceptor(), lambda name: None, 9,  # type: ignore[arg-type]
-                                 random.Random(1), numbers.__next__, lambda ip: True)
+        self.proposer = Proposer(
+            self.out,
+            self.voters,
+            Acceptor(),
+            lambda name: None,
+            9,  # type: ignore[arg-type]
+            random.Random(1),
+            numbers.__next__,
+            lambda ip: True,
+        )
 
     def call(self, value: bytes) -> Any:
         """The message that the call makes the proposer send."""
--- a/tests/test_archive_homes.py
+++ b/tests/test_archive_homes.py
@@ -87,4 +87,5 @@
         world.desk("q", "2", "b1", leaving=True)
         await world.run(0.3)
         assert find("c", "c1", "h.example") == ["r:80"]
+
     asyncio.run(play())
--- a/tests/test_archive_intake.py
+++ b/tests/test_archive_intake.py
@@ -15,11 +15,27 @@
 from ambershift.archive.intake.orders import read_order
 from ambershift.archive.slips.items import Item, Key, newest
 
-ROUTE = {"Name": "r", "Host": "a.example", "PathPrefix": "/x/", "RouteType": "idempotent", "TimeoutMs": 1500,
-         "TargetMs": 600, "Priority": 2, "MaxAttempts": 2, "ServingRegions": [], "ConfigVersion": "r7",
-         "Service": "s"}
-SERVICE = {"Name": "s", "HealthPath": "/health", "ConnectionCap": 110, "Tls": False, "ColdStartS": 3.0,
-           "ConfigVersion": "r7"}
+ROUTE = {
+    "Name": "r",
+    "Host": "a.example",
+    "PathPrefix": "/x/",
+    "RouteType": "idempotent",
+    "TimeoutMs": 1500,
+    "TargetMs": 600,
+    "Priority": 2,
+    "MaxAttempts": 2,
+    "ServingRegions": [],
+    "ConfigVersion": "r7",
+    "Service": "s",
+}
+SERVICE = {
+    "Name": "s",
+    "HealthPath": "/health",
+    "ConnectionCap": 110,
+    "Tls": False,
+    "ColdStartS": 3.0,
+    "ConfigVersion": "r7",
+}
 SHARES = [{"Service": "s", "Weight": 90}, {"Service": "t", "Weight": 10}]
 
 
@@ -28,8 +44,12 @@
     return {"Columns": columns, "Rows": [[item.get(name) for name in columns] for item in items]}
 
 
-def document(*routes: Mapping[str, Any], services: Any = (SERVICE, {**SERVICE, "Name": "t"}),
-             remove: Any = None, **more: Any) -> bytes:
+def document(
+    *routes: Mapping[str, Any],
+    services: Any = (SERVICE, {**SERVICE, "Name": "t"}),
+    remove: Any = None,
+    **more: Any,
+) -> bytes:
     upsert = {"Routes": table(*routes), "Services": table(*services), **more}
     return msgspec.json.encode({"Upsert": upsert, "Remove": remove or {"Routes": []}})
 
@@ -45,59 +65,70 @@
     return {name: value for name, value in ROUTE.items() if name != field}
 
 
-@pytest.mark.parametrize("body", [
-    document(ROUTE),
-    document({**ROUTE, "Service": None, "Distribution": SHARES}),
-    document({**without("Service"), "Distribution": [SHARES[0], {"Service": "t", "Weight": 0}]}),
-    document({**ROUTE, "Distribution": []}),
-    document({**ROUTE, "TimeoutMs": 600_000}, {**ROUTE, "Name": "same host and prefix"}),
-    document(without("TimeoutMs"), {**ROUTE, "Name": "q", "TimeoutMs": 12.5, "Later": {"a": [1]}}),
-    document(ROUTE, {**ROUTE, "ConfigVersion": "r9", "TimeoutMs": 9}),
-    document(ROUTE, ROUTE),
-    document(remove={"Routes": [{"Name": "never was", "ConfigVersion": "r9"}]}, Limits=None),
-    document(Limits={"HeaderBytes": 1, "ConfigVersion": "r0"}, Tenants=[{"Name": "x"}]),
-    msgspec.json.encode({"Upsert": {"Routes": [ROUTE], "Services": [SERVICE]}}),
-    b'{"Upsert":{},"Remove":{}}', b"{}",
-])
+@pytest.mark.parametrize(
+    "body",
+    [
+        document(ROUTE),
+        document({**ROUTE, "Service": None, "Distribution": SHARES}),
+        document({**without("Service"), "Distribution": [SHARES[0], {"Service": "t", "Weight": 0}]}),
+        document({**ROUTE, "Distribution": []}),
+        document({**ROUTE, "TimeoutMs": 600_000}, {**ROUTE, "Name": "same host and prefix"}),
+        document(without("TimeoutMs"), {**ROUTE, "Name": "q", "TimeoutMs": 12.5, "Later": {"a": [1]}}),
+        document(ROUTE, {**ROUTE, "ConfigVersion": "r9", "TimeoutMs": 9}),
+        document(ROUTE, ROUTE),
+        document(remove={"Routes": [{"Name": "never was", "ConfigVersion": "r9"}]}, Limits=None),
+        document(Limits={"HeaderBytes": 1, "ConfigVersion": "r0"}, Tenants=[{"Name": "x"}]),
+        msgspec.json.encode({"Upsert": {"Routes": [ROUTE], "Services": [SERVICE]}}),
+        b'{"Upsert":{},"Remove":{}}',
+        b"{}",
+    ],
+)
 def test_valid(body: bytes) -> None:
     assert check_document(body) == []
 
 
-@pytest.mark.parametrize(("body", "item", "field"), [
-    (document({**ROUTE, "Service": "u"}), "route r", "Service"),
-    (document({**ROUTE, "Distribution": [*SHARES, {"Service": "u", "Weight": 1}]}), "route r", "Service"),
-    (document(ROUTE, services=[{**SERVICE, "Name": "t"}]), "route r", "Service"),
-    (document(ROUTE, remove={"Services": [{"Name": "s", "ConfigVersion": "r8"}]}), "route r", "Service"),
-    (document({**ROUTE, "TimeoutMs": 600_001}), "route r", "TimeoutMs"),
-    (document({**ROUTE, "TimeoutMs": "1500"}), "route r", "TimeoutMs"),
-    (document({**ROUTE, "TimeoutMs": True}), "route r", "TimeoutMs"),
-    (document({**ROUTE, "PathPrefix": "x/"}), "route r", "PathPrefix"),
-    (document(without("PathPrefix")), "route r", "PathPrefix"),
-    (document({**ROUTE, "Host": ""}), "route r", "Host"),
-    (document({**ROUTE, "Host": None}), "route r", "Host"),
-    (document({**ROUTE, "RouteType": "sometimes"}), "route r", "RouteType"),
-    (document({**ROUTE, "RouteType": ["idempotent"]}), "route r", "RouteType"),
-    (document(without("Service")), "route r", "Service"),
-    (document({**ROUTE, "Distribution": [{"Service": "s", "Weight": 0}]}), "route r", "Distribution"),
-    (document({**ROUTE, "Distribution": {"Service": "s"}}), "route r", "Distribution"),
-    (document({**ROUTE, "ServingRegions": "riga"}), "route r", "ServingRegions"),
-    (document({**ROUTE, "ConfigVersion": "12"}), "route r", "ConfigVersion"),
-    (document({**ROUTE, "ConfigVersion": 12}), "route r", "ConfigVersion"),
-    (document({**ROUTE, "Name": ""}), "route", "Name"),
-    (document(ROUTE, {**ROUTE, "TimeoutMs": 9}), "route r", "Name"),
-    (document(services=[{**SERVICE, "ConnectionCap": "many"}]), "service s", "ConnectionCap"),
-    (document(Limits={"HeaderBytes": 0, "ConfigVersion": "r1"}), "limits", "HeaderBytes"),
-    (document(Limits=[1]), "", "Upsert.Limits"),
-    (document(remove={"Routes": [{"Name": "r"}]}), "route r", "ConfigVersion"),
-    (document(ROUTE)[:-9], "", ""),
-    (b"", "", ""), (b"[]", "", ""), (b'{"Upsert":3}', "", "Upsert"), (b"\xff{}", "", ""),
-    (b'{"Upsert":{"Routes":{"Columns":["Name"],"Rows":[["a","b"]]}}}', "", "Upsert.Routes.Rows[0]"),
-    (b'{"Upsert":{"Routes":{"Columns":["Name","Name"],"Rows":[]}}}', "", "Upsert.Routes.Columns"),
-    (b'{"Upsert":{"Routes":{"Rows":[]}}}', "", "Upsert.Routes.Columns"),
-    (b'{"Upsert":{"Routes":{"Columns":[]}}}', "", "Upsert.Routes.Rows"),
-    (b'{"Upsert":{"Routes":7}}', "", "Upsert.Routes"), (b'{"Upsert":{"Routes":[7]}}', "", "Upsert.Routes"),
-    (b"[" * 100_000, "", ""),
-])
+@pytest.mark.parametrize(
+    ("body", "item", "field"),
+    [
+        (document({**ROUTE, "Service": "u"}), "route r", "Service"),
+        (document({**ROUTE, "Distribution": [*SHARES, {"Service": "u", "Weight": 1}]}), "route r", "Service"),
+        (document(ROUTE, services=[{**SERVICE, "Name": "t"}]), "route r", "Service"),
+        (document(ROUTE, remove={"Services": [{"Name": "s", "ConfigVersion": "r8"}]}), "route r", "Service"),
+        (document({**ROUTE, "TimeoutMs": 600_001}), "route r", "TimeoutMs"),
+        (document({**ROUTE, "TimeoutMs": "1500"}), "route r", "TimeoutMs"),
+        (document({**ROUTE, "TimeoutMs": True}), "route r", "TimeoutMs"),
+        (document({**ROUTE, "PathPrefix": "x/"}), "route r", "PathPrefix"),
+        (document(without("PathPrefix")), "route r", "PathPrefix"),
+        (document({**ROUTE, "Host": ""}), "route r", "Host"),
+        (document({**ROUTE, "Host": None}), "route r", "Host"),
+        (document({**ROUTE, "RouteType": "sometimes"}), "route r", "RouteType"),
+        (document({**ROUTE, "RouteType": ["idempotent"]}), "route r", "RouteType"),
+        (document(without("Service")), "route r", "Service"),
+        (document({**ROUTE, "Distribution": [{"Service": "s", "Weight": 0}]}), "route r", "Distribution"),
+        (document({**ROUTE, "Distribution": {"Service": "s"}}), "route r", "Distribution"),
+        (document({**ROUTE, "ServingRegions": "riga"}), "route r", "ServingRegions"),
+        (document({**ROUTE, "ConfigVersion": "12"}), "route r", "ConfigVersion"),
+        (document({**ROUTE, "ConfigVersion": 12}), "route r", "ConfigVersion"),
+        (document({**ROUTE, "Name": ""}), "route", "Name"),
+        (document(ROUTE, {**ROUTE, "TimeoutMs": 9}), "route r", "Name"),
+        (document(services=[{**SERVICE, "ConnectionCap": "many"}]), "service s", "ConnectionCap"),
+        (document(Limits={"HeaderBytes": 0, "ConfigVersion": "r1"}), "limits", "HeaderBytes"),
+        (document(Limits=[1]), "", "Upsert.Limits"),
+        (document(remove={"Routes": [{"Name": "r"}]}), "route r", "ConfigVersion"),
+        (document(ROUTE)[:-9], "", ""),
+        (b"", "", ""),
+        (b"[]", "", ""),
+        (b'{"Upsert":3}', "", "Upsert"),
+        (b"\xff{}", "", ""),
+        (b'{"Upsert":{"Routes":{"Columns":["Name"],"Rows":[["a","b"]]}}}', "", "Upsert.Routes.Rows[0]"),
+        (b'{"Upsert":{"Routes":{"Columns":["Name","Name"],"Rows":[]}}}', "", "Upsert.Routes.Columns"),
+        (b'{"Upsert":{"Routes":{"Rows":[]}}}', "", "Upsert.Routes.Columns"),
+        (b'{"Upsert":{"Routes":{"Columns":[]}}}', "", "Upsert.Routes.Rows"),
+        (b'{"Upsert":{"Routes":7}}', "", "Upsert.Routes"),
+        (b'{"Upsert":{"Routes":[7]}}', "", "Upsert.Routes"),
+        (b"[" * 100_000, "", ""),
+    ],
+)
 def test_invalid(body: bytes, item: str, field: str) -> None:
     assert (item, field) in [(fault.item, fault.field) for fault in check_document(body)]
 
@@ -127,13 +158,23 @@
     assert newer.version == (12, "")
 
 
-TEXTS = st.text("ab/é\"", min_size=1, max_size=3)
+TEXTS = st.text('ab/é"', min_size=1, max_size=3)
 VALUES = st.one_of(st.booleans(), st.integers(0, 1 << 60), st.floats(0, 1e9), st.lists(TEXTS, max_size=2))
 ROUTES = st.fixed_dictionaries(
-    {"Name": st.sampled_from("abc"), "Host": st.just("h"), "PathPrefix": TEXTS.map("/".__add__),
-     "RouteType": st.just("idempotent"), "Service": st.sampled_from("st")},
-    optional={"TimeoutMs": st.sampled_from((1, 1.5, 600_000)), "ServingRegions": st.lists(TEXTS, max_size=2),
-              "Distribution": st.just(SHARES), "Other": VALUES})
+    {
+        "Name": st.sampled_from("abc"),
+        "Host": st.just("h"),
+        "PathPrefix": TEXTS.map("/".__add__),
+        "RouteType": st.just("idempotent"),
+        "Service": st.sampled_from("st"),
+    },
+    optional={
+        "TimeoutMs": st.sampled_from((1, 1.5, 600_000)),
+        "ServingRegions": st.lists(TEXTS, max_size=2),
+        "Distribution": st.just(SHARES),
+        "Other": VALUES,
+    },
+)
 
 
 @given(st.lists(st.tuples(ROUTES, st.booleans()), min_size=1, max_size=6), st.permutations(range(1, 7)))
--- a/tests/test_archive_limits.py
+++ b/tests/test_archive_limits.py
@@ -139,15 +139,22 @@
             while connections(rig):
                 await asyncio.sleep(0)
             assert len(rig.shelves[0].heads) == 5 and rig.desk.idle()
+
     run(playing)
 
 
 def test_what_follows_a_whole_request_takes_nothing_from_its_answer():
     """Too large a head, too slow a one, or none at all: the request before it is answered, then the end."""
+
     async def playing():
         for at_once, behind, seconds in (
-                (head(MOST + 1), b"", 0), (b"", HEAD + b"X-Fill: " + b"x" * MOST, 0), (b"", HEAD, 3.1),
-                (HEAD, b"X-Fill: " + b"x" * MOST, 0), (HEAD, b"", 3.1), (b"\x00 no head\r\n\r\n", b"", 0)):
+            (head(MOST + 1), b"", 0),
+            (b"", HEAD + b"X-Fill: " + b"x" * MOST, 0),
+            (b"", HEAD, 3.1),
+            (HEAD, b"X-Fill: " + b"x" * MOST, 0),
+            (HEAD, b"", 3.1),
+            (b"\x00 no head\r\n\r\n", b"", 0),
+        ):
             go = asyncio.Event()
 
             async def slow(head, body, writer, go=go):
@@ -167,11 +174,13 @@
                 heard = await client.hear()
                 assert heard.startswith(b"HTTP/1.1 200 ") and heard.count(b"HTTP/1.1") == 1
                 assert heard.endswith(b"\r\n\r\nread")
+
     run(playing)
 
 
 def test_a_head_that_we_do_not_read_on_is_not_called_slow():
     """Behind two requests reading pauses until the first is answered."""
+
     async def playing():
         go = asyncio.Event()
 
@@ -183,13 +192,14 @@
             client = Client(rig).say(head(300) + head(300) + HEAD)
             while not rig.shelves[0].heads:
                 await asyncio.sleep(0)
-            client.say(head(300)[len(HEAD):])
+            client.say(head(300)[len(HEAD) :])
             for _ in range(3):
                 later(rig, 3.1)
                 assert not client.deaf(rig)
             go.set()
             for _ in range(3):
                 assert await client.answered() == 200
+
     run(playing)
 
 
@@ -200,7 +210,7 @@
             await met(rig, client)
             for at in range(1, 29):
                 later(rig, 0.1)
-                client.say(HEAD[at:at + 1])
+                client.say(HEAD[at : at + 1])
                 await met(rig, client)
                 assert not client.deaf(rig)
             later(rig, 0.3)
@@ -217,7 +227,7 @@
             # A stall of ours is not the client's: what came meanwhile is read first, once.
             client = Client(rig).say(HEAD)
             await met(rig, client)
-            client.say(head(300)[len(HEAD):])
+            client.say(head(300)[len(HEAD) :])
             later(rig, 3.1)
             assert await client.answered() == 200
             client.say(HEAD)
@@ -229,6 +239,7 @@
             later(rig, 3.1)
             assert client.deaf(rig)
             assert (await client.hear()).startswith(b"HTTP/1.1 408 ")
+
     run(playing)
 
 
@@ -264,6 +275,7 @@
             assert await kept.hear() == b"" and len(connections(rig)) == 1
             later(rig, 10)
             assert await waiting.hear() == b"" and not connections(rig)
+
     run(playing)
 
 
@@ -280,6 +292,7 @@
             assert await (client := Client(rig).say(head(5000))).answered() == 200
             later(rig, 8)
             assert await client.say(head(300)).answered() == 200
+
     run(playing)
 
 
@@ -289,15 +302,21 @@
             said = HEAD.replace(b"/read", b"/none") + b"Content-Length: 900\r\n\r\nx"
             heard = await Client(rig).say(said).hear()
             assert heard.startswith(b"HTTP/1.1 404 ") and b"connection: close" in heard
+
     run(playing)
 
 
-@pytest.mark.parametrize("item, found", [
-    ({}, Limits()),
-    ({"HeaderBytes": 0, "IdleTimeoutMs": None, "HeaderTimeoutMs": "x"}, Limits()),
-    ({"HeaderBytes": 9, "BodyBytes": 8, "HeaderTimeoutMs": 7.5, "IdleTimeoutMs": 6},
-     Limits(8, 9, 7_500_000, 6 * MS)),
-])
+@pytest.mark.parametrize(
+    "item, found",
+    [
+        ({}, Limits()),
+        ({"HeaderBytes": 0, "IdleTimeoutMs": None, "HeaderTimeoutMs": "x"}, Limits()),
+        (
+            {"HeaderBytes": 9, "BodyBytes": 8, "HeaderTimeoutMs": 7.5, "IdleTimeoutMs": 6},
+            Limits(8, 9, 7_500_000, 6 * MS),
+        ),
+    ],
+)
 def test_limits_that_are_not_set_or_not_fit_stay_as_they_are_by_default(item, found):
     assert read_limits(item) == found
 
@@ -315,6 +334,7 @@
             rig.server.tell_keep(None)
             await rig.server.on_tick(0)
             assert b"keep-alive" not in (await rig.ask())[1]
+
     run(playing)
 
 
--- a/tests/test_archive_links.py
+++ b/tests/test_archive_links.py
@@ -32,13 +32,19 @@
     def __init__(self, ip: str, port: int, life: str = "1") -> None:
         self.heard, self.ups, self.downs = list[Any](), list[Caller](), list[Caller]()
         self.logged = list[int]()
-        self.links = Links(Caller(ARCHIVIST, ip, life), port,
-                           lambda caller, message: self.heard.append((caller.name, message)),
-                           self.ups.append, self.downs.append, lambda number, _: self.logged.append(number))
+        self.links = Links(
+            Caller(ARCHIVIST, ip, life),
+            port,
+            lambda caller, message: self.heard.append((caller.name, message)),
+            self.ups.append,
+            self.downs.append,
+            lambda number, _: self.logged.append(number),
+        )
 
 
 def pair(act: Callable[[End, End, str, str], Awaitable[None]]) -> None:
     """Two machines with addresses that no other test uses; the second listens."""
+
     async def whole() -> None:
         block = next(BLOCKS)
         port = free_ports(random.SystemRandom(), 1)[0]
@@ -50,6 +56,7 @@
         finally:
             await near.links.close()
             await far.links.close()
+
     asyncio.run(whole())
 
 
@@ -71,6 +78,7 @@
         near.links.want([])
         await until("no link left", lambda: not far.links.accepted, 5)
         assert len(far.downs) == 2
+
     pair(act)
 
 
@@ -90,6 +98,7 @@
         reading.cancel()
         second.transport.abort()
         await until("the new one's end", lambda: far.downs == [Caller(ARCHIVIST, one, "2")], 5)
+
     pair(act)
 
 
@@ -103,6 +112,7 @@
         assert far.logged == [104] and not far.heard
         near.links.want([other])  # And the next one works.
         await until("a link", lambda: other in near.links.dialled, 5)
+
     pair(act)
 
 
@@ -120,6 +130,7 @@
         near.links.me = Caller("clerk", "a", "1")
         with pytest.raises(ConnectionError):  # As whoever dials is told.
             await near.links.dial(other)
+
     pair(act)
 
 
@@ -139,6 +150,7 @@
             assert outbox.size < (1 << 20) + 100_000
             await asyncio.sleep(0)
         await until("the link's end", lambda: bool(far.downs), 5)
+
     pair(act)
 
 
--- a/tests/test_archive_meter.py
+++ b/tests/test_archive_meter.py
@@ -16,7 +16,11 @@
     assert frame(10, True) == 16
     own = ("a1", "a")
     assert [reach(own, other) for other in (own, ("a2", "a"), ("b1", "b"), None)] == [
-        "zone", "region", "abroad", "unknown"]
+        "zone",
+        "region",
+        "abroad",
+        "unknown",
+    ]
 
 
 def test_counts_are_told_each_ten_seconds_and_go_on() -> None:
@@ -48,4 +52,5 @@
         with contextlib.suppress(ConnectionResetError):
             await outbox.run()
         assert counted == [("fm", len(codec.encode(Mark(1))))] and len(connection.sent) == 1
+
     asyncio.run(act())
--- a/tests/test_archive_processes.py
+++ b/tests/test_archive_processes.py
@@ -25,9 +25,16 @@
 
 def rehearse(folder: Path, act: Callable[[Rig, Faults], Awaitable[None]]) -> None:
     """Three archivists, two desks and four backends; whatever happens, every promise is to be kept."""
+
     async def whole() -> None:
-        site = Site(folder, archivists=3, desks=2, zone_count=3, heartbeat_ms=300,
-                    bounds={**BOUNDS, "GraceS": 2, "DrainMs": 1000})
+        site = Site(
+            folder,
+            archivists=3,
+            desks=2,
+            zone_count=3,
+            heartbeat_ms=300,
+            bounds={**BOUNDS, "GraceS": 2, "DrainMs": 1000},
+        )
         said = list[str]()
         # Work that is long against its rate: whoever ends at once breaks something off.
         made = Rig(site, 4, 40.0, said.append, services=2, routes=4, callers=3, work_s=0.15)
@@ -43,6 +50,7 @@
             ends = [*faults.broken, *(name for name, child in rig.children.items() if child.fell)]
             lines, kept = table(rig, found, ends)
             assert kept, "\n".join([*said, *lines])
+
     asyncio.run(whole())
 
 
@@ -64,31 +72,44 @@
         await served(rig, 20)
         counts, reasons = rig.judge.counts, rig.judge.reasons
         # What is answered late tells of this machine's speed; what has no answer at all tells of the system.
-        unanswered = sum(count for reason, count in reasons.items()
-                         if not reason.isdigit() and reason != "late")
+        unanswered = sum(
+            count for reason, count in reasons.items() if not reason.isdigit() and reason != "late"
+        )
         assert unanswered <= 0.05 * counts["requests"], reasons
         assert counts["served"] + reasons["late"] > 0.85 * counts["requests"], reasons
         assert rig.history.counts["answered"] > 10
+
     rehearse(tmp_path, act)
 
 
 def test_sighup_while_a_process_loads_is_heard_once_it_listens(tmp_path: Path) -> None:
     """Without the mask it ends the process: the platform tells of a changed file whenever it has changed."""
+
     async def whole() -> None:
         child = Child(site := Site(tmp_path, archivists=1, desks=1, zone_count=1), site.of(DESK)[0])
         await child.start()
         try:
             assert child.process
             status = Path(f"/proc/{child.process.pid}/status")
-            await until("it loads, with SIGHUP blocked", lambda: any(
-                int(line.split()[1], 16) & 1 for line in status.read_text().splitlines()
-                if line.startswith("SigBlk")), 10.0)
+            await until(
+                "it loads, with SIGHUP blocked",
+                lambda: any(
+                    int(line.split()[1], 16) & 1
+                    for line in status.read_text().splitlines()
+                    if line.startswith("SigBlk")
+                ),
+                10.0,
+            )
             child.process.send_signal(signal.SIGHUP)
-            await until("the file read again", lambda: not child.alive or any(
-                line.get("n") == 4 for line in child.lines()), 10.0)
+            await until(
+                "the file read again",
+                lambda: not child.alive or any(line.get("n") == 4 for line in child.lines()),
+                10.0,
+            )
             assert child.alive
         finally:
             await child.kill()
+
     asyncio.run(whole())
 
 
@@ -145,8 +166,11 @@
     judge.offered("i1", "z1", cold=True, bound=1)
     judge.offered("i2", "z2", cold=True, bound=1)
     judge.offered("i2", "z2", cold=True, bound=1)
-    assert dict(judge.faults) == {"sent to a backend that left": 1, "sent to a zone evacuated": 1,
-                                  "too much to a cold backend": 1}
+    assert dict(judge.faults) == {
+        "sent to a backend that left": 1,
+        "sent to a zone evacuated": 1,
+        "too much to a cold backend": 1,
+    }
     judge.faults.clear()
     judge.lost_spans.append(("d1", 0.0, time.monotonic() + 9))
     judge.closed("t6", "d1", read=False, why="closed")
@@ -161,8 +185,12 @@
     good = History()
     good.holds["l"] = [Hold("a", 1, 0, 1, 2), Hold("b", 2, 1.5, 2, 3), Hold("b", 2, 2.5, 2.6, 4)]
     good.numbers["n"] = [Given(0, 5, 7), Given(1, 2, 6), Given(3, 4, 8)]
-    good.puts = [Put("g.1", "x", 0, 0, 1, 1, False), Put("g.1", "y", 1, 2, 3, 3, False),
-                 Put("g.2", "z", 0, 2, 3, 2, False), Put("g.2", "w", 0, 4, 5, None, True)]
+    good.puts = [
+        Put("g.1", "x", 0, 0, 1, 1, False),
+        Put("g.1", "y", 1, 2, 3, 3, False),
+        Put("g.2", "z", 0, 2, 3, 2, False),
+        Put("g.2", "w", 0, 4, 5, None, True),
+    ]
     good.gets = [Got("g.1", "x", 1, 1.5), Got("g.2", None, 0, 2.5), Got("g.1", "y", 3, 2.5)]
     good.named = [("g.2", 2)]
     good.events["g.@a"] = [[("g.1", "x", 1)], [("g.2", "z", 2), ("g.1", "y", 3)]]
--- a/tests/test_archive_reading.py
+++ b/tests/test_archive_reading.py
@@ -123,8 +123,7 @@
 
 
 TestLocksAnyhow = LocksAnyhow.TestCase
-TestLocksAnyhow.settings = settings(max_examples=200, stateful_step_count=20, deadline=None,
-                                    derandomize=True)
+TestLocksAnyhow.settings = settings(max_examples=200, stateful_step_count=20, deadline=None, derandomize=True)
 
 
 def run(value: bytes | None, change: Change, now: int = 0) -> tuple[bytes | None, int, Any]:
@@ -182,8 +181,11 @@
     def pass_time(self, seconds: int) -> None:
         self.now += seconds * SECOND
 
-    @rule(key=st.sampled_from(("g.a", "g.b", "g.c")), off=st.sampled_from((0, 0, 0, 1, None)),
-          times=st.sampled_from((1, 1, 40)))
+    @rule(
+        key=st.sampled_from(("g.a", "g.b", "g.c")),
+        off=st.sampled_from((0, 0, 0, 1, None)),
+        times=st.sampled_from((1, 1, 40)),
+    )
     def put(self, key: str, off: int | None, times: int) -> None:
         for _ in range(times):
             self.one_put(key, f"v{len(self.puts)}.{len(self.turned_away)}", off)
--- a/tests/test_archive_recall.py
+++ b/tests/test_archive_recall.py
@@ -123,8 +123,10 @@
         world.beating = {}
         again(world, {})
         for ip in world.zones:  # As items that its disk has: nobody is told of these.
-            world.nodes[ip].ledger.held |= {(INSTANCE, id): Item(INSTANCE, id, (version, ""), b"{}")
-                                            for id, version in (("a1-0", 2), ("a1-1", 1))}
+            world.nodes[ip].ledger.held |= {
+                (INSTANCE, id): Item(INSTANCE, id, (version, ""), b"{}")
+                for id, version in (("a1-0", 2), ("a1-1", 1))
+            }
             world.nodes[ip].registry.recall(sheets[ip])
         lives = world.nodes["1"].registry.lives()
         assert "a1-0" not in lives and lives["a1-1"].draining  # Before any tick.
@@ -287,8 +289,9 @@
         os.sched_yield()
 
 
-def test_a_side_file_is_replaced_as_a_whole_or_stays(side: SideFile, tmp_path: Path,
-                                                     monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_side_file_is_replaced_as_a_whole_or_stays(
+    side: SideFile, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert side.read() is None
     write(side, b"first")
     assert side.read() == b"first" and not side.failed
@@ -318,12 +321,12 @@
     assert side.read() == b"late"
 
 
-
 def test_on_a_new_link_it_is_shown_and_asked_again_at_once() -> None:
     ips = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
     seeds = tuple(f"{ip}:1" for ip in ips)
-    settings = Local("", "one", "core", ips[0], "z", "r", True, True, None, (1, 2), seeds, {}, {}, 1.5,
-                     (1, 0, 0), Bounds())
+    settings = Local(
+        "", "one", "core", ips[0], "z", "r", True, True, None, (1, 2), seeds, {}, {}, 1.5, (1, 0, 0), Bounds()
+    )
     replica = Replica(settings, 7, lambda name: None, {}, NOW)
     replica.step(NOW, Written(1))
     asked = replica.step(NOW, Freshen(1, 1.0))
@@ -385,8 +388,9 @@
 
 
 @pytest.mark.parametrize(("young", "dials"), [(0.0, 2), (60.0, 1)])
-def test_who_dials_us_is_dialled_anew_where_a_dial_hangs(monkeypatch: pytest.MonkeyPatch, young: float,
-                                                         dials: int) -> None:
+def test_who_dials_us_is_dialled_anew_where_a_dial_hangs(
+    monkeypatch: pytest.MonkeyPatch, young: float, dials: int
+) -> None:
     monkeypatch.setattr(links, "YOUNG", young)
 
     async def run() -> None:
@@ -411,8 +415,9 @@
 
 
 @pytest.mark.parametrize("most", [200, 0])
-def test_a_request_waits_a_moment_for_a_desk_that_has_just_started(monkeypatch: pytest.MonkeyPatch,
-                                                                    most: int) -> None:
+def test_a_request_waits_a_moment_for_a_desk_that_has_just_started(
+    monkeypatch: pytest.MonkeyPatch, most: int
+) -> None:
     monkeypatch.setattr(handling, "WAIT", 10.0)
     monkeypatch.setattr(awaited, "MOST", most)
 
--- a/tests/test_archive_roles.py
+++ b/tests/test_archive_roles.py
@@ -46,6 +46,7 @@
         beat = asyncio.ensure_future(made.beat())
         await asyncio.sleep(0)  # One turn, up to the pause.
         beat.cancel()
+
     asyncio.run(once())
     assert all(getattr(made, name).tick.called for name in PARTS)
     assert made.log.call_args.args[0] == 6  # type: ignore[attr-defined]
--- a/tests/test_archive_settings.py
+++ b/tests/test_archive_settings.py
@@ -46,17 +46,29 @@
 MISSING = object()
 
 
-@pytest.mark.parametrize(("key", "value"), [
-    ("SelfEntity.NodeName", MISSING), ("SelfEntity.NodeName", 7), ("SelfEntity.Zone", MISSING),
-    ("SelfEntity.InitialStart", "yes"), ("Network.InternalPorts", [7620]),
-    ("Network.InternalPorts", [0, 70000]), ("Network.InternalPorts", MISSING),
-    ("Network.SeedNodes", ["10.1.0.18"]), ("Network.SeedNodes", [7]),
-    ("Network.Listen.Front", "10.1.0.18:http"), ("Network.Listen.Front", "10.1.0.18:70000"),
-    ("Network.Listen", MISSING), ("Network.Zones", "a"),
-    ("Platform.HeartbeatMs", "500"), ("Platform.HeartbeatMs", True),
-    ("Provisions.Tolerance.Machines", 0.5), ("Provisions.TimerBounds.GraceS", "6"),
-    ("Provisions.TimerBounds.DrainMs", True),
-])
+@pytest.mark.parametrize(
+    ("key", "value"),
+    [
+        ("SelfEntity.NodeName", MISSING),
+        ("SelfEntity.NodeName", 7),
+        ("SelfEntity.Zone", MISSING),
+        ("SelfEntity.InitialStart", "yes"),
+        ("Network.InternalPorts", [7620]),
+        ("Network.InternalPorts", [0, 70000]),
+        ("Network.InternalPorts", MISSING),
+        ("Network.SeedNodes", ["10.1.0.18"]),
+        ("Network.SeedNodes", [7]),
+        ("Network.Listen.Front", "10.1.0.18:http"),
+        ("Network.Listen.Front", "10.1.0.18:70000"),
+        ("Network.Listen", MISSING),
+        ("Network.Zones", "a"),
+        ("Platform.HeartbeatMs", "500"),
+        ("Platform.HeartbeatMs", True),
+        ("Provisions.Tolerance.Machines", 0.5),
+        ("Provisions.TimerBounds.GraceS", "6"),
+        ("Provisions.TimerBounds.DrainMs", True),
+    ],
+)
 def test_a_bad_value_is_named(site: Site, capsys: pytest.CaptureFixture[str], key: str, value: Any) -> None:
     tables = site.settings(machine(site, DESK), initial=False)
     *path, last = key.split(".")
--- a/tests/test_archive_shelving.py
+++ b/tests/test_archive_shelving.py
@@ -37,8 +37,7 @@
     await world.nodes["3"].ledger.put([Item(ROUTE, name, (1, ""), msgspec.json.encode(body))], 1)
 
 
-async def serve(world: World, counts: dict[str, int], *homes: str, full: float = 0.41,
-                **rates: int) -> None:
+async def serve(world: World, counts: dict[str, int], *homes: str, full: float = 0.41, **rates: int) -> None:
     """So many backends of service `s` a zone, named like "a1.0"; a desk a zone, with requests a second (20).
 
     Answers take so long that they fill that part of all slots; at 0.41 the threshold of overload is 0.95.
@@ -84,10 +83,22 @@
     # The counts of a real service: b1 and c1 have one to spare; a2 and b2 one of two, for a2 too little.
     await serve(world, {"a1": 2, "a2": 1, "b1": 3, "b2": 1, "c1": 3, "c2": 2}, b2=18)
     found = {zone: zones_in(ids) for zone, ids in tables(world).items()}
-    assert found == {"a1": {"a1": 2}, "a2": {"a2": 1, "c1": 1}, "b1": {"b1": 2}, "b2": {"b2": 1, "b1": 1},
-                     "c1": {"c1": 2}, "c2": {"c2": 2}}
-    weights = [line for node in world.nodes.values() for sent in node.sent.values() for one in sent
-               if isinstance(one, Bind) for line in one.lines]
+    assert found == {
+        "a1": {"a1": 2},
+        "a2": {"a2": 1, "c1": 1},
+        "b1": {"b1": 2},
+        "b2": {"b2": 1, "b1": 1},
+        "c1": {"c1": 2},
+        "c2": {"c2": 2},
+    }
+    weights = [
+        line
+        for node in world.nodes.values()
+        for sent in node.sent.values()
+        for one in sent
+        if isinstance(one, Bind)
+        for line in one.lines
+    ]
     assert {weight for _, weight in weights} == {4.0}  # As listed.
 
 
--- a/tests/test_archive_stacks.py
+++ b/tests/test_archive_stacks.py
@@ -77,10 +77,15 @@
     assert (await world.beat("a1-0", State="draining"))[0] == 200
 
 
-@pytest.mark.parametrize(("change", "field"), [
-    ({"Address": "nowhere"}, "Address"), ({"Information": {}}, "Information.CapacitySlots"),
-    ({"Condition": {"State": "odd", "Sequence": 1}}, "Condition.State"),
-    ({"Condition": {"State": "ready", "Sequence": True}}, "Condition.Sequence")])
+@pytest.mark.parametrize(
+    ("change", "field"),
+    [
+        ({"Address": "nowhere"}, "Address"),
+        ({"Information": {}}, "Information.CapacitySlots"),
+        ({"Condition": {"State": "odd", "Sequence": 1}}, "Condition.State"),
+        ({"Condition": {"State": "ready", "Sequence": True}}, "Condition.Sequence"),
+    ],
+)
 def test_a_beat_that_cant_be_read_is_answered_with_the_field(change: dict[str, Any], field: str) -> None:
     world = World("a1")
     world.backend("one", "s", "a1", "1")
--- a/tests/test_archive_watches.py
+++ b/tests/test_archive_watches.py
@@ -26,4 +26,5 @@
             assert status == 200 and [event["Revision"] for event in told["Events"]] == [2]
         world.ledgers[owner].faults = ["lost"] * 9
         assert (await world.call(owner, "GET", "/ambershift/watch/g1.?after=2&WaitMs=300"))[0] == 503
+
     play(story)
