--- a/ambershift/archive/accession/acceptor.py
+++ b/ambershift/archive/consensus/acceptor.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ambershift.archive.accession.journal import Journal
-from ambershift.archive.accession.outbox import Outbox
+from ambershift.archive.consensus.journal import Journal
+from ambershift.archive.consensus.outbox import Outbox
 from ambershift.archive.contracts import Shape
 from ambershift.archive.slips.copies import (
     NEVER,
--- a/ambershift/archive/accession/asking.py
+++ b/ambershift/archive/consensus/asking.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from ambershift.archive.accession.outbox import Outbox
-from ambershift.archive.accession.register import Register, Round
-from ambershift.archive.accession.voters import Voters
+from ambershift.archive.consensus.outbox import Outbox
+from ambershift.archive.consensus.register import Register, Round
+from ambershift.archive.consensus.voters import Voters
 from ambershift.archive.slips.copies import Accept, Confirm, Prepare
 from ambershift.archive.steps import MS
 
--- a/ambershift/archive/accession/joining.py
+++ b/ambershift/archive/consensus/joining.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from ambershift.archive.accession.acceptor import VOTERS, Acceptor
-from ambershift.archive.accession.outbox import Held, Outbox
-from ambershift.archive.accession.proposer import Proposer
-from ambershift.archive.accession.quorum import balanced
-from ambershift.archive.accession.voters import Voters
-from ambershift.archive.accession.watching import SILENT, Watching
+from ambershift.archive.consensus.acceptor import VOTERS, Acceptor
+from ambershift.archive.consensus.outbox import Held, Outbox
+from ambershift.archive.consensus.proposer import Proposer
+from ambershift.archive.consensus.quorum import balanced
+from ambershift.archive.consensus.voters import Voters
+from ambershift.archive.consensus.watching import SILENT, Watching
 from ambershift.archive.contracts import Verdict
 from ambershift.archive.slips.copies import Decision, Machine, Member
 from ambershift.archive.steps import MS, SECOND
--- a/ambershift/archive/accession/journal.py
+++ b/ambershift/archive/consensus/journal.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from ambershift.archive.accession.outbox import Outbox
+from ambershift.archive.consensus.outbox import Outbox
 from ambershift.archive.steps import MS, SECOND
 
 AGAIN = 200 * MS  # After a failed write.
--- a/ambershift/archive/accession/ledger.py
+++ b/ambershift/archive/consensus/ledger.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from ambershift.archive.accession.disk import Disk, Rows
-from ambershift.archive.accession.outbox import Held, News
-from ambershift.archive.accession.replica import ChangeRegister, Event, Freshen, Put, Reached, Replica
+from ambershift.archive.consensus.disk import Disk, Rows
+from ambershift.archive.consensus.outbox import Held, News
+from ambershift.archive.consensus.replica import ChangeRegister, Event, Freshen, Put, Reached, Replica
 from ambershift.archive.contracts import Change, NotDoneError, Shape
 from ambershift.archive.settings.local import Local
 from ambershift.archive.slips.fronts import Core
--- a/ambershift/archive/accession/proposer.py
+++ b/ambershift/archive/consensus/proposer.py
@@ -8,11 +8,11 @@
 import random
 from collections.abc import Callable
 
-from ambershift.archive.accession.acceptor import Acceptor
-from ambershift.archive.accession.asking import Asking
-from ambershift.archive.accession.outbox import Held, Outbox
-from ambershift.archive.accession.register import Call, Lease, Register, Round
-from ambershift.archive.accession.voters import Voters
+from ambershift.archive.consensus.acceptor import Acceptor
+from ambershift.archive.consensus.asking import Asking
+from ambershift.archive.consensus.outbox import Held, Outbox
+from ambershift.archive.consensus.register import Call, Lease, Register, Round
+from ambershift.archive.consensus.voters import Voters
 from ambershift.archive.contracts import Change, NotDoneError, NotHeldError, Shape
 from ambershift.archive.slips.copies import (
     Accept,
--- a/ambershift/archive/accession/register.py
+++ b/ambershift/archive/consensus/register.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ambershift.archive.accession.acceptor import EMPTY
-from ambershift.archive.accession.outbox import Held
+from ambershift.archive.consensus.acceptor import EMPTY
+from ambershift.archive.consensus.outbox import Held
 from ambershift.archive.contracts import Change
 from ambershift.archive.slips.copies import NEVER, Accept, Ballot, Confirm, Prepare, Record
 
--- a/ambershift/archive/accession/replica.py
+++ b/ambershift/archive/consensus/replica.py
@@ -14,16 +14,16 @@
 
 import msgspec
 
-from ambershift.archive.accession.acceptor import Acceptor
-from ambershift.archive.accession.joining import Joining
-from ambershift.archive.accession.journal import Journal
-from ambershift.archive.accession.outbox import News, Outbox
-from ambershift.archive.accession.proposer import Proposer
-from ambershift.archive.accession.store import Store
-from ambershift.archive.accession.syncing import Syncing
-from ambershift.archive.accession.voters import FOUNDER, Voters
-from ambershift.archive.accession.watching import Watching
-from ambershift.archive.accession.writing import Writing
+from ambershift.archive.consensus.acceptor import Acceptor
+from ambershift.archive.consensus.joining import Joining
+from ambershift.archive.consensus.journal import Journal
+from ambershift.archive.consensus.outbox import News, Outbox
+from ambershift.archive.consensus.proposer import Proposer
+from ambershift.archive.consensus.store import Store
+from ambershift.archive.consensus.syncing import Syncing
+from ambershift.archive.consensus.voters import FOUNDER, Voters
+from ambershift.archive.consensus.watching import Watching
+from ambershift.archive.consensus.writing import Writing
 from ambershift.archive.contracts import Change, Shape
 from ambershift.archive.settings.local import Local
 from ambershift.archive.slips.copies import (
--- a/ambershift/archive/accession/store.py
+++ b/ambershift/archive/consensus/store.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from ambershift.archive.accession.digests import Buckets
-from ambershift.archive.accession.journal import Journal
-from ambershift.archive.accession.outbox import Outbox
+from ambershift.archive.consensus.digests import Buckets
+from ambershift.archive.consensus.journal import Journal
+from ambershift.archive.consensus.outbox import Outbox
 from ambershift.archive.slips.items import CLEARED, INSTANCE, THE_CLEARED, Item, Key, cleared_by, newest
 
 TABLE = "items"
--- a/ambershift/archive/accession/syncing.py
+++ b/ambershift/archive/consensus/syncing.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from ambershift.archive.accession.acceptor import Acceptor
-from ambershift.archive.accession.journal import Journal
-from ambershift.archive.accession.outbox import Held, Outbox
-from ambershift.archive.accession.quorum import majority
-from ambershift.archive.accession.store import Store
-from ambershift.archive.accession.voters import Voters, holds
+from ambershift.archive.consensus.acceptor import Acceptor
+from ambershift.archive.consensus.journal import Journal
+from ambershift.archive.consensus.outbox import Held, Outbox
+from ambershift.archive.consensus.quorum import majority
+from ambershift.archive.consensus.store import Store
+from ambershift.archive.consensus.voters import Voters, holds
 from ambershift.archive.contracts import NotHeldError
 from ambershift.archive.slips.copies import Ask, Record, Share
 from ambershift.archive.slips.items import Item
--- a/ambershift/archive/accession/voters.py
+++ b/ambershift/archive/consensus/voters.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ambershift.archive.accession import quorum
-from ambershift.archive.accession.journal import Journal
+from ambershift.archive.consensus import quorum
+from ambershift.archive.consensus.journal import Journal
 from ambershift.archive.slips.copies import Decision, Machine, Member
 
 TABLE = "meta"
--- a/ambershift/archive/accession/watching.py
+++ b/ambershift/archive/consensus/watching.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from ambershift.archive.accession.outbox import Outbox
-from ambershift.archive.accession.quorum import ALL_WATCH, watchers
-from ambershift.archive.accession.store import Store
-from ambershift.archive.accession.voters import Voters, holds
+from ambershift.archive.consensus.outbox import Outbox
+from ambershift.archive.consensus.quorum import ALL_WATCH, watchers
+from ambershift.archive.consensus.store import Store
+from ambershift.archive.consensus.voters import Voters, holds
 from ambershift.archive.slips.copies import Beat, Knock, Known, Machine
 from ambershift.archive.slips.fronts import Core
 from ambershift.archive.steps import MS
--- a/ambershift/archive/accession/writing.py
+++ b/ambershift/archive/consensus/writing.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from ambershift.archive.accession.outbox import Held, Outbox
-from ambershift.archive.accession.store import Store
-from ambershift.archive.accession.voters import Voters
+from ambershift.archive.consensus.outbox import Held, Outbox
+from ambershift.archive.consensus.store import Store
+from ambershift.archive.consensus.voters import Voters
 from ambershift.archive.contracts import NotDoneError, NotHeldError
 from ambershift.archive.slips.copies import Agreed, Merge
 from ambershift.archive.slips.items import Item, Key
--- a/ambershift/archive/contracts.py
+++ b/ambershift/archive/contracts.py
@@ -47,7 +47,7 @@
 
 
 class Ledger(Protocol):
-    """`accession/`: items merged one by one, and agreed registers, each synced on enough copies."""
+    """`consensus/`: items merged one by one, and agreed registers, each synced on enough copies."""
 
     async def put(self, items: Sequence[Item], within: float) -> None:
         """Merge, and return once these or newer are synced on enough copies.
--- a/ambershift/archive/drill/histories.py
+++ b/ambershift/archive/drill/histories.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.archive.accession.outbox import Held
+from ambershift.archive.consensus.outbox import Held
 from ambershift.archive.drill.callers import GROUPS, Application, Streets
 from ambershift.archive.drill.house import House
 from ambershift.archive.drill.judging import Judge
--- a/ambershift/archive/drill/house.py
+++ b/ambershift/archive/drill/house.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ambershift.archive.accession.ledger import Shelf
+from ambershift.archive.consensus.ledger import Shelf
 from ambershift.archive.drill.loop import SimulatedLoop, simulated_loop
 from ambershift.archive.drill.sockets import Connection
 from ambershift.archive.drill.world import Box, World
--- a/ambershift/archive/drill/lists.py
+++ b/ambershift/archive/drill/lists.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.archive.accession.outbox import Held
-from ambershift.archive.accession.replica import ChangeRegister, Freshen, Put
+from ambershift.archive.consensus.outbox import Held
+from ambershift.archive.consensus.replica import ChangeRegister, Freshen, Put
 from ambershift.archive.contracts import NotDoneError, Verdict
 from ambershift.archive.drill.world import World
 from ambershift.archive.slips.items import Item
--- a/ambershift/archive/drill/mistakes.py
+++ b/ambershift/archive/drill/mistakes.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ambershift.archive.accession import acceptor, journal, proposer, replica, store, syncing, voters, writing
+from ambershift.archive.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
 from ambershift.archive.contracts import Verdict
 from ambershift.archive.drill.house import Place
 from ambershift.archive.enquiries import application, applications, operator, watches
--- a/ambershift/archive/drill/scripts_disks.py
+++ b/ambershift/archive/drill/scripts_disks.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from ambershift.archive.accession.outbox import Held
-from ambershift.archive.accession.replica import ChangeRegister
+from ambershift.archive.consensus.outbox import Held
+from ambershift.archive.consensus.replica import ChangeRegister
 from ambershift.archive.contracts import NotDoneError, NotHeldError
 from ambershift.archive.drill.lists import Lists
 from ambershift.archive.drill.world import World
--- a/ambershift/archive/drill/scripts_voters.py
+++ b/ambershift/archive/drill/scripts_voters.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from ambershift.archive.accession.outbox import Held
-from ambershift.archive.accession.register import Register
+from ambershift.archive.consensus.outbox import Held
+from ambershift.archive.consensus.register import Register
 from ambershift.archive.drill.lists import Lists as World
 from ambershift.archive.steps import SECOND
 
--- a/ambershift/archive/drill/variants.py
+++ b/ambershift/archive/drill/variants.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.archive.accession import acceptor, journal, proposer, replica, store, syncing, voters, writing
+from ambershift.archive.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
 from ambershift.archive.contracts import NotDoneError
 from ambershift.archive.drill import mistakes
 from ambershift.archive.enquiries import application, applications, operator, pulse, watches, wire
--- a/ambershift/archive/drill/world.py
+++ b/ambershift/archive/drill/world.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from ambershift.archive.accession.outbox import News
-from ambershift.archive.accession.replica import Replica
+from ambershift.archive.consensus.outbox import News
+from ambershift.archive.consensus.replica import Replica
 from ambershift.archive.contracts import Shape
 from ambershift.archive.settings.local import Bounds, Local
 from ambershift.archive.slips import codec
--- a/ambershift/archive/roles/archivist.py
+++ b/ambershift/archive/roles/archivist.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ambershift.archive.accession.ledger import Shelf
-from ambershift.archive.accession.sidefile import SideFile
+from ambershift.archive.consensus.ledger import Shelf
+from ambershift.archive.consensus.sidefile import SideFile
 from ambershift.archive.enquiries.application import Enquiries
 from ambershift.archive.links.links import Links
 from ambershift.archive.links.meter import Meter, Place
--- a/ambershift/archive/slips/copies.py
+++ b/ambershift/archive/slips/copies.py
@@ -1,4 +1,4 @@
-"""What archivists tell each other of items, registers, voters and themselves. Owned by `accession/`.
+"""What archivists tell each other of items, registers, voters and themselves. Owned by `consensus/`.
 
 Fields that each message carries come first and are small numbers, as bytes between regions are dear. `epoch`
 is that of the voters whose counting the message belongs to, `number` the sender's round; answers repeat both.
--- a/ambershift/archive/stacks/registry.py
+++ b/ambershift/archive/stacks/registry.py
@@ -49,7 +49,7 @@
 
 
 class Side(Protocol):
-    """Where the list is kept over a restart (`accession/sidefile.py`)."""
+    """Where the list is kept over a restart (`consensus/sidefile.py`)."""
 
     failed: bool
 
--- a/ambershift/modelcheck/models/accession_table.py
+++ b/ambershift/modelcheck/models/accession_table.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from ambershift.archive.accession.outbox import Held
-from ambershift.archive.accession.replica import ChangeRegister, Replica
+from ambershift.archive.consensus.outbox import Held
+from ambershift.archive.consensus.replica import ChangeRegister, Replica
 from ambershift.archive.contracts import NotDoneError, Verdict
 from ambershift.archive.drill.lists import Appending, split
 from ambershift.archive.settings.local import Bounds, Local
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from ambershift.archive.accession.disk import Disk
-from ambershift.archive.accession.outbox import News
-from ambershift.archive.accession.replica import ChangeRegister, Event, Freshen, Put, Replica
+from ambershift.archive.consensus.disk import Disk
+from ambershift.archive.consensus.outbox import News
+from ambershift.archive.consensus.replica import ChangeRegister, Event, Freshen, Put, Replica
 from ambershift.archive.contracts import Verdict
 from ambershift.archive.roles import archivist
 from ambershift.archive.slips import codec, copies
--- a/tests/test_archive_accession.py
+++ b/tests/test_archive_accession.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ambershift.archive.accession.outbox import Held
+from ambershift.archive.consensus.outbox import Held
 from ambershift.archive.drill import scripts_voters
 from ambershift.archive.drill.histories import play_lists as play
 from ambershift.archive.drill.lists import Lists as World
--- a/tests/test_archive_accession_disk.py
+++ b/tests/test_archive_accession_disk.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from ambershift.archive.accession.disk import ASIDE, FILE, Disk, Rows
-from ambershift.archive.accession.journal import Journal
-from ambershift.archive.accession.ledger import Shelf
-from ambershift.archive.accession.outbox import Outbox
+from ambershift.archive.consensus.disk import ASIDE, FILE, Disk, Rows
+from ambershift.archive.consensus.journal import Journal
+from ambershift.archive.consensus.ledger import Shelf
+from ambershift.archive.consensus.outbox import Outbox
 from ambershift.archive.contracts import Verdict
 from ambershift.archive.settings.local import Bounds, Local
 from ambershift.archive.slips.items import Item
--- a/tests/test_archive_clearing.py
+++ b/tests/test_archive_clearing.py
@@ -9,10 +9,10 @@
 import pytest
 from archive_exchange import SECOND, World
 
-from ambershift.archive.accession.outbox import Held
-from ambershift.archive.accession.replica import Put, Replica
-from ambershift.archive.accession.store import row_key
 from ambershift.archive.circulation.routing import Routing
+from ambershift.archive.consensus.outbox import Held
+from ambershift.archive.consensus.replica import Put, Replica
+from ambershift.archive.consensus.store import row_key
 from ambershift.archive.drill.world import World as Copies
 from ambershift.archive.shelving.pushes import Pushes
 from ambershift.archive.slips.fronts import Backends
--- a/tests/test_archive_events.py
+++ b/tests/test_archive_events.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-from ambershift.archive.accession import journal, ledger, replica
+from ambershift.archive.consensus import journal, ledger, replica
 from ambershift.archive.enquiries import events as enquiries
 from ambershift.archive.events import EVENTS
 
--- a/tests/test_archive_guards.py
+++ b/tests/test_archive_guards.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from ambershift.archive.accession.acceptor import EMPTY
-from ambershift.archive.accession.outbox import Held, Outbox
-from ambershift.archive.accession.proposer import Proposer
+from ambershift.archive.consensus.acceptor import EMPTY
+from ambershift.archive.consensus.outbox import Held, Outbox
+from ambershift.archive.consensus.proposer import Proposer
 from ambershift.archive.contracts import Verdict
 from ambershift.archive.enquiries.handing import Handing
 from ambershift.archive.slips.copies import Accept, Agreed, Prepare, Promise
--- a/tests/test_archive_recall.py
+++ b/tests/test_archive_recall.py
@@ -18,11 +18,11 @@
 import pytest
 from archive_exchange import SECOND, ZONES, Node, World
 
-from ambershift.archive.accession import sidefile
-from ambershift.archive.accession.replica import Freshen, Reached, Replica
-from ambershift.archive.accession.sidefile import SideFile
 from ambershift.archive.circulation import awaited, handling
 from ambershift.archive.circulation.roster import Roster
+from ambershift.archive.consensus import sidefile
+from ambershift.archive.consensus.replica import Freshen, Reached, Replica
+from ambershift.archive.consensus.sidefile import SideFile
 from ambershift.archive.links import links
 from ambershift.archive.links.words import ARCHIVIST, Caller
 from ambershift.archive.roles import lender as roles_lender
