--- a/ambershift/archive/attaching/choice.py
+++ b/ambershift/archive/attaching/choice.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ambershift.archive.slips.fronts import Core
+from ambershift.archive.messages.fronts import Core
 from ambershift.archive.steps import MS, SECOND
 
 SILENT = 1600 * MS  # A sign of life comes each half second.
--- a/ambershift/archive/circulation/desk.py
+++ b/ambershift/archive/circulation/desk.py
@@ -23,8 +23,8 @@
 from ambershift.archive.circulation.routing import Routing
 from ambershift.archive.circulation.trying import Came
 from ambershift.archive.circulation.wire import HOLD_LEAST, HOLD_MOST
+from ambershift.archive.messages import fronts, items
 from ambershift.archive.settings.local import Local
-from ambershift.archive.slips import fronts, items
 from ambershift.archive.steps import MS, SECOND
 
 READINESS = b"/ambershift/readiness"
--- a/ambershift/archive/circulation/handling.py
+++ b/ambershift/archive/circulation/handling.py
@@ -16,7 +16,7 @@
 from ambershift.archive.circulation.routing import Route
 from ambershift.archive.circulation.trying import Came
 from ambershift.archive.circulation.wire import Reply, TryError, UnsendableError, Wire
-from ambershift.archive.slips.fronts import pool_of
+from ambershift.archive.messages.fronts import pool_of
 from ambershift.archive.steps import MS, SECOND
 
 if TYPE_CHECKING:
--- a/ambershift/archive/circulation/lives.py
+++ b/ambershift/archive/circulation/lives.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ambershift.archive.slips.fronts import Backend
+from ambershift.archive.messages.fronts import Backend
 from ambershift.archive.steps import MS, SECOND
 
 # A told load counts for so long, ns.
--- a/ambershift/archive/consensus/acceptor.py
+++ b/ambershift/archive/consensus/acceptor.py
@@ -10,7 +10,7 @@
 from ambershift.archive.consensus.journal import Journal
 from ambershift.archive.consensus.outbox import Outbox
 from ambershift.archive.contracts import Shape
-from ambershift.archive.slips.copies import (
+from ambershift.archive.messages.copies import (
     NEVER,
     Accept,
     Agreed,
--- a/ambershift/archive/consensus/asking.py
+++ b/ambershift/archive/consensus/asking.py
@@ -9,7 +9,7 @@
 from ambershift.archive.consensus.outbox import Outbox
 from ambershift.archive.consensus.register import Register, Round
 from ambershift.archive.consensus.voters import Voters
-from ambershift.archive.slips.copies import Accept, Confirm, Prepare
+from ambershift.archive.messages.copies import Accept, Confirm, Prepare
 from ambershift.archive.steps import MS
 
 HEDGE_LEAST, HEDGE_MOST = 40 * MS, 250 * MS
--- a/ambershift/archive/consensus/joining.py
+++ b/ambershift/archive/consensus/joining.py
@@ -13,7 +13,7 @@
 from ambershift.archive.consensus.voters import Voters
 from ambershift.archive.consensus.watching import SILENT, Watching
 from ambershift.archive.contracts import Verdict
-from ambershift.archive.slips.copies import Decision, Machine, Member
+from ambershift.archive.messages.copies import Decision, Machine, Member
 from ambershift.archive.steps import MS, SECOND
 
 SETTLE = SECOND  # After the last newcomer, before the first set takes all in.
--- a/ambershift/archive/consensus/ledger.py
+++ b/ambershift/archive/consensus/ledger.py
@@ -16,9 +16,9 @@
 from ambershift.archive.consensus.outbox import Held, News
 from ambershift.archive.consensus.replica import ChangeRegister, Event, Freshen, Put, Reached, Replica
 from ambershift.archive.contracts import Change, NotDoneError, Shape
+from ambershift.archive.messages.fronts import Core
+from ambershift.archive.messages.items import Item, Key
 from ambershift.archive.settings.local import Local
-from ambershift.archive.slips.fronts import Core
-from ambershift.archive.slips.items import Item, Key
 from ambershift.archive.steps import Answer, Heard, Log, Send, Tick, Wake, Write, Written
 
 EVENT_LISTENER, EVENT_ASIDE, EVENT_NO_DISK = 6, 206, 207
--- a/ambershift/archive/consensus/outbox.py
+++ b/ambershift/archive/consensus/outbox.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ambershift.archive.slips.items import Item
+from ambershift.archive.messages.items import Item
 from ambershift.archive.steps import Answer, Effect, Log, Send, Wake, Write
 
 
--- a/ambershift/archive/consensus/proposer.py
+++ b/ambershift/archive/consensus/proposer.py
@@ -14,7 +14,7 @@
 from ambershift.archive.consensus.register import Call, Lease, Register, Round
 from ambershift.archive.consensus.voters import Voters
 from ambershift.archive.contracts import Change, NotDoneError, NotHeldError, Shape
-from ambershift.archive.slips.copies import (
+from ambershift.archive.messages.copies import (
     Accept,
     Agreed,
     Confirm,
--- a/ambershift/archive/consensus/register.py
+++ b/ambershift/archive/consensus/register.py
@@ -8,7 +8,7 @@
 from ambershift.archive.consensus.acceptor import EMPTY
 from ambershift.archive.consensus.outbox import Held
 from ambershift.archive.contracts import Change
-from ambershift.archive.slips.copies import NEVER, Accept, Ballot, Confirm, Prepare, Record
+from ambershift.archive.messages.copies import NEVER, Accept, Ballot, Confirm, Prepare, Record
 
 
 @dataclass(slots=True)
--- a/ambershift/archive/consensus/replica.py
+++ b/ambershift/archive/consensus/replica.py
@@ -25,8 +25,7 @@
 from ambershift.archive.consensus.watching import Watching
 from ambershift.archive.consensus.writing import Writing
 from ambershift.archive.contracts import Change, Shape
-from ambershift.archive.settings.local import Local
-from ambershift.archive.slips.copies import (
+from ambershift.archive.messages.copies import (
     Accept,
     Agreed,
     Ask,
@@ -43,7 +42,8 @@
     Refused,
     Share,
 )
-from ambershift.archive.slips.items import Item
+from ambershift.archive.messages.items import Item
+from ambershift.archive.settings.local import Local
 from ambershift.archive.steps import SECOND, Effect, Heard, Tick, Written
 
 PREFETCH = SECOND
--- a/ambershift/archive/consensus/store.py
+++ b/ambershift/archive/consensus/store.py
@@ -9,7 +9,7 @@
 from ambershift.archive.consensus.digests import Buckets
 from ambershift.archive.consensus.journal import Journal
 from ambershift.archive.consensus.outbox import Outbox
-from ambershift.archive.slips.items import CLEARED, INSTANCE, THE_CLEARED, Item, Key, cleared_by, newest
+from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, Key, cleared_by, newest
 
 TABLE = "items"
 _encode = msgspec.msgpack.Encoder().encode
--- a/ambershift/archive/consensus/syncing.py
+++ b/ambershift/archive/consensus/syncing.py
@@ -15,8 +15,8 @@
 from ambershift.archive.consensus.store import Store
 from ambershift.archive.consensus.voters import Voters, holds
 from ambershift.archive.contracts import NotHeldError
-from ambershift.archive.slips.copies import Ask, Record, Share
-from ambershift.archive.slips.items import Item
+from ambershift.archive.messages.copies import Ask, Record, Share
+from ambershift.archive.messages.items import Item
 from ambershift.archive.steps import MS
 
 AGAIN = 250 * MS
--- a/ambershift/archive/consensus/voters.py
+++ b/ambershift/archive/consensus/voters.py
@@ -6,7 +6,7 @@
 
 from ambershift.archive.consensus import quorum
 from ambershift.archive.consensus.journal import Journal
-from ambershift.archive.slips.copies import Decision, Machine, Member
+from ambershift.archive.messages.copies import Decision, Machine, Member
 
 TABLE = "meta"
 _encode = msgspec.msgpack.Encoder().encode
--- a/ambershift/archive/consensus/watching.py
+++ b/ambershift/archive/consensus/watching.py
@@ -11,8 +11,8 @@
 from ambershift.archive.consensus.quorum import ALL_WATCH, watchers
 from ambershift.archive.consensus.store import Store
 from ambershift.archive.consensus.voters import Voters, holds
-from ambershift.archive.slips.copies import Beat, Knock, Known, Machine
-from ambershift.archive.slips.fronts import Core
+from ambershift.archive.messages.copies import Beat, Knock, Known, Machine
+from ambershift.archive.messages.fronts import Core
 from ambershift.archive.steps import MS
 
 BEAT = 300 * MS
--- a/ambershift/archive/consensus/writing.py
+++ b/ambershift/archive/consensus/writing.py
@@ -9,8 +9,8 @@
 from ambershift.archive.consensus.store import Store
 from ambershift.archive.consensus.voters import Voters
 from ambershift.archive.contracts import NotDoneError, NotHeldError
-from ambershift.archive.slips.copies import Agreed, Merge
-from ambershift.archive.slips.items import Item, Key
+from ambershift.archive.messages.copies import Agreed, Merge
+from ambershift.archive.messages.items import Item, Key
 from ambershift.archive.steps import MS
 
 AGAIN = 250 * MS
--- a/ambershift/archive/drill/house.py
+++ b/ambershift/archive/drill/house.py
@@ -14,9 +14,9 @@
 from ambershift.archive.drill.sockets import Connection
 from ambershift.archive.drill.world import Box, World
 from ambershift.archive.enquiries.application import Enquiries
+from ambershift.archive.messages import copies
 from ambershift.archive.reading.shapes import shape_of
 from ambershift.archive.settings.local import Local
-from ambershift.archive.slips import copies
 from ambershift.archive.steps import MS, SECOND, Heard, Tick, Write, Written
 
 EPOCH = 1_700_000_000 * SECOND
--- a/ambershift/archive/drill/mistakes.py
+++ b/ambershift/archive/drill/mistakes.py
@@ -13,10 +13,10 @@
 from ambershift.archive.contracts import Verdict
 from ambershift.archive.drill.house import Place
 from ambershift.archive.enquiries import application, applications, operator, watches
+from ambershift.archive.messages.copies import NEVER, Accept, Ask, Record
+from ambershift.archive.messages.items import Item
 from ambershift.archive.reading import groups, locks
 from ambershift.archive.reading.replies import Call, reply
-from ambershift.archive.slips.copies import NEVER, Accept, Ask, Record
-from ambershift.archive.slips.items import Item
 from ambershift.archive.steps import MS
 
 _lock = msgspec.msgpack.Decoder(locks.Lock).decode
--- a/ambershift/archive/drill/operating.py
+++ b/ambershift/archive/drill/operating.py
@@ -13,7 +13,7 @@
 from ambershift.archive.drill.callers import Streets
 from ambershift.archive.drill.house import ZONES, Process
 from ambershift.archive.intake.layout import rows
-from ambershift.archive.slips.items import ROUTE, SERVICE, ZONE, Item, Key
+from ambershift.archive.messages.items import ROUTE, SERVICE, ZONE, Item, Key
 
 ROUTES, SERVICES, ORDER_MOST = 4, 2, 6.0
 FINAL = (400, 409, 412, 413, 422)
--- a/ambershift/archive/drill/scripts_disks.py
+++ b/ambershift/archive/drill/scripts_disks.py
@@ -9,8 +9,8 @@
 from ambershift.archive.contracts import NotDoneError, NotHeldError
 from ambershift.archive.drill.lists import Lists
 from ambershift.archive.drill.world import World
+from ambershift.archive.messages.copies import Accept, Share
 from ambershift.archive.reading import locks
-from ambershift.archive.slips.copies import Accept, Share
 
 
 def told_twice() -> list[str]:
--- a/ambershift/archive/drill/scripts_house.py
+++ b/ambershift/archive/drill/scripts_house.py
@@ -10,8 +10,8 @@
 from ambershift.archive.drill.house import House
 from ambershift.archive.drill.judging import Judge
 from ambershift.archive.drill.operating import Books, Desk, Operator, Order
+from ambershift.archive.messages.copies import Merge, Share
 from ambershift.archive.rehearsal.histories import Hold
-from ambershift.archive.slips.copies import Merge, Share
 from ambershift.archive.steps import MS, SECOND
 
 FAST = 1.009  # By 45 ms in the hold below, within the margin.
--- a/ambershift/archive/drill/world.py
+++ b/ambershift/archive/drill/world.py
@@ -18,8 +18,8 @@
 from ambershift.archive.consensus.outbox import News
 from ambershift.archive.consensus.replica import Replica
 from ambershift.archive.contracts import Shape
+from ambershift.archive.messages import codec
 from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.slips import codec
 from ambershift.archive.steps import MS, SECOND, Answer, Heard, Send, Tick, Wake, Write, Written
 
 SEEDS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
--- a/ambershift/archive/enquiries/application.py
+++ b/ambershift/archive/enquiries/application.py
@@ -18,11 +18,11 @@
 from ambershift.archive.enquiries.pulse import Pulse
 from ambershift.archive.enquiries.registry import Registry
 from ambershift.archive.enquiries.watches import WATCH, Watches
+from ambershift.archive.messages.errands import Errand, Outcome, Stirred
 from ambershift.archive.reading.ages import Ages
 from ambershift.archive.reading.calls import BODY_MOST, CALLS, PRESENT
 from ambershift.archive.reading.replies import ImproperError, Reply, read_body, reply
 from ambershift.archive.settings.local import Local
-from ambershift.archive.slips.errands import Errand, Outcome, Stirred
 from ambershift.archive.steps import MS, SECOND
 
 RPC, NUMBERS, WATCHES = "/ambershift/rpc", "/ambershift/numbers/", "/ambershift/watch/"
--- a/ambershift/archive/enquiries/applications.py
+++ b/ambershift/archive/enquiries/applications.py
@@ -15,11 +15,11 @@
 from ambershift.archive.enquiries.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED, OWNER_SILENT
 from ambershift.archive.enquiries.handing import Handing, Sender
 from ambershift.archive.enquiries.owners import Owners
+from ambershift.archive.messages.errands import Errand, Outcome, Stirred
 from ambershift.archive.reading.ages import Ages
 from ambershift.archive.reading.calls import PUT, read_call
 from ambershift.archive.reading.groups import Group
 from ambershift.archive.reading.replies import Call, ImproperError, Reply, reply
-from ambershift.archive.slips.errands import Errand, Outcome, Stirred
 from ambershift.archive.steps import MS, SECOND
 
 PATIENCE = 900 * MS  # A caller gives up after a second of silence, and time is looked at each 50 ms.
--- a/ambershift/archive/enquiries/operator.py
+++ b/ambershift/archive/enquiries/operator.py
@@ -13,9 +13,9 @@
 from ambershift.archive.intake.faults import Fault, InvalidError
 from ambershift.archive.intake.layout import write_back
 from ambershift.archive.intake.orders import Order, read_order
+from ambershift.archive.messages.items import ZONE, Item
 from ambershift.archive.reading.replies import Reply, reply
 from ambershift.archive.settings.local import Local
-from ambershift.archive.slips.items import ZONE, Item
 from ambershift.archive.steps import SECOND
 
 PATIENCE = 0.85  # Seconds; a caller gives up after one of silence.
--- a/ambershift/archive/enquiries/watches.py
+++ b/ambershift/archive/enquiries/watches.py
@@ -12,11 +12,11 @@
 from ambershift.archive.enquiries.handing import Handing, Sender
 from ambershift.archive.enquiries.owners import Owners
 from ambershift.archive.enquiries.vigils import Vigils
+from ambershift.archive.messages.errands import Errand, Outcome, Stirred
 from ambershift.archive.reading.ages import Ages
 from ambershift.archive.reading.calls import PRESENT, read_call
 from ambershift.archive.reading.groups import Group
 from ambershift.archive.reading.replies import Reply, reply
-from ambershift.archive.slips.errands import Errand, Outcome, Stirred
 from ambershift.archive.steps import MS, SECOND
 
 WATCH = "watch"  # The name of an errand that is one.
--- a/ambershift/archive/intake/check.py
+++ b/ambershift/archive/intake/check.py
@@ -4,7 +4,7 @@
 
 from ambershift.archive.intake.faults import Fault, InvalidError
 from ambershift.archive.intake.orders import read_order
-from ambershift.archive.slips.items import SERVICE
+from ambershift.archive.messages.items import SERVICE
 
 
 def check_document(body: bytes) -> list[Fault]:
--- a/ambershift/archive/intake/fields.py
+++ b/ambershift/archive/intake/fields.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ambershift.archive.intake.layout import Fields
-from ambershift.archive.slips.items import LIMITS, ROUTE, SERVICE
+from ambershift.archive.messages.items import LIMITS, ROUTE, SERVICE
 
 ROUTE_TYPES = ("idempotent", "non_idempotent")
 TIMEOUT_MOST = 600_000  # Ten minutes, in ms.
--- a/ambershift/archive/intake/layout.py
+++ b/ambershift/archive/intake/layout.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.archive.intake.faults import Fault, InvalidError
-from ambershift.archive.slips.items import LIMITS, ROUTE, SERVICE, Item, Key
+from ambershift.archive.messages.items import LIMITS, ROUTE, SERVICE, Item, Key
 
 Fields = dict[str, Any]
 
--- a/ambershift/archive/intake/orders.py
+++ b/ambershift/archive/intake/orders.py
@@ -11,7 +11,7 @@
 from ambershift.archive.intake import fields as checks
 from ambershift.archive.intake.faults import Fault, InvalidError
 from ambershift.archive.intake.layout import LISTS, Fields, rows, unreadable, without_null
-from ambershift.archive.slips.items import LIMITS, ROUTE, SERVICE, Item, Key, newest
+from ambershift.archive.messages.items import LIMITS, ROUTE, SERVICE, Item, Key, newest
 
 LIMITS_NAME = "limits"
 
--- a/ambershift/archive/roles/lender.py
+++ b/ambershift/archive/roles/lender.py
@@ -18,13 +18,13 @@
 from ambershift.archive.links.meter import Meter, Place
 from ambershift.archive.links.outbox import Outbox
 from ambershift.archive.links.words import DESK, Caller
+from ambershift.archive.messages.fronts import Bind, Cores, Hello, Items
 from ambershift.archive.roles.logs import Journal
 from ambershift.archive.roles.places import Places
 from ambershift.archive.roles.rereading import LOOK_S as FILE_S
 from ambershift.archive.roles.rereading import Watched
 from ambershift.archive.roles.serving import Served, hear_signals, listeners, served
 from ambershift.archive.settings.local import Local, SettingsError, read_local
-from ambershift.archive.slips.fronts import Bind, Cores, Hello, Items
 
 BESIDE_S = 0.25  # An archivist that takes longer to answer may be without power: another is dialled too.
 REPORT_S, LOOK_S, IDLE_S, END_MARGIN_S = 1.0, 0.25, 60, 0.4
--- a/ambershift/archive/shelving/floor.py
+++ b/ambershift/archive/shelving/floor.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from ambershift import interface as api
+from ambershift.archive.messages.fronts import Report
+from ambershift.archive.messages.items import ZONE, Item
 from ambershift.archive.shelving.dealer import Dealer, Dealt, Seat
 from ambershift.archive.shelving.pools import Pool, pools
 from ambershift.archive.shelving.terms import terms_for, zones_of
-from ambershift.archive.slips.fronts import Report
-from ambershift.archive.slips.items import ZONE, Item
 from ambershift.archive.stacks.records import Desk, Life
 from ambershift.archive.steps import MS, SECOND
 
--- a/ambershift/archive/shelving/flows.py
+++ b/ambershift/archive/shelving/flows.py
@@ -5,8 +5,8 @@
 from collections import defaultdict, deque
 from collections.abc import Collection
 
-from ambershift.archive.slips.fronts import tally_parts
-from ambershift.archive.slips.rounds import Flow
+from ambershift.archive.messages.fronts import tally_parts
+from ambershift.archive.messages.rounds import Flow
 from ambershift.archive.steps import SECOND
 
 WINDOW, TOLD_EACH, MOVED = 15 * SECOND, 2 * SECOND, 0.1
--- a/ambershift/archive/shelving/pushes.py
+++ b/ambershift/archive/shelving/pushes.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from ambershift.archive.slips.fronts import Backend, Backends, Items
-from ambershift.archive.slips.items import CLEARED, INSTANCE, Item, Key, cleared_by
+from ambershift.archive.messages.fronts import Backend, Backends, Items
+from ambershift.archive.messages.items import CLEARED, INSTANCE, Item, Key, cleared_by
 from ambershift.archive.steps import Send
 
 
--- a/ambershift/archive/stacks/desks.py
+++ b/ambershift/archive/stacks/desks.py
@@ -5,7 +5,7 @@
 from collections.abc import Container, Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from ambershift.archive.slips.fronts import Hello
+from ambershift.archive.messages.fronts import Hello
 from ambershift.archive.stacks.records import Desk
 from ambershift.archive.steps import MS
 
--- a/ambershift/archive/stacks/events.py
+++ b/ambershift/archive/stacks/events.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from ambershift.archive.slips.fronts import Hello
-from ambershift.archive.slips.rounds import Flow
+from ambershift.archive.messages.fronts import Hello
+from ambershift.archive.messages.rounds import Flow
 from ambershift.archive.stacks.beats import Beat
 from ambershift.archive.stacks.records import Life
 from ambershift.archive.steps import Heard, Log, Send
--- a/ambershift/archive/stacks/exchange.py
+++ b/ambershift/archive/stacks/exchange.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ambershift.archive.slips.rounds import Ask, Delta, Pulse
+from ambershift.archive.messages.rounds import Ask, Delta, Pulse
 from ambershift.archive.stacks.records import Record, Records, pack, unpack
 from ambershift.archive.steps import MS, Send
 
--- a/ambershift/archive/stacks/machine.py
+++ b/ambershift/archive/stacks/machine.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from ambershift.archive.slips.rounds import Ask, Delta, Pulse
+from ambershift.archive.messages.rounds import Ask, Delta, Pulse
 from ambershift.archive.stacks.beats import Beat
 from ambershift.archive.stacks.clearing import STALE, Clearing
 from ambershift.archive.stacks.desks import Desks, merge
--- a/ambershift/archive/stacks/records.py
+++ b/ambershift/archive/stacks/records.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ambershift.archive.slips.rounds import Attached, Delta, Flow, Lived
+from ambershift.archive.messages.rounds import Attached, Delta, Flow, Lived
 from ambershift.archive.steps import MS
 
 COLD_SLACK = 300 * MS  # By so much a cold span may be told otherwise without being another.
--- a/ambershift/archive/stacks/registry.py
+++ b/ambershift/archive/stacks/registry.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from ambershift.archive.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.archive.messages.fronts import Backend, Hello
+from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, cleared_by
+from ambershift.archive.messages.rounds import Ask, Delta, Flow, Pulse
 from ambershift.archive.settings.local import Local
-from ambershift.archive.slips.fronts import Backend, Hello
-from ambershift.archive.slips.items import CLEARED, INSTANCE, THE_CLEARED, Item, cleared_by
-from ambershift.archive.slips.rounds import Ask, Delta, Flow, Pulse
 from ambershift.archive.stacks.beats import BeatError, check_id, read_beat
 from ambershift.archive.stacks.clearing import REFUSED
 from ambershift.archive.stacks.desks import ADDRESSES_MOST, nearest
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -13,9 +13,9 @@
 from ambershift.archive.consensus.outbox import News
 from ambershift.archive.consensus.replica import ChangeRegister, Event, Freshen, Put, Replica
 from ambershift.archive.contracts import Verdict
+from ambershift.archive.messages import codec, copies
+from ambershift.archive.messages.items import ROUTE
 from ambershift.archive.roles import archivist
-from ambershift.archive.slips import codec, copies
-from ambershift.archive.slips.items import ROUTE
 from ambershift.archive.steps import MS, SECOND, Answer, Heard, Send, Tick, Write, Written
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from ambershift.archive.circulation.routing import Routing
-from ambershift.archive.slips import codec, fronts
-from ambershift.archive.slips.items import Item
+from ambershift.archive.messages import codec, fronts
+from ambershift.archive.messages.items import Item
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
 from benchmarks.capacity.world import Size
 
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -11,10 +11,10 @@
 
 from ambershift.archive.contracts import Change
 from ambershift.archive.intake.orders import read_order
+from ambershift.archive.messages import fronts, rounds
+from ambershift.archive.messages.items import Item, Key
 from ambershift.archive.rehearsal.book import Route, limits_part, routes_part, services_part
 from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.slips import fronts, rounds
-from ambershift.archive.slips.items import Item, Key
 
 HEARTBEAT, ARCHIVISTS = 1.5, 6
 
--- a/tests/archive_exchange.py
+++ b/tests/archive_exchange.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from ambershift.archive.contracts import NotHeldError
+from ambershift.archive.messages import codec, fronts
+from ambershift.archive.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by, newest
 from ambershift.archive.settings.local import Bounds, Local
 from ambershift.archive.shelving.controller import Controller
-from ambershift.archive.slips import codec, fronts
-from ambershift.archive.slips.items import INSTANCE, THE_CLEARED, Item, cleared_by, newest
 from ambershift.archive.stacks.registry import Registry
 from ambershift.archive.steps import MS, SECOND
 
--- a/tests/circulated.py
+++ b/tests/circulated.py
@@ -14,9 +14,9 @@
 
 from ambershift.archive.circulation.desk import Desk
 from ambershift.archive.circulation.reception import Reception
+from ambershift.archive.messages.fronts import Backend, Backends, Cores, Items
+from ambershift.archive.messages.items import ROUTE, SERVICE, Item
 from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.slips.fronts import Backend, Backends, Cores, Items
-from ambershift.archive.slips.items import ROUTE, SERVICE, Item
 
 ZONES = {"north": "up", "hill": "up", "south": "down"}
 # A script gets the request's head in lower case, its body, and the writer; what it returns is sent.
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -12,10 +12,10 @@
 from ambershift.archive.contracts import Change, NotDoneError, NotHeldError
 from ambershift.archive.enquiries.application import Enquiries
 from ambershift.archive.enquiries.owners import rank
+from ambershift.archive.messages.codec import decode, encode
+from ambershift.archive.messages.fronts import Core
+from ambershift.archive.messages.items import Item, Key, newest
 from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.slips.codec import decode, encode
-from ambershift.archive.slips.fronts import Core
-from ambershift.archive.slips.items import Item, Key, newest
 from ambershift.archive.steps import SECOND
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
--- a/tests/test_archive_accession_disk.py
+++ b/tests/test_archive_accession_disk.py
@@ -19,8 +19,8 @@
 from ambershift.archive.consensus.ledger import Shelf
 from ambershift.archive.consensus.outbox import Outbox
 from ambershift.archive.contracts import Verdict
+from ambershift.archive.messages.items import Item
 from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.slips.items import Item
 from ambershift.archive.steps import SECOND, Write
 
 IP = "10.0.0.1"
--- a/tests/test_archive_circulation_pick.py
+++ b/tests/test_archive_circulation_pick.py
@@ -9,8 +9,8 @@
 from ambershift.archive.circulation.desk import Desk
 from ambershift.archive.circulation.lives import Life
 from ambershift.archive.circulation.routing import Routing
-from ambershift.archive.slips.fronts import Backends, Bind, Cores, Items, Line, Mark, Withdraw
-from ambershift.archive.slips.items import INSTANCE, ROUTE, ZONE, Item
+from ambershift.archive.messages.fronts import Backends, Bind, Cores, Items, Line, Mark, Withdraw
+from ambershift.archive.messages.items import INSTANCE, ROUTE, ZONE, Item
 from ambershift.archive.steps import MS, SECOND
 
 PLACES = ("north", "north", "north", "hill", "hill", "south", "south", "south")
--- a/tests/test_archive_clearing.py
+++ b/tests/test_archive_clearing.py
@@ -14,9 +14,9 @@
 from ambershift.archive.consensus.replica import Put, Replica
 from ambershift.archive.consensus.store import row_key
 from ambershift.archive.drill.world import World as Copies
+from ambershift.archive.messages.fronts import Backends
+from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
 from ambershift.archive.shelving.pushes import Pushes
-from ambershift.archive.slips.fronts import Backends
-from ambershift.archive.slips.items import CLEARED, INSTANCE, THE_CLEARED, Item
 from ambershift.archive.stacks import clearing, listing, machine
 from ambershift.archive.stacks.clearing import EVERY, KEPT, PORTION, REFUSED, Clearing
 
--- a/tests/test_archive_guards.py
+++ b/tests/test_archive_guards.py
@@ -13,8 +13,8 @@
 from ambershift.archive.consensus.proposer import Proposer
 from ambershift.archive.contracts import Verdict
 from ambershift.archive.enquiries.handing import Handing
-from ambershift.archive.slips.copies import Accept, Agreed, Prepare, Promise
-from ambershift.archive.slips.errands import Outcome
+from ambershift.archive.messages.copies import Accept, Agreed, Prepare, Promise
+from ambershift.archive.messages.errands import Outcome
 from ambershift.archive.steps import SECOND
 from tests.enquiring import TRIP, World, order, play
 
--- a/tests/test_archive_homes.py
+++ b/tests/test_archive_homes.py
@@ -8,9 +8,9 @@
 from circulated import route
 
 from ambershift.archive.circulation.routing import Routing
+from ambershift.archive.messages.fronts import tally_of, tally_parts
+from ambershift.archive.messages.items import ROUTE, Item
 from ambershift.archive.shelving.flows import Flows
-from ambershift.archive.slips.fronts import tally_of, tally_parts
-from ambershift.archive.slips.items import ROUTE, Item
 from ambershift.archive.stacks.homes import LEAST, MOST, SEEN, Homes
 from ambershift.archive.steps import SECOND
 
--- a/tests/test_archive_intake.py
+++ b/tests/test_archive_intake.py
@@ -13,7 +13,7 @@
 from ambershift.archive.intake.check import check_document
 from ambershift.archive.intake.layout import rows, write_back
 from ambershift.archive.intake.orders import read_order
-from ambershift.archive.slips.items import Item, Key, newest
+from ambershift.archive.messages.items import Item, Key, newest
 
 ROUTE = {
     "Name": "r",
--- a/tests/test_archive_links.py
+++ b/tests/test_archive_links.py
@@ -17,9 +17,9 @@
 from ambershift.archive.links.links import Links, receive
 from ambershift.archive.links.outbox import Outbox
 from ambershift.archive.links.words import ARCHIVIST, DESK, Caller, PathError, caller_of, path_of
+from ambershift.archive.messages.fronts import Core, Hello, Mark
 from ambershift.archive.rehearsal.rig import until
 from ambershift.archive.rehearsal.settings import free_ports
-from ambershift.archive.slips.fronts import Core, Hello, Mark
 from ambershift.archive.steps import SECOND
 
 pytestmark = pytest.mark.timeout(30)
--- a/tests/test_archive_meter.py
+++ b/tests/test_archive_meter.py
@@ -7,8 +7,8 @@
 
 from ambershift.archive.links.meter import TOLD_EACH, Meter, frame, reach
 from ambershift.archive.links.outbox import Outbox
-from ambershift.archive.slips import codec
-from ambershift.archive.slips.fronts import Items, Mark
+from ambershift.archive.messages import codec
+from ambershift.archive.messages.fronts import Items, Mark
 
 
 def test_frames_and_reach() -> None:
--- a/tests/test_archive_recall.py
+++ b/tests/test_archive_recall.py
@@ -25,12 +25,12 @@
 from ambershift.archive.consensus.sidefile import SideFile
 from ambershift.archive.links import links
 from ambershift.archive.links.words import ARCHIVIST, Caller
+from ambershift.archive.messages.copies import Ask, Knock
+from ambershift.archive.messages.fronts import Backend, Backends, Items
+from ambershift.archive.messages.items import INSTANCE, Item
 from ambershift.archive.roles import lender as roles_lender
 from ambershift.archive.roles.lender import Lender, let_go
 from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.slips.copies import Ask, Knock
-from ambershift.archive.slips.fronts import Backend, Backends, Items
-from ambershift.archive.slips.items import INSTANCE, Item
 from ambershift.archive.stacks.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
 from ambershift.archive.stacks.records import Life
 from ambershift.archive.stacks.registry import UNSURE_DESKS
--- a/tests/test_archive_stacks.py
+++ b/tests/test_archive_stacks.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from ambershift.archive.slips.fronts import Items
+from ambershift.archive.messages.fronts import Items
 
 Play = Callable[[World], Coroutine[Any, Any, None]]
 
