--- a/ambershift/archive/stacks/desks.py
+++ b/ambershift/archive/registry/desks.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from ambershift.archive.messages.fronts import Hello
-from ambershift.archive.stacks.records import Desk
+from ambershift.archive.registry.records import Desk
 from ambershift.archive.steps import MS
 
 PARTED = 1000 * MS  # A desk dials anew within this, or is taken for lost.
--- a/ambershift/archive/stacks/events.py
+++ b/ambershift/archive/registry/events.py
@@ -6,8 +6,8 @@
 
 from ambershift.archive.messages.fronts import Hello
 from ambershift.archive.messages.rounds import Flow
-from ambershift.archive.stacks.beats import Beat
-from ambershift.archive.stacks.records import Life
+from ambershift.archive.registry.beats import Beat
+from ambershift.archive.registry.records import Life
 from ambershift.archive.steps import Heard, Log, Send
 
 
--- a/ambershift/archive/stacks/exchange.py
+++ b/ambershift/archive/registry/exchange.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from ambershift.archive.messages.rounds import Ask, Delta, Pulse
-from ambershift.archive.stacks.records import Record, Records, pack, unpack
+from ambershift.archive.registry.records import Record, Records, pack, unpack
 from ambershift.archive.steps import MS, Send
 
 ASK_GAP = 500 * MS  # Against asking again while the answer is on its way.
--- a/ambershift/archive/stacks/keeping.py
+++ b/ambershift/archive/registry/keeping.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Container
 
-from ambershift.archive.stacks.beats import Beat
-from ambershift.archive.stacks.records import Life
+from ambershift.archive.registry.beats import Beat
+from ambershift.archive.registry.records import Life
 from ambershift.archive.steps import MS
 
 MISSED, WARY_MISSED, SUSPECT = 3.5, 5.5, 2.3  # Heartbeats without a word.
--- a/ambershift/archive/stacks/kept.py
+++ b/ambershift/archive/registry/kept.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from ambershift.archive.messages.rounds import Lived
-from ambershift.archive.stacks.listing import KEPT
-from ambershift.archive.stacks.records import Life, lived, to_life
+from ambershift.archive.registry.listing import KEPT
+from ambershift.archive.registry.records import Life, lived, to_life
 from ambershift.archive.steps import MS, SECOND
 
 FORMAT = 1
--- a/ambershift/archive/stacks/listing.py
+++ b/ambershift/archive/registry/listing.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from ambershift.archive.stacks.records import Life
+from ambershift.archive.registry.records import Life
 from ambershift.archive.steps import SECOND
 
 KEPT = 600 * SECOND  # So long a life is remembered that nobody hears, or that another has replaced.
--- a/ambershift/archive/stacks/machine.py
+++ b/ambershift/archive/registry/machine.py
@@ -5,10 +5,10 @@
 from collections import Counter
 
 from ambershift.archive.messages.rounds import Ask, Delta, Pulse
-from ambershift.archive.stacks.beats import Beat
-from ambershift.archive.stacks.clearing import STALE, Clearing
-from ambershift.archive.stacks.desks import Desks, merge
-from ambershift.archive.stacks.events import (
+from ambershift.archive.registry.beats import Beat
+from ambershift.archive.registry.clearing import STALE, Clearing
+from ambershift.archive.registry.desks import Desks, merge
+from ambershift.archive.registry.events import (
     Cleared,
     Effect,
     Ended,
@@ -22,10 +22,10 @@
     Shown,
     Spoke,
 )
-from ambershift.archive.stacks.exchange import Exchange
-from ambershift.archive.stacks.keeping import MISSED, Keeping
-from ambershift.archive.stacks.listing import Listing
-from ambershift.archive.stacks.records import Desk, Life, Records, flow_key
+from ambershift.archive.registry.exchange import Exchange
+from ambershift.archive.registry.keeping import MISSED, Keeping
+from ambershift.archive.registry.listing import Listing
+from ambershift.archive.registry.records import Desk, Life, Records, flow_key
 from ambershift.archive.steps import MS, SECOND, Heard, Log
 
 BATCH, PULSE, LISTEN = 100 * MS, SECOND, 250 * MS
--- a/ambershift/archive/stacks/registry.py
+++ b/ambershift/archive/registry/registry.py
@@ -15,11 +15,10 @@
 from ambershift.archive.messages.fronts import Backend, Hello
 from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, cleared_by
 from ambershift.archive.messages.rounds import Ask, Delta, Flow, Pulse
-from ambershift.archive.settings.local import Local
-from ambershift.archive.stacks.beats import BeatError, check_id, read_beat
-from ambershift.archive.stacks.clearing import REFUSED
-from ambershift.archive.stacks.desks import ADDRESSES_MOST, nearest
-from ambershift.archive.stacks.events import (
+from ambershift.archive.registry.beats import BeatError, check_id, read_beat
+from ambershift.archive.registry.clearing import REFUSED
+from ambershift.archive.registry.desks import ADDRESSES_MOST, nearest
+from ambershift.archive.registry.events import (
     Cleared,
     Ended,
     Event,
@@ -32,11 +31,12 @@
     Shown,
     Spoke,
 )
-from ambershift.archive.stacks.homes import Homes
-from ambershift.archive.stacks.kept import Keep, SheetError, read_sheet, write_sheet
-from ambershift.archive.stacks.listing import DRAINING, GONE
-from ambershift.archive.stacks.machine import Stacks
-from ambershift.archive.stacks.records import Desk, Life
+from ambershift.archive.registry.homes import Homes
+from ambershift.archive.registry.kept import Keep, SheetError, read_sheet, write_sheet
+from ambershift.archive.registry.listing import DRAINING, GONE
+from ambershift.archive.registry.machine import Stacks
+from ambershift.archive.registry.records import Desk, Life
+from ambershift.archive.settings.local import Local
 from ambershift.archive.steps import MS, SECOND, Heard, Log, Send
 
 PUT_LIMIT_S = 0.8  # A backend waits a second for its acknowledgement.
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -12,8 +12,8 @@
 from ambershift.archive.circulation.desk import Desk
 from ambershift.archive.enquiries.application import Enquiries
 from ambershift.archive.messages import fronts
+from ambershift.archive.registry.registry import Registry
 from ambershift.archive.roles.serving import listener, served
-from ambershift.archive.stacks.registry import Registry
 from benchmarks.capacity import world
 from benchmarks.capacity.registry import ended
 from benchmarks.capacity.world import SIZES, Size
--- a/tests/test_archive_clearing.py
+++ b/tests/test_archive_clearing.py
@@ -16,9 +16,9 @@
 from ambershift.archive.drill.world import World as Copies
 from ambershift.archive.messages.fronts import Backends
 from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
+from ambershift.archive.registry import clearing, listing, machine
+from ambershift.archive.registry.clearing import EVERY, KEPT, PORTION, REFUSED, Clearing
 from ambershift.archive.shelving.pushes import Pushes
-from ambershift.archive.stacks import clearing, listing, machine
-from ambershift.archive.stacks.clearing import EVERY, KEPT, PORTION, REFUSED, Clearing
 
 MINUTE = 60 * SECOND
 
--- a/tests/test_archive_recall.py
+++ b/tests/test_archive_recall.py
@@ -28,12 +28,12 @@
 from ambershift.archive.messages.copies import Ask, Knock
 from ambershift.archive.messages.fronts import Backend, Backends, Items
 from ambershift.archive.messages.items import INSTANCE, Item
+from ambershift.archive.registry.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
+from ambershift.archive.registry.records import Life
+from ambershift.archive.registry.registry import UNSURE_DESKS
 from ambershift.archive.roles import lender as roles_lender
 from ambershift.archive.roles.lender import Lender, let_go
 from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.stacks.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
-from ambershift.archive.stacks.records import Life
-from ambershift.archive.stacks.registry import UNSURE_DESKS
 from ambershift.archive.steps import MS, Send, Written
 
 NOW = 1000 * SECOND
