--- a/ambershift/archive/shelving/controller.py
+++ b/ambershift/archive/distribution/controller.py
@@ -10,15 +10,15 @@
 import msgspec
 
 from ambershift.archive.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.archive.distribution.dealer import Dealt
+from ambershift.archive.distribution.floor import FED_EACH, Floor
+from ambershift.archive.distribution.flows import Flows
+from ambershift.archive.distribution.pushes import Pushes
 from ambershift.archive.messages.fronts import Backend, Backends, Cores, Hello, Mark, Report, Withdraw
 from ambershift.archive.messages.items import ROUTE, ZONE, Item
 from ambershift.archive.registry.records import Life
 from ambershift.archive.registry.registry import Registry, backend
 from ambershift.archive.settings.local import Local
-from ambershift.archive.shelving.dealer import Dealt
-from ambershift.archive.shelving.floor import FED_EACH, Floor
-from ambershift.archive.shelving.flows import Flows
-from ambershift.archive.shelving.pushes import Pushes
 from ambershift.archive.steps import MS, Send
 
 CORES_EACH, DESKS_EACH = 500 * MS, 250 * MS
--- a/ambershift/archive/shelving/dealer.py
+++ b/ambershift/archive/distribution/dealer.py
@@ -16,9 +16,9 @@
 import msgspec
 
 from ambershift import interface as api
+from ambershift.archive.distribution.strain import CALM, Strain
 from ambershift.archive.messages.fronts import Bind, Line
 from ambershift.archive.messages.fronts import Met as Told
-from ambershift.archive.shelving.strain import CALM, Strain
 from ambershift.archive.steps import MS
 from ambershift.policy import TableManager
 
--- a/ambershift/archive/shelving/floor.py
+++ b/ambershift/archive/distribution/floor.py
@@ -11,12 +11,12 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from ambershift import interface as api
+from ambershift.archive.distribution.dealer import Dealer, Dealt, Seat
+from ambershift.archive.distribution.pools import Pool, pools
+from ambershift.archive.distribution.terms import terms_for, zones_of
 from ambershift.archive.messages.fronts import Report
 from ambershift.archive.messages.items import ZONE, Item
 from ambershift.archive.registry.records import Desk, Life
-from ambershift.archive.shelving.dealer import Dealer, Dealt, Seat
-from ambershift.archive.shelving.pools import Pool, pools
-from ambershift.archive.shelving.terms import terms_for, zones_of
 from ambershift.archive.steps import MS, SECOND
 
 FED_EACH = SECOND
--- a/ambershift/archive/shelving/terms.py
+++ b/ambershift/archive/distribution/terms.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from ambershift import interface as api
-from ambershift.archive.shelving.pools import Pool
+from ambershift.archive.distribution.pools import Pool
 from ambershift.archive.steps import MS, SECOND
 
 # A service has about two backends a zone, and answers from other regions are the dearest price: a zone may
--- a/ambershift/archive/roles/archivist.py
+++ b/ambershift/archive/roles/archivist.py
@@ -11,6 +11,7 @@
 
 from ambershift.archive.consensus.ledger import Shelf
 from ambershift.archive.consensus.sidefile import SideFile
+from ambershift.archive.distribution.controller import Controller
 from ambershift.archive.enquiries.application import Enquiries
 from ambershift.archive.links.links import Links
 from ambershift.archive.links.meter import Meter, Place
@@ -23,7 +24,6 @@
 from ambershift.archive.roles.rereading import Watched
 from ambershift.archive.roles.serving import hear_signals, listeners, served
 from ambershift.archive.settings.local import Local, SettingsError, read_local
-from ambershift.archive.shelving.controller import Controller
 
 LIST = "backends.list"  # The file beside the store that the list is recalled from.
 BEAT_S, IDLE_S, FINISH_S = 0.05, 120, 1.0
--- a/benchmarks/capacity/dealer.py
+++ b/benchmarks/capacity/dealer.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from ambershift import interface as api
+from ambershift.archive.distribution.dealer import Dealer, Seat
+from ambershift.archive.distribution.pools import Pool
+from ambershift.archive.distribution.terms import terms_for, zones_of
 from ambershift.archive.messages import codec
 from ambershift.archive.messages.fronts import Bind, Met
-from ambershift.archive.shelving.dealer import Dealer, Seat
-from ambershift.archive.shelving.pools import Pool
-from ambershift.archive.shelving.terms import terms_for, zones_of
 from ambershift.archive.steps import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
+from ambershift.archive.distribution.controller import Controller
+from ambershift.archive.distribution.flows import Flows
 from ambershift.archive.messages import codec, rounds
 from ambershift.archive.messages.fronts import Report
 from ambershift.archive.registry.registry import Registry
 from ambershift.archive.roles import archivist  # All that an archivist's process imports counts.
-from ambershift.archive.shelving.controller import Controller
-from ambershift.archive.shelving.flows import Flows
 from ambershift.archive.steps import MS, SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
--- a/tests/test_archive_shelving.py
+++ b/tests/test_archive_shelving.py
@@ -11,12 +11,12 @@
 from archive_exchange import MS, SECOND, ZONES, World
 
 from ambershift import interface as api
+from ambershift.archive.distribution.dealer import Dealer, Seat
+from ambershift.archive.distribution.flows import Flows
+from ambershift.archive.distribution.pools import Pool
+from ambershift.archive.distribution.terms import terms_for
 from ambershift.archive.messages.fronts import Backends, Bind, Cores, Items, Line, Mark, Withdraw
 from ambershift.archive.messages.items import ROUTE, ZONE, Item
-from ambershift.archive.shelving.dealer import Dealer, Seat
-from ambershift.archive.shelving.flows import Flows
-from ambershift.archive.shelving.pools import Pool
-from ambershift.archive.shelving.terms import terms_for
 
 KEEPERS = {"a": "1", "b": "2", "c": "3"}
 Play = Callable[[World], Coroutine[Any, Any, None]]
--- a/tests/test_archive_strain.py
+++ b/tests/test_archive_strain.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.archive.shelving.strain import LEAST, MOST, Strain
+from ambershift.archive.distribution.strain import LEAST, MOST, Strain
 from ambershift.archive.steps import MS, SECOND
 
 
