--- a/ambershift/archive/circulation/cold.py
+++ b/ambershift/archive/proxy/cold.py
@@ -4,7 +4,7 @@
 
 from hashlib import blake2b
 
-from ambershift.archive.circulation.lives import Life
+from ambershift.archive.proxy.lives import Life
 from ambershift.archive.steps import SECOND
 
 # Two sends of one desk this far apart are never sent within one second.
--- a/ambershift/archive/circulation/connections.py
+++ b/ambershift/archive/proxy/connections.py
@@ -8,10 +8,10 @@
 
 import httpcore
 
-from ambershift.archive.circulation.attempt import Ending, Stage
-from ambershift.archive.circulation.lives import Life
-from ambershift.archive.circulation.stream import Rest, dial
-from ambershift.archive.circulation.wire import HOLD_MOST, KEEP, Headers, TryError, Wire
+from ambershift.archive.proxy.attempt import Ending, Stage
+from ambershift.archive.proxy.lives import Life
+from ambershift.archive.proxy.stream import Rest, dial
+from ambershift.archive.proxy.wire import HOLD_MOST, KEEP, Headers, TryError, Wire
 from ambershift.archive.steps import MS, SECOND
 
 # An idle connection is not used in the last part of the time that the backend keeps it: the close may be
--- a/ambershift/archive/circulation/course.py
+++ b/ambershift/archive/proxy/course.py
@@ -8,16 +8,16 @@
 
 import httpcore
 
-from ambershift.archive.circulation.attempt import Outcome, Stage, Tries
-from ambershift.archive.circulation.lives import Life
-from ambershift.archive.circulation.roster import Pool
-from ambershift.archive.circulation.routing import Route
-from ambershift.archive.circulation.trying import Came, Try
-from ambershift.archive.circulation.wire import Wire
+from ambershift.archive.proxy.attempt import Outcome, Stage, Tries
+from ambershift.archive.proxy.lives import Life
+from ambershift.archive.proxy.roster import Pool
+from ambershift.archive.proxy.routing import Route
+from ambershift.archive.proxy.trying import Came, Try
+from ambershift.archive.proxy.wire import Wire
 from ambershift.archive.steps import SECOND
 
 if TYPE_CHECKING:
-    from ambershift.archive.circulation.desk import Desk
+    from ambershift.archive.proxy.desk import Desk
 
 Make = Callable[[Wire, Life, int], httpcore.Request]
 Racing = asyncio.Task[Came]
--- a/ambershift/archive/circulation/desk.py
+++ b/ambershift/archive/proxy/desk.py
@@ -10,20 +10,20 @@
 
 import msgspec
 
-from ambershift.archive.circulation.admission import Admission
-from ambershift.archive.circulation.awaited import Awaited
-from ambershift.archive.circulation.budget import Budget
-from ambershift.archive.circulation.cold import ColdGate
-from ambershift.archive.circulation.connections import Connections
-from ambershift.archive.circulation.handling import Handling, Receive, Send, answer
-from ambershift.archive.circulation.isolation import Isolation
-from ambershift.archive.circulation.lives import Life
-from ambershift.archive.circulation.pick import pick
-from ambershift.archive.circulation.roster import Pool, Roster
-from ambershift.archive.circulation.routing import Routing
-from ambershift.archive.circulation.trying import Came
-from ambershift.archive.circulation.wire import HOLD_LEAST, HOLD_MOST
 from ambershift.archive.messages import fronts, items
+from ambershift.archive.proxy.admission import Admission
+from ambershift.archive.proxy.awaited import Awaited
+from ambershift.archive.proxy.budget import Budget
+from ambershift.archive.proxy.cold import ColdGate
+from ambershift.archive.proxy.connections import Connections
+from ambershift.archive.proxy.handling import Handling, Receive, Send, answer
+from ambershift.archive.proxy.isolation import Isolation
+from ambershift.archive.proxy.lives import Life
+from ambershift.archive.proxy.pick import pick
+from ambershift.archive.proxy.roster import Pool, Roster
+from ambershift.archive.proxy.routing import Routing
+from ambershift.archive.proxy.trying import Came
+from ambershift.archive.proxy.wire import HOLD_LEAST, HOLD_MOST
 from ambershift.archive.settings.local import Local
 from ambershift.archive.steps import MS, SECOND
 
--- a/ambershift/archive/circulation/headers.py
+++ b/ambershift/archive/proxy/headers.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ambershift.archive.circulation.attempt import Told
+from ambershift.archive.proxy.attempt import Told
 from ambershift.archive.steps import MS
 
 Headers = list[tuple[bytes, bytes]]
--- a/ambershift/archive/circulation/isolation.py
+++ b/ambershift/archive/proxy/isolation.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ambershift.archive.circulation.lives import Life
+from ambershift.archive.proxy.lives import Life
 from ambershift.archive.steps import MS
 
 SILENT = 300 * MS
--- a/ambershift/archive/circulation/routing.py
+++ b/ambershift/archive/proxy/routing.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from ambershift.archive.circulation.limits import Limits, read_limits
 from ambershift.archive.messages import items as kinds
 from ambershift.archive.messages.fronts import tally_of
 from ambershift.archive.messages.items import Item, Key, newest
+from ambershift.archive.proxy.limits import Limits, read_limits
 from ambershift.archive.steps import MS
 
 
--- a/ambershift/archive/circulation/trying.py
+++ b/ambershift/archive/proxy/trying.py
@@ -8,11 +8,11 @@
 
 import httpcore
 
-from ambershift.archive.circulation.attempt import Ending, Outcome, Stage, Tries, outcome
-from ambershift.archive.circulation.connections import Connections, patience
-from ambershift.archive.circulation.headers import Headers, load_of, read_answer
-from ambershift.archive.circulation.lives import Life
-from ambershift.archive.circulation.wire import Reply, TryError, Wire, exchange
+from ambershift.archive.proxy.attempt import Ending, Outcome, Stage, Tries, outcome
+from ambershift.archive.proxy.connections import Connections, patience
+from ambershift.archive.proxy.headers import Headers, load_of, read_answer
+from ambershift.archive.proxy.lives import Life
+from ambershift.archive.proxy.wire import Reply, TryError, Wire, exchange
 from ambershift.archive.steps import SECOND
 
 
--- a/ambershift/archive/circulation/wire.py
+++ b/ambershift/archive/proxy/wire.py
@@ -9,8 +9,8 @@
 
 import httpcore
 
-from ambershift.archive.circulation.attempt import Ending, Stage
-from ambershift.archive.circulation.stream import GivenUpError, Rest, Stream
+from ambershift.archive.proxy.attempt import Ending, Stage
+from ambershift.archive.proxy.stream import GivenUpError, Rest, Stream
 from ambershift.archive.steps import SECOND
 
 Headers = Sequence[tuple[bytes, bytes]]
--- a/ambershift/archive/roles/lender.py
+++ b/ambershift/archive/roles/lender.py
@@ -12,13 +12,13 @@
 from websockets.asyncio.connection import Connection
 
 from ambershift.archive.attaching.choice import Choice
-from ambershift.archive.circulation.desk import Desk
-from ambershift.archive.circulation.reception import Reception
 from ambershift.archive.links.links import Links, receive
 from ambershift.archive.links.meter import Meter, Place
 from ambershift.archive.links.outbox import Outbox
 from ambershift.archive.links.words import DESK, Caller
 from ambershift.archive.messages.fronts import Bind, Cores, Hello, Items
+from ambershift.archive.proxy.desk import Desk
+from ambershift.archive.proxy.reception import Reception
 from ambershift.archive.roles.logs import Journal
 from ambershift.archive.roles.places import Places
 from ambershift.archive.roles.rereading import LOOK_S as FILE_S
--- a/benchmarks/capacity/desk.py
+++ b/benchmarks/capacity/desk.py
@@ -6,8 +6,8 @@
 import time
 from functools import partial
 
-from ambershift.archive.circulation.desk import Desk
 from ambershift.archive.messages import codec, fronts
+from ambershift.archive.proxy.desk import Desk
 from ambershift.archive.roles import lender  # All that a desk's process imports counts in its memory.
 from ambershift.archive.steps import SECOND
 from benchmarks.capacity import world
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -9,9 +9,9 @@
 
 import uvloop
 
-from ambershift.archive.circulation.desk import Desk
 from ambershift.archive.enquiries.application import Enquiries
 from ambershift.archive.messages import fronts
+from ambershift.archive.proxy.desk import Desk
 from ambershift.archive.registry.registry import Registry
 from ambershift.archive.roles.serving import listener, served
 from benchmarks.capacity import world
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from ambershift.archive.circulation.routing import Routing
 from ambershift.archive.messages import codec, fronts
 from ambershift.archive.messages.items import Item
+from ambershift.archive.proxy.routing import Routing
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
 from benchmarks.capacity.world import Size
 
--- a/tests/circulated.py
+++ b/tests/circulated.py
@@ -12,10 +12,10 @@
 import msgspec
 import uvicorn
 
-from ambershift.archive.circulation.desk import Desk
-from ambershift.archive.circulation.reception import Reception
 from ambershift.archive.messages.fronts import Backend, Backends, Cores, Items
 from ambershift.archive.messages.items import ROUTE, SERVICE, Item
+from ambershift.archive.proxy.desk import Desk
+from ambershift.archive.proxy.reception import Reception
 from ambershift.archive.settings.local import Bounds, Local
 
 ZONES = {"north": "up", "hill": "up", "south": "down"}
--- a/tests/test_archive_circulation_attempt.py
+++ b/tests/test_archive_circulation_attempt.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from ambershift.archive.circulation.attempt import Ending, Outcome, Stage, Told, Tries, outcome
-from ambershift.archive.circulation.budget import Budget
+from ambershift.archive.proxy.attempt import Ending, Outcome, Stage, Told, Tries, outcome
+from ambershift.archive.proxy.budget import Budget
 from ambershift.archive.steps import MS, SECOND
 from ambershift.attempt.machine import Evidence
 
--- a/tests/test_archive_circulation_pick.py
+++ b/tests/test_archive_circulation_pick.py
@@ -5,12 +5,12 @@
 import pytest
 from circulated import PLAIN, SERVICES, ZONES, backend, route, settings
 
-from ambershift.archive.circulation.cold import ColdGate
-from ambershift.archive.circulation.desk import Desk
-from ambershift.archive.circulation.lives import Life
-from ambershift.archive.circulation.routing import Routing
 from ambershift.archive.messages.fronts import Backends, Bind, Cores, Items, Line, Mark, Withdraw
 from ambershift.archive.messages.items import INSTANCE, ROUTE, ZONE, Item
+from ambershift.archive.proxy.cold import ColdGate
+from ambershift.archive.proxy.desk import Desk
+from ambershift.archive.proxy.lives import Life
+from ambershift.archive.proxy.routing import Routing
 from ambershift.archive.steps import MS, SECOND
 
 PLACES = ("north", "north", "north", "hill", "hill", "south", "south", "south")
--- a/tests/test_archive_clearing.py
+++ b/tests/test_archive_clearing.py
@@ -9,7 +9,6 @@
 import pytest
 from archive_exchange import SECOND, World
 
-from ambershift.archive.circulation.routing import Routing
 from ambershift.archive.consensus.outbox import Held
 from ambershift.archive.consensus.replica import Put, Replica
 from ambershift.archive.consensus.store import row_key
@@ -17,6 +16,7 @@
 from ambershift.archive.drill.world import World as Copies
 from ambershift.archive.messages.fronts import Backends
 from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
+from ambershift.archive.proxy.routing import Routing
 from ambershift.archive.registry import clearing, listing, machine
 from ambershift.archive.registry.clearing import EVERY, KEPT, PORTION, REFUSED, Clearing
 
--- a/tests/test_archive_homes.py
+++ b/tests/test_archive_homes.py
@@ -7,10 +7,10 @@
 from archive_exchange import World
 from circulated import route
 
-from ambershift.archive.circulation.routing import Routing
 from ambershift.archive.distribution.flows import Flows
 from ambershift.archive.messages.fronts import tally_of, tally_parts
 from ambershift.archive.messages.items import ROUTE, Item
+from ambershift.archive.proxy.routing import Routing
 from ambershift.archive.registry.homes import LEAST, MOST, SEEN, Homes
 from ambershift.archive.steps import SECOND
 
--- a/tests/test_archive_limits.py
+++ b/tests/test_archive_limits.py
@@ -7,10 +7,10 @@
 import pytest
 from circulated import PLAIN, Rig, answer, run
 
-from ambershift.archive.circulation.limits import Limits, Waiting, read_limits
-from ambershift.archive.circulation.reception import _unread
 from ambershift.archive.messages.fronts import Items
 from ambershift.archive.messages.items import LIMITS, Item
+from ambershift.archive.proxy.limits import Limits, Waiting, read_limits
+from ambershift.archive.proxy.reception import _unread
 from ambershift.archive.roles.serving import Served
 from ambershift.archive.steps import MS, SECOND
 
--- a/tests/test_archive_recall.py
+++ b/tests/test_archive_recall.py
@@ -18,8 +18,6 @@
 import pytest
 from archive_exchange import SECOND, ZONES, Node, World
 
-from ambershift.archive.circulation import awaited, handling
-from ambershift.archive.circulation.roster import Roster
 from ambershift.archive.consensus import sidefile
 from ambershift.archive.consensus.replica import Freshen, Reached, Replica
 from ambershift.archive.consensus.sidefile import SideFile
@@ -28,6 +26,8 @@
 from ambershift.archive.messages.copies import Ask, Knock
 from ambershift.archive.messages.fronts import Backend, Backends, Items
 from ambershift.archive.messages.items import INSTANCE, Item
+from ambershift.archive.proxy import awaited, handling
+from ambershift.archive.proxy.roster import Roster
 from ambershift.archive.registry.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
 from ambershift.archive.registry.records import Life
 from ambershift.archive.registry.registry import UNSURE_DESKS
