--- a/ambershift/archive/enquiries/application.py
+++ b/ambershift/archive/control_api/application.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from ambershift.archive.contracts import Ledger
-from ambershift.archive.enquiries import events, wire
-from ambershift.archive.enquiries.applications import REFUSED, Applications
-from ambershift.archive.enquiries.handing import Handing, Sender
-from ambershift.archive.enquiries.operator import Operator
-from ambershift.archive.enquiries.owners import Owners
-from ambershift.archive.enquiries.pulse import Pulse
-from ambershift.archive.enquiries.registry import Registry
-from ambershift.archive.enquiries.watches import WATCH, Watches
+from ambershift.archive.control_api import events, wire
+from ambershift.archive.control_api.applications import REFUSED, Applications
+from ambershift.archive.control_api.handing import Handing, Sender
+from ambershift.archive.control_api.operator import Operator
+from ambershift.archive.control_api.owners import Owners
+from ambershift.archive.control_api.pulse import Pulse
+from ambershift.archive.control_api.registry import Registry
+from ambershift.archive.control_api.watches import WATCH, Watches
 from ambershift.archive.messages.errands import Errand, Outcome, Stirred
 from ambershift.archive.reading.ages import Ages
 from ambershift.archive.reading.calls import BODY_MOST, CALLS, PRESENT
--- a/ambershift/archive/enquiries/applications.py
+++ b/ambershift/archive/control_api/applications.py
@@ -12,9 +12,9 @@
 from typing import Any, Protocol
 
 from ambershift.archive.contracts import Change, Ledger, NotDoneError, NotHeldError, Verdict
-from ambershift.archive.enquiries.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED, OWNER_SILENT
-from ambershift.archive.enquiries.handing import Handing, Sender
-from ambershift.archive.enquiries.owners import Owners
+from ambershift.archive.control_api.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED, OWNER_SILENT
+from ambershift.archive.control_api.handing import Handing, Sender
+from ambershift.archive.control_api.owners import Owners
 from ambershift.archive.messages.errands import Errand, Outcome, Stirred
 from ambershift.archive.reading.ages import Ages
 from ambershift.archive.reading.calls import PUT, read_call
--- a/ambershift/archive/enquiries/operator.py
+++ b/ambershift/archive/control_api/operator.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ambershift.archive.contracts import Ledger, NotDoneError, NotHeldError
-from ambershift.archive.enquiries import events
+from ambershift.archive.control_api import events
 from ambershift.archive.intake.faults import Fault, InvalidError
 from ambershift.archive.intake.layout import write_back
 from ambershift.archive.intake.orders import Order, read_order
--- a/ambershift/archive/enquiries/watches.py
+++ b/ambershift/archive/control_api/watches.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from ambershift.archive.contracts import Ledger
-from ambershift.archive.enquiries.applications import REFUSED, Applications
-from ambershift.archive.enquiries.handing import Handing, Sender
-from ambershift.archive.enquiries.owners import Owners
-from ambershift.archive.enquiries.vigils import Vigils
+from ambershift.archive.control_api.applications import REFUSED, Applications
+from ambershift.archive.control_api.handing import Handing, Sender
+from ambershift.archive.control_api.owners import Owners
+from ambershift.archive.control_api.vigils import Vigils
 from ambershift.archive.messages.errands import Errand, Outcome, Stirred
 from ambershift.archive.reading.ages import Ages
 from ambershift.archive.reading.calls import PRESENT, read_call
--- a/ambershift/archive/drill/house.py
+++ b/ambershift/archive/drill/house.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from ambershift.archive.consensus.ledger import Shelf
+from ambershift.archive.control_api.application import Enquiries
 from ambershift.archive.drill.loop import SimulatedLoop, simulated_loop
 from ambershift.archive.drill.sockets import Connection
 from ambershift.archive.drill.world import Box, World
-from ambershift.archive.enquiries.application import Enquiries
 from ambershift.archive.messages import copies
 from ambershift.archive.reading.shapes import shape_of
 from ambershift.archive.settings.local import Local
--- a/ambershift/archive/drill/mistakes.py
+++ b/ambershift/archive/drill/mistakes.py
@@ -11,8 +11,8 @@
 
 from ambershift.archive.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
 from ambershift.archive.contracts import Verdict
+from ambershift.archive.control_api import application, applications, operator, watches
 from ambershift.archive.drill.house import Place
-from ambershift.archive.enquiries import application, applications, operator, watches
 from ambershift.archive.messages.copies import NEVER, Accept, Ask, Record
 from ambershift.archive.messages.items import Item
 from ambershift.archive.reading import groups, locks
--- a/ambershift/archive/messages/errands.py
+++ b/ambershift/archive/messages/errands.py
@@ -1,4 +1,4 @@
-"""Calls that one archivist hands to another, and the outcome. Owned by `enquiries/`."""
+"""Calls that one archivist hands to another, and the outcome. Owned by `control_api/`."""
 
 from __future__ import annotations
 
--- a/ambershift/archive/roles/archivist.py
+++ b/ambershift/archive/roles/archivist.py
@@ -11,8 +11,8 @@
 
 from ambershift.archive.consensus.ledger import Shelf
 from ambershift.archive.consensus.sidefile import SideFile
+from ambershift.archive.control_api.application import Enquiries
 from ambershift.archive.distribution.controller import Controller
-from ambershift.archive.enquiries.application import Enquiries
 from ambershift.archive.links.links import Links
 from ambershift.archive.links.meter import Meter, Place
 from ambershift.archive.links.words import ARCHIVIST, DESK, Caller
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from ambershift.archive.enquiries.application import Enquiries
+from ambershift.archive.control_api.application import Enquiries
 from ambershift.archive.messages import fronts
 from ambershift.archive.proxy.desk import Desk
 from ambershift.archive.registry.registry import Registry
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from ambershift.archive.contracts import Change, NotDoneError, NotHeldError
-from ambershift.archive.enquiries.application import Enquiries
-from ambershift.archive.enquiries.owners import rank
+from ambershift.archive.control_api.application import Enquiries
+from ambershift.archive.control_api.owners import rank
 from ambershift.archive.messages.codec import decode, encode
 from ambershift.archive.messages.fronts import Core
 from ambershift.archive.messages.items import Item, Key, newest
--- a/tests/test_archive_enquiries_faults.py
+++ b/tests/test_archive_enquiries_faults.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from ambershift.archive.enquiries.vigils import FRESH, Vigils
+from ambershift.archive.control_api.vigils import FRESH, Vigils
 from ambershift.archive.reading.groups import Group, read_group
 from tests.enquiring import IPS, TRIP, World, order, play
 
--- a/tests/test_archive_events.py
+++ b/tests/test_archive_events.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from ambershift.archive.consensus import journal, ledger, replica
-from ambershift.archive.enquiries import events as enquiries
+from ambershift.archive.control_api import events as enquiries
 from ambershift.archive.events import EVENTS
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_archive_guards.py
+++ b/tests/test_archive_guards.py
@@ -12,7 +12,7 @@
 from ambershift.archive.consensus.outbox import Held, Outbox
 from ambershift.archive.consensus.proposer import Proposer
 from ambershift.archive.contracts import Verdict
-from ambershift.archive.enquiries.handing import Handing
+from ambershift.archive.control_api.handing import Handing
 from ambershift.archive.messages.copies import Accept, Agreed, Prepare, Promise
 from ambershift.archive.messages.errands import Outcome
 from ambershift.archive.steps import SECOND
