--- a/ambershift/archive/control_api/application.py
+++ b/ambershift/archive/control_api/application.py
@@ -18,10 +18,10 @@
 from ambershift.archive.control_api.pulse import Pulse
 from ambershift.archive.control_api.registry import Registry
 from ambershift.archive.control_api.watches import WATCH, Watches
+from ambershift.archive.coordination.ages import Ages
+from ambershift.archive.coordination.calls import BODY_MOST, CALLS, PRESENT
+from ambershift.archive.coordination.replies import ImproperError, Reply, read_body, reply
 from ambershift.archive.messages.errands import Errand, Outcome, Stirred
-from ambershift.archive.reading.ages import Ages
-from ambershift.archive.reading.calls import BODY_MOST, CALLS, PRESENT
-from ambershift.archive.reading.replies import ImproperError, Reply, read_body, reply
 from ambershift.archive.settings.local import Local
 from ambershift.archive.steps import MS, SECOND
 
--- a/ambershift/archive/control_api/applications.py
+++ b/ambershift/archive/control_api/applications.py
@@ -15,11 +15,11 @@
 from ambershift.archive.control_api.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED, OWNER_SILENT
 from ambershift.archive.control_api.handing import Handing, Sender
 from ambershift.archive.control_api.owners import Owners
+from ambershift.archive.coordination.ages import Ages
+from ambershift.archive.coordination.calls import PUT, read_call
+from ambershift.archive.coordination.groups import Group
+from ambershift.archive.coordination.replies import Call, ImproperError, Reply, reply
 from ambershift.archive.messages.errands import Errand, Outcome, Stirred
-from ambershift.archive.reading.ages import Ages
-from ambershift.archive.reading.calls import PUT, read_call
-from ambershift.archive.reading.groups import Group
-from ambershift.archive.reading.replies import Call, ImproperError, Reply, reply
 from ambershift.archive.steps import MS, SECOND
 
 PATIENCE = 900 * MS  # A caller gives up after a second of silence, and time is looked at each 50 ms.
--- a/ambershift/archive/control_api/vigils.py
+++ b/ambershift/archive/control_api/vigils.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from ambershift.archive.reading.cells import since
-from ambershift.archive.reading.groups import Event, Group
-from ambershift.archive.reading.replies import Reply
+from ambershift.archive.coordination.cells import since
+from ambershift.archive.coordination.groups import Event, Group
+from ambershift.archive.coordination.replies import Reply
 from ambershift.archive.steps import SECOND
 
 FRESH = 3 * SECOND  # Puts may pass this machine by, and word of them be lost: look again after so long.
--- a/ambershift/archive/control_api/watches.py
+++ b/ambershift/archive/control_api/watches.py
@@ -12,11 +12,11 @@
 from ambershift.archive.control_api.handing import Handing, Sender
 from ambershift.archive.control_api.owners import Owners
 from ambershift.archive.control_api.vigils import Vigils
+from ambershift.archive.coordination.ages import Ages
+from ambershift.archive.coordination.calls import PRESENT, read_call
+from ambershift.archive.coordination.groups import Group
+from ambershift.archive.coordination.replies import Reply, reply
 from ambershift.archive.messages.errands import Errand, Outcome, Stirred
-from ambershift.archive.reading.ages import Ages
-from ambershift.archive.reading.calls import PRESENT, read_call
-from ambershift.archive.reading.groups import Group
-from ambershift.archive.reading.replies import Reply, reply
 from ambershift.archive.steps import MS, SECOND
 
 WATCH = "watch"  # The name of an errand that is one.
--- a/ambershift/archive/reading/cells.py
+++ b/ambershift/archive/coordination/cells.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from ambershift.archive.contracts import Change, Verdict
-from ambershift.archive.reading.ages import Ages
-from ambershift.archive.reading.groups import Group, group_of, read_group, write_group
-from ambershift.archive.reading.replies import Reply, reply
+from ambershift.archive.coordination.ages import Ages
+from ambershift.archive.coordination.groups import Group, group_of, read_group, write_group
+from ambershift.archive.coordination.replies import Reply, reply
 
 
 def _verdict(value: bytes | None, answer: Reply, group: Group) -> Verdict:
--- a/ambershift/archive/reading/locks.py
+++ b/ambershift/archive/coordination/locks.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ambershift.archive.contracts import Change, Verdict
-from ambershift.archive.reading.replies import Reply, reply
+from ambershift.archive.coordination.replies import Reply, reply
 from ambershift.archive.steps import MS
 
 MARGIN = 50 * MS  # Against steady clocks that don't run quite alike.
--- a/ambershift/archive/reading/numbers.py
+++ b/ambershift/archive/coordination/numbers.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ambershift.archive.contracts import Verdict
-from ambershift.archive.reading.replies import reply
+from ambershift.archive.coordination.replies import reply
 
 
 def following(value: bytes | None, known_since: int, now: int) -> Verdict:
--- a/ambershift/archive/reading/replies.py
+++ b/ambershift/archive/coordination/replies.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.archive.contracts import Change
-from ambershift.archive.reading.groups import Group
+from ambershift.archive.coordination.groups import Group
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/archive/reading/shapes.py
+++ b/ambershift/archive/coordination/shapes.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ambershift.archive.contracts import Shape
-from ambershift.archive.reading.groups import Event, Group, read_group, write_group
+from ambershift.archive.coordination.groups import Event, Group, read_group, write_group
 
 
 class Added(msgspec.Struct, frozen=True, array_like=True):
--- a/ambershift/archive/drill/mistakes.py
+++ b/ambershift/archive/drill/mistakes.py
@@ -12,11 +12,11 @@
 from ambershift.archive.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
 from ambershift.archive.contracts import Verdict
 from ambershift.archive.control_api import application, applications, operator, watches
+from ambershift.archive.coordination import groups, locks
+from ambershift.archive.coordination.replies import Call, reply
 from ambershift.archive.drill.house import Place
 from ambershift.archive.messages.copies import NEVER, Accept, Ask, Record
 from ambershift.archive.messages.items import Item
-from ambershift.archive.reading import groups, locks
-from ambershift.archive.reading.replies import Call, reply
 from ambershift.archive.steps import MS
 
 _lock = msgspec.msgpack.Decoder(locks.Lock).decode
--- a/ambershift/archive/drill/variants.py
+++ b/ambershift/archive/drill/variants.py
@@ -8,8 +8,8 @@
 from ambershift.archive.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
 from ambershift.archive.contracts import NotDoneError
 from ambershift.archive.control_api import application, applications, operator, pulse, watches, wire
+from ambershift.archive.coordination import cells, groups, locks
 from ambershift.archive.drill import mistakes
-from ambershift.archive.reading import cells, groups, locks
 from ambershift.modelcheck.mutants.words import Mutant
 
 
--- a/ambershift/archive/roles/archivist.py
+++ b/ambershift/archive/roles/archivist.py
@@ -12,12 +12,12 @@
 from ambershift.archive.consensus.ledger import Shelf
 from ambershift.archive.consensus.sidefile import SideFile
 from ambershift.archive.control_api.application import Enquiries
+from ambershift.archive.coordination.shapes import shape_of
 from ambershift.archive.distribution.controller import Controller
 from ambershift.archive.links.links import Links
 from ambershift.archive.links.meter import Meter, Place
 from ambershift.archive.links.words import ARCHIVIST, DESK, Caller
 from ambershift.archive.messages import copies, errands, fronts, rounds
-from ambershift.archive.reading.shapes import shape_of
 from ambershift.archive.registry.registry import Registry
 from ambershift.archive.roles.logs import Journal
 from ambershift.archive.roles.rereading import LOOK_S as FILE_S
--- a/tests/test_archive_enquiries_faults.py
+++ b/tests/test_archive_enquiries_faults.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ambershift.archive.control_api.vigils import FRESH, Vigils
-from ambershift.archive.reading.groups import Group, read_group
+from ambershift.archive.coordination.groups import Group, read_group
 from tests.enquiring import IPS, TRIP, World, order, play
 
 PUT = {"Value": "v", "AppliesTo": 0}
--- a/tests/test_archive_reading.py
+++ b/tests/test_archive_reading.py
@@ -11,10 +11,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from ambershift.archive.contracts import Change
-from ambershift.archive.reading import cells, locks, numbers
-from ambershift.archive.reading.ages import Ages
-from ambershift.archive.reading.groups import EVENTS_LEAST, group_of, read_group
-from ambershift.archive.reading.shapes import SHAPE
+from ambershift.archive.coordination import cells, locks, numbers
+from ambershift.archive.coordination.ages import Ages
+from ambershift.archive.coordination.groups import EVENTS_LEAST, group_of, read_group
+from ambershift.archive.coordination.shapes import SHAPE
 from ambershift.archive.steps import MS, SECOND
 
 MACHINES = st.sampled_from((0, 1))
