--- a/ambershift/archive/__main__.py
+++ b/ambershift/archive/__main__.py
@@ -60,7 +60,7 @@
 
 
 def check_configuration(file: str) -> int:
-    from ambershift.archive.intake.check import check_document
+    from ambershift.archive.configuration.check import check_document
 
     try:
         faults = check_document(Path(file).read_bytes())
--- a/ambershift/archive/intake/check.py
+++ b/ambershift/archive/configuration/check.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ambershift.archive.intake.faults import Fault, InvalidError
-from ambershift.archive.intake.orders import read_order
+from ambershift.archive.configuration.faults import Fault, InvalidError
+from ambershift.archive.configuration.orders import read_order
 from ambershift.archive.messages.items import SERVICE
 
 
--- a/ambershift/archive/intake/fields.py
+++ b/ambershift/archive/configuration/fields.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from ambershift.archive.intake.layout import Fields
+from ambershift.archive.configuration.layout import Fields
 from ambershift.archive.messages.items import LIMITS, ROUTE, SERVICE
 
 ROUTE_TYPES = ("idempotent", "non_idempotent")
--- a/ambershift/archive/intake/layout.py
+++ b/ambershift/archive/configuration/layout.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ambershift.archive.intake.faults import Fault, InvalidError
+from ambershift.archive.configuration.faults import Fault, InvalidError
 from ambershift.archive.messages.items import LIMITS, ROUTE, SERVICE, Item, Key
 
 Fields = dict[str, Any]
--- a/ambershift/archive/intake/orders.py
+++ b/ambershift/archive/configuration/orders.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from ambershift.archive.intake import fields as checks
-from ambershift.archive.intake.faults import Fault, InvalidError
-from ambershift.archive.intake.layout import LISTS, Fields, rows, unreadable, without_null
+from ambershift.archive.configuration import fields as checks
+from ambershift.archive.configuration.faults import Fault, InvalidError
+from ambershift.archive.configuration.layout import LISTS, Fields, rows, unreadable, without_null
 from ambershift.archive.messages.items import LIMITS, ROUTE, SERVICE, Item, Key, newest
 
 LIMITS_NAME = "limits"
--- a/ambershift/archive/control_api/operator.py
+++ b/ambershift/archive/control_api/operator.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
+from ambershift.archive.configuration.faults import Fault, InvalidError
+from ambershift.archive.configuration.layout import write_back
+from ambershift.archive.configuration.orders import Order, read_order
 from ambershift.archive.contracts import Ledger, NotDoneError, NotHeldError
 from ambershift.archive.control_api import events
 from ambershift.archive.coordination.replies import Reply, reply
-from ambershift.archive.intake.faults import Fault, InvalidError
-from ambershift.archive.intake.layout import write_back
-from ambershift.archive.intake.orders import Order, read_order
 from ambershift.archive.messages.items import ZONE, Item
 from ambershift.archive.settings.local import Local
 from ambershift.archive.steps import SECOND
--- a/ambershift/archive/drill/operating.py
+++ b/ambershift/archive/drill/operating.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
+from ambershift.archive.configuration.layout import rows
 from ambershift.archive.contracts import NotHeldError
 from ambershift.archive.drill.callers import Streets
 from ambershift.archive.drill.house import ZONES, Process
-from ambershift.archive.intake.layout import rows
 from ambershift.archive.messages.items import ROUTE, SERVICE, ZONE, Item, Key
 
 ROUTES, SERVICES, ORDER_MOST = 4, 2, 6.0
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
+from ambershift.archive.configuration.orders import read_order
 from ambershift.archive.contracts import Change
-from ambershift.archive.intake.orders import read_order
 from ambershift.archive.messages import fronts, rounds
 from ambershift.archive.messages.items import Item, Key
 from ambershift.archive.rehearsal.book import Route, limits_part, routes_part, services_part
--- a/tests/test_archive_intake.py
+++ b/tests/test_archive_intake.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ambershift.archive.intake.check import check_document
-from ambershift.archive.intake.layout import rows, write_back
-from ambershift.archive.intake.orders import read_order
+from ambershift.archive.configuration.check import check_document
+from ambershift.archive.configuration.layout import rows, write_back
+from ambershift.archive.configuration.orders import read_order
 from ambershift.archive.messages.items import Item, Key, newest
 
 ROUTE = {
