--- a/ambershift/archive/rehearsal/hollow.py
+++ b/ambershift/archive/rehearsal/hollow.py
@@ -16,14 +16,14 @@
 from websockets.exceptions import ConnectionClosed
 
 from ambershift.archive.attaching.choice import Choice
-from ambershift.archive.links.links import Links
-from ambershift.archive.links.outbox import Outbox
-from ambershift.archive.links.words import DESK, Caller
 from ambershift.archive.messages import codec
 from ambershift.archive.messages.fronts import Core, Hello, Items, Mark, Met, Report, pool_of
 from ambershift.archive.rehearsal.processes import cost_of
 from ambershift.archive.rehearsal.rig import NotMetError, Rig, until
 from ambershift.archive.rehearsal.settings import ARCHIVIST, Site
+from ambershift.archive.transport.links import Links
+from ambershift.archive.transport.outbox import Outbox
+from ambershift.archive.transport.words import DESK, Caller
 
 REPORT_S, DIALS_AT_ONCE, SETTLE_S, UP_S = 1.0, 32, 6.0, 120.0
 CAME_MEAN = 20  # Requests a second that each hollow desk reports, spread over the pools.
--- a/ambershift/archive/roles/archivist.py
+++ b/ambershift/archive/roles/archivist.py
@@ -14,9 +14,6 @@
 from ambershift.archive.control_api.application import Enquiries
 from ambershift.archive.coordination.shapes import shape_of
 from ambershift.archive.distribution.controller import Controller
-from ambershift.archive.links.links import Links
-from ambershift.archive.links.meter import Meter, Place
-from ambershift.archive.links.words import ARCHIVIST, DESK, Caller
 from ambershift.archive.messages import copies, errands, fronts, rounds
 from ambershift.archive.registry.registry import Registry
 from ambershift.archive.roles.logs import Journal
@@ -24,6 +21,9 @@
 from ambershift.archive.roles.rereading import Watched
 from ambershift.archive.roles.serving import hear_signals, listeners, served
 from ambershift.archive.settings.local import Local, SettingsError, read_local
+from ambershift.archive.transport.links import Links
+from ambershift.archive.transport.meter import Meter, Place
+from ambershift.archive.transport.words import ARCHIVIST, DESK, Caller
 
 LIST = "backends.list"  # The file beside the store that the list is recalled from.
 BEAT_S, IDLE_S, FINISH_S = 0.05, 120, 1.0
--- a/ambershift/archive/roles/lender.py
+++ b/ambershift/archive/roles/lender.py
@@ -12,10 +12,6 @@
 from websockets.asyncio.connection import Connection
 
 from ambershift.archive.attaching.choice import Choice
-from ambershift.archive.links.links import Links, receive
-from ambershift.archive.links.meter import Meter, Place
-from ambershift.archive.links.outbox import Outbox
-from ambershift.archive.links.words import DESK, Caller
 from ambershift.archive.messages.fronts import Bind, Cores, Hello, Items
 from ambershift.archive.proxy.desk import Desk
 from ambershift.archive.proxy.reception import Reception
@@ -25,6 +21,10 @@
 from ambershift.archive.roles.rereading import Watched
 from ambershift.archive.roles.serving import Served, hear_signals, listeners, served
 from ambershift.archive.settings.local import Local, SettingsError, read_local
+from ambershift.archive.transport.links import Links, receive
+from ambershift.archive.transport.meter import Meter, Place
+from ambershift.archive.transport.outbox import Outbox
+from ambershift.archive.transport.words import DESK, Caller
 
 BESIDE_S = 0.25  # An archivist that takes longer to answer may be without power: another is dialled too.
 REPORT_S, LOOK_S, IDLE_S, END_MARGIN_S = 1.0, 0.25, 60, 0.4
--- a/tests/test_archive_links.py
+++ b/tests/test_archive_links.py
@@ -13,14 +13,14 @@
 from websockets.exceptions import InvalidStatus
 
 from ambershift.archive.attaching.choice import APART, NEARER, PENALTY, SILENT, Choice
-from ambershift.archive.links import outbox as outboxes
-from ambershift.archive.links.links import Links, receive
-from ambershift.archive.links.outbox import Outbox
-from ambershift.archive.links.words import ARCHIVIST, DESK, Caller, PathError, caller_of, path_of
 from ambershift.archive.messages.fronts import Core, Hello, Mark
 from ambershift.archive.rehearsal.rig import until
 from ambershift.archive.rehearsal.settings import free_ports
 from ambershift.archive.steps import SECOND
+from ambershift.archive.transport import outbox as outboxes
+from ambershift.archive.transport.links import Links, receive
+from ambershift.archive.transport.outbox import Outbox
+from ambershift.archive.transport.words import ARCHIVIST, DESK, Caller, PathError, caller_of, path_of
 
 pytestmark = pytest.mark.timeout(30)
 BLOCKS = itertools.count(os.getpid() % 200 * 200)
--- a/tests/test_archive_recall.py
+++ b/tests/test_archive_recall.py
@@ -21,8 +21,6 @@
 from ambershift.archive.consensus import sidefile
 from ambershift.archive.consensus.replica import Freshen, Reached, Replica
 from ambershift.archive.consensus.sidefile import SideFile
-from ambershift.archive.links import links
-from ambershift.archive.links.words import ARCHIVIST, Caller
 from ambershift.archive.messages.copies import Ask, Knock
 from ambershift.archive.messages.fronts import Backend, Backends, Items
 from ambershift.archive.messages.items import INSTANCE, Item
@@ -35,6 +33,8 @@
 from ambershift.archive.roles.lender import Lender, let_go
 from ambershift.archive.settings.local import Bounds, Local
 from ambershift.archive.steps import MS, Send, Written
+from ambershift.archive.transport import links
+from ambershift.archive.transport.words import ARCHIVIST, Caller
 
 NOW = 1000 * SECOND
 ONE = Life("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * SECOND)
