--- a/ambershift/archive/rehearsal/hollow.py
+++ b/ambershift/archive/rehearsal/hollow.py
@@ -15,9 +15,9 @@
 
 from websockets.exceptions import ConnectionClosed
 
-from ambershift.archive.attaching.choice import Choice
 from ambershift.archive.messages import codec
 from ambershift.archive.messages.fronts import Core, Hello, Items, Mark, Met, Report, pool_of
+from ambershift.archive.node_selection.choice import Choice
 from ambershift.archive.rehearsal.processes import cost_of
 from ambershift.archive.rehearsal.rig import NotMetError, Rig, until
 from ambershift.archive.rehearsal.settings import ARCHIVIST, Site
--- a/ambershift/archive/roles/lender.py
+++ b/ambershift/archive/roles/lender.py
@@ -11,8 +11,8 @@
 import msgspec
 from websockets.asyncio.connection import Connection
 
-from ambershift.archive.attaching.choice import Choice
 from ambershift.archive.messages.fronts import Bind, Cores, Hello, Items
+from ambershift.archive.node_selection.choice import Choice
 from ambershift.archive.proxy.desk import Desk
 from ambershift.archive.proxy.reception import Reception
 from ambershift.archive.roles.logs import Journal
--- a/tests/test_archive_links.py
+++ b/tests/test_archive_links.py
@@ -12,8 +12,8 @@
 from websockets.asyncio.client import connect
 from websockets.exceptions import InvalidStatus
 
-from ambershift.archive.attaching.choice import APART, NEARER, PENALTY, SILENT, Choice
 from ambershift.archive.messages.fronts import Core, Hello, Mark
+from ambershift.archive.node_selection.choice import APART, NEARER, PENALTY, SILENT, Choice
 from ambershift.archive.rehearsal.rig import until
 from ambershift.archive.rehearsal.settings import free_ports
 from ambershift.archive.steps import SECOND
