--- a/ambershift/archive/__main__.py
+++ b/ambershift/archive/__main__.py
@@ -49,9 +49,9 @@
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
     role: Callable[[Local], Coroutine[Any, Any, None]]
     if verb == "lender":
-        from ambershift.archive.roles.lender import run as role
+        from ambershift.archive.processes.lender import run as role
     else:
-        from ambershift.archive.roles.archivist import run as role
+        from ambershift.archive.processes.archivist import run as role
     import uvloop
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/ambershift/archive/roles/archivist.py
+++ b/ambershift/archive/processes/archivist.py
@@ -15,11 +15,11 @@
 from ambershift.archive.coordination.shapes import shape_of
 from ambershift.archive.distribution.controller import Controller
 from ambershift.archive.messages import copies, errands, fronts, rounds
+from ambershift.archive.processes.logs import Journal
+from ambershift.archive.processes.rereading import LOOK_S as FILE_S
+from ambershift.archive.processes.rereading import Watched
+from ambershift.archive.processes.serving import hear_signals, listeners, served
 from ambershift.archive.registry.registry import Registry
-from ambershift.archive.roles.logs import Journal
-from ambershift.archive.roles.rereading import LOOK_S as FILE_S
-from ambershift.archive.roles.rereading import Watched
-from ambershift.archive.roles.serving import hear_signals, listeners, served
 from ambershift.archive.settings.local import Local, SettingsError, read_local
 from ambershift.archive.transport.links import Links
 from ambershift.archive.transport.meter import Meter, Place
--- a/ambershift/archive/roles/lender.py
+++ b/ambershift/archive/processes/lender.py
@@ -13,13 +13,13 @@
 
 from ambershift.archive.messages.fronts import Bind, Cores, Hello, Items
 from ambershift.archive.node_selection.choice import Choice
+from ambershift.archive.processes.logs import Journal
+from ambershift.archive.processes.places import Places
+from ambershift.archive.processes.rereading import LOOK_S as FILE_S
+from ambershift.archive.processes.rereading import Watched
+from ambershift.archive.processes.serving import Served, hear_signals, listeners, served
 from ambershift.archive.proxy.desk import Desk
 from ambershift.archive.proxy.reception import Reception
-from ambershift.archive.roles.logs import Journal
-from ambershift.archive.roles.places import Places
-from ambershift.archive.roles.rereading import LOOK_S as FILE_S
-from ambershift.archive.roles.rereading import Watched
-from ambershift.archive.roles.serving import Served, hear_signals, listeners, served
 from ambershift.archive.settings.local import Local, SettingsError, read_local
 from ambershift.archive.transport.links import Links, receive
 from ambershift.archive.transport.meter import Meter, Place
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -14,7 +14,7 @@
 from ambershift.archive.distribution.controller import Controller
 from ambershift.archive.messages import codec
 from ambershift.archive.messages.fronts import Backends, Hello, Items, Mark
-from ambershift.archive.roles import archivist
+from ambershift.archive.processes import archivist
 from ambershift.archive.steps import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -15,7 +15,7 @@
 from ambershift.archive.contracts import Verdict
 from ambershift.archive.messages import codec, copies
 from ambershift.archive.messages.items import ROUTE
-from ambershift.archive.roles import archivist
+from ambershift.archive.processes import archivist
 from ambershift.archive.steps import MS, SECOND, Answer, Heard, Send, Tick, Write, Written
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
--- a/benchmarks/capacity/desk.py
+++ b/benchmarks/capacity/desk.py
@@ -7,8 +7,8 @@
 from functools import partial
 
 from ambershift.archive.messages import codec, fronts
+from ambershift.archive.processes import lender  # All that a desk's process imports counts in its memory.
 from ambershift.archive.proxy.desk import Desk
-from ambershift.archive.roles import lender  # All that a desk's process imports counts in its memory.
 from ambershift.archive.steps import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros, peak_megabytes
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -11,8 +11,8 @@
 from ambershift.archive.distribution.flows import Flows
 from ambershift.archive.messages import codec, rounds
 from ambershift.archive.messages.fronts import Report
+from ambershift.archive.processes import archivist  # All that an archivist's process imports counts.
 from ambershift.archive.registry.registry import Registry
-from ambershift.archive.roles import archivist  # All that an archivist's process imports counts.
 from ambershift.archive.steps import MS, SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -11,9 +11,9 @@
 
 from ambershift.archive.control_api.application import Enquiries
 from ambershift.archive.messages import fronts
+from ambershift.archive.processes.serving import listener, served
 from ambershift.archive.proxy.desk import Desk
 from ambershift.archive.registry.registry import Registry
-from ambershift.archive.roles.serving import listener, served
 from benchmarks.capacity import world
 from benchmarks.capacity.registry import ended
 from benchmarks.capacity.world import SIZES, Size
--- a/tests/test_archive_recall.py
+++ b/tests/test_archive_recall.py
@@ -24,13 +24,13 @@
 from ambershift.archive.messages.copies import Ask, Knock
 from ambershift.archive.messages.fronts import Backend, Backends, Items
 from ambershift.archive.messages.items import INSTANCE, Item
+from ambershift.archive.processes import lender as roles_lender
+from ambershift.archive.processes.lender import Lender, let_go
 from ambershift.archive.proxy import awaited, handling
 from ambershift.archive.proxy.roster import Roster
 from ambershift.archive.registry.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
 from ambershift.archive.registry.records import Life
 from ambershift.archive.registry.registry import UNSURE_DESKS
-from ambershift.archive.roles import lender as roles_lender
-from ambershift.archive.roles.lender import Lender, let_go
 from ambershift.archive.settings.local import Bounds, Local
 from ambershift.archive.steps import MS, Send, Written
 from ambershift.archive.transport import links
--- a/tests/test_archive_roles.py
+++ b/tests/test_archive_roles.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ambershift.archive.roles.archivist import Archivist
+from ambershift.archive.processes.archivist import Archivist
 from ambershift.archive.transport.words import ARCHIVIST, DESK, Caller
 
 PARTS = ("ledger", "registry", "controller", "enquiries")
--- a/tests/test_archive_settings.py
+++ b/tests/test_archive_settings.py
@@ -6,8 +6,8 @@
 import pytest
 
 from ambershift.archive.__main__ import main
+from ambershift.archive.processes.rereading import Watched
 from ambershift.archive.rehearsal.settings import ARCHIVIST, DESK, Machine, Site, toml
-from ambershift.archive.roles.rereading import Watched
 from ambershift.archive.settings.local import SettingsError, read_local
 
 
