--- a/ambershift/archive/drill/callers.py
+++ b/ambershift/archive/simulation/callers.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from ambershift.archive.drill.house import House
-from ambershift.archive.drill.judging import Judge, Told
-from ambershift.archive.drill.loop import simulated_loop
-from ambershift.archive.drill.sockets import BrokenOffError, Connection, NotReachedError
 from ambershift.archive.rehearsal.histories import Given, Got, Hold, Put
+from ambershift.archive.simulation.house import House
+from ambershift.archive.simulation.judging import Judge, Told
+from ambershift.archive.simulation.loop import simulated_loop
+from ambershift.archive.simulation.sockets import BrokenOffError, Connection, NotReachedError
 from ambershift.archive.steps import SECOND
 
 SILENCE, PATIENCE = 1.0, 5.0
--- a/ambershift/archive/drill/histories.py
+++ b/ambershift/archive/simulation/histories.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.drill.callers import GROUPS, Application, Streets
-from ambershift.archive.drill.house import House
-from ambershift.archive.drill.judging import Judge
-from ambershift.archive.drill.lists import LISTS, Lists
-from ambershift.archive.drill.operating import Books, Desk, Operator
-from ambershift.archive.drill.troubles import MIXED, MOVING, Troubles, heal
+from ambershift.archive.simulation.callers import GROUPS, Application, Streets
+from ambershift.archive.simulation.house import House
+from ambershift.archive.simulation.judging import Judge
+from ambershift.archive.simulation.lists import LISTS, Lists
+from ambershift.archive.simulation.operating import Books, Desk, Operator
+from ambershift.archive.simulation.troubles import MIXED, MOVING, Troubles, heal
 from ambershift.archive.steps import MS, SECOND
 
 
--- a/ambershift/archive/drill/house.py
+++ b/ambershift/archive/simulation/house.py
@@ -12,11 +12,11 @@
 from ambershift.archive.consensus.ledger import Shelf
 from ambershift.archive.control_api.application import Enquiries
 from ambershift.archive.coordination.shapes import shape_of
-from ambershift.archive.drill.loop import SimulatedLoop, simulated_loop
-from ambershift.archive.drill.sockets import Connection
-from ambershift.archive.drill.world import Box, World
 from ambershift.archive.messages import copies
 from ambershift.archive.settings.local import Local
+from ambershift.archive.simulation.loop import SimulatedLoop, simulated_loop
+from ambershift.archive.simulation.sockets import Connection
+from ambershift.archive.simulation.world import Box, World
 from ambershift.archive.steps import MS, SECOND, Heard, Tick, Write, Written
 
 EPOCH = 1_700_000_000 * SECOND
--- a/ambershift/archive/drill/lists.py
+++ b/ambershift/archive/simulation/lists.py
@@ -9,8 +9,8 @@
 from ambershift.archive.consensus.outbox import Held
 from ambershift.archive.consensus.replica import ChangeRegister, Freshen, Put
 from ambershift.archive.contracts import NotDoneError, Verdict
-from ambershift.archive.drill.world import World
 from ambershift.archive.messages.items import Item
+from ambershift.archive.simulation.world import World
 from ambershift.archive.steps import SECOND
 
 LISTS = 6  # Registers that are judged.
--- a/ambershift/archive/drill/mistakes.py
+++ b/ambershift/archive/simulation/mistakes.py
@@ -14,9 +14,9 @@
 from ambershift.archive.control_api import application, applications, operator, watches
 from ambershift.archive.coordination import groups, locks
 from ambershift.archive.coordination.replies import Call, reply
-from ambershift.archive.drill.house import Place
 from ambershift.archive.messages.copies import NEVER, Accept, Ask, Record
 from ambershift.archive.messages.items import Item
+from ambershift.archive.simulation.house import Place
 from ambershift.archive.steps import MS
 
 _lock = msgspec.msgpack.Decoder(locks.Lock).decode
--- a/ambershift/archive/drill/operating.py
+++ b/ambershift/archive/simulation/operating.py
@@ -11,9 +11,9 @@
 
 from ambershift.archive.configuration.layout import rows
 from ambershift.archive.contracts import NotHeldError
-from ambershift.archive.drill.callers import Streets
-from ambershift.archive.drill.house import ZONES, Process
 from ambershift.archive.messages.items import ROUTE, SERVICE, ZONE, Item, Key
+from ambershift.archive.simulation.callers import Streets
+from ambershift.archive.simulation.house import ZONES, Process
 
 ROUTES, SERVICES, ORDER_MOST = 4, 2, 6.0
 FINAL = (400, 409, 412, 413, 422)
--- a/ambershift/archive/drill/scripts.py
+++ b/ambershift/archive/simulation/scripts.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from ambershift.archive.drill import scripts_disks as disks
-from ambershift.archive.drill import scripts_house as house
-from ambershift.archive.drill import scripts_voters as voters
+from ambershift.archive.simulation import scripts_disks as disks
+from ambershift.archive.simulation import scripts_house as house
+from ambershift.archive.simulation import scripts_voters as voters
 
 Script = Callable[[], list[str]]
 
--- a/ambershift/archive/drill/scripts_disks.py
+++ b/ambershift/archive/simulation/scripts_disks.py
@@ -8,9 +8,9 @@
 from ambershift.archive.consensus.replica import ChangeRegister
 from ambershift.archive.contracts import NotDoneError, NotHeldError
 from ambershift.archive.coordination import locks
-from ambershift.archive.drill.lists import Lists
-from ambershift.archive.drill.world import World
 from ambershift.archive.messages.copies import Accept, Share
+from ambershift.archive.simulation.lists import Lists
+from ambershift.archive.simulation.world import World
 
 
 def told_twice() -> list[str]:
--- a/ambershift/archive/drill/scripts_house.py
+++ b/ambershift/archive/simulation/scripts_house.py
@@ -6,12 +6,12 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from ambershift.archive.drill.callers import Streets
-from ambershift.archive.drill.house import House
-from ambershift.archive.drill.judging import Judge
-from ambershift.archive.drill.operating import Books, Desk, Operator, Order
 from ambershift.archive.messages.copies import Merge, Share
 from ambershift.archive.rehearsal.histories import Hold
+from ambershift.archive.simulation.callers import Streets
+from ambershift.archive.simulation.house import House
+from ambershift.archive.simulation.judging import Judge
+from ambershift.archive.simulation.operating import Books, Desk, Operator, Order
 from ambershift.archive.steps import MS, SECOND
 
 FAST = 1.009  # By 45 ms in the hold below, within the margin.
--- a/ambershift/archive/drill/scripts_voters.py
+++ b/ambershift/archive/simulation/scripts_voters.py
@@ -7,7 +7,7 @@
 
 from ambershift.archive.consensus.outbox import Held
 from ambershift.archive.consensus.register import Register
-from ambershift.archive.drill.lists import Lists as World
+from ambershift.archive.simulation.lists import Lists as World
 from ambershift.archive.steps import SECOND
 
 
--- a/ambershift/archive/drill/troubles.py
+++ b/ambershift/archive/simulation/troubles.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Collection
 
-from ambershift.archive.drill.world import Box, World
+from ambershift.archive.simulation.world import Box, World
 from ambershift.archive.steps import MS, SECOND
 
 
--- a/ambershift/archive/drill/variants.py
+++ b/ambershift/archive/simulation/variants.py
@@ -9,7 +9,7 @@
 from ambershift.archive.contracts import NotDoneError
 from ambershift.archive.control_api import application, applications, operator, pulse, watches, wire
 from ambershift.archive.coordination import cells, groups, locks
-from ambershift.archive.drill import mistakes
+from ambershift.archive.simulation import mistakes
 from ambershift.modelcheck.mutants.words import Mutant
 
 
--- a/ambershift/modelcheck/models/accession_table.py
+++ b/ambershift/modelcheck/models/accession_table.py
@@ -13,7 +13,7 @@
 from ambershift.archive.consensus.outbox import Held
 from ambershift.archive.consensus.replica import ChangeRegister, Replica
 from ambershift.archive.contracts import NotDoneError, Verdict
-from ambershift.archive.drill.lists import Appending, split
+from ambershift.archive.simulation.lists import Appending, split
 from ambershift.archive.settings.local import Bounds, Local
 from ambershift.archive.messages import copies
 from ambershift.archive.messages.copies import Decision, Member
--- a/benchmarks/archive_schedules.py
+++ b/benchmarks/archive_schedules.py
@@ -14,10 +14,10 @@
 import sys
 import time
 
-from ambershift.archive.drill.histories import Played, play
-from ambershift.archive.drill.scripts import SCRIPTS
-from ambershift.archive.drill.shrinking import shrink
-from ambershift.archive.drill.variants import BY_NAME, VARIANTS
+from ambershift.archive.simulation.histories import Played, play
+from ambershift.archive.simulation.scripts import SCRIPTS
+from ambershift.archive.simulation.shrinking import shrink
+from ambershift.archive.simulation.variants import BY_NAME, VARIANTS
 from ambershift.modelcheck.mutants.words import broken
 
 CHUNK = 5
--- a/tests/test_archive_accession.py
+++ b/tests/test_archive_accession.py
@@ -5,9 +5,9 @@
 import pytest
 
 from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.drill import scripts_voters
-from ambershift.archive.drill.histories import play_lists as play
-from ambershift.archive.drill.lists import Lists as World
+from ambershift.archive.simulation import scripts_voters
+from ambershift.archive.simulation.histories import play_lists as play
+from ambershift.archive.simulation.lists import Lists as World
 from ambershift.archive.steps import MS, SECOND
 
 
--- a/tests/test_archive_clearing.py
+++ b/tests/test_archive_clearing.py
@@ -13,12 +13,12 @@
 from ambershift.archive.consensus.replica import Put, Replica
 from ambershift.archive.consensus.store import row_key
 from ambershift.archive.distribution.pushes import Pushes
-from ambershift.archive.drill.world import World as Copies
 from ambershift.archive.messages.fronts import Backends
 from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
 from ambershift.archive.proxy.routing import Routing
 from ambershift.archive.registry import clearing, listing, machine
 from ambershift.archive.registry.clearing import EVERY, KEPT, PORTION, REFUSED, Clearing
+from ambershift.archive.simulation.world import World as Copies
 
 MINUTE = 60 * SECOND
 
--- a/tests/test_archive_drill_scripts.py
+++ b/tests/test_archive_drill_scripts.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from ambershift.archive.drill.scripts import SCRIPTS
-from ambershift.archive.drill.scripts_house import late_order
-from ambershift.archive.drill.variants import BY_NAME
+from ambershift.archive.simulation.scripts import SCRIPTS
+from ambershift.archive.simulation.scripts_house import late_order
+from ambershift.archive.simulation.variants import BY_NAME
 from ambershift.modelcheck.mutants.words import broken
 
 
--- a/tests/test_archive_model.py
+++ b/tests/test_archive_model.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.archive.drill.variants import BY_NAME
+from ambershift.archive.simulation.variants import BY_NAME
 from ambershift.modelcheck import trace
 from ambershift.modelcheck.explore import Options, explore
 from ambershift.modelcheck.mutants.words import broken
