--- a/ambershift/archive/rehearsal/hollow.py
+++ b/ambershift/archive/testbed/hollow.py
@@ -18,9 +18,9 @@
 from ambershift.archive.messages import codec
 from ambershift.archive.messages.fronts import Core, Hello, Items, Mark, Met, Report, pool_of
 from ambershift.archive.node_selection.choice import Choice
-from ambershift.archive.rehearsal.processes import cost_of
-from ambershift.archive.rehearsal.rig import NotMetError, Rig, until
-from ambershift.archive.rehearsal.settings import ARCHIVIST, Site
+from ambershift.archive.testbed.processes import cost_of
+from ambershift.archive.testbed.rig import NotMetError, Rig, until
+from ambershift.archive.testbed.settings import ARCHIVIST, Site
 from ambershift.archive.transport.links import Links
 from ambershift.archive.transport.outbox import Outbox
 from ambershift.archive.transport.words import DESK, Caller
--- a/ambershift/archive/rehearsal/rig.py
+++ b/ambershift/archive/testbed/rig.py
@@ -10,16 +10,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.archive.rehearsal.backends import COLD_RATE, WORK_S, Backend
-from ambershift.archive.rehearsal.book import Book
-from ambershift.archive.rehearsal.callers import GROUPS, Caller
-from ambershift.archive.rehearsal.clients import Client
-from ambershift.archive.rehearsal.histories import History
-from ambershift.archive.rehearsal.judge import Judge
-from ambershift.archive.rehearsal.operator import Operator
-from ambershift.archive.rehearsal.processes import Child, end_all
-from ambershift.archive.rehearsal.settings import ARCHIVIST, DESK, Machine, Site
-from ambershift.archive.rehearsal.speech import BrokenOffError, LateError, NotReachedError, once
+from ambershift.archive.testbed.backends import COLD_RATE, WORK_S, Backend
+from ambershift.archive.testbed.book import Book
+from ambershift.archive.testbed.callers import GROUPS, Caller
+from ambershift.archive.testbed.clients import Client
+from ambershift.archive.testbed.histories import History
+from ambershift.archive.testbed.judge import Judge
+from ambershift.archive.testbed.operator import Operator
+from ambershift.archive.testbed.processes import Child, end_all
+from ambershift.archive.testbed.settings import ARCHIVIST, DESK, Machine, Site
+from ambershift.archive.testbed.speech import BrokenOffError, LateError, NotReachedError, once
 
 LOOK_S, STEP_S = 0.25, 0.02
 CLIENTS_A_ZONE = 3
--- a/benchmarks/capacity/links.py
+++ b/benchmarks/capacity/links.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 
 from ambershift.archive.messages.fronts import pool_of
-from ambershift.archive.rehearsal.hollow import DIALS_AT_ONCE, HollowDesk
-from ambershift.archive.rehearsal.processes import cost_of
-from ambershift.archive.rehearsal.rig import Rig, until
-from ambershift.archive.rehearsal.settings import ARCHIVIST, Site
+from ambershift.archive.testbed.hollow import DIALS_AT_ONCE, HollowDesk
+from ambershift.archive.testbed.processes import cost_of
+from ambershift.archive.testbed.rig import Rig, until
+from ambershift.archive.testbed.settings import ARCHIVIST, Site
 from benchmarks.capacity.meter import Found, cpu_of
 from benchmarks.capacity.world import SIZES, Size
 
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -13,8 +13,8 @@
 from ambershift.archive.contracts import Change
 from ambershift.archive.messages import fronts, rounds
 from ambershift.archive.messages.items import Item, Key
-from ambershift.archive.rehearsal.book import Route, limits_part, routes_part, services_part
 from ambershift.archive.settings.local import Bounds, Local
+from ambershift.archive.testbed.book import Route, limits_part, routes_part, services_part
 
 HEARTBEAT, ARCHIVISTS = 1.5, 6
 
--- a/tests/test_archive_drill.py
+++ b/tests/test_archive_drill.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from ambershift.archive.rehearsal.histories import Got, Put
 from ambershift.archive.simulation.histories import Played, play, play_house
 from ambershift.archive.simulation.judging import Judge, Told
 from ambershift.archive.simulation.operating import Books, Change, Order, Sight
 from ambershift.archive.simulation.shrinking import fewest
 from ambershift.archive.simulation.variants import BY_NAME
+from ambershift.archive.testbed.histories import Got, Put
 from ambershift.modelcheck.mutants.words import broken
 
 KEY = ("route", "r")
--- a/tests/test_archive_links.py
+++ b/tests/test_archive_links.py
@@ -14,9 +14,9 @@
 
 from ambershift.archive.messages.fronts import Core, Hello, Mark
 from ambershift.archive.node_selection.choice import APART, NEARER, PENALTY, SILENT, Choice
-from ambershift.archive.rehearsal.rig import until
-from ambershift.archive.rehearsal.settings import free_ports
 from ambershift.archive.steps import SECOND
+from ambershift.archive.testbed.rig import until
+from ambershift.archive.testbed.settings import free_ports
 from ambershift.archive.transport import outbox as outboxes
 from ambershift.archive.transport.links import Links, receive
 from ambershift.archive.transport.outbox import Outbox
--- a/tests/test_archive_processes.py
+++ b/tests/test_archive_processes.py
@@ -10,15 +10,15 @@
 
 import pytest
 
-from ambershift.archive.rehearsal.book import Book, change, items_of
-from ambershift.archive.rehearsal.faults import Faults
-from ambershift.archive.rehearsal.histories import Given, Got, History, Hold, Put
-from ambershift.archive.rehearsal.judge import Judge, digest_of, seal_of
-from ambershift.archive.rehearsal.operator import differences
-from ambershift.archive.rehearsal.processes import Child
-from ambershift.archive.rehearsal.report import table
-from ambershift.archive.rehearsal.rig import Rig, until
-from ambershift.archive.rehearsal.settings import BOUNDS, DESK, Site
+from ambershift.archive.testbed.book import Book, change, items_of
+from ambershift.archive.testbed.faults import Faults
+from ambershift.archive.testbed.histories import Given, Got, History, Hold, Put
+from ambershift.archive.testbed.judge import Judge, digest_of, seal_of
+from ambershift.archive.testbed.operator import differences
+from ambershift.archive.testbed.processes import Child
+from ambershift.archive.testbed.report import table
+from ambershift.archive.testbed.rig import Rig, until
+from ambershift.archive.testbed.settings import BOUNDS, DESK, Site
 
 pytestmark = pytest.mark.timeout(90)
 
--- a/tests/test_archive_settings.py
+++ b/tests/test_archive_settings.py
@@ -7,8 +7,8 @@
 
 from ambershift.archive.__main__ import main
 from ambershift.archive.processes.rereading import Watched
-from ambershift.archive.rehearsal.settings import ARCHIVIST, DESK, Machine, Site, toml
 from ambershift.archive.settings.local import SettingsError, read_local
+from ambershift.archive.testbed.settings import ARCHIVIST, DESK, Machine, Site, toml
 
 
 @pytest.fixture
