--- a/ambershift/modelcheck/models/accession_table.py
+++ b/ambershift/modelcheck/models/accession_table.py
@@ -13,10 +13,10 @@
 from ambershift.archive.consensus.outbox import Held
 from ambershift.archive.consensus.replica import ChangeRegister, Replica
 from ambershift.archive.contracts import NotDoneError, Verdict
-from ambershift.archive.simulation.lists import Appending, split
-from ambershift.archive.settings.local import Bounds, Local
 from ambershift.archive.messages import copies
 from ambershift.archive.messages.copies import Decision, Member
+from ambershift.archive.settings.local import Bounds, Local
+from ambershift.archive.simulation.lists import Appending, split
 from ambershift.archive.steps import SECOND, Answer, Heard, Send, Tick, Write, Written
 
 IPS = ("n1", "n2", "n3")
