--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 # The whole system as processes on this machine, among stand-ins; a desk is killed, another ended in order.
 rehearse: build
 	$(PYTHON) -m pip -q --disable-pip-version-check install -r requirements-system.txt
-	$(PYTHON) -B -m ambershift.archive.testbed
+	$(PYTHON) -B -m ambershift.system.testbed
 
 test: dev
 	$(PYTHON) -m pytest -q
--- a/ambershift/modelcheck/models/accession.py
+++ b/ambershift/modelcheck/models/accession.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ambershift.archive.steps import Heard, Tick
 from ambershift.modelcheck.model import Base, Property, Step
 from ambershift.modelcheck.models.accession_table import ALL, IPS, PLACES, Table, Ways, World
+from ambershift.system.steps import Heard, Tick
 
 
 def broken(name: str, sentence: str) -> Property:
--- a/ambershift/modelcheck/models/accession_table.py
+++ b/ambershift/modelcheck/models/accession_table.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.consensus.replica import ChangeRegister, Replica
-from ambershift.archive.contracts import NotDoneError, Verdict
-from ambershift.archive.messages import copies
-from ambershift.archive.messages.copies import Decision, Member
-from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.simulation.lists import Appending, split
-from ambershift.archive.steps import SECOND, Answer, Heard, Send, Tick, Write, Written
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.replica import ChangeRegister, Replica
+from ambershift.system.contracts import NotDoneError, Verdict
+from ambershift.system.messages import copies
+from ambershift.system.messages.copies import Decision, Member
+from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.simulation.lists import Appending, split
+from ambershift.system.steps import SECOND, Answer, Heard, Send, Tick, Write, Written
 
 IPS = ("n1", "n2", "n3")
 PLACES = range(len(IPS))
--- a/ambershift/archive/__main__.py
+++ b/ambershift/system/__main__.py
@@ -11,14 +11,14 @@
 from pathlib import Path
 from typing import Any
 
-from ambershift.archive.settings.local import VARIABLE, Local, SettingsError, read_local
+from ambershift.system.settings.local import VARIABLE, Local, SettingsError, read_local
 
 
 def parser() -> argparse.ArgumentParser:
     made = argparse.ArgumentParser(
-        prog="python3 -m ambershift.archive",
+        prog="python3 -m ambershift.system",
         description="A global load balancer: its two programs and its checks.",
-        epilog=f"example: {VARIABLE}=/etc/ambershift/local.toml python3 -m ambershift.archive lender",
+        epilog=f"example: {VARIABLE}=/etc/ambershift/local.toml python3 -m ambershift.system lender",
     )
     verbs = made.add_subparsers(dest="verb", required=True, metavar="VERB")
     for verb, text in (
@@ -49,9 +49,9 @@
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
     role: Callable[[Local], Coroutine[Any, Any, None]]
     if verb == "lender":
-        from ambershift.archive.processes.lender import run as role
+        from ambershift.system.processes.lender import run as role
     else:
-        from ambershift.archive.processes.archivist import run as role
+        from ambershift.system.processes.archivist import run as role
     import uvloop
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -60,7 +60,7 @@
 
 
 def check_configuration(file: str) -> int:
-    from ambershift.archive.configuration.check import check_document
+    from ambershift.system.configuration.check import check_document
 
     try:
         faults = check_document(Path(file).read_bytes())
--- a/ambershift/archive/configuration/check.py
+++ b/ambershift/system/configuration/check.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ambershift.archive.configuration.faults import Fault, InvalidError
-from ambershift.archive.configuration.orders import read_order
-from ambershift.archive.messages.items import SERVICE
+from ambershift.system.configuration.faults import Fault, InvalidError
+from ambershift.system.configuration.orders import read_order
+from ambershift.system.messages.items import SERVICE
 
 
 def check_document(body: bytes) -> list[Fault]:
--- a/ambershift/archive/configuration/fields.py
+++ b/ambershift/system/configuration/fields.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from ambershift.archive.configuration.layout import Fields
-from ambershift.archive.messages.items import LIMITS, ROUTE, SERVICE
+from ambershift.system.configuration.layout import Fields
+from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
 
 ROUTE_TYPES = ("idempotent", "non_idempotent")
 TIMEOUT_MOST = 600_000  # Ten minutes, in ms.
--- a/ambershift/archive/configuration/layout.py
+++ b/ambershift/system/configuration/layout.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ambershift.archive.configuration.faults import Fault, InvalidError
-from ambershift.archive.messages.items import LIMITS, ROUTE, SERVICE, Item, Key
+from ambershift.system.configuration.faults import Fault, InvalidError
+from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE, Item, Key
 
 Fields = dict[str, Any]
 
--- a/ambershift/archive/configuration/orders.py
+++ b/ambershift/system/configuration/orders.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from ambershift.archive.configuration import fields as checks
-from ambershift.archive.configuration.faults import Fault, InvalidError
-from ambershift.archive.configuration.layout import LISTS, Fields, rows, unreadable, without_null
-from ambershift.archive.messages.items import LIMITS, ROUTE, SERVICE, Item, Key, newest
+from ambershift.system.configuration import fields as checks
+from ambershift.system.configuration.faults import Fault, InvalidError
+from ambershift.system.configuration.layout import LISTS, Fields, rows, unreadable, without_null
+from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE, Item, Key, newest
 
 LIMITS_NAME = "limits"
 
--- a/ambershift/archive/consensus/acceptor.py
+++ b/ambershift/system/consensus/acceptor.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from ambershift.archive.consensus.journal import Journal
-from ambershift.archive.consensus.outbox import Outbox
-from ambershift.archive.contracts import Shape
-from ambershift.archive.messages.copies import (
+from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.contracts import Shape
+from ambershift.system.messages.copies import (
     NEVER,
     Accept,
     Agreed,
--- a/ambershift/archive/consensus/asking.py
+++ b/ambershift/system/consensus/asking.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from ambershift.archive.consensus.outbox import Outbox
-from ambershift.archive.consensus.register import Register, Round
-from ambershift.archive.consensus.voters import Voters
-from ambershift.archive.messages.copies import Accept, Confirm, Prepare
-from ambershift.archive.steps import MS
+from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.register import Register, Round
+from ambershift.system.consensus.voters import Voters
+from ambershift.system.messages.copies import Accept, Confirm, Prepare
+from ambershift.system.steps import MS
 
 HEDGE_LEAST, HEDGE_MOST = 40 * MS, 250 * MS
 FIRST = 100 * MS  # Taken for twice a round's time before there was any.
--- a/ambershift/archive/consensus/disk.py
+++ b/ambershift/system/consensus/disk.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ambershift.archive.steps import Write
+from ambershift.system.steps import Write
 
 FORMAT = 1
 FILE, ASIDE = "archive.db", "aside"
--- a/ambershift/archive/consensus/joining.py
+++ b/ambershift/system/consensus/joining.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from ambershift.archive.consensus.acceptor import VOTERS, Acceptor
-from ambershift.archive.consensus.outbox import Held, Outbox
-from ambershift.archive.consensus.proposer import Proposer
-from ambershift.archive.consensus.quorum import balanced
-from ambershift.archive.consensus.voters import Voters
-from ambershift.archive.consensus.watching import SILENT, Watching
-from ambershift.archive.contracts import Verdict
-from ambershift.archive.messages.copies import Decision, Machine, Member
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.consensus.acceptor import VOTERS, Acceptor
+from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.proposer import Proposer
+from ambershift.system.consensus.quorum import balanced
+from ambershift.system.consensus.voters import Voters
+from ambershift.system.consensus.watching import SILENT, Watching
+from ambershift.system.contracts import Verdict
+from ambershift.system.messages.copies import Decision, Machine, Member
+from ambershift.system.steps import MS, SECOND
 
 SETTLE = SECOND  # After the last newcomer, before the first set takes all in.
 RANK = 300 * MS  # Between the tries of one voter and the next, so that they seldom meet.
--- a/ambershift/archive/consensus/journal.py
+++ b/ambershift/system/consensus/journal.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable
 
-from ambershift.archive.consensus.outbox import Outbox
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.steps import MS, SECOND
 
 AGAIN = 200 * MS  # After a failed write.
 STALLED = SECOND  # A write that takes longer is a disk in trouble.
--- a/ambershift/archive/consensus/ledger.py
+++ b/ambershift/system/consensus/ledger.py
@@ -12,14 +12,14 @@
 
 import msgspec
 
-from ambershift.archive.consensus.disk import Disk, Rows
-from ambershift.archive.consensus.outbox import Held, News
-from ambershift.archive.consensus.replica import ChangeRegister, Event, Freshen, Put, Reached, Replica
-from ambershift.archive.contracts import Change, NotDoneError, Shape
-from ambershift.archive.messages.fronts import Core
-from ambershift.archive.messages.items import Item, Key
-from ambershift.archive.settings.local import Local
-from ambershift.archive.steps import Answer, Heard, Log, Send, Tick, Wake, Write, Written
+from ambershift.system.consensus.disk import Disk, Rows
+from ambershift.system.consensus.outbox import Held, News
+from ambershift.system.consensus.replica import ChangeRegister, Event, Freshen, Put, Reached, Replica
+from ambershift.system.contracts import Change, NotDoneError, Shape
+from ambershift.system.messages.fronts import Core
+from ambershift.system.messages.items import Item, Key
+from ambershift.system.settings.local import Local
+from ambershift.system.steps import Answer, Heard, Log, Send, Tick, Wake, Write, Written
 
 EVENT_LISTENER, EVENT_ASIDE, EVENT_NO_DISK = 6, 206, 207
 REOPEN = 0.3  # Seconds between tries to open the folder.
--- a/ambershift/archive/consensus/outbox.py
+++ b/ambershift/system/consensus/outbox.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ambershift.archive.messages.items import Item
-from ambershift.archive.steps import Answer, Effect, Log, Send, Wake, Write
+from ambershift.system.messages.items import Item
+from ambershift.system.steps import Answer, Effect, Log, Send, Wake, Write
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/archive/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -8,13 +8,13 @@
 import random
 from collections.abc import Callable
 
-from ambershift.archive.consensus.acceptor import Acceptor
-from ambershift.archive.consensus.asking import Asking
-from ambershift.archive.consensus.outbox import Held, Outbox
-from ambershift.archive.consensus.register import Call, Lease, Register, Round
-from ambershift.archive.consensus.voters import Voters
-from ambershift.archive.contracts import Change, NotDoneError, NotHeldError, Shape
-from ambershift.archive.messages.copies import (
+from ambershift.system.consensus.acceptor import Acceptor
+from ambershift.system.consensus.asking import Asking
+from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.register import Call, Lease, Register, Round
+from ambershift.system.consensus.voters import Voters
+from ambershift.system.contracts import Change, NotDoneError, NotHeldError, Shape
+from ambershift.system.messages.copies import (
     Accept,
     Agreed,
     Confirm,
@@ -23,7 +23,7 @@
     Promise,
     Refused,
 )
-from ambershift.archive.steps import MS
+from ambershift.system.steps import MS
 
 TOGETHER = 64  # Calls judged in one round at the most.
 AGAIN = 250 * MS
--- a/ambershift/archive/consensus/register.py
+++ b/ambershift/system/consensus/register.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ambershift.archive.consensus.acceptor import EMPTY
-from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.contracts import Change
-from ambershift.archive.messages.copies import NEVER, Accept, Ballot, Confirm, Prepare, Record
+from ambershift.system.consensus.acceptor import EMPTY
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.contracts import Change
+from ambershift.system.messages.copies import NEVER, Accept, Ballot, Confirm, Prepare, Record
 
 
 @dataclass(slots=True)
--- a/ambershift/archive/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -14,18 +14,18 @@
 
 import msgspec
 
-from ambershift.archive.consensus.acceptor import Acceptor
-from ambershift.archive.consensus.joining import Joining
-from ambershift.archive.consensus.journal import Journal
-from ambershift.archive.consensus.outbox import News, Outbox
-from ambershift.archive.consensus.proposer import Proposer
-from ambershift.archive.consensus.store import Store
-from ambershift.archive.consensus.syncing import Syncing
-from ambershift.archive.consensus.voters import FOUNDER, Voters
-from ambershift.archive.consensus.watching import Watching
-from ambershift.archive.consensus.writing import Writing
-from ambershift.archive.contracts import Change, Shape
-from ambershift.archive.messages.copies import (
+from ambershift.system.consensus.acceptor import Acceptor
+from ambershift.system.consensus.joining import Joining
+from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.outbox import News, Outbox
+from ambershift.system.consensus.proposer import Proposer
+from ambershift.system.consensus.store import Store
+from ambershift.system.consensus.syncing import Syncing
+from ambershift.system.consensus.voters import FOUNDER, Voters
+from ambershift.system.consensus.watching import Watching
+from ambershift.system.consensus.writing import Writing
+from ambershift.system.contracts import Change, Shape
+from ambershift.system.messages.copies import (
     Accept,
     Agreed,
     Ask,
@@ -42,9 +42,9 @@
     Refused,
     Share,
 )
-from ambershift.archive.messages.items import Item
-from ambershift.archive.settings.local import Local
-from ambershift.archive.steps import SECOND, Effect, Heard, Tick, Written
+from ambershift.system.messages.items import Item
+from ambershift.system.settings.local import Local
+from ambershift.system.steps import SECOND, Effect, Heard, Tick, Written
 
 PREFETCH = SECOND
 HELD_BACK = 2000  # Messages kept for when this machine votes.
--- a/ambershift/archive/consensus/sidefile.py
+++ b/ambershift/system/consensus/sidefile.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ambershift.archive.consensus.disk import sync_folder
+from ambershift.system.consensus.disk import sync_folder
 
 FRESH = ".new"
 READ_MOST = 64 << 20  # A larger one is none of ours.
--- a/ambershift/archive/consensus/store.py
+++ b/ambershift/system/consensus/store.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from ambershift.archive.consensus.digests import Buckets
-from ambershift.archive.consensus.journal import Journal
-from ambershift.archive.consensus.outbox import Outbox
-from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, Key, cleared_by, newest
+from ambershift.system.consensus.digests import Buckets
+from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, Key, cleared_by, newest
 
 TABLE = "items"
 _encode = msgspec.msgpack.Encoder().encode
--- a/ambershift/archive/consensus/syncing.py
+++ b/ambershift/system/consensus/syncing.py
@@ -8,16 +8,16 @@
 
 import msgspec
 
-from ambershift.archive.consensus.acceptor import Acceptor
-from ambershift.archive.consensus.journal import Journal
-from ambershift.archive.consensus.outbox import Held, Outbox
-from ambershift.archive.consensus.quorum import majority
-from ambershift.archive.consensus.store import Store
-from ambershift.archive.consensus.voters import Voters, holds
-from ambershift.archive.contracts import NotHeldError
-from ambershift.archive.messages.copies import Ask, Record, Share
-from ambershift.archive.messages.items import Item
-from ambershift.archive.steps import MS
+from ambershift.system.consensus.acceptor import Acceptor
+from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.quorum import majority
+from ambershift.system.consensus.store import Store
+from ambershift.system.consensus.voters import Voters, holds
+from ambershift.system.contracts import NotHeldError
+from ambershift.system.messages.copies import Ask, Record, Share
+from ambershift.system.messages.items import Item
+from ambershift.system.steps import MS
 
 AGAIN = 250 * MS
 SOON = 60 * MS  # Before a machine that isn't complete itself is asked again, while it alone is asked.
--- a/ambershift/archive/consensus/voters.py
+++ b/ambershift/system/consensus/voters.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from ambershift.archive.consensus import quorum
-from ambershift.archive.consensus.journal import Journal
-from ambershift.archive.messages.copies import Decision, Machine, Member
+from ambershift.system.consensus import quorum
+from ambershift.system.consensus.journal import Journal
+from ambershift.system.messages.copies import Decision, Machine, Member
 
 TABLE = "meta"
 _encode = msgspec.msgpack.Encoder().encode
--- a/ambershift/archive/consensus/watching.py
+++ b/ambershift/system/consensus/watching.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from ambershift.archive.consensus.outbox import Outbox
-from ambershift.archive.consensus.quorum import ALL_WATCH, watchers
-from ambershift.archive.consensus.store import Store
-from ambershift.archive.consensus.voters import Voters, holds
-from ambershift.archive.messages.copies import Beat, Knock, Known, Machine
-from ambershift.archive.messages.fronts import Core
-from ambershift.archive.steps import MS
+from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.quorum import ALL_WATCH, watchers
+from ambershift.system.consensus.store import Store
+from ambershift.system.consensus.voters import Voters, holds
+from ambershift.system.messages.copies import Beat, Knock, Known, Machine
+from ambershift.system.messages.fronts import Core
+from ambershift.system.steps import MS
 
 BEAT = 300 * MS
 SILENT = 1500 * MS
--- a/ambershift/archive/consensus/writing.py
+++ b/ambershift/system/consensus/writing.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from ambershift.archive.consensus.outbox import Held, Outbox
-from ambershift.archive.consensus.store import Store
-from ambershift.archive.consensus.voters import Voters
-from ambershift.archive.contracts import NotDoneError, NotHeldError
-from ambershift.archive.messages.copies import Agreed, Merge
-from ambershift.archive.messages.items import Item, Key
-from ambershift.archive.steps import MS
+from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.store import Store
+from ambershift.system.consensus.voters import Voters
+from ambershift.system.contracts import NotDoneError, NotHeldError
+from ambershift.system.messages.copies import Agreed, Merge
+from ambershift.system.messages.items import Item, Key
+from ambershift.system.steps import MS
 
 AGAIN = 250 * MS
 BYTE = 4000  # ns that a byte may take on a slow link, before the items are sent again.
--- a/ambershift/archive/contracts.py
+++ b/ambershift/system/contracts.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ambershift.archive.messages.fronts import Core
-from ambershift.archive.messages.items import Item, Key
+from ambershift.system.messages.fronts import Core
+from ambershift.system.messages.items import Item, Key
 
 
 @dataclass(eq=False)
--- a/ambershift/archive/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -9,21 +9,21 @@
 
 import msgspec
 
-from ambershift.archive.contracts import Ledger
-from ambershift.archive.control_api import events, wire
-from ambershift.archive.control_api.applications import REFUSED, Applications
-from ambershift.archive.control_api.handing import Handing, Sender
-from ambershift.archive.control_api.operator import Operator
-from ambershift.archive.control_api.owners import Owners
-from ambershift.archive.control_api.pulse import Pulse
-from ambershift.archive.control_api.registry import Registry
-from ambershift.archive.control_api.watches import WATCH, Watches
-from ambershift.archive.coordination.ages import Ages
-from ambershift.archive.coordination.calls import BODY_MOST, CALLS, PRESENT
-from ambershift.archive.coordination.replies import ImproperError, Reply, read_body, reply
-from ambershift.archive.messages.errands import Errand, Outcome, Stirred
-from ambershift.archive.settings.local import Local
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.contracts import Ledger
+from ambershift.system.control_api import events, wire
+from ambershift.system.control_api.applications import REFUSED, Applications
+from ambershift.system.control_api.handing import Handing, Sender
+from ambershift.system.control_api.operator import Operator
+from ambershift.system.control_api.owners import Owners
+from ambershift.system.control_api.pulse import Pulse
+from ambershift.system.control_api.registry import Registry
+from ambershift.system.control_api.watches import WATCH, Watches
+from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.calls import BODY_MOST, CALLS, PRESENT
+from ambershift.system.coordination.replies import ImproperError, Reply, read_body, reply
+from ambershift.system.messages.errands import Errand, Outcome, Stirred
+from ambershift.system.settings.local import Local
+from ambershift.system.steps import MS, SECOND
 
 RPC, NUMBERS, WATCHES = "/ambershift/rpc", "/ambershift/numbers/", "/ambershift/watch/"
 RESOLUTION = "/ambershift/resolution"
--- a/ambershift/archive/control_api/applications.py
+++ b/ambershift/system/control_api/applications.py
@@ -11,16 +11,16 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ambershift.archive.contracts import Change, Ledger, NotDoneError, NotHeldError, Verdict
-from ambershift.archive.control_api.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED, OWNER_SILENT
-from ambershift.archive.control_api.handing import Handing, Sender
-from ambershift.archive.control_api.owners import Owners
-from ambershift.archive.coordination.ages import Ages
-from ambershift.archive.coordination.calls import PUT, read_call
-from ambershift.archive.coordination.groups import Group
-from ambershift.archive.coordination.replies import Call, ImproperError, Reply, reply
-from ambershift.archive.messages.errands import Errand, Outcome, Stirred
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.contracts import Change, Ledger, NotDoneError, NotHeldError, Verdict
+from ambershift.system.control_api.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED, OWNER_SILENT
+from ambershift.system.control_api.handing import Handing, Sender
+from ambershift.system.control_api.owners import Owners
+from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.calls import PUT, read_call
+from ambershift.system.coordination.groups import Group
+from ambershift.system.coordination.replies import Call, ImproperError, Reply, reply
+from ambershift.system.messages.errands import Errand, Outcome, Stirred
+from ambershift.system.steps import MS, SECOND
 
 PATIENCE = 900 * MS  # A caller gives up after a second of silence, and time is looked at each 50 ms.
 OWNER_PATIENCE = 350 * MS  # Two trips between regions and a turn that has to be waited for.
--- a/ambershift/archive/control_api/handing.py
+++ b/ambershift/system/control_api/handing.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ambershift.archive.coordination.replies import Reply
-from ambershift.archive.messages.errands import Errand, Outcome
+from ambershift.system.coordination.replies import Reply
+from ambershift.system.messages.errands import Errand, Outcome
 
 Sender = Callable[[str, msgspec.Struct], None]
 
--- a/ambershift/archive/control_api/operator.py
+++ b/ambershift/system/control_api/operator.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from ambershift.archive.configuration.faults import Fault, InvalidError
-from ambershift.archive.configuration.layout import write_back
-from ambershift.archive.configuration.orders import Order, read_order
-from ambershift.archive.contracts import Ledger, NotDoneError, NotHeldError
-from ambershift.archive.control_api import events
-from ambershift.archive.coordination.replies import Reply, reply
-from ambershift.archive.messages.items import ZONE, Item
-from ambershift.archive.settings.local import Local
-from ambershift.archive.steps import SECOND
+from ambershift.system.configuration.faults import Fault, InvalidError
+from ambershift.system.configuration.layout import write_back
+from ambershift.system.configuration.orders import Order, read_order
+from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.control_api import events
+from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.messages.items import ZONE, Item
+from ambershift.system.settings.local import Local
+from ambershift.system.steps import SECOND
 
 PATIENCE = 0.85  # Seconds; a caller gives up after one of silence.
 PATIENCE_MOST = 3.0
--- a/ambershift/archive/control_api/owners.py
+++ b/ambershift/system/control_api/owners.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from hashlib import blake2b
 
-from ambershift.archive.contracts import Ledger
-from ambershift.archive.steps import SECOND
+from ambershift.system.contracts import Ledger
+from ambershift.system.steps import SECOND
 
 DOUBT = SECOND  # How long a machine is passed over after it left a call without an outcome.
 KNOWN_MOST = 10_000
--- a/ambershift/archive/control_api/vigils.py
+++ b/ambershift/system/control_api/vigils.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from ambershift.archive.coordination.cells import since
-from ambershift.archive.coordination.groups import Event, Group
-from ambershift.archive.coordination.replies import Reply
-from ambershift.archive.steps import SECOND
+from ambershift.system.coordination.cells import since
+from ambershift.system.coordination.groups import Event, Group
+from ambershift.system.coordination.replies import Reply
+from ambershift.system.steps import SECOND
 
 FRESH = 3 * SECOND  # Puts may pass this machine by, and word of them be lost: look again after so long.
 REMEMBER = 60 * SECOND
--- a/ambershift/archive/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -7,17 +7,17 @@
 
 import msgspec
 
-from ambershift.archive.contracts import Ledger
-from ambershift.archive.control_api.applications import REFUSED, Applications
-from ambershift.archive.control_api.handing import Handing, Sender
-from ambershift.archive.control_api.owners import Owners
-from ambershift.archive.control_api.vigils import Vigils
-from ambershift.archive.coordination.ages import Ages
-from ambershift.archive.coordination.calls import PRESENT, read_call
-from ambershift.archive.coordination.groups import Group
-from ambershift.archive.coordination.replies import Reply, reply
-from ambershift.archive.messages.errands import Errand, Outcome, Stirred
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.contracts import Ledger
+from ambershift.system.control_api.applications import REFUSED, Applications
+from ambershift.system.control_api.handing import Handing, Sender
+from ambershift.system.control_api.owners import Owners
+from ambershift.system.control_api.vigils import Vigils
+from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.calls import PRESENT, read_call
+from ambershift.system.coordination.groups import Group
+from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.messages.errands import Errand, Outcome, Stirred
+from ambershift.system.steps import MS, SECOND
 
 WATCH = "watch"  # The name of an errand that is one.
 CHECK = 500 * MS  # How often a watch looks whether it waits at the right machine still.
--- a/ambershift/archive/control_api/wire.py
+++ b/ambershift/system/control_api/wire.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import parse_qsl
 
-from ambershift.archive.coordination.replies import Reply
+from ambershift.system.coordination.replies import Reply
 
 LINGER = 0.03  # Seconds.
 
--- a/ambershift/archive/coordination/calls.py
+++ b/ambershift/system/coordination/calls.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Mapping
 
-from ambershift.archive.coordination import cells, locks, numbers
-from ambershift.archive.coordination.ages import Ages
-from ambershift.archive.coordination.groups import group_of
-from ambershift.archive.coordination.replies import Call, ImproperError, read_body, text, whole
+from ambershift.system.coordination import cells, locks, numbers
+from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.groups import group_of
+from ambershift.system.coordination.replies import Call, ImproperError, read_body, text, whole
 
 BODY_MOST = 1 << 20
 NAME_MOST = 512
--- a/ambershift/archive/coordination/cells.py
+++ b/ambershift/system/coordination/cells.py
@@ -5,10 +5,10 @@
 from dataclasses import replace as with_fields
 from typing import Any
 
-from ambershift.archive.contracts import Change, Verdict
-from ambershift.archive.coordination.ages import Ages
-from ambershift.archive.coordination.groups import Group, group_of, read_group, write_group
-from ambershift.archive.coordination.replies import Reply, reply
+from ambershift.system.contracts import Change, Verdict
+from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.groups import Group, group_of, read_group, write_group
+from ambershift.system.coordination.replies import Reply, reply
 
 
 def _verdict(value: bytes | None, answer: Reply, group: Group) -> Verdict:
--- a/ambershift/archive/coordination/locks.py
+++ b/ambershift/system/coordination/locks.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from ambershift.archive.contracts import Change, Verdict
-from ambershift.archive.coordination.replies import Reply, reply
-from ambershift.archive.steps import MS
+from ambershift.system.contracts import Change, Verdict
+from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.steps import MS
 
 MARGIN = 50 * MS  # Against steady clocks that don't run quite alike.
 HOLD_MOST = 86_400_000
--- a/ambershift/archive/coordination/numbers.py
+++ b/ambershift/system/coordination/numbers.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ambershift.archive.contracts import Verdict
-from ambershift.archive.coordination.replies import reply
+from ambershift.system.contracts import Verdict
+from ambershift.system.coordination.replies import reply
 
 
 def following(value: bytes | None, known_since: int, now: int) -> Verdict:
--- a/ambershift/archive/coordination/replies.py
+++ b/ambershift/system/coordination/replies.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ambershift.archive.contracts import Change
-from ambershift.archive.coordination.groups import Group
+from ambershift.system.contracts import Change
+from ambershift.system.coordination.groups import Group
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/archive/coordination/shapes.py
+++ b/ambershift/system/coordination/shapes.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ambershift.archive.contracts import Shape
-from ambershift.archive.coordination.groups import Event, Group, read_group, write_group
+from ambershift.system.contracts import Shape
+from ambershift.system.coordination.groups import Event, Group, read_group, write_group
 
 
 class Added(msgspec.Struct, frozen=True, array_like=True):
--- a/ambershift/archive/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -9,17 +9,17 @@
 
 import msgspec
 
-from ambershift.archive.contracts import Ledger, NotDoneError, NotHeldError
-from ambershift.archive.distribution.dealer import Dealt
-from ambershift.archive.distribution.floor import FED_EACH, Floor
-from ambershift.archive.distribution.flows import Flows
-from ambershift.archive.distribution.pushes import Pushes
-from ambershift.archive.messages.fronts import Backend, Backends, Cores, Hello, Mark, Report, Withdraw
-from ambershift.archive.messages.items import ROUTE, ZONE, Item
-from ambershift.archive.registry.records import Life
-from ambershift.archive.registry.registry import Registry, backend
-from ambershift.archive.settings.local import Local
-from ambershift.archive.steps import MS, Send
+from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.distribution.dealer import Dealt
+from ambershift.system.distribution.floor import FED_EACH, Floor
+from ambershift.system.distribution.flows import Flows
+from ambershift.system.distribution.pushes import Pushes
+from ambershift.system.messages.fronts import Backend, Backends, Cores, Hello, Mark, Report, Withdraw
+from ambershift.system.messages.items import ROUTE, ZONE, Item
+from ambershift.system.registry.records import Life
+from ambershift.system.registry.registry import Registry, backend
+from ambershift.system.settings.local import Local
+from ambershift.system.steps import MS, Send
 
 CORES_EACH, DESKS_EACH = 500 * MS, 250 * MS
 LIST_FOR = 250 * MS  # How old a list a new link may be told: cold backends stay cold there for longer.
--- a/ambershift/archive/distribution/floor.py
+++ b/ambershift/system/distribution/floor.py
@@ -11,13 +11,13 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from ambershift import interface as api
-from ambershift.archive.distribution.dealer import Dealer, Dealt, Seat
-from ambershift.archive.distribution.pools import Pool, pools
-from ambershift.archive.distribution.terms import terms_for, zones_of
-from ambershift.archive.messages.fronts import Report
-from ambershift.archive.messages.items import ZONE, Item
-from ambershift.archive.registry.records import Desk, Life
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.distribution.dealer import Dealer, Dealt, Seat
+from ambershift.system.distribution.pools import Pool, pools
+from ambershift.system.distribution.terms import terms_for, zones_of
+from ambershift.system.messages.fronts import Report
+from ambershift.system.messages.items import ZONE, Item
+from ambershift.system.registry.records import Desk, Life
+from ambershift.system.steps import MS, SECOND
 
 FED_EACH = SECOND
 
--- a/ambershift/archive/distribution/flows.py
+++ b/ambershift/system/distribution/flows.py
@@ -5,9 +5,9 @@
 from collections import defaultdict, deque
 from collections.abc import Collection
 
-from ambershift.archive.messages.fronts import tally_parts
-from ambershift.archive.messages.rounds import Flow
-from ambershift.archive.steps import SECOND
+from ambershift.system.messages.fronts import tally_parts
+from ambershift.system.messages.rounds import Flow
+from ambershift.system.steps import SECOND
 
 WINDOW, TOLD_EACH, MOVED = 15 * SECOND, 2 * SECOND, 0.1
 SMALL = 20  # Requests per 100 s: less than this is no move.
--- a/ambershift/archive/distribution/pools.py
+++ b/ambershift/system/distribution/pools.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from ambershift.archive.messages.fronts import pool_of
-from ambershift.archive.messages.items import ROUTE, Item
+from ambershift.system.messages.fronts import pool_of
+from ambershift.system.messages.items import ROUTE, Item
 
 USUAL_MS = 500
 
--- a/ambershift/archive/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from ambershift.archive.messages.fronts import Backend, Backends, Items
-from ambershift.archive.messages.items import CLEARED, INSTANCE, Item, Key, cleared_by
-from ambershift.archive.steps import Send
+from ambershift.system.messages.fronts import Backend, Backends, Items
+from ambershift.system.messages.items import CLEARED, INSTANCE, Item, Key, cleared_by
+from ambershift.system.steps import Send
 
 
 @dataclass(slots=True)
--- a/ambershift/archive/distribution/terms.py
+++ b/ambershift/system/distribution/terms.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 
 from ambershift import interface as api
-from ambershift.archive.distribution.pools import Pool
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.distribution.pools import Pool
+from ambershift.system.steps import MS, SECOND
 
 # A service has about two backends a zone, and answers from other regions are the dearest price: a zone may
 # live on one backend, and on one of its two while the other is replaced. A desk whose table is full goes on
--- a/ambershift/archive/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ambershift.archive.messages import copies, errands, fronts, rounds
+from ambershift.system.messages import copies, errands, fronts, rounds
 
 WIRE = 2  # Told in the path of each link; another number is another program's and refused.
 MESSAGE_MOST = 16 << 20
--- a/ambershift/archive/messages/copies.py
+++ b/ambershift/system/messages/copies.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.archive.messages.items import Item
+from ambershift.system.messages.items import Item
 
 # Counter, and the life of the proposing process: no process uses a ballot that another life has used.
 Ballot = tuple[int, int]
--- a/ambershift/archive/messages/fronts.py
+++ b/ambershift/system/messages/fronts.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ambershift.archive.messages.items import Item
+from ambershift.system.messages.items import Item
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="fh"):
--- a/ambershift/archive/node_selection/choice.py
+++ b/ambershift/system/node_selection/choice.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ambershift.archive.messages.fronts import Core
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.messages.fronts import Core
+from ambershift.system.steps import MS, SECOND
 
 SILENT = 1600 * MS  # A sign of life comes each half second.
 APART = 1200 * MS  # How long one may be out of touch with the others before it is left.
--- a/ambershift/archive/processes/archivist.py
+++ b/ambershift/system/processes/archivist.py
@@ -9,21 +9,21 @@
 
 import msgspec
 
-from ambershift.archive.consensus.ledger import Shelf
-from ambershift.archive.consensus.sidefile import SideFile
-from ambershift.archive.control_api.application import Enquiries
-from ambershift.archive.coordination.shapes import shape_of
-from ambershift.archive.distribution.controller import Controller
-from ambershift.archive.messages import copies, errands, fronts, rounds
-from ambershift.archive.processes.logs import Journal
-from ambershift.archive.processes.rereading import LOOK_S as FILE_S
-from ambershift.archive.processes.rereading import Watched
-from ambershift.archive.processes.serving import hear_signals, listeners, served
-from ambershift.archive.registry.registry import Registry
-from ambershift.archive.settings.local import Local, SettingsError, read_local
-from ambershift.archive.transport.links import Links
-from ambershift.archive.transport.meter import Meter, Place
-from ambershift.archive.transport.words import ARCHIVIST, DESK, Caller
+from ambershift.system.consensus.ledger import Shelf
+from ambershift.system.consensus.sidefile import SideFile
+from ambershift.system.control_api.application import Enquiries
+from ambershift.system.coordination.shapes import shape_of
+from ambershift.system.distribution.controller import Controller
+from ambershift.system.messages import copies, errands, fronts, rounds
+from ambershift.system.processes.logs import Journal
+from ambershift.system.processes.rereading import LOOK_S as FILE_S
+from ambershift.system.processes.rereading import Watched
+from ambershift.system.processes.serving import hear_signals, listeners, served
+from ambershift.system.registry.registry import Registry
+from ambershift.system.settings.local import Local, SettingsError, read_local
+from ambershift.system.transport.links import Links
+from ambershift.system.transport.meter import Meter, Place
+from ambershift.system.transport.words import ARCHIVIST, DESK, Caller
 
 LIST = "backends.list"  # The file beside the store that the list is recalled from.
 BEAT_S, IDLE_S, FINISH_S = 0.05, 120, 1.0
--- a/ambershift/archive/processes/lender.py
+++ b/ambershift/system/processes/lender.py
@@ -11,20 +11,20 @@
 import msgspec
 from websockets.asyncio.connection import Connection
 
-from ambershift.archive.messages.fronts import Bind, Cores, Hello, Items
-from ambershift.archive.node_selection.choice import Choice
-from ambershift.archive.processes.logs import Journal
-from ambershift.archive.processes.places import Places
-from ambershift.archive.processes.rereading import LOOK_S as FILE_S
-from ambershift.archive.processes.rereading import Watched
-from ambershift.archive.processes.serving import Served, hear_signals, listeners, served
-from ambershift.archive.proxy.desk import Desk
-from ambershift.archive.proxy.reception import Reception
-from ambershift.archive.settings.local import Local, SettingsError, read_local
-from ambershift.archive.transport.links import Links, receive
-from ambershift.archive.transport.meter import Meter, Place
-from ambershift.archive.transport.outbox import Outbox
-from ambershift.archive.transport.words import DESK, Caller
+from ambershift.system.messages.fronts import Bind, Cores, Hello, Items
+from ambershift.system.node_selection.choice import Choice
+from ambershift.system.processes.logs import Journal
+from ambershift.system.processes.places import Places
+from ambershift.system.processes.rereading import LOOK_S as FILE_S
+from ambershift.system.processes.rereading import Watched
+from ambershift.system.processes.serving import Served, hear_signals, listeners, served
+from ambershift.system.proxy.desk import Desk
+from ambershift.system.proxy.reception import Reception
+from ambershift.system.settings.local import Local, SettingsError, read_local
+from ambershift.system.transport.links import Links, receive
+from ambershift.system.transport.meter import Meter, Place
+from ambershift.system.transport.outbox import Outbox
+from ambershift.system.transport.words import DESK, Caller
 
 BESIDE_S = 0.25  # An archivist that takes longer to answer may be without power: another is dialled too.
 REPORT_S, LOOK_S, IDLE_S, END_MARGIN_S = 1.0, 0.25, 60, 0.4
--- a/ambershift/archive/processes/logs.py
+++ b/ambershift/system/processes/logs.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from ambershift.archive.events import EVENTS, WARNING
+from ambershift.system.events import EVENTS, WARNING
 
 MOST_A_SECOND = 20  # Of a number: a storm of the same tells nothing more, and each line costs processor time.
 
--- a/ambershift/archive/proxy/attempt.py
+++ b/ambershift/system/proxy/attempt.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
-from ambershift.archive.steps import MS
 from ambershift.attempt.machine import Evidence
+from ambershift.system.steps import MS
 
 
 class Stage(IntEnum):
--- a/ambershift/archive/proxy/cold.py
+++ b/ambershift/system/proxy/cold.py
@@ -4,8 +4,8 @@
 
 from hashlib import blake2b
 
-from ambershift.archive.proxy.lives import Life
-from ambershift.archive.steps import SECOND
+from ambershift.system.proxy.lives import Life
+from ambershift.system.steps import SECOND
 
 # Two sends of one desk this far apart are never sent within one second.
 APART = SECOND + SECOND // 20
--- a/ambershift/archive/proxy/course.py
+++ b/ambershift/system/proxy/course.py
@@ -8,16 +8,16 @@
 
 import httpcore
 
-from ambershift.archive.proxy.attempt import Outcome, Stage, Tries
-from ambershift.archive.proxy.lives import Life
-from ambershift.archive.proxy.roster import Pool
-from ambershift.archive.proxy.routing import Route
-from ambershift.archive.proxy.trying import Came, Try
-from ambershift.archive.proxy.wire import Wire
-from ambershift.archive.steps import SECOND
+from ambershift.system.proxy.attempt import Outcome, Stage, Tries
+from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.roster import Pool
+from ambershift.system.proxy.routing import Route
+from ambershift.system.proxy.trying import Came, Try
+from ambershift.system.proxy.wire import Wire
+from ambershift.system.steps import SECOND
 
 if TYPE_CHECKING:
-    from ambershift.archive.proxy.desk import Desk
+    from ambershift.system.proxy.desk import Desk
 
 Make = Callable[[Wire, Life, int], httpcore.Request]
 Racing = asyncio.Task[Came]
--- a/ambershift/archive/proxy/desk.py
+++ b/ambershift/system/proxy/desk.py
@@ -10,22 +10,22 @@
 
 import msgspec
 
-from ambershift.archive.messages import fronts, items
-from ambershift.archive.proxy.admission import Admission
-from ambershift.archive.proxy.awaited import Awaited
-from ambershift.archive.proxy.budget import Budget
-from ambershift.archive.proxy.cold import ColdGate
-from ambershift.archive.proxy.connections import Connections
-from ambershift.archive.proxy.handling import Handling, Receive, Send, answer
-from ambershift.archive.proxy.isolation import Isolation
-from ambershift.archive.proxy.lives import Life
-from ambershift.archive.proxy.pick import pick
-from ambershift.archive.proxy.roster import Pool, Roster
-from ambershift.archive.proxy.routing import Routing
-from ambershift.archive.proxy.trying import Came
-from ambershift.archive.proxy.wire import HOLD_LEAST, HOLD_MOST
-from ambershift.archive.settings.local import Local
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.messages import fronts, items
+from ambershift.system.proxy.admission import Admission
+from ambershift.system.proxy.awaited import Awaited
+from ambershift.system.proxy.budget import Budget
+from ambershift.system.proxy.cold import ColdGate
+from ambershift.system.proxy.connections import Connections
+from ambershift.system.proxy.handling import Handling, Receive, Send, answer
+from ambershift.system.proxy.isolation import Isolation
+from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.pick import pick
+from ambershift.system.proxy.roster import Pool, Roster
+from ambershift.system.proxy.routing import Routing
+from ambershift.system.proxy.trying import Came
+from ambershift.system.proxy.wire import HOLD_LEAST, HOLD_MOST
+from ambershift.system.settings.local import Local
+from ambershift.system.steps import MS, SECOND
 
 READINESS = b"/ambershift/readiness"
 ROOM_SHARE, ROOM_LEAST = 0.9, 2
--- a/ambershift/archive/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -9,18 +9,18 @@
 
 import httpcore
 
-from ambershift.archive.messages.fronts import pool_of
-from ambershift.archive.proxy.course import Course
-from ambershift.archive.proxy.headers import Headers, read_request
-from ambershift.archive.proxy.lives import Life
-from ambershift.archive.proxy.roster import Pool
-from ambershift.archive.proxy.routing import Route
-from ambershift.archive.proxy.trying import Came
-from ambershift.archive.proxy.wire import Reply, TryError, UnsendableError, Wire
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.messages.fronts import pool_of
+from ambershift.system.proxy.course import Course
+from ambershift.system.proxy.headers import Headers, read_request
+from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.roster import Pool
+from ambershift.system.proxy.routing import Route
+from ambershift.system.proxy.trying import Came
+from ambershift.system.proxy.wire import Reply, TryError, UnsendableError, Wire
+from ambershift.system.steps import MS, SECOND
 
 if TYPE_CHECKING:
-    from ambershift.archive.proxy.desk import Desk
+    from ambershift.system.proxy.desk import Desk
 
 Receive = Callable[[], Awaitable[Any]]
 Send = Callable[[Any], Awaitable[None]]
--- a/ambershift/archive/proxy/headers.py
+++ b/ambershift/system/proxy/headers.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ambershift.archive.proxy.attempt import Told
-from ambershift.archive.steps import MS
+from ambershift.system.proxy.attempt import Told
+from ambershift.system.steps import MS
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/ambershift/archive/proxy/lives.py
+++ b/ambershift/system/proxy/lives.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from ambershift.archive.messages.fronts import Backend
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.messages.fronts import Backend
+from ambershift.system.steps import MS, SECOND
 
 # A told load counts for so long, ns.
 LOAD_FOR = SECOND
--- a/ambershift/archive/proxy/reception.py
+++ b/ambershift/system/proxy/reception.py
@@ -9,8 +9,8 @@
 
 from uvicorn.protocols.http.httptools_impl import STATUS_LINE, HttpToolsProtocol
 
-from ambershift.archive.proxy.limits import Limits, Waiting
-from ambershift.archive.steps import SECOND
+from ambershift.system.proxy.limits import Limits, Waiting
+from ambershift.system.steps import SECOND
 
 # What comes after a refusal is still read for so long, s, and dropped: to close on unread bytes resets the
 # connection, and the client may lose the answer by it.
--- a/ambershift/archive/proxy/roster.py
+++ b/ambershift/system/proxy/roster.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from itertools import accumulate
 
-from ambershift.archive.messages.fronts import Backend, Backends, Bind, Line, pool_parts
-from ambershift.archive.proxy.lives import COLD_MORE, DOUBT, Life, life_of
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.messages.fronts import Backend, Backends, Bind, Line, pool_parts
+from ambershift.system.proxy.lives import COLD_MORE, DOUBT, Life, life_of
+from ambershift.system.steps import MS, SECOND
 
 # What a list says of coldness this long after a zone was taken back, it knew after that, ns.
 SURELY_NEWER = 2 * SECOND
--- a/ambershift/archive/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from ambershift.archive.messages import items as kinds
-from ambershift.archive.messages.fronts import tally_of
-from ambershift.archive.messages.items import Item, Key, newest
-from ambershift.archive.proxy.limits import Limits, read_limits
-from ambershift.archive.steps import MS
+from ambershift.system.messages import items as kinds
+from ambershift.system.messages.fronts import tally_of
+from ambershift.system.messages.items import Item, Key, newest
+from ambershift.system.proxy.limits import Limits, read_limits
+from ambershift.system.steps import MS
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/archive/proxy/trying.py
+++ b/ambershift/system/proxy/trying.py
@@ -8,12 +8,12 @@
 
 import httpcore
 
-from ambershift.archive.proxy.attempt import Ending, Outcome, Stage, Tries, outcome
-from ambershift.archive.proxy.connections import Connections, patience
-from ambershift.archive.proxy.headers import Headers, load_of, read_answer
-from ambershift.archive.proxy.lives import Life
-from ambershift.archive.proxy.wire import Reply, TryError, Wire, exchange
-from ambershift.archive.steps import SECOND
+from ambershift.system.proxy.attempt import Ending, Outcome, Stage, Tries, outcome
+from ambershift.system.proxy.connections import Connections, patience
+from ambershift.system.proxy.headers import Headers, load_of, read_answer
+from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.wire import Reply, TryError, Wire, exchange
+from ambershift.system.steps import SECOND
 
 
 @dataclass(slots=True)
--- a/ambershift/archive/proxy/wire.py
+++ b/ambershift/system/proxy/wire.py
@@ -9,9 +9,9 @@
 
 import httpcore
 
-from ambershift.archive.proxy.attempt import Ending, Stage
-from ambershift.archive.proxy.stream import GivenUpError, Rest, Stream
-from ambershift.archive.steps import SECOND
+from ambershift.system.proxy.attempt import Ending, Stage
+from ambershift.system.proxy.stream import GivenUpError, Rest, Stream
+from ambershift.system.steps import SECOND
 
 Headers = Sequence[tuple[bytes, bytes]]
 
--- a/ambershift/archive/registry/desks.py
+++ b/ambershift/system/registry/desks.py
@@ -5,9 +5,9 @@
 from collections.abc import Container, Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from ambershift.archive.messages.fronts import Hello
-from ambershift.archive.registry.records import Desk
-from ambershift.archive.steps import MS
+from ambershift.system.messages.fronts import Hello
+from ambershift.system.registry.records import Desk
+from ambershift.system.steps import MS
 
 PARTED = 1000 * MS  # A desk dials anew within this, or is taken for lost.
 SILENT = 2500 * MS  # A desk reports each second.
--- a/ambershift/archive/registry/events.py
+++ b/ambershift/system/registry/events.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-from ambershift.archive.messages.fronts import Hello
-from ambershift.archive.messages.rounds import Flow
-from ambershift.archive.registry.beats import Beat
-from ambershift.archive.registry.records import Life
-from ambershift.archive.steps import Heard, Log, Send
+from ambershift.system.messages.fronts import Hello
+from ambershift.system.messages.rounds import Flow
+from ambershift.system.registry.beats import Beat
+from ambershift.system.registry.records import Life
+from ambershift.system.steps import Heard, Log, Send
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/archive/registry/exchange.py
+++ b/ambershift/system/registry/exchange.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ambershift.archive.messages.rounds import Ask, Delta, Pulse
-from ambershift.archive.registry.records import Record, Records, pack, unpack
-from ambershift.archive.steps import MS, Send
+from ambershift.system.messages.rounds import Ask, Delta, Pulse
+from ambershift.system.registry.records import Record, Records, pack, unpack
+from ambershift.system.steps import MS, Send
 
 ASK_GAP = 500 * MS  # Against asking again while the answer is on its way.
 
--- a/ambershift/archive/registry/keeping.py
+++ b/ambershift/system/registry/keeping.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Container
 
-from ambershift.archive.registry.beats import Beat
-from ambershift.archive.registry.records import Life
-from ambershift.archive.steps import MS
+from ambershift.system.registry.beats import Beat
+from ambershift.system.registry.records import Life
+from ambershift.system.steps import MS
 
 MISSED, WARY_MISSED, SUSPECT = 3.5, 5.5, 2.3  # Heartbeats without a word.
 MASS_LEAST = 3  # Fewer than these that fall silent together may well be their own fault.
--- a/ambershift/archive/registry/kept.py
+++ b/ambershift/system/registry/kept.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from ambershift.archive.messages.rounds import Lived
-from ambershift.archive.registry.listing import KEPT
-from ambershift.archive.registry.records import Life, lived, to_life
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.messages.rounds import Lived
+from ambershift.system.registry.listing import KEPT
+from ambershift.system.registry.records import Life, lived, to_life
+from ambershift.system.steps import MS, SECOND
 
 FORMAT = 1
 SUM = 16  # Bytes of the digest in front: a write may be torn.
--- a/ambershift/archive/registry/listing.py
+++ b/ambershift/system/registry/listing.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from ambershift.archive.registry.records import Life
-from ambershift.archive.steps import SECOND
+from ambershift.system.registry.records import Life
+from ambershift.system.steps import SECOND
 
 KEPT = 600 * SECOND  # So long a life is remembered that nobody hears, or that another has replaced.
 DRAINING, GONE = 1, 2  # Versions of the item of a life that ends.
--- a/ambershift/archive/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -4,11 +4,11 @@
 
 from collections import Counter
 
-from ambershift.archive.messages.rounds import Ask, Delta, Pulse
-from ambershift.archive.registry.beats import Beat
-from ambershift.archive.registry.clearing import STALE, Clearing
-from ambershift.archive.registry.desks import Desks, merge
-from ambershift.archive.registry.events import (
+from ambershift.system.messages.rounds import Ask, Delta, Pulse
+from ambershift.system.registry.beats import Beat
+from ambershift.system.registry.clearing import STALE, Clearing
+from ambershift.system.registry.desks import Desks, merge
+from ambershift.system.registry.events import (
     Cleared,
     Effect,
     Ended,
@@ -22,11 +22,11 @@
     Shown,
     Spoke,
 )
-from ambershift.archive.registry.exchange import Exchange
-from ambershift.archive.registry.keeping import MISSED, Keeping
-from ambershift.archive.registry.listing import Listing
-from ambershift.archive.registry.records import Desk, Life, Records, flow_key
-from ambershift.archive.steps import MS, SECOND, Heard, Log
+from ambershift.system.registry.exchange import Exchange
+from ambershift.system.registry.keeping import MISSED, Keeping
+from ambershift.system.registry.listing import Listing
+from ambershift.system.registry.records import Desk, Life, Records, flow_key
+from ambershift.system.steps import MS, SECOND, Heard, Log
 
 BATCH, PULSE, LISTEN = 100 * MS, SECOND, 250 * MS
 GAP = 600 * MS  # Ticks further apart than this: the process stood still, and heard nobody.
--- a/ambershift/archive/registry/records.py
+++ b/ambershift/system/registry/records.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ambershift.archive.messages.rounds import Attached, Delta, Flow, Lived
-from ambershift.archive.steps import MS
+from ambershift.system.messages.rounds import Attached, Delta, Flow, Lived
+from ambershift.system.steps import MS
 
 COLD_SLACK = 300 * MS  # By so much a cold span may be told otherwise without being another.
 
--- a/ambershift/archive/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from ambershift.archive.contracts import Ledger, NotDoneError, NotHeldError
-from ambershift.archive.messages.fronts import Backend, Hello
-from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, cleared_by
-from ambershift.archive.messages.rounds import Ask, Delta, Flow, Pulse
-from ambershift.archive.registry.beats import BeatError, check_id, read_beat
-from ambershift.archive.registry.clearing import REFUSED
-from ambershift.archive.registry.desks import ADDRESSES_MOST, nearest
-from ambershift.archive.registry.events import (
+from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.messages.fronts import Backend, Hello
+from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, cleared_by
+from ambershift.system.messages.rounds import Ask, Delta, Flow, Pulse
+from ambershift.system.registry.beats import BeatError, check_id, read_beat
+from ambershift.system.registry.clearing import REFUSED
+from ambershift.system.registry.desks import ADDRESSES_MOST, nearest
+from ambershift.system.registry.events import (
     Cleared,
     Ended,
     Event,
@@ -31,13 +31,13 @@
     Shown,
     Spoke,
 )
-from ambershift.archive.registry.homes import Homes
-from ambershift.archive.registry.kept import Keep, SheetError, read_sheet, write_sheet
-from ambershift.archive.registry.listing import DRAINING, GONE
-from ambershift.archive.registry.machine import Stacks
-from ambershift.archive.registry.records import Desk, Life
-from ambershift.archive.settings.local import Local
-from ambershift.archive.steps import MS, SECOND, Heard, Log, Send
+from ambershift.system.registry.homes import Homes
+from ambershift.system.registry.kept import Keep, SheetError, read_sheet, write_sheet
+from ambershift.system.registry.listing import DRAINING, GONE
+from ambershift.system.registry.machine import Stacks
+from ambershift.system.registry.records import Desk, Life
+from ambershift.system.settings.local import Local
+from ambershift.system.steps import MS, SECOND, Heard, Log, Send
 
 PUT_LIMIT_S = 0.8  # A backend waits a second for its acknowledgement.
 UNSURE_DESKS = 256  # Told while desks may not have been heard yet: too few would let too much to cold ones.
--- a/ambershift/archive/simulation/callers.py
+++ b/ambershift/system/simulation/callers.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from ambershift.archive.simulation.house import House
-from ambershift.archive.simulation.judging import Judge, Told
-from ambershift.archive.simulation.loop import simulated_loop
-from ambershift.archive.simulation.sockets import BrokenOffError, Connection, NotReachedError
-from ambershift.archive.steps import SECOND
-from ambershift.archive.testbed.histories import Given, Got, Hold, Put
+from ambershift.system.simulation.house import House
+from ambershift.system.simulation.judging import Judge, Told
+from ambershift.system.simulation.loop import simulated_loop
+from ambershift.system.simulation.sockets import BrokenOffError, Connection, NotReachedError
+from ambershift.system.steps import SECOND
+from ambershift.system.testbed.histories import Given, Got, Hold, Put
 
 SILENCE, PATIENCE = 1.0, 5.0
 LOST_ANSWERS = 0.005
--- a/ambershift/archive/simulation/histories.py
+++ b/ambershift/system/simulation/histories.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.simulation.callers import GROUPS, Application, Streets
-from ambershift.archive.simulation.house import House
-from ambershift.archive.simulation.judging import Judge
-from ambershift.archive.simulation.lists import LISTS, Lists
-from ambershift.archive.simulation.operating import Books, Desk, Operator
-from ambershift.archive.simulation.troubles import MIXED, MOVING, Troubles, heal
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.simulation.callers import GROUPS, Application, Streets
+from ambershift.system.simulation.house import House
+from ambershift.system.simulation.judging import Judge
+from ambershift.system.simulation.lists import LISTS, Lists
+from ambershift.system.simulation.operating import Books, Desk, Operator
+from ambershift.system.simulation.troubles import MIXED, MOVING, Troubles, heal
+from ambershift.system.steps import MS, SECOND
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/archive/simulation/house.py
+++ b/ambershift/system/simulation/house.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
-from ambershift.archive.consensus.ledger import Shelf
-from ambershift.archive.control_api.application import Enquiries
-from ambershift.archive.coordination.shapes import shape_of
-from ambershift.archive.messages import copies
-from ambershift.archive.settings.local import Local
-from ambershift.archive.simulation.loop import SimulatedLoop, simulated_loop
-from ambershift.archive.simulation.sockets import Connection
-from ambershift.archive.simulation.world import Box, World
-from ambershift.archive.steps import MS, SECOND, Heard, Tick, Write, Written
+from ambershift.system.consensus.ledger import Shelf
+from ambershift.system.control_api.application import Enquiries
+from ambershift.system.coordination.shapes import shape_of
+from ambershift.system.messages import copies
+from ambershift.system.settings.local import Local
+from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
+from ambershift.system.simulation.sockets import Connection
+from ambershift.system.simulation.world import Box, World
+from ambershift.system.steps import MS, SECOND, Heard, Tick, Write, Written
 
 EPOCH = 1_700_000_000 * SECOND
 ZONES = {"z0": "r0", "z1": "r1", "z2": "r2", "z3": "r0", "z4": "r1", "z5": "r2"}
--- a/ambershift/archive/simulation/judging.py
+++ b/ambershift/system/simulation/judging.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from ambershift.archive.testbed.histories import History, group_of
+from ambershift.system.testbed.histories import History, group_of
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/archive/simulation/lists.py
+++ b/ambershift/system/simulation/lists.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.consensus.replica import ChangeRegister, Freshen, Put
-from ambershift.archive.contracts import NotDoneError, Verdict
-from ambershift.archive.messages.items import Item
-from ambershift.archive.simulation.world import World
-from ambershift.archive.steps import SECOND
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.replica import ChangeRegister, Freshen, Put
+from ambershift.system.contracts import NotDoneError, Verdict
+from ambershift.system.messages.items import Item
+from ambershift.system.simulation.world import World
+from ambershift.system.steps import SECOND
 
 LISTS = 6  # Registers that are judged.
 
--- a/ambershift/archive/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
-from ambershift.archive.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
-from ambershift.archive.contracts import Verdict
-from ambershift.archive.control_api import application, applications, operator, watches
-from ambershift.archive.coordination import groups, locks
-from ambershift.archive.coordination.replies import Call, reply
-from ambershift.archive.messages.copies import NEVER, Accept, Ask, Record
-from ambershift.archive.messages.items import Item
-from ambershift.archive.simulation.house import Place
-from ambershift.archive.steps import MS
+from ambershift.system.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
+from ambershift.system.contracts import Verdict
+from ambershift.system.control_api import application, applications, operator, watches
+from ambershift.system.coordination import groups, locks
+from ambershift.system.coordination.replies import Call, reply
+from ambershift.system.messages.copies import NEVER, Accept, Ask, Record
+from ambershift.system.messages.items import Item
+from ambershift.system.simulation.house import Place
+from ambershift.system.steps import MS
 
 _lock = msgspec.msgpack.Decoder(locks.Lock).decode
 _encode = msgspec.msgpack.Encoder().encode
--- a/ambershift/archive/simulation/operating.py
+++ b/ambershift/system/simulation/operating.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from ambershift.archive.configuration.layout import rows
-from ambershift.archive.contracts import NotHeldError
-from ambershift.archive.messages.items import ROUTE, SERVICE, ZONE, Item, Key
-from ambershift.archive.simulation.callers import Streets
-from ambershift.archive.simulation.house import ZONES, Process
+from ambershift.system.configuration.layout import rows
+from ambershift.system.contracts import NotHeldError
+from ambershift.system.messages.items import ROUTE, SERVICE, ZONE, Item, Key
+from ambershift.system.simulation.callers import Streets
+from ambershift.system.simulation.house import ZONES, Process
 
 ROUTES, SERVICES, ORDER_MOST = 4, 2, 6.0
 FINAL = (400, 409, 412, 413, 422)
--- a/ambershift/archive/simulation/scripts.py
+++ b/ambershift/system/simulation/scripts.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from ambershift.archive.simulation import scripts_disks as disks
-from ambershift.archive.simulation import scripts_house as house
-from ambershift.archive.simulation import scripts_voters as voters
+from ambershift.system.simulation import scripts_disks as disks
+from ambershift.system.simulation import scripts_house as house
+from ambershift.system.simulation import scripts_voters as voters
 
 Script = Callable[[], list[str]]
 
--- a/ambershift/archive/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.consensus.replica import ChangeRegister
-from ambershift.archive.contracts import NotDoneError, NotHeldError
-from ambershift.archive.coordination import locks
-from ambershift.archive.messages.copies import Accept, Share
-from ambershift.archive.simulation.lists import Lists
-from ambershift.archive.simulation.world import World
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.replica import ChangeRegister
+from ambershift.system.contracts import NotDoneError, NotHeldError
+from ambershift.system.coordination import locks
+from ambershift.system.messages.copies import Accept, Share
+from ambershift.system.simulation.lists import Lists
+from ambershift.system.simulation.world import World
 
 
 def told_twice() -> list[str]:
--- a/ambershift/archive/simulation/scripts_house.py
+++ b/ambershift/system/simulation/scripts_house.py
@@ -6,13 +6,13 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from ambershift.archive.messages.copies import Merge, Share
-from ambershift.archive.simulation.callers import Streets
-from ambershift.archive.simulation.house import House
-from ambershift.archive.simulation.judging import Judge
-from ambershift.archive.simulation.operating import Books, Desk, Operator, Order
-from ambershift.archive.steps import MS, SECOND
-from ambershift.archive.testbed.histories import Hold
+from ambershift.system.messages.copies import Merge, Share
+from ambershift.system.simulation.callers import Streets
+from ambershift.system.simulation.house import House
+from ambershift.system.simulation.judging import Judge
+from ambershift.system.simulation.operating import Books, Desk, Operator, Order
+from ambershift.system.steps import MS, SECOND
+from ambershift.system.testbed.histories import Hold
 
 FAST = 1.009  # By 45 ms in the hold below, within the margin.
 HOLD = 5.0
--- a/ambershift/archive/simulation/scripts_voters.py
+++ b/ambershift/system/simulation/scripts_voters.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.consensus.register import Register
-from ambershift.archive.simulation.lists import Lists as World
-from ambershift.archive.steps import SECOND
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.register import Register
+from ambershift.system.simulation.lists import Lists as World
+from ambershift.system.steps import SECOND
 
 
 def accepted_alone(first: bool) -> list[str]:
--- a/ambershift/archive/simulation/shrinking.py
+++ b/ambershift/system/simulation/shrinking.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Collection
 
-from ambershift.archive.simulation.histories import Played, play
+from ambershift.system.simulation.histories import Played, play
 
 TRIES_MOST = 300
 Player = Callable[[int, float, Collection[str]], Played]
--- a/ambershift/archive/simulation/sockets.py
+++ b/ambershift/system/simulation/sockets.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.archive.simulation.loop import SimulatedLoop
+from ambershift.system.simulation.loop import SimulatedLoop
 
 
 @dataclass(eq=False)
--- a/ambershift/archive/simulation/troubles.py
+++ b/ambershift/system/simulation/troubles.py
@@ -8,8 +8,8 @@
 import random
 from collections.abc import Collection
 
-from ambershift.archive.simulation.world import Box, World
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.simulation.world import Box, World
+from ambershift.system.steps import MS, SECOND
 
 
 def whole(box: Box) -> bool:
--- a/ambershift/archive/simulation/variants.py
+++ b/ambershift/system/simulation/variants.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.archive.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
-from ambershift.archive.contracts import NotDoneError
-from ambershift.archive.control_api import application, applications, operator, pulse, watches, wire
-from ambershift.archive.coordination import cells, groups, locks
-from ambershift.archive.simulation import mistakes
 from ambershift.modelcheck.mutants.words import Mutant
+from ambershift.system.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
+from ambershift.system.contracts import NotDoneError
+from ambershift.system.control_api import application, applications, operator, pulse, watches, wire
+from ambershift.system.coordination import cells, groups, locks
+from ambershift.system.simulation import mistakes
 
 
 def _of(name: str, rule: str, sentence: str, owner: Any, target: str, change: Callable[[Any], Any]) -> Mutant:
--- a/ambershift/archive/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from ambershift.archive.consensus.outbox import News
-from ambershift.archive.consensus.replica import Replica
-from ambershift.archive.contracts import Shape
-from ambershift.archive.messages import codec
-from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.steps import MS, SECOND, Answer, Heard, Send, Tick, Wake, Write, Written
+from ambershift.system.consensus.outbox import News
+from ambershift.system.consensus.replica import Replica
+from ambershift.system.contracts import Shape
+from ambershift.system.messages import codec
+from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.steps import MS, SECOND, Answer, Heard, Send, Tick, Wake, Write, Written
 
 SEEDS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
--- a/ambershift/archive/testbed/__main__.py
+++ b/ambershift/system/testbed/__main__.py
@@ -12,19 +12,19 @@
 from collections.abc import Awaitable, Callable, Sequence
 from pathlib import Path
 
-from ambershift.archive.testbed.faults import Faults, plan
-from ambershift.archive.testbed.report import table
-from ambershift.archive.testbed.rig import NotMetError, Rig
-from ambershift.archive.testbed.settings import Site
+from ambershift.system.testbed.faults import Faults, plan
+from ambershift.system.testbed.report import table
+from ambershift.system.testbed.rig import NotMetError, Rig
+from ambershift.system.testbed.settings import Site
 
 UP_S, END_S, READ_S = 30.0, 8.0, 8.0
 
 
 def parser() -> argparse.ArgumentParser:
     made = argparse.ArgumentParser(
-        prog="python3 -m ambershift.archive.testbed",
+        prog="python3 -m ambershift.system.testbed",
         description="Run the whole system on this machine, with a loss in the middle, and judge it.",
-        epilog="example: python3 -m ambershift.archive.testbed --seconds 20 --lose archivist",
+        epilog="example: python3 -m ambershift.system.testbed --seconds 20 --lose archivist",
     )
     made.add_argument("--archivists", type=int, default=6, metavar="N")
     made.add_argument("--desks", type=int, default=6, metavar="N")
@@ -116,7 +116,7 @@
         heartbeat_ms=1500 if asked.hollow else 500,
     )
     if asked.hollow:
-        from ambershift.archive.testbed.hollow import measure
+        from ambershift.system.testbed.hollow import measure
 
         return await measure(site, asked, told)
     try:
--- a/ambershift/archive/testbed/answering.py
+++ b/ambershift/system/testbed/answering.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from ambershift.archive.testbed.speech import PIECE, reset, texts
+from ambershift.system.testbed.speech import PIECE, reset, texts
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/archive/testbed/backends.py
+++ b/ambershift/system/testbed/backends.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ambershift.archive.testbed.answering import Asked, Reply, Spoken
-from ambershift.archive.testbed.book import COLD_RATE, COLD_S
-from ambershift.archive.testbed.judge import Judge, digest_of, seal_of
-from ambershift.archive.testbed.speech import Answer, BrokenOffError, LateError, NotReachedError, once
+from ambershift.system.testbed.answering import Asked, Reply, Spoken
+from ambershift.system.testbed.book import COLD_RATE, COLD_S
+from ambershift.system.testbed.judge import Judge, digest_of, seal_of
+from ambershift.system.testbed.speech import Answer, BrokenOffError, LateError, NotReachedError, once
 
 SLOTS, QUEUE, IDLE_S = 4, 12, 6.0
 WORK_S, LONGEST = 0.06, 5  # Mean; the longest work in means.
--- a/ambershift/archive/testbed/book.py
+++ b/ambershift/system/testbed/book.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from ambershift.archive.testbed.settings import draw_name
+from ambershift.system.testbed.settings import draw_name
 
 ROUTE_COLUMNS = (
     "Name",
--- a/ambershift/archive/testbed/callers.py
+++ b/ambershift/system/testbed/callers.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ambershift.archive.testbed.histories import Given, Got, History, Hold, Put, group_of
-from ambershift.archive.testbed.speech import Answer, BrokenOffError, LateError, NotReachedError, once
+from ambershift.system.testbed.histories import Given, Got, History, Hold, Put, group_of
+from ambershift.system.testbed.speech import Answer, BrokenOffError, LateError, NotReachedError, once
 
 SILENCE_S, PATIENCE_S, AIM_S = 1.0, 5.0, 0.2
 LOCKS, NUMBERS, GROUPS, KEYS = 4, 3, 2, 4
--- a/ambershift/archive/testbed/clients.py
+++ b/ambershift/system/testbed/clients.py
@@ -8,9 +8,9 @@
 import time
 from collections.abc import Callable, Sequence
 
-from ambershift.archive.testbed.book import Route
-from ambershift.archive.testbed.judge import PROMISES, Judge, digest_of
-from ambershift.archive.testbed.speech import Answer, BrokenOffError, LateError, Line, NotReachedError, once
+from ambershift.system.testbed.book import Route
+from ambershift.system.testbed.judge import PROMISES, Judge, digest_of
+from ambershift.system.testbed.speech import Answer, BrokenOffError, LateError, Line, NotReachedError, once
 
 ASKED_MOST, ASKED_S, TRIES = 3, 1.0, 3
 NEVER_AGAIN = (400, 401, 404, 413, 431)
--- a/ambershift/archive/testbed/faults.py
+++ b/ambershift/system/testbed/faults.py
@@ -7,10 +7,10 @@
 import time
 from collections.abc import Awaitable, Callable
 
-from ambershift.archive.testbed.book import COLD_S, Route
-from ambershift.archive.testbed.processes import Child
-from ambershift.archive.testbed.rig import Rig, until
-from ambershift.archive.testbed.settings import ARCHIVIST, DESK
+from ambershift.system.testbed.book import COLD_S, Route
+from ambershift.system.testbed.processes import Child
+from ambershift.system.testbed.rig import Rig, until
+from ambershift.system.testbed.settings import ARCHIVIST, DESK
 
 BACK_S, CORE_BACK_S, READY_S = 2.5, 0.5, 20.0
 HEARS_S = 1.0  # A process that is just being started can't hear a signal yet.
--- a/ambershift/archive/testbed/hollow.py
+++ b/ambershift/system/testbed/hollow.py
@@ -15,15 +15,15 @@
 
 from websockets.exceptions import ConnectionClosed
 
-from ambershift.archive.messages import codec
-from ambershift.archive.messages.fronts import Core, Hello, Items, Mark, Met, Report, pool_of
-from ambershift.archive.node_selection.choice import Choice
-from ambershift.archive.testbed.processes import cost_of
-from ambershift.archive.testbed.rig import NotMetError, Rig, until
-from ambershift.archive.testbed.settings import ARCHIVIST, Site
-from ambershift.archive.transport.links import Links
-from ambershift.archive.transport.outbox import Outbox
-from ambershift.archive.transport.words import DESK, Caller
+from ambershift.system.messages import codec
+from ambershift.system.messages.fronts import Core, Hello, Items, Mark, Met, Report, pool_of
+from ambershift.system.node_selection.choice import Choice
+from ambershift.system.testbed.processes import cost_of
+from ambershift.system.testbed.rig import NotMetError, Rig, until
+from ambershift.system.testbed.settings import ARCHIVIST, Site
+from ambershift.system.transport.links import Links
+from ambershift.system.transport.outbox import Outbox
+from ambershift.system.transport.words import DESK, Caller
 
 REPORT_S, DIALS_AT_ONCE, SETTLE_S, UP_S = 1.0, 32, 6.0, 120.0
 CAME_MEAN = 20  # Requests a second that each hollow desk reports, spread over the pools.
--- a/ambershift/archive/testbed/judge.py
+++ b/ambershift/system/testbed/judge.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ambershift.archive.testbed.book import Route
+from ambershift.system.testbed.book import Route
 
 PROMISES = (408, 421, 429, 503)  # It has not run and never will.
 
--- a/ambershift/archive/testbed/operator.py
+++ b/ambershift/system/testbed/operator.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ambershift.archive.testbed.book import Book, Route, change, items_of
-from ambershift.archive.testbed.judge import Judge
-from ambershift.archive.testbed.speech import Answer, BrokenOffError, LateError, NotReachedError, once
+from ambershift.system.testbed.book import Book, Route, change, items_of
+from ambershift.system.testbed.judge import Judge
+from ambershift.system.testbed.speech import Answer, BrokenOffError, LateError, NotReachedError, once
 
 SILENCE_S, FOLLOWED_MOST = 1.0, 2
 FINAL = (400, 409, 412, 413, 422)
--- a/ambershift/archive/testbed/processes.py
+++ b/ambershift/system/testbed/processes.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from ambershift.archive.testbed.settings import ARCHIVIST, Machine, Site
+from ambershift.system.testbed.settings import ARCHIVIST, Machine, Site
 
 ROOT = Path(__file__).parent.parent.parent.parent
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -85,7 +85,7 @@
                 sys.executable,
                 "-B",
                 "-m",
-                "ambershift.archive",
+                "ambershift.system",
                 role,
                 "--settings",
                 str(path),
--- a/ambershift/archive/testbed/report.py
+++ b/ambershift/system/testbed/report.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-from ambershift.archive.testbed.rig import Rig
-from ambershift.archive.testbed.settings import ARCHIVIST, DESK
+from ambershift.system.testbed.rig import Rig
+from ambershift.system.testbed.settings import ARCHIVIST, DESK
 
 # What must be none, in the order of the table.
 PROMISES = (
--- a/ambershift/archive/testbed/rig.py
+++ b/ambershift/system/testbed/rig.py
@@ -10,16 +10,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.archive.testbed.backends import COLD_RATE, WORK_S, Backend
-from ambershift.archive.testbed.book import Book
-from ambershift.archive.testbed.callers import GROUPS, Caller
-from ambershift.archive.testbed.clients import Client
-from ambershift.archive.testbed.histories import History
-from ambershift.archive.testbed.judge import Judge
-from ambershift.archive.testbed.operator import Operator
-from ambershift.archive.testbed.processes import Child, end_all
-from ambershift.archive.testbed.settings import ARCHIVIST, DESK, Machine, Site
-from ambershift.archive.testbed.speech import BrokenOffError, LateError, NotReachedError, once
+from ambershift.system.testbed.backends import COLD_RATE, WORK_S, Backend
+from ambershift.system.testbed.book import Book
+from ambershift.system.testbed.callers import GROUPS, Caller
+from ambershift.system.testbed.clients import Client
+from ambershift.system.testbed.histories import History
+from ambershift.system.testbed.judge import Judge
+from ambershift.system.testbed.operator import Operator
+from ambershift.system.testbed.processes import Child, end_all
+from ambershift.system.testbed.settings import ARCHIVIST, DESK, Machine, Site
+from ambershift.system.testbed.speech import BrokenOffError, LateError, NotReachedError, once
 
 LOOK_S, STEP_S = 0.25, 0.02
 CLIENTS_A_ZONE = 3
--- a/ambershift/archive/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -19,11 +19,11 @@
 from websockets.exceptions import ConnectionClosed, InvalidHandshake, InvalidURI
 from websockets.http11 import Request, Response
 
-from ambershift.archive.messages import codec
-from ambershift.archive.transport.meter import Meter
-from ambershift.archive.transport.outbox import Outbox
-from ambershift.archive.transport.sockets import harden
-from ambershift.archive.transport.words import ARCHIVIST, Caller, PathError, caller_of, path_of
+from ambershift.system.messages import codec
+from ambershift.system.transport.meter import Meter
+from ambershift.system.transport.outbox import Outbox
+from ambershift.system.transport.sockets import harden
+from ambershift.system.transport.words import ARCHIVIST, Caller, PathError, caller_of, path_of
 
 YOUNG = 0.15  # Seconds; a dial that has not lasted for so long may well be about to succeed.
 DIAL_LIMIT, PAUSE_LEAST, PAUSE_MOST = 1.0, 0.1, 0.8  # Seconds.
--- a/ambershift/archive/transport/outbox.py
+++ b/ambershift/system/transport/outbox.py
@@ -10,7 +10,7 @@
 from websockets.asyncio.connection import Connection
 from websockets.exceptions import ConnectionClosed
 
-from ambershift.archive.messages import codec
+from ambershift.system.messages import codec
 
 WAITING_MOST = 24 << 20  # Bytes. Past this the peer doesn't read: the link begins anew.
 
--- a/ambershift/archive/transport/words.py
+++ b/ambershift/system/transport/words.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ambershift.archive.messages.codec import WIRE
+from ambershift.system.messages.codec import WIRE
 
 ARCHIVIST, DESK = "archivist", "desk"
 
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from ambershift.archive.distribution.controller import Controller
-from ambershift.archive.messages import codec
-from ambershift.archive.messages.fronts import Backends, Hello, Items, Mark
-from ambershift.archive.processes import archivist
-from ambershift.archive.steps import SECOND
+from ambershift.system.distribution.controller import Controller
+from ambershift.system.messages import codec
+from ambershift.system.messages.fronts import Backends, Hello, Items, Mark
+from ambershift.system.processes import archivist
+from ambershift.system.steps import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
 from benchmarks.capacity.registry import Scene, ended
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-from ambershift.archive.consensus.disk import Disk
-from ambershift.archive.consensus.outbox import News
-from ambershift.archive.consensus.replica import ChangeRegister, Event, Freshen, Put, Replica
-from ambershift.archive.contracts import Verdict
-from ambershift.archive.messages import codec, copies
-from ambershift.archive.messages.items import ROUTE
-from ambershift.archive.processes import archivist
-from ambershift.archive.steps import MS, SECOND, Answer, Heard, Send, Tick, Write, Written
+from ambershift.system.consensus.disk import Disk
+from ambershift.system.consensus.outbox import News
+from ambershift.system.consensus.replica import ChangeRegister, Event, Freshen, Put, Replica
+from ambershift.system.contracts import Verdict
+from ambershift.system.messages import codec, copies
+from ambershift.system.messages.items import ROUTE
+from ambershift.system.processes import archivist
+from ambershift.system.steps import MS, SECOND, Answer, Heard, Send, Tick, Write, Written
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
 from benchmarks.capacity.world import ARCHIVISTS, Size
--- a/benchmarks/capacity/dealer.py
+++ b/benchmarks/capacity/dealer.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from ambershift import interface as api
-from ambershift.archive.distribution.dealer import Dealer, Seat
-from ambershift.archive.distribution.pools import Pool
-from ambershift.archive.distribution.terms import terms_for, zones_of
-from ambershift.archive.messages import codec
-from ambershift.archive.messages.fronts import Bind, Met
-from ambershift.archive.steps import SECOND
+from ambershift.system.distribution.dealer import Dealer, Seat
+from ambershift.system.distribution.pools import Pool
+from ambershift.system.distribution.terms import terms_for, zones_of
+from ambershift.system.messages import codec
+from ambershift.system.messages.fronts import Bind, Met
+from ambershift.system.steps import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
 from benchmarks.capacity.world import ARCHIVISTS, Size
--- a/benchmarks/capacity/desk.py
+++ b/benchmarks/capacity/desk.py
@@ -6,10 +6,10 @@
 import time
 from functools import partial
 
-from ambershift.archive.messages import codec, fronts
-from ambershift.archive.processes import lender  # All that a desk's process imports counts in its memory.
-from ambershift.archive.proxy.desk import Desk
-from ambershift.archive.steps import SECOND
+from ambershift.system.messages import codec, fronts
+from ambershift.system.processes import lender  # All that a desk's process imports counts in its memory.
+from ambershift.system.proxy.desk import Desk
+from ambershift.system.steps import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros, peak_megabytes
 from benchmarks.capacity.world import Size
--- a/benchmarks/capacity/links.py
+++ b/benchmarks/capacity/links.py
@@ -10,11 +10,11 @@
 from collections import Counter
 from pathlib import Path
 
-from ambershift.archive.messages.fronts import pool_of
-from ambershift.archive.testbed.hollow import DIALS_AT_ONCE, HollowDesk
-from ambershift.archive.testbed.processes import cost_of
-from ambershift.archive.testbed.rig import Rig, until
-from ambershift.archive.testbed.settings import ARCHIVIST, Site
+from ambershift.system.messages.fronts import pool_of
+from ambershift.system.testbed.hollow import DIALS_AT_ONCE, HollowDesk
+from ambershift.system.testbed.processes import cost_of
+from ambershift.system.testbed.rig import Rig, until
+from ambershift.system.testbed.settings import ARCHIVIST, Site
 from benchmarks.capacity.meter import Found, cpu_of
 from benchmarks.capacity.world import SIZES, Size
 
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from ambershift.archive.messages import codec, copies, errands, fronts, rounds
-from ambershift.archive.messages.items import INSTANCE, Item
+from ambershift.system.messages import codec, copies, errands, fronts, rounds
+from ambershift.system.messages.items import INSTANCE, Item
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found
 from benchmarks.capacity.world import ARCHIVISTS, Size
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from ambershift.archive.distribution.controller import Controller
-from ambershift.archive.distribution.flows import Flows
-from ambershift.archive.messages import codec, rounds
-from ambershift.archive.messages.fronts import Report
-from ambershift.archive.processes import archivist  # All that an archivist's process imports counts.
-from ambershift.archive.registry.registry import Registry
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.distribution.controller import Controller
+from ambershift.system.distribution.flows import Flows
+from ambershift.system.messages import codec, rounds
+from ambershift.system.messages.fronts import Report
+from ambershift.system.processes import archivist  # All that an archivist's process imports counts.
+from ambershift.system.registry.registry import Registry
+from ambershift.system.steps import MS, SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
 from benchmarks.capacity.world import ARCHIVISTS, Held, Size
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Iterator
 
-from ambershift.archive.testbed.settings import free_ports
+from ambershift.system.testbed.settings import free_ports
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, cpu_of
 from benchmarks.capacity.world import SIZES, Size
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -9,11 +9,11 @@
 
 import uvloop
 
-from ambershift.archive.control_api.application import Enquiries
-from ambershift.archive.messages import fronts
-from ambershift.archive.processes.serving import listener, served
-from ambershift.archive.proxy.desk import Desk
-from ambershift.archive.registry.registry import Registry
+from ambershift.system.control_api.application import Enquiries
+from ambershift.system.messages import fronts
+from ambershift.system.processes.serving import listener, served
+from ambershift.system.proxy.desk import Desk
+from ambershift.system.registry.registry import Registry
 from benchmarks.capacity import world
 from benchmarks.capacity.registry import ended
 from benchmarks.capacity.world import SIZES, Size
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from ambershift.archive.messages import codec, fronts
-from ambershift.archive.messages.items import Item
-from ambershift.archive.proxy.routing import Routing
+from ambershift.system.messages import codec, fronts
+from ambershift.system.messages.items import Item
+from ambershift.system.proxy.routing import Routing
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
 from benchmarks.capacity.world import Size
 
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from ambershift.archive.configuration.orders import read_order
-from ambershift.archive.contracts import Change
-from ambershift.archive.messages import fronts, rounds
-from ambershift.archive.messages.items import Item, Key
-from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.testbed.book import Route, limits_part, routes_part, services_part
+from ambershift.system.configuration.orders import read_order
+from ambershift.system.contracts import Change
+from ambershift.system.messages import fronts, rounds
+from ambershift.system.messages.items import Item, Key
+from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.testbed.book import Route, limits_part, routes_part, services_part
 
 HEARTBEAT, ARCHIVISTS = 1.5, 6
 
--- a/benchmarks/archive_schedules.py
+++ b/benchmarks/simulated_schedules.py
@@ -1,4 +1,4 @@
-"""Simulated archivists in trouble: `python -m benchmarks.archive_schedules --seeds 1-1000 --jobs 1`.
+"""Simulated archivists in trouble: `python -m benchmarks.simulated_schedules --seeds 1-1000 --jobs 1`.
 
 One seed is one history. The first failure is shrunk to the fewest troubles that still fail; exit code 1 if
 there is one. With `--variant NAME` one place of the real classes is broken, with `--variant all` each in
@@ -14,11 +14,11 @@
 import sys
 import time
 
-from ambershift.archive.simulation.histories import Played, play
-from ambershift.archive.simulation.scripts import SCRIPTS
-from ambershift.archive.simulation.shrinking import shrink
-from ambershift.archive.simulation.variants import BY_NAME, VARIANTS
 from ambershift.modelcheck.mutants.words import broken
+from ambershift.system.simulation.histories import Played, play
+from ambershift.system.simulation.scripts import SCRIPTS
+from ambershift.system.simulation.shrinking import shrink
+from ambershift.system.simulation.variants import BY_NAME, VARIANTS
 
 CHUNK = 5
 COLLECTED = 100  # Worlds are full of cycles: collected seldom, all at once.
--- a/tests/circulated.py
+++ b/tests/circulated.py
@@ -12,11 +12,11 @@
 import msgspec
 import uvicorn
 
-from ambershift.archive.messages.fronts import Backend, Backends, Cores, Items
-from ambershift.archive.messages.items import ROUTE, SERVICE, Item
-from ambershift.archive.proxy.desk import Desk
-from ambershift.archive.proxy.reception import Reception
-from ambershift.archive.settings.local import Bounds, Local
+from ambershift.system.messages.fronts import Backend, Backends, Cores, Items
+from ambershift.system.messages.items import ROUTE, SERVICE, Item
+from ambershift.system.proxy.desk import Desk
+from ambershift.system.proxy.reception import Reception
+from ambershift.system.settings.local import Bounds, Local
 
 ZONES = {"north": "up", "hill": "up", "south": "down"}
 # A script gets the request's head in lower case, its body, and the writer; what it returns is sent.
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-from ambershift.archive.contracts import Change, NotDoneError, NotHeldError
-from ambershift.archive.control_api.application import Enquiries
-from ambershift.archive.control_api.owners import rank
-from ambershift.archive.messages.codec import decode, encode
-from ambershift.archive.messages.fronts import Core
-from ambershift.archive.messages.items import Item, Key, newest
-from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.steps import SECOND
+from ambershift.system.contracts import Change, NotDoneError, NotHeldError
+from ambershift.system.control_api.application import Enquiries
+from ambershift.system.control_api.owners import rank
+from ambershift.system.messages.codec import decode, encode
+from ambershift.system.messages.fronts import Core
+from ambershift.system.messages.items import Item, Key, newest
+from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.steps import SECOND
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 TRIP = 0.035  # Seconds, one way.
--- a/tests/archive_exchange.py
+++ b/tests/system_exchange.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from ambershift.archive.contracts import NotHeldError
-from ambershift.archive.distribution.controller import Controller
-from ambershift.archive.messages import codec, fronts
-from ambershift.archive.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by, newest
-from ambershift.archive.registry.registry import Registry
-from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.contracts import NotHeldError
+from ambershift.system.distribution.controller import Controller
+from ambershift.system.messages import codec, fronts
+from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by, newest
+from ambershift.system.registry.registry import Registry
+from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.steps import MS, SECOND
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 BEAT = 1500 * MS
--- a/tests/test_archive_clearing.py
+++ b/tests/test_system_clearing.py
@@ -7,18 +7,18 @@
 
 import msgspec
 import pytest
-from archive_exchange import SECOND, World
-
-from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.consensus.replica import Put, Replica
-from ambershift.archive.consensus.store import row_key
-from ambershift.archive.distribution.pushes import Pushes
-from ambershift.archive.messages.fronts import Backends
-from ambershift.archive.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
-from ambershift.archive.proxy.routing import Routing
-from ambershift.archive.registry import clearing, listing, machine
-from ambershift.archive.registry.clearing import EVERY, KEPT, PORTION, REFUSED, Clearing
-from ambershift.archive.simulation.world import World as Copies
+from system_exchange import SECOND, World
+
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.replica import Put, Replica
+from ambershift.system.consensus.store import row_key
+from ambershift.system.distribution.pushes import Pushes
+from ambershift.system.messages.fronts import Backends
+from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
+from ambershift.system.proxy.routing import Routing
+from ambershift.system.registry import clearing, listing, machine
+from ambershift.system.registry.clearing import EVERY, KEPT, PORTION, REFUSED, Clearing
+from ambershift.system.simulation.world import World as Copies
 
 MINUTE = 60 * SECOND
 
--- a/tests/test_archive_codec.py
+++ b/tests/test_system_codec.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ambershift.archive.messages import codec
-from ambershift.archive.messages.errands import Errand, Outcome
-from ambershift.archive.messages.fronts import Items, Mark
-from ambershift.archive.messages.items import ROUTE, Item
+from ambershift.system.messages import codec
+from ambershift.system.messages.errands import Errand, Outcome
+from ambershift.system.messages.fronts import Items, Mark
+from ambershift.system.messages.items import ROUTE, Item
 
 
 def routes(count: int) -> Items:
--- a/tests/test_archive_intake.py
+++ b/tests/test_system_configuration.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ambershift.archive.configuration.check import check_document
-from ambershift.archive.configuration.layout import rows, write_back
-from ambershift.archive.configuration.orders import read_order
-from ambershift.archive.messages.items import Item, Key, newest
+from ambershift.system.configuration.check import check_document
+from ambershift.system.configuration.layout import rows, write_back
+from ambershift.system.configuration.orders import read_order
+from ambershift.system.messages.items import Item, Key, newest
 
 ROUTE = {
     "Name": "r",
--- a/tests/test_archive_accession.py
+++ b/tests/test_system_consensus.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from ambershift.archive.consensus.outbox import Held
-from ambershift.archive.simulation import scripts_voters
-from ambershift.archive.simulation.histories import play_lists as play
-from ambershift.archive.simulation.lists import Lists as World
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.simulation import scripts_voters
+from ambershift.system.simulation.histories import play_lists as play
+from ambershift.system.simulation.lists import Lists as World
+from ambershift.system.steps import MS, SECOND
 
 
 @pytest.mark.parametrize("seed", range(24))
--- a/tests/test_archive_accession_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -14,14 +14,14 @@
 
 import pytest
 
-from ambershift.archive.consensus.disk import ASIDE, FILE, Disk, Rows
-from ambershift.archive.consensus.journal import Journal
-from ambershift.archive.consensus.ledger import Shelf
-from ambershift.archive.consensus.outbox import Outbox
-from ambershift.archive.contracts import Verdict
-from ambershift.archive.messages.items import Item
-from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.steps import SECOND, Write
+from ambershift.system.consensus.disk import ASIDE, FILE, Disk, Rows
+from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.ledger import Shelf
+from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.contracts import Verdict
+from ambershift.system.messages.items import Item
+from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.steps import SECOND, Write
 
 IP = "10.0.0.1"
 
--- a/tests/test_archive_enquiries_faults.py
+++ b/tests/test_system_control_api_faults.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from ambershift.archive.control_api.vigils import FRESH, Vigils
-from ambershift.archive.coordination.groups import Group, read_group
+from ambershift.system.control_api.vigils import FRESH, Vigils
+from ambershift.system.coordination.groups import Group, read_group
 from tests.enquiring import IPS, TRIP, World, order, play
 
 PUT = {"Value": "v", "AppliesTo": 0}
--- a/tests/test_archive_reading.py
+++ b/tests/test_system_coordination.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from ambershift.archive.contracts import Change
-from ambershift.archive.coordination import cells, locks, numbers
-from ambershift.archive.coordination.ages import Ages
-from ambershift.archive.coordination.groups import EVENTS_LEAST, group_of, read_group
-from ambershift.archive.coordination.shapes import SHAPE
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.contracts import Change
+from ambershift.system.coordination import cells, locks, numbers
+from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.groups import EVENTS_LEAST, group_of, read_group
+from ambershift.system.coordination.shapes import SHAPE
+from ambershift.system.steps import MS, SECOND
 
 MACHINES = st.sampled_from((0, 1))
 CALLERS = st.sampled_from(("a", "b"))
--- a/tests/test_system_days.py
+++ b/tests/test_system_days.py
@@ -20,11 +20,19 @@
     assert not zones or day.site != ANYWHERE, "zones are named otherwise at other sites"
 
 
-@pytest.mark.parametrize(("old", "new"), [
-    ('"release"', '"releases"'), ("plan", "faults"), ("at = 3", "at = 40"), ("floor", "flor"),
-    ("calm", "storm"), ("[[day]]", "[day]"), ('"calm"', '"calm'),
-    ("goal", 'closing = { kind = "wipe" }\ngoal'),
-])
+@pytest.mark.parametrize(
+    ("old", "new"),
+    [
+        ('"release"', '"releases"'),
+        ("plan", "faults"),
+        ("at = 3", "at = 40"),
+        ("floor", "flor"),
+        ("calm", "storm"),
+        ("[[day]]", "[day]"),
+        ('"calm"', '"calm'),
+        ("goal", 'closing = { kind = "wipe" }\ngoal'),
+    ],
+)
 def test_a_slip_is_told_before_it_is_played(tmp_path: Path, old: str, new: str) -> None:
     path = tmp_path / ANYWHERE / "calm.toml"
     path.parent.mkdir()
@@ -35,9 +43,14 @@
 
 
 def test_a_play_is_well_only_without_breaks_floors_and_faults() -> None:
-    whole = {"G": 0.81, "breaks": {}, "short": [], "fault": None,
-             "zones": [{"name": "a", "n": 5, "worth": 0.9}],
-             "classes": [{"name": "puts", "n": 3, "worth": 0.7}, {"name": "none", "n": 0, "worth": 0.0}]}
+    whole = {
+        "G": 0.81,
+        "breaks": {},
+        "short": [],
+        "fault": None,
+        "zones": [{"name": "a", "n": 5, "worth": 0.9}],
+        "classes": [{"name": "puts", "n": 3, "worth": 0.7}, {"name": "none", "n": 0, "worth": 0.0}],
+    }
     calm = judged("calm", "here", whole, "ab12")
     assert calm.well and calm.worst == "puts 0.70" and calm.worth == 0.81
     for key, value in (("breaks", {"LOST": 2}), ("short", ["floor"]), ("fault", "a program ended")):
--- a/tests/test_archive_shelving.py
+++ b/tests/test_system_distribution.py
@@ -8,15 +8,15 @@
 from typing import Any
 
 import msgspec
-from archive_exchange import MS, SECOND, ZONES, World
+from system_exchange import MS, SECOND, ZONES, World
 
 from ambershift import interface as api
-from ambershift.archive.distribution.dealer import Dealer, Seat
-from ambershift.archive.distribution.flows import Flows
-from ambershift.archive.distribution.pools import Pool
-from ambershift.archive.distribution.terms import terms_for
-from ambershift.archive.messages.fronts import Backends, Bind, Cores, Items, Line, Mark, Withdraw
-from ambershift.archive.messages.items import ROUTE, ZONE, Item
+from ambershift.system.distribution.dealer import Dealer, Seat
+from ambershift.system.distribution.flows import Flows
+from ambershift.system.distribution.pools import Pool
+from ambershift.system.distribution.terms import terms_for
+from ambershift.system.messages.fronts import Backends, Bind, Cores, Items, Line, Mark, Withdraw
+from ambershift.system.messages.items import ROUTE, ZONE, Item
 
 KEEPERS = {"a": "1", "b": "2", "c": "3"}
 Play = Callable[[World], Coroutine[Any, Any, None]]
--- a/tests/test_archive_events.py
+++ b/tests/test_system_events.py
@@ -5,9 +5,9 @@
 import re
 from pathlib import Path
 
-from ambershift.archive.consensus import journal, ledger, replica
-from ambershift.archive.control_api import events as enquiries
-from ambershift.archive.events import EVENTS
+from ambershift.system.consensus import journal, ledger, replica
+from ambershift.system.control_api import events as enquiries
+from ambershift.system.events import EVENTS
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -18,7 +18,7 @@
     assert told == EVENTS.keys()
     written = {
         int(number)
-        for file in (ROOT / "ambershift/archive").rglob("*.py")
+        for file in (ROOT / "ambershift/system").rglob("*.py")
         for number in re.findall(r"\blog\((\d+),", file.read_text())
     }
     assert written and written <= EVENTS.keys()
--- a/tests/test_archive_guards.py
+++ b/tests/test_system_guards.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from ambershift.archive.consensus.acceptor import EMPTY
-from ambershift.archive.consensus.outbox import Held, Outbox
-from ambershift.archive.consensus.proposer import Proposer
-from ambershift.archive.contracts import Verdict
-from ambershift.archive.control_api.handing import Handing
-from ambershift.archive.messages.copies import Accept, Agreed, Prepare, Promise
-from ambershift.archive.messages.errands import Outcome
-from ambershift.archive.steps import SECOND
+from ambershift.system.consensus.acceptor import EMPTY
+from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.proposer import Proposer
+from ambershift.system.contracts import Verdict
+from ambershift.system.control_api.handing import Handing
+from ambershift.system.messages.copies import Accept, Agreed, Prepare, Promise
+from ambershift.system.messages.errands import Outcome
+from ambershift.system.steps import SECOND
 from tests.enquiring import TRIP, World, order, play
 
 
--- a/tests/test_archive_homes.py
+++ b/tests/test_system_homes.py
@@ -4,15 +4,15 @@
 
 import asyncio
 
-from archive_exchange import World
 from circulated import route
-
-from ambershift.archive.distribution.flows import Flows
-from ambershift.archive.messages.fronts import tally_of, tally_parts
-from ambershift.archive.messages.items import ROUTE, Item
-from ambershift.archive.proxy.routing import Routing
-from ambershift.archive.registry.homes import LEAST, MOST, SEEN, Homes
-from ambershift.archive.steps import SECOND
+from system_exchange import World
+
+from ambershift.system.distribution.flows import Flows
+from ambershift.system.messages.fronts import tally_of, tally_parts
+from ambershift.system.messages.items import ROUTE, Item
+from ambershift.system.proxy.routing import Routing
+from ambershift.system.registry.homes import LEAST, MOST, SEEN, Homes
+from ambershift.system.steps import SECOND
 
 ALL, BOUND = tally_of("h.example", ()), tally_of("h.example", ("b", "a"))
 
--- a/tests/test_archive_limits.py
+++ b/tests/test_system_limits.py
@@ -7,12 +7,12 @@
 import pytest
 from circulated import PLAIN, Rig, answer, run
 
-from ambershift.archive.messages.fronts import Items
-from ambershift.archive.messages.items import LIMITS, Item
-from ambershift.archive.processes.serving import Served
-from ambershift.archive.proxy.limits import Limits, Waiting, read_limits
-from ambershift.archive.proxy.reception import _unread
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.messages.fronts import Items
+from ambershift.system.messages.items import LIMITS, Item
+from ambershift.system.processes.serving import Served
+from ambershift.system.proxy.limits import Limits, Waiting, read_limits
+from ambershift.system.proxy.reception import _unread
+from ambershift.system.steps import MS, SECOND
 
 HEAD = b"GET /read/a HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a1\r\nX-Deadline-Remaining: 1500\r\n"
 MOST = 400
--- a/tests/test_archive_meter.py
+++ b/tests/test_system_meter.py
@@ -5,10 +5,10 @@
 import asyncio
 import contextlib
 
-from ambershift.archive.messages import codec
-from ambershift.archive.messages.fronts import Items, Mark
-from ambershift.archive.transport.meter import TOLD_EACH, Meter, frame, reach
-from ambershift.archive.transport.outbox import Outbox
+from ambershift.system.messages import codec
+from ambershift.system.messages.fronts import Items, Mark
+from ambershift.system.transport.meter import TOLD_EACH, Meter, frame, reach
+from ambershift.system.transport.outbox import Outbox
 
 
 def test_frames_and_reach() -> None:
--- a/tests/test_archive_model.py
+++ b/tests/test_system_model.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from ambershift.archive.simulation.variants import BY_NAME
 from ambershift.modelcheck import trace
 from ambershift.modelcheck.explore import Options, explore
 from ambershift.modelcheck.mutants.words import broken
 from ambershift.modelcheck.registry import models
+from ambershift.system.simulation.variants import BY_NAME
 
 
 def test_no_two_steps_break_the_order_of_a_list() -> None:
--- a/tests/test_archive_processes.py
+++ b/tests/test_system_processes.py
@@ -10,15 +10,15 @@
 
 import pytest
 
-from ambershift.archive.testbed.book import Book, change, items_of
-from ambershift.archive.testbed.faults import Faults
-from ambershift.archive.testbed.histories import Given, Got, History, Hold, Put
-from ambershift.archive.testbed.judge import Judge, digest_of, seal_of
-from ambershift.archive.testbed.operator import differences
-from ambershift.archive.testbed.processes import Child
-from ambershift.archive.testbed.report import table
-from ambershift.archive.testbed.rig import Rig, until
-from ambershift.archive.testbed.settings import BOUNDS, DESK, Site
+from ambershift.system.testbed.book import Book, change, items_of
+from ambershift.system.testbed.faults import Faults
+from ambershift.system.testbed.histories import Given, Got, History, Hold, Put
+from ambershift.system.testbed.judge import Judge, digest_of, seal_of
+from ambershift.system.testbed.operator import differences
+from ambershift.system.testbed.processes import Child
+from ambershift.system.testbed.report import table
+from ambershift.system.testbed.rig import Rig, until
+from ambershift.system.testbed.settings import BOUNDS, DESK, Site
 
 pytestmark = pytest.mark.timeout(90)
 
--- a/tests/test_archive_roles.py
+++ b/tests/test_system_processes_unit.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from ambershift.archive.processes.archivist import Archivist
-from ambershift.archive.transport.words import ARCHIVIST, DESK, Caller
+from ambershift.system.processes.archivist import Archivist
+from ambershift.system.transport.words import ARCHIVIST, DESK, Caller
 
 PARTS = ("ledger", "registry", "controller", "enquiries")
 
--- a/tests/test_archive_circulation_attempt.py
+++ b/tests/test_system_proxy_attempt.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from ambershift.archive.proxy.attempt import Ending, Outcome, Stage, Told, Tries, outcome
-from ambershift.archive.proxy.budget import Budget
-from ambershift.archive.steps import MS, SECOND
 from ambershift.attempt.machine import Evidence
+from ambershift.system.proxy.attempt import Ending, Outcome, Stage, Told, Tries, outcome
+from ambershift.system.proxy.budget import Budget
+from ambershift.system.steps import MS, SECOND
 
 STATUSES = (200, 204, 302, 400, 404, 408, 421, 429, 500, 502, 503, 504, 700)
 
--- a/tests/test_archive_circulation_path.py
+++ b/tests/test_system_proxy_path.py
@@ -5,8 +5,8 @@
 import pytest
 from circulated import SERVICES, Rig, answer, backend, route, run
 
-from ambershift.archive.messages.fronts import Backends, Items
-from ambershift.archive.messages.items import INSTANCE, Item
+from ambershift.system.messages.fronts import Backends, Items
+from ambershift.system.messages.items import INSTANCE, Item
 
 
 async def good(head, body, writer):
--- a/tests/test_archive_circulation_pick.py
+++ b/tests/test_system_proxy_pick.py
@@ -5,13 +5,13 @@
 import pytest
 from circulated import PLAIN, SERVICES, ZONES, backend, route, settings
 
-from ambershift.archive.messages.fronts import Backends, Bind, Cores, Items, Line, Mark, Withdraw
-from ambershift.archive.messages.items import INSTANCE, ROUTE, ZONE, Item
-from ambershift.archive.proxy.cold import ColdGate
-from ambershift.archive.proxy.desk import Desk
-from ambershift.archive.proxy.lives import Life
-from ambershift.archive.proxy.routing import Routing
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.messages.fronts import Backends, Bind, Cores, Items, Line, Mark, Withdraw
+from ambershift.system.messages.items import INSTANCE, ROUTE, ZONE, Item
+from ambershift.system.proxy.cold import ColdGate
+from ambershift.system.proxy.desk import Desk
+from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.routing import Routing
+from ambershift.system.steps import MS, SECOND
 
 PLACES = ("north", "north", "north", "hill", "hill", "south", "south", "south")
 
--- a/tests/test_archive_recall.py
+++ b/tests/test_system_recall.py
@@ -16,25 +16,25 @@
 import circulated
 import msgspec
 import pytest
-from archive_exchange import SECOND, ZONES, Node, World
-
-from ambershift.archive.consensus import sidefile
-from ambershift.archive.consensus.replica import Freshen, Reached, Replica
-from ambershift.archive.consensus.sidefile import SideFile
-from ambershift.archive.messages.copies import Ask, Knock
-from ambershift.archive.messages.fronts import Backend, Backends, Items
-from ambershift.archive.messages.items import INSTANCE, Item
-from ambershift.archive.processes import lender as roles_lender
-from ambershift.archive.processes.lender import Lender, let_go
-from ambershift.archive.proxy import awaited, handling
-from ambershift.archive.proxy.roster import Roster
-from ambershift.archive.registry.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
-from ambershift.archive.registry.records import Life
-from ambershift.archive.registry.registry import UNSURE_DESKS
-from ambershift.archive.settings.local import Bounds, Local
-from ambershift.archive.steps import MS, Send, Written
-from ambershift.archive.transport import links
-from ambershift.archive.transport.words import ARCHIVIST, Caller
+from system_exchange import SECOND, ZONES, Node, World
+
+from ambershift.system.consensus import sidefile
+from ambershift.system.consensus.replica import Freshen, Reached, Replica
+from ambershift.system.consensus.sidefile import SideFile
+from ambershift.system.messages.copies import Ask, Knock
+from ambershift.system.messages.fronts import Backend, Backends, Items
+from ambershift.system.messages.items import INSTANCE, Item
+from ambershift.system.processes import lender as roles_lender
+from ambershift.system.processes.lender import Lender, let_go
+from ambershift.system.proxy import awaited, handling
+from ambershift.system.proxy.roster import Roster
+from ambershift.system.registry.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
+from ambershift.system.registry.records import Life
+from ambershift.system.registry.registry import UNSURE_DESKS
+from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.steps import MS, Send, Written
+from ambershift.system.transport import links
+from ambershift.system.transport.words import ARCHIVIST, Caller
 
 NOW = 1000 * SECOND
 ONE = Life("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * SECOND)
--- a/tests/test_archive_stacks.py
+++ b/tests/test_system_registry.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 import pytest
-from archive_exchange import SECOND, World
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
+from system_exchange import SECOND, World
 
-from ambershift.archive.messages.fronts import Items
+from ambershift.system.messages.fronts import Items
 
 Play = Callable[[World], Coroutine[Any, Any, None]]
 
--- a/tests/test_archive_settings.py
+++ b/tests/test_system_settings.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from ambershift.archive.__main__ import main
-from ambershift.archive.processes.rereading import Watched
-from ambershift.archive.settings.local import SettingsError, read_local
-from ambershift.archive.testbed.settings import ARCHIVIST, DESK, Machine, Site, toml
+from ambershift.system.__main__ import main
+from ambershift.system.processes.rereading import Watched
+from ambershift.system.settings.local import SettingsError, read_local
+from ambershift.system.testbed.settings import ARCHIVIST, DESK, Machine, Site, toml
 
 
 @pytest.fixture
--- a/tests/test_archive_drill.py
+++ b/tests/test_system_simulation.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from ambershift.archive.simulation.histories import Played, play, play_house
-from ambershift.archive.simulation.judging import Judge, Told
-from ambershift.archive.simulation.operating import Books, Change, Order, Sight
-from ambershift.archive.simulation.shrinking import fewest
-from ambershift.archive.simulation.variants import BY_NAME
-from ambershift.archive.testbed.histories import Got, Put
 from ambershift.modelcheck.mutants.words import broken
+from ambershift.system.simulation.histories import Played, play, play_house
+from ambershift.system.simulation.judging import Judge, Told
+from ambershift.system.simulation.operating import Books, Change, Order, Sight
+from ambershift.system.simulation.shrinking import fewest
+from ambershift.system.simulation.variants import BY_NAME
+from ambershift.system.testbed.histories import Got, Put
 
 KEY = ("route", "r")
 
--- a/tests/test_archive_drill_scripts.py
+++ b/tests/test_system_simulation_scripts.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from ambershift.archive.simulation.scripts import SCRIPTS
-from ambershift.archive.simulation.scripts_house import late_order
-from ambershift.archive.simulation.variants import BY_NAME
 from ambershift.modelcheck.mutants.words import broken
+from ambershift.system.simulation.scripts import SCRIPTS
+from ambershift.system.simulation.scripts_house import late_order
+from ambershift.system.simulation.variants import BY_NAME
 
 
 @pytest.mark.parametrize("variant", SCRIPTS)
--- a/tests/test_archive_strain.py
+++ b/tests/test_system_strain.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ambershift.archive.distribution.strain import LEAST, MOST, Strain
-from ambershift.archive.steps import MS, SECOND
+from ambershift.system.distribution.strain import LEAST, MOST, Strain
+from ambershift.system.steps import MS, SECOND
 
 
 def strained(rate: int, slots: int = 72) -> float:
--- a/tests/test_archive_links.py
+++ b/tests/test_system_transport.py
@@ -12,15 +12,15 @@
 from websockets.asyncio.client import connect
 from websockets.exceptions import InvalidStatus
 
-from ambershift.archive.messages.fronts import Core, Hello, Mark
-from ambershift.archive.node_selection.choice import APART, NEARER, PENALTY, SILENT, Choice
-from ambershift.archive.steps import SECOND
-from ambershift.archive.testbed.rig import until
-from ambershift.archive.testbed.settings import free_ports
-from ambershift.archive.transport import outbox as outboxes
-from ambershift.archive.transport.links import Links, receive
-from ambershift.archive.transport.outbox import Outbox
-from ambershift.archive.transport.words import ARCHIVIST, DESK, Caller, PathError, caller_of, path_of
+from ambershift.system.messages.fronts import Core, Hello, Mark
+from ambershift.system.node_selection.choice import APART, NEARER, PENALTY, SILENT, Choice
+from ambershift.system.steps import SECOND
+from ambershift.system.testbed.rig import until
+from ambershift.system.testbed.settings import free_ports
+from ambershift.system.transport import outbox as outboxes
+from ambershift.system.transport.links import Links, receive
+from ambershift.system.transport.outbox import Outbox
+from ambershift.system.transport.words import ARCHIVIST, DESK, Caller, PathError, caller_of, path_of
 
 pytestmark = pytest.mark.timeout(30)
 BLOCKS = itertools.count(os.getpid() % 200 * 200)
--- a/tests/test_archive_watches.py
+++ b/tests/test_system_watches.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ambershift.archive.coordination.ages import Ages
-from ambershift.archive.coordination.calls import read_call
+from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.calls import read_call
 from tests.enquiring import World, order, play
 
 
