--- a/Makefile
+++ b/Makefile
@@ -25,6 +25,7 @@
 
 lint: dev
 	$(PYTHON) -m ruff check ambershift tests benchmarks
+	$(PYTHON) -m ruff format --check ambershift/system tests/test_system_*.py tests/system_exchange.py tests/circulated.py tests/enquiring.py
 	$(PYTHON) -m mypy
 
 run: build
--- a/ambershift/modelcheck/models/accession.py
+++ b/ambershift/modelcheck/models/consensus.py
@@ -1,6 +1,6 @@
-"""Three archivists, one list, few calls; disks lost, processes killed, and voters that change.
+"""Three control nodes, one list, few calls; disks lost, processes killed, and voters that change.
 
-Driven: `archive/accession/`, all of it but beats and words of third ones. One step is one call, change or
+Driven: `system/consensus/`, all of it but beats and words of third ones. One step is one call, change or
 start with all that follows, among those who hear each other then; what doesn't get through is lost, and
 then so much time passes that nobody waits for it. What comes late is left to the drills.
 """
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ambershift.modelcheck.model import Base, Property, Step
-from ambershift.modelcheck.models.accession_table import ALL, IPS, PLACES, Table, Ways, World
+from ambershift.modelcheck.models.consensus_table import ALL, IPS, PLACES, Table, Ways, World
 from ambershift.system.steps import Heard, Tick
 
 
@@ -21,9 +21,9 @@
     return Property(name, sentence, check)
 
 
-class AccessionModel(Base):
-    name = "accession"
-    sentence = "three archivists and a list: calls, kills, a lost disk, voters that change"
+class ConsensusModel(Base):
+    name = "consensus"
+    sentence = "three control nodes and a list: calls, kills, a lost disk, voters that change"
     kind = World
     properties = (
         broken("one-order", "Each list told begins with the one told before it."),
@@ -135,15 +135,15 @@
         return [*told, f"told: {world.told}; refused: {world.refused}"]
 
 
-class AccessionKills(AccessionModel):
-    name = "accession-kills"
-    sentence = "three archivists and a list: calls and kills, the voters stay"
+class ConsensusKills(ConsensusModel):
+    name = "consensus-kills"
+    sentence = "three control nodes and a list: calls and kills, the voters stay"
     appends, calls, restarts, wipes, changes = 3, 1, 1, 0, 0
 
 
-class AccessionLarge(AccessionModel):
-    name = "accession-large"
-    sentence = "three archivists and a list: more calls, two disks lost one after the other"
+class ConsensusLarge(ConsensusModel):
+    name = "consensus-large"
+    sentence = "three control nodes and a list: more calls, two disks lost one after the other"
     appends, calls, restarts, wipes, changes = 3, 3, 1, 2, 2
 
 
--- a/ambershift/modelcheck/models/accession_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -1,4 +1,4 @@
-"""Archivists' replicas thawed for one step of a small world: who hears whom, their disks, what is told."""
+"""Control nodes' replicas thawed for one step of a small world: who hears whom, their disks, what is told."""
 
 from __future__ import annotations
 
--- a/ambershift/modelcheck/registry.py
+++ b/ambershift/modelcheck/registry.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from ambershift.modelcheck.model import Model
-from ambershift.modelcheck.models.accession import AccessionKills, AccessionLarge, AccessionModel
 from ambershift.modelcheck.models.admin import AdminModel
 from ambershift.modelcheck.models.attempt import (
     AttemptApart,
@@ -13,6 +12,7 @@
     AttemptSmall,
 )
 from ambershift.modelcheck.models.collector import CollectorModel
+from ambershift.modelcheck.models.consensus import ConsensusKills, ConsensusLarge, ConsensusModel
 from ambershift.modelcheck.models.news import NewsLarge, NewsModel, NewsSmall
 from ambershift.modelcheck.models.permits import PermitsLarge, PermitsModel, PermitsSmall
 from ambershift.modelcheck.models.policy import PolicyModel
@@ -29,7 +29,7 @@
 # Those that are not checked where none is named: for a machine with time, or parts of others.
 BESIDES = {
     "permits-small", "permits-large", "replication-small", "replication-late", "replication-large",
-    "news-small", "accession", "accession-kills", "accession-large",
+    "news-small", "consensus", "consensus-kills", "consensus-large",
     "attempt-one-table", "row-large", "news-large", "attempt-apart", "attempt-large",
 }
 
@@ -58,9 +58,9 @@
         AttemptOneTable(),
         AttemptApart(),
         AttemptLarge(),
-        AccessionModel(),
-        AccessionKills(),
-        AccessionLarge(),
+        ConsensusModel(),
+        ConsensusKills(),
+        ConsensusLarge(),
     ]
     return {one.name: one for one in made}
 
--- a/ambershift/system/__main__.py
+++ b/ambershift/system/__main__.py
@@ -18,12 +18,12 @@
     made = argparse.ArgumentParser(
         prog="python3 -m ambershift.system",
         description="A global load balancer: its two programs and its checks.",
-        epilog=f"example: {VARIABLE}=/etc/ambershift/local.toml python3 -m ambershift.system lender",
+        epilog=f"example: {VARIABLE}=/etc/ambershift/local.toml python3 -m ambershift.system proxy",
     )
     verbs = made.add_subparsers(dest="verb", required=True, metavar="VERB")
     for verb, text in (
-        ("lender", "carry traffic: take requests, pick backends, answer"),
-        ("archivist", "hold what all must know, and decide the tables"),
+        ("proxy", "carry traffic: take requests, pick backends, answer"),
+        ("control", "hold what all must know, and decide the tables"),
     ):
         one = verbs.add_parser(verb, help=text, description=text)
         one.add_argument(
@@ -48,10 +48,10 @@
     for name in UNUSED:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
     role: Callable[[Local], Coroutine[Any, Any, None]]
-    if verb == "lender":
-        from ambershift.system.processes.lender import run as role
+    if verb == "proxy":
+        from ambershift.system.processes.proxy import run as role
     else:
-        from ambershift.system.processes.archivist import run as role
+        from ambershift.system.processes.control_node import run as role
     import uvloop
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/ambershift/system/consensus/__init__.py
+++ b/ambershift/system/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Items and registers, held by all archivists: versions, copies, who votes, repair, disk."""
+"""Items and registers, held by all control nodes: versions, copies, who votes, repair, disk."""
--- a/ambershift/system/consensus/disk.py
+++ b/ambershift/system/consensus/disk.py
@@ -1,4 +1,4 @@
-"""The folder of an archivist: one sqlite3 file, written by one thread, a transaction a write, synced.
+"""The folder of a control node: one sqlite3 file, written by one thread, a transaction a write, synced.
 
 A folder that can't be used (another machine's, a newer program's, unreadable) is set aside by renaming.
 """
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -1,4 +1,4 @@
-"""An archivist's copy of what all must know: the small machines of this package wired into one (no I/O).
+"""A control node's copy of what all must know: the small machines of this package wired into one (no I/O).
 
 Events are those of `steps` and the calls below; effects those of `steps` and `News`. Outcomes of calls are
 `Held(result)` or an error of `contracts`.
--- a/ambershift/system/contracts.py
+++ b/ambershift/system/contracts.py
@@ -1,4 +1,4 @@
-"""What the parts of an archivist offer each other. Implementations stand in the packages named."""
+"""What the parts of a control node offer each other. Implementations stand in the packages named."""
 
 from __future__ import annotations
 
@@ -69,13 +69,13 @@
         Raises `NotHeldError` (it may hold) or `NotDoneError` (it never will)."""
 
     def cores(self) -> Sequence[Core]:
-        """All archivists known and not known to be gone for good, this one too."""
+        """All control nodes known and not known to be gone for good, this one too."""
 
     def in_touch(self) -> bool:
         """Whether enough of the others were heard within the last second and a half."""
 
     def alive(self, ip: str) -> bool:
-        """Whether that archivist was heard lately (always for this one)."""
+        """Whether that control node was heard lately (always for this one)."""
 
     def settled(self) -> frozenset[str]:
         """The voters that have been well for a while, so that all agree on them; none where most are not."""
--- a/ambershift/system/control_api/__init__.py
+++ b/ambershift/system/control_api/__init__.py
@@ -1,1 +1,1 @@
-"""What operators, backends, applications and those that seek a desk ask of an archivist by HTTP."""
+"""What operators, backends, applications and those that seek a desk ask of a control node by HTTP."""
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -1,4 +1,4 @@
-"""The HTTP side of an archivist: one ASGI application for operators, backends, applications and clients."""
+"""The HTTP side of a control node: one ASGI application for operators, backends, applications and clients."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Enquiries:
-    """`steady` is the steady clock in ns. `send` brings a message to an archivist's ip, or loses it. The
+    """`steady` is the steady clock in ns. `send` brings a message to a control node's ip, or loses it. The
     shell calls `tick` many times a second, and hands `hear` what comes for it. Errands are numbered from
     `begin`, which no other life of this machine may ever come upon: by chance, if none is given."""
 
@@ -76,7 +76,7 @@
         self._watches.close()
 
     def hear(self, sender: str, message: msgspec.Struct) -> None:
-        """A message of `slips.errands` from another archivist."""
+        """A message of `slips.errands` from another control node."""
         if isinstance(message, Errand):
             bearer = self._watches if message.name == WATCH else self._applications
             self._spawn(bearer.carry_out(sender, message))
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -1,4 +1,4 @@
-"""The controller's shell: looks after the desks linked to this archivist, with tables, list and items."""
+"""The controller's shell: looks after the desks linked to this control node, with tables, list and items."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
                 if dealer := self.floor.dealers.get(pool):
                     dealer.applied(one, name, now - sent)
 
-    # Other archivists: the registry keeps all that they tell.
+    # Other control nodes: the registry keeps all that they tell.
     def hear_core(self, ip: str, message: msgspec.Struct) -> None:
         pass
 
@@ -144,7 +144,7 @@
         self.withdrawn.difference_update(gone)
 
     def _list(self) -> Backends:
-        """The list in one message. Hundreds link at once where an archivist was lost: all get the same."""
+        """The list in one message. Hundreds link at once where a control node was lost: all get the same."""
         now = self.steady()
         if self.list is None or self.list.whole != self.settled or now > self.list_at + LIST_FOR:
             lives = self._backends(self.registry.lives().values())
--- a/ambershift/system/distribution/dealer.py
+++ b/ambershift/system/distribution/dealer.py
@@ -45,7 +45,7 @@
 
 @functools.lru_cache(1 << 16)
 def index_of(name: str) -> int:
-    """A number for a name that is the same at all archivists, so that all deal in one order."""
+    """A number for a name that is the same at all control nodes, so that all deal in one order."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=7).digest(), "big")
 
 
--- a/ambershift/system/distribution/floor.py
+++ b/ambershift/system/distribution/floor.py
@@ -1,4 +1,4 @@
-"""All pools of this archivist: what list, routes, desks and reports mean for each pool's dealer.
+"""All pools of this control node: what list, routes, desks and reports mean for each pool's dealer.
 
 A backend is seated in each pool that its service and region fit. While it is cold or its zone is evacuated it
 has weight 0 there: out of all tables, but not withdrawn, since desks know both and judge by themselves.
@@ -107,7 +107,7 @@
                 dealer.meet(zone, met)
 
     def feed(self, now: int, flows: Mapping[tuple[str, str, str], int]) -> None:
-        """What others tell of their traffic (requests per 100 s by archivist, zone, pool) is usage there."""
+        """What others tell of their traffic (requests per 100 s by node, zone, pool) is usage there."""
         span, self.fed_at = min(now - self.fed_at, 2 * FED_EACH), now
         counts = defaultdict[tuple[str, str], list[str]](list)
         for name, (zone, keeper, _) in self.desks.items():
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -1,4 +1,4 @@
-"""What desks are told of items, backends and archivists: all on a Hello, then what is newer."""
+"""What desks are told of items, backends and control nodes: all on a Hello, then what is newer."""
 
 from __future__ import annotations
 
--- a/ambershift/system/distribution/terms.py
+++ b/ambershift/system/distribution/terms.py
@@ -17,7 +17,7 @@
 
 
 def zones_of(zones: Mapping[str, str]) -> tuple[str, ...]:
-    """Zones in the order that all archivists number them by."""
+    """Zones in the order that all control nodes number them by."""
     return tuple(sorted(zones))
 
 
@@ -57,7 +57,7 @@
         in_hand=SECOND,
         lease=SECOND,
         strikes=5,
-        # Of a zone one part only: another archivist would part the same proxies another way.
+        # Of a zone one part only: another control node would part the same proxies another way.
         proxies=1.0,
         worth_least=WORTH_LEAST,
         overload_limit=OVERLOAD_LIMIT,
--- a/ambershift/system/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -1,6 +1,6 @@
 """Codes messages for a link: msgpack by msgspec, each a tagged array; long ones deflated.
 
-Items are JSON with the same names in each, and whole lists of them go to every desk and archivist: deflated
+Items are JSON with the same names in each, and whole lists of them go to every desk and node: deflated
 they take a fifth of that. Short messages are most, and win nothing, but for errands: their JSON repeats what
 both ends know, and they are a third of the bytes between regions on a quiet day.
 """
--- a/ambershift/system/messages/copies.py
+++ b/ambershift/system/messages/copies.py
@@ -1,4 +1,4 @@
-"""What archivists tell each other of items, registers, voters and themselves. Owned by `consensus/`.
+"""What control nodes tell each other of items, registers, voters and themselves. Owned by `consensus/`.
 
 Fields that each message carries come first and are small numbers, as bytes between regions are dear. `epoch`
 is that of the voters whose counting the message belongs to, `number` the sender's round; answers repeat both.
@@ -33,7 +33,7 @@
 
 
 class Machine(msgspec.Struct, frozen=True, array_like=True):
-    """An archivist of itself. `version` rises when it finds another word of itself among others.
+    """A control node of itself. `version` rises when it finds another word of itself among others.
 
     `initial` until it has voted: it belongs to the first set and is taken in without replacing another.
     """
--- a/ambershift/system/messages/errands.py
+++ b/ambershift/system/messages/errands.py
@@ -1,4 +1,4 @@
-"""Calls that one archivist hands to another, and the outcome. Owned by `control_api/`."""
+"""Calls that one control node hands to another, and the outcome. Owned by `control_api/`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Errand(msgspec.Struct, frozen=True, array_like=True, tag="eo"):
-    """A call of an application, for the archivist that proposes for the register it is about.
+    """A call of an application, for the control node that proposes for the register it is about.
 
     `number` is the sender's own, and with the sender names this call among all that ever were. `name` is
     the protocol's, `of` the id, `body` JSON. `left` is in ms.
--- a/ambershift/system/messages/fronts.py
+++ b/ambershift/system/messages/fronts.py
@@ -1,4 +1,4 @@
-"""What a desk (a program that carries traffic) and the archivist that looks after it tell each other."""
+"""What a desk (a program that carries traffic) and the control node that looks after it tell each other."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="fh"):
-    """Desk to archivist, first on each link. `life` is random at each start of the process.
+    """Desk to control node, first on each link. `life` is random at each start of the process.
 
     `ready` says that the desk has merged all and serves; `leaving` that it is about to end.
     `address` is where clients reach it. Sent again whenever `ready` or `leaving` has changed.
@@ -31,7 +31,7 @@
 
 
 class Cores(msgspec.Struct, frozen=True, array_like=True, tag="fc"):
-    """Archivist to desk: who serves control, and whether this one reaches enough of the others.
+    """Control node to desk: who serves control, and whether this one reaches enough of the others.
 
     Also the sign of life: sent every half second. `desks` is how many desks there may be at the most.
     """
@@ -42,7 +42,7 @@
 
 
 class Items(msgspec.Struct, frozen=True, array_like=True, tag="fi"):
-    """Archivist to desk: items, merged by the desk one by one. `complete` with the last of all that a
+    """Control node to desk: items, merged by the desk one by one. `complete` with the last of all that a
     majority held after the desk's Hello: from then on the desk knows whatever was acknowledged before."""
 
     items: tuple[Item, ...]
@@ -52,7 +52,7 @@
 class Backend(msgspec.Struct, frozen=True, array_like=True):
     """One life of a backend. `cold` is how many ms it is still cold, counted from the arrival of this.
 
-    `unsure`: of the archivist's disk, not heard since its start. Whoever knows the life knows better."""
+    `unsure`: of the control node's disk, not heard since its start. Whoever knows the life knows better."""
 
     id: str
     service: str
@@ -65,7 +65,7 @@
 
 
 class Backends(msgspec.Struct, frozen=True, array_like=True, tag="fb"):
-    """Archivist to desk: lives that are new or changed, and ids of those that are gone.
+    """Control node to desk: lives that are new or changed, and ids of those that are gone.
 
     `whole` where what is not named is gone too (the first of a link).
     """
@@ -76,7 +76,7 @@
 
 
 class Line(msgspec.Struct, frozen=True, array_like=True, tag="fl"):
-    """Archivist to desk: one line of a table; weight 0 takes it out."""
+    """Control node to desk: one line of a table; weight 0 takes it out."""
 
     pool: str
     table: int
@@ -85,7 +85,7 @@
 
 
 class Bind(msgspec.Struct, frozen=True, array_like=True, tag="fd"):
-    """Archivist to desk: use this table for the pool from now on; `lines` are all of it."""
+    """Control node to desk: use this table for the pool from now on; `lines` are all of it."""
 
     pool: str
     table: int
@@ -93,14 +93,14 @@
 
 
 class Withdraw(msgspec.Struct, frozen=True, array_like=True, tag="fw"):
-    """Archivist to desk: nothing more to this backend, whatever table has it (or let it in again)."""
+    """Control node to desk: nothing more to this backend, whatever table has it (or let it in again)."""
 
     id: str
     out: bool
 
 
 class Mark(msgspec.Struct, frozen=True, array_like=True, tag="fm"):
-    """Archivist to desk, and back: all that was sent on this link before has been taken in."""
+    """Control node to desk, and back: all that was sent on this link before has been taken in."""
 
     mark: int
 
@@ -115,7 +115,7 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="fr"):
-    """Desk to archivist, once a second: what came for each pool over the last `span` ms, and what was met."""
+    """Desk to node, once a second: what came for each pool over the last `span` ms, and what was met."""
 
     span: int
     came: dict[str, int]
@@ -123,7 +123,7 @@
 
 
 ToDesk = Cores | Items | Backends | Line | Bind | Withdraw | Mark
-ToArchivist = Hello | Report | Mark
+ToControlNode = Hello | Report | Mark
 
 
 def pool_of(service: str, homes: tuple[str, ...]) -> str:
--- a/ambershift/system/messages/rounds.py
+++ b/ambershift/system/messages/rounds.py
@@ -1,6 +1,6 @@
-"""What archivists tell each other of backends, desks and shares. Owned by `registry/` and `distribution/`.
+"""What control nodes tell each other of backends, desks and shares. Owned by `registry/` and `distribution/`.
 
-Each archivist tells what it hears itself, as a set of records with an edition that rises with each batch
+Each control node tells what it hears itself, as a set of records with an edition that rises with each batch
 of changes. Times are spans in ms, counted from the sending: steady clocks of two machines have no relation.
 """
 
--- a/ambershift/system/node_selection/choice.py
+++ b/ambershift/system/node_selection/choice.py
@@ -1,4 +1,4 @@
-"""Decides, without I/O, which archivist a desk dials and when it leaves one."""
+"""Decides, without I/O, which control node a desk dials and when it leaves one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 SILENT = 1600 * MS  # A sign of life comes each half second.
 APART = 1200 * MS  # How long one may be out of touch with the others before it is left.
 PENALTY = 4 * SECOND  # How long one that failed us is tried after all others.
-NEARER = 5 * SECOND  # How long a link must have stood well before a nearer archivist is tried.
+NEARER = 5 * SECOND  # How long a link must have stood well before a nearer control node is tried.
 
 
 def weight(name: str, ip: str) -> bytes:
@@ -34,7 +34,7 @@
     apart: int | None = None
 
     def candidates(self, now: int) -> list[str]:
-        """All archivists known, the one to try first in front."""
+        """All control nodes known, the one to try first in front."""
         known = {core.ip: (core.zone != self.zone) + (core.region != self.region) for core in self.cores}
         for ip in self.seeds:
             known.setdefault(ip, 3)
--- a/ambershift/system/processes/archivist.py
+++ b/ambershift/system/processes/control_node.py
@@ -1,4 +1,4 @@
-"""The archivist: items, registers, backends, desks and tables, on its sockets and its disk."""
+"""The control node: items, registers, backends, desks and tables, on its sockets and its disk."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.meter import Meter, Place
-from ambershift.system.transport.words import ARCHIVIST, DESK, Caller
+from ambershift.system.transport.words import CONTROL_NODE, DESK, Caller
 
 LIST = "backends.list"  # The file beside the store that the list is recalled from.
 BEAT_S, IDLE_S, FINISH_S = 0.05, 120, 1.0
 
 
-class Archivist:
+class ControlNode:
     def __init__(self, settings: Local) -> None:
         self.settings = settings
         steady = time.monotonic_ns
         self.log = Journal(settings.name, steady)
-        me = Caller(ARCHIVIST, settings.ip, secrets.token_hex(4))
+        me = Caller(CONTROL_NODE, settings.ip, secrets.token_hex(4))
         self.meter = Meter((settings.zone, settings.region), self.place)
         self.links = Links(
             me, settings.internal[0], self.hear, self.linked, self.lost, self.log, self.meter, self.reached
@@ -55,7 +55,7 @@
         self.links.reply(DESK, name, message)
 
     def place(self, peer: str) -> Place | None:
-        """Where an archivist (by its ip) or a desk linked here (by its name) is."""
+        """Where a control node (by its ip) or a desk linked here (by its name) is."""
         if hello := self.controller.hellos.get(peer):
             return hello.zone, self.settings.zones.get(hello.zone, "")
         return next(((core.zone, core.region) for core in self.ledger.cores() if core.ip == peer), None)
@@ -64,7 +64,7 @@
         hear_signals(self.ended.set, self.reread)
         listen = self.settings.listen
         sockets = listeners([listen[key] for key in ("Control", "Directory") if key in listen])
-        self.log(1, {"role": "archivist", "zone": self.settings.zone, "initial": self.settings.initial})
+        self.log(1, {"role": "control", "zone": self.settings.zone, "initial": self.settings.initial})
         await self.ledger.start()
         self.registry.recall(await asyncio.to_thread(self.side.read) if self.side else None)
         await self.links.open(self.settings.ip)
@@ -138,7 +138,7 @@
             self.controller.hear_core(caller.name, message)
 
     def linked(self, caller: Caller) -> None:
-        if caller.kind == ARCHIVIST:
+        if caller.kind == CONTROL_NODE:
             self.links.there(caller.name)
             self.controller.core_linked(caller.name)
         elif caller.kind == DESK:
@@ -154,4 +154,4 @@
 
 
 async def run(settings: Local) -> None:
-    await Archivist(settings).run()
+    await ControlNode(settings).run()
--- a/ambershift/system/processes/lender.py
+++ b/ambershift/system/processes/proxy.py
@@ -1,4 +1,4 @@
-"""The lender: a desk on its sockets, attached to an archivist."""
+"""The proxy: a desk on its sockets, attached to a control node."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from ambershift.system.transport.outbox import Outbox
 from ambershift.system.transport.words import DESK, Caller
 
-BESIDE_S = 0.25  # An archivist that takes longer to answer may be without power: another is dialled too.
+BESIDE_S = 0.25  # A control node that takes longer to answer may be without power: another is dialled too.
 REPORT_S, LOOK_S, IDLE_S, END_MARGIN_S = 1.0, 0.25, 60, 0.4
 
 
-class Lender:
+class Proxy:
     def __init__(self, settings: Local) -> None:
         self.settings = settings
         self.log = Journal(settings.name, time.monotonic_ns)
@@ -48,14 +48,14 @@
         self.said: Hello | None = None
 
     def place(self, ip: str) -> Place | None:
-        """Where an archivist is."""
+        """Where a control node is."""
         return next(((core.zone, core.region) for core in self.choice.cores if core.ip == ip), None)
 
     async def run(self) -> None:
         hear_signals(self.ended.set, self.reread)
         listen, grace = self.settings.listen, self.settings.bounds.grace
         sockets = listeners([listen[key] for key in ("Front", "Readiness") if key in listen])
-        self.log(1, {"role": "lender", "zone": self.settings.zone})
+        self.log(1, {"role": "proxy", "zone": self.settings.zone})
         server = served(
             self.desk,
             IDLE_S,
@@ -91,7 +91,7 @@
         self.log(4, {"seeds": len(self.settings.seeds)})
 
     async def attach(self) -> None:
-        """Hold a link to the archivist chosen; while it stands a nearer one may be dialled beside it."""
+        """Hold a link to the control node chosen; while it stands a nearer one may be dialled beside it."""
         current: asyncio.Task[None] | None = None
         while True:
             now = time.monotonic_ns()
@@ -219,4 +219,4 @@
 
 
 async def run(settings: Local) -> None:
-    await Lender(settings).run()
+    await Proxy(settings).run()
--- a/ambershift/system/proxy/desk.py
+++ b/ambershift/system/proxy/desk.py
@@ -1,4 +1,4 @@
-"""The desk: what the archivist tells goes in, requests come as an ASGI application, reports come out."""
+"""The desk: what the control node tells goes in, requests come as an ASGI application, reports come out."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         return self.routing.complete and self.routing.routes > 0
 
     def hear(self, message: msgspec.Struct) -> list[msgspec.Struct]:
-        """Take in a message from the archivist; returns the replies."""
+        """Take in a message from the control node; returns the replies."""
         now = self.steady()
         match message:
             case fronts.Items():
@@ -87,7 +87,7 @@
         return []
 
     def linked(self) -> None:
-        """A link to an archivist begins. Tables of the old one stay in use until its binds come."""
+        """A link to a control node begins. Tables of the old one stay in use until its binds come."""
 
     def unlinked(self) -> None:
         """The link was lost: the desk serves on with what it knows."""
--- a/ambershift/system/proxy/lives.py
+++ b/ambershift/system/proxy/lives.py
@@ -164,7 +164,7 @@
     )
 
 
-# A list from an archivist that has just started may lack those whose next beat is still to come.
+# A list from a control node that has just started may lack those whose next beat is still to come.
 DOUBT = 3 * SECOND
 # Told coldness is a little old when it arrives.
 COLD_MORE = 300 * MS
--- a/ambershift/system/proxy/roster.py
+++ b/ambershift/system/proxy/roster.py
@@ -42,7 +42,7 @@
 
 
 class Roster:
-    """Takes in what the archivist and the items tell of backends. Times are ns, steady."""
+    """Takes in what the control node and the items tell of backends. Times are ns, steady."""
 
     def __init__(self, region: str, zones: Mapping[str, str], cold_for: Callable[[str], int]) -> None:
         """`cold_for`: how long, ns, a backend of a service may be cold after a start."""
--- a/ambershift/system/registry/desks.py
+++ b/ambershift/system/registry/desks.py
@@ -1,4 +1,4 @@
-"""The directory: which desks there are, by their links here and by what other archivists tell of theirs."""
+"""The directory: which desks there are, by their links here and by what other nodes tell of theirs."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Desks:
-    """Desks linked to this archivist. Each method returns the record to tell others, or the name to drop."""
+    """Desks linked to this node. Each method returns the record to tell others, or the name to drop."""
 
     def __init__(self) -> None:
         self.linked: dict[str, Linked] = {}
--- a/ambershift/system/registry/events.py
+++ b/ambershift/system/registry/events.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """Time has passed. `touch`: enough archivists are heard; `alive`: others heard lately; `peers`: known."""
+    """Time has passed. `touch`: enough nodes are heard; `alive`: others heard lately; `peers`: known."""
 
     touch: bool
     alive: frozenset[str]
--- a/ambershift/system/registry/exchange.py
+++ b/ambershift/system/registry/exchange.py
@@ -1,4 +1,4 @@
-"""Records held in common: each archivist's own set, its copies of the others', and how they are kept alike.
+"""Records held in common: each node's own set, its copies of the others', and how they are kept alike.
 
 Changes go out in batches, each the next edition; a short pulse tells the edition. Who has another one asks
 for the whole set, so that a lost message, a restart and a new peer are one case.
--- a/ambershift/system/registry/keeping.py
+++ b/ambershift/system/registry/keeping.py
@@ -1,4 +1,4 @@
-"""What this archivist hears itself: lives by their beats, and which of them have fallen silent."""
+"""What this control node hears itself: lives by their beats, and which of them have fallen silent."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.heard.pop(id, None)
 
     def silent(self, now: int, well_since: int, elsewhere: Container[str]) -> list[str]:
-        """Lives that have missed their beats. `well_since`: since when this archivist itself is well.
+        """Lives that have missed their beats. `well_since`: since when this control node itself is well.
 
         Where most fall silent at once, it is the link or this machine: others get time to hear them first.
         """
--- a/ambershift/system/registry/listing.py
+++ b/ambershift/system/registry/listing.py
@@ -1,4 +1,4 @@
-"""The list of backends that all archivists arrive at, from what each hears and from what is held for good."""
+"""The list of backends that all nodes arrive at, from what each hears and from what is held for good."""
 
 from __future__ import annotations
 
--- a/ambershift/system/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -96,9 +96,9 @@
         return effects
 
     def directory(self, now: int) -> dict[str, tuple[str, Desk]]:
-        """All desks known, by name, with the archivist they are linked to ("": this one).
+        """All desks known, by name, with the control node they are linked to ("": this one).
 
-        Those of a lost archivist are there for a short while only."""
+        Those of a lost control node are there for a short while only."""
         known = self._known(now)
         turns = [(keeper, records.turn) for keeper, records in known]
         if turns != self.merged_of:
@@ -118,7 +118,7 @@
         ]
 
     def flows(self) -> dict[tuple[str, str, str], int]:
-        """What comes to desks linked elsewhere: by archivist, zone and pool, in requests per 100 s."""
+        """What comes to desks linked elsewhere: by control node, zone and pool, in requests per 100 s."""
         return {
             (peer, one.zone, one.pool): one.rate
             for peer, copy in self.exchange.copies.items()
--- a/ambershift/system/registry/records.py
+++ b/ambershift/system/registry/records.py
@@ -1,4 +1,4 @@
-"""Records that archivists exchange, with times on this machine's steady clock, and their form on the wire."""
+"""Records that nodes exchange, with times on this machine's steady clock, and their form on the wire."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Desk:
-    """A program that carries traffic, linked to some archivist; `since` is its last Hello (steady ns)."""
+    """A program that carries traffic, linked to some control node; `since` is its last Hello (steady ns)."""
 
     name: str
     life: str
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -189,7 +189,7 @@
         return self.machine.listing.shown
 
     def desks(self) -> Mapping[str, tuple[str, Desk]]:
-        """Desks by name, with the archivist each is linked to ("": this one)."""
+        """Desks by name, with the control node each is linked to ("": this one)."""
         return self.machine.directory(self.steady())
 
     def flows(self) -> Mapping[tuple[str, str, str], int]:
@@ -215,7 +215,7 @@
                         heard(effect.put, effect.gone)
 
     def _there(self, now: int) -> list[Desk]:
-        """Desks to send clients to. One whose archivist has been silent for a moment may be lost with it, and
+        """Desks to send clients to. One whose node has been silent for a moment may be lost with it, and
         is back elsewhere soon if it isn't: it is left out while at least half are left."""
         known = [one for one in self.machine.directory(now).values() if one[1].ready and not one[1].leaving]
         sure = [desk for keeper, desk in known if not keeper or self.ledger.lately(keeper)]
@@ -247,7 +247,7 @@
                 self._step(Cleared(tuple(cleared_by(one))))
 
     def _clear(self) -> None:
-        """Let all forget the ends of lives that are long over. One archivist does so; two at once do no harm:
+        """Let all forget the ends of lives that are long over. One node does so; two at once do no harm:
         what the one has told last is held, and the rest comes again."""
         if not (ids := self.machine.clearable(self.steady())):
             return
@@ -283,7 +283,7 @@
             self.held[key[0]] = max(key[1], self.held.get(key[0], 0))
 
     def _target(self, id: str, zone: str) -> str:
-        """The nearest archivist's address for later beats; empty if none is nearer than this one."""
+        """The nearest control node's address for later beats; empty if none is nearer than this one."""
         if zone == self.settings.zone or not self.port:
             return ""
         region = self.settings.zones.get(zone, "")
--- a/ambershift/system/simulation/callers.py
+++ b/ambershift/system/simulation/callers.py
@@ -35,7 +35,7 @@
 
 
 class Streets:
-    """What all callers share: their loop, and ways to the archivists."""
+    """What all callers share: their loop, and ways to the control nodes."""
 
     def __init__(self, house: House, seed: int) -> None:
         self.house, self.chance = house, random.Random(f"{seed} callers")
@@ -127,7 +127,7 @@
 
 
 class Application:
-    """One application; `home` is the archivist it mostly calls first."""
+    """One application; `home` is the control node it mostly calls first."""
 
     def __init__(self, name: str, streets: Streets, judge: Judge, home: str) -> None:
         self.name, self.streets, self.judge, self.home = name, streets, judge, home
--- a/ambershift/system/simulation/histories.py
+++ b/ambershift/system/simulation/histories.py
@@ -70,7 +70,7 @@
 
 
 def play_house(seed: int, seconds: float = 8, skip: Collection[str] = ()) -> Played:
-    """A history of applications, an operator and desks, at archivists whole."""
+    """A history of applications, an operator and desks, at control nodes whole."""
     house = House(seed, loss=(0, 0.01, 0.1)[seed % 3], count=(5, 6, 3, 4, 5)[seed % 5])
     kinds = (MIXED, MOVING)[seed % 2]
     house.run(2.5 if seed % 4 else 0.5)
@@ -132,5 +132,5 @@
 
 
 def play(seed: int, seconds: float = 8, skip: Collection[str] = ()) -> Played:
-    """Two seeds of seven are histories of lists, the others are of whole archivists."""
+    """Two seeds of seven are histories of lists, the others are of whole control nodes."""
     return (play_lists if seed % 7 < 2 else play_house)(seed, seconds, skip)
--- a/ambershift/system/simulation/house.py
+++ b/ambershift/system/simulation/house.py
@@ -1,4 +1,4 @@
-"""Archivists whole: shelf and enquiries as they run, on simulated disks, links, clocks and sockets."""
+"""Control nodes whole: shelf and enquiries as they run, on simulated disks, links, clocks and sockets."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Bottom:
-    """A simulated disk, as `accession.disk.Disk`."""
+    """A simulated disk, as `consensus.disk.Disk`."""
 
     refused: str | None = None
 
@@ -69,7 +69,7 @@
 
 @dataclass
 class Process:
-    """One life of an archivist."""
+    """One life of a control node."""
 
     loop: SimulatedLoop
     shelf: Shelf
--- a/ambershift/system/simulation/operating.py
+++ b/ambershift/system/simulation/operating.py
@@ -232,7 +232,7 @@
 
 
 class Desk:
-    """Reads all items as a desk does: at an archivist that has merged what enough copies hold."""
+    """Reads all items as a desk does: at a control node that has merged what enough copies hold."""
 
     def __init__(self, streets: Streets, books: Books) -> None:
         self.streets, self.books = streets, books
--- a/ambershift/system/simulation/scripts_house.py
+++ b/ambershift/system/simulation/scripts_house.py
@@ -1,4 +1,4 @@
-"""Scripted worlds of whole archivists, each for one guard. See `scripts_voters`."""
+"""Scripted worlds of whole control nodes, each for one guard. See `scripts_voters`."""
 
 from __future__ import annotations
 
--- a/ambershift/system/simulation/troubles.py
+++ b/ambershift/system/simulation/troubles.py
@@ -1,4 +1,4 @@
-"""What befalls simulated archivists: machines, links and disks that fail within what is tolerated.
+"""What befalls simulated control nodes: machines, links and disks that fail within what is tolerated.
 
 Each trouble draws from a source of its own, so that a history can be played again without some of them.
 """
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -1,4 +1,4 @@
-"""Simulated archivists by one seed: time, links, disks, processes that are killed, stopped and started.
+"""Simulated control nodes by one seed: time, links, disks, processes that are killed, stopped and started.
 
 What disks hold after a kill is what was synced, and of the write that was out all or nothing. Links keep
 their order, but lose and repeat messages.
--- a/ambershift/system/steps.py
+++ b/ambershift/system/steps.py
@@ -40,7 +40,7 @@
 # Effects.
 @dataclass(frozen=True, slots=True)
 class Send:
-    """To an archivist's ip or a desk's name. May be lost: whoever needs an answer asks again."""
+    """To a control node's ip or a desk's name. May be lost: whoever needs an answer asks again."""
 
     to: str
     message: msgspec.Struct
--- a/ambershift/system/testbed/__main__.py
+++ b/ambershift/system/testbed/__main__.py
@@ -24,22 +24,22 @@
     made = argparse.ArgumentParser(
         prog="python3 -m ambershift.system.testbed",
         description="Run the whole system on this machine, with a loss in the middle, and judge it.",
-        epilog="example: python3 -m ambershift.system.testbed --seconds 20 --lose archivist",
+        epilog="example: python3 -m ambershift.system.testbed --seconds 20 --lose control",
     )
-    made.add_argument("--archivists", type=int, default=6, metavar="N")
+    made.add_argument("--control-nodes", type=int, default=6, metavar="N")
     made.add_argument("--desks", type=int, default=6, metavar="N")
     made.add_argument("--backends", type=int, default=24, metavar="N")
     made.add_argument("--seconds", type=float, default=20, metavar="S", help="how long traffic lasts")
     made.add_argument("--rate", type=float, default=100, metavar="R", help="requests a second")
     made.add_argument(
         "--lose",
-        choices=("desk", "archivist", "core", "frozen", "none"),
+        choices=("desk", "control", "core", "frozen", "none"),
         default="desk",
-        help="killed in the middle and started again (core: all archivists at once; frozen: "
-        "an archivist that stands still for a while)",
+        help="killed in the middle and started again (core: all control nodes at once; frozen: "
+        "a control node that stands still for a while)",
     )
     made.add_argument(
-        "--empty-disk", action="store_true", help="with --lose archivist: its disk is lost with it"
+        "--empty-disk", action="store_true", help="with --lose control: its disk is lost with it"
     )
     made.add_argument("--routes", type=int, default=12, metavar="N")
     made.add_argument("--services", type=int, default=4, metavar="N")
@@ -54,7 +54,7 @@
         "--hollow",
         type=int,
         metavar="N",
-        help="instead of desks: N links to the archivists that only listen, to measure them",
+        help="instead of desks: N links to the control nodes that only listen, to measure them",
     )
     return made
 
@@ -110,7 +110,7 @@
         loop.add_signal_handler(number, whole.cancel)
     site = Site(
         folder,
-        asked.archivists,
+        asked.control_nodes,
         0 if asked.hollow else asked.desks,
         asked.seed,
         heartbeat_ms=1500 if asked.hollow else 500,
@@ -130,7 +130,7 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     asked = parser().parse_args(arguments)
     if not asked.hollow and not (
-        asked.archivists > 0
+        asked.control_nodes > 0
         and asked.desks > 0
         and 0 < asked.services <= asked.backends
         and 0 < asked.seconds <= 600
--- a/ambershift/system/testbed/faults.py
+++ b/ambershift/system/testbed/faults.py
@@ -10,7 +10,7 @@
 from ambershift.system.testbed.book import COLD_S, Route
 from ambershift.system.testbed.processes import Child
 from ambershift.system.testbed.rig import Rig, until
-from ambershift.system.testbed.settings import ARCHIVIST, DESK
+from ambershift.system.testbed.settings import CONTROL_NODE, DESK
 
 BACK_S, CORE_BACK_S, READY_S = 2.5, 0.5, 20.0
 HEARS_S = 1.0  # A process that is just being started can't hear a signal yet.
@@ -37,7 +37,7 @@
             self.rig.say(f"{child.machine.name} is started again")
 
     async def lose(self, kind: str, wipe: bool = False) -> None:
-        """SIGKILL, and back after a while; with `wipe` an archivist comes back with an empty disk."""
+        """SIGKILL, and back after a while; with `wipe` a control node comes back with an empty disk."""
         child = self.pick(kind)
         self.rig.say(f"{child.machine.name} is killed{' and loses its disk' if wipe else ''}")
         await child.kill()
@@ -47,16 +47,16 @@
         await self.back(child)
 
     async def lose_core(self) -> None:
-        """All archivists are killed at one moment, and are back within a second; their disks stay."""
-        children = self.rig.of(ARCHIVIST)
-        self.rig.say("all archivists are killed")
+        """All control nodes are killed at one moment, and are back within a second; their disks stay."""
+        children = self.rig.of(CONTROL_NODE)
+        self.rig.say("all control nodes are killed")
         await asyncio.gather(*(child.kill() for child in children))
         await asyncio.sleep(CORE_BACK_S)
         await asyncio.gather(*(self.back(child) for child in children))
 
     async def freeze(self) -> None:
-        """An archivist stands still, and goes on as if nothing had been."""
-        child = self.pick(ARCHIVIST)
+        """A control node stands still, and goes on as if nothing had been."""
+        child = self.pick(CONTROL_NODE)
         self.rig.say(f"{child.machine.name} is frozen")
         child.freeze()
         await asyncio.sleep(BACK_S)
@@ -157,7 +157,7 @@
     ]
     losses: dict[str, Callable[[], Awaitable[None]]] = {
         "desk": lambda: faults.lose(DESK),
-        "archivist": lambda: faults.lose(ARCHIVIST, wipe),
+        "control": lambda: faults.lose(CONTROL_NODE, wipe),
         "core": faults.lose_core,
         "frozen": faults.freeze,
     }
--- a/ambershift/system/testbed/hollow.py
+++ b/ambershift/system/testbed/hollow.py
@@ -1,4 +1,4 @@
-"""Many desks that are links only, against real archivists: what a desk, a route and a backend cost them."""
+"""Many desks that are links only, against real nodes: what a desk, a route and a backend cost them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ambershift.system.node_selection.choice import Choice
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import NotMetError, Rig, until
-from ambershift.system.testbed.settings import ARCHIVIST, Site
+from ambershift.system.testbed.settings import CONTROL_NODE, Site
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.outbox import Outbox
 from ambershift.system.transport.words import DESK, Caller
@@ -37,7 +37,7 @@
         self.site, self.pools = site, pools
         self.life = secrets.token_hex(4)
         choice = Choice(self.name, zone, site.zones[zone], ())
-        choice.cores = tuple(Core(one.ip, one.zone, one.region) for one in site.of(ARCHIVIST))
+        choice.cores = tuple(Core(one.ip, one.zone, one.region) for one in site.of(CONTROL_NODE))
         self.ip = choice.candidates(0)[0]
         self.address = f"127.{site.block}.{200 + number // 250 % 50}.{1 + number % 250}:{site.ports.front}"
         self.got = Counter[str]()
@@ -134,7 +134,7 @@
             each = ", ".join(f"{now - was:.2f}" for was, now in zip(before, spent(rig), strict=True))
             say(
                 f"{len(desks)} hollow desks have all after {time.monotonic() - began:.1f} s; processor "
-                f"seconds of this program and each archivist: {each}"
+                f"seconds of this program and each control node: {each}"
             )
             await asyncio.sleep(SETTLE_S)  # Not a verdict: first tables are dealt meanwhile.
             say(f"bytes to each so far: {by_kind(desks, 1.0)}")
@@ -146,8 +146,8 @@
 
 
 def spent(rig: Rig) -> list[float]:
-    """Processor seconds so far: this program's, then each archivist's."""
-    costs = [cost_of(child.process.pid) for child in rig.of(ARCHIVIST) if child.process]
+    """Processor seconds so far: this program's, then each control node's."""
+    costs = [cost_of(child.process.pid) for child in rig.of(CONTROL_NODE) if child.process]
     return [time.process_time(), *(cost.cpu if cost else 0.0 for cost in costs)]
 
 
@@ -160,8 +160,8 @@
 
 
 async def span(rig: Rig, desks: list[HollowDesk], seconds: float) -> None:
-    """Look twice, `seconds` apart, and print the difference for each archivist."""
-    children = rig.of(ARCHIVIST)
+    """Look twice, `seconds` apart, and print the difference for each control node."""
+    children = rig.of(CONTROL_NODE)
     for desk in desks:
         desk.got.clear()
     costs = {child.machine.ip: cost_of(child.process.pid) for child in children if child.process}
@@ -169,7 +169,7 @@
     await asyncio.sleep(seconds)
     lasted = time.monotonic() - began
     print(
-        f"\n{'archivist':28} {'links':>6} {'MiB now':>8} {'MiB peak':>9} {'proc s/s':>9} "
+        f"\n{'control node':28} {'links':>6} {'MiB now':>8} {'MiB peak':>9} {'proc s/s':>9} "
         f"{'bytes/s a link':>15}"
     )
     for child in children:
--- a/ambershift/system/testbed/processes.py
+++ b/ambershift/system/testbed/processes.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from ambershift.system.testbed.settings import ARCHIVIST, Machine, Site
+from ambershift.system.testbed.settings import CONTROL_NODE, Machine, Site
 
 ROOT = Path(__file__).parent.parent.parent.parent
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -78,7 +78,7 @@
         self.starts, self.since = self.starts + 1, time.monotonic()
         self.asked_to_end = False
         self.log.parent.mkdir(parents=True, exist_ok=True)
-        role = "archivist" if self.machine.kind == ARCHIVIST else "lender"
+        role = "control" if self.machine.kind == CONTROL_NODE else "proxy"
         with self.log.open("ab") as out:
             # A session of its own: Ctrl-C at the terminal reaches only us, who then end our children.
             self.process = await asyncio.create_subprocess_exec(
--- a/ambershift/system/testbed/rig.py
+++ b/ambershift/system/testbed/rig.py
@@ -18,7 +18,7 @@
 from ambershift.system.testbed.judge import Judge
 from ambershift.system.testbed.operator import Operator
 from ambershift.system.testbed.processes import Child, end_all
-from ambershift.system.testbed.settings import ARCHIVIST, DESK, Machine, Site
+from ambershift.system.testbed.settings import CONTROL_NODE, DESK, Machine, Site
 from ambershift.system.testbed.speech import BrokenOffError, LateError, NotReachedError, once
 
 LOOK_S, STEP_S = 0.25, 0.02
@@ -99,7 +99,7 @@
 
     # Who calls whom.
     def controls(self) -> list[str]:
-        return [self.site.control(one) for one in self.site.of(ARCHIVIST)]
+        return [self.site.control(one) for one in self.site.of(CONTROL_NODE)]
 
     def near_controls(self, zone: str) -> Callable[[], list[str]]:
         return lambda: [self.site.control(one) for one in self.site.near(zone)]
@@ -198,7 +198,7 @@
         )
         await self.standing("every desk ready", self.all_ready, within)
         self.say(
-            f"{len(self.of(ARCHIVIST))} archivists, {len(self.of(DESK))} desks and {len(self.backends)} "
+            f"{len(self.of(CONTROL_NODE))} nodes, {len(self.of(DESK))} desks and {len(self.backends)} "
             f"backends are up after {time.monotonic() - began:.1f} s"
         )
 
--- a/ambershift/system/testbed/settings.py
+++ b/ambershift/system/testbed/settings.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 SYLLABLES = ("ba", "der", "fo", "gal", "hu", "jin", "kor", "la", "mest", "ni", "or", "pel", "ru", "sam", "tu")
-DESK, ARCHIVIST = "front", "core"
+DESK, CONTROL_NODE = "front", "core"
 PORTS = range(11_000, 30_000)  # Below those that the system gives to callers.
 
 # The platform's bounds, tighter than a deployment's so that a short run comes past all of them.
@@ -91,7 +91,7 @@
     """What is drawn for one rehearsal: names, addresses, ports. `tolerated` machines may come back empty."""
 
     folder: Path
-    archivists: int
+    control_nodes: int
     desks: int
     seed: int | None = None
     zone_count: int = 6
@@ -109,14 +109,14 @@
         self.ports = Ports(*free_ports(free, 6))
         self.counts = dict[str, int]()
         self.machines = dict[str, Machine]()
-        for kind, count in ((ARCHIVIST, self.archivists), (DESK, self.desks)):
+        for kind, count in ((CONTROL_NODE, self.control_nodes), (DESK, self.desks)):
             for at in range(count):
                 self.add(kind, zones[at % len(zones)])
 
     @property
     def tolerated(self) -> int:
         """With fewer than four a write would need all that are left."""
-        return 1 if self.archivists > 3 else 0
+        return 1 if self.control_nodes > 3 else 0
 
     def address(self, zone: str) -> str:
         """An address of its own in a zone, never given twice."""
@@ -125,7 +125,7 @@
 
     def add(self, kind: str, zone: str) -> Machine:
         number = sum(one.kind == kind and one.zone == zone for one in self.machines.values()) + 1
-        name = f"{'archivist' if kind == ARCHIVIST else 'desk'}-{zone}-{number}"
+        name = f"{'control' if kind == CONTROL_NODE else 'desk'}-{zone}-{number}"
         self.machines[name] = Machine(name, kind, self.address(zone), zone, self.zones[zone])
         return self.machines[name]
 
@@ -133,9 +133,9 @@
         return [one for one in self.machines.values() if one.kind == kind]
 
     def near(self, zone: str) -> list[Machine]:
-        """All archivists: those of this zone first, then of its region, then the others."""
+        """All control nodes: those of this zone first, then of its region, then the others."""
         region = self.zones[zone]
-        return sorted(self.of(ARCHIVIST), key=lambda one: (one.zone != zone) + (one.region != region))
+        return sorted(self.of(CONTROL_NODE), key=lambda one: (one.zone != zone) + (one.region != region))
 
     def control(self, machine: Machine) -> str:
         return f"{machine.ip}:{self.ports.control}"
@@ -154,26 +154,26 @@
 
     def settings(self, machine: Machine, initial: bool) -> dict[str, Any]:
         """The tables of a settings file, as the platform lays them out."""
-        archivist = machine.kind == ARCHIVIST
+        control_node = machine.kind == CONTROL_NODE
         own: dict[str, Any] = {
             "NodeName": machine.name,
-            "Role": "archivist" if archivist else "lender",
+            "Role": "control" if control_node else "proxy",
             "MachineClass": machine.kind,
-            "ServedRoles": ["control", "directory"] if archivist else ["front"],
+            "ServedRoles": ["control", "directory"] if control_node else ["front"],
             "IpAddress": machine.ip,
             "Zone": machine.zone,
             "Region": machine.region,
-            "Counted": archivist,
+            "Counted": control_node,
             "InitialStart": initial,
         }
         listen = (
             {"Control": self.control(machine), "Directory": self.directory(machine)}
-            if archivist
+            if control_node
             else {"Front": self.front(machine), "Readiness": self.readiness(machine)}
         )
-        if archivist:
+        if control_node:
             own["DataDirectory"] = str(self.data(machine))
-        seeds = [self.control(one) for one in self.of(ARCHIVIST)[:3]]
+        seeds = [self.control(one) for one in self.of(CONTROL_NODE)[:3]]
         return {
             "SelfEntity": {
                 **own,
@@ -183,7 +183,7 @@
                     "MemoryMb": 300,
                     "FileDescriptors": 4096,
                     "LinkMbps": 1000.0,
-                    "DiskMb": 256 if archivist else 0,
+                    "DiskMb": 256 if control_node else 0,
                 },
             },
             "Network": {
@@ -206,10 +206,10 @@
         }
 
     def write(self, machine: Machine, initial: bool) -> Path:
-        """The machine's settings file, with folders for it and (archivists) its data."""
+        """The machine's settings file, with folders for it and (control nodes) its data."""
         path = self.folder / "settings" / f"{machine.name}.toml"
         path.parent.mkdir(parents=True, exist_ok=True)
-        if machine.kind == ARCHIVIST:
+        if machine.kind == CONTROL_NODE:
             self.data(machine).mkdir(parents=True, exist_ok=True)
         path.write_text(toml(self.settings(machine, initial)), encoding="utf-8")
         return path
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -1,8 +1,8 @@
 """All links of one machine: those it dials and those it is dialled by.
 
 Messages of one link come in order; what is under way when a link breaks is lost without a word, so whoever
-needs an answer asks again. An archivist dials each other one and sends on the link it dialled; a desk dials
-one archivist, and both speak on that link.
+needs an answer asks again. A control node dials each other one and sends on the link it dialled; a desk dials
+one control node, and both speak on that link.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from ambershift.system.transport.meter import Meter
 from ambershift.system.transport.outbox import Outbox
 from ambershift.system.transport.sockets import harden
-from ambershift.system.transport.words import ARCHIVIST, Caller, PathError, caller_of, path_of
+from ambershift.system.transport.words import CONTROL_NODE, Caller, PathError, caller_of, path_of
 
 YOUNG = 0.15  # Seconds; a dial that has not lasted for so long may well be about to succeed.
 DIAL_LIMIT, PAUSE_LEAST, PAUSE_MOST = 1.0, 0.1, 0.8  # Seconds.
@@ -88,7 +88,7 @@
             self.dialling[ip] = asyncio.ensure_future(self._keep(ip))
 
     def send(self, ip: str, message: msgspec.Struct) -> None:
-        """To an archivist, on the link dialled to it; lost where there is none."""
+        """To a control node, on the link dialled to it; lost where there is none."""
         if outbox := self.dialled.get(ip):
             outbox.put(message)
 
@@ -188,4 +188,4 @@
         connection.transport.abort()
 
 
-__all__ = ["ARCHIVIST", "Links", "receive"]
+__all__ = ["CONTROL_NODE", "Links", "receive"]
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -1,4 +1,4 @@
-"""An archivist's controller with real tables: what pools and desks cost it each second, and what it sends.
+"""A control node's controller with real tables: what pools and desks cost it each second, and what it sends.
 
 Sizes are smaller here, and by pools times desks: at the whole size it is more than a machine has.
 """
@@ -14,14 +14,14 @@
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import codec
 from ambershift.system.messages.fronts import Backends, Hello, Items, Mark
-from ambershift.system.processes import archivist
+from ambershift.system.processes import control_node
 from ambershift.system.steps import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
 from benchmarks.capacity.registry import Scene, ended
-from benchmarks.capacity.world import ARCHIVISTS, SIZES, Size
+from benchmarks.capacity.world import CONTROL_NODES, SIZES, Size
 
-assert archivist
+assert control_node
 SMALL, MIDDLE, _ = SIZES
 # 448, 4,488 and 41,440 pools times desks.
 OURS = (SMALL, replace(SMALL, routes=240, backends=875, services=24, desks=187, zones=12, regions=6), MIDDLE)
@@ -67,7 +67,7 @@
     scene = Dealing(size)
     scene.registry.tick()
     scene.beats(scene.bodies(scene.own))
-    for peer in range(1, ARCHIVISTS):
+    for peer in range(1, CONTROL_NODES):
         scene.hear(peer, scene.told(peer))
     scene.now += 4 * SECOND
     scene.beats(scene.bodies(scene.own))
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -15,13 +15,13 @@
 from ambershift.system.contracts import Verdict
 from ambershift.system.messages import codec, copies
 from ambershift.system.messages.items import ROUTE
-from ambershift.system.processes import archivist
+from ambershift.system.processes import control_node
 from ambershift.system.steps import MS, SECOND, Answer, Heard, Send, Tick, Write, Written
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
-from benchmarks.capacity.world import ARCHIVISTS, Size
+from benchmarks.capacity.world import CONTROL_NODES, Size
 
-assert archivist
+assert control_node
 PUTS = 60
 
 
@@ -112,11 +112,12 @@
         exchange.called(Put(1, merge.items, 20.0))
 
     found["put of all items, all six|ms"] = micros(all_items, 1) / 1e3
-    found["memory of all items, one of six|MB"] = (megabytes() - before) / ARCHIVISTS
+    found["memory of all items, one of six|MB"] = (megabytes() - before) / CONTROL_NODES
     found["freshen, all six|µs"] = micros(lambda at: exchange.called(Freshen(at, 2.0)), PUTS)
     exchange.bytes.clear()
-    found["a second of ticks, one of six|ms"] = micros(lambda _: exchange.tick(), 20) * 20 / 1e3 / ARCHIVISTS
-    found["a quiet second, one to the five|B"] = sum(exchange.bytes.values()) / ARCHIVISTS
+    ticks = micros(lambda _: exchange.tick(), 20) * 20 / 1e3
+    found["a second of ticks, one of six|ms"] = ticks / CONTROL_NODES
+    found["a quiet second, one to the five|B"] = sum(exchange.bytes.values()) / CONTROL_NODES
     changes(exchange, size, found)
     found["digests of the buckets, encoded|µs"] = micros(
         lambda _: msgspec.msgpack.encode(exchange.nodes[exchange.ips[0]].store.buckets.long()), 200)
--- a/benchmarks/capacity/dealer.py
+++ b/benchmarks/capacity/dealer.py
@@ -15,7 +15,7 @@
 from ambershift.system.steps import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
-from benchmarks.capacity.world import ARCHIVISTS, Size
+from benchmarks.capacity.world import CONTROL_NODES, Size
 
 POOLS, SEATS = 5, 36
 
@@ -34,7 +34,7 @@
         for pool, dealer in enumerate(self.dealers):
             dealer.seat({f"i-{pool}-{at}": self.seat(pool, at) for at in range(SEATS)})
             for at, name in enumerate(self.names):
-                dealer.join(name, self.zoned[at], at % ARCHIVISTS == 0)
+                dealer.join(name, self.zoned[at], at % CONTROL_NODES == 0)
 
     def seat(self, pool: int, at: int, weight: float = 6.0) -> Seat:
         return Seat((pool + at * 7) % self.size.zones, api.Phase.READY, weight)
--- a/benchmarks/capacity/desk.py
+++ b/benchmarks/capacity/desk.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from ambershift.system.messages import codec, fronts
-from ambershift.system.processes import lender  # All that a desk's process imports counts in its memory.
+from ambershift.system.processes import proxy  # All that a desk's process imports counts in its memory.
 from ambershift.system.proxy.desk import Desk
 from ambershift.system.steps import SECOND
 from benchmarks.capacity import world
@@ -15,7 +15,7 @@
 from benchmarks.capacity.world import Size
 
 TRIES = 2_000
-assert lender
+assert proxy
 
 
 def heard(desk: Desk, data: bytes) -> None:
--- a/benchmarks/capacity/links.py
+++ b/benchmarks/capacity/links.py
@@ -1,4 +1,4 @@
-"""One real archivist process with many hollow desks: processor time, memory and bytes of a link."""
+"""One real control node process with many hollow desks: processor time, memory and bytes of a link."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ambershift.system.testbed.hollow import DIALS_AT_ONCE, HollowDesk
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import Rig, until
-from ambershift.system.testbed.settings import ARCHIVIST, Site
+from ambershift.system.testbed.settings import CONTROL_NODE, Site
 from benchmarks.capacity.meter import Found, cpu_of
 from benchmarks.capacity.world import SIZES, Size
 
@@ -27,7 +27,7 @@
     chance, spans = random.Random(7), list[Found]()
     async with Rig(site, 24, 0, lambda _: None, 4, 12) as rig:
         await rig.settle(UP_S)
-        child = rig.of(ARCHIVIST)[0].process
+        child = rig.of(CONTROL_NODE)[0].process
         assert child is not None
         before = cost_of(child.pid)
         pools = sorted({pool_of(service, route.homes) for route in rig.book.routes.values()
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -10,7 +10,7 @@
 from ambershift.system.messages.items import INSTANCE, Item
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found
-from benchmarks.capacity.world import ARCHIVISTS, Size
+from benchmarks.capacity.world import CONTROL_NODES, Size
 
 BALLOT: copies.Ballot = (1_700, 3_900_000_001)
 EPOCH, NUMBER = 3, 1_500_000_123
@@ -38,9 +38,9 @@
     machines = tuple(copies.Machine(one.ip, one.zone, one.region, 1_234_567_890, 2, False, True)
                      for one in core)
     members = tuple(machine.member for machine in machines)
-    lives = tuple(world.lived(size, at) for at in range(0, size.backends, ARCHIVISTS))
-    desks = tuple(world.attached(size, at) for at in range(0, size.desks, ARCHIVISTS))
-    zones = size.names[::ARCHIVISTS]
+    lives = tuple(world.lived(size, at) for at in range(0, size.backends, CONTROL_NODES))
+    desks = tuple(world.attached(size, at) for at in range(0, size.desks, CONTROL_NODES))
+    zones = size.names[::CONTROL_NODES]
     flows = tuple(rounds.Flow(zone, world.service(at), 12_345)
                   for zone in zones for at in range(size.services))
     value = b"v" * 300
@@ -67,9 +67,9 @@
         "rp Pulse": rounds.Pulse(NUMBER, 400_000), "ra Ask": rounds.Ask(400_000),
         "rd Delta, one life": rounds.Delta(NUMBER, 7, 8, lives[:1], (), (), (), size.desks),
         "rd Delta, one desk": rounds.Delta(NUMBER, 7, 8, (), desks[:1], (), (), size.desks),
-        "rd Delta, lives of one archivist": rounds.Delta(NUMBER, -1, 8, lives, (), (), (), size.desks),
-        "rd Delta, desks of one archivist": rounds.Delta(NUMBER, -1, 8, (), desks, (), (), size.desks),
-        "rd Delta, flows of one archivist": rounds.Delta(NUMBER, -1, 8, (), (), flows, (), size.desks),
+        "rd Delta, lives of one control node": rounds.Delta(NUMBER, -1, 8, lives, (), (), (), size.desks),
+        "rd Delta, desks of one control node": rounds.Delta(NUMBER, -1, 8, (), desks, (), (), size.desks),
+        "rd Delta, flows of one control node": rounds.Delta(NUMBER, -1, 8, (), (), flows, (), size.desks),
         "eo Errand": errands.Errand(NUMBER, "locks.heartbeat", "lock-0007",
                                     b'{"Holder":"a0.77aa","fence":1700,"HoldMs":3000}', 400),
         "ed Outcome": errands.Outcome(NUMBER, 200, b'{"fence":1700}'),
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -1,4 +1,4 @@
-"""An archivist's list and directory: beats, ticks, changes, words of the other five, and memory."""
+"""A control node's list and directory: beats, ticks, changes, words of the other five, and memory."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.messages import codec, rounds
 from ambershift.system.messages.fronts import Report
-from ambershift.system.processes import archivist  # All that an archivist's process imports counts.
+from ambershift.system.processes import control_node  # All that a control node's process imports counts.
 from ambershift.system.registry.registry import Registry
 from ambershift.system.steps import MS, SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
-from benchmarks.capacity.world import ARCHIVISTS, Held, Size
+from benchmarks.capacity.world import CONTROL_NODES, Held, Size
 
-assert archivist
+assert control_node
 
 
 def coded(_: str, message: msgspec.Struct) -> None:
@@ -35,12 +35,12 @@
 
 
 class Scene:
-    """One archivist's registry on a chosen clock, and what the five others tell it."""
+    """One control node's registry on a chosen clock, and what the five others tell it."""
 
     def __init__(self, size: Size) -> None:
         self.size, self.now, self.sent = size, 1000 * SECOND, 0
-        self.own = [at for at in range(size.backends) if at % ARCHIVISTS == 0]
-        self.desks = [at for at in range(size.desks) if at % ARCHIVISTS == 0]
+        self.own = [at for at in range(size.backends) if at % CONTROL_NODES == 0]
+        self.desks = [at for at in range(size.desks) if at % CONTROL_NODES == 0]
         self.ledger = Held(size)
         self.sequence = 0
         self.registry = Registry(world.local(size), self.ledger, self.send, lambda: self.now, 1,
@@ -59,12 +59,12 @@
         return [(world.backend(self.size, at).id, world.beat(self.size, at, self.sequence)) for at in some]
 
     def told(self, peer: int, flows: bool = True) -> bytes:
-        """All records of another archivist."""
-        size, mine = self.size, range(peer, self.size.backends, ARCHIVISTS)
-        zones = size.names[peer::ARCHIVISTS] if flows else []
+        """All records of another control node."""
+        size, mine = self.size, range(peer, self.size.backends, CONTROL_NODES)
+        zones = size.names[peer::CONTROL_NODES] if flows else []
         return codec.encode(rounds.Delta(
             9, -1, 8, tuple(world.lived(size, at) for at in mine),
-            tuple(world.attached(size, at) for at in range(peer, size.desks, ARCHIVISTS)),
+            tuple(world.attached(size, at) for at in range(peer, size.desks, CONTROL_NODES)),
             tuple(rounds.Flow(zone, world.service(at), 12_345)
                   for zone in zones for at in range(size.services)),
             (), size.desks))
@@ -95,12 +95,12 @@
     scene = Scene(size)
     registry, before = scene.registry, megabytes()
     registry.tick()
-    first, told = scene.bodies(scene.own), [scene.told(peer) for peer in range(1, ARCHIVISTS)]
+    first, told = scene.bodies(scene.own), [scene.told(peer) for peer in range(1, CONTROL_NODES)]
     found["first beat of a life|µs"] = micros(lambda _: scene.beats(first), 1) / len(first)
     greets = [world.hello(size, at) for at in scene.desks]
     found["greet a desk|µs"] = micros(lambda at: registry.greet(greets[at]), len(greets))
-    found["hear all of another archivist|ms"] = micros(
-        lambda at: scene.hear(at + 1, told[at]), ARCHIVISTS - 1) / 1e3
+    found["hear all of another control node|ms"] = micros(
+        lambda at: scene.hear(at + 1, told[at]), CONTROL_NODES - 1) / 1e3
     found["memory: records|MB"] = megabytes() - before
     again = scene.bodies(scene.own)
     found["beat that changes nothing|µs"] = micros(lambda _: scene.beats(again), 1) / len(again)
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -1,4 +1,4 @@
-"""The servers that `requests` measures, one a process: a backend, a desk before it, an archivist's calls."""
+"""The servers that `requests` measures, one a process: a backend, a desk before it, a node's calls."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 async def calls(size: Size, address: str) -> None:
-    """An archivist's HTTP with its registry, which has all backends and desks."""
+    """A control node's HTTP with its registry, which has all backends and desks."""
     ledger = world.Held(size)
     settings = world.local(size)
     registry = Registry(settings, ledger, lambda *_: None, time.monotonic_ns, 1, lambda *_: None)
--- a/benchmarks/capacity/sums.py
+++ b/benchmarks/capacity/sums.py
@@ -10,9 +10,9 @@
 from benchmarks.capacity.meter import shown
 
 Measured = Mapping[str, Mapping[str, Sequence[float]]]  # Part, "name|unit": a median a size.
-DAY, LENDERS, BACKENDS, SERVICES, ARCHIVISTS = 86_400, 5_600, 27_000, 740, 6
-LINKS, LINKS_ONE_LOST, ZONES = LENDERS / ARCHIVISTS, LENDERS / (ARCHIVISTS - 1), 111
-REQUESTS, BEATS, CHANGES, RESTARTS = 530_000 / LENDERS, BACKENDS / 1.5, 14_000 / DAY, 5_400 / DAY
+DAY, PROXIES, BACKENDS, SERVICES, CONTROL_NODES = 86_400, 5_600, 27_000, 740, 6
+LINKS, LINKS_ONE_LOST, ZONES = PROXIES / CONTROL_NODES, PROXIES / (CONTROL_NODES - 1), 111
+REQUESTS, BEATS, CHANGES, RESTARTS = 530_000 / PROXIES, BACKENDS / 1.5, 14_000 / DAY, 5_400 / DAY
 POOLS_TIMES_DESKS = (448, 4_488, 41_440)
 Row = tuple[str, str, float, float | None]  # What, unit, value, bound.
 
@@ -57,7 +57,7 @@
         return (self.sent("fi Items, whole") + self.sent("fb Backends, whole")
                 + SERVICES * self.sent("fd Bind"))
 
-    def lender(self) -> list[Row]:
+    def proxy(self) -> list[Row]:
         at, first = self.at, self.first()
         signs, reports = 2 * self.sent("fc Cores"), self.sent("fr Report, 95 requests")
         merging = at("desk", "hear items, whole|ms") + at("desk", "hear backends, whole|ms")
@@ -88,15 +88,15 @@
             # One of so many waits for another, up to a whole one: the wait that 1 in 100 exceeds.
             ("added at the rate asked, 99 in 100, computed", "ms",
              each + each * max(0.0, 1 - 0.01 / (each * REQUESTS / 1e3)), 1.4),
-            ("requests of a service at a lender in 10 s", "number", 10 * REQUESTS / SERVICES, None),
+            ("requests of a service at a proxy in 10 s", "number", 10 * REQUESTS / SERVICES, None),
             ("further tries these allow (0.18 of them)", "number", 1.8 * REQUESTS / SERVICES, 1),
             ("seconds between requests to one backend", "s", gap, 4),
             ("requests that need a new connection", "%", 100 * math.exp(-4 / gap), None),
-            ("connections of all lenders at one backend", "number", 2 * LENDERS, 550)]
+            ("connections of all proxies at one backend", "number", 2 * PROXIES, 550)]
 
-    def archivist(self) -> list[Row]:
+    def control_node(self) -> list[Row]:
         at = self.at
-        beats, ticks = BEATS / ARCHIVISTS, at("registry", "ticks of a second|ms") / 1e3
+        beats, ticks = BEATS / CONTROL_NODES, at("registry", "ticks of a second|ms") / 1e3
         kept, fresh = (at("requests", f"beat on a {one} connection|µs") / 1e6 for one in ("kept", "new"))
         links = self.slope("links", "processor a second, all|ms", (50, 150, 400), LINKS) / 1e3
         report = self.slope("controller", "hear a report|µs", (8, 24, 74), SERVICES) / 1e6
@@ -106,8 +106,8 @@
         pools = SERVICES * at("dealer", "a proxy a desk: memory of a pool|MB")
         plugs = self.slope("links", "memory over that without links|MB", (50, 150, 400), LINKS)
         reports = LINKS * at("registry", "15 s of a desk's reports|KB") / 1e3
-        flows = self.sent("rd Delta, flows of one archivist") * moved_share(
-            REQUESTS * LENDERS / SERVICES / ZONES) / 2 * 5
+        flows = self.sent("rd Delta, flows of one control node") * moved_share(
+            REQUESTS * PROXIES / SERVICES / ZONES) / 2 * 5
         burst = LINKS_ONE_LOST - LINKS
         return [
             ("processor: beats on kept connections", "s/s", beats * kept, 1),
@@ -118,7 +118,7 @@
             ("processor: tables of all pools", "s/s", SERVICES * pool, 1),
             ("processor: a resolution", "ms", at("requests", "a resolution|µs") / 1e3, None),
             ("clients that six carry at 2 s each, half a core", "number",
-             ARCHIVISTS / at("requests", "a resolution|µs") * 1e6, None),
+             CONTROL_NODES / at("requests", "a resolution|µs") * 1e6, None),
             ("memory: records of lives, desks, flows", "MB", records, None),
             ("memory: items, registers aside", "MB", items, None), ("memory: links", "MB", plugs, None),
             ("memory: 15 s of reports", "MB", reports, None),
@@ -139,7 +139,7 @@
              CHANGES * at("copies", "put of one route, all six|µs") / 1e6, 1)]
 
     def instead(self) -> list[Row]:
-        """Other ways: a tenth of the services a lender, its own region in full, others in sums."""
+        """Other ways: a tenth of the services a proxy, its own region in full, others in sums."""
         tenth, services = self.sent("fi Items, whole", 1), SERVICES // 10
         sums, own = services * 28 * 14, services * 36.5 / 29 * self.sent("fb Backends, whole") / BACKENDS
         region = self.at("dealer", "a proxy a region: a second of a pool|ms") / 1e3
@@ -148,39 +148,39 @@
         near = services * 1.26 / REQUESTS
         moved = services * 14 + 20
         return [
-            ("lender: items of a tenth of the services", "B", tenth, None),
-            ("lender: the same deflated", "B", self.sent("fi Items, whole, deflated", 1), None),
-            ("lender: own region's backends of these", "B", own, None),
-            ("lender: sums of 28 regions, 14 B each", "B", sums, None),
-            ("lender: tables of these", "B", lines, None),
-            ("lender: first words, deflated items", "B",
+            ("proxy: items of a tenth of the services", "B", tenth, None),
+            ("proxy: the same deflated", "B", self.sent("fi Items, whole, deflated", 1), None),
+            ("proxy: own region's backends of these", "B", own, None),
+            ("proxy: sums of 28 regions, 14 B each", "B", sums, None),
+            ("proxy: tables of these", "B", lines, None),
+            ("proxy: first words, deflated items", "B",
              self.sent("fi Items, whole, deflated", 1) + own + sums + lines, 90_000),
-            ("lender: first words after another archivist, by digests", "B", 512 + 4 * 256, 90_000),
-            ("lender: report of these pools, bad tries only, each 2 s", "B/s", moved / 2, 9_000),
-            ("lender: memory of items and backends of these", "MB",
+            ("proxy: first words after another control node, by digests", "B", 512 + 4 * 256, 90_000),
+            ("proxy: report of these pools, bad tries only, each 2 s", "B/s", moved / 2, 9_000),
+            ("proxy: memory of items and backends of these", "MB",
              self.at("desk", "memory: items|MB", 1) + self.at("desk", "memory: backends|MB", 1), None),
-            ("lender: tenants packed, all", "MB",
+            ("proxy: tenants packed, all", "MB",
              self.at("tenants", "packed: to be sent, and memory|MB"), None),
-            ("lender: further tries allowed", "number", 18 * REQUESTS / SERVICES, 1),
-            ("lender: seconds between requests to one backend", "s", near, 4),
+            ("proxy: further tries allowed", "number", 18 * REQUESTS / SERVICES, 1),
+            ("proxy: seconds between requests to one backend", "s", near, 4),
             ("requests that need a new connection", "%", 100 * math.exp(-4 / near), None),
-            ("connections of all lenders at one backend", "number", 2 * LENDERS / 29 / 10, 110),
-            ("lender: beats of its zone's backends, processor", "%",
-             BACKENDS / ZONES / 1.5 / (LENDERS / ZONES) * kept / 1e4, 3.6),
-            ("archivist: all pools by regions, each pool at one", "s/s", SERVICES / ARCHIVISTS * region, 1),
-            ("archivist: the same with a proxy a desk", "s/s", SERVICES / ARCHIVISTS * self.at(
+            ("connections of all proxies at one backend", "number", 2 * PROXIES / 29 / 10, 110),
+            ("proxy: beats of its zone's backends, processor", "%",
+             BACKENDS / ZONES / 1.5 / (PROXIES / ZONES) * kept / 1e4, 3.6),
+            ("node: all pools by regions, each pool at one", "s/s", SERVICES / CONTROL_NODES * region, 1),
+            ("control node: the same with a proxy a desk", "s/s", SERVICES / CONTROL_NODES * self.at(
                 "dealer", "regions for zones, a proxy a desk: a second of a pool|ms") / 1e3, 1),
-            ("archivist: memory of these", "MB", SERVICES / ARCHIVISTS * self.at(
+            ("control node: memory of these", "MB", SERVICES / CONTROL_NODES * self.at(
                 "dealer", "a proxy a region: memory of a pool|MB"), 296),
-            ("archivist: links of a tree, one lender a zone, one lost", "number", ZONES / 5, None),
-            ("archivist: first words to these, one lost", "MB", ZONES / 30 * self.first() / 1e6, None),
-            ("relay of a zone: changes to its 50 lenders", "B/s", LENDERS / ZONES * self.changes(), 9_000)]
+            ("control node: links of a tree, one proxy a zone, one lost", "number", ZONES / 5, None),
+            ("control node: first words to these, one lost", "MB", ZONES / 30 * self.first() / 1e6, None),
+            ("relay of a zone: changes to its 50 proxies", "B/s", PROXIES / ZONES * self.changes(), 9_000)]
 
 
 def table(title: str, rows: Sequence[Row]) -> None:
     print(f"\n## {title}\n\n| what | value | bound | over the bound by |\n| --- | --- | --- | --- |")
     for what, unit, value, bound in rows:
-        least = what.startswith(("further", "lender: further"))
+        least = what.startswith(("further", "proxy: further"))
         ratio = 0.0 if bound is None else bound / value if least else value / bound
         over = "" if bound is None else f"**{shown(ratio)}**" if ratio > 1 else "held"
         print(f"| {what} | {shown(value)} {unit} | {'' if bound is None else shown(bound)} | {over} |")
@@ -188,6 +188,6 @@
 
 def tell(found: Measured) -> None:
     sums = Sums(found)
-    table("Sums: a lender", sums.lender())
-    table("Sums: an archivist, one of six", sums.archivist())
+    table("Sums: a proxy", sums.proxy())
+    table("Sums: a control node, one of six", sums.control_node())
     table("Sums: other ways", sums.instead())
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -1,4 +1,4 @@
-"""A deployment of a given size as messages and settings: items, backends, desks, archivists."""
+"""A deployment of a given size as messages and settings: items, backends, desks, control nodes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.testbed.book import Route, limits_part, routes_part, services_part
 
-HEARTBEAT, ARCHIVISTS = 1.5, 6
+HEARTBEAT, CONTROL_NODES = 1.5, 6
 
 
 @functools.cache
@@ -126,11 +126,11 @@
 def cores(size: Size) -> tuple[fronts.Core, ...]:
     places = size.places
     return tuple(fronts.Core(f"10.128.0.{at + 1}", size.names[at], places[size.names[at]])
-                 for at in range(ARCHIVISTS))
+                 for at in range(CONTROL_NODES))
 
 
 def local(size: Size, at: int = 0, listen: Mapping[str, str] | None = None) -> Local:
-    """Settings of an archivist or (its zone's) desk."""
+    """Settings of a control node or (its zone's) desk."""
     core = cores(size)[at]
     return Local("", f"node{at}", "core", core.ip, core.zone, core.region, True, True, None, (7000, 7001),
                  tuple(f"{one.ip}:8080" for one in cores(size)),
--- a/benchmarks/simulated_schedules.py
+++ b/benchmarks/simulated_schedules.py
@@ -1,4 +1,4 @@
-"""Simulated archivists in trouble: `python -m benchmarks.simulated_schedules --seeds 1-1000 --jobs 1`.
+"""Simulated control nodes in trouble: `python -m benchmarks.simulated_schedules --seeds 1-1000 --jobs 1`.
 
 One seed is one history. The first failure is shrunk to the fewest troubles that still fail; exit code 1 if
 there is one. With `--variant NAME` one place of the real classes is broken, with `--variant all` each in
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -1,4 +1,4 @@
-"""A world for tests of enquiries: time that jumps from timer to timer, and archivists on one plain store."""
+"""A world for tests of enquiries: time that jumps from timer to timer, and nodes on one plain store."""
 
 from __future__ import annotations
 
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -1,4 +1,4 @@
-"""A small simulated exchange: archivists with real registries and controllers, on one chosen clock."""
+"""A small simulated exchange: control nodes with real registries and controllers, on one chosen clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Ledger:
-    """Items as one archivist holds them; `holds` False makes every put fail, `gate` delays it."""
+    """Items as one control node holds them; `holds` False makes every put fail, `gate` delays it."""
 
     def __init__(self, world: World, ip: str) -> None:
         self.world, self.ip, self.held = world, ip, dict[Any, Item]()
@@ -124,7 +124,7 @@
 
 
 class World:
-    """Archivists with ips "1", "2".. in the zones given. Runs in the loop of `asyncio.run`."""
+    """Control nodes with ips "1", "2".. in the zones given. Runs in the loop of `asyncio.run`."""
 
     def __init__(self, *zones: str) -> None:
         self.now, self.seeds, self.order = 1000 * SECOND, count(1), count()
@@ -135,7 +135,9 @@
         self.mean_ms = 0  # What desks tell of answers' times, where not 0.
         self.nodes: dict[str, Node] = {}
         self.beating: dict[str, tuple[str, dict[str, Any], int]] = {}  # Lives: keeper, body, next beat.
-        self.desks: dict[str, tuple[str, dict[str, int]]] = {}  # Archivist; requests a second for each pool.
+        self.desks: dict[
+            str, tuple[str, dict[str, int]]
+        ] = {}  # Control node; requests a second for each pool.
         for ip in self.zones:
             self.start(ip)
 
@@ -174,7 +176,7 @@
     def desk(
         self, name: str, ip: str, zone: str, ready: bool = True, leaving: bool = False, **rates: int
     ) -> list[msgspec.Struct]:
-        """A desk says Hello on a link to an archivist. Returns what it will have been sent."""
+        """A desk says Hello on a link to a control node. Returns what it will have been sent."""
         self.desks[name] = ip, rates
         hello = fronts.Hello(name, "x", zone, f"{name}:80", ready, leaving)
         sent = self.nodes[ip].sent.setdefault(name, [])
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -121,7 +121,7 @@
         world.nodes["1"].ledger.merge(world.nodes["2"].ledger.held.values())
         await world.run(20)
         assert held(world) == [{"c1-0"}] * 3
-        # One archivist has told all.
+        # One control node has told all.
         assert [any(one.kind == CLEARED for one in node.ledger.puts) for node in world.nodes.values()] == [
             False,
             True,
@@ -219,5 +219,5 @@
     routing = Routing()
     for one in sent:
         routing.merge(getattr(one.message, "items", ()))
-    routing.merge([ended("a")])  # From an archivist that was away.
+    routing.merge([ended("a")])  # From a control node that was away.
     assert {id for kind, id in routing.items if kind == INSTANCE} == {"b", "c"}
--- a/tests/test_system_consensus.py
+++ b/tests/test_system_consensus.py
@@ -1,4 +1,4 @@
-"""Histories of archivists in trouble, judged from outside; each seed one history."""
+"""Histories of control nodes in trouble, judged from outside; each seed one history."""
 
 from __future__ import annotations
 
--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -1,4 +1,4 @@
-"""The folder of an archivist: what was acknowledged stays, what can't be used is set aside."""
+"""The folder of a control node: what was acknowledged stays, what can't be used is set aside."""
 
 from __future__ import annotations
 
--- a/tests/test_system_control_api.py
+++ b/tests/test_system_control_api.py
@@ -1,4 +1,4 @@
-"""What callers are told, through several archivists at once and with faults in their ledger and links."""
+"""What callers are told, through several control nodes at once and with faults in their ledger and links."""
 
 from __future__ import annotations
 
--- a/tests/test_system_distribution.py
+++ b/tests/test_system_distribution.py
@@ -23,7 +23,7 @@
 
 
 def play(test: Play) -> Callable[[], None]:
-    """Runs a test in a world of six zones in three regions, each region with an archivist."""
+    """Runs a test in a world of six zones in three regions, each region with a control node."""
 
     def run() -> None:
         asyncio.run(test(World("a1", "b1", "c1")))
@@ -221,7 +221,7 @@
 
 
 @play
-async def test_a_new_archivist_takes_nothing_from_desks_until_it_has_heard_all(world: World) -> None:
+async def test_a_new_control_node_takes_nothing_from_desks_until_it_has_heard_all(world: World) -> None:
     await serve(world, dict.fromkeys(ZONES, 2))
     for ip in world.zones:
         world.start(ip)
@@ -237,7 +237,7 @@
 
 
 @play
-async def test_a_desk_that_changes_its_archivist_counts_once_and_gets_its_table(world: World) -> None:
+async def test_a_desk_that_changes_its_control_node_counts_once_and_gets_its_table(world: World) -> None:
     await serve(world, dict.fromkeys(ZONES, 2))
     world.part("desk a1")
     sent = world.desk("desk a1", "2", "a1", s=20)
@@ -251,7 +251,7 @@
     assert "desk a1" not in floors[0].desks and "desk c1" in floors[0].desks
 
 
-def test_the_channel_does_not_wait_for_desks_of_other_archivists() -> None:
+def test_the_channel_does_not_wait_for_desks_of_other_control_nodes() -> None:
     zones = {"a1": "a", "b1": "b"}
     dealer = Dealer("s", terms_for(Pool("s", "s", (), 500), zones), 7)
     dealer.seat({f"b{number}": Seat(number % 2, api.Phase.READY, 4.0) for number in range(60)})
--- a/tests/test_system_model.py
+++ b/tests/test_system_model.py
@@ -1,4 +1,4 @@
-"""Archivists' replicas in the small: explored shallowly here, deeper by `ambershift check-model`."""
+"""Control nodes' replicas in the small: explored shallowly here, deeper by `ambershift check-model`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_no_two_steps_break_the_order_of_a_list() -> None:
-    model = models()["accession"]
+    model = models()["consensus"]
     result = explore(model, Options(depth=2))
     assert result.fault is None, trace.text(model, result.fault)
     assert result.states > 500
@@ -18,5 +18,5 @@
 
 def test_half_of_the_voters_is_found_to_be_too_few_within_two_steps() -> None:
     with broken(BY_NAME["one-copy-too-few"]):
-        result = explore(models()["accession"], Options(depth=2))
+        result = explore(models()["consensus"], Options(depth=2))
     assert result.fault is not None and result.fault.property == "one-order"
--- a/tests/test_system_processes.py
+++ b/tests/test_system_processes.py
@@ -24,12 +24,12 @@
 
 
 def rehearse(folder: Path, act: Callable[[Rig, Faults], Awaitable[None]]) -> None:
-    """Three archivists, two desks and four backends; whatever happens, every promise is to be kept."""
+    """Three control nodes, two desks and four backends; whatever happens, every promise is to be kept."""
 
     async def whole() -> None:
         site = Site(
             folder,
-            archivists=3,
+            control_nodes=3,
             desks=2,
             zone_count=3,
             heartbeat_ms=300,
@@ -59,7 +59,7 @@
     await until(f"{more} more requests served", lambda: rig.judge.counts["served"] >= goal, 15.0)
 
 
-def test_an_archivist_lost_and_a_desk_ended_in_order_lose_nothing(tmp_path: Path) -> None:
+def test_a_control_node_lost_and_a_desk_ended_in_order_lose_nothing(tmp_path: Path) -> None:
     async def act(rig: Rig, faults: Faults) -> None:
         await served(rig, 50)
         losing = rig.spawn(faults.lose("core"))
@@ -86,7 +86,7 @@
     """Without the mask it ends the process: the platform tells of a changed file whenever it has changed."""
 
     async def whole() -> None:
-        child = Child(site := Site(tmp_path, archivists=1, desks=1, zone_count=1), site.of(DESK)[0])
+        child = Child(site := Site(tmp_path, control_nodes=1, desks=1, zone_count=1), site.of(DESK)[0])
         await child.start()
         try:
             assert child.process
--- a/tests/test_system_processes_unit.py
+++ b/tests/test_system_processes_unit.py
@@ -1,4 +1,4 @@
-"""The archivist's shell hands on all that its parts rely on: a guard that nobody calls guards nothing."""
+"""The control node's shell hands on all that its parts rely on: a guard that nobody calls guards nothing."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 import pytest
 
-from ambershift.system.processes.archivist import Archivist
-from ambershift.system.transport.words import ARCHIVIST, DESK, Caller
+from ambershift.system.processes.control_node import ControlNode
+from ambershift.system.transport.words import CONTROL_NODE, DESK, Caller
 
 PARTS = ("ledger", "registry", "controller", "enquiries")
 
 
-def shell() -> Archivist:
+def shell() -> ControlNode:
     """One whose parts only note what they are told."""
-    made = object.__new__(Archivist)
+    made = object.__new__(ControlNode)
     for name in (*PARTS, "links", "log"):
         setattr(made, name, Mock())
     made.ledger.cores.return_value = ()  # type: ignore[attr-defined]
@@ -28,7 +28,7 @@
 def test_links_that_come_and_go_are_told_to_the_controller() -> None:
     made = shell()
     made.linked(Caller(DESK, "desk-1", "a"))
-    made.linked(Caller(ARCHIVIST, "10.0.0.1", "b"))
+    made.linked(Caller(CONTROL_NODE, "10.0.0.1", "b"))
     made.lost(Caller(DESK, "desk-1", "a"))
     told = [(name, *args) for name, args, _ in made.controller.method_calls]  # type: ignore[attr-defined]
     assert told == [("desk_linked", "desk-1"), ("core_linked", "10.0.0.1"), ("desk_lost", "desk-1")]
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -1,4 +1,4 @@
-"""The list of backends on disk: recalled after a loss of all archivists, and thrown away where it is none."""
+"""The list of backends on disk: recalled after a loss of all nodes, and thrown away where it is none."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from ambershift.system.messages.copies import Ask, Knock
 from ambershift.system.messages.fronts import Backend, Backends, Items
 from ambershift.system.messages.items import INSTANCE, Item
-from ambershift.system.processes import lender as roles_lender
-from ambershift.system.processes.lender import Lender, let_go
+from ambershift.system.processes import proxy as processes_proxy
+from ambershift.system.processes.proxy import Proxy, let_go
 from ambershift.system.proxy import awaited, handling
 from ambershift.system.proxy.roster import Roster
 from ambershift.system.registry.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
@@ -34,7 +34,7 @@
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.steps import MS, Send, Written
 from ambershift.system.transport import links
-from ambershift.system.transport.words import ARCHIVIST, Caller
+from ambershift.system.transport.words import CONTROL_NODE, Caller
 
 NOW = 1000 * SECOND
 ONE = Life("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * SECOND)
@@ -46,7 +46,7 @@
 
 
 async def worn(cold: int = 0) -> tuple[World, dict[str, bytes]]:
-    """A world that has run, and what its archivists hold on disk when all end."""
+    """A world that has run, and what its control nodes hold on disk when all end."""
     world = World("a1", "b1", "c1")
     for ip, zone in world.zones.items():
         for number in range(3):
@@ -146,7 +146,7 @@
         sheet = kept(world, "1")
         world.down.add("1")
         world.beating.pop("old")
-        # Heard elsewhere for longer than the old one had been, by its own archivist's list.
+        # Heard elsewhere for longer than the old one had been, by its own control node's list.
         world.backend("new", "s9", "b1", "2", address="old:80")
         await world.run(4)
         world.start("1")
@@ -336,9 +336,9 @@
     assert [type(one.message) for one in again] == [Knock, Ask]
 
 
-def lender(dials: dict[str, Any]) -> Lender:
+def dialling_proxy(dials: dict[str, Any]) -> Proxy:
     """One whose dials come to what is given: an error, or what is taken for a link once its event is set."""
-    made = object.__new__(Lender)
+    made = object.__new__(Proxy)
 
     async def dial(ip: str) -> Any:
         if isinstance(dials[ip], Exception):
@@ -356,18 +356,18 @@
 
 
 def test_a_desk_dials_the_next_beside_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(roles_lender, "BESIDE_S", 0.0)
+    monkeypatch.setattr(processes_proxy, "BESIDE_S", 0.0)
 
     async def run() -> None:
         silent, there = (SimpleNamespace(up=asyncio.Event(), transport=Mock()) for _ in range(2))
         there.up.set()
-        made = lender({"a": OSError(), "b": silent, "c": there})
+        made = dialling_proxy({"a": OSError(), "b": silent, "c": there})
         task = await asyncio.wait_for(made.dial_any(["a", "b", "c"]), 10)
         assert task is not None
         await task
         assert made.choice.up.call_args.args[1] == "c"  # type: ignore[attr-defined]
         assert [call.args[1] for call in made.choice.fail.call_args_list] == ["a"]  # type: ignore[attr-defined]
-        assert await lender({"a": OSError()}).dial_any(["a"]) is None
+        assert await dialling_proxy({"a": OSError()}).dial_any(["a"]) is None
 
     asyncio.run(run())
 
@@ -394,7 +394,7 @@
     monkeypatch.setattr(links, "YOUNG", young)
 
     async def run() -> None:
-        made = links.Links(Caller(ARCHIVIST, "1", "a"), 1, Mock(), Mock(), Mock(), Mock())
+        made = links.Links(Caller(CONTROL_NODE, "1", "a"), 1, Mock(), Mock(), Mock(), Mock())
         begun = list[str]()
 
         async def dial(ip: str) -> Any:
--- a/tests/test_system_registry.py
+++ b/tests/test_system_registry.py
@@ -1,4 +1,4 @@
-"""Backends and desks as archivists know them: beats, sign-offs, silence, the directory; three of them."""
+"""Backends and desks as control nodes know them: beats, sign-offs, silence, the directory; three of them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def play(test: Play) -> Callable[[], None]:
-    """Runs a test in a world of three archivists, four backends at each, all heard and settled."""
+    """Runs a test in a world of three control nodes, four backends at each, all heard and settled."""
 
     async def whole() -> None:
         world = World("a1", "b1", "c1")
@@ -54,7 +54,7 @@
     assert [await first, await again] == [(200, {}), (200, {})]
     assert [one.key for one in ledger.puts] == [("instance", "a1-0")]
     assert any(isinstance(one, Items) and one.items and one.items[0].version == (1, "") for one in sent)
-    # It stays so for its life, and its later beats are no more puts; another archivist puts for itself.
+    # It stays so for its life, and its later beats are no more puts; another control node puts for itself.
     await world.run(3)
     assert listed(world, "a1-0") == [False] * 3 and len(ledger.puts) == 1
     assert await world.beat("a1-0", "2", State="ready") == (200, {"HeartbeatTarget": "1:8080"})
@@ -115,7 +115,7 @@
 
 
 @play
-async def test_beats_are_sent_to_the_nearest_archivist_that_lives(world: World) -> None:
+async def test_beats_are_sent_to_the_nearest_control_node_that_lives(world: World) -> None:
     assert await world.beat("b1-0", "1") == (200, {"HeartbeatTarget": "2:8080"})
     assert await world.beat("b1-0", "2") == (200, {})
     world.backend("b2-0", "s0", "b2", "1")
@@ -166,7 +166,7 @@
 
 
 @play
-async def test_backends_of_a_lost_archivist_have_time_to_appear_elsewhere(world: World) -> None:
+async def test_backends_of_a_lost_control_node_have_time_to_appear_elsewhere(world: World) -> None:
     world.down.add("1")
     lost = {id: world.beating.pop(id) for id in list(world.beating) if id.startswith("a1")}
     await world.run(2)
@@ -179,7 +179,7 @@
 
 
 @play
-async def test_backends_of_an_archivist_that_starts_anew_stay_listed(world: World) -> None:
+async def test_backends_of_a_control_node_that_starts_anew_stay_listed(world: World) -> None:
     kept = {id: world.beating.pop(id) for id in list(world.beating) if id.startswith("a1")}
     world.start("1")
     await world.run(4)
@@ -284,7 +284,7 @@
 
 
 @play
-async def test_desks_of_a_silent_archivist_are_left_out_while_half_are_left(world: World) -> None:
+async def test_desks_of_a_silent_control_node_are_left_out_while_half_are_left(world: World) -> None:
     find = world.nodes["3"].registry.addresses
     for name, ip, zone in (("p", "1", "a1"), ("q", "1", "a1"), ("r", "2", "b1"), ("s", "3", "b1")):
         world.desk(name, ip, zone)
@@ -295,7 +295,7 @@
     world.down.add("1")
     await world.run(0.1)
     assert sorted(find("a", "a1")) == ["r:80", "s:80"]
-    world.desk("p", "2", "a1")  # Only its archivist was lost.
+    world.desk("p", "2", "a1")  # Only its control node was lost.
     await world.run(0.3)
     assert find("a", "a1") == ["p:80"]
     world.down.add("2")  # Of four one is left: that would be too much for it, and those may be there.
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -8,12 +8,12 @@
 from ambershift.system.__main__ import main
 from ambershift.system.processes.rereading import Watched
 from ambershift.system.settings.local import SettingsError, read_local
-from ambershift.system.testbed.settings import ARCHIVIST, DESK, Machine, Site, toml
+from ambershift.system.testbed.settings import CONTROL_NODE, DESK, Machine, Site, toml
 
 
 @pytest.fixture
 def site(tmp_path: Path) -> Site:
-    return Site(tmp_path, archivists=4, desks=2, seed=1)
+    return Site(tmp_path, control_nodes=4, desks=2, seed=1)
 
 
 def machine(site: Site, kind: str) -> Machine:
@@ -21,14 +21,14 @@
 
 
 def test_a_whole_file_is_read(site: Site) -> None:
-    core, front = machine(site, ARCHIVIST), machine(site, DESK)
+    core, front = machine(site, CONTROL_NODE), machine(site, DESK)
     read = read_local(str(site.write(core, initial=True)))
     assert (read.name, read.ip, read.zone, read.region) == (core.name, core.ip, core.zone, core.region)
     assert read.initial and read.counted and read.folder == str(site.data(core))
     assert read.listen["Control"] == site.control(core) and read.zones == site.zones
     assert read.heartbeat == 0.5 and read.tolerated == (1, 1, 1)
     assert read.bounds.drain == 1.5 and read.bounds.retry_ratio == 0.2 and read.bounds.ttl_most == 2
-    assert read.seed_ips == tuple(one.ip for one in site.of(ARCHIVIST)[:3])
+    assert read.seed_ips == tuple(one.ip for one in site.of(CONTROL_NODE)[:3])
     desk = read_local(str(site.write(front, initial=False)))
     assert desk.folder is None and not desk.initial and not desk.counted
 
@@ -97,7 +97,7 @@
     with pytest.raises(SettingsError) as raised:
         read_local(str(file))
     assert raised.value.file == str(file) and str(file) in str(raised.value)
-    assert main(["lender", "--settings", str(file)]) == 2
+    assert main(["proxy", "--settings", str(file)]) == 2
 
 
 def test_a_file_that_changes_without_a_signal_is_noticed_once(tmp_path: Path) -> None:
--- a/tests/test_system_simulation.py
+++ b/tests/test_system_simulation.py
@@ -1,4 +1,4 @@
-"""Drills of whole archivists, a few seeds of many; what the judge finds; and mistakes that it must find."""
+"""Drills of whole nodes, a few seeds of many; what the judge finds; and mistakes that it must find."""
 
 from __future__ import annotations
 
--- a/tests/test_system_transport.py
+++ b/tests/test_system_transport.py
@@ -1,4 +1,4 @@
-"""Links over real websockets on 127.0.0.0/8, and a desk's choice of the archivist that looks after it."""
+"""Links over real websockets on 127.0.0.0/8, and a desk's choice of the control node that looks after it."""
 
 import asyncio
 import itertools
@@ -20,7 +20,7 @@
 from ambershift.system.transport import outbox as outboxes
 from ambershift.system.transport.links import Links, receive
 from ambershift.system.transport.outbox import Outbox
-from ambershift.system.transport.words import ARCHIVIST, DESK, Caller, PathError, caller_of, path_of
+from ambershift.system.transport.words import CONTROL_NODE, DESK, Caller, PathError, caller_of, path_of
 
 pytestmark = pytest.mark.timeout(30)
 BLOCKS = itertools.count(os.getpid() % 200 * 200)
@@ -33,7 +33,7 @@
         self.heard, self.ups, self.downs = list[Any](), list[Caller](), list[Caller]()
         self.logged = list[int]()
         self.links = Links(
-            Caller(ARCHIVIST, ip, life),
+            Caller(CONTROL_NODE, ip, life),
             port,
             lambda caller, message: self.heard.append((caller.name, message)),
             self.ups.append,
@@ -70,9 +70,9 @@
         await until("all heard", lambda: len(far.heard) == 499, 5)
         assert far.heard == [(one, Mark(number)) for number in range(1, 500)]
         assert list(near.links.dialling) == [other] and not near.heard
-        far.links.accepted[ARCHIVIST, one].break_off()
+        far.links.accepted[CONTROL_NODE, one].break_off()
         await until("a link again", lambda: len(far.ups) == 2 and other in near.links.dialled, 5)
-        assert far.downs == [Caller(ARCHIVIST, one, "1")] and near.logged[:3] == [101, 102, 101]
+        assert far.downs == [Caller(CONTROL_NODE, one, "1")] and near.logged[:3] == [101, 102, 101]
         near.links.send(other, Mark(500))
         await until("heard again", lambda: far.heard[-1] == (one, Mark(500)), 5)
         near.links.want([])
@@ -90,14 +90,14 @@
         second = await again.links.dial(other)
         await until("the second link", lambda: len(far.ups) == 2, 5)
         await first.wait_closed()
-        far.links.reply(ARCHIVIST, one, Mark(7))
+        far.links.reply(CONTROL_NODE, one, Mark(7))
         received = list[msgspec.Struct]()
         reading = asyncio.ensure_future(receive(second, received.append, lambda *_: None))
         await until("an answer on the new link", lambda: received == [Mark(7)], 5)
-        assert not far.downs and (ARCHIVIST, one) in far.links.accepted
+        assert not far.downs and (CONTROL_NODE, one) in far.links.accepted
         reading.cancel()
         second.transport.abort()
-        await until("the new one's end", lambda: far.downs == [Caller(ARCHIVIST, one, "2")], 5)
+        await until("the new one's end", lambda: far.downs == [Caller(CONTROL_NODE, one, "2")], 5)
 
     pair(act)
 
@@ -141,11 +141,11 @@
         connection = await near.links.dial(other)
         await until("the link", lambda: bool(far.ups), 5)
         connection.transport.pause_reading()  # A peer that doesn't read.
-        outbox: Outbox = far.links.accepted[ARCHIVIST, one]
+        outbox: Outbox = far.links.accepted[CONTROL_NODE, one]
         big = Hello("n" * 60_000, "", "", "", False, False)
         for _ in range(1000):
-            far.links.reply(ARCHIVIST, one, big)
-            if (ARCHIVIST, one) not in far.links.accepted:
+            far.links.reply(CONTROL_NODE, one, big)
+            if (CONTROL_NODE, one) not in far.links.accepted:
                 break
             assert outbox.size < (1 << 20) + 100_000
             await asyncio.sleep(0)
@@ -154,7 +154,7 @@
     pair(act)
 
 
-# The choice of an archivist, without sockets.
+# The choice of a control node, without sockets.
 CORES = (Core("c1", "z1", "r1"), Core("c2", "z2", "r1"), Core("c3", "z3", "r2"), Core("c4", "z4", "r2"))
 
 
