--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -12,16 +12,16 @@
 from ambershift.system.contracts import Ledger
 from ambershift.system.control_api import events, wire
 from ambershift.system.control_api.applications import REFUSED, Applications
-from ambershift.system.control_api.handing import Handing, Sender
+from ambershift.system.control_api.open_calls import OpenCalls, Sender
 from ambershift.system.control_api.operator import Operator
-from ambershift.system.control_api.owners import Owners
-from ambershift.system.control_api.pulse import Pulse
+from ambershift.system.control_api.pause_detector import PauseDetector
+from ambershift.system.control_api.proposers import Proposers
 from ambershift.system.control_api.registry import Registry
 from ambershift.system.control_api.watches import WATCH, Watches
 from ambershift.system.coordination.ages import Ages
 from ambershift.system.coordination.calls import BODY_MOST, CALLS, PRESENT
 from ambershift.system.coordination.replies import ImproperError, Reply, read_body, reply
-from ambershift.system.messages.errands import Errand, Outcome, Stirred
+from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import MS, SECOND
 
@@ -52,21 +52,21 @@
         begin: int | None = None,
     ) -> None:
         self._settings, self._registry, self._steady, self._log = settings, registry, steady, log
-        handing = Handing(send, secrets.randbits(62) if begin is None else begin)
-        owners = Owners(ledger, settings.ip, steady)
+        open_calls = OpenCalls(send, secrets.randbits(62) if begin is None else begin)
+        proposers = Proposers(ledger, settings.ip, steady)
         ages = Ages(int((settings.bounds.history + HISTORY_MARGIN) * SECOND))
-        self._handing, self._pulse = handing, Pulse()
+        self._open_calls, self._pauses = open_calls, PauseDetector()
         self._operator = Operator(settings, ledger, steady, log)
-        self._watches = Watches(ledger, settings.ip, steady, send, handing, owners, ages)
+        self._watches = Watches(ledger, settings.ip, steady, send, open_calls, proposers, ages)
         self._applications = Applications(
-            ledger, settings.ip, steady, send, handing, owners, ages, log, self._watches
+            ledger, settings.ip, steady, send, open_calls, proposers, ages, log, self._watches
         )
         self._watches.serve(self._applications)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def tick(self) -> None:
         """Notices when the process was stopped, and looks after watches."""
-        stopped = self._pulse.beat(self._steady())
+        stopped = self._pauses.beat(self._steady())
         if stopped:
             self._log(events.WOKEN, {"stopped_ms": stopped // MS})
         self._watches.tick()
@@ -76,12 +76,12 @@
         self._watches.close()
 
     def hear(self, sender: str, message: msgspec.Struct) -> None:
-        """A message of `slips.errands` from another control node."""
-        if isinstance(message, Errand):
+        """A message of `slips.forwarded calls` from another control node."""
+        if isinstance(message, ForwardedCall):
             bearer = self._watches if message.name == WATCH else self._applications
             self._spawn(bearer.carry_out(sender, message))
         elif isinstance(message, Outcome):
-            self._handing.settle(sender, message)
+            self._open_calls.settle(sender, message)
         elif isinstance(message, Stirred):
             self._spawn(self._watches.stirred(sender, message))
 
@@ -146,14 +146,14 @@
         if name in ("evacuation.initiate", "evacuation.terminate"):
             # A late one would undo what was ordered since, and no version tells that it is late.
             await wire.still_there(receive)
-            if self._pulse.stale(self._steady()):
+            if self._pauses.stale(self._steady()):
                 return REFUSED
             return await self._operator.evacuate(of, name == "evacuation.initiate")
         return reply(404)
 
     async def _ask(self, name: str, of: str, scope: wire.Scope, receive: wire.Receive) -> Reply:
         body = await wire.read_whole(scope, receive, BODY_MOST)
-        if self._pulse.stale(self._steady()):
+        if self._pauses.stale(self._steady()):
             return REFUSED
         return await self._applications.ask(name, of, body)
 
--- a/ambershift/system/control_api/applications.py
+++ b/ambershift/system/control_api/applications.py
@@ -13,13 +13,13 @@
 
 from ambershift.system.contracts import Change, Ledger, NotDoneError, NotHeldError, Verdict
 from ambershift.system.control_api.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED, OWNER_SILENT
-from ambershift.system.control_api.handing import Handing, Sender
-from ambershift.system.control_api.owners import Owners
+from ambershift.system.control_api.open_calls import OpenCalls, Sender
+from ambershift.system.control_api.proposers import Proposers
 from ambershift.system.coordination.ages import Ages
 from ambershift.system.coordination.calls import PUT, read_call
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Call, ImproperError, Reply, reply
-from ambershift.system.messages.errands import Errand, Outcome, Stirred
+from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
 from ambershift.system.steps import MS, SECOND
 
 PATIENCE = 900 * MS  # A caller gives up after a second of silence, and time is looked at each 50 ms.
@@ -50,14 +50,20 @@
         own: str,
         steady: Callable[[], int],
         send: Sender,
-        handing: Handing,
-        owners: Owners,
+        open_calls: OpenCalls,
+        proposers: Proposers,
         ages: Ages,
         log: Callable[[int, dict[str, Any]], None],
         news: News,
     ) -> None:
         self._ledger, self._own, self._steady, self._send = ledger, own, steady, send
-        self._handing, self._owners, self._ages, self._log, self._news = handing, owners, ages, log, news
+        self._open_calls, self._proposers, self._ages, self._log, self._news = (
+            open_calls,
+            proposers,
+            ages,
+            log,
+            news,
+        )
         self._touched = 0  # When this machine was last seen to be in touch.
 
     async def ask(self, name: str, of: str, body: bytes) -> Reply:
@@ -71,7 +77,7 @@
 
     async def _ask(self, name: str, of: str, body: bytes) -> Reply:
         until = self._steady() + PATIENCE
-        number = self._handing.number()
+        number = self._open_calls.number()
         try:
             call = self._read(name, of, body, self._own, number)
         except ImproperError as why:
@@ -80,12 +86,12 @@
             return REFUSED
         unclear = False
         while True:
-            owner = self._owners.owner(call.register)
+            owner = self._proposers.owner(call.register)
             if owner == self._own:
                 answer = await self.propose(call, until)
             else:
                 left = (until - self._steady()) // MS
-                handed = self._handing.hand(owner, number, name, of, body, left)
+                handed = self._open_calls.hand(owner, number, name, of, body, left)
                 answer = await self._handed(owner, handed, call, until)
             if answer.status in DECISIVE:
                 return answer
@@ -105,9 +111,9 @@
                     break
             if handed.done():
                 if handed.result().status == REFUSED.status:
-                    self._owners.doubt(owner)
+                    self._proposers.doubt(owner)
                 return handed.result()
-            self._owners.doubt(owner)
+            self._proposers.doubt(owner)
             self._log(OWNER_SILENT, {"owner": owner, "register": call.register})
             return UNCLEAR
         finally:
@@ -147,15 +153,15 @@
             self._put_about(call.register, answer.group, noted.changed)
         return answer
 
-    async def carry_out(self, sender: str, errand: Errand) -> None:
-        """An errand of another machine; its outcome goes back whatever it is."""
-        until = self._steady() + errand.left * MS
+    async def carry_out(self, sender: str, forwarded: ForwardedCall) -> None:
+        """A forwarded call of another machine; its outcome goes back whatever it is."""
+        until = self._steady() + forwarded.left * MS
         try:
-            call = self._read(errand.name, errand.of, errand.body, sender, errand.number)
+            call = self._read(forwarded.name, forwarded.of, forwarded.body, sender, forwarded.number)
             answer = await self.propose(call, until) if await self._in_touch() else REFUSED
         except ImproperError as why:
             answer = reply(400, Cause=f"{why.field}: {why.reason}")
-        self._send(sender, Outcome(errand.number, answer.status, answer.body))
+        self._send(sender, Outcome(forwarded.number, answer.status, answer.body))
 
     def _read(self, name: str, of: str, body: bytes, sender: str, number: int) -> Call:
         return read_call(name, of, body, f"{sender}/{number:x}", self._ages)
@@ -165,9 +171,9 @@
         name = register.removeprefix("g/")
         self._ages.note(name, group.revision, self._steady())
         self._news.learn(name, group)
-        if changed and not self._owners.first(register):
+        if changed and not self._proposers.first(register):
             self._news.note(name, group)
-            for ip in self._owners.others():
+            for ip in self._proposers.others():
                 self._send(ip, Stirred(name, group.revision))
 
 
--- a/ambershift/system/control_api/handing.py
+++ b/ambershift/system/control_api/open_calls.py
@@ -8,13 +8,13 @@
 import msgspec
 
 from ambershift.system.coordination.replies import Reply
-from ambershift.system.messages.errands import Errand, Outcome
+from ambershift.system.messages.forwarding import ForwardedCall, Outcome
 
 Sender = Callable[[str, msgspec.Struct], None]
 
 
-class Handing:
-    """`begin` is drawn at each start, so that no errand's number is ever used by two lives of a process."""
+class OpenCalls:
+    """`begin` is drawn at each start, so that no number is ever used by two lives of a process."""
 
     def __init__(self, send: Sender, begin: int) -> None:
         self._send, self._number = send, begin
@@ -29,11 +29,11 @@
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         self._open[number] = to, future
         future.add_done_callback(lambda _: self._forget(number, future))
-        self._send(to, Errand(number, name, of, body, left))
+        self._send(to, ForwardedCall(number, name, of, body, left))
         return future
 
     def _forget(self, number: int, future: asyncio.Future[Reply]) -> None:
-        # The same errand may have been handed to another one meanwhile, under the same number.
+        # The same forwarded call may have been handed to another one meanwhile, under the same number.
         if self._open.get(number, ("", None))[1] is future:
             del self._open[number]
 
--- a/ambershift/system/control_api/pulse.py
+++ b/ambershift/system/control_api/pause_detector.py
@@ -12,7 +12,7 @@
 AFTERWARDS = 150 * MS
 
 
-class Pulse:
+class PauseDetector:
     def __init__(self) -> None:
         self._last: int | None = None
         self._stale_until = 0
--- a/ambershift/system/control_api/owners.py
+++ b/ambershift/system/control_api/proposers.py
@@ -19,7 +19,7 @@
     return blake2b(f"{ip} {register}".encode(), digest_size=8).digest()
 
 
-class Owners:
+class Proposers:
     def __init__(self, ledger: Ledger, own: str, steady: Callable[[], int]) -> None:
         self._ledger, self._own, self._steady = ledger, own, steady
         self._cores: tuple[str, ...] = ()
--- a/ambershift/system/control_api/vigils.py
+++ b/ambershift/system/control_api/subscriptions.py
@@ -21,7 +21,7 @@
     waiting: dict[int, tuple[int, bool]] = field(default_factory=dict)  # By token: after what, and `here`.
 
 
-class Vigils:
+class Subscriptions:
     """Only what is certain may be told here: groups as rounds that came through have left or found them."""
 
     def __init__(self) -> None:
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -9,17 +9,17 @@
 
 from ambershift.system.contracts import Ledger
 from ambershift.system.control_api.applications import REFUSED, Applications
-from ambershift.system.control_api.handing import Handing, Sender
-from ambershift.system.control_api.owners import Owners
-from ambershift.system.control_api.vigils import Vigils
+from ambershift.system.control_api.open_calls import OpenCalls, Sender
+from ambershift.system.control_api.proposers import Proposers
+from ambershift.system.control_api.subscriptions import Subscriptions
 from ambershift.system.coordination.ages import Ages
 from ambershift.system.coordination.calls import PRESENT, read_call
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Reply, reply
-from ambershift.system.messages.errands import Errand, Outcome, Stirred
+from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
 from ambershift.system.steps import MS, SECOND
 
-WATCH = "watch"  # The name of an errand that is one.
+WATCH = "watch"  # The name of a forwarded call that is one.
 CHECK = 500 * MS  # How often a watch looks whether it waits at the right machine still.
 LOOK_PATIENCE = 900 * MS
 TOLD_WITHIN = 400 * MS  # A trip between regions, and a round at the machine that is asked.
@@ -38,13 +38,13 @@
         own: str,
         steady: Callable[[], int],
         send: Sender,
-        handing: Handing,
-        owners: Owners,
+        open_calls: OpenCalls,
+        proposers: Proposers,
         ages: Ages,
     ) -> None:
         self._ledger, self._own, self._steady, self._send = ledger, own, steady, send
-        self._handing, self._owners, self._ages = handing, owners, ages
-        self._vigils = Vigils()
+        self._open_calls, self._proposers, self._ages = open_calls, proposers, ages
+        self._subscriptions = Subscriptions()
         self._waiting: dict[int, asyncio.Future[Reply]] = {}
         self._looking: dict[str, asyncio.Task[None]] = {}
         self._closed = False
@@ -55,11 +55,11 @@
 
     def learn(self, name: str, group: Group) -> None:
         """A round on this group has come through here."""
-        self._settle(self._vigils.learn(self._steady(), name, group))
+        self._settle(self._subscriptions.learn(self._steady(), name, group))
 
     def note(self, name: str, group: Group) -> None:
         """Others are sent word of this group: they will ask for it here."""
-        self._vigils.note(self._steady(), name, group)
+        self._subscriptions.note(self._steady(), name, group)
 
     def _settle(self, answers: list[tuple[int, Reply]]) -> None:
         for token, answer in answers:
@@ -75,7 +75,7 @@
         while (now := self._steady()) < until and not self._closed:
             if not self._ledger.in_touch():
                 return REFUSED  # Others may see what is put meanwhile.
-            owner = self._owners.owner("g/" + name)
+            owner = self._proposers.owner("g/" + name)
             answer = await self._at(owner, name, after, until, now)
             if answer is not None:
                 return answer
@@ -90,28 +90,28 @@
         if msgspec.json.decode(present.body)["Revision"] <= after:
             return nothing(after)
         now = self._steady()
-        answer = await self._at(self._owners.owner("g/" + name), name, after, now + LATE, now)
+        answer = await self._at(self._proposers.owner("g/" + name), name, after, now + LATE, now)
         return answer or REFUSED
 
     async def _at(self, owner: str, name: str, after: int, until: int, now: int) -> Reply | None:
         """Wait at one machine; None where it is not the right one any more, or time is up."""
-        number = self._handing.number()
+        number = self._open_calls.number()
         waiting = [self._here(number, name, after, owner == self._own)]
         if owner != self._own and not waiting[0].done():
             body = msgspec.json.encode({"after": after})
-            waiting.append(self._handing.hand(owner, number, WATCH, name, body, (until - now) // MS))
+            waiting.append(self._open_calls.hand(owner, number, WATCH, name, body, (until - now) // MS))
         try:
             done: set[asyncio.Future[Reply]] = set()
             while not done:
                 left = min(until - self._steady(), CHECK)
-                if left <= 0 or self._owners.owner("g/" + name) != owner or not self._ledger.in_touch():
+                if left <= 0 or self._proposers.owner("g/" + name) != owner or not self._ledger.in_touch():
                     return None
                 done, _ = await asyncio.wait(
                     waiting, timeout=left / SECOND, return_when=asyncio.FIRST_COMPLETED
                 )
             answer = done.pop().result()
             if answer.status == 503:
-                self._owners.doubt(owner)  # It is out of touch, or about to end.
+                self._proposers.doubt(owner)  # It is out of touch, or about to end.
                 return None
             return answer
         finally:
@@ -120,7 +120,7 @@
 
     def _here(self, token: int, name: str, after: int, here: bool = True) -> asyncio.Future[Reply]:
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
-        answer = self._vigils.arrive(self._steady(), token, name, after, here)
+        answer = self._subscriptions.arrive(self._steady(), token, name, after, here)
         if answer is not None:
             future.set_result(answer)
             return future
@@ -128,32 +128,34 @@
 
         def depart(_: asyncio.Future[Reply]) -> None:
             self._waiting.pop(token, None)
-            self._vigils.depart(token, name)
+            self._subscriptions.depart(token, name)
 
         future.add_done_callback(depart)
-        if self._vigils.stale(self._steady(), name):
+        if self._subscriptions.stale(self._steady(), name):
             self._look(name)
         return future
 
-    async def carry_out(self, sender: str, errand: Errand) -> None:
+    async def carry_out(self, sender: str, forwarded: ForwardedCall) -> None:
         """Another machine's watch. It is answered only if there is something to tell: without an answer that
         machine ends the wait itself."""
-        after = int(msgspec.json.decode(errand.body)["after"])
-        waiting = self._here(self._handing.number(), errand.of, after)
-        await asyncio.wait([waiting], timeout=errand.left / 1000)
+        after = int(msgspec.json.decode(forwarded.body)["after"])
+        waiting = self._here(self._open_calls.number(), forwarded.of, after)
+        await asyncio.wait([waiting], timeout=forwarded.left / 1000)
         if waiting.done():
             answer = waiting.result()
-            self._send(sender, Outcome(errand.number, answer.status, answer.body))
+            self._send(sender, Outcome(forwarded.number, answer.status, answer.body))
         waiting.cancel()
 
     async def stirred(self, sender: str, word: Stirred) -> None:
         """Ask the machine that put: it knows. A look of this one's own would take the register from it, and
         each machine where somebody watches would take it from the next."""
-        after = self._vigils.stirred(word.group, word.revision)
+        after = self._subscriptions.stirred(word.group, word.revision)
         if after is None:
             return
         body = msgspec.json.encode({"after": after})
-        asked = self._handing.hand(sender, self._handing.number(), WATCH, word.group, body, TOLD_WITHIN // MS)
+        asked = self._open_calls.hand(
+            sender, self._open_calls.number(), WATCH, word.group, body, TOLD_WITHIN // MS
+        )
         await asyncio.wait([asked], timeout=TOLD_WITHIN / SECOND)
         if not asked.done() or asked.result().status != 200:
             asked.cancel()
@@ -161,11 +163,11 @@
             return
         found = msgspec.json.decode(asked.result().body)
         events = tuple((one["Name"], one["Value"], one["Revision"]) for one in found["Events"])
-        self._settle(self._vigils.told(word.group, after, found["Revision"], events))
+        self._settle(self._subscriptions.told(word.group, after, found["Revision"], events))
 
     def tick(self) -> None:
         """To be called a few times a second."""
-        for name in self._vigils.look(self._steady()):
+        for name in self._subscriptions.look(self._steady()):
             self._look(name)
 
     def _look(self, name: str) -> None:
--- a/ambershift/system/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -1,8 +1,8 @@
 """Codes messages for a link: msgpack by msgspec, each a tagged array; long ones deflated.
 
 Items are JSON with the same names in each, and whole lists of them go to every desk and node: deflated
-they take a fifth of that. Short messages are most, and win nothing, but for errands: their JSON repeats what
-both ends know, and they are a third of the bytes between regions on a quiet day.
+they take a fifth of that. Short messages are most, and win nothing, but for forwarded calls: their
+JSON repeats what both ends know, and they are a third of the bytes between regions on a quiet day.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ambershift.system.messages import copies, errands, fronts, rounds
+from ambershift.system.messages import copies, forwarding, fronts, rounds
 
 WIRE = 2  # Told in the path of each link; another number is another program's and refused.
 MESSAGE_MOST = 16 << 20
@@ -35,7 +35,7 @@
     """All tagged structs of the modules of messages, found by their tag so that none is forgotten."""
     return tuple(
         one
-        for module in (copies, errands, fronts, rounds)
+        for module in (copies, forwarding, fronts, rounds)
         for one in vars(module).values()
         if isinstance(one, type)
         and issubclass(one, msgspec.Struct)
@@ -53,8 +53,8 @@
 
 
 _large = deque[tuple[msgspec.Struct, bytes]](maxlen=LARGE_MOST)
-_packer = zlib.compressobj(9, zlib.DEFLATED, -9, 1, zlib.Z_FIXED, errands.WORDS)
-_opener = zlib.decompressobj(-9, errands.WORDS)
+_packer = zlib.compressobj(9, zlib.DEFLATED, -9, 1, zlib.Z_FIXED, forwarding.WORDS)
+_opener = zlib.decompressobj(-9, forwarding.WORDS)
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(_union())
 
@@ -68,7 +68,7 @@
     data = plain = _encoder.encode(message)
     if len(plain) >= LONG:
         data = zlib.compress(plain, LEVEL)
-    elif isinstance(message, errands.Errand | errands.Outcome):
+    elif isinstance(message, forwarding.ForwardedCall | forwarding.Outcome):
         packer = _packer.copy()
         data = min(plain, bytes((KNOWN,)) + packer.compress(plain) + packer.flush(), key=len)
     if len(plain) > LARGE:
--- a/ambershift/system/messages/errands.py
+++ b/ambershift/system/messages/forwarding.py
@@ -13,7 +13,7 @@
 )
 
 
-class Errand(msgspec.Struct, frozen=True, array_like=True, tag="eo"):
+class ForwardedCall(msgspec.Struct, frozen=True, array_like=True, tag="eo"):
     """A call of an application, for the control node that proposes for the register it is about.
 
     `number` is the sender's own, and with the sender names this call among all that ever were. `name` is
@@ -28,7 +28,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True, tag="ed"):
-    """`status` is HTTP's; `body` JSON. `number` is the errand's."""
+    """`status` is HTTP's; `body` JSON. `number` is the forwarded call's."""
 
     number: int
     status: int
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -14,7 +14,7 @@
 from ambershift.system.control_api.application import Enquiries
 from ambershift.system.coordination.shapes import shape_of
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.messages import copies, errands, fronts, rounds
+from ambershift.system.messages import copies, forwarding, fronts, rounds
 from ambershift.system.processes.logs import Journal
 from ambershift.system.processes.rereading import LOOK_S as FILE_S
 from ambershift.system.processes.rereading import Watched
@@ -131,7 +131,7 @@
                 self.controller.hear_desk(caller.name, message)
         elif owner == copies.__name__:
             self.ledger.hear(caller.name, message)
-        elif owner == errands.__name__:
+        elif owner == forwarding.__name__:
             self.enquiries.hear(caller.name, message)
         elif owner == rounds.__name__:
             self.registry.hear_core(caller.name, message)
--- a/ambershift/system/simulation/variants.py
+++ b/ambershift/system/simulation/variants.py
@@ -8,7 +8,7 @@
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
 from ambershift.system.contracts import NotDoneError
-from ambershift.system.control_api import application, applications, operator, pulse, watches, wire
+from ambershift.system.control_api import application, applications, operator, pause_detector, watches, wire
 from ambershift.system.coordination import cells, groups, locks
 from ambershift.system.simulation import mistakes
 
@@ -323,7 +323,7 @@
         "stopped-unnoticed",
         "WORTH",
         "what waited in a stopped process is done when it wakes",
-        pulse.Pulse,
+        pause_detector.PauseDetector,
         "stale",
         _constant(lambda self, now: False),
     ),
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ambershift.system.messages import codec, copies, errands, fronts, rounds
+from ambershift.system.messages import codec, copies, forwarding, fronts, rounds
 from ambershift.system.messages.items import INSTANCE, Item
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found
@@ -70,10 +70,10 @@
         "rd Delta, lives of one control node": rounds.Delta(NUMBER, -1, 8, lives, (), (), (), size.desks),
         "rd Delta, desks of one control node": rounds.Delta(NUMBER, -1, 8, (), desks, (), (), size.desks),
         "rd Delta, flows of one control node": rounds.Delta(NUMBER, -1, 8, (), (), flows, (), size.desks),
-        "eo Errand": errands.Errand(NUMBER, "locks.heartbeat", "lock-0007",
+        "eo ForwardedCall": forwarding.ForwardedCall(NUMBER, "locks.heartbeat", "lock-0007",
                                     b'{"Holder":"a0.77aa","fence":1700,"HoldMs":3000}', 400),
-        "ed Outcome": errands.Outcome(NUMBER, 200, b'{"fence":1700}'),
-        "es Stirred": errands.Stirred("g7.", 1_700)}
+        "ed Outcome": forwarding.Outcome(NUMBER, 200, b'{"fence":1700}'),
+        "es Stirred": forwarding.Stirred("g7.", 1_700)}
 
 
 def play(size: Size) -> Found:
--- a/tests/test_system_codec.py
+++ b/tests/test_system_codec.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.errands import Errand, Outcome
+from ambershift.system.messages.forwarding import ForwardedCall, Outcome
 from ambershift.system.messages.fronts import Items, Mark
 from ambershift.system.messages.items import ROUTE, Item
 
@@ -40,7 +40,7 @@
 def test_errands_come_back_and_are_never_longer(
     number: int, name: str, of: str, body: bytes, left: int
 ) -> None:
-    for message in (Errand(number, name, of, body, left), Outcome(number, 200, body)):
+    for message in (ForwardedCall(number, name, of, body, left), Outcome(number, 200, body)):
         data = codec.encode(message)
         assert codec.decode(data) == message and len(data) <= len(msgspec.msgpack.encode(message))
     told = b'{"Events":[{"Name":"g1.2d","Value":"5c0e7a21d94b36f8","Revision":931}],"Revision":934}'
--- a/tests/test_system_control_api_faults.py
+++ b/tests/test_system_control_api_faults.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from ambershift.system.control_api.vigils import FRESH, Vigils
+from ambershift.system.control_api.subscriptions import FRESH, Subscriptions
 from ambershift.system.coordination.groups import Group, read_group
 from tests.enquiring import IPS, TRIP, World, order, play
 
@@ -209,7 +209,7 @@
 
 
 def test_watched_groups_are_looked_at_when_they_may_have_changed() -> None:
-    vigils = Vigils()
+    vigils = Subscriptions()
     assert vigils.arrive(0, 1, "g.", 5, True) is None and vigils.stale(0, "g.")
     group = Group(5, 5, {}, ())
     assert vigils.learn(0, "g.", group) == [] and not vigils.look(FRESH - 1)
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -12,9 +12,9 @@
 from ambershift.system.consensus.outbox import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.contracts import Verdict
-from ambershift.system.control_api.handing import Handing
+from ambershift.system.control_api.open_calls import OpenCalls
 from ambershift.system.messages.copies import Accept, Agreed, Prepare, Promise
-from ambershift.system.messages.errands import Outcome
+from ambershift.system.messages.forwarding import Outcome
 from ambershift.system.steps import SECOND
 from tests.enquiring import TRIP, World, order, play
 
@@ -63,14 +63,14 @@
 
 def test_an_outcome_counts_only_from_whom_the_errand_was_handed_to_last() -> None:
     async def story() -> None:
-        handing = Handing(lambda to, message: None, 7)
-        at = handing.number()
-        handing.hand("a", at, "numbers", "n", b"", 100).cancel()
+        open_calls = OpenCalls(lambda to, message: None, 7)
+        at = open_calls.number()
+        open_calls.hand("a", at, "numbers", "n", b"", 100).cancel()
         await asyncio.sleep(0)
-        second = handing.hand("b", at, "numbers", "n", b"", 100)
-        handing.settle("a", Outcome(at, 503, b""))  # Late: the errand is with the other now.
+        second = open_calls.hand("b", at, "numbers", "n", b"", 100)
+        open_calls.settle("a", Outcome(at, 503, b""))  # Late: the forwarded call is with the other now.
         assert not second.done()
-        handing.settle("b", Outcome(at, 200, b"{}"))
+        open_calls.settle("b", Outcome(at, 200, b"{}"))
         assert (await second).status == 200
 
     asyncio.run(story())
