--- a/ambershift/system/configuration/orders.py
+++ b/ambershift/system/configuration/orders.py
@@ -43,14 +43,18 @@
         )
 
     def _bereft(self, held: Mapping[Key, Item], after: Mapping[Key, Item]) -> Iterator[Fault]:
-        """Services that this call (not one before it) drops though a route that stands names them still."""
+        """Services that this call (not one before it) drops though a route that stands names them still.
+
+        Routes of this call are looked at by `_unknown`, unless a higher version stands in their place.
+        """
+        own = set(self.items)
         dropped = {
             item.name
             for item in self.items
             if item.kind == SERVICE and item.body is None and not _overtaken(item, held)
         }
         for route in after.values() if dropped else ():
-            if route.kind == ROUTE and route.body is not None and route.key not in self.names:
+            if route.kind == ROUTE and route.body is not None and route not in own:
                 for name in dropped.intersection(checks.services_of(msgspec.json.decode(route.body))):
                     yield Fault(f"service {name}", "Name", f"is dropped, but route {route.name} names it")
 
@@ -61,12 +65,12 @@
             if service is None or (service.body is None and not overtaken):
                 yield Fault(f"route {route.name}", "Service", f"names the unknown service {name}")
 
-    def over(self, held: Mapping[Key, Item]) -> list[Item]:
-        """What is to be put: of each item the newest, as an acknowledged one must be held at least."""
-        return [
-            known if (known := held.get(item.key)) is not None and known.version >= item.version else item
-            for item in self.items
-        ]
+
+def same_content(one: Item, other: Item) -> bool:
+    """Whether two items ask for the same, in whatever order their fields stand."""
+    if one.body is None or other.body is None:
+        return one.body is other.body
+    return one.body == other.body or msgspec.json.decode(one.body) == msgspec.json.decode(other.body)
 
 
 def _overtaken(item: Item, held: Mapping[Key, Item]) -> bool:
--- a/ambershift/system/consensus/asking.py
+++ b/ambershift/system/consensus/asking.py
@@ -15,6 +15,13 @@
 HEDGE_LEAST, HEDGE_MOST = 40 * MS, 250 * MS
 FIRST = 100 * MS  # Taken for twice a round's time before there was any.
 SLOW = 1500 * MS  # A voter that let a round wait is asked last for so long.
+BYTE = 4000  # ns that a byte of a value may take on a slow link, before it is sent again.
+
+
+def transfer(round_: Round) -> int:
+    """How long (ns) the value of a round may take on its way."""
+    message = round_.message
+    return BYTE * len(message.body or b"") if isinstance(message, Accept) else 0
 
 
 class Asking:
@@ -44,7 +51,7 @@
         if len(chosen) < self._voters.enough:
             chosen = list(near)  # Too few are known to be well: whoever comes first.
         round_.asked = set(chosen)
-        round_.again = now + self.patience()
+        round_.again = now + self.patience() + transfer(round_)
         for ip in chosen:
             self.tell(ip, register, round_)
 
--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from ambershift.system.consensus.acceptor import Acceptor
-from ambershift.system.consensus.asking import Asking
+from ambershift.system.consensus.asking import Asking, transfer
 from ambershift.system.consensus.outbox import Held, Outbox
 from ambershift.system.consensus.register import Call, Lease, Register, Round
 from ambershift.system.consensus.voters import Voters
@@ -262,7 +262,7 @@
             elif now >= round_.again and round_.no:
                 self._give_way(register)
             elif now >= round_.again:
-                round_.again = now + AGAIN
+                round_.again = now + AGAIN + transfer(round_)
                 self._asking.waited(round_)
                 if round_.asked < self._voters.ips:
                     self._asking.widen(register, round_)
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -11,9 +11,11 @@
 
 from ambershift.system.contracts import Ledger
 from ambershift.system.control_api import events, wire
-from ambershift.system.control_api.applications import REFUSED, Applications
+from ambershift.system.control_api.applications import Applications
+from ambershift.system.control_api.configuration_calls import MODIFY, ConfigurationCalls
+from ambershift.system.control_api.evacuations import Evacuations
+from ambershift.system.control_api.forwarding import REFUSED, Forwarding
 from ambershift.system.control_api.open_calls import OpenCalls, Sender
-from ambershift.system.control_api.operator import Operator
 from ambershift.system.control_api.pause_detector import PauseDetector
 from ambershift.system.control_api.proposers import Proposers
 from ambershift.system.control_api.registry import Registry
@@ -56,10 +58,12 @@
         proposers = Proposers(ledger, settings.ip, steady)
         ages = Ages(int((settings.bounds.history + HISTORY_MARGIN) * SECOND))
         self._open_calls, self._pauses = open_calls, PauseDetector()
-        self._operator = Operator(settings, ledger, steady, log)
+        forwarding = Forwarding(ledger, settings.ip, steady, open_calls, proposers, log)
+        self._configuration = ConfigurationCalls(ledger, steady, send, open_calls, forwarding, log)
+        self._evacuations = Evacuations(settings, ledger, steady, log)
         self._watches = Watches(ledger, settings.ip, steady, send, open_calls, proposers, ages)
         self._applications = Applications(
-            ledger, settings.ip, steady, send, open_calls, proposers, ages, log, self._watches
+            ledger, settings.ip, steady, send, open_calls, proposers, forwarding, ages, log, self._watches
         )
         self._watches.serve(self._applications)
         self._tasks: set[asyncio.Task[None]] = set()
@@ -76,15 +80,20 @@
         self._watches.close()
 
     def hear(self, sender: str, message: msgspec.Struct) -> None:
-        """A message of `slips.forwarded calls` from another control node."""
+        """A message of `messages.forwarding` from another control node."""
         if isinstance(message, ForwardedCall):
-            bearer = self._watches if message.name == WATCH else self._applications
-            self._spawn(bearer.carry_out(sender, message))
+            self._spawn(self._bearer(message.name).carry_out(sender, message))
         elif isinstance(message, Outcome):
             self._open_calls.settle(sender, message)
         elif isinstance(message, Stirred):
             self._spawn(self._watches.stirred(sender, message))
 
+    def _bearer(self, name: str) -> Watches | ConfigurationCalls | Applications:
+        """Who carries a forwarded call of that name out."""
+        if name == WATCH:
+            return self._watches
+        return self._configuration if name == MODIFY else self._applications
+
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
@@ -93,7 +102,7 @@
     def _ended(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (why := task.exception()) is not None:
-            self._log(events.FAILED, {"on": "errand", "error": repr(why)[:200]})
+            self._log(events.FAILED, {"on": "forwarded call", "error": repr(why)[:200]})
 
     async def __call__(self, scope: wire.Scope, receive: wire.Receive, send: wire.Send) -> None:
         if scope["type"] != "http":
@@ -131,7 +140,7 @@
     async def _rpc(self, name: str, of: str, scope: wire.Scope, receive: wire.Receive) -> Reply:
         if name in CALLS and name not in (PRESENT, "numbers"):
             return await self._ask(name, of, scope, receive)
-        most = CONFIGURATION_MOST if name == "configuration.modify" else BODY_MOST
+        most = CONFIGURATION_MOST if name == MODIFY else BODY_MOST
         body = await wire.read_whole(scope, receive, most)
         if name == "instances.heartbeat":
             status, fields = await self._registry.beat(of, read_body(body))
@@ -139,16 +148,16 @@
         if name == "instances.deregister":
             status, fields = await self._registry.leave(of)
             return reply(status, **fields)
-        if name == "configuration.modify":
-            return await self._operator.modify(body)
+        if name == MODIFY:
+            return await self._configuration.modify(body)
         if name == "configuration.retrieve":
-            return await self._operator.retrieve()
+            return await self._configuration.retrieve()
         if name in ("evacuation.initiate", "evacuation.terminate"):
             # A late one would undo what was ordered since, and no version tells that it is late.
             await wire.still_there(receive)
             if self._pauses.stale(self._steady()):
                 return REFUSED
-            return await self._operator.evacuate(of, name == "evacuation.initiate")
+            return await self._evacuations.evacuate(of, name == "evacuation.initiate")
         return reply(404)
 
     async def _ask(self, name: str, of: str, scope: wire.Scope, receive: wire.Receive) -> Reply:
--- a/ambershift/system/control_api/applications.py
+++ b/ambershift/system/control_api/applications.py
@@ -7,12 +7,12 @@
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Callable
 from typing import Any, Protocol
 
 from ambershift.system.contracts import Change, Ledger, NotDoneError, NotHeldError, Verdict
-from ambershift.system.control_api.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED, OWNER_SILENT
+from ambershift.system.control_api.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED
+from ambershift.system.control_api.forwarding import REFUSED, UNCLEAR, Asked, Forwarding
 from ambershift.system.control_api.open_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposers import Proposers
 from ambershift.system.coordination.ages import Ages
@@ -23,15 +23,6 @@
 from ambershift.system.steps import MS, SECOND
 
 PATIENCE = 900 * MS  # A caller gives up after a second of silence, and time is looked at each 50 ms.
-OWNER_PATIENCE = 350 * MS  # Two trips between regions and a turn that has to be waited for.
-LOOK_S = 0.02  # Seconds between looks whether this machine is in touch again.
-LOOK = 50 * MS  # How often it is asked after that whether the owner is still there.
-CATCH_UP = 150 * MS  # A voter's copy is whole again within this, once it has heard of new voters.
-WORTH_TRYING = 60 * MS  # With less left, nothing new is begun.
-
-REFUSED = reply(503, Cause="not in touch with enough machines")
-UNCLEAR = reply(504, Cause="no clear outcome in time")
-DECISIVE = frozenset({200, 400, 404, 409, 412})
 
 
 class News(Protocol):
@@ -52,19 +43,14 @@
         send: Sender,
         open_calls: OpenCalls,
         proposers: Proposers,
+        forwarding: Forwarding,
         ages: Ages,
         log: Callable[[int, dict[str, Any]], None],
         news: News,
     ) -> None:
         self._ledger, self._own, self._steady, self._send = ledger, own, steady, send
-        self._open_calls, self._proposers, self._ages, self._log, self._news = (
-            open_calls,
-            proposers,
-            ages,
-            log,
-            news,
-        )
-        self._touched = 0  # When this machine was last seen to be in touch.
+        self._open_calls, self._proposers, self._forwarding = open_calls, proposers, forwarding
+        self._ages, self._log, self._news = ages, log, news
 
     async def ask(self, name: str, of: str, body: bytes) -> Reply:
         """A call that has just been read from its caller.
@@ -82,55 +68,8 @@
             call = self._read(name, of, body, self._own, number)
         except ImproperError as why:
             return reply(400, Cause=f"{why.field}: {why.reason}")
-        if not await self._in_touch():
-            return REFUSED
-        unclear = False
-        while True:
-            owner = self._proposers.owner(call.register)
-            if owner == self._own:
-                answer = await self.propose(call, until)
-            else:
-                left = (until - self._steady()) // MS
-                handed = self._open_calls.hand(owner, number, name, of, body, left)
-                answer = await self._handed(owner, handed, call, until)
-            if answer.status in DECISIVE:
-                return answer
-            unclear |= answer.status != REFUSED.status
-            if owner == self._own or until - self._steady() < WORTH_TRYING:
-                return UNCLEAR if unclear else REFUSED
-
-    async def _handed(self, owner: str, handed: asyncio.Future[Reply], call: Call, until: int) -> Reply:
-        """What the owner makes of it. One that is there but slow is waited for: a second proposer beside it
-        would only take the register from it again and again, and make it slower still."""
-        try:
-            patience = OWNER_PATIENCE
-            while not handed.done() and (left := until - self._steady()) > 0:
-                await asyncio.wait([handed], timeout=min(patience, left) / SECOND)
-                patience = LOOK
-                if not handed.done() and not self._ledger.lately(owner):
-                    break
-            if handed.done():
-                if handed.result().status == REFUSED.status:
-                    self._proposers.doubt(owner)
-                return handed.result()
-            self._proposers.doubt(owner)
-            self._log(OWNER_SILENT, {"owner": owner, "register": call.register})
-            return UNCLEAR
-        finally:
-            handed.cancel()
-
-    async def _in_touch(self) -> bool:
-        """Waits for a moment where this machine has only just lost touch: at each change of voters all copies
-        are made whole first. Refused, callers' machines would look for another proposer, each its own."""
-        if self._ledger.in_touch():
-            self._touched = self._steady()
-            return True
-        until = min(self._touched + SECOND, self._steady() + CATCH_UP)
-        while self._steady() < until:
-            await asyncio.sleep(LOOK_S)
-            if self._ledger.in_touch():
-                return True
-        return False
+        asked = Asked(call.register, number, name, of, body)
+        return await self._forwarding.ask(asked, until, lambda until: self.propose(call, until))
 
     async def propose(self, call: Call, until: int) -> Reply:
         """Through this machine, by `until`."""
@@ -158,7 +97,7 @@
         until = self._steady() + forwarded.left * MS
         try:
             call = self._read(forwarded.name, forwarded.of, forwarded.body, sender, forwarded.number)
-            answer = await self.propose(call, until) if await self._in_touch() else REFUSED
+            answer = await self.propose(call, until) if await self._forwarding.in_touch() else REFUSED
         except ImproperError as why:
             answer = reply(400, Cause=f"{why.field}: {why.reason}")
         self._send(sender, Outcome(forwarded.number, answer.status, answer.body))
--- /dev/null
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -0,0 +1,154 @@
+"""The operator's configuration calls: changes, agreed as a whole before any copy holds them; the read-back.
+
+A change goes to the machine that proposes for the configuration's register. It is acknowledged once it was
+agreed there and is in the stores of a majority. Sent again, at any machine and however late, it finds what
+was agreed; 409 and 400 are told of calls alone of which nothing was or will be in force.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
+from ambershift.system.configuration.agreement import (
+    REFUSED_BEFORE,
+    REGISTER,
+    Accepted,
+    Behind,
+    Conflict,
+    Invalid,
+    Outcome,
+    Progress,
+    change_of,
+)
+from ambershift.system.configuration.faults import Fault, InvalidError
+from ambershift.system.configuration.layout import write_back
+from ambershift.system.configuration.orders import Order, read_order
+from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.control_api import events
+from ambershift.system.control_api.forwarding import Asked, Forwarding
+from ambershift.system.control_api.open_calls import OpenCalls, Sender
+from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.messages import forwarding as messages
+from ambershift.system.messages.items import Item
+from ambershift.system.steps import MS, SECOND
+
+MODIFY = "configuration.modify"  # The protocol's name of a change, and that of its forwarded call.
+PATIENCE = 850 * MS  # A caller gives up after one second of silence.
+PATIENCE_MOST = 3 * SECOND
+PATIENCE_ITEM = 2 * MS  # Callers wait longer for large bodies.
+NAMED_MOST = 20  # Faults and items that an answer names.
+
+UNCLEAR = reply(504, Cause="may have been taken or not; send it again")
+NOT_DONE = reply(503, Cause="not done; send it again")
+
+
+class ConfigurationCalls:
+    def __init__(
+        self,
+        ledger: Ledger,
+        steady: Callable[[], int],
+        send: Sender,
+        open_calls: OpenCalls,
+        forwarding: Forwarding,
+        log: Callable[[int, dict[str, Any]], None],
+    ) -> None:
+        self._ledger, self._steady, self._send, self._log = ledger, steady, send, log
+        self._open_calls, self._forwarding = open_calls, forwarding
+        self._progress = Progress()
+
+    async def modify(self, body: bytes) -> Reply:
+        """A change that was just read from its caller."""
+        begun = self._steady()
+        try:
+            order = read_order(body)
+        except InvalidError as why:
+            return self._invalid(why.faults)
+        patience = min(PATIENCE_MOST, PATIENCE + PATIENCE_ITEM * len(order.items))
+        asked = Asked(REGISTER, self._open_calls.number(), MODIFY, "", body)
+        return await self._forwarding.ask(asked, begun + patience, lambda until: self._propose(order, until))
+
+    async def carry_out(self, sender: str, forwarded: messages.ForwardedCall) -> None:
+        """A change that another machine was asked for; its outcome goes back whatever it is."""
+        until = self._steady() + forwarded.left * MS
+        try:
+            order = read_order(forwarded.body)
+            answer = await self._propose(order, until) if await self._forwarding.in_touch() else NOT_DONE
+        except InvalidError as why:
+            answer = self._invalid(why.faults)
+        self._send(sender, messages.Outcome(forwarded.number, answer.status, answer.body))
+
+    async def _propose(self, order: Order, until: int) -> Reply:
+        """Have the change agreed and stored through this machine."""
+        try:
+            outcome = await self._agreed(order, until)
+        except NotHeldError as why:
+            return self._unclear(why.reason, len(order.items))
+        except NotDoneError as why:
+            self._log(events.CONFIGURATION_UNCLEAR, {"reason": why.reason, "items": 0})
+            return NOT_DONE
+        if isinstance(outcome, Conflict):
+            return self._conflict(outcome)
+        if isinstance(outcome, Invalid):
+            return self._invalid(outcome.faults)
+        try:
+            await self._stored(outcome, until)
+        except (NotHeldError, NotDoneError) as why:
+            return self._unclear(why.reason, len(order.items))
+        self._log(events.CONFIGURATION_TAKEN, {"items": len(order.items)})
+        return reply(200)
+
+    async def _agreed(self, order: Order, until: int) -> Accepted | Conflict | Invalid:
+        """Raises `NotHeldError` or `NotDoneError`."""
+        change = change_of(order, self._progress, self._ledger.items())
+        while True:
+            outcome: Outcome = await self._ledger.change(REGISTER, change, self._left(until))
+            if not isinstance(outcome, Behind):
+                return outcome
+            try:
+                await self._ledger.freshen(self._left(until))
+            except NotHeldError as why:
+                raise NotDoneError(why.reason) from why  # Judged by nobody so far.
+            self._progress.has_read(outcome.settled)
+
+    async def _stored(self, outcome: Accepted, until: int) -> None:
+        if outcome.to_store:
+            await self._ledger.put(outcome.to_store, self._left(until))
+        self._progress.has_stored(outcome.end)
+
+    def _left(self, until: int) -> float:
+        """Seconds. Raises `NotDoneError` where none are left."""
+        left = until - self._steady()
+        if left <= 0:
+            raise NotDoneError("no time is left")
+        return left / SECOND
+
+    def _invalid(self, faults: tuple[Fault, ...]) -> Reply:
+        reason = "; ".join(map(str, faults[:NAMED_MOST]))
+        self._log(events.CONFIGURATION_INVALID, {"reason": reason})
+        return reply(400, Cause=reason)
+
+    def _conflict(self, conflict: Conflict) -> Reply:
+        reason = "; ".join(map(_conflicting, conflict.items[:NAMED_MOST])) or str(REFUSED_BEFORE)
+        self._log(events.CONFIGURATION_CONFLICT, {"reason": reason})
+        return reply(409, Cause=reason)
+
+    def _unclear(self, reason: str, items: int) -> Reply:
+        self._log(events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": items})
+        return UNCLEAR
+
+    async def retrieve(self) -> Reply:
+        """All items that stand, as a majority of the stores has them now."""
+        if not self._ledger.in_touch():
+            return NOT_DONE
+        try:
+            await self._ledger.freshen(PATIENCE / SECOND)
+        except NotHeldError:
+            return NOT_DONE
+        return Reply(200, msgspec.json.encode(write_back(self._ledger.items())))
+
+
+def _conflicting(item: Item) -> str:
+    return f"{item.kind} {item.name}: ConfigVersion: r{item.version[0]} stands for another content"
--- /dev/null
+++ b/ambershift/system/control_api/forwarding.py
@@ -0,0 +1,111 @@
+"""Brings a call on a register to the machine that proposes for it, or past it where it is silent.
+
+Any machine may propose for any register: that one does it is a matter of speed. A call that was forwarded may
+therefore be carried out there and here too; calls on registers are made so that this does no harm.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from typing import Any
+
+from ambershift.system.contracts import Ledger
+from ambershift.system.control_api.events import OWNER_SILENT
+from ambershift.system.control_api.open_calls import OpenCalls
+from ambershift.system.control_api.proposers import Proposers
+from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.steps import MS, SECOND
+
+PROPOSER_PATIENCE = 350 * MS  # Two trips between regions and a turn that has to be waited for.
+LOOK = 50 * MS  # How often it is asked after that whether the proposer is still there.
+LOOK_S = 0.02  # Seconds between looks whether this machine is in touch again.
+CATCH_UP = 150 * MS  # A voter's copy is complete again within this, once it has heard of new voters.
+WORTH_TRYING = 60 * MS  # With less left, nothing new is begun.
+
+REFUSED = reply(503, Cause="not in touch with enough machines")
+UNCLEAR = reply(504, Cause="no clear outcome in time")
+DECISIVE = frozenset({200, 400, 404, 409, 412})
+
+# Carries the call out through this machine, by a time (ns, steady).
+Propose = Callable[[int], Awaitable[Reply]]
+
+
+@dataclass(frozen=True, slots=True)
+class Asked:
+    """A call as it goes to another machine: the register it is about, its number at this machine, the name
+    that the protocol gives it, the id it is about, and its body."""
+
+    register: str
+    number: int
+    name: str
+    of: str
+    body: bytes
+
+
+class Forwarding:
+    def __init__(
+        self,
+        ledger: Ledger,
+        own: str,
+        steady: Callable[[], int],
+        open_calls: OpenCalls,
+        proposers: Proposers,
+        log: Callable[[int, dict[str, Any]], None],
+    ) -> None:
+        self._ledger, self._own, self._steady = ledger, own, steady
+        self._open_calls, self._proposers, self._log = open_calls, proposers, log
+        self._touched = 0  # When this machine was last seen to be in touch.
+
+    async def ask(self, asked: Asked, until: int, propose: Propose) -> Reply:
+        """503 only where nothing was done by any copy of this call; 504 where that is not certain."""
+        if not await self.in_touch():
+            return REFUSED
+        unclear = False
+        while True:
+            proposer = self._proposers.owner(asked.register)
+            if proposer == self._own:
+                answer = await propose(until)
+            else:
+                answer = await self._forwarded(proposer, asked, until)
+            if answer.status in DECISIVE:
+                return answer
+            unclear |= answer.status != REFUSED.status
+            if proposer == self._own or until - self._steady() < WORTH_TRYING:
+                return UNCLEAR if unclear else REFUSED
+
+    async def _forwarded(self, proposer: str, asked: Asked, until: int) -> Reply:
+        """What the proposer makes of it. One that is there but slow is waited for: a second proposer beside
+        it would only take the register from it again and again, and make it slower still."""
+        left = (until - self._steady()) // MS
+        answer = self._open_calls.hand(proposer, asked.number, asked.name, asked.of, asked.body, left)
+        try:
+            patience = PROPOSER_PATIENCE
+            while not answer.done() and (rest := until - self._steady()) > 0:
+                await asyncio.wait([answer], timeout=min(patience, rest) / SECOND)
+                patience = LOOK
+                if not answer.done() and not self._ledger.lately(proposer):
+                    break
+            if answer.done():
+                if answer.result().status == REFUSED.status:
+                    self._proposers.doubt(proposer)
+                return answer.result()
+            self._proposers.doubt(proposer)
+            self._log(OWNER_SILENT, {"owner": proposer, "register": asked.register})
+            return UNCLEAR
+        finally:
+            answer.cancel()
+
+    async def in_touch(self) -> bool:
+        """Waits for a moment where this machine has only just lost touch: at each change of voters all copies
+        are completed first. Refused, callers' machines would look for another proposer, each its own."""
+        if self._ledger.in_touch():
+            self._touched = self._steady()
+            return True
+        until = min(self._touched + SECOND, self._steady() + CATCH_UP)
+        while self._steady() < until:
+            await asyncio.sleep(LOOK_S)
+            if self._ledger.in_touch():
+                return True
+        return False
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from ambershift.system.contracts import Ledger
-from ambershift.system.control_api.applications import REFUSED, Applications
+from ambershift.system.control_api.applications import Applications
+from ambershift.system.control_api.forwarding import REFUSED
 from ambershift.system.control_api.open_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposers import Proposers
 from ambershift.system.control_api.subscriptions import Subscriptions
--- a/ambershift/system/events.py
+++ b/ambershift/system/events.py
@@ -41,6 +41,7 @@
     603: (WARNING, "configuration without a clear outcome"),
     604: (INFO, "evacuation taken"),
     605: (WARNING, "evacuation without a clear outcome"),
+    606: (WARNING, "configuration refused: another content was agreed under its version"),
     610: (WARNING, "call without a clear outcome"),
     611: (INFO, "call refused: not done"),
     612: (WARNING, "no outcome from the machine that a call was handed to"),
--- a/ambershift/system/messages/items.py
+++ b/ambershift/system/messages/items.py
@@ -4,8 +4,10 @@
 
 import msgspec
 
-# A number that rises, and who made it: "" for the operator's versions, the machine for those we make.
+# A number that rises, and who made it: AGREED for the operator's versions ("" on disks of earlier programs,
+# which lose a tie: nobody may have acknowledged them), the machine for those we make.
 Version = tuple[int, str]
+AGREED = "agreed"
 Key = tuple[str, str]
 
 ROUTE, SERVICE, LIMITS, ZONE, INSTANCE = "route", "service", "limits", "zone", "instance"
--- a/ambershift/system/simulation/callers.py
+++ b/ambershift/system/simulation/callers.py
@@ -54,7 +54,9 @@
         self.chance.shuffle(found)
         return found
 
-    async def ask(self, ip: str, method: str, target: str, body: bytes, silence: float) -> tuple[int, bytes]:
+    async def ask(
+        self, ip: str, method: str, target: str, body: bytes, silence: float, lost: float = LOST_ANSWERS
+    ) -> tuple[int, bytes]:
         """Raises `NotReachedError`, `BrokenOffError` or `TimeoutError`."""
         path, _, query = target.partition("?")
         scope = {
@@ -73,7 +75,7 @@
             body,
             answer,
             lambda told: house.at(house.now + house.way(), told),
-            self.chance.random() < LOST_ANSWERS,
+            self.chance.random() < lost,
         )
         house.connect(ip, connection)
         try:
@@ -93,7 +95,9 @@
         silence: float = SILENCE,
         final: Callable[[int], bool] = lambda status: status < 500,
         at: str = "",
+        lost: float = LOST_ANSWERS,
     ) -> Found:
+        """`at` is asked first; of the answers a share `lost` doesn't come back."""
         data = b"" if body is None else msgspec.json.encode(body)
         begun, pause, untouched = self.now(), 0.02, True
         addresses = self.addresses()
@@ -106,7 +110,7 @@
             turn += 1
             sent = self.now()
             try:
-                status, told = await self.ask(ip, method, target, data, silence)
+                status, told = await self.ask(ip, method, target, data, silence, lost)
                 if status == 200:
                     self.house.at(self.house.now, self.success)
                 if status not in REFUSALS and final(status):
@@ -121,9 +125,16 @@
         return Found(0, {}, sent, untouched)
 
     async def rpc(
-        self, name: str, of: str, body: dict[str, Any] | None, patience: float = PATIENCE, at: str = ""
+        self,
+        name: str,
+        of: str,
+        body: dict[str, Any] | None,
+        patience: float = PATIENCE,
+        at: str = "",
+        lost: float = LOST_ANSWERS,
     ) -> Found:
-        return await self.call("POST", f"/ambershift/rpc?call={name}&of={of}", body, patience, at=at)
+        target = f"/ambershift/rpc?call={name}&of={of}"
+        return await self.call("POST", target, body, patience, at=at, lost=lost)
 
 
 class Application:
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
 from ambershift.system.contracts import Verdict
-from ambershift.system.control_api import application, applications, operator, watches
+from ambershift.system.control_api import application, applications, evacuations, watches
 from ambershift.system.coordination import groups, locks
 from ambershift.system.coordination.replies import Call, reply
 from ambershift.system.messages.copies import NEVER, Accept, Ask, Record
@@ -238,7 +238,7 @@
 
 
 def by_the_time_of_day(real: Any) -> Any:
-    def evacuation(self: operator.Operator, zone: str, out: bool) -> Item:
+    def evacuation(self: evacuations.Evacuations, zone: str, out: bool) -> Item:
         assert isinstance(self._settings, Place)
         made: Item = real(self, zone, out)
         return msgspec.structs.replace(made, version=(self._settings.wall() // MS, made.version[1]))
@@ -258,7 +258,7 @@
 
 
 def without_freshening(real: Any) -> Any:
-    async def call(self: operator.Operator, *given: Any) -> Any:
+    async def call(self: Any, *given: Any) -> Any:
         alone = copy.copy(self)
         alone._ledger = _Unfresh(self._ledger)
         return await real(alone, *given)
@@ -289,7 +289,7 @@
 def however_late(real: Any) -> Any:
     async def rpc(self: application.Enquiries, name: str, of: str, scope: Any, receive: Any) -> Any:
         if name.startswith("evacuation."):
-            return await self._operator.evacuate(of, name == "evacuation.initiate")
+            return await self._evacuations.evacuate(of, name == "evacuation.initiate")
         return await real(self, name, of, scope, receive)
 
     return rpc
--- a/ambershift/system/simulation/variants.py
+++ b/ambershift/system/simulation/variants.py
@@ -6,11 +6,21 @@
 from typing import Any
 
 from ambershift.modelcheck.mutants.words import Mutant
+from ambershift.system.configuration import agreement
 from ambershift.system.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
 from ambershift.system.contracts import NotDoneError
-from ambershift.system.control_api import application, applications, operator, pause_detector, watches, wire
+from ambershift.system.control_api import (
+    application,
+    applications,
+    configuration_calls,
+    evacuations,
+    forwarding,
+    pause_detector,
+    watches,
+    wire,
+)
 from ambershift.system.coordination import cells, groups, locks
-from ambershift.system.simulation import mistakes
+from ambershift.system.simulation import configuration_mistakes, mistakes
 
 
 def _of(name: str, rule: str, sentence: str, owner: Any, target: str, change: Callable[[Any], Any]) -> Mutant:
@@ -178,9 +188,9 @@
         "silence-is-refusal",
         "REFUSED",
         "an owner that stays silent counts as one that refused",
-        applications,
+        forwarding,
         "UNCLEAR",
-        lambda real: applications.REFUSED,
+        lambda real: forwarding.REFUSED,
     ),
     _of(
         "tombstone-dropped-early",
@@ -291,7 +301,7 @@
         "version-by-the-time-of-day",
         "LOST",
         "an evacuation's version is the clock's",
-        operator.Operator,
+        evacuations.Evacuations,
         "_evacuation",
         mistakes.by_the_time_of_day,
     ),
@@ -299,7 +309,7 @@
         "evacuation-without-asking",
         "LOST",
         "an evacuation goes above what is known here",
-        operator.Operator,
+        evacuations.Evacuations,
         "evacuate",
         mistakes.without_freshening,
     ),
@@ -307,7 +317,7 @@
         "read-back-without-asking",
         "STALE",
         "a configuration is read from this copy alone",
-        operator.Operator,
+        configuration_calls.ConfigurationCalls,
         "retrieve",
         mistakes.without_freshening,
     ),
@@ -335,5 +345,69 @@
         "still_there",
         _constant(mistakes.nobody_left),
     ),
+    _of(
+        "configuration-decided-here",
+        "CONFIG",
+        "a change is decided by the copies, without the register",
+        configuration_calls.ConfigurationCalls,
+        "_agreed",
+        configuration_mistakes.decided_here,
+    ),
+    _of(
+        "other-content-acknowledged",
+        "CONFIG",
+        "another content under a version that is held is acknowledged",
+        agreement,
+        "same_content",
+        _constant(lambda one, other: True),
+    ),
+    _of(
+        "checked-against-an-old-copy",
+        "CONFIG",
+        "a machine that may lack settled items judges all the same",
+        configuration_calls,
+        "change_of",
+        configuration_mistakes.any_copy_will_do,
+    ),
+    _of(
+        "confirmed-by-one-copy",
+        "CONFIG",
+        "a change is acknowledged before a majority stores it",
+        configuration_calls.ConfigurationCalls,
+        "_stored",
+        configuration_mistakes.acknowledged_before_stored,
+    ),
+    _of(
+        "settled-before-stored",
+        "CONFIG",
+        "items are no longer listed though no majority is known to store them",
+        configuration_calls.ConfigurationCalls,
+        "_stored",
+        configuration_mistakes.counted_before_stored,
+    ),
+    _of(
+        "refusal-forgotten",
+        "CONFIG",
+        "another copy of a call that was refused is judged anew",
+        agreement,
+        "_refusing",
+        configuration_mistakes.refusal_forgotten,
+    ),
+    _of(
+        "listed-items-not-looked-at",
+        "CONFIG",
+        "a change is judged against the store alone",
+        agreement,
+        "_by_key",
+        configuration_mistakes.valid_by_itself,
+    ),
+    _of(
+        "superseded-contents-alike",
+        "CONFIG",
+        "under an overtaken version any content is acknowledged",
+        agreement,
+        "_superseded",
+        configuration_mistakes.digests_alike,
+    ),
 )
 BY_NAME = {one.name: one for one in VARIANTS}
