--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -10,8 +10,9 @@
 
 import msgspec
 
+from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.consensus.outbox import Held
-from ambershift.system.consensus.replica import ChangeRegister, Replica
+from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import NotDoneError, Verdict
 from ambershift.system.messages import copies
 from ambershift.system.messages.copies import Decision, Member
@@ -155,14 +156,14 @@
                 self.does(place, Tick(), frozenset())
 
     def propose(self, place: int, ways: Ways) -> None:
-        """What `joining` would have agreed: whoever has another disk now is a voter with it."""
+        """What `membership` would have agreed: whoever has another disk now is a voter with it."""
         replica = self.replica(place)
         decision = replica.voters.decision
         assert decision is not None
         births = {ip: self.replica(at).voters.me.birth for at, ip in enumerate(IPS)}
         wanted = tuple(Member(one.ip, one.zone, one.region, births[one.ip]) for one in decision.members)
         replica._out.now = self.now
-        replica._joining._try(decision, wanted)
+        replica._membership._try(decision, wanted)
         self.does(place, Heard(IPS[place], copies.Beat(0, 0, 0, ())), ways)
         self.settle()
 
--- a/ambershift/system/configuration/agreement.py
+++ b/ambershift/system/configuration/agreement.py
@@ -19,7 +19,7 @@
 
 from ambershift.system.configuration.faults import Fault
 from ambershift.system.configuration.orders import Order, same_content
-from ambershift.system.contracts import Change, Verdict
+from ambershift.system.contracts import Verdict
 from ambershift.system.messages.items import AGREED, Item, Key
 
 REGISTER = "configuration"
@@ -132,20 +132,27 @@
         self.has_read(end)
 
 
-def change_of(order: Order, progress: Progress, held: Mapping[Key, Item]) -> Change:
-    """The register's change that decides an order; its result is an `Outcome`.
+class Proposal:
+    """An order on its way through the register, by one machine; called, it is the register's change.
 
-    `held` is the view of this machine's store, looked at when the change is judged.
+    `held` is the view of this machine's store, looked at when the change is judged. The result of the change
+    is an `Outcome`. `tried`: it was judged so that it wrote something. Even if it is judged otherwise later,
+    as another machine's write came between, what it wrote may have been agreed.
     """
 
-    def change(value: bytes | None, known_since: int, now: int) -> Verdict:
+    def __init__(self, order: Order, progress: Progress, held: Mapping[Key, Item]) -> None:
+        self._order, self._progress, self._held = order, progress, held
+        self.tried = False
+
+    def __call__(self, value: bytes | None, known_since: int, now: int) -> Verdict:
         agreement = read_agreement(value)
-        if agreement.settled > progress.read:
+        if agreement.settled > self._progress.read:
             return Verdict(None, Behind(agreement.settled))
-        after, outcome = decide(order, agreement, progress, held)
-        return Verdict(None if after == agreement else _encode(after), outcome)
-
-    return change
+        after, outcome = decide(self._order, agreement, self._progress, self._held)
+        if after == agreement:
+            return Verdict(None, outcome)
+        self.tried = True
+        return Verdict(_encode(after), outcome)
 
 
 def decide(
--- a/ambershift/system/consensus/ledger.py
+++ b/ambershift/system/consensus/ledger.py
@@ -13,16 +13,18 @@
 import msgspec
 
 from ambershift.system.consensus.disk import Disk, Rows
+from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put, Reached
 from ambershift.system.consensus.outbox import Held, News
-from ambershift.system.consensus.replica import ChangeRegister, Event, Freshen, Put, Reached, Replica
+from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import Change, NotDoneError, Shape
 from ambershift.system.messages.fronts import Core
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import Answer, Heard, Log, Send, Tick, Wake, Write, Written
+from ambershift.system.steps import SECOND, Answer, Heard, Log, Send, Tick, Wake, Write, Written
 
 EVENT_LISTENER, EVENT_ASIDE, EVENT_NO_DISK = 6, 206, 207
 REOPEN = 0.3  # Seconds between tries to open the folder.
+LOOK_S = 0.02  # Seconds between looks whether this machine has left.
 
 
 class Bottom(Protocol):
@@ -101,9 +103,22 @@
     def retire(self) -> None:
         """The process is about to end: others are told at once to propose for themselves."""
         if self._replica is not None:
-            self._replica.watching.retiring = True
+            self._replica.watching.leave()
             self.tick()
 
+    async def left(self, within: float) -> bool:
+        """Wait until this machine is no voter and the others are complete without it, at most `within` s.
+
+        False where that was not to be had, as the voters would be worse off without its seat."""
+        end = self._steady() + int(within * SECOND)
+        while self._replica is not None and self._steady() < end:
+            if self._replica.watching.left():
+                return True
+            if not self._replica.leaves_soon():
+                return False
+            await asyncio.sleep(LOOK_S)
+        return False
+
     def close(self) -> None:
         """End the disk's thread once it has written what waits. Calls still out fail."""
         self._replica = None
--- a/ambershift/system/consensus/joining.py
+++ b/ambershift/system/consensus/membership.py
@@ -1,4 +1,9 @@
-"""When the voters should change, and to what: the first set grows, silent ones are replaced one for one."""
+"""When the voters change: one change at a time, agreed by the voters before it.
+
+A change is the content of the register `@epoch`, so it needs a majority of the voters that it replaces: two
+parts of a set can't both make themselves a smaller one. The next one waits until all voters that are there
+have what was held before, unless the next loss would leave no majority of complete ones.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +12,9 @@
 import msgspec
 
 from ambershift.system.consensus.acceptor import VOTERS, Acceptor
+from ambershift.system.consensus.membership_plan import Plan, VoterView, plan
 from ambershift.system.consensus.outbox import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.consensus.quorum import balanced
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.consensus.watching import SILENT, Watching
 from ambershift.system.contracts import Verdict
@@ -20,6 +25,9 @@
 RANK = 300 * MS  # Between the tries of one voter and the next, so that they seldom meet.
 WITHIN = 2 * SECOND
 GAP = 500 * MS  # A longer time between ticks: this process stood still, and others only seem silent.
+LEFT_OUT = 6 * SECOND  # Silent for so long, with no learner to take its seat, a voter may be left out.
+TAKEN_IN = 3 * SECOND  # A learner is there for so long before it is taken in beside all others.
+EVENT_COPIES = 208
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Decision).decode
 
@@ -28,7 +36,11 @@
     return f"{VOTERS}{epoch}"
 
 
-class Joining:
+def _identities(members: tuple[Member, ...]) -> set[tuple[str, int]]:
+    return {(one.ip, one.birth) for one in members}
+
+
+class Membership:
     def __init__(
         self,
         out: Outbox,
@@ -46,13 +58,18 @@
         self._wanted: tuple[Member, ...] | None = None
         self._since = 0
         self._busy = 0  # Till when a try of this machine is out.
+        self._told = (0, 0, 0, 0)  # What was logged last.
+
+    # Who is how.
 
     def _ready(self, machine: Machine) -> bool:
-        decision = self._voters.decision
-        counting = decision is not None and any(
-            one.counted for one in self._watching.machines.values() if one.ip in self._voters.ips
+        """Whether a learner may be made a voter."""
+        counting = any(one.counted for one in self._watching.machines.values() if one.ip in self._voters.ips)
+        return (
+            self._watching.lately(machine.ip)
+            and machine.ip not in self._watching.leaving
+            and (machine.counted or not counting)
         )
-        return self._watching.lately(machine.ip) and (machine.counted or not counting)
 
     def _lost(self, one: Member) -> bool:
         """Whether enough voters, this one too, haven't heard it for a while."""
@@ -67,40 +84,48 @@
             and witnesses + 1 >= self._voters.enough
         )
 
-    def wanted(self) -> tuple[Member, ...]:
+    def _now(self, old: Member) -> Member:
+        """The voter with the disk that it has now: whoever lost its disk comes back as another member."""
+        machine = self._watching.machines.get(old.ip)
+        if machine is None:
+            return old
+        again = self._watching.lately(old.ip) and self._watching.own.get(old.ip) == machine.birth
+        return machine.member if machine.birth == old.birth or again else old
+
+    def _view(self, old: Member) -> VoterView:
+        lost = self._lost(old)
+        gone = lost and not self._watching.alive(old.ip, LEFT_OUT) and self._out.now - self._awake > LEFT_OUT
+        heard = self._watching.alive(old.ip)
+        return VoterView(self._now(old), heard, lost, gone, old.ip in self._watching.leaving)
+
+    def wanted(self) -> Plan:
         """The voters that there should be, by what is known here."""
         decision = self._voters.decision
         if decision is None:
-            return ()
+            return Plan(())
         machines = self._watching.machines
-        members = []
-        for old in decision.members:
-            # Whoever lost its disk comes back as another member. The newest word tells its place, too.
-            now = machines.get(old.ip)
-            again = now is not None and (
-                now.birth == old.birth
-                or (self._watching.lately(old.ip) and self._watching.own.get(old.ip) == now.birth)
-            )
-            members.append(now.member if now is not None and again else old)
         learners = [
             one for _, one in sorted(machines.items()) if one.ip not in self._voters.ips and self._ready(one)
         ]
-        for index, old in enumerate(members):
-            if learners and self._lost(old):
-                chosen = min(
-                    learners,
-                    key=lambda one, old=old: (  # type: ignore[misc]
-                        one.zone != old.zone,
-                        one.region != old.region,
-                        one.ip,
-                    ),
-                )
-                learners.remove(chosen)
-                members[index] = chosen.member
-        members += [one.member for one in learners if one.initial]
-        if len(members) > len(decision.members):
-            return balanced(members, *self._tolerated)
-        return tuple(members)
+        return plan([self._view(old) for old in decision.members], learners, self._tolerated)
+
+    def _completing(self) -> bool:
+        """Whether voters that are there lack what was held before, and the others can do without them."""
+        present = [ip for ip in self._voters.ips if self._watching.alive(ip)]
+        complete = sum(self._watching.complete(ip) for ip in present)
+        return complete < len(present) and complete > self._voters.enough
+
+    def _tell(self, decision: Decision) -> None:
+        """Log how many copies there are, whenever that changes: a copy that is filled isn't complete."""
+        present = [ip for ip in self._voters.ips if self._watching.alive(ip)]
+        complete = sum(self._watching.complete(ip) for ip in present)
+        told = (decision.epoch, len(decision.members), len(present), complete)
+        if told != self._told:
+            self._told = told
+            epoch, voters, there, whole = told
+            self._out.log(EVENT_COPIES, epoch=epoch, voters=voters, present=there, complete=whole)
+
+    # Changes.
 
     def tick(self) -> None:
         now = self._out.now
@@ -110,21 +135,31 @@
         decision = self._voters.decision
         if decision is None or not self._voters.voting or now < self._busy or not self._watching.in_touch():
             return
-        rank = sorted(ip for ip in self._voters.ips if self._watching.alive(ip)).index(self._voters.me.ip)
-        wanted = self.wanted()
+        self._tell(decision)
+        found = self.wanted()
+        wanted = found.members
         if self._acceptor.record(register_of(decision.epoch)).value is not None:
             wanted = ()  # A decision may have been made that nobody tells of: find it out.
-        elif {(one.ip, one.birth) for one in wanted} == {(one.ip, one.birth) for one in decision.members}:
+        elif _identities(wanted) == _identities(decision.members) or self._completing():
             self._wanted = None
             return
         if wanted != self._wanted:
             self._wanted, self._since = wanted, now
-        grown = len(wanted) > len(decision.members)
-        if grown and now - self._watching.newcomer < SETTLE:
+        if wanted and found.grows and self._too_early(found):
             return
-        if now - self._since >= rank * RANK:
+        if now - self._since >= self._rank() * RANK:
             self._try(decision, wanted)
 
+    def _rank(self) -> int:
+        """The place of this machine in the order in which voters try."""
+        present = sorted(ip for ip in self._voters.ips if self._watching.alive(ip))
+        return present.index(self._voters.me.ip)
+
+    def _too_early(self, found: Plan) -> bool:
+        if found.founding:
+            return self._out.now - self._watching.newcomer < SETTLE
+        return self._out.now - self._since < TAKEN_IN
+
     def _try(self, decision: Decision, wanted: tuple[Member, ...]) -> None:
         self._busy = self._out.now + WITHIN
         after = _encode(Decision(decision.epoch + 1, wanted, decision.members))
--- /dev/null
+++ b/ambershift/system/consensus/membership_plan.py
@@ -0,0 +1,126 @@
+"""Which voters there should be, by what is known of each: who is replaced, left out or taken in. No state.
+
+The measure is how many voters a set can lose next and still have a majority. A voter is left out, or a
+learner taken in, only where that number rises: so a set that is as good as another one is left as it is, and
+one that was made smaller grows again when machines return.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+
+from ambershift.system.consensus.quorum import VOTERS_MOST, balanced, majority
+from ambershift.system.messages.copies import Machine, Member
+
+
+@dataclass(frozen=True, slots=True)
+class VoterView:
+    """A voter as one machine sees it. `member` has the disk that it has now.
+
+    `heard`: this machine hears it. `lost`: a majority hasn't heard it for a moment. `gone`: for so long that
+    it may be left out. `leaving`: it tells that its process is about to end. One may be neither heard nor
+    known to be lost: then it isn't counted on, and its seat isn't taken.
+    """
+
+    member: Member
+    heard: bool = True
+    lost: bool = False
+    gone: bool = False
+    leaving: bool = False
+
+    @property
+    def present(self) -> bool:
+        return self.heard and not self.leaving
+
+
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """The voters that there should be. `grows`: learners are taken in beside those that there are;
+    `founding`: the first set takes in those that were started with it."""
+
+    members: tuple[Member, ...]
+    grows: bool = False
+    founding: bool = False
+
+
+FEWEST = 3
+
+
+def tolerance(present: int, size: int) -> int:
+    """How many more of a set's voters may be lost, of which so many are there. Below 0: it stands still."""
+    return present - majority(size)
+
+
+def plan(voters: Sequence[VoterView], learners: Iterable[Machine], tolerated: tuple[int, int, int]) -> Plan:
+    """`learners` are well and may vote. `tolerated`: machines, zones and regions that may be lost at once."""
+    spare = list(learners)
+    seats = _replaced(voters, spare)
+    founders = [one.member for one in spare if one.initial]
+    if founders:  # The first set takes in all that were started with it.
+        members = (*(seat.member for seat in seats), *founders)
+        return Plan(balanced(members, *tolerated), grows=True, founding=True)
+    kept = _without_leaving(_without_gone(seats))
+    if len(kept) < len(seats):
+        return Plan(tuple(seat.member for seat in kept))
+    taken = _taken_in(seats, spare)
+    members = (*(seat.member for seat in seats), *(one.member for one in taken))
+    return Plan(members, grows=bool(taken))
+
+
+def _replaced(voters: Sequence[VoterView], spare: list[Machine]) -> list[VoterView]:
+    """Seats of voters that are lost, then of those that leave, go to the nearest learners, which are then no
+    longer spare."""
+    seats = list(voters)
+    order = sorted(range(len(seats)), key=lambda at: not seats[at].lost)
+    for at in order:
+        if spare and (seats[at].lost or seats[at].leaving):
+            chosen = _nearest(seats[at].member, spare)
+            spare.remove(chosen)
+            seats[at] = VoterView(chosen.member)
+    return seats
+
+
+def _nearest(old: Member, spare: Sequence[Machine]) -> Machine:
+    return min(spare, key=lambda one: (one.zone != old.zone, one.region != old.region, one.ip))
+
+
+def _without_gone(seats: Sequence[VoterView]) -> list[VoterView]:
+    """Without as few of those that are gone as make the set tolerate most."""
+    gone = [seat for seat in seats if seat.gone]
+    return _without(seats, gone, least=0)
+
+
+def _without_leaving(seats: Sequence[VoterView]) -> list[VoterView]:
+    """The same for those that leave. One that is told to end may be back in a moment, and what is heard of
+    the others is a second old: so only where one more may be lost then."""
+    leaving = [seat for seat in seats if seat.leaving and not seat.lost]
+    return _without(seats, leaving, least=1)
+
+
+def _without(seats: Sequence[VoterView], out: Sequence[VoterView], least: int) -> list[VoterView]:
+    """Without the first few of some, where that makes the set tolerate more, and `least` losses at least.
+
+    Fewer voters than `FEWEST` would keep too few copies."""
+    present = sum(seat.present for seat in seats)
+    most = max(0, min(len(out), len(seats) - FEWEST))
+    best = max(range(most + 1), key=lambda count: (tolerance(present, len(seats) - count), -count))
+    if best == 0 or tolerance(present, len(seats) - best) < least:
+        return list(seats)
+    return [seat for seat in seats if seat not in out[:best]]
+
+
+def _taken_in(seats: Sequence[VoterView], spare: Sequence[Machine]) -> list[Machine]:
+    """As few learners as make the set tolerate most, of the regions with the fewest voters first."""
+    present = sum(seat.present for seat in seats)
+    most = max(0, min(len(spare), VOTERS_MOST - len(seats)))
+    count = max(range(most + 1), key=lambda some: (tolerance(present + some, len(seats) + some), -some))
+    regions = Counter(seat.member.region for seat in seats)
+    taken: list[Machine] = []
+    for _ in range(count):
+        left = [one for one in spare if one not in taken]
+        chosen = min(left, key=lambda one: (regions[one.region], one.ip))
+        regions[chosen.region] += 1
+        taken.append(chosen)
+    return taken
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -1,6 +1,6 @@
 """A control node's copy of what all must know: the small machines of this package wired into one (no I/O).
 
-Events are those of `steps` and the calls below; effects those of `steps` and `News`. Outcomes of calls are
+Events are those of `steps` and of `events`; effects those of `steps` and `News`. Outcomes of calls are
 `Held(result)` or an error of `contracts`.
 """
 
@@ -8,15 +8,15 @@
 
 import itertools
 import random
-from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass
+from collections.abc import Callable, Mapping
 from functools import partial
 
 import msgspec
 
 from ambershift.system.consensus.acceptor import Acceptor
-from ambershift.system.consensus.joining import Joining
+from ambershift.system.consensus.events import Event, Freshen, Put, Reached
 from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.membership import Membership
 from ambershift.system.consensus.outbox import News, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.store import Store
@@ -24,7 +24,7 @@
 from ambershift.system.consensus.voters import FOUNDER, Voters
 from ambershift.system.consensus.watching import Watching
 from ambershift.system.consensus.writing import Writing
-from ambershift.system.contracts import Change, Shape
+from ambershift.system.contracts import Shape
 from ambershift.system.messages.copies import (
     Accept,
     Agreed,
@@ -42,7 +42,6 @@
     Refused,
     Share,
 )
-from ambershift.system.messages.items import Item
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import SECOND, Effect, Heard, Tick, Written
 
@@ -52,35 +51,6 @@
 Rows = Mapping[str, dict[str, bytes]]
 
 
-@dataclass(frozen=True, slots=True)
-class Put:
-    call: int
-    items: Sequence[Item]
-    within: float  # Seconds.
-
-
-@dataclass(frozen=True, slots=True)
-class Freshen:
-    call: int
-    within: float
-
-
-@dataclass(frozen=True, slots=True)
-class ChangeRegister:
-    call: int
-    register: str
-    change: Change
-    within: float
-
-
-@dataclass(frozen=True, slots=True)
-class Reached:
-    """A link to that machine has come up; what was sent to it before is lost."""
-
-    ip: str
-
-
-Event = Heard | Reached | Tick | Written | Put | Freshen | ChangeRegister
 _WANTED = (Prepare, Accept, Confirm, Ask)
 
 
@@ -129,7 +99,7 @@
             self._completed,
         )
         self._decisions: list[Decision] = []
-        self._joining = Joining(
+        self._membership = Membership(
             out,
             self._voters,
             self._watching,
@@ -194,7 +164,7 @@
                 self._syncing.quiet(near)
         self._syncing.tick()
         self._proposer.tick()
-        self._joining.tick()
+        self._membership.tick()
 
     def _take(self, sender: str, message: msgspec.Struct) -> None:
         if isinstance(message, (Agreed, Promise, Refused, Lacking)):
@@ -295,6 +265,11 @@
     def watching(self) -> Watching:
         return self._watching
 
+    def leaves_soon(self) -> bool:
+        """Whether this machine, which tells that it is about to end, is no voter soon, or isn't one now."""
+        me = self._voters.me
+        return not self._voters.member or all(one.ip != me.ip for one in self._membership.wanted().members)
+
     @property
     def disk_bad(self) -> bool:
         return self._journal.bad
--- a/ambershift/system/consensus/watching.py
+++ b/ambershift/system/consensus/watching.py
@@ -11,6 +11,7 @@
 from ambershift.system.consensus.quorum import ALL_WATCH, watchers
 from ambershift.system.consensus.store import Store
 from ambershift.system.consensus.voters import Voters, holds
+from ambershift.system.messages import copies
 from ambershift.system.messages.copies import Beat, Knock, Known, Machine
 from ambershift.system.messages.fronts import Core
 from ambershift.system.steps import MS
@@ -37,8 +38,9 @@
         self.heard: dict[str, int] = {}
         self._back: dict[str, int] = {}  # Since when each has been heard without a pause.
         self._ticked = self._awake = out.now
-        self.retiring = False  # This process is about to end: others should propose from now on.
         self._well: set[str] = set()  # Who says of itself that it is settled; this machine, too.
+        self.leaving: set[str] = set()  # Who tells that it is about to end; this machine, too.
+        self._complete: dict[str, int] = {}  # The epoch for which each voter was last told to be complete.
         self.silent: dict[str, tuple[str, ...]] = {}  # Whom each other doesn't hear.
         self.newcomer = out.now  # When a machine was last heard of for the first time.
         self._unequal: dict[str, int] = {}
@@ -114,7 +116,10 @@
     def beat(self, sender: str, beat: Beat) -> str | None:
         """Take a beat. Returns the sender if its items have differed for two beats."""
         self.silent[sender] = beat.silent
-        (self._well.add if beat.settled else self._well.discard)(sender)
+        (self._well.add if beat.state & copies.SETTLED else self._well.discard)(sender)
+        (self.leaving.add if beat.state & copies.LEAVING else self.leaving.discard)(sender)
+        if beat.state & copies.COMPLETE:
+            self._complete[sender] = beat.epoch
         if beat.known != self._known:
             self._out.send(sender, self._knocking())
         if self._voters.decision is not None and beat.epoch < self._voters.epoch:
@@ -145,13 +150,20 @@
         for ip in ips:
             self._out.send(ip, message)
 
+    def _state(self) -> int:
+        return (
+            copies.SETTLED * (self.me.ip in self._well)
+            + copies.COMPLETE * self._voters.voting
+            + copies.LEAVING * (self.me.ip in self.leaving)
+        )
+
     def _beat(self, ips: Sequence[str]) -> None:
         message = Beat(
             self._voters.epoch,
             self._store.buckets.total,
             self._known,
             self.unheard(),
-            self.me.ip in self._well,
+            self._state(),
         )
         for ip in ips:
             self._sent[ip] = self._out.now
@@ -169,7 +181,7 @@
             self._awake = self._out.now
         self._ticked = self._out.now
         settled = (
-            not self.retiring
+            self.me.ip not in self.leaving
             and self.in_touch()
             and self._voters.voting
             and self._out.now - self._awake >= SETTLED
@@ -194,6 +206,24 @@
     def alive(self, ip: str, within: int = SILENT) -> bool:
         return ip == self.me.ip or self._out.now - self.heard.get(ip, -GONE) <= within
 
+    def complete(self, ip: str) -> bool:
+        """Whether that voter is known to have all that was held before this epoch."""
+        if ip == self.me.ip:
+            return self._voters.voting
+        return self._complete.get(ip, 0) >= max(1, self._voters.epoch)
+
+    def leave(self) -> None:
+        """This process is about to end: others propose from now on, and take its seat or leave it out."""
+        self.leaving.add(self.me.ip)
+        self._due = self._out.now
+
+    def left(self) -> bool:
+        """Whether this machine may end: it is no voter any more, and the voters are complete without it."""
+        decision = self._voters.decision
+        if decision is None or self.me.ip in self._voters.ips:
+            return decision is None
+        return sum(self.complete(ip) for ip in self._voters.ips) >= self._voters.enough
+
     def lately(self, ip: str) -> bool:
         return self.alive(ip, LATELY)
 
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -21,7 +21,7 @@
     Invalid,
     Outcome,
     Progress,
-    change_of,
+    Proposal,
 )
 from ambershift.system.configuration.faults import Fault, InvalidError
 from ambershift.system.configuration.layout import write_back
@@ -82,11 +82,14 @@
 
     async def _propose(self, order: Order, until: int) -> Reply:
         """Have the change agreed and stored through this machine."""
+        proposal = Proposal(order, self._progress, self._ledger.items())
         try:
-            outcome = await self._agreed(order, until)
+            outcome = await self._agreed(proposal, until)
         except NotHeldError as why:
             return self._unclear(why.reason, len(order.items))
         except NotDoneError as why:
+            if proposal.tried:
+                return self._unclear(why.reason, len(order.items))
             self._log(events.CONFIGURATION_UNCLEAR, {"reason": why.reason, "items": 0})
             return NOT_DONE
         if isinstance(outcome, Conflict):
@@ -100,17 +103,16 @@
         self._log(events.CONFIGURATION_TAKEN, {"items": len(order.items)})
         return reply(200)
 
-    async def _agreed(self, order: Order, until: int) -> Accepted | Conflict | Invalid:
-        """Raises `NotHeldError` or `NotDoneError`."""
-        change = change_of(order, self._progress, self._ledger.items())
+    async def _agreed(self, proposal: Proposal, until: int) -> Accepted | Conflict | Invalid:
+        """Raises `NotHeldError`, or `NotDoneError` where the last try did nothing."""
         while True:
-            outcome: Outcome = await self._ledger.change(REGISTER, change, self._left(until))
+            outcome: Outcome = await self._ledger.change(REGISTER, proposal, self._left(until))
             if not isinstance(outcome, Behind):
                 return outcome
             try:
                 await self._ledger.freshen(self._left(until))
             except NotHeldError as why:
-                raise NotDoneError(why.reason) from why  # Judged by nobody so far.
+                raise NotDoneError(why.reason) from why
             self._progress.has_read(outcome.settled)
 
     async def _stored(self, outcome: Accepted, until: int) -> None:
--- a/ambershift/system/events.py
+++ b/ambershift/system/events.py
@@ -29,6 +29,8 @@
     205: (INFO, "voting: all that was acknowledged is merged here"),
     206: (WARNING, "folder set aside: foreign, newer or damaged"),
     207: (ERROR, "no disk could be opened"),
+    208: (INFO, "complete copies among the voters"),
+    209: (INFO, "about to end: whether the voters do without this machine"),
     301: (WARNING, "backend missing: its beats have stopped"),
     302: (WARNING, "control node lost: what it told is let go"),
     303: (WARNING, "most backends here silent at once: waiting for others to hear them"),
--- a/ambershift/system/messages/copies.py
+++ b/ambershift/system/messages/copies.py
@@ -63,15 +63,20 @@
     machines: tuple[Machine, ...]
 
 
+SETTLED = 1  # A voter that has been well for a while.
+COMPLETE = 2  # A voter of the beat's epoch that has all that was held before it.
+LEAVING = 4  # The process is about to end.
+
+
 class Beat(msgspec.Struct, frozen=True, array_like=True, tag="cb"):
     """Sign of life. `items` and `known` are checksums; `silent` are the voters not heard for a while;
-    `settled` is said by a voter that has been well for a while."""
+    `state` is the sum of the flags below."""
 
     epoch: int
     items: int
     known: int
     silent: tuple[str, ...]
-    settled: bool = False
+    state: int = 0
 
 
 class Merge(msgspec.Struct, frozen=True, array_like=True, tag="cm"):
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -27,6 +27,7 @@
 
 LIST = "backends.list"  # The file beside the store that the list is recalled from.
 BEAT_S, IDLE_S, FINISH_S = 0.05, 120, 1.0
+LEAVE_S = 1.5  # How long an end waits until the voters are complete without this machine.
 
 
 class ControlNode:
@@ -75,8 +76,10 @@
         self.ledger.retire()
         self.enquiries.close()
         server.should_exit = True
+        left = asyncio.ensure_future(self.ledger.left(LEAVE_S))
         with contextlib.suppress(asyncio.TimeoutError):
             await asyncio.wait_for(tasks[0], 2 * FINISH_S)
+        self.log(209, {"left": await left})
         for task in tasks:
             task.cancel()
         await self.links.close()
--- a/ambershift/system/simulation/configuration_mistakes.py
+++ b/ambershift/system/simulation/configuration_mistakes.py
@@ -6,7 +6,6 @@
 from typing import Any
 
 from ambershift.system.configuration import agreement
-from ambershift.system.configuration.orders import Order
 from ambershift.system.control_api.configuration_calls import ConfigurationCalls
 
 ALL_READ = 1 << 60
@@ -15,21 +14,21 @@
 def decided_here(real: Any) -> Any:
     """By the newest copies, but without the register: two machines may decide at once."""
 
-    async def agreed(self: ConfigurationCalls, order: Order, until: int) -> Any:
+    async def agreed(self: ConfigurationCalls, proposal: agreement.Proposal, until: int) -> Any:
         await self._ledger.freshen(self._left(until))
-        progress = agreement.Progress()
-        _, outcome = agreement.decide(order, agreement.Agreement(0, ()), progress, self._ledger.items())
+        start, progress = agreement.Agreement(0, ()), agreement.Progress()
+        _, outcome = agreement.decide(proposal._order, start, progress, self._ledger.items())
         return outcome
 
     return agreed
 
 
 def any_copy_will_do(real: Any) -> Any:
-    def change_of(order: Order, progress: agreement.Progress, held: Any) -> Any:
-        progress.read = ALL_READ
-        return real(order, progress, held)
+    def call(self: agreement.Proposal, value: bytes | None, since: int, now: int) -> Any:
+        self._progress.read = ALL_READ
+        return real(self, value, since, now)
 
-    return change_of
+    return call
 
 
 def acknowledged_before_stored(real: Any) -> Any:
@@ -48,6 +47,14 @@
     return stored
 
 
+class _LastTryOnly:
+    tried = property(lambda self: False, lambda self, value: None)
+
+
+def last_try_only(real: Any) -> Any:
+    return type("Proposal", (_LastTryOnly, real), {})
+
+
 def refusal_forgotten(real: Any) -> Any:
     return lambda before, refusal: before
 
--- a/ambershift/system/simulation/histories.py
+++ b/ambershift/system/simulation/histories.py
@@ -15,9 +15,11 @@
 from ambershift.system.simulation.operator_history import OperatorHistory
 from ambershift.system.simulation.operators import Numbers, Operator
 from ambershift.system.simulation.readers import Reader
-from ambershift.system.simulation.troubles import MIXED, MOVING, Troubles, heal
+from ambershift.system.simulation.troubles import LEAVING, MIXED, MOVING, Troubles, heal
 from ambershift.system.steps import MS, SECOND
 
+KINDS = (MIXED, MOVING, LEAVING, MOVING)
+
 
 @dataclass(frozen=True, slots=True)
 class Played:
@@ -45,7 +47,7 @@
 def play_lists(seed: int, seconds: float = 12, skip: Collection[str] = ()) -> Played:
     """A history of lists."""
     world = Lists(seed, loss=(0, 0.01, 0.1)[seed % 3], count=(5, 6, 3, 4, 5)[seed % 5])
-    kinds = (MIXED, MOVING)[seed % 2]
+    kinds = KINDS[seed % len(KINDS)]
     if seed % 4:
         world.run(2.5)  # Else trouble begins with the founding.
     end = world.now + int(seconds * SECOND)
@@ -74,7 +76,7 @@
 def play_house(seed: int, seconds: float = 8, skip: Collection[str] = ()) -> Played:
     """A history of applications, two operators and a reader, at control nodes whole."""
     house = House(seed, loss=(0, 0.01, 0.1)[seed % 3], count=(5, 6, 3, 4, 5)[seed % 5])
-    kinds = (MIXED, MOVING)[seed % 2]
+    kinds = KINDS[seed % len(KINDS)]
     house.run(2.5 if seed % 4 else 0.5)
     end = house.now + int(seconds * SECOND)
     troubles = Troubles(house, seed, kinds, skip)
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
+from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.consensus.outbox import Held
-from ambershift.system.consensus.replica import ChangeRegister
 from ambershift.system.contracts import NotDoneError, NotHeldError
 from ambershift.system.coordination import locks
 from ambershift.system.messages.copies import Accept, Share
--- a/ambershift/system/simulation/troubles.py
+++ b/ambershift/system/simulation/troubles.py
@@ -60,6 +60,8 @@
 )
 MOVING = ("wipe", "wipe", "wipe", "replace", "replace", "kill", "freeze", "cut", "one way", "region", "disk")
 SPANS = (50 * MS, 400 * MS, 1500 * MS, 3500 * MS)
+LEAVING = ("remove", "remove", "leave", "leave", "roll", "wipe", "replace", "kill", "freeze", "cut", "region")
+ENDS = (100 * MS, 600 * MS, 1500 * MS)  # How long a process goes on after it was told to end.
 AFTER_SUCCESS = 0.03  # How often trouble comes right after a caller was told of success.
 
 
@@ -117,10 +119,10 @@
     elif kind == "freeze":
         world.freeze(ip)
         world.at(later, lambda: world.thaw(ip))
-    elif kind in ("cut", "one way", "alone", "region"):
+    elif kind in ("cut", "one way", "alone", "region") and len(ips) > 1:
         others = [one for one in ips if one != ip]
         if kind != "alone":
-            others = chance.sample(others, chance.randrange(1, len(others)))
+            others = chance.sample(others, chance.randrange(1, max(2, len(others))))
         links = {(ip, one) for one in others}
         if kind != "one way":
             links |= {(one, ip) for one in others}
@@ -133,6 +135,13 @@
         world.boxes[ip].held_up = later
     elif kind == "clock":
         world.boxes[ip].wall += chance.choice((-1, 1)) * chance.choice((2, 30, 4000)) * SECOND
+    elif kind in ("leave", "roll"):
+        world.retire(ip)
+        after = chance.choice(ENDS)
+        world.at(world.now + after, lambda: end(world, ip, kind == "leave", span))
+    elif kind == "remove":
+        if may_lose_a_disk(world, ip):
+            world.remove(ip)
     elif kind in ("wipe", "replace"):
         if may_lose_a_disk(world, ip):
             if kind == "wipe":
@@ -141,7 +150,7 @@
             else:
                 fresh = world.replace(ip)
                 world.at(later, lambda: world.start(fresh))
-    else:
+    elif kind == "disk":
         box = world.boxes[ip]
         box.fault = chance.choice(("full", "failed", "stalled"))
 
@@ -152,6 +161,17 @@
     return f"{kind} {ip} for {span / SECOND:.2f} s"
 
 
+def end(world: World, ip: str, for_good: bool, span: int) -> None:
+    """A process that was told to end ends; its machine stays away where that may be borne."""
+    if world.boxes[ip].gone:
+        return
+    if for_good and may_lose_a_disk(world, ip):
+        world.remove(ip)
+        return
+    world.kill(ip)
+    world.at(world.now + span, lambda: world.start(ip))
+
+
 def heal(world: World) -> None:
     world.cut.clear()
     world.loss = 0
--- a/ambershift/system/simulation/variants.py
+++ b/ambershift/system/simulation/variants.py
@@ -365,8 +365,8 @@
         "checked-against-an-old-copy",
         "CONFIG",
         "a machine that may lack settled items judges all the same",
-        configuration_calls,
-        "change_of",
+        agreement.Proposal,
+        "__call__",
         configuration_mistakes.any_copy_will_do,
     ),
     _of(
@@ -385,6 +385,14 @@
         "_stored",
         configuration_mistakes.counted_before_stored,
     ),
+    _of(
+        "only-the-last-try-counts",
+        "CONFIG",
+        "a change that wrote something is told as never done, as its last try did nothing",
+        configuration_calls,
+        "Proposal",
+        configuration_mistakes.last_try_only,
+    ),
     _of(
         "refusal-forgotten",
         "CONFIG",
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -137,6 +137,17 @@
         self.boxes[fresh] = Box(fresh, initial=False)
         return fresh
 
+    def retire(self, ip: str) -> None:
+        """Its process is told to end, and goes on for a while."""
+        box = self.boxes[ip]
+        if box.replica is not None and box.frozen is None:
+            box.replica.watching.leave()
+
+    def remove(self, ip: str) -> None:
+        """Take a machine out for good, with nobody in its place."""
+        self.kill(ip)
+        self.boxes[ip].gone = True
+
     def freeze(self, ip: str) -> None:
         if self.boxes[ip].frozen is None:
             self.boxes[ip].frozen = []
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -10,8 +10,9 @@
 import msgspec
 
 from ambershift.system.consensus.disk import Disk
+from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put
 from ambershift.system.consensus.outbox import News
-from ambershift.system.consensus.replica import ChangeRegister, Event, Freshen, Put, Replica
+from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import Verdict
 from ambershift.system.messages import codec, copies
 from ambershift.system.messages.items import ROUTE
--- a/tests/test_system_agreement.py
+++ b/tests/test_system_agreement.py
@@ -17,7 +17,7 @@
     Conflict,
     Invalid,
     Progress,
-    change_of,
+    Proposal,
     decide,
     read_agreement,
 )
@@ -73,13 +73,16 @@
 def test_a_machine_that_may_lack_settled_items_does_not_judge() -> None:
     value = msgspec.msgpack.encode(Agreement(3, ()))
     progress = Progress()
-    change = change_of(services(a=(5, 1)), progress, {})
+    change = Proposal(services(a=(5, 1)), progress, {})
     assert change(None, 0, 0).result == Behind(0)  # What stores held before the first agreement counts, too.
     assert change(value, 0, 0).result == Behind(3)
     progress.has_read(2)
     assert change(value, 0, 0).result == Behind(3) and change(value, 0, 0).value is None
+    assert not change.tried
     progress.has_read(3)
     assert isinstance(change(value, 0, 0).result, Accepted)
+    # Behind after another one's write: what it wrote itself may have been agreed all the same.
+    assert isinstance(change(msgspec.msgpack.encode(Agreement(4, ())), 0, 0).result, Behind) and change.tried
 
 
 def test_items_are_listed_until_a_majority_is_known_to_store_them() -> None:
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -9,8 +9,9 @@
 import pytest
 from system_exchange import SECOND, World
 
+from ambershift.system.consensus.events import Put
 from ambershift.system.consensus.outbox import Held
-from ambershift.system.consensus.replica import Put, Replica
+from ambershift.system.consensus.replica import Replica
 from ambershift.system.consensus.store import row_key
 from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages.fronts import Backends
--- a/tests/test_system_consensus.py
+++ b/tests/test_system_consensus.py
@@ -87,7 +87,7 @@
     assert settled(one) == settled(two) == frozenset(world.boxes)
     replica = world.boxes[two].replica
     assert replica is not None
-    replica.watching.retiring = True  # About to end.
+    replica.watching.leave()  # About to end.
     world.run(0.1)
     assert two not in settled(one) and two not in settled(two)
 
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -19,7 +19,8 @@
 from system_exchange import SECOND, ZONES, Node, World
 
 from ambershift.system.consensus import sidefile
-from ambershift.system.consensus.replica import Freshen, Reached, Replica
+from ambershift.system.consensus.events import Freshen, Reached
+from ambershift.system.consensus.replica import Replica
 from ambershift.system.consensus.sidefile import SideFile
 from ambershift.system.messages.copies import Ask, Knock
 from ambershift.system.messages.fronts import Backend, Backends, Items
