--- a/ambershift/system/__main__.py
+++ b/ambershift/system/__main__.py
@@ -36,9 +36,14 @@
     one.add_argument("file")
     one = verbs.add_parser("check-configuration", help="check an operator's configuration (JSON)")
     one.add_argument("file")
+    one = verbs.add_parser("members", help="show who votes, as a control node sees it (JSON)")
+    one.add_argument("address", metavar="HOST:PORT", help="where the control node serves Control")
     return made
 
 
+# Seconds.
+MEMBERS_WITHIN = {"timeout": {"connect": 2.0, "read": 2.0, "write": 2.0, "pool": 2.0}}
+
 # Libraries import these where a machine happens to have them, and none is ever used here.
 UNUSED = ("trio", "rich", "colorama", "better_exceptions")
 
@@ -73,8 +78,26 @@
     return 1 if faults else 0
 
 
+def show_members(address: str) -> int:
+    """Prints what the control node answers; 1 where it can't tell, 2 where it can't be reached."""
+    import httpcore
+
+    try:
+        found = httpcore.request("GET", f"http://{address}/ambershift/members", extensions=MEMBERS_WITHIN)
+    except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException, ValueError) as why:
+        print(
+            f"{address}: {why or type(why).__name__}; is it a control node's Control address?",
+            file=sys.stderr,
+        )
+        return 2
+    print(found.content.decode())
+    return 0 if found.status == 200 else 1
+
+
 def main(arguments: Sequence[str] | None = None) -> int:
     asked = parser().parse_args(arguments)
+    if asked.verb == "members":
+        return show_members(asked.address)
     if asked.verb == "check-configuration":
         return check_configuration(asked.file)
     file = asked.file if asked.verb == "check-settings" else asked.settings
--- a/ambershift/system/consensus/ledger.py
+++ b/ambershift/system/consensus/ledger.py
@@ -14,6 +14,7 @@
 
 from ambershift.system.consensus.disk import Disk, Rows
 from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put, Reached
+from ambershift.system.consensus.members import Members, members_of
 from ambershift.system.consensus.outbox import Held, News
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import Change, NotDoneError, Shape
@@ -205,6 +206,9 @@
     def cores(self) -> Sequence[Core]:
         return () if self._replica is None else self._replica.watching.cores()
 
+    def members(self) -> Members | None:
+        return None if self._replica is None else members_of(self._replica.voters, self._replica.watching)
+
     def in_touch(self) -> bool:
         return self._replica is not None and self._replica.watching.in_touch()
 
--- a/ambershift/system/consensus/membership_plan.py
+++ b/ambershift/system/consensus/membership_plan.py
@@ -57,16 +57,19 @@
     """`learners` are well and may vote. `tolerated`: machines, zones and regions that may be lost at once."""
     spare = list(learners)
     seats = _replaced(voters, spare)
+    unchanged = tuple(seat.member for seat in seats)
     founders = [one.member for one in spare if one.initial]
-    if founders:  # The first set takes in all that were started with it.
-        members = (*(seat.member for seat in seats), *founders)
-        return Plan(balanced(members, *tolerated), grows=True, founding=True)
+    # The first set takes in all that were started with it, but for those that would spoil its balance.
+    founding = balanced((*unchanged, *founders), *tolerated)
+    if founders and set(founding) != set(unchanged):
+        return Plan(founding, grows=True, founding=True)
     kept = _without_leaving(_without_gone(seats))
     if len(kept) < len(seats):
         return Plan(tuple(seat.member for seat in kept))
-    taken = _taken_in(seats, spare)
-    members = (*(seat.member for seat in seats), *(one.member for one in taken))
-    return Plan(members, grows=bool(taken))
+    members = (*unchanged, *(one.member for one in _taken_in(seats, spare)))
+    if len(balanced(members, *tolerated)) < len(members):
+        return Plan(unchanged)  # The loss of one zone or region would be the loss of the majority.
+    return Plan(members, grows=len(members) > len(unchanged))
 
 
 def _replaced(voters: Sequence[VoterView], spare: list[Machine]) -> list[VoterView]:
--- a/ambershift/system/contracts.py
+++ b/ambershift/system/contracts.py
@@ -6,6 +6,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
+import msgspec
+
 from ambershift.system.messages.fronts import Core
 from ambershift.system.messages.items import Item, Key
 
@@ -71,6 +73,9 @@
     def cores(self) -> Sequence[Core]:
         """All control nodes known and not known to be gone for good, this one too."""
 
+    def members(self) -> msgspec.Struct | None:
+        """The voters as this machine sees them, to be shown (`consensus/members.py`); None before it runs."""
+
     def in_touch(self) -> bool:
         """Whether enough of the others were heard within the last second and a half."""
 
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -29,6 +29,7 @@
 
 RPC, NUMBERS, WATCHES = "/ambershift/rpc", "/ambershift/numbers/", "/ambershift/watch/"
 RESOLUTION = "/ambershift/resolution"
+MEMBERS = "/ambershift/members"
 CONFIGURATION_MOST = 64 << 20
 FRONTS_MOST = 64
 TTL = 2.0
@@ -53,7 +54,8 @@
         log: Log,
         begin: int | None = None,
     ) -> None:
-        self._settings, self._registry, self._steady, self._log = settings, registry, steady, log
+        self._settings, self._ledger, self._registry = settings, ledger, registry
+        self._steady, self._log = steady, log
         open_calls = OpenCalls(send, secrets.randbits(62) if begin is None else begin)
         proposers = Proposers(ledger, settings.ip, steady)
         ages = Ages(int((settings.bounds.history + HISTORY_MARGIN) * SECOND))
@@ -133,6 +135,8 @@
             return await self._ask("numbers", path.removeprefix(NUMBERS), scope, receive)
         if path.startswith(WATCHES):
             return reply(405) if method != "GET" else await self._watch(scope, path.removeprefix(WATCHES))
+        if path == MEMBERS:
+            return reply(405) if method != "GET" else self._members()
         if path == RESOLUTION:
             return reply(405) if method != "GET" else self._resolution(wire.query(scope))
         return reply(404)
@@ -176,6 +180,11 @@
             return reply(400, Cause="after: is below 0, or the group has no name")
         return await self._watches.watch(name, after, min(max(wait, 0), WAIT_MOST) * MS)
 
+    def _members(self) -> Reply:
+        """For operators: who votes, and how many copies are complete, as this machine sees it."""
+        found = self._ledger.members()
+        return reply(503, Cause="not started") if found is None else Reply(200, msgspec.json.encode(found))
+
     def _resolution(self, asked: dict[str, str]) -> Reply:
         addresses = list(
             self._registry.addresses(asked.get("Region", ""), asked.get("Zone", ""), asked.get("Name", ""))
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -225,6 +225,9 @@
     def cores(self) -> Sequence[Core]:
         return [Core(ip, f"zone-{ip}", "riga") for ip in IPS]
 
+    def members(self) -> msgspec.Struct | None:
+        return None
+
     def in_touch(self) -> bool:
         return self.touch
 
--- /dev/null
+++ b/tests/test_system_membership.py
@@ -0,0 +1,196 @@
+"""Who votes: seats of lost and leaving voters, sets that shrink and grow, two losses one after the other."""
+
+from __future__ import annotations
+
+import itertools
+
+import pytest
+
+from ambershift.system.consensus import membership
+from ambershift.system.consensus.members import members_of
+from ambershift.system.consensus.membership_plan import FEWEST, VoterView, plan, tolerance
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.messages.copies import Machine, Member
+from ambershift.system.simulation.lists import Lists
+from ambershift.system.simulation.loss_pairs import LOSSES, MOMENTS, Pair, play_pair
+from ambershift.system.simulation.world import Box
+
+TOLERATED = (1, 1, 1)
+
+
+def member(number: int) -> Member:
+    return Member(f"10.0.0.{number}", f"z{number}", f"r{number % 3}", number)
+
+
+def learner(number: int) -> Machine:
+    one = member(number)
+    return Machine(one.ip, one.zone, one.region, one.birth, 0, False, True)
+
+
+def planned(states: str, *learners: int) -> str:
+    """A letter a voter: there, Lost, Gone (lost for long), leaving (E), Silent to this machine alone."""
+    voters = [
+        VoterView(member(at), state not in "LGS", state in "LG", state == "G", state == "E")
+        for at, state in enumerate(states, 1)
+    ]
+    found = plan(voters, [learner(number) for number in learners], TOLERATED)
+    return " ".join(one.ip.rpartition(".")[2] for one in found.members)
+
+
+@pytest.mark.parametrize(
+    ("states", "learners", "after"),
+    [
+        ("......", (), "1 2 3 4 5 6"),
+        ("L.....", (), "1 2 3 4 5 6"),  # Not yet: it may be back.
+        ("G.....", (), "2 3 4 5 6"),
+        ("L.....", (7,), "7 2 3 4 5 6"),
+        ("G....", (), "1 2 3 4 5"),  # Four would bear no more than four of five.
+        ("GG...", (), "3 4 5"),
+        ("GG....", (), "2 3 4 5 6"),
+        ("GGG", (), "1 2 3"),
+        ("GG.", (), "1 2 3"),  # Too few copies, and no majority to agree on it.
+        ("E.....", (), "2 3 4 5 6"),
+        ("E....", (), "1 2 3 4 5"),
+        ("E....", (6,), "6 2 3 4 5"),
+        ("EL...", (6,), "1 6 3 4 5"),  # The lost seat first.
+        ("EESS.", (), "1 2 3 4 5"),  # Those that leave may be all that there is.
+        ("EE.S.", (), "1 2 3 4 5"),
+        ("....", (5,), "1 2 3 4 5"),
+        ("....", (5, 6), "1 2 3 4 5"),  # Six bear no more than five.
+        ("...", (4,), "1 2 3"),
+        ("...", (4, 5), "1 2 3 4 5"),
+        (".....", (6,), "1 2 3 4 5"),
+    ],
+)
+def test_who_should_vote(states: str, learners: tuple[int, ...], after: str) -> None:
+    assert planned(states, *learners) == after
+
+
+def test_learners_are_not_taken_in_where_a_region_would_hold_the_majority() -> None:
+    voters = [VoterView(member(number)) for number in (1, 2, 3)]
+    found = plan(voters, [learner(4), learner(7)], TOLERATED)  # Both of the region of the first.
+    assert not found.grows and len(found.members) == 3
+    assert plan(voters, [learner(4), learner(5)], TOLERATED).grows
+
+
+def test_a_set_changes_only_for_a_better_one_and_never_into_one_that_stands_still() -> None:
+    for size in range(3, 8):
+        for states in itertools.product(".LGES", repeat=size):
+            kept = [int(number) for number in planned("".join(states)).split()]
+            there = states.count(".")
+            present = sum(states[number - 1] == "." for number in kept)
+            assert len(kept) >= FEWEST and present == there  # Nobody who is there loses its vote.
+            if len(kept) < size:
+                assert tolerance(present, len(kept)) > tolerance(there, size)
+                assert tolerance(present, len(kept)) >= 0
+
+
+def written(world: Lists, ips: list[str]) -> bool:
+    ops = [world.change("append", ip, "list/0", within=3) for ip in ips if world.boxes[ip].replica]
+    world.run(4)
+    return all(isinstance(op.told, Held) for op in ops)
+
+
+@pytest.mark.parametrize("told", [True, False])
+def test_three_of_six_leave_for_good_and_the_rest_goes_on(told: bool) -> None:
+    world = Lists(5, loss=0, count=6)
+    world.run(2.5)
+    for ip in sorted(world.boxes)[:3]:
+        if told:
+            world.retire(ip)
+            world.run(1)
+            box = world.boxes[ip]
+            assert box.replica is not None
+            # A set of five or four bears no more without one of its seats.
+            assert box.replica.watching.left() or not box.replica.leaves_soon()
+        world.remove(ip)
+        world.run(10)
+        left = [one for one, box in world.boxes.items() if not box.gone]
+        assert written(world, left)
+    found = world.boxes["10.0.0.6"].replica
+    assert found is not None
+    seen = members_of(found.voters, found.watching)
+    assert [one.ip for one in seen.voters if one.heard and one.complete] == [
+        "10.0.0.4",
+        "10.0.0.5",
+        "10.0.0.6",
+    ]
+    assert seen.bears >= 0 and world.judge() == []
+
+
+def epochs(world: Lists) -> dict[str, tuple[int, int]]:
+    """Of each machine the epoch that it knows, and how many vote in it."""
+    return {
+        ip: (box.replica.voters.epoch, len(box.replica.voters.near))
+        for ip, box in world.boxes.items()
+        if box.replica is not None
+    }
+
+
+def cut_off(world: Lists, apart: set[str]) -> None:
+    others = world.boxes.keys() - apart
+    world.cut |= {pair for a in apart for b in others for pair in ((a, b), (b, a))}
+
+
+def test_halves_keep_their_voters_and_a_smaller_part_never_makes_itself_a_set() -> None:
+    world = Lists(6, loss=0, count=6)
+    world.run(2.5)
+    before = epochs(world)
+    cut_off(world, {"10.0.0.1", "10.0.0.2", "10.0.0.3"})
+    world.run(20)
+    assert epochs(world) == before
+    world.cut.clear()
+    world.run(3)
+    assert written(world, list(world.boxes))
+    cut_off(world, {"10.0.0.1", "10.0.0.2"})
+    world.run(12)
+    after = epochs(world)
+    assert {after[f"10.0.0.{number}"][1] for number in (3, 4, 5, 6)} == {5}
+    assert {after[f"10.0.0.{number}"] for number in (1, 2)} == {before["10.0.0.1"]}
+    world.cut.clear()
+    world.run(8)  # The one that was left out is a learner now, and would add nothing.
+    assert {size for _, size in epochs(world).values()} == {5} and written(world, list(world.boxes))
+    assert world.judge() == []
+
+
+def test_the_next_change_waits_until_copies_are_complete() -> None:
+    world = Lists(8, loss=0, count=6)
+    world.run(2.5)
+    replica = world.boxes["10.0.0.1"].replica
+    assert replica is not None
+    watching, members = replica.watching, replica._membership
+    assert not members._completing()
+    watching._complete["10.0.0.2"] = 0
+    assert members._completing()  # Five of six are complete, and four are enough.
+    watching._complete["10.0.0.3"] = 0
+    assert not members._completing()  # One more lost would leave no majority of complete ones: change now.
+
+
+def test_a_learner_that_comes_and_goes_is_not_taken_in() -> None:
+    world = Lists(9, loss=0, count=4)
+    world.run(2.5)
+    world.boxes["10.0.0.5"] = Box("10.0.0.5", initial=False)
+    for _ in range(4):
+        world.start("10.0.0.5")
+        world.run(membership.TAKEN_IN / 1e9 - 1)
+        world.kill("10.0.0.5")
+        world.run(2)
+    assert {size for _, size in epochs(world).values()} == {3}  # Four would have two in one region.
+    world.start("10.0.0.5")
+    world.run(membership.TAKEN_IN / 1e9 + 2)
+    assert {size for _, size in epochs(world).values()} == {5}
+
+
+@pytest.mark.parametrize("count", [5, 6])
+@pytest.mark.parametrize("first", LOSSES)
+def test_a_second_loss_at_any_moment_after_the_first_is_borne(first: str, count: int) -> None:
+    for second, moment in itertools.product(LOSSES, MOMENTS):
+        outcome = play_pair(Pair(first, second, moment, count))
+        assert outcome.broken == [] and outcome.wrote, (second, moment)
+
+
+@pytest.mark.parametrize("first", LOSSES)
+def test_a_region_lost_in_between_changes_nothing_of_that(first: str) -> None:
+    for second in LOSSES:
+        outcome = play_pair(Pair(first, second, "later", 6, between=True))
+        assert outcome.broken == [] and outcome.wrote, second
--- a/tests/test_system_processes.py
+++ b/tests/test_system_processes.py
@@ -4,10 +4,13 @@
 import json
 import random
 import signal
+import sys
 import time
 from collections.abc import Awaitable, Callable
 from pathlib import Path
+from typing import Any
 
+import msgspec
 import pytest
 
 from ambershift.system.testbed.book import Book, change, items_of
@@ -18,7 +21,7 @@
 from ambershift.system.testbed.processes import Child
 from ambershift.system.testbed.report import table
 from ambershift.system.testbed.rig import Rig, until
-from ambershift.system.testbed.settings import BOUNDS, DESK, Site
+from ambershift.system.testbed.settings import BOUNDS, CONTROL_NODE, DESK, Site
 
 pytestmark = pytest.mark.timeout(90)
 
@@ -54,6 +57,16 @@
     asyncio.run(whole())
 
 
+async def shown(rig: Rig) -> dict[str, Any]:
+    """What the command `members` prints of the first control node."""
+    address = rig.site.control(rig.site.of(CONTROL_NODE)[0])
+    command = (sys.executable, "-m", "ambershift.system", "members", address)
+    child = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE)
+    out, _ = await child.communicate()
+    assert child.returncode == 0
+    return dict(msgspec.json.decode(out))
+
+
 async def served(rig: Rig, more: int) -> None:
     goal = rig.judge.counts["served"] + more
     await until(f"{more} more requests served", lambda: rig.judge.counts["served"] >= goal, 15.0)
@@ -70,6 +83,8 @@
         await served(rig, 60)
         await ending
         await served(rig, 20)
+        seen = await shown(rig)
+        assert len(seen["Voters"]) == 3 and seen["Complete"] == 3 and seen["Bears"] == 1
         counts, reasons = rig.judge.counts, rig.judge.reasons
         # What is answered late tells of this machine's speed; what has no answer at all tells of the system.
         unanswered = sum(
