--- a/ambershift/system/simulation/configuration_mistakes.py
+++ b/ambershift/system/simulation/configuration_mistakes.py
@@ -6,21 +6,35 @@
 from typing import Any
 
 from ambershift.system.configuration import agreement
-from ambershift.system.control_api.configuration_calls import ConfigurationCalls
+from ambershift.system.configuration.faults import InvalidError
+from ambershift.system.configuration.orders import read_order
+from ambershift.system.contracts import NotDoneError, NotHeldError
+from ambershift.system.control_api.configuration_calls import PATIENCE, UNCLEAR, ConfigurationCalls
+from ambershift.system.coordination.replies import Reply, reply
 
 ALL_READ = 1 << 60
 
 
 def decided_here(real: Any) -> Any:
-    """By the newest copies, but without the register: two machines may decide at once."""
-
-    async def agreed(self: ConfigurationCalls, proposal: agreement.Proposal, until: int) -> Any:
-        await self._ledger.freshen(self._left(until))
-        start, progress = agreement.Agreement(0, ()), agreement.Progress()
-        _, outcome = agreement.decide(proposal._order, start, progress, self._ledger.items())
-        return outcome
-
-    return agreed
+    """By the newest copies and at the machine that was asked: two machines may decide at once."""
+
+    async def modify(self: ConfigurationCalls, body: bytes) -> Reply:
+        until = self._steady() + PATIENCE
+        try:
+            order = read_order(body)
+            await self._ledger.freshen(self._left(until))
+            start, progress = agreement.Agreement(0, ()), agreement.Progress()
+            _, outcome = agreement.decide(order, start, progress, self._ledger.items())
+            if isinstance(outcome, agreement.Accepted):
+                await self._stored(outcome, until)
+                return reply(200)
+        except (NotHeldError, NotDoneError):
+            return UNCLEAR
+        except InvalidError as why:
+            return self._invalid(why.faults)
+        return reply(409 if isinstance(outcome, agreement.Conflict) else 400)
+
+    return modify
 
 
 def any_copy_will_do(real: Any) -> Any:
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -297,3 +297,10 @@
 
 async def nobody_left(receive: Any) -> None:
     return
+
+
+def numbered_anew(real: Any) -> Any:
+    def init(self: Any, send: Any, begin: int) -> None:
+        real(self, send, 0)
+
+    return init
--- a/ambershift/system/simulation/scripts.py
+++ b/ambershift/system/simulation/scripts.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 
+from ambershift.system.simulation import scripts_configuration as configuration
 from ambershift.system.simulation import scripts_disks as disks
 from ambershift.system.simulation import scripts_house as house
 from ambershift.system.simulation import scripts_voters as voters
@@ -24,6 +25,10 @@
     return voters.accepted_alone(first=True)
 
 
+def at_once() -> list[str]:
+    return configuration.rivals(1, 0)
+
+
 SCRIPTS: dict[str, Script] = {
     "complete-from-one": accepted_alone,
     "time-out-is-refusal": left_behind_unsynced,
@@ -36,6 +41,8 @@
     "promises-not-handed-on": accepted_alone,
     "hold-without-margin": house.fast_clock,
     "late-run-takes-again": disks.late_run,
+    "configuration-decided-here": at_once,
+    "never-left-out": voters.three_leave,
     "evacuation-without-asking": house.stale_copy,
     "late-order-carried-out": house.late_order,
     "order-of-one-who-left": house.late_order,
--- a/ambershift/system/simulation/scripts_voters.py
+++ b/ambershift/system/simulation/scripts_voters.py
@@ -128,3 +128,20 @@
         world.change("append", ip, "list/0")
         world.run(1)
     return world.judge()
+
+
+def three_leave(told: bool = False) -> list[str]:
+    """Three of six machines leave for good, ten seconds apart, `told` to end or not, with nobody for them."""
+    world = World(5, loss=0, count=6)
+    world.run(2.5)
+    for ip in sorted(world.boxes)[:3]:
+        if told:
+            world.retire(ip)
+            world.run(1)
+        world.remove(ip)
+        world.run(10)
+    ops = [world.change("append", ip, "list/0", 3) for ip, box in sorted(world.boxes.items()) if box.replica]
+    world.run(4)
+    broken = [f"no write at {len(ops)} machines" for op in ops if not isinstance(op.told, Held)]
+    broken += world.judge()
+    return broken
--- a/ambershift/system/simulation/variants.py
+++ b/ambershift/system/simulation/variants.py
@@ -7,7 +7,17 @@
 
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.configuration import agreement
-from ambershift.system.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
+from ambershift.system.consensus import (
+    acceptor,
+    journal,
+    membership_plan,
+    proposer,
+    replica,
+    store,
+    syncing,
+    voters,
+    writing,
+)
 from ambershift.system.contracts import NotDoneError
 from ambershift.system.control_api import (
     application,
@@ -15,6 +25,7 @@
     configuration_calls,
     evacuations,
     forwarding,
+    open_calls,
     pause_detector,
     watches,
     wire,
@@ -348,9 +359,9 @@
     _of(
         "configuration-decided-here",
         "CONFIG",
-        "a change is decided by the copies, without the register",
+        "a machine decides a change by the newest copies, without the register",
         configuration_calls.ConfigurationCalls,
-        "_agreed",
+        "modify",
         configuration_mistakes.decided_here,
     ),
     _of(
@@ -417,5 +428,37 @@
         "_superseded",
         configuration_mistakes.digests_alike,
     ),
+    _of(
+        "silent-ones-counted-on",
+        "LOST",
+        "a voter that isn't heard counts as there when others are left out",
+        membership_plan.VoterView,
+        "present",
+        _constant(property(lambda self: not self.leaving)),
+    ),
+    _of(
+        "never-left-out",
+        "LOST",
+        "a voter that is gone keeps its seat for ever",
+        membership_plan,
+        "_without",
+        _constant(lambda seats, out, least: list(seats)),
+    ),
+    _of(
+        "leaving-ones-left-out-whoever-is-left",
+        "LOST",
+        "a set may be left that bears no further loss, and fewer than three",
+        membership_plan,
+        "_without_leaving",
+        _constant(lambda seats: [seat for seat in seats if not seat.leaving] or list(seats)),
+    ),
+    _of(
+        "call-numbers-of-the-life-before",
+        "ONE",
+        "calls that are forwarded are numbered anew at each start",
+        open_calls.OpenCalls,
+        "__init__",
+        mistakes.numbered_anew,
+    ),
 )
 BY_NAME = {one.name: one for one in VARIANTS}
--- /dev/null
+++ b/tests/test_system_rivals.py
@@ -0,0 +1,20 @@
+"""Two operators with one version, and a machine that returns with old state: as an operator sees it."""
+
+from __future__ import annotations
+
+import pytest
+
+from ambershift.system.simulation.scripts_configuration import offered_on_return, rivals
+from ambershift.system.steps import MS
+
+
+@pytest.mark.parametrize("apart", [0, 5, 50, 500])
+def test_of_two_contents_under_one_version_one_is_agreed_and_the_other_refused(apart: int) -> None:
+    for seed in (1, 2, 3):
+        assert rivals(seed, apart * MS) == []
+
+
+@pytest.mark.parametrize("way", ["killed", "cut", "frozen"])
+def test_a_machine_that_returns_takes_nothing_by_what_it_knew(way: str) -> None:
+    for seed in (1, 2, 3):
+        assert offered_on_return(seed, way) == []
