--- a/ambershift/modelcheck/registry.py
+++ b/ambershift/modelcheck/registry.py
@@ -4,6 +4,7 @@
 
 from ambershift.modelcheck.model import Model
 from ambershift.modelcheck.models.admin import AdminModel
+from ambershift.modelcheck.models.agreement import AgreementModel
 from ambershift.modelcheck.models.attempt import (
     AttemptApart,
     AttemptLarge,
@@ -29,7 +30,7 @@
 # Those that are not checked where none is named: for a machine with time, or parts of others.
 BESIDES = {
     "permits-small", "permits-large", "replication-small", "replication-late", "replication-large",
-    "news-small", "consensus", "consensus-kills", "consensus-large",
+    "news-small", "agreement", "consensus", "consensus-kills", "consensus-large",
     "attempt-one-table", "row-large", "news-large", "attempt-apart", "attempt-large",
 }
 
@@ -58,6 +59,7 @@
         AttemptOneTable(),
         AttemptApart(),
         AttemptLarge(),
+        AgreementModel(),
         ConsensusModel(),
         ConsensusKills(),
         ConsensusLarge(),
