--- a/tests/test_system_proxy_attempt.py
+++ b/tests/test_system_proxy_attempt.py
@@ -130,3 +130,55 @@
 OneRequest.TestCase.settings = settings(max_examples=300, stateful_step_count=8, deadline=None)
 BudgetHistory.TestCase.settings = settings(max_examples=100, stateful_step_count=20, deadline=None)
 TestOneRequest, TestBudgetHistory = OneRequest.TestCase, BudgetHistory.TestCase
+
+
+# Ways in which a try ends: how far it got, what ended it, and the head of an answer where there was one.
+TELLING_HEADS = (
+    None,
+    Told(200, True, True, False),
+    Told(200, True, False, False),  # Without the seal: some other server's, or cut short.
+    Told(200, False, True, False),  # An answer to another request.
+    Told(503, True, False, True),
+    Told(503, True, False, False),
+    Told(429, False, False, True),
+    Told(421, True, False, False),
+    Told(408, True, False, False),
+    Told(500, True, True, False),
+)
+WAYS = tuple(itertools.product(Stage, Ending, TELLING_HEADS))
+
+
+@pytest.mark.parametrize("repeatable", [True, False])
+@pytest.mark.parametrize("most", [1, 2, 3])
+def test_what_may_follow_each_way_in_which_a_try_ended_and_each_second_one(repeatable, most):
+    """All pairs of ways, by kind of request and attempts that its route allows."""
+    followed = 0
+    for first, second in itertools.product(WAYS, WAYS):
+        tries = Tries(repeatable, most, 2 * SECOND)
+        proofs = []
+        for stage, ending, told in (first, second):
+            if not tries.may(0):
+                break
+            tries.begun()
+            assert not tries.may(0) or tries.arrivals + tries.under_way < most
+            came_to = outcome(stage, ending, told)
+            tries.ended(stage, came_to)
+            # Proof that it has not run: nothing was sent, or this backend says so of this request.
+            proofs.append(
+                stage <= Stage.CONNECTED
+                or (
+                    ending is Ending.ANSWERED
+                    and told is not None
+                    and told.ours
+                    and (told.turned_away or told.status == 421)
+                )
+            )
+        arrivals = sum(stage > Stage.CONNECTED for stage, _, _ in (first, second)[: len(proofs)])
+        assert tries.arrivals == arrivals <= most
+        if tries.may(0):
+            followed += 1
+            assert arrivals < most and (repeatable or all(proofs))
+        # 503 promises that it has not run; whatever is left open is told as 502, or 504 in the end.
+        assert (tries.last_word(0) == 503) == all(proofs)
+        assert tries.last_word(2 * SECOND) in (503, 504)
+    assert followed > 0
