--- a/ambershift/system/simulation/histories.py
+++ b/ambershift/system/simulation/histories.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from ambershift.system.consensus.outbox import Held
-from ambershift.system.simulation.callers import GROUPS, Application, Streets
+from ambershift.system.simulation.callers import GROUPS, Application
+from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.house import House
 from ambershift.system.simulation.judging import Judge
 from ambershift.system.simulation.lists import LISTS, Lists
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import copy
 from collections.abc import Callable
 from typing import Any
 from zlib import crc32
@@ -10,17 +9,8 @@
 import msgspec
 
 from ambershift.system.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
-from ambershift.system.contracts import Verdict
-from ambershift.system.control_api import application, applications, evacuations, watches
-from ambershift.system.coordination import groups, locks
-from ambershift.system.coordination.replies import Call, reply
 from ambershift.system.messages.copies import NEVER, Accept, Ask, Record
 from ambershift.system.messages.items import Item
-from ambershift.system.simulation.house import Place
-from ambershift.system.steps import MS
-
-_lock = msgspec.msgpack.Decoder(locks.Lock).decode
-_encode = msgspec.msgpack.Encoder().encode
 
 
 def at_once(real: Any) -> Any:
@@ -148,16 +138,6 @@
     return written
 
 
-def known_since_the_first(real: Any) -> Any:
-    def since(self: acceptor.Acceptor, name: str, origin: Any) -> int:
-        known = self._since.get(name)
-        if known is None or origin == NEVER:
-            known = self._since[name] = origin, self._out.now
-        return known[1]
-
-    return since
-
-
 def tombstones_not_kept(real: Any) -> Any:
     def init(self: store.Store, out: Any, journal: Any, rows: dict[str, bytes]) -> None:
         decode = msgspec.msgpack.Decoder(Item).decode
@@ -166,139 +146,6 @@
     return init
 
 
-def fence_of_before(real: Any) -> Any:
-    def initiate(holder: str, hold: int, call: str) -> Any:
-        judged = real(holder, hold, call)
-
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
-            verdict: Verdict = judged(value, since, now)
-            before = 1 if value is None else max(1, _lock(value).fence)
-            if verdict.value is None:
-                return verdict
-            after = msgspec.structs.replace(_lock(verdict.value), fence=before)
-            return Verdict(_encode(after), reply(200, fence=before))
-
-        return change
-
-    return initiate
-
-
-def fence_forgotten(real: Any) -> Any:
-    def terminate(holder: str, fence: int) -> Any:
-        judged = real(holder, fence)
-
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
-            verdict: Verdict = judged(value, since, now)
-            if verdict.value is None:
-                return verdict
-            return Verdict(_encode(msgspec.structs.replace(_lock(verdict.value), fence=0)), verdict.result)
-
-        return change
-
-    return terminate
-
-
-def each_run_a_new_call(real: Any) -> Any:
-    def initiate(holder: str, hold: int, call: str) -> Any:
-        return lambda value, since, now: real(holder, hold, f"{call}.{now}")(value, since, now)
-
-    return initiate
-
-
-def kept_is_given_back(real: Any) -> Any:
-    def terminate(holder: str, fence: int) -> Any:
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
-            plain = value and _encode(msgspec.structs.replace(_lock(value), kept=False))
-            verdict: Verdict = real(holder, fence)(plain, since, now)
-            return verdict
-
-        return change
-
-    return terminate
-
-
-def shorter_cuts_short(real: Any) -> Any:
-    return lambda self, known_since, now: 0
-
-
-def put_unchecked(real: Any) -> Any:
-    return lambda key, value, applies_to, ages: real(key, value, None, ages)
-
-
-def never_known(real: Any) -> Any:
-    return lambda self, key, value: None
-
-
-def last_event_only(real: Any) -> Any:
-    def put(self: groups.Group, key: str, value: Any, prune: int) -> groups.Group:
-        after: groups.Group = real(self, key, value, prune)
-        return groups.Group(after.revision, self.revision, after.cells, after.events[-1:])
-
-    return put
-
-
-def by_the_time_of_day(real: Any) -> Any:
-    def evacuation(self: evacuations.Evacuations, zone: str, out: bool) -> Item:
-        assert isinstance(self._settings, Place)
-        made: Item = real(self, zone, out)
-        return msgspec.structs.replace(made, version=(self._settings.wall() // MS, made.version[1]))
-
-    return evacuation
-
-
-class _Unfresh:
-    def __init__(self, ledger: Any) -> None:
-        self._ledger = ledger
-
-    def __getattr__(self, name: str) -> Any:
-        return getattr(self._ledger, name)
-
-    async def freshen(self, within: float) -> None:
-        return
-
-
-def without_freshening(real: Any) -> Any:
-    async def call(self: Any, *given: Any) -> Any:
-        alone = copy.copy(self)
-        alone._ledger = _Unfresh(self._ledger)
-        return await real(alone, *given)
-
-    return call
-
-
-def nothing_from_memory(real: Any) -> Any:
-    async def nothing(self: watches.Watches, name: str, after: int) -> Any:
-        return watches.nothing(after)
-
-    return nothing
-
-
-def told_before_held(real: Any) -> Any:
-    async def propose(self: applications.Applications, call: Any, until: int) -> Any:
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
-            verdict: Verdict = call.change(value, since, now)
-            if verdict.result.group is not None:
-                self._news.learn(call.register.removeprefix("g/"), verdict.result.group)
-            return verdict
-
-        return await real(self, Call(call.register, change), until)
-
-    return propose
-
-
-def however_late(real: Any) -> Any:
-    async def rpc(self: application.Enquiries, name: str, of: str, scope: Any, receive: Any) -> Any:
-        if name.startswith("evacuation."):
-            return await self._evacuations.evacuate(of, name == "evacuation.initiate")
-        return await real(self, name, of, scope, receive)
-
-    return rpc
-
-
-async def nobody_left(receive: Any) -> None:
-    return
-
-
 def numbered_anew(real: Any) -> Any:
     def init(self: Any, send: Any, begin: int) -> None:
         real(self, send, 0)
--- a/ambershift/system/simulation/operators.py
+++ b/ambershift/system/simulation/operators.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.configuration.layout import rows
 from ambershift.system.messages.items import ROUTE, SERVICE, Key
-from ambershift.system.simulation.callers import Found, Streets
+from ambershift.system.simulation.calling import Found, Streets
 from ambershift.system.simulation.operator_history import Change, OperatorHistory, Order, SentCall, Sight
 
 ROUTES, PATIENCE_MOST = 4, 6.0
--- a/ambershift/system/simulation/readers.py
+++ b/ambershift/system/simulation/readers.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.contracts import NotHeldError
 from ambershift.system.messages.items import ZONE, Item, Key
-from ambershift.system.simulation.callers import Streets
+from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.house import ZONES, Process
 from ambershift.system.simulation.operator_history import OperatorHistory, Sight
 
--- a/ambershift/system/simulation/scripts_configuration.py
+++ b/ambershift/system/simulation/scripts_configuration.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from ambershift.system.simulation.callers import Found, Streets
+from ambershift.system.simulation.calling import Found, Streets
 from ambershift.system.simulation.house import House
 from ambershift.system.simulation.scripts_house import _until_done
 from ambershift.system.steps import MS, SECOND
--- a/ambershift/system/simulation/scripts_house.py
+++ b/ambershift/system/simulation/scripts_house.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ambershift.system.messages.copies import Merge, Share
-from ambershift.system.simulation.callers import Streets
+from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.house import House
 from ambershift.system.simulation.judging import Judge
 from ambershift.system.simulation.operator_history import OperatorHistory, Order
--- /dev/null
+++ b/ambershift/system/simulation/variants_coordination.py
@@ -0,0 +1,160 @@
+"""Broken variants of locks, numbers, keys, watches and evacuations."""
+
+from __future__ import annotations
+
+from ambershift.modelcheck.mutants.words import Mutant
+from ambershift.system.consensus import (
+    acceptor,
+)
+from ambershift.system.control_api import (
+    application,
+    applications,
+    configuration_calls,
+    evacuations,
+    pause_detector,
+    watches,
+    wire,
+)
+from ambershift.system.coordination import cells, groups, locks
+from ambershift.system.simulation import coordination_mistakes
+from ambershift.system.simulation.variant import constant, of
+
+VARIANTS: tuple[Mutant, ...] = (
+    of(
+        "hold-counted-from-the-first",
+        "ONE",
+        "a renewal does not move the hold's beginning",
+        acceptor.Acceptor,
+        "since",
+        coordination_mistakes.known_since_the_first,
+    ),
+    of("hold-without-margin", "ONE", "clocks are taken to run alike", locks, "MARGIN", constant(0)),
+    of(
+        "shorter-renewal-cuts-short",
+        "ONE",
+        "a renewal for less ends what was promised for longer",
+        locks.Lock,
+        "left",
+        coordination_mistakes.shorter_cuts_short,
+    ),
+    of(
+        "fence-reused",
+        "ONE",
+        "the next holder gets the fence of the last",
+        locks,
+        "initiate",
+        coordination_mistakes.fence_of_before,
+    ),
+    of(
+        "fence-forgotten",
+        "ONE",
+        "a lock given back begins its fences anew",
+        locks,
+        "terminate",
+        coordination_mistakes.fence_forgotten,
+    ),
+    of(
+        "late-run-takes-again",
+        "WORTH",
+        "a late run of a call takes a lock that it had before",
+        locks,
+        "initiate",
+        coordination_mistakes.each_run_a_new_call,
+    ),
+    of(
+        "late-return-ends-a-new-hold",
+        "ONE",
+        "an old giving back ends what was asked for anew",
+        locks,
+        "terminate",
+        coordination_mistakes.kept_is_given_back,
+    ),
+    of(
+        "put-over-any-revision",
+        "ORDER",
+        "AppliesTo is not looked at",
+        cells,
+        "replace",
+        coordination_mistakes.put_unchecked,
+    ),
+    of(
+        "put-again-gets-a-new-revision",
+        "MIXED",
+        "a put that comes again is another one",
+        groups.Group,
+        "known",
+        coordination_mistakes.never_known,
+    ),
+    of(
+        "events-forgotten-early",
+        "LOST",
+        "only the last event is remembered",
+        groups.Group,
+        "put",
+        coordination_mistakes.last_event_only,
+    ),
+    of(
+        "watch-tells-nothing-from-memory",
+        "STALE",
+        "an empty span is told without asking the others",
+        watches.Watches,
+        "_nothing",
+        coordination_mistakes.nothing_from_memory,
+    ),
+    of(
+        "watch-told-before-held",
+        "MIXED",
+        "a watch tells what is proposed",
+        applications.Applications,
+        "propose",
+        coordination_mistakes.told_before_held,
+    ),
+    of(
+        "version-by-the-time-of-day",
+        "LOST",
+        "an evacuation's version is the clock's",
+        evacuations.Evacuations,
+        "_evacuation",
+        coordination_mistakes.by_the_time_of_day,
+    ),
+    of(
+        "evacuation-without-asking",
+        "LOST",
+        "an evacuation goes above what is known here",
+        evacuations.Evacuations,
+        "evacuate",
+        coordination_mistakes.without_freshening,
+    ),
+    of(
+        "read-back-without-asking",
+        "STALE",
+        "a configuration is read from this copy alone",
+        configuration_calls.ConfigurationCalls,
+        "retrieve",
+        coordination_mistakes.without_freshening,
+    ),
+    of(
+        "late-order-carried-out",
+        "LOST",
+        "an order is done however late it is read",
+        application.Enquiries,
+        "_rpc",
+        coordination_mistakes.however_late,
+    ),
+    of(
+        "stopped-unnoticed",
+        "WORTH",
+        "what waited in a stopped process is done when it wakes",
+        pause_detector.PauseDetector,
+        "stale",
+        constant(lambda self, now: False),
+    ),
+    of(
+        "order-of-one-who-left",
+        "LOST",
+        "an order is done though its caller has gone",
+        wire,
+        "still_there",
+        constant(coordination_mistakes.nobody_left),
+    ),
+)
--- a/tests/test_system_contact.py
+++ b/tests/test_system_contact.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ambershift.system.simulation.callers import Found, Streets
+from ambershift.system.simulation.calling import Found, Streets
 from ambershift.system.simulation.house import House
 from ambershift.system.simulation.scripts_house import _until_done
 from ambershift.system.simulation.world import Box
