--- a/ambershift/system/consensus/ledger.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -28,8 +28,8 @@
 LOOK_S = 0.02  # Seconds between looks whether this machine has left.
 
 
-class Bottom(Protocol):
-    """The disk under a shelf: `disk.Disk`, or a simulated one."""
+class StorageBackend(Protocol):
+    """The disk under a store: `disk.Disk`, or a simulated one."""
 
     refused: str | None
 
@@ -40,7 +40,7 @@
     def close(self) -> None: ...
 
 
-class Shelf:
+class ReplicatedStore:
     """`send(ip, message)` may lose it; `steady` gives ns; `log(number, fields)`. Call `tick` each 50 ms."""
 
     def __init__(
@@ -51,12 +51,12 @@
         seed: int,
         shapes: Callable[[str], Shape | None],
         log: Callable[[int, dict[str, Any]], None],
-        bottom: Callable[[str, str, Callable[[int, str | None], None]], Bottom] = Disk,
+        bottom: Callable[[str, str, Callable[[int, str | None], None]], StorageBackend] = Disk,
     ) -> None:
         self._settings, self._send, self._steady, self._log = settings, send, steady, log
         self._seed, self._shapes, self._bottom = seed, shapes, bottom
         self._replica: Replica | None = None
-        self._disk: Bottom | None = None
+        self._disk: StorageBackend | None = None
         self._calls: dict[int, asyncio.Future[Any]] = {}
         self._number = itertools.count(1)
         self._events: deque[Event] = deque()
@@ -83,7 +83,7 @@
         self._replica = Replica(self._settings, self._seed, self._shapes, rows, self._steady())
         self.tick()
 
-    async def _opened(self, disk: Bottom) -> Rows:
+    async def _opened(self, disk: StorageBackend) -> Rows:
         while True:
             try:
                 return await asyncio.to_thread(disk.open)
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -39,7 +39,7 @@
 Log = Callable[[int, dict[str, Any]], None]
 
 
-class Enquiries:
+class ControlApi:
     """`steady` is the steady clock in ns. `send` brings a message to a control node's ip, or loses it. The
     shell calls `tick` many times a second, and hands `hear` what comes for it. Errands are numbered from
     `begin`, which no other life of this machine may ever come upon: by chance, if none is given."""
--- a/ambershift/system/control_api/events.py
+++ b/ambershift/system/control_api/events.py
@@ -1,4 +1,4 @@
-"""Numbers of the log's events that enquiries write; `archive/events.py` has the catalogue."""
+"""Numbers of the log's events that the control API writes; `system/events.py` has the catalogue."""
 
 from __future__ import annotations
 
--- a/ambershift/system/control_api/registry.py
+++ b/ambershift/system/control_api/registry.py
@@ -1,4 +1,4 @@
-"""What enquiries ask of the list of backends and desks (`registry/`)."""
+"""What the control API asks of the list of backends and desks (`registry/`)."""
 
 from __future__ import annotations
 
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from ambershift.system.consensus.ledger import Shelf
+from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.consensus.sidefile import SideFile
-from ambershift.system.control_api.application import Enquiries
+from ambershift.system.control_api.application import ControlApi
 from ambershift.system.coordination.shapes import shape_of
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import copies, forwarding, fronts, rounds
@@ -41,7 +41,7 @@
             me, settings.internal[0], self.hear, self.linked, self.lost, self.log, self.meter, self.reached
         )
         send = self.links.send
-        self.ledger = Shelf(settings, send, steady, secrets.randbits(62), shape_of, self.log)
+        self.ledger = ReplicatedStore(settings, send, steady, secrets.randbits(62), shape_of, self.log)
         self.side = SideFile(settings.folder, LIST) if settings.folder is not None else None
         self.registry = Registry(
             settings, self.ledger, send, steady, secrets.randbits(62), self.log, self.side
@@ -49,7 +49,7 @@
         self.controller = Controller(
             settings, self.ledger, self.registry, self.send_desk, send, steady, secrets.randbits(62), self.log
         )
-        self.enquiries = Enquiries(settings, self.ledger, self.registry, steady, send, self.log)
+        self.control_api = ControlApi(settings, self.ledger, self.registry, steady, send, self.log)
         self.ended, self.file = asyncio.Event(), Watched(settings.file)
 
     def send_desk(self, name: str, message: msgspec.Struct) -> None:
@@ -69,12 +69,12 @@
         await self.ledger.start()
         self.registry.recall(await asyncio.to_thread(self.side.read) if self.side else None)
         await self.links.open(self.settings.ip)
-        server = served(self.enquiries, IDLE_S, FINISH_S)
+        server = served(self.control_api, IDLE_S, FINISH_S)
         tasks = [asyncio.ensure_future(one) for one in (server.serve(sockets=sockets), self.beat())]
         await self.ended.wait()
         self.log(2, {})
         self.ledger.retire()
-        self.enquiries.close()
+        self.control_api.close()
         server.should_exit = True
         left = asyncio.ensure_future(self.ledger.left(LEAVE_S))
         with contextlib.suppress(asyncio.TimeoutError):
@@ -104,7 +104,7 @@
                 if self.file.changed():
                     self.reread()
             # Away from the tick a part's fault must not stop the others' time.
-            for part in (self.ledger.tick, self.registry.tick, self.controller.tick, self.enquiries.tick):
+            for part in (self.ledger.tick, self.registry.tick, self.controller.tick, self.control_api.tick):
                 try:
                     part()
                 except Exception as why:  # noqa: BLE001
@@ -135,7 +135,7 @@
         elif owner == copies.__name__:
             self.ledger.hear(caller.name, message)
         elif owner == forwarding.__name__:
-            self.enquiries.hear(caller.name, message)
+            self.control_api.hear(caller.name, message)
         elif owner == rounds.__name__:
             self.registry.hear_core(caller.name, message)
             self.controller.hear_core(caller.name, message)
--- a/ambershift/system/proxy/connections.py
+++ b/ambershift/system/proxy/connections.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Shelf:
+class IdlePool:
     """Connections to one life. `idle` is used from its end, so that few are kept busy and the others age."""
 
     origin: httpcore.Origin
@@ -36,32 +36,32 @@
 
     def __init__(self, steady: Callable[[], int]) -> None:
         self._steady = steady
-        self._shelves: dict[Life, Shelf] = {}
+        self._pools: dict[Life, IdlePool] = {}
         self.opened = 0
         self.hold = HOLD_MOST  # Bytes of an answer held up before any of it is passed on.
 
-    def shelf(self, life: Life) -> Shelf:
-        found = self._shelves.get(life)
+    def pool(self, life: Life) -> IdlePool:
+        found = self._pools.get(life)
         if found is None:
             host, _, port = life.address.rpartition(":")
-            found = self._shelves[life] = Shelf(httpcore.Origin(b"http", host.encode(), int(port)))
+            found = self._pools[life] = IdlePool(httpcore.Origin(b"http", host.encode(), int(port)))
         return found
 
     def idle_one(self, life: Life, once: bool) -> Wire | None:
-        """An idle connection that is fit for a request, out of the shelf. `once`: it may not run twice."""
-        shelf = self._shelves.get(life)
-        if shelf is None:
+        """An idle connection that is fit for a request, out of its pool. `once`: it may not run twice."""
+        pool = self._pools.get(life)
+        if pool is None:
             return None
         now = self._steady()
-        if once and now < shelf.strange_until:
+        if once and now < pool.strange_until:
             return None
-        while shelf.idle:
-            wire = shelf.idle.pop()
+        while pool.idle:
+            wire = pool.idle.pop()
             rest, left = wire.rests(look=True), wire.idle_since + wire.keep - now
             if rest is Rest.CLEAN and left > MARGIN:
                 if not once or left > MARGIN_ONCE:
                     return wire
-                shelf.idle.append(wire)  # Still good for a request that may be repeated.
+                pool.idle.append(wire)  # Still good for a request that may be repeated.
                 return None
             if rest is Rest.UNREAD:
                 self.strange(life)
@@ -71,7 +71,7 @@
     async def open(self, life: Life, within: float) -> Wire:
         """Raises `TryError`: no connection, so nothing has run."""
         try:
-            shelf = self.shelf(life)
+            pool = self.pool(life)
             stream = await dial(life.address, within)
         except (OSError, ValueError) as why:
             ending = Ending.SILENT if isinstance(why, TimeoutError) else Ending.LOST
@@ -79,7 +79,7 @@
                 ending = Ending.LEFT
             raise TryError(Stage.NOT_CONNECTED, ending) from why
         self.opened += 1
-        return Wire(shelf.origin, stream)
+        return Wire(pool.origin, stream)
 
     def keep(self, life: Life, wire: Wire, headers: Headers) -> None:
         """The answer is whole: keep the connection if it may be used again."""
@@ -96,30 +96,30 @@
             wire.net.close()
             return
         wire.idle_since, wire.keep = self._steady(), keep
-        shelf = self.shelf(life)
-        shelf.idle.append(wire)
-        if len(shelf.idle) + life.flying > life.room:
-            shelf.idle.pop(0).net.close()
+        pool = self.pool(life)
+        pool.idle.append(wire)
+        if len(pool.idle) + life.flying > life.room:
+            pool.idle.pop(0).net.close()
 
     def strange(self, life: Life) -> None:
         """Bytes have come from there that belong to no request."""
-        shelf = self._shelves.get(life)
-        if shelf is not None:
-            shelf.strange_until = self._steady() + STRANGE_FOR
+        pool = self._pools.get(life)
+        if pool is not None:
+            pool.strange_until = self._steady() + STRANGE_FOR
 
     def sweep(self) -> None:
         """Let go of idle ones that the peer has closed or soon will, and of the oldest above the most."""
         now, kept = self._steady(), list[Wire]()
-        for life in [life for life in self._shelves if life.ended]:
+        for life in [life for life in self._pools if life.ended]:
             self.drop(life)
-        for shelf in self._shelves.values():
+        for pool in self._pools.values():
             old = [
-                wire for wire in shelf.idle if wire.net.closed or now - wire.idle_since >= wire.keep - MARGIN
+                wire for wire in pool.idle if wire.net.closed or now - wire.idle_since >= wire.keep - MARGIN
             ]
             for wire in old:
-                shelf.idle.remove(wire)
+                pool.idle.remove(wire)
                 wire.net.close()
-            kept += shelf.idle
+            kept += pool.idle
         if len(kept) > IDLE_MOST:
             kept.sort(key=lambda wire: wire.idle_since)
             for wire in kept[: len(kept) - IDLE_MOST]:
@@ -127,8 +127,8 @@
 
     def drop(self, life: Life) -> None:
         """The life is gone: nothing more will be sent there."""
-        shelf = self._shelves.pop(life, None)
-        for wire in shelf.idle if shelf is not None else ():
+        pool = self._pools.pop(life, None)
+        for wire in pool.idle if pool is not None else ():
             wire.net.close()
 
 
--- a/ambershift/system/registry/homes.py
+++ b/ambershift/system/registry/homes.py
@@ -2,7 +2,7 @@
 
 A request whose route has homes, none of them near the client, is passed on abroad by any desk near it: body
 and answer go over our own links between regions. Clients ask the directory by host, and a host may have other
-routes too: so what comes for it decides, as the desks count it (`slips.fronts.tally_of`). No I/O.
+routes too: so what comes for it decides, as the desks count it (`messages.fronts.tally_of`). No I/O.
 """
 
 from __future__ import annotations
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -152,7 +152,7 @@
 
 
 def however_late(real: Any) -> Any:
-    async def rpc(self: application.Enquiries, name: str, of: str, scope: Any, receive: Any) -> Any:
+    async def rpc(self: application.ControlApi, name: str, of: str, scope: Any, receive: Any) -> Any:
         if name.startswith("evacuation."):
             return await self._evacuations.evacuate(of, name == "evacuation.initiate")
         return await real(self, name, of, scope, receive)
--- a/ambershift/system/simulation/house.py
+++ b/ambershift/system/simulation/house.py
@@ -1,4 +1,4 @@
-"""Control nodes whole: shelf and enquiries as they run, on simulated disks, links, clocks and sockets."""
+"""Whole control nodes: their stores and their API as they run, on simulated disks, links, clocks, sockets."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ambershift.system.consensus.ledger import Shelf
-from ambershift.system.control_api.application import Enquiries
+from ambershift.system.consensus.replicated_store import ReplicatedStore
+from ambershift.system.control_api.application import ControlApi
 from ambershift.system.coordination.shapes import shape_of
 from ambershift.system.messages import copies
 from ambershift.system.settings.local import Local
@@ -30,7 +30,7 @@
     wall: Callable[[], int]
 
 
-class Bottom:
+class StorageBackend:
     """A simulated disk, as `consensus.disk.Disk`."""
 
     refused: str | None = None
@@ -72,9 +72,9 @@
     """One life of a control node."""
 
     loop: SimulatedLoop
-    shelf: Shelf
-    enquiries: Enquiries
-    bottom: Bottom
+    store: ReplicatedStore
+    control_api: ControlApi
+    bottom: StorageBackend
     open: set[Connection]  # What it has read, or will once it runs on.
 
 
@@ -121,10 +121,10 @@
         loop = simulated_loop(
             lambda: self.now, lambda when, handle: self.at(when, lambda: self.step(ip, life, handle))
         )
-        bottoms: list[Bottom] = []
+        bottoms: list[StorageBackend] = []
 
-        def bottom(folder: str, own: str, done: Callable[[int, str | None], None]) -> Bottom:
-            bottoms.append(Bottom(self, box, rows, done))
+        def bottom(folder: str, own: str, done: Callable[[int, str | None], None]) -> StorageBackend:
+            bottoms.append(StorageBackend(self, box, rows, done))
             return bottoms[0]
 
         def send(to: str, message: msgspec.Struct) -> None:
@@ -134,20 +134,22 @@
             return self.steady(ip)
 
         settings = self.settings(box)
-        shelf = Shelf(settings, send, steady, self.chance.getrandbits(62), shape_of, self.log, bottom)
+        store = ReplicatedStore(
+            settings, send, steady, self.chance.getrandbits(62), shape_of, self.log, bottom
+        )
         with loop.current():
-            enquiries = Enquiries(
-                settings, shelf, Backends(), steady, send, self.log, self.chance.getrandbits(62)
+            control_api = ControlApi(
+                settings, store, Backends(), steady, send, self.log, self.chance.getrandbits(62)
             )
-            begun = shelf.start()
+            begun = store.start()
             try:
                 begun.send(None)
             except StopIteration:
                 pass
             else:
                 raise AssertionError("a simulated disk opens at once")
-        box.replica = shelf.replica
-        self.processes[ip] = Process(loop, shelf, enquiries, bottoms[0], set())
+        box.replica = store.replica
+        self.processes[ip] = Process(loop, store, control_api, bottoms[0], set())
 
     def log(self, number: int, fields: dict[str, Any]) -> None:
         """Nobody reads it, but what fails within must not pass unseen."""
@@ -167,15 +169,15 @@
             return
         with process.loop.current():
             if isinstance(event, Tick):
-                process.shelf.tick()
-                process.enquiries.tick()
+                process.store.tick()
+                process.control_api.tick()
             elif isinstance(event, Heard):
                 copied = type(event.message).__module__ == copies.__name__
-                (process.shelf if copied else process.enquiries).hear(event.sender, event.message)
+                (process.store if copied else process.control_api).hear(event.sender, event.message)
             elif isinstance(event, Written):
                 process.bottom.done(event.token, event.fault)
             elif isinstance(event, Arrived):
-                event.connection.serve(process.enquiries, process.loop)
+                event.connection.serve(process.control_api, process.loop)
             elif isinstance(event, Closed):
                 event.connection.closed()
             else:
--- a/ambershift/system/simulation/readers.py
+++ b/ambershift/system/simulation/readers.py
@@ -31,10 +31,10 @@
 
         async def merge(process: Process) -> None:
             try:
-                await process.shelf.freshen(1.0)
+                await process.store.freshen(1.0)
             except NotHeldError:
                 return
-            items = dict(process.shelf.items())
+            items = dict(process.store.items())
 
             def told() -> None:
                 if not seen.done():
--- a/ambershift/system/simulation/variants_coordination.py
+++ b/ambershift/system/simulation/variants_coordination.py
@@ -137,7 +137,7 @@
         "late-order-carried-out",
         "LOST",
         "an order is done however late it is read",
-        application.Enquiries,
+        application.ControlApi,
         "_rpc",
         coordination_mistakes.however_late,
     ),
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from ambershift.system.control_api.application import Enquiries
+from ambershift.system.control_api.application import ControlApi
 from ambershift.system.messages import fronts
 from ambershift.system.processes.serving import listener, served
 from ambershift.system.proxy.desk import Desk
@@ -70,7 +70,8 @@
         ended(registry.beat(world.backend(size, at).id, world.beat(size, at, 1)))
     for at in range(size.desks):
         registry.greet(world.hello(size, at))
-    await serve(Enquiries(settings, ledger, registry, time.monotonic_ns, lambda *_: None, lambda *_: None, 1),
+    api = ControlApi(settings, ledger, registry, time.monotonic_ns, lambda *_: None, lambda *_: None, 1)
+    await serve(api,
                 address)
 
 
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -1,4 +1,4 @@
-"""A world for tests of enquiries: time that jumps from timer to timer, and nodes on one plain store."""
+"""A world for tests of control_api: time that jumps from timer to timer, and nodes on one plain store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.contracts import Change, NotDoneError, NotHeldError
-from ambershift.system.control_api.application import Enquiries
+from ambershift.system.control_api.application import ControlApi
 from ambershift.system.control_api.proposers import rank
 from ambershift.system.messages.codec import decode, encode
 from ambershift.system.messages.fronts import Core
@@ -75,7 +75,7 @@
         self.ledgers = {ip: FakeLedger(self, ip) for ip in IPS}
         self.registry = FakeRegistry()
         self.machines = {
-            ip: Enquiries(
+            ip: ControlApi(
                 _local(ip),
                 self.ledgers[ip],
                 self.registry,
--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -16,8 +16,8 @@
 
 from ambershift.system.consensus.disk import ASIDE, FILE, Disk, Rows
 from ambershift.system.consensus.journal import Journal
-from ambershift.system.consensus.ledger import Shelf
 from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.contracts import Verdict
 from ambershift.system.messages.items import Item
 from ambershift.system.settings.local import Bounds, Local
@@ -147,8 +147,8 @@
         count = int(value or b"0") + 1
         return Verdict(str(count).encode(), count)
 
-    async def life(initial: bool, work: Callable[[Shelf], Any]) -> Any:
-        shelf = Shelf(
+    async def life(initial: bool, work: Callable[[ReplicatedStore], Any]) -> Any:
+        shelf = ReplicatedStore(
             replace(settings(tmp_path), initial=initial),
             lambda ip, message: None,
             time.monotonic_ns,
@@ -162,7 +162,7 @@
         finally:
             shelf.close()
 
-    async def first(shelf: Shelf) -> int:
+    async def first(shelf: ReplicatedStore) -> int:
         heard: list[Item] = []
         shelf.listen(heard.extend)
         await shelf.put([Item("route", "r", (1, ""), b"{}")], 5)
@@ -170,7 +170,7 @@
         assert shelf.in_touch() and [core.ip for core in shelf.cores()] == [IP]
         return int(await shelf.change("n/1", add, 5)) + int(await shelf.change("n/1", add, 5))
 
-    async def second(shelf: Shelf) -> int:
+    async def second(shelf: ReplicatedStore) -> int:
         await shelf.freshen(5)
         assert ("route", "r") in shelf.items()
         return int(await shelf.change("n/1", add, 5))
--- a/tests/test_system_events.py
+++ b/tests/test_system_events.py
@@ -5,8 +5,8 @@
 import re
 from pathlib import Path
 
-from ambershift.system.consensus import journal, ledger, replica
-from ambershift.system.control_api import events as enquiries
+from ambershift.system.consensus import journal, replica, replicated_store
+from ambershift.system.control_api import events as control_api
 from ambershift.system.events import EVENTS
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -22,12 +22,12 @@
         for number in re.findall(r"\blog\((\d+),", file.read_text())
     }
     assert written and written <= EVENTS.keys()
-    for module in (journal, ledger, replica, enquiries):
+    for module in (journal, replicated_store, replica, control_api):
         named = {
             value
             for name, value in vars(module).items()
             if isinstance(value, int)
             and name.isupper()
-            and (name.startswith("EVENT_") or module is enquiries)
+            and (name.startswith("EVENT_") or module is control_api)
         }
         assert named and named <= EVENTS.keys()
