--- a/tests/test_system_membership.py
+++ b/tests/test_system_membership.py
@@ -194,3 +194,22 @@
     for second in LOSSES:
         outcome = play_pair(Pair(first, second, "later", 6, between=True))
         assert outcome.broken == [] and outcome.wrote, second
+
+
+def test_two_that_end_while_two_others_have_just_died_are_not_left_out_for_the_dead() -> None:
+    """They are back in a second, and with the fifth they are the majority."""
+    world = Lists(5, loss=0, count=5)
+    world.run(2.5)
+    for ip in ("10.0.0.4", "10.0.0.5"):
+        world.remove(ip)
+    world.run(0.8)
+    for ip in ("10.0.0.1", "10.0.0.3"):
+        world.retire(ip)
+    world.run(1)
+    for ip in ("10.0.0.1", "10.0.0.3"):
+        world.kill(ip)
+    world.run(1)
+    for ip in ("10.0.0.1", "10.0.0.3"):
+        world.start(ip)
+    world.run(6)
+    assert written(world, ["10.0.0.1", "10.0.0.2", "10.0.0.3"])
