--- a/tests/test_system_processes_unit.py
+++ b/tests/test_system_processes_unit.py
@@ -11,7 +11,7 @@
 from ambershift.system.processes.control_node import ControlNode
 from ambershift.system.transport.words import CONTROL_NODE, DESK, Caller
 
-PARTS = ("ledger", "registry", "controller", "enquiries")
+PARTS = ("ledger", "registry", "controller", "control_api")
 
 
 def shell() -> ControlNode:
