--- a/ambershift/system/consensus/watching.py
+++ b/ambershift/system/consensus/watching.py
@@ -23,6 +23,7 @@
 DISTANT = 1000 * MS  # The same for those that hear voters less often, as they are none.
 SETTLED = 2000 * MS  # Links to a machine that was away are there, and it votes again, when this is over.
 GONE = 5000 * MS
+EVENT_CONTACT = 210
 NONE_KNOWN = -1  # Unlike every checksum: whoever is told this tells of all it knows, itself too.
 _encode = msgspec.msgpack.Encoder().encode
 
@@ -44,6 +45,7 @@
         self.silent: dict[str, tuple[str, ...]] = {}  # Whom each other doesn't hear.
         self.newcomer = out.now  # When a machine was last heard of for the first time.
         self._unequal: dict[str, int] = {}
+        self._touched = False
         self._sent: dict[str, int] = {}
         self._due = out.now
         self._known = 0
@@ -180,6 +182,9 @@
         if self._out.now - self._ticked > LATELY:
             self._awake = self._out.now
         self._ticked = self._out.now
+        if self.in_touch() != self._touched:
+            self._touched = not self._touched
+            self._out.log(EVENT_CONTACT, in_touch=self._touched, unheard=list(self.unheard()))
         settled = (
             self.me.ip not in self.leaving
             and self.in_touch()
--- a/ambershift/system/node_selection/choice.py
+++ b/ambershift/system/node_selection/choice.py
@@ -57,11 +57,13 @@
     def alive(self, now: int) -> None:
         self.heard = now
 
-    def leave(self, now: int) -> bool:
-        """Whether the link in use is to be given up."""
+    def leave(self, now: int) -> str:
+        """Why the link in use is to be given up; empty while it is good."""
         if self.linked is None:
-            return False
-        return now - self.heard > SILENT or self.apart is not None and now - self.apart > APART
+            return ""
+        if now - self.heard > SILENT:
+            return "silent"
+        return "out of touch" if self.apart is not None and now - self.apart > APART else ""
 
     def nearer(self, now: int) -> str | None:
         """One that is nearer than the one in use, to be dialled beside it; None where there is none."""
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -11,6 +11,7 @@
 from websockets.asyncio.connection import Connection
 
 from ambershift.system.messages.fronts import Bind, Cores, Hello, Items, Report
+from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
 from ambershift.system.node_selection.choice import Choice
 from ambershift.system.processes.places import Places
 from ambershift.system.proxy.desk import Desk
@@ -62,8 +63,8 @@
             now = self.steady()
             if current is None or current.done():
                 current = await self.dial_any(self.choice.candidates(now))
-            elif self.choice.leave(now):
-                self.log(112, {"peer": self.choice.linked})
+            elif why := self.choice.leave(now):
+                self.log(112, {"peer": self.choice.linked, "why": why})
                 current.cancel()
                 self.choice.fail(now, self.choice.linked or "")
                 current = None
@@ -142,8 +143,15 @@
                 },
             )
         if isinstance(message, Items):
+            self._tell_items(message)
             self.greet()
 
+    def _tell_items(self, message: Items) -> None:
+        """The log says when a version came into force here, and by whom."""
+        versions = [one.version[0] for one in message.items if one.kind in (ROUTE, SERVICE, LIMITS)]
+        if versions:
+            self.log(117, {"peer": self.choice.linked, "items": len(versions), "version": max(versions)})
+
     def greet(self) -> None:
         """Say what we are, first on a link and whenever it has changed."""
         hello = self.desk.hello()
