--- /dev/null
+++ b/ambershift/system/simulation/fleet.py
@@ -0,0 +1,304 @@
+"""Whole control nodes with their controllers, and proxies attached to them, on simulated links."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections import deque
+from dataclasses import dataclass, replace
+from typing import Any
+
+import msgspec
+from websockets.exceptions import ConnectionClosedError
+
+from ambershift.system.distribution.controller import Controller
+from ambershift.system.messages import codec, rounds
+from ambershift.system.processes.attachment import Attachment
+from ambershift.system.proxy.desk import Desk
+from ambershift.system.registry.registry import Registry
+from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.simulation.house import ZONES, House
+from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
+from ambershift.system.simulation.world import Box
+from ambershift.system.steps import MS, SECOND, Heard, Tick
+from ambershift.system.transport.links import DIAL_LIMIT
+from ambershift.system.transport.outbox import Outbox
+
+HELD_UP = 200 * MS  # How often a sender tries again over a path that is cut.
+BYTE = 4000  # ns a byte takes to a proxy: a link of 2 Mbit/s.
+GREET_S, REPORT_S = 0.25, 1.0
+TRIPS_OF_A_DIAL = 4  # TCP's and HTTP's handshakes.
+
+
+class Line:
+    """A connection of a proxy with one life of a control node; to `Outbox` and `receive` a websocket."""
+
+    def __init__(self, fleet: Fleet, proxy: str, ip: str, life: int) -> None:
+        self.fleet, self.proxy, self.ip, self.life = fleet, proxy, ip, life
+        self.ended = False
+        self.transport = self  # Of which only `abort` is used.
+        self._received = deque[bytes]()
+        self._waiting: asyncio.Future[None] | None = None
+        self._under_way: dict[bool, deque[tuple[int, bytes]]] = {True: deque(), False: deque()}
+
+    # The proxy's end.
+
+    async def send(self, data: bytes) -> None:
+        if self.ended:
+            raise ConnectionClosedError(None, None)
+        self.carry(True, data)
+
+    def abort(self) -> None:
+        self.end()
+        self.fleet.at(self.fleet.now + self.fleet.way_to(self), lambda: self.fleet.hang_up(self))
+
+    def __aiter__(self) -> Line:
+        return self
+
+    async def __anext__(self) -> bytes:
+        while not self._received:
+            if self.ended:
+                raise StopAsyncIteration
+            self._waiting = asyncio.get_running_loop().create_future()
+            await self._waiting
+        return self._received.popleft()
+
+    # The network.
+
+    def carry(self, to_node: bool, data: bytes) -> None:
+        queue = self._under_way[to_node]
+        when = self.fleet.now + self.fleet.way_to(self) + (0 if to_node else len(data) * BYTE)
+        when = max(when, queue[-1][0] if queue else 0)
+        queue.append((when, data))
+        self.fleet.at(when, lambda: self._arrive(to_node))
+
+    def _arrive(self, to_node: bool) -> None:
+        queue = self._under_way[to_node]
+        ends = (self.proxy, self.ip) if to_node else (self.ip, self.proxy)
+        while queue and queue[0][0] <= self.fleet.now and not self.ended:
+            if ends in self.fleet.cut:
+                self.fleet.at(self.fleet.now + HELD_UP, lambda: self._arrive(to_node))
+                return
+            _, data = queue.popleft()
+            if to_node:
+                self.fleet.step(self.ip, self.life, FromProxy(self, codec.decode(data)))
+            else:
+                self._received.append(data)
+                self._wake()
+
+    def end(self) -> None:
+        self.ended = True
+        self._wake()
+
+    def _wake(self) -> None:
+        if self._waiting is not None and not self._waiting.done():
+            self._waiting.set_result(None)
+
+
+@dataclass(frozen=True, slots=True)
+class Accepted:
+    line: Line
+
+
+@dataclass(frozen=True, slots=True)
+class HungUp:
+    line: Line
+
+
+@dataclass(frozen=True, slots=True)
+class FromProxy:
+    line: Line
+    message: msgspec.Struct
+
+
+@dataclass
+class Front:
+    """One proxy: its desk and attachment as they run."""
+
+    settings: Local
+    loop: SimulatedLoop
+    desk: Desk
+    attachment: Attachment
+    frozen: list[asyncio.Handle] | None = None
+
+
+class Lines:
+    """The dialler of one proxy."""
+
+    def __init__(self, fleet: Fleet, name: str) -> None:
+        self.fleet, self.name = fleet, name
+
+    async def dial(self, ip: str) -> Any:
+        fleet, line = self.fleet, Line(self.fleet, self.name, ip, -1)
+        fleet.dialled += 1
+        await asyncio.sleep(TRIPS_OF_A_DIAL * fleet.way_to(line) / SECOND)
+        box = fleet.boxes.get(ip)
+        cut = {(self.name, ip), (ip, self.name)} & fleet.cut
+        if cut or box is None or box.frozen is not None:
+            await asyncio.sleep(DIAL_LIMIT)
+            raise TimeoutError
+        if box.replica is None:
+            raise ConnectionRefusedError
+        line.life = box.life
+        fleet.step(ip, box.life, Accepted(line))
+        return line
+
+    def outbox(self, connection: Any, peer: str, masked: bool) -> Outbox:
+        return Outbox(connection)
+
+
+class Fleet(House):
+    """`proxies` are named front-1 and so on, spread evenly over the zones."""
+
+    def __init__(self, seed: int, count: int = 9, proxies: int = 9, config_apply: float = 2.5) -> None:
+        self.bounds = replace(Bounds(), config_apply=config_apply)
+        self.controllers: dict[str, tuple[Registry, Controller]] = {}
+        self.lines: dict[tuple[str, str], Line] = {}  # By control node and proxy.
+        self.dialled = 0
+        self.fronts: dict[str, Front] = {}
+        self.logged: list[tuple[int, str, int, dict[str, Any]]] = []  # Time, proxy, number, fields.
+        super().__init__(seed, loss=0, count=count)
+        for number in range(1, proxies + 1):
+            self._start_proxy(f"front-{number}", list(ZONES)[(number - 1) % len(ZONES)])
+
+    # Control nodes.
+
+    def settings(self, box: Box) -> Local:
+        return replace(super().settings(box), bounds=self.bounds)
+
+    def begin(self, box: Box, rows: dict[str, dict[str, bytes]]) -> None:
+        super().begin(box, rows)
+        ip, process, settings = box.ip, self.processes[box.ip], self.settings(box)
+        chance = random.Random(self.chance.getrandbits(62))
+
+        def send(to: str, message: msgspec.Struct) -> None:
+            self.send(ip, to, message)
+
+        def send_desk(name: str, message: msgspec.Struct) -> None:
+            if (line := self.lines.get((ip, name))) is not None:
+                line.carry(False, codec.encode(message))
+
+        def steady() -> int:
+            return self.steady(ip)
+
+        with process.loop.current():
+            registry = Registry(settings, process.store, send, steady, chance.getrandbits(62), self.log)
+            controller = Controller(
+                settings,
+                process.store,
+                registry,
+                send_desk,
+                send,
+                steady,
+                chance.getrandbits(62),
+                self.log,
+            )
+            registry.recall(None)
+        self.controllers[ip] = registry, controller
+
+    def kill(self, ip: str) -> None:
+        super().kill(ip)
+        self.controllers.pop(ip, None)
+        for key in [key for key in self.lines if key[0] == ip]:
+            line = self.lines.pop(key)
+            self.at(self.now + self.way_to(line), line.end)
+
+    def happen(self, box: Box, event: Any) -> None:
+        process = self.processes[box.ip]
+        registry, controller = self.controllers[box.ip]
+        with process.loop.current():
+            if isinstance(event, Heard) and type(event.message).__module__ == rounds.__name__:
+                registry.hear_core(event.sender, event.message)
+                controller.hear_core(event.sender, event.message)
+                return
+            if isinstance(event, Accepted):
+                self._accept(box.ip, event.line, controller)
+                return
+            if isinstance(event, FromProxy):
+                if self.lines.get((box.ip, event.line.proxy)) is event.line:
+                    controller.hear_desk(event.line.proxy, event.message)
+                return
+            if isinstance(event, HungUp):
+                if self.lines.get((box.ip, event.line.proxy)) is event.line:
+                    del self.lines[box.ip, event.line.proxy]
+                    controller.desk_lost(event.line.proxy)
+                return
+        super().happen(box, event)
+        if isinstance(event, Tick):
+            with process.loop.current():
+                registry.tick()
+                controller.tick()
+
+    def _accept(self, ip: str, line: Line, controller: Controller) -> None:
+        before = self.lines.get((ip, line.proxy))
+        if before is not None:
+            before.end()
+        self.lines[ip, line.proxy] = line
+        controller.desk_linked(line.proxy)
+
+    def hang_up(self, line: Line) -> None:
+        self.step(line.ip, line.life, HungUp(line))
+
+    # Proxies.
+
+    def _start_proxy(self, name: str, zone: str) -> None:
+        settings = replace(
+            super().settings(Box("10.0.0.1")),
+            name=name,
+            machine_class="front",
+            ip=name,
+            zone=zone,
+            region=ZONES[zone],
+            zones=ZONES,
+            folder=None,
+            bounds=self.bounds,
+        )
+        loop = simulated_loop(
+            lambda: self.now, lambda when, handle: self.at(when, lambda: self._run(name, handle))
+        )
+
+        def log(number: int, fields: dict[str, Any]) -> None:
+            self.logged.append((self.now, name, number, fields))
+
+        def steady() -> int:
+            return self.steady(name)
+
+        with loop.current():
+            desk = Desk(settings, steady, random.Random(self.chance.getrandbits(62)))
+            attachment = Attachment(settings, desk, Lines(self, name), steady, log)
+            self.fronts[name] = Front(settings, loop, desk, attachment)
+            loop.create_task(attachment.run())
+            loop.create_task(self._greet(attachment))
+            loop.create_task(self._report(desk, attachment, steady))
+
+    async def _greet(self, attachment: Attachment) -> None:
+        while True:
+            attachment.greet()
+            await asyncio.sleep(GREET_S)
+
+    async def _report(self, desk: Desk, attachment: Attachment, steady: Any) -> None:
+        while True:
+            await asyncio.sleep(REPORT_S)
+            attachment.report(desk.report(steady()))
+
+    def _run(self, name: str, handle: asyncio.Handle) -> None:
+        front = self.fronts[name]
+        if front.frozen is not None:
+            front.frozen.append(handle)
+        else:
+            front.loop.run(handle)
+
+    def freeze_proxy(self, name: str) -> None:
+        front = self.fronts[name]
+        front.frozen = front.frozen or []
+
+    def thaw_proxy(self, name: str) -> None:
+        front = self.fronts[name]
+        missed, front.frozen = front.frozen or [], None
+        for handle in missed:
+            front.loop.run(handle)
+
+    def way_to(self, line: Line) -> int:
+        """One way between a proxy and a control node; each message takes a little of its own."""
+        near = self.fronts[line.proxy].settings.region == f"r{(int(line.ip.rpartition('.')[2]) - 1) % 3}"
+        return (MS if near else 20 * MS) + self.chance.randrange(MS)
