--- a/ambershift/system/consensus/contact.py
+++ b/ambershift/system/consensus/contact.py
@@ -15,6 +15,8 @@
 
 READ_AFTER = 450 * MS  # A proof of this age is renewed by a reading: beats, 300 ms apart, have not done so.
 READ_AFTER_AS_LEARNER = 700 * MS  # Voters beat to those that don't vote half as often.
+STOOD_STILL = 800 * MS  # Ticks come each 50 ms.
+CATCH_UP = 1000 * MS  # By then all beats are read that came while this process stood still.
 NEVER_MS = 1 << 30  # The age, in ms, of a proof that there never was.
 
 
@@ -22,11 +24,19 @@
     def __init__(self, out: Outbox, voters: Voters) -> None:
         self._out, self._voters = out, voters
         self._equal: dict[str, int] = {}  # When each voter was last known to hold the same as this copy.
+        self._beats_from = 0  # Beats before then may have waited for this process.
         self._proved: int | None = None  # Only rises: what was proved once stays true of that moment.
 
     def equal(self, voter: str) -> None:
         """A beat of a complete voter of this epoch told this copy's own checksum."""
-        self._equal[voter] = self._out.now
+        if self._out.now >= self._beats_from:
+            self._equal[voter] = self._out.now
+
+    def passed(self, since: int) -> None:
+        """That long (ns) nothing happened in this process: where it stood still, beats that waited for it
+        are old, and prove nothing of now."""
+        if since > STOOD_STILL:
+            self._beats_from = self._out.now + CATCH_UP
 
     def read(self, begun: int) -> None:
         """All that a majority of the voters held after `begun` (ns) is merged here."""
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -127,7 +127,8 @@
 
     def step(self, now: int, event: Event) -> list[Effect | News]:
         out = self._out
-        out.now = now
+        since, out.now = now - out.now, now
+        self._contact.passed(since)
         if isinstance(event, Heard):
             self._watching.hear(event.sender)
             self._take(event.sender, event.message)
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -245,6 +245,11 @@
     def hang_up(self, line: Line) -> None:
         self.step(line.ip, line.life, HungUp(line))
 
+    def moment(self, machine: str, steady: int) -> int:
+        """When that machine's steady clock told this."""
+        begin, pace = self.clocks[machine]
+        return int((steady - begin) / pace)
+
     # Proxies.
 
     def _start_proxy(self, name: str, zone: str) -> None:
--- a/ambershift/system/simulation/fleet_history.py
+++ b/ambershift/system/simulation/fleet_history.py
@@ -9,16 +9,17 @@
 
 import asyncio
 from collections import defaultdict
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.system.messages.items import ROUTE, SERVICE, Key
+from ambershift.system.messages.items import ROUTE, SERVICE, Item, Key
 from ambershift.system.simulation.calling import Found, Streets
 from ambershift.system.simulation.fleet import Fleet
 from ambershift.system.steps import MS, SECOND
 
 LOOK = 20 * MS
+ON_THE_WAY = 100 * MS  # Messages are under way for less, where nothing befalls the links.
 ROUTES = 12
 AT_ONCE = 8  # Changes under way.
 PATIENCE_S = 20.0
@@ -107,17 +108,25 @@
 
 
 class Judge:
-    """Looks at each proxy all the while. `disturb` is to be called with whatever befalls the machines."""
+    """Looks at each proxy all the while. `disturb` is to be called with whatever befalls the machines.
+
+    `untrue`: where a control node or a proxy took itself for newer than it was."""
 
     def __init__(self, fleet: Fleet, storm: Storm) -> None:
         self.fleet, self.storm = fleet, storm
         self.late: list[Late] = []
+        self.untrue: list[str] = []
         self.longest = defaultdict[str, int](int)  # How long each proxy lacked what was acknowledged, ns.
         self._disturbed: dict[str, int] = {}
         self._seen = set[tuple[str, Key, int]]()
         self._looked = 0
         self._look()
 
+    def broken(self) -> list[str]:
+        """All that was wrong, in words."""
+        refused = [f"refused: {one}" for one in self.storm.refused]
+        return [*map(str, self.late), *self.untrue, *refused]
+
     def disturb(self, *machines: str) -> None:
         """Something begins or ends at these machines now; control nodes unsettle all."""
         for one in machines:
@@ -155,6 +164,7 @@
 
     def _look(self) -> None:
         self.fleet.at(self.fleet.now + LOOK, self._look)
+        self._look_at_proofs()
         apply = int(self.fleet.bounds.config_apply * SECOND)
         for name, front in self.fleet.fronts.items():
             touched: bool | None = None
@@ -171,3 +181,25 @@
                 if touched:
                     self._seen.add((name, one.key, one.version))
                     self.late.append(Late(name, one.key, one.version, self.fleet.now, since))
+
+    def _look_at_proofs(self) -> None:
+        """What was acknowledged before the moment that was proved must be there."""
+        for ip, box in self.fleet.boxes.items():
+            if box.replica is not None and (proved := box.replica.contact.proved()) is not None:
+                self._compare(ip, proved, box.replica.store.items)
+        bound = int(self.fleet.bounds.contact * SECOND)
+        for name, front in self.fleet.fronts.items():
+            calm = self.fleet.now - self._disturbed.get(name, -bound) >= bound
+            if calm and (proved := front.attachment.choice.proved) is not None:
+                self._compare(name, proved, front.desk.routing.items)
+
+    def _compare(self, machine: str, proved: int, held: Mapping[Key, Item]) -> None:
+        moment = self.fleet.moment(machine, proved) - ON_THE_WAY
+        for one in reversed(self.storm.acknowledged[-50:]):
+            if one.at >= moment:
+                continue
+            if (found := held.get(one.key)) is None or found.version[0] < one.version:
+                self.untrue.append(
+                    f"{self.fleet.now / SECOND:.3f} s: {machine} lacks {one.key[1]} {one.version}, "
+                    f"acknowledged {(moment - one.at) / SECOND:.3f} s before what it took for proved"
+                )
--- a/ambershift/system/simulation/fleet_troubles.py
+++ b/ambershift/system/simulation/fleet_troubles.py
@@ -43,6 +43,7 @@
             self.region_cut,
             self.node_cut,
             self.node_cut_one_way,
+            self.pair_cut,
             self.node_killed,
             self.node_wiped,
             self.node_frozen,
@@ -74,6 +75,10 @@
         links = {(ip, one) if outwards else (one, ip) for one in self._nodes() if one != ip}
         self._links(links, set(self._nodes()), lasts, f"{ip} cut one way, {'out' if outwards else 'in'}")
 
+    def pair_cut(self, lasts: float) -> None:
+        one, other = self.chance.sample(self._nodes(), 2)
+        self._links({(one, other), (other, one)}, {one, other}, lasts, f"{one} cut from {other}")
+
     def node_killed(self, lasts: float) -> None:
         ip = self._any()
         self.fleet.kill(ip)
@@ -152,8 +157,7 @@
     fleet.run(max(lasts, 0.0) + CALM_S)
     ending = True
     fleet.run(1.0)
-    broken = [str(one) for one in judge.late] + [f"refused: {one}" for one in storm.refused] + fleet.failed
-    broken += unready(fleet)
+    broken = judge.broken() + fleet.failed + unready(fleet)
     longest = max(judge.longest.values(), default=0) / SECOND
     return Played(broken, troubles.said, len(storm.acknowledged), longest)
 
@@ -190,5 +194,5 @@
     fleet.cut -= links
     judge.disturb(*nodes)
     fleet.run(CALM_S)
-    assert not fleet.failed and not storm.refused, (fleet.failed, storm.refused)
+    assert not fleet.failed, fleet.failed
     return judge
--- /dev/null
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -0,0 +1,75 @@
+"""Broken variants of how old a proxy's configuration may get; found by the fleet, not by lone nodes."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from ambershift.modelcheck.mutants.words import Mutant
+from ambershift.system.consensus import contact, watching
+from ambershift.system.distribution import controller
+from ambershift.system.messages.copies import Beat
+from ambershift.system.messages.fronts import AGE_UNTOLD, Cores
+from ambershift.system.node_selection import choice
+from ambershift.system.simulation.variant import constant, of
+
+
+def any_beat(real: Any) -> Any:
+    def beat(self: watching.Watching, sender: str, message: Beat) -> str | None:
+        self._contact.equal(sender)
+        found: str | None = real(self, sender, message)
+        return found
+
+    return beat
+
+
+def by_its_word(real: Any) -> Any:
+    def sign(self: controller.Controller, cores: Any) -> Cores:
+        made: Cores = real(self, cores)
+        return Cores(made.cores, made.in_touch, made.desks, AGE_UNTOLD)
+
+    return sign
+
+
+VARIANTS: tuple[Mutant, ...] = (
+    of(
+        "a-beat-is-contact",
+        "CONFIG",
+        "beats of a majority count though their checksums differ",
+        watching.Watching,
+        "beat",
+        any_beat,
+    ),
+    of(
+        "old-beats-are-contact",
+        "CONFIG",
+        "beats count that waited while the process stood still",
+        contact.Contact,
+        "passed",
+        constant(lambda self, since: None),
+    ),
+    of(
+        "node-judged-by-its-word",
+        "CONFIG",
+        "a node tells whether it is in touch, but not how old its proof is",
+        controller.Controller,
+        "_sign",
+        by_its_word,
+    ),
+    of(
+        "never-searches",
+        "CONFIG",
+        "a proxy stays with its node however old its proof is",
+        choice.Choice,
+        "search",
+        constant(lambda self, now: False),
+    ),
+    of(
+        "any-other-node",
+        "CONFIG",
+        "a proxy goes to whoever answers first",
+        choice.Choice,
+        "newer",
+        constant(lambda self, now, sign: True),
+    ),
+)
+BY_NAME = {one.name: one for one in VARIANTS}
--- a/tests/test_system_fleet.py
+++ b/tests/test_system_fleet.py
@@ -2,12 +2,19 @@
 
 import pytest
 
+from ambershift.modelcheck.mutants.words import broken
+from ambershift.system.messages.items import ROUTE
+from ambershift.system.simulation.calling import Streets
+from ambershift.system.simulation.fleet import Fleet
+from ambershift.system.simulation.fleet_history import Acknowledged, Judge, Storm
 from ambershift.system.simulation.fleet_troubles import play, storm_while_cut
+from ambershift.system.simulation.variants_fleet import BY_NAME
+from ambershift.system.steps import SECOND
 
 # A region and one more; one or two of each region; two of a zone and another, each alone. The last is the
 # incident: two of a region, each alone.
 CUTS = (((1, 4, 7, 2), False), ((2, 4, 6, 8), False), ((1, 7, 5), True), ((1, 4), True), ((1, 7), True))
-SEEDS = (5, 10, 25, 54)  # Other histories that broke: see docs/incidents/2026-12-02-config-while-cut.md.
+SEEDS = (5, 10, 16, 25, 33)  # Most broke before: see docs/incidents/2026-12-02-config-while-cut.md.
 
 
 @pytest.mark.parametrize(("apart", "alone"), CUTS, ids=str)
@@ -16,7 +23,7 @@
 ) -> None:
     judge = storm_while_cut(1, apart, alone=alone)
     assert len(judge.storm.acknowledged) > 60
-    assert [str(one) for one in judge.late] == []
+    assert judge.broken() == []
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -24,3 +31,43 @@
     played = play(seed)
     assert played.acknowledged > 30 and played.troubles
     assert played.broken == []
+
+
+@pytest.mark.parametrize(
+    ("variant", "apart", "alone", "lasts"),
+    [
+        ("a-beat-is-contact", (1, 4), True, 14.0),
+        ("node-judged-by-its-word", (1, 4), True, 8.0),
+        ("never-searches", (1, 4), True, 8.0),
+        ("any-other-node", (1, 4, 7, 2), False, 8.0),
+    ],
+)
+def test_a_mistake_is_found(variant: str, apart: tuple[int, ...], alone: bool, lasts: float) -> None:
+    with broken(BY_NAME[variant]):
+        assert storm_while_cut(1, apart, lasts, alone).broken()
+
+
+def test_a_process_that_stood_still_and_counts_beats_that_waited_is_found() -> None:
+    with broken(BY_NAME["old-beats-are-contact"]):
+        assert play(33).broken
+
+
+def test_a_proxy_that_was_cut_off_or_stood_still_itself_is_not_called_late() -> None:
+    """Those of which the rule doesn't hold: the judge must tell them apart, or it would hide others."""
+    fleet = Fleet(3)
+    storm = Storm(fleet, Streets(fleet, 3), 0.27)
+    judge = Judge(fleet, storm)
+    fleet.run(5)
+    storm.acknowledged.append(Acknowledged((ROUTE, "r"), 1, fleet.now - 3 * SECOND))
+    judge.disturb("front-1")
+    fleet.freeze_proxy("front-2")
+    fleet.cut.add(("10.0.0.3", "front-3"))
+    fleet.run(0.05)
+    assert {one.proxy for one in judge.late} == {f"front-{at}" for at in range(4, 10)}
+    judge.late.clear()
+    storm.acknowledged.append(Acknowledged((ROUTE, "s"), 1, fleet.now - 3 * SECOND))
+    judge.disturb("10.0.0.9")  # The control nodes are not settled.
+    fleet.run(3.9)
+    assert not judge.late
+    fleet.run(0.2)
+    assert len([one for one in judge.late if one.key == (ROUTE, "s")]) == 7
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -401,6 +401,16 @@
     assert asyncio.run(run(True)) == "b" and old.transport.abort.called
 
 
+@pytest.mark.parametrize(("age_ms", "taken"), [(0, True), (60_000, False)])
+def test_a_nearer_one_is_taken_only_where_it_is_current(age_ms: int, taken: bool) -> None:
+    there = Dialled(Cores((), True, 1, age_ms))
+    there.up.set()
+    made = dialling_proxy({"a": there})
+    found = asyncio.run(made._ask_nearer("a"))
+    assert (found is not None) == taken and there.transport.abort.called == (not taken)
+    assert ("a" in made.choice.failed) == (not taken)
+
+
 def test_one_that_answers_too_late_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(asking, "BESIDE_S", 0.0)
 
