--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -95,7 +95,8 @@
     def _view(self, old: Member) -> VoterView:
         lost = self._lost(old)
         gone = lost and not self._watching.alive(old.ip, LEFT_OUT) and self._out.now - self._awake > LEFT_OUT
-        heard = self._watching.alive(old.ip)
+        # Within a beat and a half: one that has just died must not be counted on when others are left out.
+        heard = self._watching.well(old.ip)
         return VoterView(self._now(old), heard, lost, gone, old.ip in self._watching.leaving)
 
     def wanted(self) -> Plan:
