--- a/ambershift/system/events.py
+++ b/ambershift/system/events.py
@@ -11,6 +11,7 @@
     4: (INFO, "settings read again"),
     5: (ERROR, "settings can't be used"),
     6: (ERROR, "a part failed on an event"),
+    7: (WARNING, "the port for metrics is taken: no figures are told"),
     101: (INFO, "link up"),
     102: (INFO, "link down"),
     103: (WARNING, "link refused: not of this version"),
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import secrets
+from collections import Counter
 from collections.abc import Callable
 from typing import Any, Protocol
 
@@ -16,6 +17,7 @@
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
 from ambershift.system.node_selection.choice import Choice, current_for
 from ambershift.system.processes.asking import Answered, Asked
+from ambershift.system.processes.metrics import Figure
 from ambershift.system.processes.places import Places
 from ambershift.system.proxy.desk import Desk
 from ambershift.system.settings.local import Local
@@ -67,6 +69,8 @@
         self.places = Places(settings.zone, settings.region)
         self.outbox: Outbox | None = None  # Of the link in use.
         self.said: Hello | None = None
+        self.version = 0  # The highest of the operator's that has come.
+        self.left = Counter[str]()  # Links given up, by why.
 
     async def run(self) -> None:
         """Hold a link to the control node chosen; while it stands others may be asked beside it."""
@@ -74,7 +78,7 @@
         while True:
             now = self.steady()
             if current is not None and self.choice.silent(now):
-                self.log(112, {"peer": self.choice.linked, "why": "silent"})
+                self._leave("silent")
                 self._drop(current)
                 current = None
             if current is None or current.done():
@@ -91,6 +95,10 @@
                 current = asyncio.ensure_future(self.converse(found.ip, found.connection))
             await asyncio.sleep(LOOK_S)
 
+    def _leave(self, why: str) -> None:
+        self.left[why] += 1
+        self.log(112, {"peer": self.choice.linked, "why": why, "age_ms": self._age_ms(self.steady())})
+
     def _drop(self, current: asyncio.Task[None]) -> None:
         current.cancel()
         if self.choice.linked is not None:
@@ -123,11 +131,10 @@
                     break
         finally:
             asked.close(chosen)
-        age_ms = self._age_ms(self.steady())
         if chosen is not None:
-            self.log(112, {"peer": self.choice.linked, "why": "stale", "age_ms": age_ms})
+            self._leave("stale")
         elif self.choice.stale(self.steady()):
-            self.log(118, {"asked": len(candidates), "age_ms": age_ms})
+            self.log(118, {"asked": len(candidates), "age_ms": self._age_ms(self.steady())})
         return chosen
 
     async def _ask_nearer(self, ip: str) -> Answered | None:
@@ -209,6 +216,7 @@
         """The log says when a version came into force here, and by whom."""
         versions = [one.version[0] for one in message.items if one.kind in (ROUTE, SERVICE, LIMITS)]
         if versions:
+            self.version = max(self.version, *versions)
             self.log(117, {"peer": self.choice.linked, "items": len(versions), "version": max(versions)})
 
     def greet(self) -> None:
@@ -220,6 +228,17 @@
             self.outbox.put(hello)
             self.said = hello
 
+    def figures(self) -> list[Figure]:
+        """What metrics tell of the link."""
+        age_ms = self._age_ms(self.steady())
+        age_s = -1.0 if age_ms is None else age_ms / 1000
+        return [
+            Figure("configuration_version", "highest version of the operator in force", self.version),
+            Figure("configuration_age_seconds", "how old it may be (-1: nobody has told)", age_s),
+            Figure("linked", "whether a control node is linked", float(self.outbox is not None)),
+            Figure("links_left", "links given up since the start", label="why", values=self.left),
+        ]
+
     def report(self, report: Report) -> None:
         """Tell the control node, and now and then the log, what came and was met."""
         if self.outbox:
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -15,10 +15,12 @@
 from ambershift.system.coordination.shapes import shape_of
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import copies, forwarding, fronts, rounds
+from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
 from ambershift.system.processes.logs import Journal
+from ambershift.system.processes.metrics import CONTROL_PORT, PORT_TAKEN, Figure, WithMetrics
 from ambershift.system.processes.rereading import LOOK_S as FILE_S
 from ambershift.system.processes.rereading import Watched
-from ambershift.system.processes.serving import hear_signals, listeners, served
+from ambershift.system.processes.serving import hear_signals, listener_or_none, listeners, served
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.links import Links
@@ -65,11 +67,16 @@
         hear_signals(self.ended.set, self.reread)
         listen = self.settings.listen
         sockets = listeners([listen[key] for key in ("Control", "Directory") if key in listen])
+        metrics = f"{self.settings.ip}:{CONTROL_PORT}"
+        if (extra := listener_or_none(metrics)) is not None:
+            sockets.append(extra)
+        else:
+            self.log(PORT_TAKEN, {"address": metrics})
         self.log(1, {"role": "control", "zone": self.settings.zone, "initial": self.settings.initial})
         await self.ledger.start()
         self.registry.recall(await asyncio.to_thread(self.side.read) if self.side else None)
         await self.links.open(self.settings.ip)
-        server = served(self.control_api, IDLE_S, FINISH_S)
+        server = served(WithMetrics(self.control_api, CONTROL_PORT, self.figures), IDLE_S, FINISH_S)
         tasks = [asyncio.ensure_future(one) for one in (server.serve(sockets=sockets), self.beat())]
         await self.ended.wait()
         self.log(2, {})
@@ -88,6 +95,26 @@
             self.side.close()
         self.log(3, {})
 
+    def figures(self) -> list[Figure]:
+        """What metrics tell of this control node."""
+        ledger, links = self.ledger, self.links
+        items = ledger.items()
+        versions = [one.version[0] for one in items.values() if one.kind in (ROUTE, SERVICE, LIMITS)]
+        members = ledger.members()
+        waiting = sum(one.size for one in (*links.dialled.values(), *links.accepted.values()))
+        return [
+            Figure("configuration_version", "highest version of the operator here", max(versions, default=0)),
+            Figure("contact_age_seconds", "age of the proof of contact", ledger.contact_age_ms() / 1000),
+            Figure("in_touch", "whether a majority was heard lately", float(ledger.in_touch())),
+            Figure("epoch", "epoch of the voters", members.epoch if members else 0),
+            Figure("voters", "voters of this epoch", len(members.voters) if members else 0),
+            Figure("copies_complete", "voters known to be complete", members.complete if members else 0),
+            Figure("items", "items held here", len(items)),
+            Figure("proxies_linked", "proxies that this node looks after", len(self.controller.hellos)),
+            Figure("backends", "backends on the list", len(self.registry.lives())),
+            Figure("links_waiting_bytes", "bytes that wait for all links", waiting),
+        ]
+
     def reread(self) -> None:
         try:
             self.settings = read_local(self.settings.file)
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -9,9 +9,16 @@
 
 from ambershift.system.processes.attachment import LOOK_S, Attachment, caller_of
 from ambershift.system.processes.logs import Journal
+from ambershift.system.processes.metrics import PORT_TAKEN, PROXY_PORT, Figure, WithMetrics
 from ambershift.system.processes.rereading import LOOK_S as FILE_S
 from ambershift.system.processes.rereading import Watched
-from ambershift.system.processes.serving import Served, hear_signals, listeners, served
+from ambershift.system.processes.serving import (
+    Served,
+    hear_signals,
+    listener_or_none,
+    listeners,
+    served,
+)
 from ambershift.system.proxy.desk import Desk
 from ambershift.system.proxy.reception import Reception
 from ambershift.system.settings.local import Local, SettingsError, read_local
@@ -49,9 +56,14 @@
         hear_signals(self.ended.set, self.reread)
         listen, grace = self.settings.listen, self.settings.bounds.grace
         sockets = listeners([listen[key] for key in ("Front", "Readiness") if key in listen])
+        metrics = f"{self.settings.ip}:{PROXY_PORT}"
+        if (extra := listener_or_none(metrics)) is not None:
+            sockets.append(extra)
+        else:
+            self.log(PORT_TAKEN, {"address": metrics})
         self.log(1, {"role": "proxy", "zone": self.settings.zone})
         server = served(
-            self.desk,
+            WithMetrics(self.desk, PROXY_PORT, self.figures),
             IDLE_S,
             grace / 2 - END_MARGIN_S,
             partial(Reception, lambda: self.desk.routing.limits, time.monotonic_ns),
@@ -80,6 +92,19 @@
         await self.links.close()
         self.log(3, {})
 
+    def figures(self) -> list[Figure]:
+        """What metrics tell of this proxy."""
+        desk, attachment = self.desk, self.attachment
+        waiting = attachment.outbox.size if attachment.outbox else 0
+        return [
+            *attachment.figures(),
+            Figure("ready", "whether this proxy serves", float(desk.ready and not desk.leaving)),
+            Figure("requests_in_flight", "requests under way", desk.admission.flying),
+            Figure("routes", "routes in force", desk.routing.routes),
+            Figure("backends", "backends known", len(desk.roster.lives)),
+            Figure("link_waiting_bytes", "bytes that wait for the control node's link", waiting),
+        ]
+
     def reread(self) -> None:
         try:
             self.settings = read_local(self.settings.file)
--- a/ambershift/system/processes/serving.py
+++ b/ambershift/system/processes/serving.py
@@ -69,3 +69,11 @@
 
 def listeners(addresses: Sequence[str]) -> list[socket.socket]:
     return [listener(address) for address in addresses]
+
+
+def listener_or_none(address: str) -> socket.socket | None:
+    """For what may be done without: None where the address is taken."""
+    try:
+        return listener(address)
+    except OSError:
+        return None
--- /dev/null
+++ b/tests/test_system_metrics.py
@@ -0,0 +1,117 @@
+"""Figures of the two roles: told as text on their own port, nothing loaded before somebody asks."""
+
+from __future__ import annotations
+
+import asyncio
+import subprocess
+import sys
+import tomllib
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+from unittest.mock import Mock
+
+import pytest
+
+from ambershift.system.messages.fronts import Cores, Items
+from ambershift.system.messages.items import ROUTE, Item
+from ambershift.system.node_selection.choice import Choice
+from ambershift.system.processes.attachment import Attachment
+from ambershift.system.processes.control_node import ControlNode
+from ambershift.system.processes.metrics import (
+    CONTROL_PORT,
+    PATH,
+    PROXY_PORT,
+    Figure,
+    WithMetrics,
+    rendered,
+)
+from ambershift.system.processes.serving import listener, listener_or_none
+from ambershift.system.steps import SECOND
+
+DEPLOY = Path(__file__).parent.parent / "deploy" / "system.toml"
+
+
+def asked(port: int, path: str, method: str = "GET") -> tuple[int, bytes, list[str]]:
+    """Status, body, and what the application behind was asked."""
+    behind, sent = list[str](), list[Any]()
+
+    async def application(scope: Any, receive: Any, send: Any) -> None:
+        behind.append(scope["path"])
+
+    async def send(message: Any) -> None:
+        sent.append(message)
+
+    made = WithMetrics(application, 9000, lambda: [Figure("items", "items held", 3)])
+    scope = {"type": "http", "server": ("127.0.0.1", port), "path": path, "method": method}
+    asyncio.run(made(scope, None, send))
+    return (sent[0]["status"], sent[1]["body"], behind) if sent else (0, b"", behind)
+
+
+def test_figures_are_told_on_their_own_port_alone() -> None:
+    status, body, behind = asked(9000, PATH)
+    assert status == 200 and not behind
+    assert (
+        b"# HELP ambershift_items items held\n# TYPE ambershift_items gauge\nambershift_items 3.0\n" in body
+    )
+    assert asked(9000, "/other")[0] == 404 and asked(9000, PATH, "POST")[0] == 404
+    assert asked(9001, PATH) == (0, b"", [PATH])
+
+
+def test_a_figure_may_have_a_value_for_each_label() -> None:
+    body = rendered([Figure("links_left", "left", label="why", values={"stale": 2, "silent": 1})])
+    assert b'ambershift_links_left{why="stale"} 2.0' in body and b'{why="silent"} 1.0' in body
+
+
+def test_the_library_is_not_loaded_before_somebody_asks() -> None:
+    code = (
+        "import sys; import ambershift.system.processes.proxy, ambershift.system.processes.control_node;"
+        "sys.exit('prometheus_client' in sys.modules)"
+    )
+    assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
+
+
+def test_the_deploy_file_names_the_ports_that_the_roles_open() -> None:
+    roles = tomllib.loads(DEPLOY.read_text("utf-8"))["roles"]
+    assert roles["proxy"]["metrics"] == f"{PROXY_PORT}{PATH}"
+    assert roles["control"]["metrics"] == f"{CONTROL_PORT}{PATH}"
+
+
+def test_a_port_that_is_taken_is_done_without() -> None:
+    with listener("127.0.0.1:0") as first:
+        first.listen()
+        port = first.getsockname()[1]
+        assert listener_or_none(f"127.0.0.1:{port}") is None
+        with pytest.raises(OSError):
+            listener(f"127.0.0.1:{port}")
+
+
+def values(figures: list[Figure]) -> dict[str, float]:
+    return {one.name: one.value for one in figures}
+
+
+def test_a_proxy_tells_its_version_and_how_old_it_may_be() -> None:
+    made = object.__new__(Attachment)
+    made.choice, made.steady, made.log = Choice("p", "z", "r", ()), lambda: 7 * SECOND, Mock()
+    made.desk, made.outbox, made.said, made.version, made.left = Mock(), None, None, 0, Mock()
+    assert values(made.figures())["configuration_age_seconds"] == -1.0
+    made.choice.hear(6 * SECOND, Cores((), True, 1, 500))
+    made._tell_items(Items((Item(ROUTE, "r", (12, "agreed"), b"{}"), Item("zone", "z", (99, "a"))), False))
+    found = values(made.figures())
+    assert found["configuration_version"] == 12 and found["configuration_age_seconds"] == 1.5
+
+
+def test_a_control_node_tells_its_contact_and_copies() -> None:
+    made: Any = object.__new__(ControlNode)
+    made.ledger, made.registry, made.controller = Mock(), Mock(), SimpleNamespace(hellos={"p": 1})
+    made.ledger.items.return_value = {1: Item(ROUTE, "r", (12, "agreed"), b"{}")}
+    made.ledger.contact_age_ms.return_value, made.ledger.in_touch.return_value = 250, True
+    made.ledger.members.return_value = SimpleNamespace(epoch=4, voters=(1, 2, 3), complete=2)
+    made.registry.lives.return_value = {}
+    made.links = SimpleNamespace(
+        dialled={"a": SimpleNamespace(size=5)}, accepted={"b": SimpleNamespace(size=7)}
+    )
+    found = values(made.figures())
+    assert found["contact_age_seconds"] == 0.25 and found["in_touch"] == 1 and found["epoch"] == 4
+    assert found["copies_complete"] == 2 and found["links_waiting_bytes"] == 12
+    assert found["proxies_linked"] == 1 and found["configuration_version"] == 12
