--- a/ambershift/system/distribution/dealer.py
+++ b/ambershift/system/distribution/assigner.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Dealt:
+class Assigned:
     """What a step makes: backends withdrawn (before all else), messages to desks, marks to be answered."""
 
     shut: list[str] = field(default_factory=list)
@@ -49,7 +49,7 @@
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=7).digest(), "big")
 
 
-class Dealer:
+class Assigner:
     def __init__(self, pool: str, terms: api.Terms, seed: int) -> None:
         self.pool, self.module = pool, TableManager()
         self.events: list[api.Event] = [api.Born(seed, terms)]
@@ -108,7 +108,7 @@
         self.events.append(api.Applied(mark, took, index_of(desk)))
         self.busy = True
 
-    def step(self, now: int) -> Dealt | None:
+    def step(self, now: int) -> Assigned | None:
         """Deal, where it is time to: soon on a change of the list, else at the pace of the channel."""
         pace = DEALT_ON_LIST if self.listed else DEALT_WHILE_BUSY if self.busy else DEALT_AT_REST
         if now < self.dealt_at + pace:
@@ -135,8 +135,8 @@
             self.module.terms = self.terms
         self.born = True  # By the step that follows.
 
-    def _carry_out(self, orders: Iterable[api.Order]) -> Dealt:
-        dealt, written = Dealt(), set[str]()
+    def _carry_out(self, orders: Iterable[api.Order]) -> Assigned:
+        dealt, written = Assigned(), set[str]()
         for order in orders:
             match order:
                 case api.Wake():
@@ -162,7 +162,7 @@
                     self.seats.pop(self.names.pop(order.server, ""), None)
         return dealt
 
-    def _line(self, order: api.Share, dealt: Dealt) -> set[str]:
+    def _line(self, order: api.Share, dealt: Assigned) -> set[str]:
         table = self.tables.setdefault(order.table, {})
         if order.weight:
             table[order.server] = order.weight
@@ -173,7 +173,7 @@
         dealt.sends += [(desk, line) for desk in sorted(users)]
         return users
 
-    def _bind(self, order: api.Bind, dealt: Dealt) -> set[str]:
+    def _bind(self, order: api.Bind, dealt: Assigned) -> set[str]:
         desk, table = self.desks[order.proxy], self.tables.get(order.table, {})
         if desk not in self.local:
             return set()
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
-from ambershift.system.distribution.dealer import Dealt
-from ambershift.system.distribution.floor import FED_EACH, Floor
+from ambershift.system.distribution.assigner import Assigned
 from ambershift.system.distribution.flows import Flows
+from ambershift.system.distribution.pool_loads import FED_EACH, PoolLoads
 from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages.fronts import (
     Backend,
@@ -54,7 +54,7 @@
     ) -> None:
         self.ledger, self.registry, self.steady = ledger, registry, steady
         self.send_desk, self.log = send_desk, log
-        self.floor, self.pushes, self.flows = Floor(settings.zones, seed), Pushes(), Flows()
+        self.pool_loads, self.pushes, self.flows = PoolLoads(settings.zones, seed), Pushes(), Flows()
         self.hellos: dict[str, Hello] = {}
         self.withdrawn: set[str] = set()
         # Of each desk: marks not answered yet, when each was sent, and which pools' marks it stands for.
@@ -84,7 +84,7 @@
             return
         if isinstance(message, Report) and message.span > 0:
             self.flows.report(self.steady(), name, self.hellos[name].zone, message.span * MS, message.came)
-            self.floor.report(name, message)
+            self.pool_loads.report(name, message)
         elif isinstance(message, Mark):
             self._applied(name, message.mark)
 
@@ -99,7 +99,7 @@
         self.pushes.lose(name)
         self.flows.leave(name)
         self.marks.pop(name, None)
-        self.floor.leave(name)
+        self.pool_loads.leave(name)
 
     def _greet(self, hello: Hello) -> None:
         known = self.hellos.get(hello.name)
@@ -114,7 +114,7 @@
         self._send(self.pushes.greet(hello.name, self.ledger.items().values(), self._list()))
         # Behind the items: from here on the sign's age is that of what the desk has.
         self.send_desk(hello.name, self._sign(self.ledger.cores()))
-        self.floor.join(hello.name, hello.zone, "", hello.life)
+        self.pool_loads.join(hello.name, hello.zone, "", hello.life)
         if self.freshening is None:
             self.freshening = asyncio.ensure_future(self._freshen())
 
@@ -136,8 +136,8 @@
         while marks and marks[0][0] <= mark:
             _, sent, parts = marks.popleft()
             for pool, one in parts:
-                if dealer := self.floor.dealers.get(pool):
-                    dealer.applied(one, name, now - sent)
+                if assigner := self.pool_loads.assigners.get(pool):
+                    assigner.applied(one, name, now - sent)
 
     # Other control nodes: the registry keeps all that they tell.
     def hear_core(self, ip: str, message: msgspec.Struct) -> None:
@@ -154,7 +154,7 @@
     def _listed(self, put: Sequence[Life], gone: Sequence[str]) -> None:
         self.list = None
         self.pushes.listed(self._backends(put), gone)
-        self.floor.listed(self.steady(), put, gone)
+        self.pool_loads.listed(self.steady(), put, gone)
         self.withdrawn.difference_update(gone)
 
     def _list(self) -> Backends:
@@ -181,24 +181,24 @@
             self._send(self.pushes.settle(self._backends(self.registry.lives().values())))
         if not self.routed:
             self.routed = True
-            self.floor.route(self.ledger.items().values())
+            self.pool_loads.route(self.ledger.items().values())
         if now >= self.desks_at + DESKS_EACH:
             self.desks_at = now
-            self.floor.follow(self.registry.desks())
-        if now >= self.floor.fed_at + FED_EACH:
-            self.floor.feed(now, self.registry.flows())
-        moved, gone = self.flows.tell(now, self.floor.pools.keys())
+            self.pool_loads.follow(self.registry.desks())
+        if now >= self.pool_loads.fed_at + FED_EACH:
+            self.pool_loads.feed(now, self.registry.flows())
+        moved, gone = self.flows.tell(now, self.pool_loads.pools.keys())
         if moved or gone:
             self.registry.flowed(moved, gone)
         self._send(self.pushes.flush())
         # Tables dealt from a list heard in part would press all traffic on few.
         if self.settled:
-            self._spread(now, self.floor.deal(now))
+            self._spread(now, self.pool_loads.deal(now))
         if now >= self.signed_at + SIGN_EACH:
             self.signed_at = now
             self._send_signs()
 
-    def _spread(self, now: int, turns: Sequence[tuple[str, Dealt]]) -> None:
+    def _spread(self, now: int, turns: Sequence[tuple[str, Assigned]]) -> None:
         """Withdrawals of all pools first, then lines and binds, then a mark for whoever got any."""
         # A backend may be in several pools, and is withdrawn from desks once.
         for id in {id for _, dealt in turns for id in dealt.shut} - self.withdrawn:
--- a/ambershift/system/distribution/floor.py
+++ b/ambershift/system/distribution/pool_loads.py
@@ -1,4 +1,4 @@
-"""All pools of this control node: what list, routes, desks and reports mean for each pool's dealer.
+"""All pools of this control node: what list, routes, desks and reports mean for each pool's assigner.
 
 A backend is seated in each pool that its service and region fit. While it is cold or its zone is evacuated it
 has weight 0 there: out of all tables, but not withdrawn, since desks know both and judge by themselves.
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from ambershift import interface as api
-from ambershift.system.distribution.dealer import Dealer, Dealt, Seat
+from ambershift.system.distribution.assigner import Assigned, Assigner, Seat
 from ambershift.system.distribution.pools import Pool, pools
 from ambershift.system.distribution.terms import terms_for, zones_of
 from ambershift.system.messages.fronts import Report
@@ -22,13 +22,13 @@
 FED_EACH = SECOND
 
 
-class Floor:
+class PoolLoads:
     def __init__(self, zones: Mapping[str, str], seed: int) -> None:
         self.regions, self.chance = zones, random.Random(seed)
         self.zones = {zone: at for at, zone in enumerate(zones_of(zones))}
         self.pools: dict[str, Pool] = {}
-        self.dealers: dict[str, Dealer] = {}
-        self.serving: dict[str, list[Dealer]] = {}  # By service.
+        self.assigners: dict[str, Assigner] = {}
+        self.serving: dict[str, list[Assigner]] = {}  # By service.
         self.lives: dict[str, Life] = {}
         self.evacuated: set[str] = set()
         self.cold: dict[str, int] = {}  # Backends that are cold, until when.
@@ -41,18 +41,18 @@
         known = list(items)
         self.pools = pools(known)
         self.evacuated = {one.name for one in known if one.kind == ZONE and one.body == b"true"}
-        for gone in self.dealers.keys() - self.pools.keys():
-            del self.dealers[gone]
+        for gone in self.assigners.keys() - self.pools.keys():
+            del self.assigners[gone]
         for name, pool in self.pools.items():
-            if name not in self.dealers:
-                dealer = self.dealers[name] = Dealer(
+            if name not in self.assigners:
+                assigner = self.assigners[name] = Assigner(
                     name, terms_for(pool, self.regions), self.chance.getrandbits(63)
                 )
                 for desk, (zone, keeper, _) in self.desks.items():
-                    dealer.join(desk, self.zones.get(zone, -1), not keeper)
+                    assigner.join(desk, self.zones.get(zone, -1), not keeper)
         self.serving = {}
         for name, pool in self.pools.items():
-            self.serving.setdefault(pool.service, []).append(self.dealers[name])
+            self.serving.setdefault(pool.service, []).append(self.assigners[name])
         self._seat(self.lives.values())
 
     def listed(self, now: int, put: Iterable[Life], gone: Iterable[str]) -> None:
@@ -66,21 +66,21 @@
         for id in gone:
             self.cold.pop(id, None)
             if known := self.lives.pop(id, None):
-                for dealer in self.serving.get(known.service, ()):
-                    dealer.seat({id: Seat(-1, api.Phase.GONE, 0.0)})
+                for assigner in self.serving.get(known.service, ()):
+                    assigner.seat({id: Seat(-1, api.Phase.GONE, 0.0)})
         self._seat(fresh)
 
     def join(self, name: str, zone: str, keeper: str, life: str) -> None:
         """A desk; of those linked elsewhere, that keeper's, only the traffic counts."""
         if self.desks.get(name) != (zone, keeper, life):
             self.desks[name] = zone, keeper, life
-            for dealer in self.dealers.values():
-                dealer.join(name, self.zones.get(zone, -1), not keeper)
+            for assigner in self.assigners.values():
+                assigner.join(name, self.zones.get(zone, -1), not keeper)
 
     def leave(self, name: str) -> None:
         if self.desks.pop(name, None):
-            for dealer in self.dealers.values():
-                dealer.leave(name)
+            for assigner in self.assigners.values():
+                assigner.leave(name)
             self.carried = {key: part for key, part in self.carried.items() if key[0] != name}
 
     def follow(self, directory: Mapping[str, tuple[str, Desk]]) -> None:
@@ -99,12 +99,12 @@
     def report(self, name: str, report: Report) -> None:
         """What came to a desk linked here, none where a pool isn't named, and what it met."""
         zone = self.zones.get(self.desks[name][0], -1)
-        for pool, dealer in self.dealers.items():
-            dealer.came(name, report.came.get(pool, 0), report.span * MS)
+        for pool, assigner in self.assigners.items():
+            assigner.came(name, report.came.get(pool, 0), report.span * MS)
         for met in report.met:
             life = self.lives.get(met.id)
-            for dealer in self.serving.get(life.service, ()) if life else ():
-                dealer.meet(zone, met)
+            for assigner in self.serving.get(life.service, ()) if life else ():
+                assigner.meet(zone, met)
 
     def feed(self, now: int, flows: Mapping[tuple[str, str, str], int]) -> None:
         """What others tell of their traffic (requests per 100 s by node, zone, pool) is usage there."""
@@ -114,20 +114,20 @@
             if keeper:
                 counts[keeper, zone].append(name)
         for (keeper, zone, pool), rate in flows.items():
-            if dealer := self.dealers.get(pool):
+            if assigner := self.assigners.get(pool):
                 names = counts.get((keeper, zone), [])
                 for name in names:
                     came = self.carried.get((name, pool), 0.0) + rate * span / (100 * SECOND * len(names))
                     self.carried[name, pool] = came - int(came)
-                    dealer.came(name, int(came), span)
+                    assigner.came(name, int(came), span)
 
-    def deal(self, now: int) -> list[tuple[str, Dealt]]:
+    def deal(self, now: int) -> list[tuple[str, Assigned]]:
         """One turn of the pools whose time it is."""
         warm = [id for id, until in self.cold.items() if until <= now]
         for id in warm:
             del self.cold[id]
         self._seat([self.lives[id] for id in warm])
-        return [(pool, dealt) for pool, dealer in self.dealers.items() if (dealt := dealer.step(now))]
+        return [(pool, dealt) for pool, assigner in self.assigners.items() if (dealt := assigner.step(now))]
 
     def _seat(self, lives: Iterable[Life]) -> None:
         by_service = defaultdict[str, list[Life]](list)
@@ -135,7 +135,7 @@
             by_service[life.service].append(life)
         for name, pool in self.pools.items():
             if seats := self._seats(pool, by_service.get(pool.service, ())):
-                self.dealers[name].seat(seats)
+                self.assigners[name].seat(seats)
 
     def _seats(self, pool: Pool, lives: Sequence[Life]) -> dict[str, Seat]:
         seats = dict[str, Seat]()
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -20,7 +20,7 @@
 LIMIT_S = 120.0
 # The part, what its sizes are told by, how often it is played.
 PARTS = {"messages": ("backends", 1), "desk": ("backends", 3), "registry": ("backends", 3),
-         "controller": ("pools times desks", 3), "dealer": ("desks", 3), "copies": ("routes", 3),
+         "controller": ("pools times desks", 3), "assigner": ("desks", 3), "copies": ("routes", 3),
          "links": ("links", 1), "requests": ("routes", 3),
          "tenants": ("tenants", 3)}
 
--- a/benchmarks/capacity/dealer.py
+++ b/benchmarks/capacity/assigner.py
@@ -1,4 +1,4 @@
-"""One pool's dealer at the whole size: a proxy a desk, as today, or a proxy a zone or region in its place."""
+"""One pool's assigner at the whole size: a proxy a desk, as today, or a proxy a zone or region in its place."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from ambershift import interface as api
-from ambershift.system.distribution.dealer import Dealer, Seat
+from ambershift.system.distribution.assigner import Assigner, Seat
 from ambershift.system.distribution.pools import Pool
 from ambershift.system.distribution.terms import terms_for, zones_of
 from ambershift.system.messages import codec
@@ -21,7 +21,7 @@
 
 
 class Hall:
-    """Some pools' dealers with joined desks, on a chosen clock. A sixth of the desks is linked here."""
+    """Some pools' assigners with joined desks, on a chosen clock. A sixth of the desks is linked here."""
 
     def __init__(self, size: Size, desks: int) -> None:
         self.size, self.count, self.now = size, desks, 1000 * SECOND
@@ -30,18 +30,18 @@
         self.zoned = [self.zones[size.names[at % size.zones]] for at in range(desks)]
         self.sent, self.tables = 0, set[int]()
         pools = [Pool(world.service(at), world.service(at), (), 500) for at in range(POOLS)]
-        self.dealers = [Dealer(one.name, terms_for(one, size.places), 1) for one in pools]
-        for pool, dealer in enumerate(self.dealers):
-            dealer.seat({f"i-{pool}-{at}": self.seat(pool, at) for at in range(SEATS)})
+        self.assigners = [Assigner(one.name, terms_for(one, size.places), 1) for one in pools]
+        for pool, assigner in enumerate(self.assigners):
+            assigner.seat({f"i-{pool}-{at}": self.seat(pool, at) for at in range(SEATS)})
             for at, name in enumerate(self.names):
-                dealer.join(name, self.zoned[at], at % CONTROL_NODES == 0)
+                assigner.join(name, self.zoned[at], at % CONTROL_NODES == 0)
 
     def seat(self, pool: int, at: int, weight: float = 6.0) -> Seat:
         return Seat((pool + at * 7) % self.size.zones, api.Phase.READY, weight)
 
     def deal(self) -> None:
-        for dealer in self.dealers:
-            dealt = dealer.step(self.now)
+        for assigner in self.assigners:
+            dealt = assigner.step(self.now)
             for name, message in dealt.sends if dealt else ():
                 self.sent += len(codec.encode(message))
                 if isinstance(message, Bind):
@@ -49,7 +49,7 @@
                 assert name
             for mark, names in dealt.marks if dealt else ():
                 for name in names:
-                    dealer.applied(mark, name, SECOND // 20)
+                    assigner.applied(mark, name, SECOND // 20)
 
     def due(self, _: int) -> None:
         self.now += SECOND
@@ -57,11 +57,11 @@
 
     def usual(self, at: int) -> None:
         """A second: what came to each desk, what some met, and the step that is due then."""
-        for pool, dealer in enumerate(self.dealers):
+        for pool, assigner in enumerate(self.assigners):
             for name in self.names:
-                dealer.came(name, 7, SECOND)
+                assigner.came(name, 7, SECOND)
             for one in range(0, min(self.count, SEATS)):
-                dealer.meet(self.zoned[one], Met(f"i-{pool}-{one}", 4, 0, 90))
+                assigner.meet(self.zoned[one], Met(f"i-{pool}-{one}", 4, 0, 90))
         self.due(at)
 
 
@@ -75,8 +75,8 @@
     found[f"{told}: memory of a pool|MB"] = (megabytes() - before) / POOLS
     found[f"{told}: a second of a pool|ms"] = micros(hall.usual, 3) / 1e3 / POOLS
     hall.sent = 0
-    for pool, dealer in enumerate(hall.dealers):
-        dealer.seat({f"i-{pool}-3": hall.seat(pool, 3, 0.0)})
+    for pool, assigner in enumerate(hall.assigners):
+        assigner.seat({f"i-{pool}-3": hall.seat(pool, 3, 0.0)})
     found[f"{told}: step after a change of the list|ms"] = micros(hall.due, 1) / 1e3 / POOLS
     found[f"{told}: tables dealt|number"] = len(hall.tables)
     found[f"{told}: sent for that change, a pool|B"] = hall.sent / POOLS
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -119,9 +119,9 @@
         lambda at: controller.hear_desk(names[0].name, names[0]), 1) / 1e3
     found["first words of each other, coded|ms"] = micros(
         lambda at: controller.hear_desk(names[at + 1].name, names[at + 1]), 8) / 1e3
-    controller.floor.route(scene.ledger.items().values())
+    controller.pool_loads.route(scene.ledger.items().values())
     found["routes looked at again|ms"] = micros(
-        lambda _: controller.floor.route(scene.ledger.items().values()), 3) / 1e3
+        lambda _: controller.pool_loads.route(scene.ledger.items().values()), 3) / 1e3
     found["15 s of a desk's reports|KB"] = reports(size)
     scene.sent = 0
     scene.second()
--- a/benchmarks/capacity/sums.py
+++ b/benchmarks/capacity/sums.py
@@ -100,10 +100,10 @@
         kept, fresh = (at("requests", f"beat on a {one} connection|µs") / 1e6 for one in ("kept", "new"))
         links = self.slope("links", "processor a second, all|ms", (50, 150, 400), LINKS) / 1e3
         report = self.slope("controller", "hear a report|µs", (8, 24, 74), SERVICES) / 1e6
-        pool = at("dealer", "a proxy a desk: a second of a pool|ms") / 1e3
+        pool = at("assigner", "a proxy a desk: a second of a pool|ms") / 1e3
         records = at("registry", "memory: records|MB")
         items = at("copies", "memory of all items, one of six|MB")
-        pools = SERVICES * at("dealer", "a proxy a desk: memory of a pool|MB")
+        pools = SERVICES * at("assigner", "a proxy a desk: memory of a pool|MB")
         plugs = self.slope("links", "memory over that without links|MB", (50, 150, 400), LINKS)
         reports = LINKS * at("registry", "15 s of a desk's reports|KB") / 1e3
         flows = self.sent("rd Delta, flows of one control node") * moved_share(
@@ -142,7 +142,7 @@
         """Other ways: a tenth of the services a proxy, its own region in full, others in sums."""
         tenth, services = self.sent("fi Items, whole", 1), SERVICES // 10
         sums, own = services * 28 * 14, services * 36.5 / 29 * self.sent("fb Backends, whole") / BACKENDS
-        region = self.at("dealer", "a proxy a region: a second of a pool|ms") / 1e3
+        region = self.at("assigner", "a proxy a region: a second of a pool|ms") / 1e3
         lines, kept = services * self.sent("fd Bind") * 1.26 / 36.5, self.at(
             "requests", "beat on a kept connection|µs")
         near = services * 1.26 / REQUESTS
@@ -169,9 +169,9 @@
              BACKENDS / ZONES / 1.5 / (PROXIES / ZONES) * kept / 1e4, 3.6),
             ("node: all pools by regions, each pool at one", "s/s", SERVICES / CONTROL_NODES * region, 1),
             ("control node: the same with a proxy a desk", "s/s", SERVICES / CONTROL_NODES * self.at(
-                "dealer", "regions for zones, a proxy a desk: a second of a pool|ms") / 1e3, 1),
+                "assigner", "regions for zones, a proxy a desk: a second of a pool|ms") / 1e3, 1),
             ("control node: memory of these", "MB", SERVICES / CONTROL_NODES * self.at(
-                "dealer", "a proxy a region: memory of a pool|MB"), 296),
+                "assigner", "a proxy a region: memory of a pool|MB"), 296),
             ("control node: links of a tree, one proxy a zone, one lost", "number", ZONES / 5, None),
             ("control node: first words to these, one lost", "MB", ZONES / 30 * self.first() / 1e6, None),
             ("relay of a zone: changes to its 50 proxies", "B/s", PROXIES / ZONES * self.changes(), 9_000)]
--- a/tests/test_system_distribution.py
+++ b/tests/test_system_distribution.py
@@ -11,7 +11,7 @@
 from system_exchange import MS, SECOND, ZONES, World
 
 from ambershift import interface as api
-from ambershift.system.distribution.dealer import Dealer, Seat
+from ambershift.system.distribution.assigner import Assigner, Seat
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.distribution.pools import Pool
 from ambershift.system.distribution.terms import terms_for
@@ -243,7 +243,7 @@
     sent = world.desk("desk a1", "2", "a1", s=20)
     await world.run(3)
     assert [one.table for one in sent if isinstance(one, Bind)] == [0]
-    floors = [node.controller.floor for node in world.nodes.values()]
+    floors = [node.controller.pool_loads for node in world.nodes.values()]
     assert all(set(floor.desks) == set(world.desks) for floor in floors)
     assert [floor.desks["desk a1"][1] for floor in floors] == ["2", "", "2"]
     world.down.add("2")
@@ -253,12 +253,12 @@
 
 def test_the_channel_does_not_wait_for_desks_of_other_control_nodes() -> None:
     zones = {"a1": "a", "b1": "b"}
-    dealer = Dealer("s", terms_for(Pool("s", "s", (), 500), zones), 7)
-    dealer.seat({f"b{number}": Seat(number % 2, api.Phase.READY, 4.0) for number in range(60)})
+    assigner = Assigner("s", terms_for(Pool("s", "s", (), 500), zones), 7)
+    assigner.seat({f"b{number}": Seat(number % 2, api.Phase.READY, 4.0) for number in range(60)})
     for number in range(400):
-        dealer.join(f"there {number}", number % 2, False)
-    dealer.join("here", 0, True)
-    sends = [one for at in range(8) if (dealt := dealer.step(at * 250 * MS)) for one in dealt.sends]
+        assigner.join(f"there {number}", number % 2, False)
+    assigner.join("here", 0, True)
+    sends = [one for at in range(8) if (dealt := assigner.step(at * 250 * MS)) for one in dealt.sends]
     assert any(isinstance(message, Bind) for _, message in sends)
 
 
