--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -205,7 +205,7 @@
                 {
                     "pool": message.pool,
                     "table": message.table,
-                    **self.places.lines(message, self.desk.roster.lives),
+                    **self.places.lines(message, self.desk.backend_view.lives),
                 },
             )
         if isinstance(message, Items):
@@ -243,6 +243,6 @@
         """Tell the control node, and now and then the log, what came and was met."""
         if self.outbox:
             self.outbox.put(report)
-        self.places.count(report, self.desk.roster.lives)
+        self.places.count(report, self.desk.backend_view.lives)
         if self.places.due():
             self.log(116, self.places.told())
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -20,7 +20,7 @@
     served,
 )
 from ambershift.system.proxy.desk import Desk
-from ambershift.system.proxy.reception import Reception
+from ambershift.system.proxy.intake import Intake
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.meter import Meter, Place
@@ -66,7 +66,7 @@
             WithMetrics(self.desk, PROXY_PORT, self.figures),
             IDLE_S,
             grace / 2 - END_MARGIN_S,
-            partial(Reception, lambda: self.desk.routing.limits, time.monotonic_ns),
+            partial(Intake, lambda: self.desk.routing.limits, time.monotonic_ns),
         )
         tasks = [
             asyncio.ensure_future(one)
@@ -101,7 +101,7 @@
             Figure("ready", "whether this proxy serves", float(desk.ready and not desk.leaving)),
             Figure("requests_in_flight", "requests under way", desk.admission.flying),
             Figure("routes", "routes in force", desk.routing.routes),
-            Figure("backends", "backends known", len(desk.roster.lives)),
+            Figure("backends", "backends known", len(desk.backend_view.lives)),
             Figure("link_waiting_bytes", "bytes that wait for the control node's link", waiting),
         ]
 
--- a/ambershift/system/proxy/roster.py
+++ b/ambershift/system/proxy/backend_view.py
@@ -41,7 +41,7 @@
         return any(life.open(now) for life in self.all.lives)
 
 
-class Roster:
+class BackendView:
     """Takes in what the control node and the items tell of backends. Times are ns, steady."""
 
     def __init__(self, region: str, zones: Mapping[str, str], cold_for: Callable[[str], int]) -> None:
--- a/ambershift/system/proxy/course.py
+++ b/ambershift/system/proxy/course.py
@@ -9,8 +9,8 @@
 import httpcore
 
 from ambershift.system.proxy.attempt import Outcome, Stage, Tries
+from ambershift.system.proxy.backend_view import Pool
 from ambershift.system.proxy.lives import Life
-from ambershift.system.proxy.roster import Pool
 from ambershift.system.proxy.routing import Route
 from ambershift.system.proxy.trying import Came, Try
 from ambershift.system.proxy.wire import Wire
--- a/ambershift/system/proxy/desk.py
+++ b/ambershift/system/proxy/desk.py
@@ -13,6 +13,7 @@
 from ambershift.system.messages import fronts, items
 from ambershift.system.proxy.admission import Admission
 from ambershift.system.proxy.awaited import Awaited
+from ambershift.system.proxy.backend_view import BackendView, Pool
 from ambershift.system.proxy.budget import Budget
 from ambershift.system.proxy.cold import ColdGate
 from ambershift.system.proxy.connections import Connections
@@ -20,7 +21,6 @@
 from ambershift.system.proxy.isolation import Isolation
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.pick import pick
-from ambershift.system.proxy.roster import Pool, Roster
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.proxy.trying import Came
 from ambershift.system.proxy.wire import HOLD_LEAST, HOLD_MOST
@@ -39,7 +39,7 @@
         self.settings, self.steady = settings, steady
         self.chance = chance or Random()
         self.routing = Routing()
-        self.roster = Roster(
+        self.backend_view = BackendView(
             settings.region, settings.zones, lambda service: self.routing.service(service).cold_for
         )
         self.connections = Connections(steady)
@@ -69,19 +69,19 @@
             case fronts.Items():
                 self._merge(now, message)
             case fronts.Backends():
-                for life in self.roster.take(now, message):
+                for life in self.backend_view.take(now, message):
                     self.connections.drop(life)
-                self._share_room(self.roster.lives[one.id] for one in message.put)
+                self._share_room(self.backend_view.lives[one.id] for one in message.put)
             case fronts.Line():
-                self.roster.line(message)
+                self.backend_view.line(message)
             case fronts.Bind():
-                self.roster.bind(message)
+                self.backend_view.bind(message)
             case fronts.Withdraw():
-                self.roster.withdraw(message.id, message.out)
+                self.backend_view.withdraw(message.id, message.out)
             case fronts.Cores():
                 if message.desks != self.desks:
                     self.desks = max(1, message.desks)
-                    self._share_room(self.roster.lives.values())
+                    self._share_room(self.backend_view.lives.values())
             case fronts.Mark():
                 return [message]
         return []
@@ -106,7 +106,7 @@
         """What came and was met since the last call."""
         span, self._reported = (now - self._reported) // MS, now
         met = list[fronts.Met]()
-        for life in self.roster.lives.values():
+        for life in self.backend_view.lives.values():
             if life.tries:
                 met.append(fronts.Met(life.id, life.tries, life.bad, life.spent // life.tries // MS))
                 life.tries = life.bad = life.spent = 0
@@ -158,7 +158,7 @@
 
     def cut(self, now: int) -> bool:
         """Whether nobody answers this desk, so that a request is better refused at once."""
-        return self.isolation.cut(now, self.roster.lives.values())
+        return self.isolation.cut(now, self.backend_view.lives.values())
 
     def pick(self, pool: Pool, now: int, tried: list[Life], left: int) -> Life | None:
         found = pick(pool, now, tried, self.chance, self._cold_may, left)
@@ -175,15 +175,15 @@
         for item in self.routing.merge(message.items):
             if item.kind == items.ZONE:
                 if item.body == b"true":
-                    self.roster.evacuate(item.name)
+                    self.backend_view.evacuate(item.name)
                 else:
-                    self.roster.take_back(now, item.name)
+                    self.backend_view.take_back(now, item.name)
             elif item.kind == items.INSTANCE and item.version[0] >= 1:
-                self.roster.is_over(item.name)
+                self.backend_view.is_over(item.name)
             elif item.kind == items.CLEARED:
-                self.roster.forget(items.cleared_by(item))
+                self.backend_view.forget(items.cleared_by(item))
             elif item.kind == items.SERVICE:
-                self._share_room(self.roster.serving(item.name))
+                self._share_room(self.backend_view.serving(item.name))
         self.routing.complete = self.routing.complete or message.complete
         if self.routing.complete:
             self.merged.come()
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -10,10 +10,10 @@
 import httpcore
 
 from ambershift.system.messages.fronts import pool_of
+from ambershift.system.proxy.backend_view import Pool
 from ambershift.system.proxy.course import Course
 from ambershift.system.proxy.headers import Headers, read_request
 from ambershift.system.proxy.lives import Life
-from ambershift.system.proxy.roster import Pool
 from ambershift.system.proxy.routing import Route
 from ambershift.system.proxy.trying import Came
 from ambershift.system.proxy.wire import Reply, TryError, UnsendableError, Wire
@@ -128,7 +128,7 @@
 
     def choose(self, route: Route, now: int) -> Pool:
         """The pool of the route's service; of several drawn by weight, one that has a backend if any has."""
-        pools = [self.desk.roster.pool(pool_of(name, route.homes)) for name, _ in route.shares]
+        pools = [self.desk.backend_view.pool(pool_of(name, route.homes)) for name, _ in route.shares]
         if len(pools) == 1:
             return pools[0]
         weights = [max(weight, 0.0) for _, weight in route.shares]
--- a/ambershift/system/proxy/reception.py
+++ b/ambershift/system/proxy/intake.py
@@ -33,7 +33,7 @@
     return bool(poll.poll(0))
 
 
-class Reception(HttpToolsProtocol):
+class Intake(HttpToolsProtocol):
     """Uses uvicorn's timer of idle connections for a head's time as well: any bytes that come end it.
 
     Never closes on a request that was read whole: where one is being answered, the end comes after its
--- a/benchmarks/capacity/assigner.py
+++ b/benchmarks/capacity/assigner.py
@@ -1,4 +1,4 @@
-"""One pool's assigner at the whole size: a proxy a desk, as today, or a proxy a zone or region in its place."""
+"""One pool's assigner at the whole size: a table user a proxy, as today, or one a zone or region."""
 
 from __future__ import annotations
 
--- a/benchmarks/capacity/desk.py
+++ b/benchmarks/capacity/desk.py
@@ -45,7 +45,7 @@
         found[f"memory: {name}|MB"] = megabytes() - before
         before = megabytes()
     found["hear a bind|µs"] = micros(lambda at: heard(desk, binds[at]), len(binds))
-    pools = [desk.roster.pool(world.service(at)) for at in range(size.services)]
+    pools = [desk.backend_view.pool(world.service(at)) for at in range(size.services)]
     found["memory: tables|MB"] = megabytes() - before
     data.clear()
     binds.clear()
@@ -72,7 +72,7 @@
 
     def edited(_: int) -> None:
         heard(desk, line)
-        desk.roster.pool(world.service(1))
+        desk.backend_view.pool(world.service(1))
 
     found["hear a line, and lay the pool out|µs"] = micros(edited, 500)
     cores = codec.encode(fronts.Cores(world.cores(size), True, size.desks))
@@ -82,7 +82,7 @@
     def second(at: int) -> None:
         for one in range(95):
             desk.came[world.service(one % size.services)] = 1
-        for life in list(desk.roster.lives.values())[:95]:
+        for life in list(desk.backend_view.lives.values())[:95]:
             life.tries = 1
         codec.encode(desk.report(time.monotonic_ns() + at))
 
--- a/tests/circulated.py
+++ b/tests/circulated.py
@@ -15,7 +15,7 @@
 from ambershift.system.messages.fronts import Backend, Backends, Cores, Items
 from ambershift.system.messages.items import ROUTE, SERVICE, Item
 from ambershift.system.proxy.desk import Desk
-from ambershift.system.proxy.reception import Reception
+from ambershift.system.proxy.intake import Intake
 from ambershift.system.settings.local import Bounds, Local
 
 ZONES = {"north": "up", "hill": "up", "south": "down"}
@@ -148,7 +148,7 @@
             [backend(f"i-{number}", await shelf.start()) for number, shelf in enumerate(self.shelves)]
         )
         self.desk.hear(Backends(put, (), True))
-        speaks = partial(Reception, lambda: self.desk.routing.limits, lambda: time.monotonic_ns() + self.late)
+        speaks = partial(Intake, lambda: self.desk.routing.limits, lambda: time.monotonic_ns() + self.late)
         config = uvicorn.Config(
             self.desk,
             "127.0.0.1",
--- a/tests/test_system_limits.py
+++ b/tests/test_system_limits.py
@@ -10,8 +10,8 @@
 from ambershift.system.messages.fronts import Items
 from ambershift.system.messages.items import LIMITS, Item
 from ambershift.system.processes.serving import Served
+from ambershift.system.proxy.intake import _unread
 from ambershift.system.proxy.limits import Limits, Waiting, read_limits
-from ambershift.system.proxy.reception import _unread
 from ambershift.system.steps import MS, SECOND
 
 HEAD = b"GET /read/a HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a1\r\nX-Deadline-Remaining: 1500\r\n"
--- a/tests/test_system_proxy_path.py
+++ b/tests/test_system_proxy_path.py
@@ -55,7 +55,7 @@
             assert len((await rig.ask())[2]) == 1_000_000 and rig.desk.connections.hold < 100_000
             rig.desk.admission.flying = 0
             assert (await rig.ask("/read/cut"))[0] == 0
-            assert rig.desk.idle() and not any(life.flying for life in rig.desk.roster.lives.values())
+            assert rig.desk.idle() and not any(life.flying for life in rig.desk.backend_view.lives.values())
 
     run(playing)
 
@@ -138,7 +138,7 @@
             for _ in range(20):  # So that the budget allows a repeat.
                 rig.desk.budget("loans").came(rig.desk.steady())
             for path, wanted in (("/read/", repeatable), ("/write/", once)):
-                lives = rig.desk.roster.lives
+                lives = rig.desk.backend_view.lives
                 lives["i-1"].flying, before = 5, len(second.seen)  # Full: the first one is picked.
                 status, head, body = await rig.ask(path, "PUT", b"x", attempt=path.strip("/"), left=400)
                 assert status == wanted, path
@@ -161,7 +161,7 @@
             began = rig.desk.steady()
             assert (await rig.ask("/write/", "POST", b"x", left=120))[0] == 504
             assert rig.desk.steady() - began < 400_000_000
-            assert await rig.ask(left=0) and not rig.desk.roster.lives["i-0"].flying
+            assert await rig.ask(left=0) and not rig.desk.backend_view.lives["i-0"].flying
         async with Rig(good) as rig:
             rig.shelves[0].server.close()
             await rig.shelves[0].server.wait_closed()
@@ -179,14 +179,14 @@
         async with Rig(silent, good) as rig:
             for _ in range(20):
                 rig.desk.budget("loans").came(rig.desk.steady())
-            rig.desk.roster.lives["i-1"].flying = 5
+            rig.desk.backend_view.lives["i-1"].flying = 5
             began = rig.desk.steady()
             assert (await rig.ask(left=700))[0] == 200
             assert rig.desk.steady() - began < 500_000_000
             assert rig.desk.idle() and not rig.shelves[0].ended.is_set()
             await rig.shelves[0].ended.wait()  # At the deadline.
             assert rig.desk.steady() - began > 600_000_000
-            assert rig.desk.roster.lives["i-0"].pause and not rig.desk.roster.lives["i-0"].flying
+            assert rig.desk.backend_view.lives["i-0"].pause and not rig.desk.backend_view.lives["i-0"].flying
 
     run(playing)
 
@@ -238,7 +238,7 @@
         async with Rig(closing) as rig:
             for _ in range(3):
                 assert (await rig.ask("/write/"))[0] == 200
-            assert not rig.desk.roster.lives["i-0"].bad
+            assert not rig.desk.backend_view.lives["i-0"].bad
 
     run(playing)
 
@@ -247,17 +247,17 @@
     async def playing():
         second = scripted(good)
         async with Rig(reset, second) as rig:
-            rig.desk.roster.lives["i-1"].flying = 5
+            rig.desk.backend_view.lives["i-1"].flying = 5
             assert (await rig.ask())[0] == 502 and not second.seen
             budget, now = rig.desk.budget("loans"), rig.desk.steady()
             for _ in range(6):
                 budget.came(now)  # Enough for one.
             rig.shelves[1].server.close()
-            rig.desk.roster.lives["i-0"].pause = 0
+            rig.desk.backend_view.lives["i-0"].pause = 0
             assert (await rig.ask())[0] == 502
             assert budget.take(rig.desk.steady()) and not budget.take(rig.desk.steady())
         async with Rig(reset, second) as rig:
-            rig.desk.roster.lives["i-1"].flying = 5
+            rig.desk.backend_view.lives["i-1"].flying = 5
             for _ in range(6):
                 rig.desk.budget("loans").came(rig.desk.steady())
             assert (await rig.ask())[0] == 200 and not rig.desk.budget("loans").take(rig.desk.steady())
@@ -269,7 +269,7 @@
     async def playing():
         first, second = scripted(good), scripted(good)
         async with Rig(first, second) as rig:
-            rig.desk.roster.lives["i-1"].flying = 5
+            rig.desk.backend_view.lives["i-1"].flying = 5
             opening = rig.desk.connections.open
 
             async def slowly(life, within):
@@ -291,7 +291,7 @@
 
     async def playing():
         async with Rig(some) as rig:
-            life = rig.desk.roster.lives["i-0"]
+            life = rig.desk.backend_view.lives["i-0"]
             slow, lost = await asyncio.gather(rig.ask("/write/slow"), rig.ask("/write/slow/reset"))
             assert (slow[0], lost[0]) == (200, 502) and life.pause == 0 and life.full(rig.desk.steady())
             # The slow one's watch over its client must not touch the connection that is idle again.
@@ -313,7 +313,7 @@
             writer.close()
             while not rig.desk.idle():
                 await asyncio.sleep(0.01)
-            life = rig.desk.roster.lives["i-0"]
+            life = rig.desk.backend_view.lives["i-0"]
             assert (life.flying, life.pause, life.bad) == (0, 0, 0)
             rig.desk.leave()
             status, head, _ = await rig.ask("/read/")
--- a/tests/test_system_proxy_pick.py
+++ b/tests/test_system_proxy_pick.py
@@ -31,10 +31,10 @@
         self.desk.hear(Backends(put, gone, whole))
 
     def life(self, at):
-        return self.desk.roster.lives[f"i-{at}"]
+        return self.desk.backend_view.lives[f"i-{at}"]
 
     def pick(self, pool="loans", tried=()):
-        found = self.desk.pick(self.desk.roster.pool(pool), self.now, list(tried), 500 * MS)
+        found = self.desk.pick(self.desk.backend_view.pool(pool), self.now, list(tried), 500 * MS)
         return int(found.id[2:]) if found else None
 
     def picks(self, pool="loans", times=300):
@@ -65,7 +65,7 @@
 
 
 def test_what_is_full_spills_to_the_region_then_to_short_queues_then_abroad(hall):
-    for life in hall.desk.roster.lives.values():
+    for life in hall.desk.backend_view.lives.values():
         life.work = 100 * MS
     hall.fill(0, 1, 2)
     assert hall.picks() == {3, 4}
@@ -111,7 +111,7 @@
     hall.fill(0, 2, 3, 4, 5, 6, 7, flying=7)
     leave(hall)
     assert 1 not in hall.picks() and hall.picks()
-    assert not hall.life(1).open(hall.now) if "i-1" in hall.desk.roster.lives else True
+    assert not hall.life(1).open(hall.now) if "i-1" in hall.desk.backend_view.lives else True
 
 
 def test_a_drained_life_stays_out_when_an_older_word_comes_again(hall):
@@ -137,7 +137,7 @@
     hall.now += 4 * SECOND
     assert hall.picks() == {0}
     hall.tell()
-    assert set(hall.desk.roster.lives) == {"i-0"}
+    assert set(hall.desk.backend_view.lives) == {"i-0"}
 
 
 def test_failures_rest_a_backend_longer_each_time_and_at_most_a_third_of_the_pool(hall):
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -30,7 +30,7 @@
 from ambershift.system.processes import asking, attachment
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy import awaited, handling
-from ambershift.system.proxy.roster import Roster
+from ambershift.system.proxy.backend_view import BackendView
 from ambershift.system.registry.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.registry.records import Life
 from ambershift.system.registry.registry import UNSURE_DESKS
@@ -257,16 +257,16 @@
 
 
 def test_a_desk_believes_what_was_heard_before_what_is_recalled() -> None:
-    roster = Roster("a", ZONES, lambda service: 3 * SECOND)
+    view = BackendView("a", ZONES, lambda service: 3 * SECOND)
     told = Backend("one", "s", "x:1", "a1", 4, False, 2000)
-    roster.take(NOW, Backends((told,), (), True))
-    until = roster.lives["one"].cold_until
+    view.take(NOW, Backends((told,), (), True))
+    until = view.lives["one"].cold_until
     other = Backend("two", "s", "x:2", "b1", 4, False, 0, True)
-    roster.evacuate("b1")
-    roster.take_back(NOW, "b1")
-    roster.take(NOW + 3 * SECOND, Backends((replace_cold(told), other), (), False))
-    assert roster.lives["one"].cold_until == until
-    assert roster.lives["two"].cold_until == NOW + 4 * SECOND  # It may be from before.
+    view.evacuate("b1")
+    view.take_back(NOW, "b1")
+    view.take(NOW + 3 * SECOND, Backends((replace_cold(told), other), (), False))
+    assert view.lives["one"].cold_until == until
+    assert view.lives["two"].cold_until == NOW + 4 * SECOND  # It may be from before.
 
 
 def replace_cold(told: Backend) -> Backend:
