--- a/ambershift/system/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -36,7 +36,7 @@
 HEARING = 2.5  # Heartbeats in touch after which a process has heard all that beat to it.
 
 
-class Stacks:
+class RegistryMachine:
     def __init__(self, start: int, heartbeat: int) -> None:
         self.heartbeat = heartbeat
         self.exchange, self.keeping, self.listing = Exchange(start), Keeping(heartbeat), Listing()
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -34,7 +34,7 @@
 from ambershift.system.registry.homes import Homes
 from ambershift.system.registry.kept import Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.registry.listing import DRAINING, GONE
-from ambershift.system.registry.machine import Stacks
+from ambershift.system.registry.machine import RegistryMachine
 from ambershift.system.registry.records import Desk, Life
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import MS, SECOND, Heard, Log, Send
@@ -75,7 +75,7 @@
         """`side`: without one the list is in memory only."""
         self.settings, self.ledger, self.send, self.steady, self.log = settings, ledger, send, steady, log
         self.chance = random.Random(seed)
-        self.machine = Stacks(self.chance.getrandbits(31), int(settings.heartbeat * SECOND))
+        self.machine = RegistryMachine(self.chance.getrandbits(31), int(settings.heartbeat * SECOND))
         self.port = settings.listen.get("Control", "").rpartition(":")[2]
         self.held = dict[str, int]()
         self.holding = dict[tuple[str, int], asyncio.Task[None]]()
--- a/ambershift/system/simulation/calling.py
+++ b/ambershift/system/simulation/calling.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ambershift.system.simulation.house import House
+from ambershift.system.simulation.cluster import Cluster
 from ambershift.system.simulation.loop import simulated_loop
 from ambershift.system.simulation.sockets import BrokenOffError, Connection, NotReachedError
 from ambershift.system.steps import SECOND
@@ -33,20 +33,20 @@
 class Streets:
     """What all callers share: their loop, and ways to the control nodes."""
 
-    def __init__(self, house: House, seed: int) -> None:
-        self.house, self.chance = house, random.Random(f"{seed} callers")
+    def __init__(self, cluster: Cluster, seed: int) -> None:
+        self.cluster, self.chance = cluster, random.Random(f"{seed} callers")
         self.loop = simulated_loop(
-            lambda: house.now, lambda when, handle: house.at(when, lambda: self.loop.run(handle))
+            lambda: cluster.now, lambda when, handle: cluster.at(when, lambda: self.loop.run(handle))
         )
         self._number = 0
         self.success: Callable[[], None] = lambda: None  # A caller has just been told of one.
 
     def now(self) -> float:
-        return self.house.now / SECOND
+        return self.cluster.now / SECOND
 
     def addresses(self) -> list[str]:
         """All that serve, or did until lately, in no order."""
-        found = [ip for ip, box in self.house.boxes.items() if not box.gone]
+        found = [ip for ip, box in self.cluster.boxes.items() if not box.gone]
         self.chance.shuffle(found)
         return found
 
@@ -64,22 +64,22 @@
         }
         self._number += 1
         answer = self.loop.create_future()
-        house = self.house
+        cluster = self.cluster
         connection = Connection(
             self._number,
             scope,
             body,
             answer,
-            lambda told: house.at(house.now + house.way(), told),
+            lambda told: cluster.at(cluster.now + cluster.way(), told),
             self.chance.random() < lost,
         )
-        house.connect(ip, connection)
+        cluster.connect(ip, connection)
         try:
             async with asyncio.timeout(silence):
                 found: tuple[int, bytes] = await answer
                 return found
         except TimeoutError:
-            house.close(ip, connection)
+            cluster.close(ip, connection)
             raise
 
     async def call(
@@ -108,7 +108,7 @@
             try:
                 status, told = await self.ask(ip, method, target, data, silence, lost)
                 if status == 200:
-                    self.house.at(self.house.now, self.success)
+                    self.cluster.at(self.cluster.now, self.success)
                 if status not in REFUSALS and final(status):
                     return Found(status, msgspec.json.decode(told or b"{}"), sent, untouched)
                 untouched &= status in REFUSALS
--- a/ambershift/system/simulation/house.py
+++ b/ambershift/system/simulation/cluster.py
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        world: House,
+        world: Cluster,
         box: Box,
         rows: dict[str, dict[str, bytes]],
         done: Callable[[int, str | None], None],
@@ -90,7 +90,7 @@
     connection: Connection
 
 
-class House(World):
+class Cluster(World):
     """`drift` is by how much steady clocks may run apart; each has its own beginning."""
 
     def __init__(self, seed: int, loss: float = 0.01, count: int = 6, drift: float = 0.01) -> None:
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -14,7 +14,7 @@
 from ambershift.system.coordination.replies import Call, reply
 from ambershift.system.messages.copies import NEVER
 from ambershift.system.messages.items import Item
-from ambershift.system.simulation.house import Place
+from ambershift.system.simulation.cluster import Place
 from ambershift.system.steps import MS
 
 _lock = msgspec.msgpack.Decoder(locks.Lock).decode
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -17,7 +17,7 @@
 from ambershift.system.proxy.desk import Desk
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Bounds, Local
-from ambershift.system.simulation.house import ZONES, House
+from ambershift.system.simulation.cluster import ZONES, Cluster
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
 from ambershift.system.simulation.world import Box
 from ambershift.system.steps import MS, SECOND, Heard, Tick
@@ -153,7 +153,7 @@
         return Outbox(connection)
 
 
-class Fleet(House):
+class Fleet(Cluster):
     """`proxies` are named front-1 and so on, spread evenly over the zones."""
 
     def __init__(self, seed: int, count: int = 9, proxies: int = 9, config_apply: float = 2.5) -> None:
--- a/ambershift/system/simulation/histories.py
+++ b/ambershift/system/simulation/histories.py
@@ -10,7 +10,7 @@
 from ambershift.system.consensus.outbox import Held
 from ambershift.system.simulation.callers import GROUPS, Application
 from ambershift.system.simulation.calling import Streets
-from ambershift.system.simulation.house import House
+from ambershift.system.simulation.cluster import Cluster
 from ambershift.system.simulation.judging import Judge
 from ambershift.system.simulation.lists import LISTS, Lists
 from ambershift.system.simulation.operator_history import OperatorHistory
@@ -74,23 +74,23 @@
     return Played(broken + world.judge(), troubles.happened, len(world.ops))
 
 
-def play_house(seed: int, seconds: float = 8, skip: Collection[str] = ()) -> Played:
+def play_cluster(seed: int, seconds: float = 8, skip: Collection[str] = ()) -> Played:
     """A history of applications, two operators and a reader, at control nodes whole."""
-    house = House(seed, loss=(0, 0.01, 0.1)[seed % 3], count=(5, 6, 3, 4, 5)[seed % 5])
+    cluster = Cluster(seed, loss=(0, 0.01, 0.1)[seed % 3], count=(5, 6, 3, 4, 5)[seed % 5])
     kinds = KINDS[seed % len(KINDS)]
-    house.run(2.5 if seed % 4 else 0.5)
-    end = house.now + int(seconds * SECOND)
-    troubles = Troubles(house, seed, kinds, skip)
-    streets, judge, history = Streets(house, seed), Judge(), OperatorHistory()
-    streets.success = lambda: troubles.success() if house.now < end else None
-    homes = list(house.boxes)
+    cluster.run(2.5 if seed % 4 else 0.5)
+    end = cluster.now + int(seconds * SECOND)
+    troubles = Troubles(cluster, seed, kinds, skip)
+    streets, judge, history = Streets(cluster, seed), Judge(), OperatorHistory()
+    streets.success = lambda: troubles.success() if cluster.now < end else None
+    homes = list(cluster.boxes)
     applications = [Application(f"a{at}", streets, judge, homes[at % len(homes)]) for at in range(8)]
     numbers = Numbers()
     operator, rival = (Operator(streets, history, numbers, first) for first in (True, False))
     reader = Reader(streets, history)
 
     def over() -> bool:
-        return house.now >= end
+        return cluster.now >= end
 
     def go(work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         with streets.loop.current():
@@ -100,44 +100,44 @@
     tasks += [go(applications[at].watch(f"g{at % GROUPS}.", over)) for at in range(3)]
     tasks += [go(one.run(over)) for one in (operator, rival, reader)]
     troubles.plan(end, (1000, 3000)[seed // 2 % 2] * MS)
-    house.run(seconds + 4)
-    heal(house)
-    house.run(4)
-    _finish(house, tasks, 70)
+    cluster.run(seconds + 4)
+    heal(cluster)
+    cluster.run(4)
+    _finish(cluster, tasks, 70)
     if seed % 2:  # The day's close: what was acknowledged outlives all processes.
-        for ip in [ip for ip, box in house.boxes.items() if not box.gone]:
-            house.kill(ip)
-            house.at(house.now + streets.chance.randrange(2 * SECOND), lambda ip=ip: house.start(ip))  # type: ignore[misc]
-        house.run(6)
-    _finish(house, [go(operator.again()) for _ in range(4)], 10)
+        for ip in [ip for ip, box in cluster.boxes.items() if not box.gone]:
+            cluster.kill(ip)
+            cluster.at(cluster.now + streets.chance.randrange(2 * SECOND), lambda ip=ip: cluster.start(ip))  # type: ignore[misc]
+        cluster.run(6)
+    _finish(cluster, [go(operator.again()) for _ in range(4)], 10)
     afters = {group: max((one.upto for one in told), default=0) for group, told in judge.told.items()}
 
     async def last() -> None:
         await applications[0].last_look(afters)
         if not await operator.read():
             history.notes.append("configurations: nothing comes back though all is well")
-        for ip in [ip for ip, box in house.boxes.items() if not box.gone]:
+        for ip in [ip for ip, box in cluster.boxes.items() if not box.gone]:
             if not await reader.look(ip):
                 history.notes.append(f"reader at {ip}: no items though all is well")
 
-    _finish(house, [go(last())], 60)
-    failed = [f"inside: {one}" for one in house.failed[:3]]
+    _finish(cluster, [go(last())], 60)
+    failed = [f"inside: {one}" for one in cluster.failed[:3]]
     told = judge.outcomes() + len(history.sights)
     return Played(failed + judge.judge() + history.judge(), troubles.happened, told)
 
 
-def _finish(house: House, tasks: list[asyncio.Task[Any]], most: float) -> None:
+def _finish(cluster: Cluster, tasks: list[asyncio.Task[Any]], most: float) -> None:
     """Until all have ended; what failed in one is raised."""
-    end = house.now + int(most * SECOND)
-    while house.now < end and not all(task.done() for task in tasks):
-        house.run(0.25)
+    end = cluster.now + int(most * SECOND)
+    while cluster.now < end and not all(task.done() for task in tasks):
+        cluster.run(0.25)
     for task in tasks:
         if task.done():
             task.result()
         else:
-            house.failed.append(f"a caller has not come to its end: {task.get_coro()}")
+            cluster.failed.append(f"a caller has not come to its end: {task.get_coro()}")
 
 
 def play(seed: int, seconds: float = 8, skip: Collection[str] = ()) -> Played:
     """Two seeds of seven are histories of lists, the others are of whole control nodes."""
-    return (play_lists if seed % 7 < 2 else play_house)(seed, seconds, skip)
+    return (play_lists if seed % 7 < 2 else play_cluster)(seed, seconds, skip)
--- a/ambershift/system/simulation/readers.py
+++ b/ambershift/system/simulation/readers.py
@@ -10,7 +10,7 @@
 from ambershift.system.contracts import NotHeldError
 from ambershift.system.messages.items import ZONE, Item, Key
 from ambershift.system.simulation.calling import Streets
-from ambershift.system.simulation.house import ZONES, Process
+from ambershift.system.simulation.cluster import ZONES, Process
 from ambershift.system.simulation.operator_history import OperatorHistory, Sight
 
 READS_A_SECOND = 5
@@ -26,7 +26,7 @@
             await asyncio.sleep(self.streets.chance.expovariate(READS_A_SECOND))
 
     async def look(self, ip: str) -> bool:
-        house, sent = self.streets.house, self.streets.now()
+        cluster, sent = self.streets.cluster, self.streets.now()
         seen = self.streets.loop.create_future()
 
         async def merge(process: Process) -> None:
@@ -40,12 +40,12 @@
                 if not seen.done():
                     seen.set_result(items)
 
-            house.at(house.now + house.way(), told)
+            cluster.at(cluster.now + cluster.way(), told)
 
         def begin(process: Process) -> None:
             process.loop.create_task(merge(process))
 
-        house.at(house.now + house.way(), lambda: house.step(ip, house.boxes[ip].life, begin))
+        cluster.at(cluster.now + cluster.way(), lambda: cluster.step(ip, cluster.boxes[ip].life, begin))
         try:
             async with asyncio.timeout(2.0):
                 items: dict[Key, Item] = await seen
--- a/ambershift/system/simulation/scripts.py
+++ b/ambershift/system/simulation/scripts.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
+from ambershift.system.simulation import scripts_cluster as cluster
 from ambershift.system.simulation import scripts_configuration as configuration
 from ambershift.system.simulation import scripts_disks as disks
-from ambershift.system.simulation import scripts_house as house
 from ambershift.system.simulation import scripts_voters as voters
 
 Script = Callable[[], list[str]]
@@ -43,12 +43,12 @@
     "copy-told-before-the-seal": left_behind_unsynced,
     "registers-copied-while-voting": disks.late_copy,
     "promises-not-handed-on": accepted_alone,
-    "hold-without-margin": house.fast_clock,
+    "hold-without-margin": cluster.fast_clock,
     "late-run-takes-again": disks.late_run,
     "configuration-decided-here": at_once,
     "never-left-out": voters.three_leave,
-    "evacuation-without-asking": house.stale_copy,
-    "late-order-carried-out": house.late_order,
-    "order-of-one-who-left": house.late_order,
-    "stopped-unnoticed": house.woken,
+    "evacuation-without-asking": cluster.stale_copy,
+    "late-order-carried-out": cluster.late_order,
+    "order-of-one-who-left": cluster.late_order,
+    "stopped-unnoticed": cluster.woken,
 }
--- a/ambershift/system/simulation/scripts_configuration.py
+++ b/ambershift/system/simulation/scripts_configuration.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from ambershift.system.simulation.calling import Found, Streets
-from ambershift.system.simulation.house import House
-from ambershift.system.simulation.scripts_house import _until_done
+from ambershift.system.simulation.cluster import Cluster
+from ambershift.system.simulation.scripts_cluster import _until_done
 from ambershift.system.steps import MS, SECOND
 
 MODIFY = "configuration.modify"
@@ -22,8 +22,8 @@
 class _At(Streets):
     """A caller that knows one machine only."""
 
-    def __init__(self, house: House, seed: int, ip: str) -> None:
-        super().__init__(house, seed)
+    def __init__(self, cluster: Cluster, seed: int, ip: str) -> None:
+        super().__init__(cluster, seed)
         self._ip = ip
 
     def addresses(self) -> list[str]:
@@ -32,9 +32,9 @@
 
 def rivals(seed: int = 1, apart: int = 5 * MS) -> list[str]:
     """Two contents under one version, sent to two machines `apart` ns one after the other."""
-    house = House(seed, loss=0, count=6)
-    house.run(2.5)
-    streets = [_At(house, seed, ip) for ip in ("10.0.0.2", "10.0.0.5")]
+    cluster = Cluster(seed, loss=0, count=6)
+    cluster.run(2.5)
+    streets = [_At(cluster, seed, ip) for ip in ("10.0.0.2", "10.0.0.5")]
 
     async def send(at: int) -> Found:
         await asyncio.sleep(at * apart / SECOND)
@@ -44,14 +44,14 @@
     for at in range(2):
         with streets[at].loop.current():
             tasks.append(streets[at].loop.create_task(send(at)))
-    house.run(8)
+    cluster.run(8)
     statuses = [task.result().status for task in tasks]
     if sorted(statuses) != [200, 409]:
         return [f"two contents of one version were answered {statuses}"]
     wrong = []
-    for ip in sorted(house.boxes):
-        reader = _At(house, seed, ip)
-        seen = _until_done(house, reader, reader.rpc("configuration.retrieve", "", None))
+    for ip in sorted(cluster.boxes):
+        reader = _At(cluster, seed, ip)
+        seen = _until_done(cluster, reader, reader.rpc("configuration.retrieve", "", None))
         rows = seen.body["Services"]["Rows"]
         if [row[1] for row in rows] != [statuses.index(200) + 1]:
             wrong.append(f"{ip} shows {rows}, not what was acknowledged")
@@ -61,34 +61,34 @@
 def offered_on_return(seed: int = 1, way: str = "killed") -> list[str]:
     """A service is dropped while a machine is away (`killed`, `cut` or `frozen`), which is then offered a
     route to it again and again from the moment that it returns."""
-    house = House(seed, loss=0, count=6)
-    house.run(2.5)
-    away, there = "10.0.0.2", _At(house, seed, "10.0.0.5")
-    back = _At(house, seed, away)
-    others = house.boxes.keys() - {away}
+    cluster = Cluster(seed, loss=0, count=6)
+    cluster.run(2.5)
+    away, there = "10.0.0.2", _At(cluster, seed, "10.0.0.5")
+    back = _At(cluster, seed, away)
+    others = cluster.boxes.keys() - {away}
 
     def sure(document: dict[str, Any]) -> None:
-        found = _until_done(house, there, there.rpc(MODIFY, "", document, 5.0, lost=0))
+        found = _until_done(cluster, there, there.rpc(MODIFY, "", document, 5.0, lost=0))
         assert found.status == 200, found
 
     sure(_service(1))
-    house.run(1)
+    cluster.run(1)
     links = {pair for ip in others for pair in ((ip, away), (away, ip))}
     if way == "killed":
-        house.kill(away)
+        cluster.kill(away)
     elif way == "cut":
-        house.cut |= links
+        cluster.cut |= links
     else:
-        house.freeze(away)
+        cluster.freeze(away)
     sure({"Remove": {"Services": [{"Name": "s", "ConfigVersion": "r6"}]}})
-    house.run(AWAY_S)
+    cluster.run(AWAY_S)
     if way == "killed":
-        house.start(away)
+        cluster.start(away)
     elif way == "cut":
-        house.cut -= links
+        cluster.cut -= links
     else:
-        house.thaw(away)
-    return _until_done(house, back, _offers(back))  # type: ignore[no-any-return]
+        cluster.thaw(away)
+    return _until_done(cluster, back, _offers(back))  # type: ignore[no-any-return]
 
 
 async def _offers(streets: Streets) -> list[str]:
--- a/tests/test_system_contact.py
+++ b/tests/test_system_contact.py
@@ -12,8 +12,8 @@
 import pytest
 
 from ambershift.system.simulation.calling import Found, Streets
-from ambershift.system.simulation.house import House
-from ambershift.system.simulation.scripts_house import _until_done
+from ambershift.system.simulation.cluster import Cluster
+from ambershift.system.simulation.scripts_cluster import _until_done
 from ambershift.system.simulation.world import Box
 
 SERVICE = {"Name": "s", "ConfigVersion": "r1", "ConnectionCap": 1}
@@ -26,9 +26,9 @@
     """Five machines; `one` is brought into a state while all changes through `other`."""
 
     def __init__(self, seed: int = 3) -> None:
-        self.house = House(seed, loss=0, count=5)
-        self.house.run(2.5)
-        self.streets = Streets(self.house, seed)
+        self.cluster = Cluster(seed, loss=0, count=5)
+        self.cluster.run(2.5)
+        self.streets = Streets(self.cluster, seed)
         self.one, self.other = "10.0.0.2", "10.0.0.4"
 
     def rpc(self, ip: str, name: str, of: str = "", body: Any = None, patience: float = WAIT_S) -> Found:
@@ -37,7 +37,7 @@
     def call(self, ip: str, method: str, target: str, body: Any = None, patience: float = WAIT_S) -> Found:
         self.streets.addresses = lambda: [ip]  # type: ignore[method-assign]
         found: Found = _until_done(
-            self.house, self.streets, self.streets.call(method, target, body, patience, lost=0)
+            self.cluster, self.streets, self.streets.call(method, target, body, patience, lost=0)
         )
         return found
 
@@ -65,9 +65,9 @@
 
 
 def cut(story: Story, out: bool = True, back: bool = True) -> None:
-    for ip in story.house.boxes.keys() - {story.one}:
-        story.house.cut |= {(story.one, ip)} if out else set()
-        story.house.cut |= {(ip, story.one)} if back else set()
+    for ip in story.cluster.boxes.keys() - {story.one}:
+        story.cluster.cut |= {(story.one, ip)} if out else set()
+        story.cluster.cut |= {(ip, story.one)} if back else set()
 
 
 def cut_off(story: Story) -> None:
@@ -93,55 +93,55 @@
 
 def in_a_minority(story: Story) -> None:
     pair = {story.one, "10.0.0.5"}
-    story.house.cut |= {
-        (a, b) for a in story.house.boxes for b in story.house.boxes if (a in pair) != (b in pair)
+    story.cluster.cut |= {
+        (a, b) for a in story.cluster.boxes for b in story.cluster.boxes if (a in pair) != (b in pair)
     }
     story.meanwhile()
 
 
 def just_back(story: Story) -> None:
-    story.house.kill(story.one)
-    story.house.run(2)
+    story.cluster.kill(story.one)
+    story.cluster.run(2)
     story.meanwhile()
-    story.house.start(story.one)
+    story.cluster.start(story.one)
 
 
 def back_with_its_cut(story: Story) -> None:
     cut_off(story)
-    story.house.run(4)
-    story.house.cut.clear()
+    story.cluster.run(4)
+    story.cluster.cut.clear()
 
 
 def back_without_its_disk(story: Story) -> None:
-    story.house.wipe(story.one)
+    story.cluster.wipe(story.one)
     story.meanwhile()
-    story.house.start(story.one)
+    story.cluster.start(story.one)
 
 
 def back_without_its_disk_and_cut_off(story: Story) -> None:
-    story.house.wipe(story.one)
+    story.cluster.wipe(story.one)
     story.meanwhile()
     cut(story)
-    story.house.start(story.one)
+    story.cluster.start(story.one)
 
 
 def awake(story: Story) -> None:
-    story.house.freeze(story.one)
+    story.cluster.freeze(story.one)
     story.meanwhile()
-    story.house.thaw(story.one)
+    story.cluster.thaw(story.one)
 
 
 def asked_while_frozen(story: Story) -> None:
     """The call lies in its socket when it wakes, long after its caller gave up."""
-    story.house.freeze(story.one)
+    story.cluster.freeze(story.one)
     story.meanwhile()
-    story.house.at(story.house.now + 700_000_000, lambda: story.house.thaw(story.one))
+    story.cluster.at(story.cluster.now + 700_000_000, lambda: story.cluster.thaw(story.one))
 
 
 def learner(story: Story) -> None:
-    story.house.boxes["10.0.1.9"] = Box("10.0.1.9", initial=False)
-    story.house.start("10.0.1.9")
-    story.house.run(2)
+    story.cluster.boxes["10.0.1.9"] = Box("10.0.1.9", initial=False)
+    story.cluster.start("10.0.1.9")
+    story.cluster.run(2)
     story.one = "10.0.1.9"
     cut(story)
     story.meanwhile()
@@ -190,7 +190,7 @@
     assert found.status in (200, *UNCLEAR)
     heal(story)
     story.sure("configuration.retrieve")
-    replica = story.house.boxes[story.other].replica
+    replica = story.cluster.boxes[story.other].replica
     assert replica is not None
     held = replica.store.items["zone", "z1"]
     assert held.body == b"false" or found.status != 200
@@ -240,8 +240,8 @@
 
 
 def heal(story: Story) -> None:
-    story.house.cut.clear()
-    story.house.run(4)
+    story.cluster.cut.clear()
+    story.cluster.run(4)
 
 
 @pytest.mark.parametrize("state", STATES, ids=lambda one: one.__name__)
@@ -253,4 +253,4 @@
         story.before()
         state(story)
         call(story)
-        assert story.house.failed == [], call.__name__
+        assert story.cluster.failed == [], call.__name__
--- a/tests/test_system_simulation.py
+++ b/tests/test_system_simulation.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ambershift.modelcheck.mutants.words import broken
-from ambershift.system.simulation.histories import Played, play, play_house
+from ambershift.system.simulation.histories import Played, play, play_cluster
 from ambershift.system.simulation.judging import Judge, Told
 from ambershift.system.simulation.operator_history import Change, OperatorHistory, Order, Sight
 from ambershift.system.simulation.shrinking import fewest
@@ -19,17 +19,17 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 4, 5, 7, 8, 11, 15])
 def test_what_callers_were_told_in_a_drill_keeps_the_rules(seed: int) -> None:
-    found = play_house(seed)
+    found = play_cluster(seed)
     assert found.broken == [] and found.told > 30
 
 
 def test_a_seed_that_once_stood_still_for_ever() -> None:
     """A voter that had lost its disk was chosen with the lost one, and then another machine was replaced."""
-    assert play_house(77).broken == []
+    assert play_cluster(77).broken == []
 
 
 def test_a_seed_is_one_history() -> None:
-    assert play_house(2) == play_house(2)
+    assert play_cluster(2) == play_cluster(2)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_system_simulation_scripts.py
+++ b/tests/test_system_simulation_scripts.py
@@ -6,7 +6,7 @@
 
 from ambershift.modelcheck.mutants.words import broken
 from ambershift.system.simulation.scripts import SCRIPTS
-from ambershift.system.simulation.scripts_house import late_order
+from ambershift.system.simulation.scripts_cluster import late_order
 from ambershift.system.simulation.variants import BY_NAME
 
 
