--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -13,8 +13,10 @@
 from ambershift.system.processes.rereading import LOOK_S as FILE_S
 from ambershift.system.processes.rereading import Watched
 from ambershift.system.processes.serving import (
+    TAKES_ON,
     Served,
     hear_signals,
+    last_answers_s,
     listener_or_none,
     listeners,
     served,
@@ -25,7 +27,7 @@
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.meter import Meter, Place
 
-REPORT_S, IDLE_S, END_MARGIN_S = 1.0, 60, 0.4
+REPORT_S, IDLE_S = 1.0, 60
 
 
 class Proxy:
@@ -65,7 +67,7 @@
         server = served(
             WithMetrics(self.desk, PROXY_PORT, self.figures),
             IDLE_S,
-            grace / 2 - END_MARGIN_S,
+            last_answers_s(grace) - TAKES_ON * grace,
             partial(Intake, lambda: self.desk.routing.limits, time.monotonic_ns),
         )
         tasks = [
@@ -83,10 +85,10 @@
         self.desk.leave()
         self.attachment.greet()
         # Clients still come while an old answer of the directory names us: each is served and sent away.
-        await asyncio.sleep(grace / 2)
+        await asyncio.sleep(TAKES_ON * grace)
         server.should_exit = True
         with contextlib.suppress(asyncio.TimeoutError):
-            await asyncio.wait_for(tasks[0], max(0.1, began + grace - END_MARGIN_S - time.monotonic()))
+            await asyncio.wait_for(tasks[0], max(0.1, began + last_answers_s(grace) - time.monotonic()))
         for task in tasks:
             task.cancel()
         await self.links.close()
--- a/ambershift/system/processes/serving.py
+++ b/ambershift/system/processes/serving.py
@@ -12,6 +12,15 @@
 import uvicorn
 
 BACKLOG = 1024
+# Of `GraceS`: how long a proxy that is told to end takes new requests, and what it keeps for its own end. A
+# backend may be at work until the last sixth (LOST), and the process is killed at the whole.
+TAKES_ON, KEPT = 1 / 2, 1 / 15
+KEPT_MOST_S = 0.4
+
+
+def last_answers_s(grace: float) -> float:
+    """Seconds after the word to end by which a proxy has answered, or breaks off."""
+    return grace - min(KEPT_MOST_S, KEPT * grace)
 
 
 def listener(address: str) -> socket.socket:
@@ -53,7 +62,8 @@
             proxy_headers=False,
             backlog=BACKLOG,
             timeout_keep_alive=idle_s,
-            timeout_graceful_shutdown=int(finish_s) or 1,
+            # A fraction is fine: rounded down, an end would break requests off up to a second early.
+            timeout_graceful_shutdown=finish_s,  # type: ignore[arg-type]
         )
     )
 
--- a/tests/test_system_processes_unit.py
+++ b/tests/test_system_processes_unit.py
@@ -9,6 +9,7 @@
 import pytest
 
 from ambershift.system.processes.control_node import ControlNode
+from ambershift.system.processes.serving import TAKES_ON, last_answers_s, served
 from ambershift.system.transport.words import CONTROL_NODE, DESK, Caller
 
 PARTS = ("ledger", "registry", "controller", "control_api")
@@ -50,3 +51,12 @@
     asyncio.run(once())
     assert all(getattr(made, name).tick.called for name in PARTS)
     assert made.log.call_args.args[0] == 6  # type: ignore[attr-defined]
+
+
+@pytest.mark.parametrize("grace", [1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0, 10.0, 30.0])
+def test_a_request_may_be_at_work_until_the_last_sixth_of_the_grace(grace: float) -> None:
+    """uvicorn stops waiting so long after it was told to exit, at `TAKES_ON` of the grace."""
+    config = served(Mock(), 60, last_answers_s(grace) - TAKES_ON * grace).config
+    assert config.timeout_graceful_shutdown is not None
+    cut = TAKES_ON * grace + config.timeout_graceful_shutdown
+    assert grace * 5 / 6 < cut < grace
