--- a/ambershift/system/processes/asking.py
+++ b/ambershift/system/processes/asking.py
@@ -9,8 +9,7 @@
 from websockets.asyncio.connection import Connection
 
 from ambershift.system.messages.fronts import Cores
-
-BESIDE_S = 0.25  # A control node that takes longer to answer may be without power: another is asked too.
+from ambershift.system.node_selection.choice import BESIDE_S
 
 
 @dataclass(frozen=True, slots=True, eq=False)
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -15,7 +15,7 @@
 from ambershift.system.messages import codec
 from ambershift.system.messages.fronts import Bind, Cores, Hello, Items, Report
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
-from ambershift.system.node_selection.choice import Choice, current_for
+from ambershift.system.node_selection.choice import RESERVE_S, SIGN_S, WIDTH, Choice, current_for
 from ambershift.system.processes.asking import Answered, Asked
 from ambershift.system.processes.metrics import Figure
 from ambershift.system.processes.places import Places
@@ -27,9 +27,6 @@
 from ambershift.system.transport.words import DESK, Caller
 
 LOOK_S = 0.1
-SIGN_S = 0.5  # A node gives a sign at once on each new link.
-RESERVE_S = 0.5  # How long a current node is waited for once another one has answered.
-WIDTH = 3  # Nodes asked at once by a proxy whose own one is stale.
 
 
 class Dialler(Protocol):
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -4,12 +4,10 @@
 
 import asyncio
 import random
-from collections import deque
 from dataclasses import dataclass, replace
 from typing import Any
 
 import msgspec
-from websockets.exceptions import ConnectionClosedError
 
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import codec, rounds
@@ -18,103 +16,12 @@
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.simulation.cluster import ZONES, Cluster
+from ambershift.system.simulation.fleet_links import Accepted, FromProxy, HungUp, ProxyLink, ProxyLinks
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
 from ambershift.system.simulation.world import Box
-from ambershift.system.steps import MS, SECOND, Heard, Tick
-from ambershift.system.transport.links import DIAL_LIMIT
-from ambershift.system.transport.outbox import Outbox
+from ambershift.system.steps import MS, Heard, Tick
 
-HELD_UP = 200 * MS  # How often a sender tries again over a path that is cut.
-BYTE = 4000  # ns a byte takes to a proxy: a link of 2 Mbit/s.
 GREET_S, REPORT_S = 0.25, 1.0
-TRIPS_OF_A_DIAL = 4  # TCP's and HTTP's handshakes.
-
-
-class Line:
-    """A connection of a proxy with one life of a control node; to `Outbox` and `receive` a websocket."""
-
-    def __init__(self, fleet: Fleet, proxy: str, ip: str, life: int) -> None:
-        self.fleet, self.proxy, self.ip, self.life = fleet, proxy, ip, life
-        self.ended = False
-        self.transport = self  # Of which only `abort` is used.
-        self._received = deque[bytes]()
-        self._waiting: asyncio.Future[None] | None = None
-        self._under_way: dict[bool, deque[tuple[int, bytes]]] = {True: deque(), False: deque()}
-
-    # The proxy's end.
-
-    async def send(self, data: bytes) -> None:
-        if self.ended:
-            raise ConnectionClosedError(None, None)
-        self.carry(True, data)
-
-    def abort(self) -> None:
-        self.end()
-        self.fleet.at(self.fleet.now + self.fleet.way_to(self), lambda: self.fleet.hang_up(self))
-
-    def __aiter__(self) -> Line:
-        return self
-
-    async def __anext__(self) -> bytes:
-        try:
-            return await self.recv()
-        except ConnectionClosedError:
-            raise StopAsyncIteration from None
-
-    async def recv(self) -> bytes:
-        while not self._received:
-            if self.ended:
-                raise ConnectionClosedError(None, None)
-            self._waiting = asyncio.get_running_loop().create_future()
-            await self._waiting
-        return self._received.popleft()
-
-    # The network.
-
-    def carry(self, to_node: bool, data: bytes) -> None:
-        queue = self._under_way[to_node]
-        when = self.fleet.now + self.fleet.way_to(self) + (0 if to_node else len(data) * BYTE)
-        when = max(when, queue[-1][0] if queue else 0)
-        queue.append((when, data))
-        self.fleet.at(when, lambda: self._arrive(to_node))
-
-    def _arrive(self, to_node: bool) -> None:
-        queue = self._under_way[to_node]
-        ends = (self.proxy, self.ip) if to_node else (self.ip, self.proxy)
-        while queue and queue[0][0] <= self.fleet.now and not self.ended:
-            if ends in self.fleet.cut:
-                self.fleet.at(self.fleet.now + HELD_UP, lambda: self._arrive(to_node))
-                return
-            _, data = queue.popleft()
-            if to_node:
-                self.fleet.step(self.ip, self.life, FromProxy(self, codec.decode(data)))
-            else:
-                self._received.append(data)
-                self._wake()
-
-    def end(self) -> None:
-        self.ended = True
-        self._wake()
-
-    def _wake(self) -> None:
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_result(None)
-
-
-@dataclass(frozen=True, slots=True)
-class Accepted:
-    line: Line
-
-
-@dataclass(frozen=True, slots=True)
-class HungUp:
-    line: Line
-
-
-@dataclass(frozen=True, slots=True)
-class FromProxy:
-    line: Line
-    message: msgspec.Struct
 
 
 @dataclass
@@ -128,38 +35,13 @@
     frozen: list[asyncio.Handle] | None = None
 
 
-class Lines:
-    """The dialler of one proxy."""
-
-    def __init__(self, fleet: Fleet, name: str) -> None:
-        self.fleet, self.name = fleet, name
-
-    async def dial(self, ip: str) -> Any:
-        fleet, line = self.fleet, Line(self.fleet, self.name, ip, -1)
-        fleet.dialled += 1
-        await asyncio.sleep(TRIPS_OF_A_DIAL * fleet.way_to(line) / SECOND)
-        box = fleet.boxes.get(ip)
-        cut = {(self.name, ip), (ip, self.name)} & fleet.cut
-        if cut or box is None or box.frozen is not None:
-            await asyncio.sleep(DIAL_LIMIT)
-            raise TimeoutError
-        if box.replica is None:
-            raise ConnectionRefusedError
-        line.life = box.life
-        fleet.step(ip, box.life, Accepted(line))
-        return line
-
-    def outbox(self, connection: Any, peer: str, masked: bool) -> Outbox:
-        return Outbox(connection)
-
-
 class Fleet(Cluster):
     """`proxies` are named front-1 and so on, spread evenly over the zones."""
 
     def __init__(self, seed: int, count: int = 9, proxies: int = 9, config_apply: float = 2.5) -> None:
         self.bounds = replace(Bounds(), config_apply=config_apply)
         self.controllers: dict[str, tuple[Registry, Controller]] = {}
-        self.lines: dict[tuple[str, str], Line] = {}  # By control node and proxy.
+        self.lines: dict[tuple[str, str], ProxyLink] = {}  # By control node and proxy.
         self.dialled = 0
         self.fronts: dict[str, Front] = {}
         self.logged: list[tuple[int, str, int, dict[str, Any]]] = []  # Time, proxy, number, fields.
@@ -235,14 +117,14 @@
                 registry.tick()
                 controller.tick()
 
-    def _accept(self, ip: str, line: Line, controller: Controller) -> None:
+    def _accept(self, ip: str, line: ProxyLink, controller: Controller) -> None:
         before = self.lines.get((ip, line.proxy))
         if before is not None:
             before.end()
         self.lines[ip, line.proxy] = line
         controller.desk_linked(line.proxy)
 
-    def hang_up(self, line: Line) -> None:
+    def hang_up(self, line: ProxyLink) -> None:
         self.step(line.ip, line.life, HungUp(line))
 
     def moment(self, machine: str, steady: int) -> int:
@@ -276,7 +158,7 @@
 
         with loop.current():
             desk = Desk(settings, steady, random.Random(self.chance.getrandbits(62)))
-            attachment = Attachment(settings, desk, Lines(self, name), steady, log)
+            attachment = Attachment(settings, desk, ProxyLinks(self, name), steady, log)
             self.fronts[name] = Front(settings, loop, desk, attachment)
             loop.create_task(attachment.run())
             loop.create_task(self._greet(attachment))
@@ -309,7 +191,7 @@
         for handle in missed:
             front.loop.run(handle)
 
-    def way_to(self, line: Line) -> int:
+    def way_to(self, line: ProxyLink) -> int:
         """One way between a proxy and a control node; each message takes a little of its own."""
         near = self.fronts[line.proxy].settings.region == f"r{(int(line.ip.rpartition('.')[2]) - 1) % 3}"
         return (MS if near else 20 * MS) + self.chance.randrange(MS)
--- a/benchmarks/simulated_schedules.py
+++ b/benchmarks/simulated_schedules.py
@@ -2,8 +2,8 @@
 
 One seed is one history. The first failure is shrunk to the fewest troubles that still fail; exit code 1 if
 there is one. With `--fleet` proxies stand before the control nodes, and what is judged is when changes are in
-force at them; its failures are not shrunk. With `--variant NAME` one place of the real classes is broken, with
-`--variant all` each in its turn. A variant that no seed finds is tried in its scripted world, if it has one
+force at them; its failures are not shrunk. With `--variant NAME` one place of the real classes is broken,
+with `all` each in its turn. A variant that no seed finds is tried in its scripted world, if it has one
 (`simulation/scripts.py`).
 """
 
