--- a/tests/test_system_proxy_path.py
+++ b/tests/test_system_proxy_path.py
@@ -1,6 +1,9 @@
 """The whole path of a desk on 127.0.0.1: client, uvicorn, desk, connections, scripted backends."""
 
 import asyncio
+import contextlib
+import socket
+import struct
 
 import pytest
 from circulated import SERVICES, Rig, answer, backend, route, run
@@ -114,6 +117,64 @@
     return answer(head, 429, b"")  # Without saying that it has not run.
 
 
+async def gave_up(head, body, writer):
+    return answer(head, 408, b"")
+
+
+async def full(head, body, writer):
+    return answer(head, 503, b"")
+
+
+async def too_many(head, body, writer):
+    return answer(head, 429, b"", b"X-Not-Executed: rate\r\n")
+
+
+async def elsewhere(head, body, writer):
+    return answer(head, 421, b"")
+
+
+async def encoded(head, body, writer):
+    return answer(head, more=b"Content-Encoding: gzip\r\n")
+
+
+def without_length(head):
+    return answer(head, body=b"mine").replace(b"Content-Length: 4\r\n", b"Connection: close\r\n")
+
+
+async def closed(head, body, writer):
+    return without_length(head)  # Its end is the connection's.
+
+
+def resets(writer):
+    """The connection's end is a reset, where that of `reset` and `cut` is a close."""
+    linger = struct.pack("ii", 1, 0)
+    writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+
+
+async def reset_without_length(head, body, writer):
+    """As if it were whole, but for how it ends."""
+    writer.write(without_length(head)[:-2])
+    await writer.drain()
+    await asyncio.sleep(0.01)  # So that the bytes are read before the reset throws them away.
+    resets(writer)
+    return None
+
+
+async def reset_at_once(head, body, writer):
+    resets(writer)
+    return None
+
+
+async def reset_in_its_head(head, body, writer):
+    writer.write(answer(head)[:40])
+    await writer.drain()
+    return None
+
+
+async def twice(head, body, writer):
+    return answer(head, body=b"mine") + answer(head, body=b"again")
+
+
 # What the first backend does: the statuses a repeatable and another request get, with a good one beside it.
 CASES = [
     (reset, 200, 502),
@@ -126,7 +187,18 @@
     (failing, 200, 500),
     (late, 200, 200),
     (good, 200, 200),
+    (gave_up, 200, 502),  # No promise without the word that it has not run.
+    (full, 200, 502),
+    (too_many, 200, 200),
+    (elsewhere, 200, 200),
+    (encoded, 200, 502),
+    (closed, 200, 200),
+    (reset_without_length, 200, 502),
+    (reset_in_its_head, 200, 502),
+    (reset_at_once, 200, 502),
+    (twice, 200, 200),
 ]
+MINE = (late, closed, twice)  # Answered by the first one itself, with a body of its own.
 
 
 @pytest.mark.parametrize("bad, repeatable, once", CASES, ids=[case[0].__name__ for case in CASES])
@@ -143,14 +215,54 @@
                 status, head, body = await rig.ask(path, "PUT", b"x", attempt=path.strip("/"), left=400)
                 assert status == wanted, path
                 assert (status != 200) == (b"x-server-seal" not in head)
-                assert body == {200: b"mine" if bad is late else b"read:x", 500: b"own"}.get(status, b"")
-                more = wanted == 200 and bad not in (good, late)
+                assert body == {200: b"mine" if bad in MINE else b"read:x", 500: b"own"}.get(status, b"")
+                more = wanted == 200 and bad not in (good, *MINE)
                 assert len(second.seen) - before == more
                 lives["i-0"].pause = lives["i-0"].recent[1] = lives["i-0"].waiting = 0
 
     run(playing)
 
 
+@pytest.mark.parametrize("path", ["/read/", "/write/"])
+def test_a_backend_that_answers_early_gets_nothing_but_the_rest_of_that_body(path):
+    """It answers as soon as it has the head, and reads the body after that."""
+    got = list[tuple[int, bytes]]()  # Connection, and what was read where a body was due.
+
+    async def playing():
+        rig = Rig(good)
+
+        async def early(reader, writer):
+            shelf = rig.shelves[0]
+            shelf.connections += 1
+            number = shelf.connections
+            with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
+                while True:
+                    head = await reader.readuntil(b"\r\n\r\n")
+                    first, _, rest = head.partition(b"\r\n")
+                    head = first + b"\r\n" + rest.lower()
+                    shelf.heads.append(head)
+                    writer.write(answer(head, body=b"soon"))
+                    await writer.drain()
+                    length = int(head.partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0)
+                    read = b""
+                    while len(read) < length and (part := await reader.read(length - len(read))):
+                        read += part
+                    got.append((number, read))
+            writer.close()
+
+        rig.shelves[0]._serve = early
+        bodies = [bytes([number]) * 400_000 for number in (1, 2, 3)]
+        async with rig:
+            for body in bodies:
+                assert (await rig.ask(path, "PUT", body=body, left=2000))[::2] == (200, b"soon")
+        assert len(rig.shelves[0].heads) == 3
+        for _, read in got:
+            assert read in (body[: len(read)] for body in bodies)
+
+    run(playing)
+    assert got
+
+
 def test_what_nobody_can_serve_is_refused_at_once_and_what_may_have_run_is_not_called_refused():
     async def playing():
         async with Rig(away, away) as rig:
