--- a/ambershift/system/processes/asking.py
+++ b/ambershift/system/processes/asking.py
@@ -57,7 +57,7 @@
         """Let all go but the one that is used."""
         for task in self._under_way:
             task.cancel()
-            task.add_done_callback(_let_go)
+            task.add_done_callback(let_go)
         for one in self._answered:
             if one is not chosen:
                 one.connection.transport.abort()
@@ -77,7 +77,7 @@
     return None if task.cancelled() or task.exception() is not None else task.result()
 
 
-def _let_go(task: asyncio.Future[Answered | None]) -> None:
+def let_go(task: asyncio.Future[Answered | None]) -> None:
     """One that answered although another is used."""
     if (found := _found(task)) is not None:
         found.connection.transport.abort()
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -16,7 +16,7 @@
 from ambershift.system.messages.fronts import Bind, Cores, Hello, Items, Report
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
 from ambershift.system.node_selection.choice import RESERVE_S, SIGN_S, WIDTH, Choice, current_for
-from ambershift.system.processes.asking import Answered, Asked
+from ambershift.system.processes.asking import Answered, Asked, let_go
 from ambershift.system.processes.metrics import Figure
 from ambershift.system.processes.places import Places
 from ambershift.system.proxy.desk import Desk
@@ -68,36 +68,77 @@
         self.said: Hello | None = None
         self.version = 0  # The highest of the operator's that has come.
         self.left = Counter[str]()  # Links given up, by why.
+        self._link: asyncio.Task[None] | None = None
+        self._searching: asyncio.Task[Answered | None] | None = None
+        self._asking_nearer: asyncio.Task[Answered | None] | None = None
 
     async def run(self) -> None:
         """Hold a link to the control node chosen; while it stands others may be asked beside it."""
-        current: asyncio.Task[None] | None = None
-        while True:
-            now = self.steady()
-            if current is not None and self.choice.silent(now):
-                self._leave("silent")
-                self._drop(current)
-                current = None
-            if current is None or current.done():
-                found = await self._first(self.choice.candidates(now))
-            elif self.choice.search(now):
-                found = await self._search(self.choice.search_order(now))
-            elif (nearer := self.choice.nearer(now)) is not None:
-                found = await self._ask_nearer(nearer)
-            else:
-                found = None
-            if found is not None:
-                if current is not None:
-                    self._drop(current)
-                current = asyncio.ensure_future(self.converse(found.ip, found.connection))
+        try:
+            while True:
+                await self._look()
+                await self._pause()
+        finally:
+            self._stop_asking()
+
+    async def _look(self) -> None:
+        now = self.steady()
+        if self._link is not None and self.choice.silent(now):
+            self._leave("silent")
+            self._drop()
+        found = self._answer_beside()
+        if found is None and (self._link is None or self._link.done()):
+            self._stop_asking()
+            found = await self._first(self.choice.candidates(now))
+        if found is not None:
+            self._stop_asking()
+            self._drop()
+            self._link = asyncio.ensure_future(self.converse(found.ip, found.connection))
+        else:
+            self._ask_beside(now)
+
+    async def _pause(self) -> None:
+        """Until the next look, which comes at once with an answer of those asked beside the link."""
+        asking = {task for task in (self._searching, self._asking_nearer) if task is not None}
+        if asking:
+            await asyncio.wait(asking, timeout=LOOK_S, return_when=asyncio.FIRST_COMPLETED)
+        else:
             await asyncio.sleep(LOOK_S)
 
+    def _ask_beside(self, now: int) -> None:
+        """Neither waits for the other: a nearer node that hangs must not keep a stale proxy from a search."""
+        if self._searching is None and self.choice.search(now):
+            self._searching = asyncio.ensure_future(self._search(self.choice.search_order(now)))
+        if self._asking_nearer is None and (nearer := self.choice.nearer(now)) is not None:
+            self._asking_nearer = asyncio.ensure_future(self._ask_nearer(nearer))
+
+    def _answer_beside(self) -> Answered | None:
+        """A node asked beside the link that is to be gone to."""
+        found = None
+        if self._searching is not None and self._searching.done():
+            found, self._searching = self._searching.result(), None
+        elif self._asking_nearer is not None and self._asking_nearer.done():
+            found, self._asking_nearer = self._asking_nearer.result(), None
+        return found
+
+    def _stop_asking(self) -> None:
+        """Who answers from now on is let go."""
+        for task in (self._searching, self._asking_nearer):
+            if task is not None:
+                task.cancel()
+                task.add_done_callback(let_go)
+        self._searching = self._asking_nearer = None
+
     def _leave(self, why: str) -> None:
         self.left[why] += 1
         self.log(112, {"peer": self.choice.linked, "why": why, "age_ms": self._age_ms(self.steady())})
 
-    def _drop(self, current: asyncio.Task[None]) -> None:
-        current.cancel()
+    def _drop(self) -> None:
+        """Give the link up, where there is one."""
+        if self._link is None:
+            return
+        self._link.cancel()
+        self._link = None
         if self.choice.linked is not None:
             self.choice.fail(self.steady(), self.choice.linked)
 
--- a/tests/test_system_fleet.py
+++ b/tests/test_system_fleet.py
@@ -71,3 +71,33 @@
     assert not judge.late
     fleet.run(0.2)
     assert len([one for one in judge.late if one.key == (ROUTE, "s")]) == 7
+
+
+@pytest.mark.parametrize("seed", [1, 2, 3])
+def test_a_nearer_node_that_hangs_keeps_nobody_from_leaving_one_without_contact(seed: int) -> None:
+    """All of a region stand still, so its proxy is linked abroad; that node loses contact just as one of the
+    region is asked."""
+    fleet = Fleet(seed)
+    storm = Storm(fleet, Streets(fleet, seed), 0.27)
+    with storm.streets.loop.current():
+        storm.streets.loop.create_task(storm.begin())
+    fleet.run(4)
+    for number in (1, 4, 7):
+        fleet.freeze(f"10.0.0.{number}")
+    choice, name = fleet.fronts["front-1"].attachment.choice, "front-1"
+    ahead = SECOND // 2
+    while choice.linked in (None, "10.0.0.1", "10.0.0.4", "10.0.0.7") or not choice.nearer(
+        fleet.steady(name) + ahead
+    ):
+        fleet.run(0.02)
+        assert fleet.now < 60 * SECOND
+    left = choice.linked
+    fleet.cut |= {link for ip in fleet.boxes for link in ((ip, left), (left, ip)) if ip != left}
+    oldest = 0
+    for _ in range(150):
+        fleet.run(0.02)
+        assert choice.proved is not None
+        oldest = max(oldest, fleet.steady(name) - choice.proved)
+    assert choice.linked != left
+    # A look, dials abroad, a sign and its age where nothing has befallen the node.
+    assert oldest < choice.current_for + SECOND // 2
