--- a/ambershift/group/at_desk.py
+++ b/ambershift/group/at_desk.py
@@ -9,6 +9,7 @@
 from ambershift.admin.words import AS_LISTED, Standing
 from ambershift.door import Door
 from ambershift.promises.state import EMPTY, Promises
+from ambershift.promises.unconfirmed import SoonerEnd
 
 
 class AtDesk:
@@ -22,6 +23,7 @@
         self.desk, self.door, self.now, self.ahead, self.moved = desk, door, now, ahead, moved
         self.state = EMPTY
         self.gathered, self.said = dict[str, None](), list[tuple[str, str]]()
+        self.sooner = dict[str, SoonerEnd]()  # By permit, of entries that are not known to be committed.
         self.holds = True  # False while this member's clock is apart: then nothing is kept out by permits.
 
     def gather(self, state: Promises, servers: Iterable[str], who: str, text: str) -> None:
@@ -74,6 +76,12 @@
                                     if (index := self.door.known(server)) is not None})
         self.moved()
 
+    def committed(self, number: int) -> None:
+        """Entries up to `number` are in the state: from here on it tells of these permits itself."""
+        if any(one.entry <= number for one in self.sooner.values()):
+            self.sooner = {permit: one for permit, one in self.sooner.items() if one.entry > number}
+            self.permits(self.state)
+
     def hold(self, holds: bool) -> None:
         """Whether this member's clock is near enough to the others' to hold servers out by permits."""
         if holds != self.holds:
@@ -84,9 +92,14 @@
         """The servers that permits keep out, and until when by the desk's clock."""
         if not self.holds:
             return {}
-        kept = self.state.kept_out(self.now() + self.ahead)
-        return {index: permit.ends - self.ahead for server, permit in kept.items()
-                if (index := self.door.known(server)) is not None}
+        at = self.now() + self.ahead
+        found = dict[int, int]()
+        for server, permit in self.state.kept_out(at).items():
+            sooner = self.sooner.get(permit.id)
+            ends = permit.ends if sooner is None else min(permit.ends, sooner.ends)
+            if ends > at and (index := self.door.known(server)) is not None:
+                found[index] = ends - self.ahead
+        return found
 
     def drained(self, server: str) -> bool:
         """Shut out at every proxy that this coordinator steers, and no try told any more."""
--- a/ambershift/group/gossip.py
+++ b/ambershift/group/gossip.py
@@ -12,7 +12,8 @@
 from ambershift.group.clocks import Clocks
 from ambershift.group.links.wire import Kind, UnreadableError
 from ambershift.group.links.words import failure
-from ambershift.maintenance.words import Permit, Phase
+from ambershift.maintenance.words import Phase
+from ambershift.promises.state import Held
 from ambershift.replication.heard import messages
 from ambershift.replication.heard.store import Store
 from ambershift.replication.heard.words import Kind as Heard
@@ -90,19 +91,22 @@
         self.store.put(now, Heard.STEERS, "", msgspec.msgpack.encode(own))
         permits = self.member.state.permits
         for held in permits.values():
-            body = self.word(held.permit)
+            body = self.word(held)
             if self.mine(Heard.DRAINED, held.permit.id) != body:
                 self.store.put(now, Heard.DRAINED, held.permit.id, body)
         for key in self.store.keys(Heard.DRAINED):
             if key not in permits:
                 self.store.take_back(now, Heard.DRAINED, key)
 
-    def word(self, permit: Permit) -> bytes:
-        """How far a permit has come here: drained, let in again, or neither."""
-        at_desk = self.member.at_desk
+    def word(self, held: Held) -> bytes:
+        """How far a permit has come here: drained, let in again, or neither. "Let in" is told once a restart
+        can't take it back: the entry that gives the permit back is on this member's disk."""
+        at_desk, permit = self.member.at_desk, held.permit
         if permit.phase <= Phase.OUT:
             return DRAINED if at_desk.drained(permit.server) else NEITHER
-        return LET_IN if not at_desk.held_out(permit.server) else NEITHER
+        replica = self.member.replica
+        kept = replica is not None and held.number <= replica.durable
+        return LET_IN if kept and not at_desk.held_out(permit.server) else NEITHER
 
     def mine(self, kind: Heard, key: str) -> bytes | None:
         held = self.store.found.get(kind, {}).get(key, {}).get(self.store.me)
--- a/ambershift/group/member.py
+++ b/ambershift/group/member.py
@@ -21,6 +21,7 @@
 from ambershift.promises.answers import decode, read_answer
 from ambershift.promises.machine import PromisesMachine
 from ambershift.promises.state import Promises
+from ambershift.promises.unconfirmed import sooner_ends
 from ambershift.promises.words import Command, Wishes
 from ambershift.replication import messages, words
 from ambershift.replication.replica import Replica
@@ -69,6 +70,8 @@
         if self.life.folder is not None:
             self.disk = Disk(self.life.folder, self, asyncio.get_running_loop())
             self.disk.start()
+        saved = self.life.saved
+        self.at_desk.sooner = sooner_ends(saved.entries, saved.committed) if saved is not None else {}
         self.replica = replica_of(self.spec, self.machine, self.life, self.now(), self.seed)
         self.gossip.live(self.life.incarnation)
         self.note("group_start", incarnation=self.life.incarnation, folder=self.life.folder is not None,
@@ -165,6 +168,7 @@
                     self.applied(effect)
                 case Restored():
                     self.take_all(effect.state)
+                    self.at_desk.committed(effect.number)
                 case Answer():
                     self.answered(effect)
                 case words.Note():
@@ -189,6 +193,7 @@
             else:
                 self.at_desk.flush()
                 self.at_desk.permits(effect.state)
+        self.at_desk.committed(effect.entry.number)
         for listener in self.listeners:
             listener(effect.state, command)
 
--- a/ambershift/replication/replica.py
+++ b/ambershift/replication/replica.py
@@ -219,6 +219,12 @@
     def committed(self) -> int:
         return self.core.committed
 
+    @property
+    def durable(self) -> int:
+        """The last entry that a restart of this member surely finds again; without a disk a restart asks the
+        others for all that is committed."""
+        return self.core.durable_top if self.core.fixed.disk else self.core.committed
+
     @property
     def state(self) -> Any:
         return self.core.state
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -10,6 +10,7 @@
 from types import SimpleNamespace
 from typing import Any
 
+import msgspec
 import pytest
 from operated import Operated, some_changes
 from plain import S, entry, make_terms
@@ -19,13 +20,15 @@
 from ambershift.door import Door
 from ambershift.group.at_desk import AtDesk
 from ambershift.group.clocks import LASTS, Clocks
+from ambershift.group.gossip import LET_IN, NEITHER, Gossip
 from ambershift.group.guard import Guard
 from ambershift.group.promise import Promises as Promised
 from ambershift.group.standings import Others, standings
 from ambershift.maintenance.words import Declared, Permit, Phase, Trouble, Work
 from ambershift.promises.answers import Outcome, encode, encode_answer, read_answer, refused
 from ambershift.promises.machine import PromisesMachine
-from ambershift.promises.state import EMPTY
+from ambershift.promises.state import EMPTY, Held
+from ambershift.promises.unconfirmed import SoonerEnd, sooner_ends
 from ambershift.promises.words import Answered, Command, Declare, Grant, Move, Wishes, WishOne
 from ambershift.replication.words import Answer, Entry
 from ambershift.replication.words import Reason as Why
@@ -259,6 +262,40 @@
     assert member.shut == {4, 1}
 
 
+def test_ends_in_entries_not_known_to_be_committed_hold_until_the_state_tells_itself() -> None:
+    """A restart finds a permit as it was, and behind it entries that end it sooner or give it back."""
+    moves = [Move(2, "work/0/1", Phase.OUT, 5 * S), Move(2, "work/1/1", Phase.DRAINING, 99 * S),
+             Move(3, "work/1/1", Phase.RETURNING, 99 * S), Move(2, "work/2/1", Phase.OUT, 7 * S)]
+    log = [Entry(1, number, 0, "", encode(one)) for number, one in enumerate(moves, 3)]
+    found = sooner_ends(log, 5)
+    assert found == {"work/2/1": SoonerEnd(6, 7 * S)}
+    found = sooner_ends(log, 2)
+    assert found == {"work/0/1": SoonerEnd(3, 5 * S), "work/1/1": SoonerEnd(5, 0),
+                     "work/2/1": SoonerEnd(6, 7 * S)}
+    member = Member()
+    member.apply(declare(0, 1, 2))
+    assert member.apply(Grant(1, tuple(permit(member, at, member.now + 30 * S) for at in (0, 1, 2)))).done
+    names = {held.permit.server: held.permit.id for held in member.held.permits.values()}
+    member.at_desk.sooner = {names["s0"]: SoonerEnd(3, 0),
+                             names["s1"]: SoonerEnd(4, member.now + 5 * S),
+                             names["s2"]: SoonerEnd(5, member.now + 40 * S)}
+    kept = {member.door.ids[server]: ends for server, ends in member.at_desk.until().items()}
+    assert kept == {"s1": member.now + 5 * S, "s2": member.now + 30 * S}
+    member.at_desk.committed(3)  # It was not the entry that it was taken for: the state has the permit still.
+    assert {member.door.ids[server] for server in member.at_desk.until()} == {"s0", "s1", "s2"}
+    assert member.at_desk.until() == member.desk.permits
+
+
+@pytest.mark.parametrize(("durable", "word"), [(6, NEITHER), (7, LET_IN)])
+def test_let_in_is_told_only_once_a_restart_cannot_take_it_back(durable: int, word: bytes) -> None:
+    member = Member()
+    returning = msgspec.structs.replace(permit(member, 0, member.now + S), phase=Phase.RETURNING)
+    gossip = Gossip.__new__(Gossip)
+    gossip.member = SimpleNamespace(at_desk=member.at_desk,  # type: ignore[assignment]
+                                    replica=SimpleNamespace(durable=durable))
+    assert gossip.word(Held(returning, 7, True, returning.ends)) == word
+
+
 def test_rule_one_outlives_all_promises() -> None:
     """What is promised is not refused at a member whose list lost all others; a server is lent back there."""
     member = Member(count=4)
--- a/tests/test_group_waves.py
+++ b/tests/test_group_waves.py
@@ -85,6 +85,27 @@
     group(tmp_path, act, extra=declared())
 
 
+@pytest.mark.parametrize("leads", [True, False])
+def test_a_member_killed_just_after_it_let_servers_in_does_not_shut_them_out_again(
+        tmp_path: Path, leads: bool) -> None:
+    """What it restarts with doesn't tell yet that their permits were given back for good."""
+    async def act(rig: Rig) -> None:
+        async def restart(rig: Rig, keeper: Keeper) -> None:
+            await begun(rig, keeper, 1)
+
+            async def back() -> bool:
+                return not rig.fleet.out()
+            await rig.eventually(back, 40, "the first are let in again")
+            leader = await rig.leader()
+            name = leader if leads else next(one for one in rig.names if one != leader)
+            await rig.kill(name)
+            await rig.start(name)
+            await rig.settled()
+            rig.spread()
+        await waves(rig, restart)
+    group(tmp_path, act, extra=declared())
+
+
 def test_a_wave_goes_on_after_all_members_were_restarted_in_its_middle(tmp_path: Path) -> None:
     async def act(rig: Rig) -> None:
         async def restarts(rig: Rig, keeper: Keeper) -> None:
