--- a/ambershift/system/messages/fronts.py
+++ b/ambershift/system/messages/fronts.py
@@ -36,16 +36,14 @@
     `cores`: who serves control; empty where that is as it was told before. `in_touch`: whether this node has
     heard a majority lately. `desks`: how many desks there may be at the most. `age_ms`: how long before the
     sending the moment was up to which all that was acknowledged has been told on this link, once the desk has
-    said Hello (`consensus/contact.py`); `AGE_UNTOLD` by nodes of an earlier version.
+    said Hello (`consensus/contact.py`). Nodes of the version before told none, and no sign before a Hello: a
+    proxy doesn't link to them.
     """
 
     cores: tuple[Core, ...]
     in_touch: bool
     desks: int
-    age_ms: int = -1
-
-
-AGE_UNTOLD = -1
+    age_ms: int
 
 
 class Items(msgspec.Struct, frozen=True, array_like=True, tag="fi"):
--- a/ambershift/system/node_selection/choice.py
+++ b/ambershift/system/node_selection/choice.py
@@ -25,7 +25,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ambershift.system.messages.fronts import AGE_UNTOLD, Core, Cores
+from ambershift.system.messages.fronts import Core, Cores
 from ambershift.system.settings.local import Bounds
 from ambershift.system.steps import MS, SECOND
 
@@ -37,7 +37,9 @@
 NEWER = 500 * MS  # By how much another node's proof must be newer to be worth a change.
 WIDTH = 3  # Nodes asked at once by a proxy whose own one is stale.
 BESIDE_S = 0.25  # A control node that takes longer to answer may be without power: another is asked too.
-SIGN_S = 0.5  # How long one that was dialled has for its sign, which comes at once.
+SIGN_S = (
+    2.0  # How long one that was dialled has for its sign; a busy one takes long, and others are asked too.
+)
 RESERVE_S = 0.5  # How long a current node is waited for once another one has answered.
 SEARCH_LEAST, SEARCH_MOST = SECOND // 2, 4 * SECOND  # Pauses between searches that find nothing.
 
@@ -102,29 +104,24 @@
         self.heard = now
         self.cores = sign.cores or self.cores
         moment = self.moment(now, sign)
-        if moment is not None and (self.proved is None or moment > self.proved):
-            self.proved = moment
+        self.proved = moment if self.proved is None else max(self.proved, moment)
         if not self.stale(now):
             self.search_pause = SEARCH_LEAST
 
     def alive(self, now: int) -> None:
         self.heard = now
 
-    def moment(self, now: int, sign: Cores) -> int | None:
+    def moment(self, now: int, sign: Cores) -> int:
         """Up to when the node that gave this sign has all that was acknowledged."""
-        if sign.age_ms == AGE_UNTOLD:
-            return now if sign.in_touch else None
         return now - sign.age_ms * MS
 
-    def current(self, now: int, sign: Cores) -> bool:
+    def current(self, sign: Cores) -> bool:
         """Whether the node that gave this sign may look after us."""
-        moment = self.moment(now, sign)
-        return moment is not None and now - moment <= self.current_for
+        return sign.age_ms * MS <= self.current_for
 
     def newer(self, now: int, sign: Cores) -> bool:
         """Whether a change to the node that gave this sign makes what we serve by newer."""
-        moment = self.moment(now, sign)
-        return moment is not None and (self.proved is None or moment > self.proved + NEWER)
+        return self.proved is None or self.moment(now, sign) > self.proved + NEWER
 
     def stale(self, now: int) -> bool:
         return self.proved is None or now - self.proved > self.current_for
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -150,7 +150,7 @@
                 if chosen is None:
                     chosen = one
                     asked.give_up_after(RESERVE_S)
-                if self.choice.current(self.steady(), one.sign):
+                if self.choice.current(one.sign):
                     chosen = one
                     break
         finally:
@@ -177,7 +177,7 @@
 
     async def _ask_nearer(self, ip: str) -> Answered | None:
         one = await self.ask(ip)
-        if one is not None and not self.choice.current(self.steady(), one.sign):
+        if one is not None and not self.choice.current(one.sign):
             one.connection.transport.abort()
             self.choice.fail(self.steady(), ip)
             return None
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -6,9 +6,10 @@
 
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.consensus import contact, watching
+from ambershift.system.consensus.contact import NEVER_MS
 from ambershift.system.distribution import controller
 from ambershift.system.messages.copies import Beat
-from ambershift.system.messages.fronts import AGE_UNTOLD, Cores
+from ambershift.system.messages.fronts import Cores
 from ambershift.system.node_selection import choice
 from ambershift.system.simulation.variant import constant, of
 
@@ -25,7 +26,7 @@
 def by_its_word(real: Any) -> Any:
     def sign(self: controller.Controller, cores: Any) -> Cores:
         made: Cores = real(self, cores)
-        return Cores(made.cores, made.in_touch, made.desks, AGE_UNTOLD)
+        return Cores(made.cores, made.in_touch, made.desks, 0 if made.in_touch else NEVER_MS)
 
     return sign
 
--- a/tests/test_system_fleet.py
+++ b/tests/test_system_fleet.py
@@ -101,3 +101,20 @@
     assert choice.linked != left
     # A look, dials abroad, a sign and its age where nothing has befallen the node.
     assert oldest < choice.current_for + SECOND // 2
+
+
+def test_a_node_that_is_busy_when_it_is_dialled_has_time_for_its_first_sign() -> None:
+    """1.7 s is what it takes one at the full size to answer those that come from a lost one (CAPACITY.md)."""
+    fleet = Fleet(1)
+    fleet.run(4)
+    front, ip = fleet.fronts["front-1"], "10.0.0.2"
+    with front.loop.current():
+        asked = front.loop.create_task(front.attachment.ask(ip))
+    fleet.run(0.09)  # It has accepted; its sign is on the way.
+    fleet.cut.add((ip, "front-1"))
+    fleet.run(1.7)
+    assert not asked.done()
+    fleet.cut.clear()
+    fleet.run(0.3)
+    found = asked.result()
+    assert found is not None and front.attachment.choice.current(found.sign)
