--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -97,7 +97,8 @@
         gone = lost and not self._watching.alive(old.ip, LEFT_OUT) and self._out.now - self._awake > LEFT_OUT
         # Within a beat and a half: one that has just died must not be counted on when others are left out.
         heard = self._watching.well(old.ip)
-        return VoterView(self._now(old), heard, lost, gone, old.ip in self._watching.leaving)
+        leaving, complete = old.ip in self._watching.leaving, self._watching.complete(old.ip)
+        return VoterView(self._now(old), heard, lost, gone, leaving, complete)
 
     def wanted(self) -> Plan:
         """The voters that there should be, by what is known here."""
--- a/ambershift/system/consensus/membership_plan.py
+++ b/ambershift/system/consensus/membership_plan.py
@@ -20,8 +20,9 @@
     """A voter as one machine sees it. `member` has the disk that it has now.
 
     `heard`: this machine hears it. `lost`: a majority hasn't heard it for a moment. `gone`: for so long that
-    it may be left out. `leaving`: it tells that its process is about to end. One may be neither heard nor
-    known to be lost: then it isn't counted on, and its seat isn't taken.
+    it may be left out. `leaving`: it tells that its process is about to end. `complete`: it tells that it has
+    all that was held before this epoch. One may be neither heard nor known to be lost: then it isn't counted
+    on, and its seat isn't taken.
     """
 
     member: Member
@@ -29,6 +30,7 @@
     lost: bool = False
     gone: bool = False
     leaving: bool = False
+    complete: bool = True
 
     @property
     def present(self) -> bool:
@@ -74,17 +76,32 @@
 
 def _replaced(voters: Sequence[VoterView], spare: list[Machine]) -> list[VoterView]:
     """Seats of voters that are lost, then of those that leave, go to the nearest learners, which are then no
-    longer spare."""
+    longer spare.
+
+    Those that leave hand their seats over only while complete voters that are heard keep a majority. A
+    learner may have died a moment ago: with a majority of seats such ones would keep the set standing still,
+    though those that leave may be back with their disks in a second."""
     seats = list(voters)
+    staying = sum(_counted_on(seat) for seat in seats)
     order = sorted(range(len(seats)), key=lambda at: not seats[at].lost)
     for at in order:
-        if spare and (seats[at].lost or seats[at].leaving):
-            chosen = _nearest(seats[at].member, spare)
-            spare.remove(chosen)
-            seats[at] = VoterView(chosen.member)
+        seat = seats[at]
+        if not spare or not (seat.lost or seat.leaving):
+            continue
+        if not seat.lost:
+            if staying - _counted_on(seat) < majority(len(seats)):
+                continue
+            staying -= _counted_on(seat)
+        chosen = _nearest(seat.member, spare)
+        spare.remove(chosen)
+        seats[at] = VoterView(chosen.member)
     return seats
 
 
+def _counted_on(seat: VoterView) -> bool:
+    return seat.heard and seat.complete and not seat.lost
+
+
 def _nearest(old: Member, spare: Sequence[Machine]) -> Machine:
     return min(spare, key=lambda one: (one.zone != old.zone, one.region != old.region, one.ip))
 
--- a/tests/test_system_membership.py
+++ b/tests/test_system_membership.py
@@ -28,9 +28,11 @@
 
 
 def planned(states: str, *learners: int) -> str:
-    """A letter a voter: there, Lost, Gone (lost for long), leaving (E), Silent to this machine alone."""
+    """A letter each: there, Lost, Gone (lost for long), leaving (E), Silent to this machine alone, not yet complete (F)."""
     voters = [
-        VoterView(member(at), state not in "LGS", state in "LG", state == "G", state == "E")
+        VoterView(
+            member(at), state not in "LGS", state in "LG", state == "G", state == "E", state not in "LGF"
+        )
         for at, state in enumerate(states, 1)
     ]
     found = plan(voters, [learner(number) for number in learners], TOLERATED)
@@ -53,6 +55,12 @@
         ("E....", (), "1 2 3 4 5"),
         ("E....", (6,), "6 2 3 4 5"),
         ("EL...", (6,), "1 6 3 4 5"),  # The lost seat first.
+        ("EE.", (4, 5), "4 2 3"),  # A majority stays with those that are heard: learners may have died.
+        ("EE...", (6, 7), "7 6 3 4 5"),
+        ("EEE..", (6, 7, 8), "7 8 3 4 5"),
+        ("LE.", (4, 5), "4 2 3"),
+        ("ES.", (4,), "1 2 3"),
+        ("EF.", (4,), "1 2 3"),
         ("EESS.", (), "1 2 3 4 5"),  # Those that leave may be all that there is.
         ("EE.S.", (), "1 2 3 4 5"),
         ("....", (5,), "1 2 3 4 5"),
@@ -213,3 +221,29 @@
         world.start(ip)
     world.run(6)
     assert written(world, ["10.0.0.1", "10.0.0.2", "10.0.0.3"])
+
+
+def test_seats_of_two_that_end_are_not_both_handed_to_learners_that_have_just_died() -> None:
+    """Found by seed 470: two of five leave the voters and are taken out for good, and within a second two of
+    the three that are left are told to end. They are back in a second; the two learners never are."""
+    world = Lists(5, loss=0, count=5)
+    world.run(2.5)
+    for ip in ("10.0.0.2", "10.0.0.3"):
+        world.retire(ip)
+    world.run(1)
+    replica = world.boxes["10.0.0.1"].replica
+    assert replica is not None and replica.voters.ips == {"10.0.0.1", "10.0.0.4", "10.0.0.5"}
+    for ip in ("10.0.0.2", "10.0.0.3"):  # Started anew, they no longer leave.
+        world.kill(ip)
+        world.start(ip)
+    world.run(0.6)
+    for ip in ("10.0.0.2", "10.0.0.3"):
+        world.remove(ip)
+    for ip in ("10.0.0.4", "10.0.0.5"):
+        world.retire(ip)
+    world.run(1.5)
+    for ip in ("10.0.0.4", "10.0.0.5"):
+        world.kill(ip)
+        world.start(ip)
+    world.run(8)
+    assert written(world, ["10.0.0.1", "10.0.0.4", "10.0.0.5"])
