--- a/ambershift/system/configuration/agreement.py
+++ b/ambershift/system/configuration/agreement.py
@@ -20,6 +20,7 @@
 from ambershift.system.configuration.faults import Fault
 from ambershift.system.configuration.orders import Order, same_content
 from ambershift.system.contracts import Verdict
+from ambershift.system.messages.forgotten import THE_FORGOTTEN, forgotten_of
 from ambershift.system.messages.items import AGREED, Item, Key
 
 REGISTER = "configuration"
@@ -98,9 +99,19 @@
     settled: int
 
 
+@dataclass(frozen=True, slots=True)
+class BelowFloor:
+    """Not judged, and nothing written: these, or services that they name, may be new or wrong, or dropped so
+    long ago that all have forgotten it (`messages/forgotten.py`). One who asks again, long after it was
+    acknowledged, must not be refused; and what is wrong must not be acknowledged."""
+
+    items: tuple[Item, ...]
+    floor: int
+
+
 REFUSED_BEFORE = Fault("", "", "was refused before; send what is wanted now under higher versions")
 
-Outcome = Accepted | Conflict | Invalid | Behind
+Outcome = Accepted | Conflict | Invalid | Behind | BelowFloor
 
 _decode = msgspec.msgpack.Decoder(Agreement).decode
 _encode = msgspec.msgpack.Encoder().encode
@@ -163,6 +174,7 @@
     refused = next((one for one in agreement.refused if one.digest == digest), None)
     standing = {**held, **_by_key(agreement.recent, held)}
     overtaken = {(one.kind, one.name, one.version): one.digest for one in agreement.superseded}
+    forgotten = forgotten_of(held.get(THE_FORGOTTEN))
     fresh: list[Item] = []
     superseded: list[Superseded] = []
     conflicts: list[Item] = []
@@ -183,6 +195,8 @@
         return after, Conflict(tuple(conflicts))
     if refused is not None:
         return agreement, Invalid((REFUSED_BEFORE,))
+    if forgotten.batch and (unclear := order.unclear(standing, forgotten.floor, overtaken)):
+        return agreement, BelowFloor(unclear, forgotten.floor)
     if found := order.unknown(standing):
         return _refusing(agreement, Refusal(digest, False)), Invalid(found)
     if not fresh and not superseded:
--- a/ambershift/system/configuration/orders.py
+++ b/ambershift/system/configuration/orders.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping
+from collections.abc import Container, Iterator, Mapping
 from dataclasses import dataclass
 from typing import Any
 
@@ -42,6 +42,30 @@
             *self._bereft(held, after),
         )
 
+    def unclear(
+        self, held: Mapping[Key, Item], floor: int, known: Container[tuple[str, str, int]]
+    ) -> tuple[Item, ...]:
+        """Items of which it can't be told any more what became of them, as drops up to version `floor` are
+        forgotten. `known`: the overtaken versions (kind, name, version) whose contents are remembered."""
+        after = {**held, **{item.key: item for item in self.items}}
+        return tuple(item for item in self.items if self._is_unclear(item, held, after, floor, known))
+
+    def _is_unclear(
+        self,
+        item: Item,
+        held: Mapping[Key, Item],
+        after: Mapping[Key, Item],
+        floor: int,
+        known: Container[tuple[str, str, int]],
+    ) -> bool:
+        version = item.version[0]
+        if item.key not in held:
+            return version <= floor
+        if held[item.key].version[0] <= version:
+            return False
+        nameless = any((SERVICE, name) not in after for name in self.names.get(item.key, ()))
+        return nameless or (version <= floor and (*item.key, version) not in known)
+
     def _bereft(self, held: Mapping[Key, Item], after: Mapping[Key, Item]) -> Iterator[Fault]:
         """Services that this call (not one before it) drops though a route that stands names them still.
 
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -16,6 +16,7 @@
 from ambershift.system.consensus.acceptor import Acceptor
 from ambershift.system.consensus.contact import Contact
 from ambershift.system.consensus.events import Event, Freshen, Put, Reached
+from ambershift.system.consensus.forgetting import Forgetting
 from ambershift.system.consensus.journal import Journal
 from ambershift.system.consensus.membership import Membership
 from ambershift.system.consensus.outbox import News, Outbox
@@ -89,7 +90,7 @@
             numbers,
             self._watching.proven,
         )
-        self._writing = Writing(out, self._voters, self._store, numbers, self._watching.learners)
+        writing = self._writing = Writing(out, self._voters, self._store, numbers, self._watching.learners)
         self._syncing = Syncing(
             out,
             self._voters,
@@ -111,6 +112,7 @@
             settings.tolerated,
             self._decisions.append,
         )
+        self._forgetting = Forgetting(out, self._voters, self._watching, self._store, self._proposer, writing)
         self._prefetch = 0
         self._held: list[tuple[str, msgspec.Struct]] = []
         if "birth" not in meta:
@@ -140,7 +142,8 @@
         elif isinstance(event, Written):
             self._journal.written(event.token, event.fault)
         elif isinstance(event, Put):
-            self._writing.put(event.call, event.items, now + int(event.within * SECOND))
+            done = partial(out.answer, event.call)
+            self._writing.put(event.items, now + int(event.within * SECOND), done)
         elif isinstance(event, Freshen):
             self._syncing.freshen(event.call, now + int(event.within * SECOND))
         else:
@@ -171,14 +174,15 @@
         self._syncing.tick()
         self._proposer.tick()
         self._membership.tick()
+        self._forgetting.tick()
 
     def _take(self, sender: str, message: msgspec.Struct) -> None:
         if isinstance(message, (Agreed, Promise, Refused, Lacking)):
             if not self._proposer.reply(sender, message) and isinstance(message, Agreed):
                 self._writing.agreed(sender, message)
         elif isinstance(message, Merge):
-            self._store.merge(message.items)  # Newer is newer, whoever votes.
-            if message.number:
+            taken = self._merge(message)  # Newer is newer, whoever votes.
+            if message.number and taken:
                 self._vote(sender, message, message.epoch)
         elif isinstance(message, _WANTED):
             self._vote(sender, message, message.epoch)
@@ -195,6 +199,13 @@
         elif isinstance(message, Decision):
             self._adopt(message)
 
+    def _merge(self, message: Merge) -> bool:
+        replaced = self._store.replaced
+        taken = self._store.merge(message.items, message.batch)
+        if self._store.replaced != replaced:
+            self._syncing.restart()
+        return taken
+
     def _vote(self, sender: str, message: msgspec.Struct, epoch: int) -> None:
         """Handle what wants this machine's vote, if the sender counts by the same voters as it does."""
         decision = self._voters.decision
--- a/ambershift/system/consensus/syncing.py
+++ b/ambershift/system/consensus/syncing.py
@@ -135,9 +135,13 @@
         self._out.send(ip, Ask(one.epoch, number, items, registers))
 
     def shared(self, sender: str, share: Share) -> None:
-        self._store.merge(share.items)
+        replaced = self._store.replaced
+        taken = self._store.merge(share.items, share.batch)
         if not self._voters.voting:
             self._acceptor.merge(share.registers)
+        if self._store.replaced != replaced:
+            self.restart()
+            return
         one = next((one for one in self._sessions if share.number in one.parts), None)
         if one is None or share.epoch != one.epoch or one.parts[share.number][0] != sender:
             return
@@ -153,6 +157,8 @@
         del one.parts[share.number]
         if one.kind == QUIET:
             self._sessions.remove(one)
+        elif not taken:
+            return
         elif one.kind in READINGS:
             if share.whole >= one.epoch and sender in self._voters.ips:
                 one.yes.add(sender)
@@ -190,6 +196,11 @@
         self._voters.complete()
         self._completed()
 
+    def restart(self) -> None:
+        """What was fetched so far was thrown away: it may be of before drops that all have forgotten."""
+        for one in list(self._sessions):
+            self._start(one)
+
     def reached(self, ip: str) -> None:
         """What was asked of it before is lost; after a start all desks wait for it."""
         for one in self._sessions:
@@ -204,12 +215,13 @@
         names = self._store.buckets.unequal(ask.items)
         head = partial(Share, ask.epoch, ask.number, self._voters.whole, self._voters.me.birth)
         if names is None:
-            self._out.send(sender, head(0, 1, True, (), ()))
+            self._out.send(sender, head(0, 1, True, (), (), batch=self._store.forgotten.batch))
             return
         records = [] if ask.registers is None else self._acceptor.newer(ask.registers)
         parts = list(_parts(self._store.named(names), records))
         shares = [
-            head(index, len(parts), False, items, registers) for index, (items, registers) in enumerate(parts)
+            head(index, len(parts), False, items, registers, batch=self._store.forgotten.batch)
+            for index, (items, registers) in enumerate(parts)
         ]
         for share in shares:
             self._journal.synced(partial(self._out.send, sender, share))
--- a/ambershift/system/consensus/writing.py
+++ b/ambershift/system/consensus/writing.py
@@ -19,9 +19,10 @@
 
 @dataclass(slots=True)
 class Put:
-    call: int
+    done: Callable[[Held | Exception], None]
     items: tuple[Item, ...]
     deadline: int
+    on_all: bool  # Not on enough voters, but on all.
     number: int = 0
     epoch: int = 0  # 0 while nothing was merged or sent.
     yes: set[str] = field(default_factory=set)
@@ -45,8 +46,14 @@
         self._numbers, self._learners = numbers, learners
         self._puts: dict[int, Put] = {}
 
-    def put(self, call: int, items: Sequence[Item], deadline: int) -> None:
-        one = Put(call, tuple(items), deadline, self._numbers())
+    def put(
+        self,
+        items: Sequence[Item],
+        deadline: int,
+        done: Callable[[Held | Exception], None],
+        on_all: bool = False,
+    ) -> None:
+        one = Put(done, tuple(items), deadline, on_all, self._numbers())
         self._puts[one.number] = one
         self._start(one)
 
@@ -60,12 +67,12 @@
         self._store.merge(one.items)
         self._send(one, self._voters.near)
         if first:  # What learners miss they find out by checksums.
-            message = Merge(one.epoch, 0, self._store.held(one.keys))
+            message = Merge(one.epoch, 0, self._store.held(one.keys), self._store.forgotten.batch)
             for ip in self._learners():
                 self._out.send(ip, message)
 
     def _send(self, one: Put, ips: Sequence[str]) -> None:
-        message = Merge(one.epoch, one.number, self._store.held(one.keys))
+        message = Merge(one.epoch, one.number, self._store.held(one.keys), self._store.forgotten.batch)
         size = sum(len(item.body or b"") + 64 for item in message.items)
         one.again = self._out.now + AGAIN + size * BYTE
         for ip in ips:
@@ -76,19 +83,18 @@
         if one is None or message.epoch != one.epoch or sender not in self._voters.ips:
             return
         one.yes.add(sender)
-        if len(one.yes) >= self._voters.enough:
+        if len(one.yes) >= (len(self._voters.ips) if one.on_all else self._voters.enough):
             del self._puts[one.number]
-            self._out.answer(one.call, Held(None))
+            one.done(Held(None))
 
     def tick(self) -> None:
         for one in list(self._puts.values()):
             if self._out.now >= one.deadline:
                 del self._puts[one.number]
-                self._out.answer(
-                    one.call,
+                one.done(
                     NotDoneError("no voters are known yet")
                     if one.epoch == 0
-                    else NotHeldError("too few voters answered in time"),
+                    else NotHeldError("too few voters answered in time")
                 )
             elif one.epoch == 0:
                 self._start(one)
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -17,6 +17,7 @@
     REGISTER,
     Accepted,
     Behind,
+    BelowFloor,
     Conflict,
     Invalid,
     Outcome,
@@ -96,6 +97,8 @@
             return self._conflict(outcome)
         if isinstance(outcome, Invalid):
             return self._invalid(outcome.faults)
+        if isinstance(outcome, BelowFloor):
+            return self._below_floor(outcome)
         try:
             await self._stored(outcome, until)
         except (NotHeldError, NotDoneError) as why:
@@ -103,7 +106,7 @@
         self._log(events.CONFIGURATION_TAKEN, {"items": len(order.items)})
         return reply(200)
 
-    async def _agreed(self, proposal: Proposal, until: int) -> Accepted | Conflict | Invalid:
+    async def _agreed(self, proposal: Proposal, until: int) -> Accepted | Conflict | Invalid | BelowFloor:
         """Raises `NotHeldError`, or `NotDoneError` where the last try did nothing."""
         while True:
             outcome: Outcome = await self._ledger.change(REGISTER, proposal, self._left(until))
@@ -137,6 +140,14 @@
         self._log(events.CONFIGURATION_CONFLICT, {"reason": reason})
         return reply(409, Cause=reason)
 
+    def _below_floor(self, outcome: BelowFloor) -> Reply:
+        names = ", ".join(f"{one.kind} {one.name}" for one in outcome.items[:NAMED_MOST])
+        reason = (
+            f"{names}: not held; drops up to r{outcome.floor} are forgotten: send it under a higher version"
+        )
+        self._log(events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": len(outcome.items)})
+        return reply(503, Cause=reason)
+
     def _unclear(self, reason: str, items: int) -> Reply:
         self._log(events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": items})
         return UNCLEAR
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -14,6 +14,7 @@
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.distribution.pool_loads import FED_EACH, PoolLoads
 from ambershift.system.distribution.pushes import Pushes
+from ambershift.system.messages.forgotten import FORGOTTEN
 from ambershift.system.messages.fronts import (
     Backend,
     Backends,
@@ -149,7 +150,7 @@
     # What changes.
     def _items(self, items: Sequence[Item]) -> None:
         self._send(self.pushes.items(items))
-        self.routed &= not any(one.kind in (ROUTE, ZONE) for one in items)
+        self.routed &= not any(one.kind in (ROUTE, ZONE, FORGOTTEN) for one in items)
 
     def _listed(self, put: Sequence[Life], gone: Sequence[str]) -> None:
         self.list = None
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -5,6 +5,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
+from ambershift.system.messages.forgotten import FORGOTTEN
 from ambershift.system.messages.fronts import Backend, Backends, Items
 from ambershift.system.messages.items import CLEARED, INSTANCE, Item, Key, cleared_by
 from ambershift.system.steps import Send
@@ -22,6 +23,7 @@
 class Pushes:
     def __init__(self) -> None:
         self.told: dict[Key, Item] = {}  # What every desk that has said Hello has been sent.
+        self._forgot = False  # Whether `told` may have what all have forgotten since.
         self._all: Items | None = None  # The same in one message, for all that link before it changes.
         self.desks: dict[str, Pushed] = {}
         self.links = 0
@@ -30,7 +32,10 @@
 
     def greet(self, name: str, items: Iterable[Item], backends: Backends) -> list[Send]:
         """A new link: all items, then the list. Where we may not have heard all yet it takes nothing away."""
+        items = list(items)
         newer = self.items(items)
+        if self._forgot:
+            self.told, self._all, self._forgot = {one.key: one for one in items}, None, False
         self.links += 1
         self.desks[name] = Pushed(self.links, whole=backends.whole)
         self._all = self._all or Items(tuple(self.told.values()), False)
@@ -51,6 +56,7 @@
         self.told |= {one.key: one for one in newer}
         for id in (id for one in newer if one.kind == CLEARED for id in cleared_by(one)):
             self.told.pop((INSTANCE, id), None)
+        self._forgot = self._forgot or any(one.kind == FORGOTTEN for one in newer)
         self._all, change = None, Items(tuple(newer), False)
         return [Send(name, change) for name in self.desks]
 
--- a/ambershift/system/events.py
+++ b/ambershift/system/events.py
@@ -35,6 +35,8 @@
     208: (INFO, "complete copies among the voters"),
     209: (INFO, "about to end: whether the voters do without this machine"),
     210: (WARNING, "contact with a majority of the voters: lost, or there again"),
+    211: (INFO, "items dropped long ago are forgotten by all"),
+    212: (WARNING, "configuration here thrown away and read anew: of before drops that are forgotten"),
     301: (WARNING, "backend missing: its beats have stopped"),
     302: (WARNING, "control node lost: what it told is let go"),
     303: (WARNING, "most backends here silent at once: waiting for others to hear them"),
--- a/ambershift/system/messages/copies.py
+++ b/ambershift/system/messages/copies.py
@@ -80,11 +80,13 @@
 
 
 class Merge(msgspec.Struct, frozen=True, array_like=True, tag="cm"):
-    """Merge these, sync, and answer `Agreed`."""
+    """Merge these, sync, and answer `Agreed`. `batch`: the last one of `messages/forgotten.py` that the
+    sender knows."""
 
     epoch: int
     number: int
     items: tuple[Item, ...]
+    batch: int = 0
 
 
 class Agreed(msgspec.Struct, frozen=True, array_like=True, tag="cy"):
@@ -177,7 +179,7 @@
     """Items of the buckets that differ and all registers promised or accepted higher, in `parts` messages.
 
     Where only a digest over all was told and differs, `unequal` asks for those of the buckets. `whole`: what
-    was held before that epoch is all here."""
+    was held before that epoch is all here. `batch`: as of a `Merge`."""
 
     epoch: int
     number: int
@@ -188,3 +190,4 @@
     unequal: bool
     items: tuple[Item, ...]
     registers: tuple[tuple[str, Record], ...]
+    batch: int = 0
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -249,6 +249,9 @@
         if isinstance(message, Items):
             self._tell_items(message)
             self.greet()
+            if self.desk.routing.unusable:
+                self._leave("outdated")
+                outbox.break_off()
 
     def _tell_items(self, message: Items) -> None:
         """The log says when a version came into force here, and by whom."""
--- a/ambershift/system/proxy/desk.py
+++ b/ambershift/system/proxy/desk.py
@@ -88,6 +88,7 @@
 
     def linked(self) -> None:
         """A link to a control node begins. Tables of the old one stay in use until its binds come."""
+        self.routing.begin_link()
 
     def unlinked(self) -> None:
         """The link was lost: the desk serves on with what it knows."""
@@ -184,7 +185,8 @@
                 self.backend_view.forget(items.cleared_by(item))
             elif item.kind == items.SERVICE:
                 self._share_room(self.backend_view.serving(item.name))
-        self.routing.complete = self.routing.complete or message.complete
+        if message.complete:
+            self.routing.complete_link()
         if self.routing.complete:
             self.merged.come()
 
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -3,13 +3,20 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from typing import Any
 
 import msgspec
 
 from ambershift.system.messages import items as kinds
+from ambershift.system.messages.forgotten import (
+    CONFIGURATION,
+    FORGOTTEN,
+    NOTHING_FORGOTTEN,
+    Forgotten,
+    forgotten_of,
+)
 from ambershift.system.messages.fronts import tally_of
 from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.proxy.limits import Limits, read_limits
@@ -95,16 +102,34 @@
         self.complete = False
         self.limits = Limits()
         self._cleared = frozenset[Key]()
+        self._forgotten = NOTHING_FORGOTTEN
+        self._gone: Mapping[Key, int] = {}
+        self._outdated = False  # Whether there may be what was dropped and forgotten since.
+        self._first = False  # Whether the next items are the first of a link: all that its node has.
+        self._told: set[Key] | None = None  # By the link in use, until it has told all.
+        self.unusable = False  # Whether the link in use can't tell what stands: another one is needed.
         self.routes = 0
         self._services: dict[str, Service] = {}
         self._routes: dict[str, Route] = {}
         self._hosts: dict[bytes, _Host] = {}
 
-    def merge(self, items: Iterable[Item]) -> list[Item]:
+    def begin_link(self) -> None:
+        """What comes from here on is told by another control node, or by one that was lost meanwhile."""
+        self._first, self._told, self.unusable = True, set(), False
+
+    def merge(self, items: Sequence[Item]) -> list[Item]:
         """Those that were newer than what stood here."""
+        first, self._first = self._first, False
+        if first:
+            told = next((item for item in items if item.kind == FORGOTTEN), None)
+            self.unusable = forgotten_of(told).batch < self._forgotten.enough
+        if self.unusable:
+            return []
         fresh = []
         for item in items:
-            if item.key in self._cleared:
+            if self._told is not None:
+                self._told.add(item.key)
+            if item.key in self._cleared or item.version[0] <= self._gone.get(item.key, -1):
                 continue
             old = self.items.get(item.key)
             if old is not None and newest(old, item) is old:
@@ -121,9 +146,40 @@
                 self._cleared = frozenset((kinds.INSTANCE, id) for id in kinds.cleared_by(item))
                 for key in self._cleared:
                     self.items.pop(key, None)
+            elif item.kind == FORGOTTEN:
+                self._forget(forgotten_of(item), first)
         self.routes = len(self._routes)
         return fresh
 
+    def complete_link(self) -> None:
+        """All that stands has been told on this link. What is as old as forgotten drops and wasn't told was
+        dropped while this proxy was away."""
+        if self._outdated and self._told is not None and not self.unusable:
+            old = [one for one in self.items.values() if one.kind in CONFIGURATION]
+            for item in old:
+                if item.version[0] <= self._forgotten.floor and item.key not in self._told:
+                    self._drop(item.key)
+            self.routes = len(self._routes)
+            self._outdated = False
+        self._told = None
+        self.complete = self.complete or not self.unusable
+
+    def _forget(self, by: Forgotten, first: bool) -> None:
+        if self._forgotten.batch < by.enough:
+            self._outdated = True
+            self.unusable = not first  # The node itself was outdated until now: what it told before is void.
+        self._forgotten, self._gone = by, by.versions()
+        for key, version in self._gone.items():
+            if (held := self.items.get(key)) is not None and held.version[0] <= version:
+                self._drop(key)
+
+    def _drop(self, key: Key) -> None:
+        item = self.items.pop(key)
+        if item.kind == kinds.ROUTE:
+            self._take_out(item.name)
+        elif item.kind == kinds.SERVICE:
+            self._services.pop(item.name, None)
+
     def service(self, name: str) -> Service:
         return self._services.get(name) or Service()
 
@@ -142,16 +198,19 @@
         return [tally_of(host, ()), *([tally_of(host, route.homes)] if route.homes else [])]
 
     def _place(self, item: Item) -> None:
-        old = self._routes.pop(item.name, None)
+        self._take_out(item.name)
+        route = read_route(item)
+        if route is not None:
+            self._routes[item.name] = route
+            self._hosts.setdefault(route.host, _Host()).put(route)
+
+    def _take_out(self, name: str) -> None:
+        old = self._routes.pop(name, None)
         if old is not None:
             there = self._hosts[old.host]
             there.take_out(old)
             if not there.heads:
                 del self._hosts[old.host]
-        route = read_route(item)
-        if route is not None:
-            self._routes[item.name] = route
-            self._hosts.setdefault(route.host, _Host()).put(route)
 
 
 class _Host:
--- a/ambershift/system/simulation/readers.py
+++ b/ambershift/system/simulation/readers.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from ambershift.system.contracts import NotHeldError
+from ambershift.system.messages.forgotten import CONFIGURATION
 from ambershift.system.messages.items import ZONE, Item, Key
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.cluster import ZONES, Process
@@ -54,7 +55,7 @@
         standing = {
             key: (item.version[0], msgspec.json.decode(item.body))
             for key, item in items.items()
-            if key[0] != ZONE and item.body is not None
+            if key[0] in CONFIGURATION and item.body is not None
         }
         zones = {
             zone: (item := items.get((ZONE, zone))) is not None and item.body == b"true" for zone in ZONES
--- /dev/null
+++ b/tests/test_system_forgetting.py
@@ -0,0 +1,338 @@
+"""Dropped items are forgotten by all, and nothing brings them back: no copy, no proxy, no late call."""
+
+from __future__ import annotations
+
+from collections.abc import Coroutine, Iterator
+from typing import Any
+
+import msgspec
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from ambershift.modelcheck.mutants.words import broken
+from ambershift.system.configuration.agreement import (
+    Accepted,
+    Agreement,
+    BelowFloor,
+    Conflict,
+    Outcome,
+    Progress,
+    decide,
+)
+from ambershift.system.configuration.orders import read_order
+from ambershift.system.consensus.events import Freshen, Put
+from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.replica import Replica
+from ambershift.system.distribution.pushes import Pushes
+from ambershift.system.messages import forgotten
+from ambershift.system.messages.forgotten import THE_FORGOTTEN, Forgotten, forgotten_of
+from ambershift.system.messages.fronts import Backends, Items
+from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
+from ambershift.system.proxy.routing import Routing
+from ambershift.system.simulation.calling import Streets
+from ambershift.system.simulation.fleet import Fleet
+from ambershift.system.simulation.fleet_history import ROUTES, Storm
+from ambershift.system.simulation.forgetting_soon import BY_NAME, forgetting_soon
+from ambershift.system.simulation.histories import play_cluster
+from ambershift.system.simulation.world import World
+
+AWAY = "10.0.0.6"
+
+
+def route(name: str, version: int) -> Item:
+    body = {"Host": "h", "PathPrefix": f"/{name}", "RouteType": "idempotent", "Service": "s"}
+    return Item(ROUTE, name, (version, AGREED), msgspec.json.encode(body))
+
+
+def drop(name: str, version: int) -> Item:
+    return Item(ROUTE, name, (version, AGREED))
+
+
+# What is listed.
+
+
+def test_batches_are_listed_whole_and_the_last_two_in_any_case(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(forgotten, "LISTED", 3)
+    told = Forgotten()
+    assert told.enough == 0 and forgotten_of(None) == told
+    for number in range(1, 6):
+        told = told.after([drop(f"a{number}", 10 * number), drop(f"b{number}", 10 * number - 1)])
+        assert forgotten_of(told.item) == told and told.floor == 10 * number
+        assert {one.batch for one in told.drops} == {number, number - 1} - {0}
+        assert told.enough == max(0, number - 2)
+    again = told.after([drop("a5", 70)])
+    assert again.versions() == {(ROUTE, "a5"): 70, (ROUTE, "b5"): 49} and again.enough == 4
+
+
+@given(st.lists(st.integers(1, 5), max_size=12), st.integers(1, 8))
+def test_a_copy_that_knows_enough_learns_of_all_it_may_have(sizes: list[int], listed: int) -> None:
+    told, all_told = Forgotten(), [Forgotten()]
+    drops: list[list[Key]] = [[]]
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(forgotten, "LISTED", listed)
+        for number, size in enumerate(sizes, 1):
+            some = [drop(f"{number}-{at}", number) for at in range(size)]
+            told = told.after(some)
+            all_told.append(told)
+            drops.append([one.key for one in some])
+    for known in range(told.enough, told.batch + 1):
+        missed = {key for some in drops[known + 1 :] for key in some}
+        assert missed <= told.versions().keys()
+
+
+# Control nodes.
+
+
+@pytest.fixture
+def soon() -> Iterator[None]:
+    with forgetting_soon():
+        yield
+
+
+def put(world: World, *items: Item, at: str = "10.0.0.1") -> None:
+    told: list[object] = []
+    world.call(at, lambda call: Put(call, items, 2.5), told.append)
+    world.run(1)
+    assert told == [Held(None)]
+
+
+def replicas(world: World) -> dict[str, Replica]:
+    return {ip: box.replica for ip, box in world.boxes.items() if box.replica is not None}
+
+
+def cut_off(world: World) -> set[tuple[str, str]]:
+    return {link for ip in world.boxes if ip != AWAY for link in ((ip, AWAY), (AWAY, ip))}
+
+
+def started() -> World:
+    world = World(5, loss=0)
+    world.run(3)
+    put(world, *(route(f"r{at}", at) for at in range(1, 9)))
+    return world
+
+
+def test_all_copies_and_disks_forget_what_was_dropped_and_keep_the_rest(soon: None) -> None:
+    world = started()
+    for at in range(1, 6):
+        put(world, drop(f"r{at}", 10 + at))
+    world.run(6)
+    left = {(ROUTE, f"r{at}") for at in (6, 7, 8)}
+    for ip, one in replicas(world).items():
+        assert one.store.items.keys() == left | {THE_FORGOTTEN} and not one.store.drops
+        assert one.store.forgotten.batch == 5 and one.store.forgotten.floor == 15
+        assert world.boxes[ip].disk["items"].keys() == {f"{kind}\x1f{name}" for kind, name in one.store.items}
+    put(world, drop("r5", 15), route("r4", 4))  # What comes late, from a copy of before, is not taken.
+    world.run(1)
+    assert all(one.store.items.keys() == left | {THE_FORGOTTEN} for one in replicas(world).values())
+    put(world, route("r5", 16))
+    world.run(1)
+    assert all((ROUTE, "r5") in one.store.items for one in replicas(world).values())
+
+
+def away_while_all_forget(world: World) -> None:
+    """One of six voters is cut off until it is left out; five drops are forgotten; it comes back."""
+    world.cut |= cut_off(world)
+    for at in range(1, 6):
+        put(world, drop(f"r{at}", 10 + at))
+    world.run(16)
+    voters = replicas(world)["10.0.0.1"].voters
+    assert AWAY not in voters.ips
+    assert replicas(world)["10.0.0.1"].store.forgotten.batch == 5
+    assert (ROUTE, "r1") in replicas(world)[AWAY].store.items
+    world.cut.clear()
+    world.run(6)
+
+
+def test_one_that_was_away_for_long_brings_nothing_back_and_loses_nothing(soon: None) -> None:
+    world = started()
+    away_while_all_forget(world)
+    standing = {(ROUTE, "r6"), (ROUTE, "r7"), (ROUTE, "r8"), THE_FORGOTTEN}
+    assert [one.store.items.keys() for one in replicas(world).values()] == [standing] * 6
+    assert {ip for ip, one in replicas(world).items() if one.store.replaced} == {AWAY}
+    told: list[object] = []
+    world.call(AWAY, lambda call: Freshen(call, 1.0), told.append)
+    world.run(1)
+    assert told == [Held(None)]
+
+
+@pytest.mark.parametrize("variant", ["old-copies-are-merged", "old-configuration-is-kept"])
+def test_an_old_copy_that_is_believed_is_found(soon: None, variant: str) -> None:
+    world = started()
+    with broken(BY_NAME[variant]):
+        away_while_all_forget(world)
+    back = [(ROUTE, "r1") in one.store.items for one in replicas(world).values()]
+    assert any(back)
+
+
+def test_nothing_is_forgotten_while_a_voter_may_have_it_still(soon: None) -> None:
+    world = started()
+    world.cut |= cut_off(world)
+    put(world, drop("r1", 11))
+    world.run(3)  # It isn't left out yet.
+    assert all(not one.store.forgotten.batch for one in replicas(world).values())
+    with broken(BY_NAME["forgotten-by-a-majority"]):
+        world.run(3)
+        assert replicas(world)["10.0.0.1"].store.forgotten.batch == 1
+
+
+def test_many_drops_are_kept_and_what_is_beyond_them_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The bounds as they are: ten times as many drops leave no more behind."""
+    world = World(5, loss=0, count=3)
+    world.run(3)
+    for first in range(0, 12_800, 400):
+        put(world, *(drop(f"r{at}", 1 + at) for at in range(first, first + 400)))
+    world.run(500)
+    for one in replicas(world).values():
+        assert len(one.store.drops) < 1024 + 256 and one.store.forgotten.floor >= 12_800 - 1024 - 256
+        assert len(one.store.forgotten.drops) <= 1024 + 256 and len(one.store.items) < 1300
+
+
+@pytest.mark.parametrize("seed", [1, 29, 78, 187, 242])
+def test_what_operators_were_told_holds_though_drops_are_forgotten(soon: None, seed: int) -> None:
+    assert play_cluster(seed).broken == []
+
+
+def test_late_calls_judged_without_the_floor_are_found(soon: None) -> None:
+    with broken(BY_NAME["late-calls-judged-without-the-floor"]):
+        assert play_cluster(29).broken
+
+
+# Calls.
+
+
+def decided(held: list[Item], *items: Item, names: tuple[str, ...] = ()) -> Outcome:
+    upsert = [
+        {**msgspec.json.decode(one.body), "Name": one.name, "ConfigVersion": f"r{one.version[0]}"}
+        for one in items
+        if one.body is not None
+    ]
+    remove = [{"Name": one.name, "ConfigVersion": f"r{one.version[0]}"} for one in items if one.body is None]
+    document = {"Upsert": {"Routes": upsert}, "Remove": {"Routes": remove}}
+    order = read_order(msgspec.json.encode(document))
+    told = Forgotten().after([drop("gone", 50)]).item
+    store = {one.key: one for one in [*held, told]}
+    return decide(order, Agreement(0, ()), Progress(0), store)[1]
+
+
+SERVICE_S = Item(SERVICE, "s", (1, AGREED), b"{}")
+
+
+@pytest.mark.parametrize(
+    ("item", "kind"),
+    [
+        (route("gone", 40), BelowFloor),  # Dropped, or new: nobody can tell.
+        (drop("gone", 50), BelowFloor),
+        (route("new", 50), BelowFloor),
+        (route("new", 51), Accepted),
+        (route("kept", 41), Accepted),  # It is held: its versions are known.
+        (route("kept", 30), BelowFloor),  # Overtaken, by a content that isn't remembered any more.
+        (drop("kept", 40), Conflict),
+        (drop("kept", 42), Accepted),
+    ],
+)
+def test_a_call_of_which_nobody_knows_any_more_is_neither_taken_nor_refused(
+    item: Item, kind: type[Outcome]
+) -> None:
+    assert type(decided([SERVICE_S, route("kept", 40)], item)) is kind
+
+
+# Proxies.
+
+
+def test_a_proxy_forgets_with_its_node() -> None:
+    pushes, routing = Pushes(), Routing()
+    told = Forgotten().after([drop("r1", 11)])
+    routing.begin_link()
+    items = {one.key: one for one in (route("r1", 1), route("r2", 2))}
+    for one in pushes.greet("proxy", items.values(), Backends((), (), True)):
+        routing.merge(getattr(one.message, "items", ()))
+    routing.complete_link()
+    for one in pushes.items([drop("r1", 11)]) + pushes.items([told.item]):
+        assert isinstance(one.message, Items)
+        routing.merge(one.message.items)
+    assert routing.items.keys() == {(ROUTE, "r2"), THE_FORGOTTEN} and routing.routes == 1
+    routing.merge([route("r1", 1)])
+    assert routing.find(b"h", b"/r1") is None and not routing.unusable
+    # A new link is told of nothing that all have forgotten.
+    held = [route("r2", 2), told.item]
+    sent = pushes.greet("other", held, Backends((), (), True))
+    assert [list(one.message.items) for one in sent if isinstance(one.message, Items)] == [held]
+
+
+def many(first: int = 1) -> Forgotten:
+    """So many batches that a copy of before the first must be replaced; of routes `r1` and on."""
+    with forgetting_soon():
+        told = Forgotten()
+        for at in range(first, first + 5):
+            told = told.after([drop(f"r{at}", 10 + at)])
+        return told
+
+
+def test_a_proxy_that_was_away_for_long_serves_only_what_it_is_told() -> None:
+    routing, told = Routing(), many()
+    routing.begin_link()
+    routing.merge([route("r1", 1), route("r9", 9), route("late", 99)])
+    routing.complete_link()
+    routing.begin_link()
+    routing.merge([told.item, route("r9", 9)])
+    assert routing.find(b"h", b"/r1") is not None  # It serves on until all has been told.
+    routing.complete_link()
+    assert routing.items.keys() == {(ROUTE, "r9"), (ROUTE, "late"), THE_FORGOTTEN} and not routing.unusable
+    assert routing.find(b"h", b"/r1") is None and routing.routes == 2
+
+
+def test_a_node_that_was_away_for_longer_than_the_proxy_is_left() -> None:
+    routing = Routing()
+    routing.begin_link()
+    routing.merge([many().item, route("r9", 9)])
+    routing.complete_link()
+    routing.begin_link()
+    routing.merge([route("r1", 1), route("r9", 10)])
+    assert routing.unusable and not routing.merge([route("r2", 2)])
+    assert routing.items.keys() == {(ROUTE, "r9"), THE_FORGOTTEN}
+    routing.begin_link()  # Another one.
+    routing.merge([many().item, route("r9", 10)])
+    assert not routing.unusable and routing.items[ROUTE, "r9"].version[0] == 10
+
+
+def test_what_a_node_told_before_it_was_replaced_itself_is_void() -> None:
+    routing = Routing()
+    routing.begin_link()
+    routing.merge([route("r1", 1), route("r9", 9)])
+    routing.merge([many().item])  # It has just heard of it.
+    assert routing.unusable
+    routing.complete_link()
+    assert not routing.complete
+    routing.begin_link()
+    routing.merge([many().item, route("r9", 9)])
+    routing.complete_link()
+    assert routing.complete and routing.items.keys() == {(ROUTE, "r9"), THE_FORGOTTEN}
+
+
+def test_a_proxy_comes_back_to_nodes_that_have_forgotten(soon: None) -> None:
+    """As they run: cut off from all control nodes while five routes are dropped and forgotten."""
+    fleet = Fleet(1)
+    streets = Streets(fleet, 1)
+    storm = Storm(fleet, streets, 1.0)
+
+    def go(call: Coroutine[Any, Any, Any]) -> None:
+        with streets.loop.current():
+            streets.loop.create_task(call)
+
+    go(storm.begin())
+    fleet.run(4)
+    links = {link for ip in fleet.boxes for link in ((ip, "front-1"), ("front-1", ip))}
+    fleet.cut |= links
+    rows = [{"Name": f"r{at}", "ConfigVersion": f"r{100 + at}"} for at in range(5)]
+    go(streets.rpc("configuration.modify", "", {"Remove": {"Routes": rows}}, 5.0, lost=0))
+    fleet.run(8)
+    batches = {box.replica.store.forgotten.batch for box in fleet.boxes.values() if box.replica is not None}
+    assert batches == {5}
+    routings = {name: front.desk.routing for name, front in fleet.fronts.items()}
+    assert (ROUTE, "r0") in routings["front-1"].items and routings["front-1"].routes == ROUTES
+    fleet.cut -= links
+    fleet.run(6)
+    for routing in routings.values():
+        assert routing.routes == ROUTES - 5 and routing.items == routings["front-2"].items
+    assert not fleet.failed
--- a/tests/test_system_membership.py
+++ b/tests/test_system_membership.py
@@ -28,7 +28,7 @@
 
 
 def planned(states: str, *learners: int) -> str:
-    """A letter each: there, Lost, Gone (lost for long), leaving (E), Silent to this machine alone, not yet complete (F)."""
+    """A letter each: there, Lost, Gone (lost for long), leaving (E), Silent to this one alone, Filling."""
     voters = [
         VoterView(
             member(at), state not in "LGS", state in "LG", state == "G", state == "E", state not in "LGF"
