--- a/Makefile
+++ b/Makefile
@@ -15,7 +15,7 @@
 	$(PYTHON) -m pip -q --disable-pip-version-check install -r requirements-tools.txt
 	$(PYTHON) -m ambershift.standins
 
-# The whole system as processes on this machine, among stand-ins; a desk is killed, another ended in order.
+# The whole system as processes on this machine, among stand-ins; a proxy is killed, another ended in order.
 rehearse: build
 	$(PYTHON) -m pip -q --disable-pip-version-check install -r requirements-system.txt
 	$(PYTHON) -B -m ambershift.system.testbed
--- a/ambershift/system/__init__.py
+++ b/ambershift/system/__init__.py
@@ -1,1 +1,1 @@
-"""The whole global load balancer: desks that carry traffic, control nodes that hold what all must know."""
+"""The whole global load balancer: proxies that carry traffic, control nodes that hold what all must know."""
--- a/ambershift/system/configuration/fields.py
+++ b/ambershift/system/configuration/fields.py
@@ -1,4 +1,4 @@
-"""Checks the fields of one item by hand: what no desk could serve, or what the protocol calls invalid."""
+"""Checks the fields of one item by hand: what no proxy could serve, or what the protocol calls invalid."""
 
 from __future__ import annotations
 
--- a/ambershift/system/consensus/syncing.py
+++ b/ambershift/system/consensus/syncing.py
@@ -202,7 +202,7 @@
             self._start(one)
 
     def reached(self, ip: str) -> None:
-        """What was asked of it before is lost; after a start all desks wait for it."""
+        """What was asked of it before is lost; after a start all proxies wait for it."""
         for one in self._sessions:
             if one.epoch and ip in one.asked - one.yes:
                 self._ask(one, ip)
--- a/ambershift/system/control_api/__init__.py
+++ b/ambershift/system/control_api/__init__.py
@@ -1,1 +1,1 @@
-"""What operators, backends, applications and those that seek a desk ask of a control node by HTTP."""
+"""What operators, backends, applications and those that seek a proxy ask of a control node by HTTP."""
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -190,5 +190,5 @@
             self._registry.addresses(asked.get("Region", ""), asked.get("Zone", ""), asked.get("Name", ""))
         )
         if not addresses:
-            return reply(503, Cause="no desk is known yet")
+            return reply(503, Cause="no proxy is known yet")
         return reply(200, Addresses=addresses[:FRONTS_MOST], TtlS=min(TTL, self._settings.bounds.ttl_most))
--- a/ambershift/system/control_api/registry.py
+++ b/ambershift/system/control_api/registry.py
@@ -1,4 +1,4 @@
-"""What the control API asks of the list of backends and desks (`registry/`)."""
+"""What the control API asks of the list of backends and proxies (`registry/`)."""
 
 from __future__ import annotations
 
--- a/ambershift/system/distribution/__init__.py
+++ b/ambershift/system/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution: the decision module's tables for each pool, and their way to the desks."""
+"""Distribution: the decision module's tables for each pool, and their way to the proxies."""
--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -1,9 +1,9 @@
-"""One pool's tables: what the decision module is told of names, and what its orders say to desks by name.
+"""One pool's tables: what the decision module is told of names, and what its orders say to proxies by name.
 
-Orders that desks have no use for are dropped: levels and masks (a desk admits and repeats by its routes, and
-by budgets of its own); watches, fetches, probes, tells and notes, which the terms here never ask for; and of
-withdrawals those of missing backends, which leave with the list, and those taken back, since draining is for
-good.
+Orders that proxies have no use for are dropped: levels and masks (a proxy admits and repeats by its routes,
+and by budgets of its own); watches, fetches, probes, tells and notes, which the terms here never ask for; and
+of withdrawals those of missing backends, which leave with the list, and those taken back, since draining is
+for good.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Assigned:
-    """What a step makes: backends withdrawn (before all else), messages to desks, marks to be answered."""
+    """What a step makes: backends withdrawn (before all else), messages to proxies, marks to be answered."""
 
     shut: list[str] = field(default_factory=list)
     sends: list[tuple[str, msgspec.Struct]] = field(default_factory=list)
@@ -55,8 +55,8 @@
         self.events: list[api.Event] = [api.Born(seed, terms)]
         self.names: dict[int, str] = {}  # Of backends.
         self.seats: dict[str, Seat] = {}
-        self.desks: dict[int, str] = {}
-        self.local: set[str] = set()  # Desks linked here; of the others only the traffic counts.
+        self.proxies: dict[int, str] = {}
+        self.local: set[str] = set()  # Proxies linked here; of the others only the traffic counts.
         self.bound: dict[str, int] = {}
         self.tables: dict[int, dict[int, float]] = {}
         self.met: dict[tuple[int, str], tuple[int, int, int]] = {}
@@ -77,35 +77,35 @@
             self.events.append(api.Listed(False, False, tuple(entries)))
             self.busy = self.listed = True
 
-    def join(self, desk: str, zone: int, here: bool) -> None:
-        self.desks[index_of(desk)] = desk
-        self.bound.pop(desk, None)
-        (self.local.add if here else self.local.discard)(desk)
-        self.events.append(api.Joined(index_of(desk), zone, 1.0, True))
+    def join(self, proxy: str, zone: int, here: bool) -> None:
+        self.proxies[index_of(proxy)] = proxy
+        self.bound.pop(proxy, None)
+        (self.local.add if here else self.local.discard)(proxy)
+        self.events.append(api.Joined(index_of(proxy), zone, 1.0, True))
         self.busy = True
 
-    def leave(self, desk: str) -> None:
-        self.desks.pop(index_of(desk), None)
-        self.bound.pop(desk, None)
-        self.local.discard(desk)
-        self.strain.leave(desk)
-        self.events.append(api.Left(index_of(desk)))
+    def leave(self, proxy: str) -> None:
+        self.proxies.pop(index_of(proxy), None)
+        self.bound.pop(proxy, None)
+        self.local.discard(proxy)
+        self.strain.leave(proxy)
+        self.events.append(api.Left(index_of(proxy)))
         self.busy = True
 
-    def came(self, desk: str, count: int, span: int) -> None:
-        """Requests of the pool that came to a desk over a span (ns)."""
-        self.events.append(api.Usage(index_of(desk), 0, count, 0, span))
-        self.strain.came(desk, count, span)
+    def came(self, proxy: str, count: int, span: int) -> None:
+        """Requests of the pool that came to a proxy over a span (ns)."""
+        self.events.append(api.Usage(index_of(proxy), 0, count, 0, span))
+        self.strain.came(proxy, count, span)
 
     def meet(self, zone: int, met: Told) -> None:
-        """What a desk of a zone met at a backend; told in sums, one a zone and backend and step."""
+        """What a proxy of a zone met at a backend; told in sums, one a zone and backend and step."""
         if met.id in self.seats:
             tries, bad, took = self.met.get((zone, met.id), (0, 0, 0))
             good = met.tries - met.bad
             self.met[zone, met.id] = tries + met.tries, bad + met.bad, took + met.mean_ms * MS * good
 
-    def applied(self, mark: int, desk: str, took: int) -> None:
-        self.events.append(api.Applied(mark, took, index_of(desk)))
+    def applied(self, mark: int, proxy: str, took: int) -> None:
+        self.events.append(api.Applied(mark, took, index_of(proxy)))
         self.busy = True
 
     def step(self, now: int) -> Assigned | None:
@@ -154,8 +154,8 @@
                     dealt.marks.append((order.mark, sorted(written)))
                     self.events += [
                         api.Applied(order.mark, 0, index)
-                        for index, desk in self.desks.items()
-                        if desk not in self.local
+                        for index, proxy in self.proxies.items()
+                        if proxy not in self.local
                     ]
                     self.busy = True
                 case api.Forget():
@@ -168,16 +168,16 @@
             table[order.server] = order.weight
         else:
             table.pop(order.server, None)
-        users = {desk for desk, bound in self.bound.items() if bound == order.table}
+        users = {proxy for proxy, bound in self.bound.items() if bound == order.table}
         line = Line(self.pool, order.table, self.names[order.server], order.weight)
-        dealt.sends += [(desk, line) for desk in sorted(users)]
+        dealt.sends += [(proxy, line) for proxy in sorted(users)]
         return users
 
     def _bind(self, order: api.Bind, dealt: Assigned) -> set[str]:
-        desk, table = self.desks[order.proxy], self.tables.get(order.table, {})
-        if desk not in self.local:
+        proxy, table = self.proxies[order.proxy], self.tables.get(order.table, {})
+        if proxy not in self.local:
             return set()
-        self.bound[desk] = order.table
+        self.bound[proxy] = order.table
         lines = tuple((self.names[index], weight) for index, weight in sorted(table.items()))
-        dealt.sends.append((desk, Bind(self.pool, order.table, lines)))
-        return {desk}
+        dealt.sends.append((proxy, Bind(self.pool, order.table, lines)))
+        return {proxy}
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -1,4 +1,4 @@
-"""The controller's shell: looks after the desks linked to this control node, with tables, list and items."""
+"""The controller's shell: looks after the proxies linked to this node, with tables, list and items."""
 
 from __future__ import annotations
 
@@ -31,52 +31,52 @@
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import MS, Send
 
-SIGN_EACH, DESKS_EACH = 400 * MS, 250 * MS
+SIGN_EACH, PROXIES_EACH = 400 * MS, 250 * MS
 LIST_FOR = 250 * MS  # How old a list a new link may be told: cold backends stay cold there for longer.
 FRESHEN_LIMIT_S, FRESHEN_PAUSE_S = 1.0, 0.2
-DESK_LINKED, DESK_LOST = 321, 322
+PROXY_LINKED, PROXY_LOST = 321, 322
 
 Sending = Callable[[str, msgspec.Struct], None]
 
 
 class Controller:
-    """`send_desk(name, message)` may lose what it is given where the desk has no link."""
+    """`send_proxy(name, message)` may lose what it is given where the proxy has no link."""
 
     def __init__(
         self,
         settings: Local,
         ledger: Ledger,
         registry: Registry,
-        send_desk: Sending,
+        send_proxy: Sending,
         send_core: Sending,
         steady: Callable[[], int],
         seed: int,
         log: Callable[[int, dict[str, Any]], None],
     ) -> None:
         self.ledger, self.registry, self.steady = ledger, registry, steady
-        self.send_desk, self.log = send_desk, log
+        self.send_proxy, self.log = send_proxy, log
         self.pool_loads, self.pushes, self.flows = PoolLoads(settings.zones, seed), Pushes(), Flows()
         self.hellos: dict[str, Hello] = {}
         self.withdrawn: set[str] = set()
-        # Of each desk: marks not answered yet, when each was sent, and which pools' marks it stands for.
+        # Of each proxy: marks not answered yet, when each was sent, and which pools' marks it stands for.
         self.marks = defaultdict[str, deque[tuple[int, int, list[tuple[str, int]]]]](deque)
-        self.mark = self.signed_at = self.desks_at = 0
+        self.mark = self.signed_at = self.proxies_at = 0
         self.settled = self.read = self.routed = False
-        self.cores: tuple[Core, ...] = ()  # As all linked desks have been told.
+        self.cores: tuple[Core, ...] = ()  # As all linked proxies have been told.
         self.list: Backends | None = None
         self.list_at = 0
         self.freshening: asyncio.Task[None] | None = None
         ledger.listen(self._items)
         registry.listen(self._listed)
 
-    # Desks.
-    def desk_linked(self, name: str) -> None:
-        """A new link of a desk, before its first message: whatever the old one was told is told again. It
+    # Proxies.
+    def proxy_linked(self, name: str) -> None:
+        """A new link of a proxy, before its first message: whatever the old one was told is told again. It
         gets a sign at once: by that it judges whether to say Hello here."""
         self.hellos.pop(name, None)
-        self.send_desk(name, self._sign(self.ledger.cores()))
+        self.send_proxy(name, self._sign(self.ledger.cores()))
 
-    def hear_desk(self, name: str, message: msgspec.Struct) -> None:
+    def hear_proxy(self, name: str, message: msgspec.Struct) -> None:
         if isinstance(message, Hello):
             self._greet(message)
             return
@@ -89,9 +89,9 @@
         elif isinstance(message, Mark):
             self._applied(name, message.mark)
 
-    def desk_lost(self, name: str) -> None:
+    def proxy_lost(self, name: str) -> None:
         if name in self.hellos:  # Many only ask for a sign.
-            self.log(DESK_LOST, {"desk": name})
+            self.log(PROXY_LOST, {"proxy": name})
         self.registry.parted(name)
         self._unlink(name)
 
@@ -108,19 +108,19 @@
         if known and known.life == hello.life and known != hello:
             self.hellos[hello.name] = hello
             return  # The link goes on; only what it says of itself has changed.
-        self.log(DESK_LINKED, {"desk": hello.name, "life": hello.life, "ready": hello.ready})
+        self.log(PROXY_LINKED, {"proxy": hello.name, "life": hello.life, "ready": hello.ready})
         self._unlink(hello.name)
         self.hellos[hello.name] = hello
         self.settled = self.settled or self.registry.settled()
         self._send(self.pushes.greet(hello.name, self.ledger.items().values(), self._list()))
-        # Behind the items: from here on the sign's age is that of what the desk has.
-        self.send_desk(hello.name, self._sign(self.ledger.cores()))
+        # Behind the items: from here on the sign's age is that of what the proxy has.
+        self.send_proxy(hello.name, self._sign(self.ledger.cores()))
         self.pool_loads.join(hello.name, hello.zone, "", hello.life)
         if self.freshening is None:
             self.freshening = asyncio.ensure_future(self._freshen())
 
     async def _freshen(self) -> None:
-        """Merge what enough hold after a Hello, until each desk has its sign."""
+        """Merge what enough hold after a Hello, until each proxy has its sign."""
         try:
             while asked := self.pushes.wanting():
                 try:
@@ -183,9 +183,9 @@
         if not self.routed:
             self.routed = True
             self.pool_loads.route(self.ledger.items().values())
-        if now >= self.desks_at + DESKS_EACH:
-            self.desks_at = now
-            self.pool_loads.follow(self.registry.desks())
+        if now >= self.proxies_at + PROXIES_EACH:
+            self.proxies_at = now
+            self.pool_loads.follow(self.registry.proxies())
         if now >= self.pool_loads.fed_at + FED_EACH:
             self.pool_loads.feed(now, self.registry.flows())
         moved, gone = self.flows.tell(now, self.pool_loads.pools.keys())
@@ -201,34 +201,34 @@
 
     def _spread(self, now: int, turns: Sequence[tuple[str, Assigned]]) -> None:
         """Withdrawals of all pools first, then lines and binds, then a mark for whoever got any."""
-        # A backend may be in several pools, and is withdrawn from desks once.
+        # A backend may be in several pools, and is withdrawn from proxies once.
         for id in {id for _, dealt in turns for id in dealt.shut} - self.withdrawn:
             self.withdrawn.add(id)
             for name in self.hellos:
-                self.send_desk(name, Withdraw(id, True))
+                self.send_proxy(name, Withdraw(id, True))
         marked = defaultdict[str, list[tuple[str, int]]](list)
         for pool, dealt in turns:
             for name, message in dealt.sends:
-                self.send_desk(name, message)
+                self.send_proxy(name, message)
             for mark, names in dealt.marks:
                 for name in names:
                     marked[name].append((pool, mark))
         for name, parts in marked.items():
             self.mark += 1
             self.marks[name].append((self.mark, now, parts))
-            self.send_desk(name, Mark(self.mark))
+            self.send_proxy(name, Mark(self.mark))
 
     def _send_signs(self) -> None:
         cores = tuple(self.ledger.cores())
         sign = self._sign(() if cores == self.cores else cores)
         self.cores = cores
         for name in self.hellos:
-            self.send_desk(name, sign)
+            self.send_proxy(name, sign)
 
     def _sign(self, cores: Sequence[Core]) -> Cores:
         ledger = self.ledger
-        return Cores(tuple(cores), ledger.in_touch(), self.registry.desks_most(), ledger.contact_age_ms())
+        return Cores(tuple(cores), ledger.in_touch(), self.registry.proxies_most(), ledger.contact_age_ms())
 
     def _send(self, sends: Sequence[Send]) -> None:
         for one in sends:
-            self.send_desk(one.to, one.message)
+            self.send_proxy(one.to, one.message)
--- a/ambershift/system/distribution/flows.py
+++ b/ambershift/system/distribution/flows.py
@@ -1,4 +1,4 @@
-"""Traffic of the desks linked here, summed by zone and pool, and which sums others are to hear."""
+"""Traffic of the proxies linked here, summed by zone and pool, and which sums others are to hear."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 class Flows:
     def __init__(self) -> None:
-        self.came = defaultdict[str, deque[tuple[int, int, dict[str, int]]]](deque)  # Of desks.
+        self.came = defaultdict[str, deque[tuple[int, int, dict[str, int]]]](deque)  # Of proxies.
         self.zones: dict[str, str] = {}
         self.told: dict[tuple[str, str], int] = {}
         self.told_at = 0
 
-    def report(self, now: int, desk: str, zone: str, span: int, came: dict[str, int]) -> None:
-        self.zones[desk] = zone
-        self.came[desk].append((now, span, came))
+    def report(self, now: int, proxy: str, zone: str, span: int, came: dict[str, int]) -> None:
+        self.zones[proxy] = zone
+        self.came[proxy].append((now, span, came))
 
-    def leave(self, desk: str) -> None:
-        self.zones.pop(desk, None)
-        self.came.pop(desk, None)
+    def leave(self, proxy: str) -> None:
+        self.zones.pop(proxy, None)
+        self.came.pop(proxy, None)
 
     def tell(self, now: int, pools: Collection[str]) -> tuple[list[Flow], list[tuple[str, str]]]:
         """Sums that have moved by a tenth since they were told, and those that are there no more."""
@@ -45,12 +45,12 @@
         }
         names = *pools, *sorted(tallies)
         rates = dict.fromkeys(((zone, name) for zone in self.zones.values() for name in names), 0.0)
-        for desk, reports in self.came.items():
+        for proxy, reports in self.came.items():
             spans = sum(span for _, span, _ in reports)
             for _, _, came in reports:
                 for pool, count in came.items():
-                    if (self.zones[desk], pool) in rates:
-                        rates[self.zones[desk], pool] += count * 100 * SECOND / spans
+                    if (self.zones[proxy], pool) in rates:
+                        rates[self.zones[proxy], pool] += count * 100 * SECOND / spans
         moved = list[Flow]()
         for key, rate in rates.items():
             told = self.told.get(key)
--- a/ambershift/system/distribution/pool_loads.py
+++ b/ambershift/system/distribution/pool_loads.py
@@ -1,7 +1,7 @@
-"""All pools of this control node: what list, routes, desks and reports mean for each pool's assigner.
+"""All pools of this control node: what list, routes, proxies and reports mean for each pool's assigner.
 
 A backend is seated in each pool that its service and region fit. While it is cold or its zone is evacuated it
-has weight 0 there: out of all tables, but not withdrawn, since desks know both and judge by themselves.
+has weight 0 there: out of all tables, but not withdrawn, since proxies know both and judge by themselves.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from ambershift.system.distribution.terms import terms_for, zones_of
 from ambershift.system.messages.fronts import Report
 from ambershift.system.messages.items import ZONE, Item
-from ambershift.system.registry.records import Desk, Life
+from ambershift.system.registry.records import Life, ProxyRecord
 from ambershift.system.steps import MS, SECOND
 
 FED_EACH = SECOND
@@ -32,7 +32,7 @@
         self.lives: dict[str, Life] = {}
         self.evacuated: set[str] = set()
         self.cold: dict[str, int] = {}  # Backends that are cold, until when.
-        self.desks: dict[str, tuple[str, str, str]] = {}  # Zone, keeper ("": here) and life.
+        self.proxies: dict[str, tuple[str, str, str]] = {}  # Zone, keeper ("": here) and life.
         self.carried: dict[tuple[str, str], float] = {}  # Parts of requests not yet fed.
         self.fed_at = 0
 
@@ -48,8 +48,8 @@
                 assigner = self.assigners[name] = Assigner(
                     name, terms_for(pool, self.regions), self.chance.getrandbits(63)
                 )
-                for desk, (zone, keeper, _) in self.desks.items():
-                    assigner.join(desk, self.zones.get(zone, -1), not keeper)
+                for proxy, (zone, keeper, _) in self.proxies.items():
+                    assigner.join(proxy, self.zones.get(zone, -1), not keeper)
         self.serving = {}
         for name, pool in self.pools.items():
             self.serving.setdefault(pool.service, []).append(self.assigners[name])
@@ -71,34 +71,34 @@
         self._seat(fresh)
 
     def join(self, name: str, zone: str, keeper: str, life: str) -> None:
-        """A desk; of those linked elsewhere, that keeper's, only the traffic counts."""
-        if self.desks.get(name) != (zone, keeper, life):
-            self.desks[name] = zone, keeper, life
+        """A proxy; of those linked elsewhere, that keeper's, only the traffic counts."""
+        if self.proxies.get(name) != (zone, keeper, life):
+            self.proxies[name] = zone, keeper, life
             for assigner in self.assigners.values():
                 assigner.join(name, self.zones.get(zone, -1), not keeper)
 
     def leave(self, name: str) -> None:
-        if self.desks.pop(name, None):
+        if self.proxies.pop(name, None):
             for assigner in self.assigners.values():
                 assigner.leave(name)
             self.carried = {key: part for key, part in self.carried.items() if key[0] != name}
 
-    def follow(self, directory: Mapping[str, tuple[str, Desk]]) -> None:
-        """Take the desks linked elsewhere from the directory, unless they are linked here."""
-        here = {name for name, (_, keeper, _) in self.desks.items() if not keeper}
+    def follow(self, directory: Mapping[str, tuple[str, ProxyRecord]]) -> None:
+        """Take the proxies linked elsewhere from the directory, unless they are linked here."""
+        here = {name for name, (_, keeper, _) in self.proxies.items() if not keeper}
         elsewhere = {
-            name: (keeper, desk)
-            for name, (keeper, desk) in directory.items()
-            if keeper and name not in here and not desk.leaving
+            name: (keeper, proxy)
+            for name, (keeper, proxy) in directory.items()
+            if keeper and name not in here and not proxy.leaving
         }
-        for name in self.desks.keys() - elsewhere.keys() - here:
+        for name in self.proxies.keys() - elsewhere.keys() - here:
             self.leave(name)
-        for name, (keeper, desk) in elsewhere.items():
-            self.join(name, desk.zone, keeper, desk.life)
+        for name, (keeper, proxy) in elsewhere.items():
+            self.join(name, proxy.zone, keeper, proxy.life)
 
     def report(self, name: str, report: Report) -> None:
-        """What came to a desk linked here, none where a pool isn't named, and what it met."""
-        zone = self.zones.get(self.desks[name][0], -1)
+        """What came to a proxy linked here, none where a pool isn't named, and what it met."""
+        zone = self.zones.get(self.proxies[name][0], -1)
         for pool, assigner in self.assigners.items():
             assigner.came(name, report.came.get(pool, 0), report.span * MS)
         for met in report.met:
@@ -110,7 +110,7 @@
         """What others tell of their traffic (requests per 100 s by node, zone, pool) is usage there."""
         span, self.fed_at = min(now - self.fed_at, 2 * FED_EACH), now
         counts = defaultdict[tuple[str, str], list[str]](list)
-        for name, (zone, keeper, _) in self.desks.items():
+        for name, (zone, keeper, _) in self.proxies.items():
             if keeper:
                 counts[keeper, zone].append(name)
         for (keeper, zone, pool), rate in flows.items():
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -1,4 +1,4 @@
-"""What desks are told of items, backends and control nodes: all on a Hello, then what is newer."""
+"""What proxies are told of items, backends and control nodes: all on a Hello, then what is newer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Pushed:
-    """A desk on one link: whether it still wants the sign that all is merged, and a list that is whole."""
+    """A proxy on one link: whether it still wants the sign that all is merged, and a list that is whole."""
 
     link: int
     complete: bool = False
@@ -22,10 +22,10 @@
 
 class Pushes:
     def __init__(self) -> None:
-        self.told: dict[Key, Item] = {}  # What every desk that has said Hello has been sent.
+        self.told: dict[Key, Item] = {}  # What every proxy that has said Hello has been sent.
         self._forgot = False  # Whether `told` may have what all have forgotten since.
         self._all: Items | None = None  # The same in one message, for all that link before it changes.
-        self.desks: dict[str, Pushed] = {}
+        self.proxies: dict[str, Pushed] = {}
         self.links = 0
         self.put: dict[str, Backend] = {}
         self.gone: set[str] = set()
@@ -37,15 +37,15 @@
         if self._forgot:
             self.told, self._all, self._forgot = {one.key: one for one in items}, None, False
         self.links += 1
-        self.desks[name] = Pushed(self.links, whole=backends.whole)
+        self.proxies[name] = Pushed(self.links, whole=backends.whole)
         self._all = self._all or Items(tuple(self.told.values()), False)
         return [*newer, Send(name, self._all), Send(name, backends)]
 
     def lose(self, name: str) -> None:
-        self.desks.pop(name, None)
+        self.proxies.pop(name, None)
 
     def items(self, items: Iterable[Item]) -> list[Send]:
-        """Of these, what desks have not been sent yet."""
+        """Of these, what proxies have not been sent yet."""
         newer = [
             one
             for one in items
@@ -58,17 +58,17 @@
             self.told.pop((INSTANCE, id), None)
         self._forgot = self._forgot or any(one.kind == FORGOTTEN for one in newer)
         self._all, change = None, Items(tuple(newer), False)
-        return [Send(name, change) for name in self.desks]
+        return [Send(name, change) for name in self.proxies]
 
     def wanting(self) -> dict[str, int]:
-        """Desks that wait for the sign that all is merged, with their link."""
-        return {name: one.link for name, one in self.desks.items() if not one.complete}
+        """Proxies that wait for the sign that all is merged, with their link."""
+        return {name: one.link for name, one in self.proxies.items() if not one.complete}
 
     def complete(self, asked: dict[str, int], items: Iterable[Item]) -> list[Send]:
         """All that was acknowledged before these links' Hellos is merged here."""
         sends = self.items(items)
         for name, link in asked.items():
-            if (one := self.desks.get(name)) and one.link == link:
+            if (one := self.proxies.get(name)) and one.link == link:
                 one.complete = True
                 sends.append(Send(name, Items((), True)))
         return sends
@@ -87,12 +87,12 @@
             return []
         change = Backends(tuple(self.put.values()), tuple(sorted(self.gone)), False)
         self.put, self.gone = {}, set()
-        return [Send(name, change) for name in self.desks]
+        return [Send(name, change) for name in self.proxies]
 
     def settle(self, backends: Sequence[Backend]) -> list[Send]:
-        """By now all have been heard: desks that were spared a whole list get it."""
-        owed = [name for name, one in self.desks.items() if not one.whole]
+        """By now all have been heard: proxies that were spared a whole list get it."""
+        owed = [name for name, one in self.proxies.items() if not one.whole]
         for name in owed:
-            self.desks[name].whole = True
+            self.proxies[name].whole = True
         whole = Backends(tuple(backends), (), True)
         return [Send(name, whole) for name in owed]
--- a/ambershift/system/distribution/strain.py
+++ b/ambershift/system/distribution/strain.py
@@ -1,10 +1,10 @@
 """How much of a pool's capacity its traffic takes, and what overload of a zone can be borne with it. No I/O.
 
 The design leaves the threshold of expected overload free. A fixed one fits large zones: with two backends a
-zone, rounding to whole backends alone passes any small threshold, and then all desks of a service send two
+zone, rounding to whole backends alone passes any small threshold, and then all proxies of a service send two
 requests of three to other regions though no backend is busy. So the threshold follows what there is to spare:
 a zone may expect so much overload that its backends would still be within `FULL` of what they can work. Nor
-does it fall under `LEAST`: a desk whose table is full sends single requests on by itself, to its region
+does it fall under `LEAST`: a proxy whose table is full sends single requests on by itself, to its region
 first, and that costs less than the table of all servers, which sends two of three abroad while it stands.
 """
 
@@ -15,26 +15,26 @@
 FULL = 0.8  # Of its slots: past this, queues grow.
 LEAST, MOST = 0.95, 3.0  # At the least, a zone may live on one of the two backends it is due.
 CALM = 0.8  # The threshold is left again under this part of it.
-STEP = 0.15  # A threshold that has moved by less stays: each move may rebind all desks.
+STEP = 0.15  # A threshold that has moved by less stays: each move may rebind all proxies.
 MEMORY = 10 * SECOND
 
 
 class Strain:
     def __init__(self, limit: float) -> None:
         self.limit = limit
-        self.rates: dict[str, float] = {}  # Requests a second, by desk.
-        self.work = 0.0  # Slot-seconds of a request, as desks saw it.
+        self.rates: dict[str, float] = {}  # Requests a second, by proxy.
+        self.work = 0.0  # Slot-seconds of a request, as proxies saw it.
 
-    def came(self, desk: str, count: int, span: int) -> None:
+    def came(self, proxy: str, count: int, span: int) -> None:
         """`span` in ns."""
         if span > 0:
             part = min(1.0, span / MEMORY)
             rate = count * SECOND / span
-            known = self.rates.get(desk)
-            self.rates[desk] = rate if known is None else known + part * (rate - known)
+            known = self.rates.get(proxy)
+            self.rates[proxy] = rate if known is None else known + part * (rate - known)
 
-    def leave(self, desk: str) -> None:
-        self.rates.pop(desk, None)
+    def leave(self, proxy: str) -> None:
+        self.rates.pop(proxy, None)
 
     def took(self, mean: float) -> None:
         """Mean time (ns) of good answers over a step."""
--- a/ambershift/system/distribution/terms.py
+++ b/ambershift/system/distribution/terms.py
@@ -9,7 +9,7 @@
 from ambershift.system.steps import MS, SECOND
 
 # A service has about two backends a zone, and answers from other regions are the dearest price: a zone may
-# live on one backend, and on one of its two while the other is replaced. A desk whose table is full goes on
+# live on one backend, and on one of its two while the other is replaced. A proxy whose table is full goes on
 # to its region by itself. Under 1, so that a zone that got none counts as over. This is where the threshold
 # begins; `strain` moves it once rates and times are known.
 WORTH_LEAST, OVERLOAD_LIMIT, OVERLOAD_CALM = 0.9, 0.95, 0.85
--- a/ambershift/system/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -1,6 +1,6 @@
 """Codes messages for a link: msgpack by msgspec, each a tagged array; long ones deflated.
 
-Items are JSON with the same names in each, and whole lists of them go to every desk and node: deflated
+Items are JSON with the same names in each, and whole lists of them go to every proxy and node: deflated
 they take a fifth of that. Short messages are most, and win nothing, but for forwarded calls: their
 JSON repeats what both ends know, and they are a third of the bytes between regions on a quiet day.
 """
--- a/ambershift/system/messages/fronts.py
+++ b/ambershift/system/messages/fronts.py
@@ -1,4 +1,4 @@
-"""What a desk (a program that carries traffic) and the control node that looks after it tell each other."""
+"""What a proxy (a program that carries traffic) and the control node that looks after it tell each other."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="fh"):
-    """Desk to control node, first on each link. `life` is random at each start of the process.
+    """Proxy to control node, first on each link. `life` is random at each start of the process.
 
-    `ready` says that the desk has merged all and serves; `leaving` that it is about to end.
+    `ready` says that the proxy has merged all and serves; `leaving` that it is about to end.
     `address` is where clients reach it. Sent again whenever `ready` or `leaving` has changed.
     """
 
@@ -31,24 +31,24 @@
 
 
 class Cores(msgspec.Struct, frozen=True, array_like=True, tag="fc"):
-    """Control node to desk: the sign of life, first on each link and then each 0.4 s.
+    """Control node to proxy: the sign of life, first on each link and then each 0.4 s.
 
     `cores`: who serves control; empty where that is as it was told before. `in_touch`: whether this node has
-    heard a majority lately. `desks`: how many desks there may be at the most. `age_ms`: how long before the
-    sending the moment was up to which all that was acknowledged has been told on this link, once the desk has
-    said Hello (`consensus/contact.py`). Nodes of the version before told none, and no sign before a Hello: a
-    proxy doesn't link to them.
+    heard a majority lately. `proxies`: how many proxies there may be at the most. `age_ms`: how long before
+    the sending the moment was up to which all that was acknowledged has been told on this link, once the
+    proxy has said Hello (`consensus/contact.py`). Nodes of the version before told none, and no sign before a
+    Hello: a proxy doesn't link to them.
     """
 
     cores: tuple[Core, ...]
     in_touch: bool
-    desks: int
+    proxies: int
     age_ms: int
 
 
 class Items(msgspec.Struct, frozen=True, array_like=True, tag="fi"):
-    """Control node to desk: items, merged by the desk one by one. `complete` with the last of all that a
-    majority held after the desk's Hello: from then on the desk knows whatever was acknowledged before."""
+    """Control node to proxy: items, merged by the proxy one by one. `complete` with the last of all that a
+    majority held after the proxy's Hello: from then on the proxy knows whatever was acknowledged before."""
 
     items: tuple[Item, ...]
     complete: bool
@@ -70,7 +70,7 @@
 
 
 class Backends(msgspec.Struct, frozen=True, array_like=True, tag="fb"):
-    """Control node to desk: lives that are new or changed, and ids of those that are gone.
+    """Control node to proxy: lives that are new or changed, and ids of those that are gone.
 
     `whole` where what is not named is gone too (the first of a link).
     """
@@ -81,7 +81,7 @@
 
 
 class Line(msgspec.Struct, frozen=True, array_like=True, tag="fl"):
-    """Control node to desk: one line of a table; weight 0 takes it out."""
+    """Control node to proxy: one line of a table; weight 0 takes it out."""
 
     pool: str
     table: int
@@ -90,7 +90,7 @@
 
 
 class Bind(msgspec.Struct, frozen=True, array_like=True, tag="fd"):
-    """Control node to desk: use this table for the pool from now on; `lines` are all of it."""
+    """Control node to proxy: use this table for the pool from now on; `lines` are all of it."""
 
     pool: str
     table: int
@@ -98,20 +98,20 @@
 
 
 class Withdraw(msgspec.Struct, frozen=True, array_like=True, tag="fw"):
-    """Control node to desk: nothing more to this backend, whatever table has it (or let it in again)."""
+    """Control node to proxy: nothing more to this backend, whatever table has it (or let it in again)."""
 
     id: str
     out: bool
 
 
 class Mark(msgspec.Struct, frozen=True, array_like=True, tag="fm"):
-    """Control node to desk, and back: all that was sent on this link before has been taken in."""
+    """Control node to proxy, and back: all that was sent on this link before has been taken in."""
 
     mark: int
 
 
 class Met(msgspec.Struct, frozen=True, array_like=True):
-    """What one desk met at one backend over the report's span."""
+    """What one proxy met at one backend over the report's span."""
 
     id: str
     tries: int
@@ -120,14 +120,14 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="fr"):
-    """Desk to node, once a second: what came for each pool over the last `span` ms, and what was met."""
+    """Proxy to node, once a second: what came for each pool over the last `span` ms, and what was met."""
 
     span: int
     came: dict[str, int]
     met: tuple[Met, ...]
 
 
-ToDesk = Cores | Items | Backends | Line | Bind | Withdraw | Mark
+ToProxy = Cores | Items | Backends | Line | Bind | Withdraw | Mark
 ToControlNode = Hello | Report | Mark
 
 
--- a/ambershift/system/messages/rounds.py
+++ b/ambershift/system/messages/rounds.py
@@ -1,4 +1,4 @@
-"""What control nodes tell each other of backends, desks and shares. Owned by `registry/` and `distribution/`.
+"""What control nodes tell each other of backends, proxies, shares. Owned by `registry/` and `distribution/`.
 
 Each control node tells what it hears itself, as a set of records with an edition that rises with each batch
 of changes. Times are spans in ms, counted from the sending: steady clocks of two machines have no relation.
@@ -24,7 +24,7 @@
 
 
 class Attached(msgspec.Struct, frozen=True, array_like=True):
-    """A desk linked to the sender; `age`: ms since its last Hello."""
+    """A proxy linked to the sender; `age`: ms since its last Hello."""
 
     name: str
     life: str
@@ -36,7 +36,7 @@
 
 
 class Flow(msgspec.Struct, frozen=True, array_like=True):
-    """What came to a zone's desks linked to the sender for a pool, in requests per 100 s."""
+    """What came to a zone's proxies linked to the sender for a pool, in requests per 100 s."""
 
     zone: str
     pool: str
@@ -46,15 +46,16 @@
 class Delta(msgspec.Struct, frozen=True, array_like=True, tag="rd"):
     """Changes of the sender's records from edition `since` to `upto`; `since` -1: these are all it has.
 
-    `start` is drawn at each start of the process. `gone` has keys of records: "b" and an id, "d" and a desk's
-    name, "f", the zone, a space and the pool. `most` is how many desks the sender has known at once.
+    `start` is drawn at each start of the process. `gone` has keys of records: "b" and an id, "d" and a
+    proxy's name, "f", the zone, a space and the pool. `most` is how many proxies the sender has known at
+    once.
     """
 
     start: int
     since: int
     upto: int
     lives: tuple[Lived, ...]
-    desks: tuple[Attached, ...]
+    proxies: tuple[Attached, ...]
     flows: tuple[Flow, ...]
     gone: tuple[str, ...]
     most: int
--- a/ambershift/system/node_selection/__init__.py
+++ b/ambershift/system/node_selection/__init__.py
@@ -1,1 +1,1 @@
-"""Which control node looks after a desk: the nearest that reaches the others, else another."""
+"""Which control node looks after a proxy: the nearest that reaches the others, else another."""
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -19,12 +19,12 @@
 from ambershift.system.processes.asking import Answered, Asked, let_go
 from ambershift.system.processes.metrics import Figure
 from ambershift.system.processes.places import Places
-from ambershift.system.proxy.desk import Desk
+from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import MS
 from ambershift.system.transport.links import receive
 from ambershift.system.transport.outbox import Outbox
-from ambershift.system.transport.words import DESK, Caller
+from ambershift.system.transport.words import PROXY, Caller
 
 LOOK_S = 0.1
 
@@ -41,21 +41,21 @@
 
 def caller_of(settings: Local) -> Caller:
     """As what this process dials."""
-    return Caller(DESK, settings.name, secrets.token_hex(4))
+    return Caller(PROXY, settings.name, secrets.token_hex(4))
 
 
 class Attachment:
-    """Holds one link to a control node; what comes on it goes to the desk. `steady` gives ns."""
+    """Holds one link to a control node; what comes on it goes to the proxy. `steady` gives ns."""
 
     def __init__(
         self,
         settings: Local,
-        desk: Desk,
+        server: ProxyServer,
         links: Dialler,
         steady: Callable[[], int],
         log: Callable[[int, dict[str, Any]], None],
     ) -> None:
-        self.desk, self.links, self.steady, self.log = desk, links, steady, log
+        self.server, self.links, self.steady, self.log = server, links, steady, log
         self.choice = Choice(
             settings.name,
             settings.zone,
@@ -215,7 +215,7 @@
         self.choice.up(self.steady(), ip)
         writer = asyncio.ensure_future(outbox.run())
         self.log(111, {"peer": ip})
-        self.desk.linked()
+        self.server.linked()
         self.greet()
         try:
             await receive(connection, lambda message: self.hear(outbox, message), self.log)
@@ -224,7 +224,7 @@
             writer.cancel()
             if self.outbox is outbox:
                 self.outbox = None
-                self.desk.unlinked()
+                self.server.unlinked()
                 self.choice.fail(self.steady(), ip)
 
     def hear(self, outbox: Outbox, message: msgspec.Struct) -> None:
@@ -235,7 +235,7 @@
             self.choice.hear(now, message)
         else:
             self.choice.alive(now)
-        for reply in self.desk.hear(message):
+        for reply in self.server.hear(message):
             outbox.put(reply)
         if isinstance(message, Bind):
             self.log(
@@ -243,13 +243,13 @@
                 {
                     "pool": message.pool,
                     "table": message.table,
-                    **self.places.lines(message, self.desk.backend_view.lives),
+                    **self.places.lines(message, self.server.backend_view.lives),
                 },
             )
         if isinstance(message, Items):
             self._tell_items(message)
             self.greet()
-            if self.desk.routing.unusable:
+            if self.server.routing.unusable:
                 self._leave("outdated")
                 outbox.break_off()
 
@@ -262,7 +262,7 @@
 
     def greet(self) -> None:
         """Say what we are, first on a link and whenever it has changed."""
-        hello = self.desk.hello()
+        hello = self.server.hello()
         if self.outbox and hello != self.said:
             if hello.ready and not (self.said and self.said.ready):
                 self.log(114, {})
@@ -284,6 +284,6 @@
         """Tell the control node, and now and then the log, what came and was met."""
         if self.outbox:
             self.outbox.put(report)
-        self.places.count(report, self.desk.backend_view.lives)
+        self.places.count(report, self.server.backend_view.lives)
         if self.places.due():
             self.log(116, self.places.told())
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -1,4 +1,4 @@
-"""The control node: items, registers, backends, desks and tables, on its sockets and its disk."""
+"""The control node: items, registers, backends, proxies and tables, on its sockets and its disk."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.meter import Meter, Place
-from ambershift.system.transport.words import CONTROL_NODE, DESK, Caller
+from ambershift.system.transport.words import CONTROL_NODE, PROXY, Caller
 
 LIST = "backends.list"  # The file beside the store that the list is recalled from.
 BEAT_S, IDLE_S, FINISH_S = 0.05, 120, 1.0
@@ -49,16 +49,23 @@
             settings, self.ledger, send, steady, secrets.randbits(62), self.log, self.side
         )
         self.controller = Controller(
-            settings, self.ledger, self.registry, self.send_desk, send, steady, secrets.randbits(62), self.log
+            settings,
+            self.ledger,
+            self.registry,
+            self.send_proxy,
+            send,
+            steady,
+            secrets.randbits(62),
+            self.log,
         )
         self.control_api = ControlApi(settings, self.ledger, self.registry, steady, send, self.log)
         self.ended, self.file = asyncio.Event(), Watched(settings.file)
 
-    def send_desk(self, name: str, message: msgspec.Struct) -> None:
-        self.links.reply(DESK, name, message)
+    def send_proxy(self, name: str, message: msgspec.Struct) -> None:
+        self.links.reply(PROXY, name, message)
 
     def place(self, peer: str) -> Place | None:
-        """Where a control node (by its ip) or a desk linked here (by its name) is."""
+        """Where a control node (by its ip) or a proxy linked here (by its name) is."""
         if hello := self.controller.hellos.get(peer):
             return hello.zone, self.settings.zones.get(hello.zone, "")
         return next(((core.zone, core.region) for core in self.ledger.cores() if core.ip == peer), None)
@@ -156,9 +163,9 @@
 
     def dispatch(self, caller: Caller, message: msgspec.Struct) -> None:
         owner = type(message).__module__
-        if caller.kind == DESK:
+        if caller.kind == PROXY:
             if owner == fronts.__name__:
-                self.controller.hear_desk(caller.name, message)
+                self.controller.hear_proxy(caller.name, message)
         elif owner == copies.__name__:
             self.ledger.hear(caller.name, message)
         elif owner == forwarding.__name__:
@@ -171,16 +178,16 @@
         if caller.kind == CONTROL_NODE:
             self.links.there(caller.name)
             self.controller.core_linked(caller.name)
-        elif caller.kind == DESK:
-            # Links give an old one up without a word when its desk dials anew.
-            self.controller.desk_linked(caller.name)
+        elif caller.kind == PROXY:
+            # Links give an old one up without a word when its proxy dials anew.
+            self.controller.proxy_linked(caller.name)
 
     def reached(self, ip: str) -> None:
         self.ledger.reached(ip)
 
     def lost(self, caller: Caller) -> None:
-        if caller.kind == DESK:
-            self.controller.desk_lost(caller.name)
+        if caller.kind == PROXY:
+            self.controller.proxy_lost(caller.name)
 
 
 async def run(settings: Local) -> None:
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: a desk on its sockets, attached to a control node."""
+"""The proxy: a proxy on its sockets, attached to a control node."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     listeners,
     served,
 )
-from ambershift.system.proxy.desk import Desk
 from ambershift.system.proxy.intake import Intake
+from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.meter import Meter, Place
@@ -34,7 +34,7 @@
     def __init__(self, settings: Local) -> None:
         self.settings = settings
         self.log = Journal(settings.name, time.monotonic_ns)
-        self.desk = Desk(settings, time.monotonic_ns)
+        self.server = ProxyServer(settings, time.monotonic_ns)
         self.meter = Meter((settings.zone, settings.region), self.place)
         self.links = Links(
             caller_of(settings),
@@ -45,7 +45,7 @@
             self.log,
             self.meter,
         )
-        self.attachment = Attachment(settings, self.desk, self.links, time.monotonic_ns, self.log)
+        self.attachment = Attachment(settings, self.server, self.links, time.monotonic_ns, self.log)
         self.file = Watched(settings.file)
         self.ended = asyncio.Event()
 
@@ -65,10 +65,10 @@
             self.log(PORT_TAKEN, {"address": metrics})
         self.log(1, {"role": "proxy", "zone": self.settings.zone})
         server = served(
-            WithMetrics(self.desk, PROXY_PORT, self.figures),
+            WithMetrics(self.server, PROXY_PORT, self.figures),
             IDLE_S,
             last_answers_s(grace) - TAKES_ON * grace,
-            partial(Intake, lambda: self.desk.routing.limits, time.monotonic_ns),
+            partial(Intake, lambda: self.server.routing.limits, time.monotonic_ns),
         )
         tasks = [
             asyncio.ensure_future(one)
@@ -82,7 +82,7 @@
         await self.ended.wait()
         began = time.monotonic()
         self.log(2, {})
-        self.desk.leave()
+        self.server.leave()
         self.attachment.greet()
         # Clients still come while an old answer of the directory names us: each is served and sent away.
         await asyncio.sleep(TAKES_ON * grace)
@@ -96,14 +96,14 @@
 
     def figures(self) -> list[Figure]:
         """What metrics tell of this proxy."""
-        desk, attachment = self.desk, self.attachment
+        server, attachment = self.server, self.attachment
         waiting = attachment.outbox.size if attachment.outbox else 0
         return [
             *attachment.figures(),
-            Figure("ready", "whether this proxy serves", float(desk.ready and not desk.leaving)),
-            Figure("requests_in_flight", "requests under way", desk.admission.flying),
-            Figure("routes", "routes in force", desk.routing.routes),
-            Figure("backends", "backends known", len(desk.backend_view.lives)),
+            Figure("ready", "whether this proxy serves", float(server.ready and not server.leaving)),
+            Figure("requests_in_flight", "requests under way", server.admission.flying),
+            Figure("routes", "routes in force", server.routing.routes),
+            Figure("backends", "backends known", len(server.backend_view.lives)),
             Figure("link_waiting_bytes", "bytes that wait for the control node's link", waiting),
         ]
 
@@ -120,7 +120,7 @@
         due = 0.0
         while True:
             self.attachment.greet()
-            server.tell_keep(self.desk.routing.limits.told)
+            server.tell_keep(self.server.routing.limits.told)
             if time.monotonic() >= due:
                 due = time.monotonic() + FILE_S
                 if self.file.changed():
@@ -130,7 +130,7 @@
     async def report(self) -> None:
         while True:
             await asyncio.sleep(REPORT_S)
-            report = self.desk.report(time.monotonic_ns())
+            report = self.server.report(time.monotonic_ns())
             self.attachment.report(report)
             if (told := self.meter.due(time.monotonic_ns())) is not None:
                 self.log(105, {**told})
--- a/ambershift/system/proxy/__init__.py
+++ b/ambershift/system/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The desk: requests in, a backend picked from the table, attempts, answers."""
+"""The proxy: requests in, a backend picked from the table, attempts, answers."""
--- a/ambershift/system/proxy/admission.py
+++ b/ambershift/system/proxy/admission.py
@@ -1,8 +1,8 @@
-"""Whether a desk takes one more request: bounds on requests in flight and on bytes held, by priority."""
+"""Whether a proxy takes one more request: bounds on requests in flight and on bytes held, by priority."""
 
 from __future__ import annotations
 
-# Requests in flight at one desk. Each holds a body's part and an answer's, so memory bounds them.
+# Requests in flight at one proxy. Each holds a body's part and an answer's, so memory bounds them.
 FLYING_MOST = 1200
 # A request of priority p is taken while fewer than (1 - p x this) of the most are in flight.
 PRIORITY_STEP = 0.1
--- a/ambershift/system/proxy/attempt.py
+++ b/ambershift/system/proxy/attempt.py
@@ -1,6 +1,6 @@
 """One request's tries at backends: what each has come to, whether another may follow, and the last word.
 
-No input or output. Widens the idea of `ambershift.attempt` (what a failed try proves) to what a desk sees.
+No input or output. Widens the idea of `ambershift.attempt` (what a failed try proves) to what a proxy sees.
 """
 
 from __future__ import annotations
--- a/ambershift/system/proxy/backend_view.py
+++ b/ambershift/system/proxy/backend_view.py
@@ -1,4 +1,4 @@
-"""The backends a desk knows, by life, service and pool, with tables and binds. No input or output."""
+"""The backends a proxy knows, by life, service and pool, with tables and binds. No input or output."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Pool:
-    """A service's lives within homes. `listed` are those of the bound table, `near` those of the desk's own
+    """A service's lives within homes. `listed` are those of the bound table, `near` those of the proxy's own
     region, `all` every one; each choice goes on to the next where it finds nothing good."""
 
     def __init__(self, name: str) -> None:
--- a/ambershift/system/proxy/budget.py
+++ b/ambershift/system/proxy/budget.py
@@ -1,4 +1,4 @@
-"""A service's budget of further arrivals: what one desk may repeat, by its own requests."""
+"""A service's budget of further arrivals: what one proxy may repeat, by its own requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class Budget:
     """Counts requests and further arrivals in slices of a sliding window of `window` ns.
 
-    Every desk keeps under the ratio of its own requests, so the sum over all does too, whatever is lost or
+    Every proxy keeps under the ratio of its own requests, so the sum over all does too, whatever is lost or
     started anew; the platform's slack stays unspent.
     """
 
@@ -24,7 +24,7 @@
         self._at = 0
 
     def came(self, now: int) -> None:
-        """A request for the service has come to this desk."""
+        """A request for the service has come to this proxy."""
         self._requests[self._turn(now)] += 1
 
     def take(self, now: int) -> bool:
--- a/ambershift/system/proxy/cold.py
+++ b/ambershift/system/proxy/cold.py
@@ -1,4 +1,4 @@
-"""How this desk spaces what it sends to a cold backend, so that all desks together stay under its rate."""
+"""How this proxy spaces what it sends to a cold backend, so that all proxies together stay under its rate."""
 
 from __future__ import annotations
 
@@ -7,28 +7,29 @@
 from ambershift.system.proxy.lives import Life
 from ambershift.system.steps import SECOND
 
-# Two sends of one desk this far apart are never sent within one second.
+# Two sends of one proxy this far apart are never sent within one second.
 APART = SECOND + SECOND // 20
-# Of the rate, the share that the chosen desks are expected to use: how many choose themselves is chance.
+# Of the rate, the share that the chosen proxies are expected to use: how many choose themselves is chance.
 SHARE = 0.5
 
 
 class ColdGate:
-    """Lets each cold life get one request of this desk now and then, if the desk is one of those that may.
+    """Lets each cold life get one request of this proxy now and then, if the proxy is one of those that may.
 
-    Which desks may is drawn by hashing desk and life: no desk knows the others, only how many there may be.
+    Which proxies may is drawn by hashing proxy and life: none knows the others, only how many there may be.
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._last: dict[str, int] = {}
 
-    def may(self, life: Life, now: int, desks: int, rate: float) -> bool:
-        """`rate`: requests a second that the backend bears, from all desks."""
+    def may(self, life: Life, now: int, proxies: int, rate: float) -> bool:
+        """`rate`: requests a second that the backend bears, from all proxies."""
         digest = blake2b(f"{self._name} {life.id}".encode(), digest_size=4).digest()
         drawn = int.from_bytes(digest, "big") / 2**32
         return (
-            drawn * max(1, desks) < max(1.0, SHARE * rate) and now - self._last.get(life.id, -APART) >= APART
+            drawn * max(1, proxies) < max(1.0, SHARE * rate)
+            and now - self._last.get(life.id, -APART) >= APART
         )
 
     def sent(self, life: Life, now: int) -> None:
--- a/ambershift/system/proxy/course.py
+++ b/ambershift/system/proxy/course.py
@@ -17,7 +17,7 @@
 from ambershift.system.steps import SECOND
 
 if TYPE_CHECKING:
-    from ambershift.system.proxy.desk import Desk
+    from ambershift.system.proxy.server import ProxyServer
 
 Make = Callable[[Wire, Life, int], httpcore.Request]
 Racing = asyncio.Task[Came]
@@ -30,12 +30,12 @@
     """`make` builds the request for a connection, a backend and the time left, ns."""
 
     def __init__(
-        self, desk: Desk, route: Route, pool: Pool, deadline: int, attempt: bytes, make: Make
+        self, server: ProxyServer, route: Route, pool: Pool, deadline: int, attempt: bytes, make: Make
     ) -> None:
-        self.desk, self.pool, self.attempt, self.make = desk, pool, attempt, make
+        self.server, self.pool, self.attempt, self.make = server, pool, attempt, make
         self.tries = Tries(route.repeatable, route.most, deadline)
-        self.budget = desk.budget(pool.service)
-        self.aim = min(deadline, desk.steady() + int(route.target * (1 - YIELDED * min(route.priority, 5))))
+        self.budget = server.budget(pool.service)
+        self.aim = min(deadline, server.steady() + int(route.target * (1 - YIELDED * min(route.priority, 5))))
         self.nobody = False  # No backend was left to try.
         self._tried = list[Life]()
         self._under_way = list[Try]()
@@ -67,11 +67,11 @@
 
     def _begin(self) -> Try | None:
         """The next try, if one may be made and a backend is there for it."""
-        desk, tries = self.desk, self.tries
-        now = desk.steady()
+        server, tries = self.server, self.tries
+        now = server.steady()
         if self._left or not tries.may(now):
             return None
-        life = desk.pick(self.pool, now, self._tried, self.aim - now)
+        life = server.pick(self.pool, now, self._tried, self.aim - now)
         if life is None:
             self.nobody = True
             return None
@@ -80,7 +80,7 @@
             return None
         tries.begun()
         self._tried.append(life)
-        trying = Try(desk.connections, desk.steady, life, life.region == desk.settings.region, paid)
+        trying = Try(server.connections, server.steady, life, life.region == server.settings.region, paid)
         self._under_way.append(trying)
         return trying
 
@@ -90,10 +90,10 @@
         finally:
             self._under_way.remove(trying)
         if trying.paid and came.stage <= Stage.CONNECTED:
-            self.budget.give_back(self.desk.steady())
+            self.budget.give_back(self.server.steady())
         self.tries.ended(came.stage, came.outcome)
         if came.stage is Stage.WHOLE:
-            self.desk.isolation.heard = self.desk.steady()
+            self.server.isolation.heard = self.server.steady()
         if came.outcome is Outcome.GOOD:
             self._under_way.append(trying)  # A large answer is still to come through it.
         return came
@@ -126,7 +126,7 @@
             raise
         finally:
             for one in racing:
-                self.desk.let_run(one)
+                self.server.let_run(one)
 
 
 async def _either(task: Racing, seconds: float) -> None:
--- a/ambershift/system/proxy/headers.py
+++ b/ambershift/system/proxy/headers.py
@@ -1,4 +1,4 @@
-"""What a request's and an answer's heads say to the desk, and which headers are passed on."""
+"""What a request's and an answer's heads say to the proxy, and which headers are passed on."""
 
 from __future__ import annotations
 
--- a/ambershift/system/proxy/isolation.py
+++ b/ambershift/system/proxy/isolation.py
@@ -1,4 +1,4 @@
-"""Tells when the desk itself is cut off: nobody answers it, whoever is asked."""
+"""Tells when the proxy itself is cut off: nobody answers it, whoever is asked."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Isolation:
-    """While cut off, a request is better refused at once: the client finds another desk."""
+    """While cut off, a request is better refused at once: the client finds another proxy."""
 
     def __init__(self) -> None:
         self.heard = 0
--- a/ambershift/system/proxy/lives.py
+++ b/ambershift/system/proxy/lives.py
@@ -1,4 +1,4 @@
-"""What a desk knows of each life of a backend: whether it may be used, how full it is, how it has fared."""
+"""What a proxy knows of each life of a backend: whether it may be used, how full it is, how it has fared."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     flying: int = 0  # Our own requests there.
     heard: int = 0  # When it last answered.
     since: int = 0  # Since when requests there wait without it answering any.
-    room: int = 1 << 30  # As many as this desk may have there at once.
+    room: int = 1 << 30  # As many as this proxy may have there at once.
     waiting: int = 0
     told_at: int = -LOAD_FOR
     sent: int = 0  # By us, since the load was told.
--- a/ambershift/system/proxy/pick.py
+++ b/ambershift/system/proxy/pick.py
@@ -90,7 +90,7 @@
     tiers: tuple[Tier, ...], allowed: Collection[Life], waits: Mapping[Life, int], chance: Random
 ) -> Life | None:
     """Of two drawn from the first tier that has some of the allowed, the one with the shorter queue: all
-    desks see the same queues, and would storm the shortest together."""
+    proxies see the same queues, and would storm the shortest together."""
     for tier in tiers if allowed else ():
         there = [life for life in tier.lives if life in allowed]
         if there:
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -1,4 +1,4 @@
-"""The items a desk has merged, and the index from a request's host and path to its route."""
+"""The items a proxy has merged, and the index from a request's host and path to its route."""
 
 from __future__ import annotations
 
--- a/ambershift/system/proxy/desk.py
+++ b/ambershift/system/proxy/server.py
@@ -1,4 +1,4 @@
-"""The desk: what the control node tells goes in, requests come as an ASGI application, reports come out."""
+"""The proxy: what the control node tells goes in, requests come as an ASGI application, reports come out."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 MANY = 200  # Requests under way from which on less of each answer is held.
 
 
-class Desk:
+class ProxyServer:
     """One front machine's part in the traffic. `steady` gives ns of a clock that only runs forward."""
 
     def __init__(self, settings: Local, steady: Callable[[], int], chance: Random | None = None) -> None:
@@ -47,7 +47,7 @@
         self.cold = ColdGate(settings.name)
         self.isolation = Isolation()
         self.merged = Awaited()
-        self.desks = 1
+        self.proxies = 1
         self.leaving = False
         self.came: dict[str, int] = {}
         self._on_their_own: set[asyncio.Task[Came]] = set()
@@ -79,8 +79,8 @@
             case fronts.Withdraw():
                 self.backend_view.withdraw(message.id, message.out)
             case fronts.Cores():
-                if message.desks != self.desks:
-                    self.desks = max(1, message.desks)
+                if message.proxies != self.proxies:
+                    self.proxies = max(1, message.proxies)
                     self._share_room(self.backend_view.lives.values())
             case fronts.Mark():
                 return [message]
@@ -91,7 +91,7 @@
         self.routing.begin_link()
 
     def unlinked(self) -> None:
-        """The link was lost: the desk serves on with what it knows."""
+        """The link was lost: the proxy serves on with what it knows."""
 
     def hello(self) -> fronts.Hello:
         return fronts.Hello(
@@ -116,7 +116,7 @@
         return fronts.Report(span, came, tuple(met))
 
     def leave(self) -> None:
-        """From now on each answer asks the client to close, and the desk is not ready."""
+        """From now on each answer asks the client to close, and the proxy is not ready."""
         self.leaving = True
 
     def idle(self) -> bool:
@@ -158,7 +158,7 @@
         return found
 
     def cut(self, now: int) -> bool:
-        """Whether nobody answers this desk, so that a request is better refused at once."""
+        """Whether nobody answers this proxy, so that a request is better refused at once."""
         return self.isolation.cut(now, self.backend_view.lives.values())
 
     def pick(self, pool: Pool, now: int, tried: list[Life], left: int) -> Life | None:
@@ -170,7 +170,7 @@
     def _cold_may(self, life: Life, now: int) -> bool:
         bounds = self.settings.bounds
         rate = self.routing.service(life.service).cold_rate * bounds.cold_overrun
-        return self.cold.may(life, now, self.desks, rate)
+        return self.cold.may(life, now, self.proxies, rate)
 
     def _merge(self, now: int, message: fronts.Items) -> None:
         for item in self.routing.merge(message.items):
@@ -191,7 +191,7 @@
             self.merged.come()
 
     def _share_room(self, lives: Iterable[Life]) -> None:
-        """Each desk may use an even part of the connections that a backend takes from all."""
+        """Each proxy may use an even part of the connections that a backend takes from all."""
         for life in lives:
             cap = self.routing.service(life.service).connections
-            life.room = max(ROOM_LEAST, int(ROOM_SHARE * cap / self.desks))
+            life.room = max(ROOM_LEAST, int(ROOM_SHARE * cap / self.proxies))
--- a/ambershift/system/registry/events.py
+++ b/ambershift/system/registry/events.py
@@ -1,4 +1,4 @@
-"""Events and effects of the machine of backends and desks, beside those that all machines know."""
+"""Events and effects of the machine of backends and proxies, beside those that all machines know."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recalled:
-    """Lives that were on the list before this process began; `most` desks were known at once."""
+    """Lives that were on the list before this process began; `most` proxies were known at once."""
 
     most: int
     lives: tuple[Life, ...]
@@ -54,17 +54,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Spoke:
-    desk: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class Parted:
-    desk: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class Flowed:
-    """What comes to desks linked here, wherever it differs from what was told before."""
+    """What comes to proxies linked here, wherever it differs from what was told before."""
 
     flows: tuple[Flow, ...]
     gone: tuple[tuple[str, str], ...] = ()
--- a/ambershift/system/registry/homes.py
+++ b/ambershift/system/registry/homes.py
@@ -1,8 +1,8 @@
-"""Which clients are better named desks of another region: those whose requests have to be answered there.
+"""Which clients are better named proxies of another region: those whose requests have to be answered there.
 
-A request whose route has homes, none of them near the client, is passed on abroad by any desk near it: body
+A request whose route has homes, none of them near the client, is passed on abroad by any proxy near it: body
 and answer go over our own links between regions. Clients ask the directory by host, and a host may have other
-routes too: so what comes for it decides, as the desks count it (`messages.fronts.tally_of`). No I/O.
+routes too: so what comes for it decides, as the proxies count it (`messages.fronts.tally_of`). No I/O.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ambershift.system.messages.fronts import tally_parts
 
 # Of a host's requests, the part that homes elsewhere must have before its clients are sent there, and under
-# which they are not any more: a client far from its desk waits longer for what could be answered near it.
+# which they are not any more: a client far from its proxy waits longer for what could be answered near it.
 MOST, LEAST = 0.6, 0.4
 SEEN = 100  # Requests per 100 s; fewer tell nothing, and what was chosen stays.
 
@@ -27,7 +27,7 @@
         self.sent: dict[tuple[str, str], frozenset[str]] = {}  # Where clients are sent, by host and region.
 
     def take(self, rates: Mapping[str, int]) -> None:
-        """What comes to all desks now, by name of the sum."""
+        """What comes to all proxies now, by name of the sum."""
         totals, bound = dict[str, int](), defaultdict[str, dict[frozenset[str], int]](dict)
         for name, rate in rates.items():
             if parts := tally_parts(name):
@@ -40,7 +40,7 @@
         self.sent = {key: homes for key, homes in self.sent.items() if key[0] in bound}
 
     def of(self, host: str, region: str) -> frozenset[str]:
-        """The regions whose desks this host's clients are to be named; none where near ones are as good."""
+        """The regions whose proxies this host's clients are to be named; none where near ones are as good."""
         host = host.partition(":")[0].lower()
         if not region or host not in self.bound or self.totals.get(host, 0) < SEEN:
             return self.sent.get((host, region), NOWHERE)
--- a/ambershift/system/registry/kept.py
+++ b/ambershift/system/registry/kept.py
@@ -23,7 +23,7 @@
 
 
 class Sheet(msgspec.Struct, frozen=True, array_like=True):
-    """What the file holds. `ip`: of the machine whose list it is; `most`: the most desks known at once."""
+    """What the file holds. `ip`: of the machine whose list it is; `most`: the most proxies known at once."""
 
     format: int
     ip: str
@@ -49,7 +49,7 @@
 
 
 def read_sheet(ip: str, now: int, data: bytes) -> tuple[int, list[Life]]:
-    """The most desks, and lives that were there: whatever is heard is newer, and has the address."""
+    """The most proxies, and lives that were there: whatever is heard is newer, and has the address."""
     if hashlib.blake2b(data[SUM:], digest_size=SUM).digest() != data[:SUM]:
         raise SheetError("torn")
     try:
--- a/ambershift/system/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -1,4 +1,4 @@
-"""The machine of backends and desks: beats, peers' words, time in; messages and changes of the list out."""
+"""The machine of backends and proxies: beats, peers' words, time in; messages and changes of the list out."""
 
 from __future__ import annotations
 
@@ -7,7 +7,6 @@
 from ambershift.system.messages.rounds import Ask, Delta, Pulse
 from ambershift.system.registry.beats import Beat
 from ambershift.system.registry.clearing import STALE, Clearing
-from ambershift.system.registry.desks import Desks, merge
 from ambershift.system.registry.events import (
     Cleared,
     Effect,
@@ -25,12 +24,13 @@
 from ambershift.system.registry.exchange import Exchange
 from ambershift.system.registry.keeping import MISSED, Keeping
 from ambershift.system.registry.listing import Listing
-from ambershift.system.registry.records import Desk, Life, Records, flow_key
+from ambershift.system.registry.proxies import Proxies, merge
+from ambershift.system.registry.records import Life, ProxyRecord, Records, flow_key
 from ambershift.system.steps import MS, SECOND, Heard, Log
 
 BATCH, PULSE, LISTEN = 100 * MS, SECOND, 250 * MS
 GAP = 600 * MS  # Ticks further apart than this: the process stood still, and heard nobody.
-KEEPER_LOST_DESKS = 1500 * MS
+KEEPER_LOST_PROXIES = 1500 * MS
 MISSING, LET_GO, MASS = 301, 302, 303  # Numbers of the log's events.
 DEAF = 2 * SECOND  # After standing still for very long, till what waited is read.
 HEARING = 2.5  # Heartbeats in touch after which a process has heard all that beat to it.
@@ -40,7 +40,7 @@
     def __init__(self, start: int, heartbeat: int) -> None:
         self.heartbeat = heartbeat
         self.exchange, self.keeping, self.listing = Exchange(start), Keeping(heartbeat), Listing()
-        self.desks, self.clearing = Desks(), Clearing()
+        self.proxies, self.clearing = Proxies(), Clearing()
         self.deaf_until = 0
         self.orphans: dict[str, tuple[Life, int]] = {}  # Of keepers that began anew, and when it ends.
         self.lost: dict[str, int] = {}  # Peers not heard, since when.
@@ -50,8 +50,8 @@
         self.looked = self.batched = self.pulsed = self.listened = 0
         self.peers: tuple[str, ...] = ()
         self.dirty: set[str] = set()
-        self.merged: dict[str, tuple[str, Desk]] = {}
-        self.merged_of: list[tuple[str, int]] = []  # Of whose desks, and which.
+        self.merged: dict[str, tuple[str, ProxyRecord]] = {}
+        self.merged_of: list[tuple[str, int]] = []  # Of whose proxies, and which.
 
     def step(self, now: int, event: Event) -> list[Effect]:
         effects = list[Effect]()
@@ -80,13 +80,13 @@
             case Linked():
                 effects += self.exchange.pulse([event.peer])
             case Greeted():
-                desk = self.desks.greet(now, event.hello)
-                self.exchange.put(desk, desk.key)
+                proxy = self.proxies.greet(now, event.hello)
+                self.exchange.put(proxy, proxy.key)
             case Spoke():
-                if again := self.desks.speak(now, event.desk):
+                if again := self.proxies.speak(now, event.proxy):
                     self.exchange.put(again, again.key)
             case Parted():
-                self.desks.part(now, event.desk)
+                self.proxies.part(now, event.proxy)
             case Flowed():
                 for flow in event.flows:
                     self.exchange.put(flow, flow_key(flow.zone, flow.pool))
@@ -95,15 +95,17 @@
         self._show(now, effects)
         return effects
 
-    def directory(self, now: int) -> dict[str, tuple[str, Desk]]:
-        """All desks known, by name, with the control node they are linked to ("": this one).
+    def directory(self, now: int) -> dict[str, tuple[str, ProxyRecord]]:
+        """All proxies known, by name, with the control node they are linked to ("": this one).
 
         Those of a lost control node are there for a short while only."""
         known = self._known(now)
         turns = [(keeper, records.turn) for keeper, records in known]
         if turns != self.merged_of:
             self.merged_of = turns
-            self.merged = merge((keeper, one) for keeper, records in known for one in records.desks.values())
+            self.merged = merge(
+                (keeper, one) for keeper, records in known for one in records.proxies.values()
+            )
         return self.merged
 
     def _known(self, now: int) -> list[tuple[str, Records]]:
@@ -113,12 +115,12 @@
             *(
                 (peer, copy.records)
                 for peer, copy in self.exchange.copies.items()
-                if peer not in self.lost or now < self.lost[peer] + KEEPER_LOST_DESKS
+                if peer not in self.lost or now < self.lost[peer] + KEEPER_LOST_PROXIES
             ),
         ]
 
     def flows(self) -> dict[tuple[str, str, str], int]:
-        """What comes to desks linked elsewhere: by control node, zone and pool, in requests per 100 s."""
+        """What comes to proxies linked elsewhere: by control node, zone and pool, in requests per 100 s."""
         return {
             (peer, one.zone, one.pool): one.rate
             for peer, copy in self.exchange.copies.items()
@@ -126,15 +128,15 @@
         }
 
     def rates(self) -> dict[str, int]:
-        """What comes to all desks, by pool or other sum, in requests per 100 s."""
+        """What comes to all proxies, by pool or other sum, in requests per 100 s."""
         rates = Counter[str]()
         for records in (self.exchange.own, *(copy.records for copy in self.exchange.copies.values())):
             for one in records.flows.values():
                 rates[one.pool] += one.rate
         return rates
 
-    def most_desks(self, now: int) -> int:
-        """The most desks that were known at once, here or elsewhere."""
+    def most_proxies(self, now: int) -> int:
+        """The most proxies that were known at once, here or elsewhere."""
         self.exchange.most = max(
             self.exchange.most,
             len(self.directory(now)),
@@ -246,7 +248,7 @@
             effects += self.exchange.pulse(look.peers)
 
     def _look_for_silence(self, now: int, look: Look, effects: list[Effect]) -> None:
-        for name in self.desks.silent(now, self.awake):
+        for name in self.proxies.silent(now, self.awake):
             self.exchange.drop("d" + name)
         self.dirty.update(self.listing.tidy(now))
         if self.well_since is None:
--- a/ambershift/system/registry/desks.py
+++ b/ambershift/system/registry/proxies.py
@@ -1,4 +1,4 @@
-"""The directory: which desks there are, by their links here and by what other nodes tell of theirs."""
+"""The directory: which proxies there are, by their links here and by what other nodes tell of theirs."""
 
 from __future__ import annotations
 
@@ -6,63 +6,65 @@
 from dataclasses import dataclass, replace
 
 from ambershift.system.messages.fronts import Hello
-from ambershift.system.registry.records import Desk
+from ambershift.system.registry.records import ProxyRecord
 from ambershift.system.steps import MS
 
-PARTED = 1000 * MS  # A desk dials anew within this, or is taken for lost.
-SILENT = 2500 * MS  # A desk reports each second.
+PARTED = 1000 * MS  # A proxy dials anew within this, or is taken for lost.
+SILENT = 2500 * MS  # A proxy reports each second.
 ADDRESSES_MOST, NEAR_LEAST = 64, 2
 
 
 @dataclass(slots=True)
 class Linked:
-    desk: Desk
+    proxy: ProxyRecord
     spoke: int
     parted: int | None = None
 
 
-class Desks:
-    """Desks linked to this node. Each method returns the record to tell others, or the name to drop."""
+class Proxies:
+    """Proxies linked to this node. Each method returns the record to tell others, or the name to drop."""
 
     def __init__(self) -> None:
         self.linked: dict[str, Linked] = {}
 
-    def greet(self, now: int, hello: Hello) -> Desk:
-        desk = Desk(hello.name, hello.life, hello.zone, hello.address, hello.ready, hello.leaving, now)
+    def greet(self, now: int, hello: Hello) -> ProxyRecord:
+        proxy = ProxyRecord(
+            hello.name, hello.life, hello.zone, hello.address, hello.ready, hello.leaving, now
+        )
         known = self.linked.get(hello.name)
-        if known and known.desk.life == desk.life and known.desk.leaving:
-            desk = replace(desk, leaving=True)
-        self.linked[hello.name] = Linked(desk, now)
-        return desk
+        if known and known.proxy.life == proxy.life and known.proxy.leaving:
+            proxy = replace(proxy, leaving=True)
+        self.linked[hello.name] = Linked(proxy, now)
+        return proxy
 
-    def speak(self, now: int, name: str) -> Desk | None:
+    def speak(self, now: int, name: str) -> ProxyRecord | None:
         """A word of any kind; the record where it is told of anew."""
         if not (known := self.linked.get(name)):
             return None
         quiet, known.spoke = now > known.spoke + SILENT, now
-        return known.desk if quiet else None
+        return known.proxy if quiet else None
 
     def part(self, now: int, name: str) -> None:
         if known := self.linked.get(name):
             known.parted = now
 
     def silent(self, now: int, awake: int) -> list[str]:
-        """Names of desks that are lost, or not heard for so long that none should be sent there.
+        """Names of proxies that are lost, or not heard for so long that none should be sent there.
 
         `awake`: since when this process has run without standing still."""
         lost = [
             name
             for name, one in self.linked.items()
-            if one.parted is not None and (one.desk.leaving or now > one.parted + PARTED)
+            if one.parted is not None and (one.proxy.leaving or now > one.parted + PARTED)
         ]
         for name in lost:
             del self.linked[name]
         return lost + [name for name, one in self.linked.items() if now > max(one.spoke, awake) + SILENT]
 
 
-def merge(records: Iterable[tuple[str, Desk]]) -> dict[str, tuple[str, Desk]]:
+def merge(records: Iterable[tuple[str, ProxyRecord]]) -> dict[str, tuple[str, ProxyRecord]]:
     """One record a name, with its keeper: that of the last Hello; a life that leaves does not come back."""
-    merged = dict[str, tuple[str, Desk]]()
+    merged = dict[str, tuple[str, ProxyRecord]]()
     leaving = set[tuple[str, str]]()
     for keeper, one in records:
         if one.leaving:
@@ -77,11 +79,15 @@
 
 
 def nearest(
-    desks: Iterable[Desk], region: str, zone: str, regions: Mapping[str, str], homes: Container[str] = ()
-) -> Sequence[Desk]:
-    """Ready desks of the homes if there are two; else of the zone if there are two, else of the region if
+    proxies: Iterable[ProxyRecord],
+    region: str,
+    zone: str,
+    regions: Mapping[str, str],
+    homes: Container[str] = (),
+) -> Sequence[ProxyRecord]:
+    """Ready proxies of the homes if there are two; else of the zone if there are two, else of the region if
     there is any, else all. `homes`: where all that the client asks for has to be answered, if not near it."""
-    ready = sorted((one for one in desks if one.ready and not one.leaving), key=lambda one: one.name)
+    ready = sorted((one for one in proxies if one.ready and not one.leaving), key=lambda one: one.name)
     there = [one for one in ready if regions.get(one.zone) in homes]
     if len(there) >= NEAR_LEAST:
         return there
--- a/ambershift/system/registry/records.py
+++ b/ambershift/system/registry/records.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Desk:
+class ProxyRecord:
     """A program that carries traffic, linked to some control node; `since` is its last Hello (steady ns)."""
 
     name: str
@@ -63,35 +63,35 @@
         return "d" + self.name
 
 
-Record = Life | Desk | Flow
+Record = Life | ProxyRecord | Flow
 _turns = itertools.count()
 
 
 class Records(dict[str, Record]):
-    """Records by key. Each kind is held apart, too: looked for among all, a few desks would cost what tens of
-    thousands of lives and flows do. Change it by `place` and `take` only."""
+    """Records by key. Each kind is held apart, too: looked for among all, a few proxies would cost what tens
+    of thousands of lives and flows do. Change it by `place` and `take` only."""
 
     def __init__(self) -> None:
         super().__init__()
         self.lives: dict[str, Life] = {}
-        self.desks: dict[str, Desk] = {}
+        self.proxies: dict[str, ProxyRecord] = {}
         self.flows: dict[str, Flow] = {}
-        self.turn = next(_turns)  # Another one whenever the desks are others.
+        self.turn = next(_turns)  # Another one whenever the proxies are others.
 
     def place(self, key: str, record: Record) -> None:
         self[key] = record
         match record:
             case Life():
                 self.lives[key] = record
-            case Desk():
-                self.desks[key] = record
+            case ProxyRecord():
+                self.proxies[key] = record
                 self.turn = next(_turns)
             case Flow():
                 self.flows[key] = record
 
     def take(self, key: str) -> Record | None:
         """Out of all; None where there is none."""
-        if self.desks.pop(key, None):
+        if self.proxies.pop(key, None):
             self.turn = next(_turns)
         self.lives.pop(key, None)
         self.flows.pop(key, None)
@@ -126,13 +126,13 @@
 def pack(
     now: int, start: int, since: int, upto: int, records: Iterable[Record], gone: Iterable[str], most: int
 ) -> Delta:
-    lives, desks, flows = list[Lived](), list[Attached](), list[Flow]()
+    lives, proxies, flows = list[Lived](), list[Attached](), list[Flow]()
     for one in records:
         match one:
             case Life():
                 lives.append(lived(now, one))
-            case Desk():
-                desks.append(
+            case ProxyRecord():
+                proxies.append(
                     Attached(
                         one.name,
                         one.life,
@@ -145,15 +145,15 @@
                 )
             case Flow():
                 flows.append(one)
-    return Delta(start, since, upto, tuple(lives), tuple(desks), tuple(flows), tuple(gone), most)
+    return Delta(start, since, upto, tuple(lives), tuple(proxies), tuple(flows), tuple(gone), most)
 
 
 def unpack(now: int, delta: Delta) -> dict[str, Record]:
     records: dict[str, Record] = {}
     for life in delta.lives:
         records["b" + life.id] = to_life(now, life)
-    for one in delta.desks:
-        records["d" + one.name] = Desk(
+    for one in delta.proxies:
+        records["d" + one.name] = ProxyRecord(
             one.name, one.life, one.zone, one.address, one.ready, one.leaving, now - one.age * MS
         )
     for flow in delta.flows:
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -17,7 +17,6 @@
 from ambershift.system.messages.rounds import Ask, Delta, Flow, Pulse
 from ambershift.system.registry.beats import BeatError, check_id, read_beat
 from ambershift.system.registry.clearing import REFUSED
-from ambershift.system.registry.desks import ADDRESSES_MOST, nearest
 from ambershift.system.registry.events import (
     Cleared,
     Ended,
@@ -35,12 +34,15 @@
 from ambershift.system.registry.kept import Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.registry.listing import DRAINING, GONE
 from ambershift.system.registry.machine import RegistryMachine
-from ambershift.system.registry.records import Desk, Life
+from ambershift.system.registry.proxies import ADDRESSES_MOST, nearest
+from ambershift.system.registry.records import Life, ProxyRecord
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import MS, SECOND, Heard, Log, Send
 
 PUT_LIMIT_S = 0.8  # A backend waits a second for its acknowledgement.
-UNSURE_DESKS = 256  # Told while desks may not have been heard yet: too few would let too much to cold ones.
+UNSURE_PROXIES = (
+    256  # Told while proxies may not have been heard yet: too few would let too much to cold ones.
+)
 DIRECTORY_KEPT = 50 * MS  # Against merging it for each of many clients.
 RATED_EACH = SECOND
 NEAR_MOST = 1000  # Callers may name any place.
@@ -80,14 +82,14 @@
         self.held = dict[str, int]()
         self.holding = dict[tuple[str, int], asyncio.Task[None]]()
         self.homes = Homes()
-        # Addresses for a region, zone and homes, of the desks known.
+        # Addresses for a region, zone and homes, of the proxies known.
         self.near = dict[tuple[str, str, frozenset[str]], list[str]]()
         self.hearers = list[Callable[[Sequence[Life], Sequence[str]], None]]()
         self.read = False
         self.side, self.keep = side, Keep()
-        self.recalled = False  # Whether the disk has told how many desks there may be.
+        self.recalled = False  # Whether the disk has told how many proxies there may be.
         self.clears: asyncio.Future[None] | None = None
-        self.known_at, self.known = -SECOND, list[Desk]()
+        self.known_at, self.known = -SECOND, list[ProxyRecord]()
         self.rated_at = -SECOND
         ledger.listen(self._items)
 
@@ -171,11 +173,11 @@
         self.known_at = -SECOND
         self._step(Greeted(hello))
 
-    def spoke(self, desk: str) -> None:
-        self._step(Spoke(desk))
+    def spoke(self, proxy: str) -> None:
+        self._step(Spoke(proxy))
 
-    def parted(self, desk: str) -> None:
-        self._step(Parted(desk))
+    def parted(self, proxy: str) -> None:
+        self._step(Parted(proxy))
 
     def flowed(self, flows: Sequence[Flow], gone: Sequence[tuple[str, str]]) -> None:
         self._step(Flowed(tuple(flows), tuple(gone)))
@@ -188,18 +190,18 @@
         """The list."""
         return self.machine.listing.shown
 
-    def desks(self) -> Mapping[str, tuple[str, Desk]]:
-        """Desks by name, with the control node each is linked to ("": this one)."""
+    def proxies(self) -> Mapping[str, tuple[str, ProxyRecord]]:
+        """Proxies by name, with the control node each is linked to ("": this one)."""
         return self.machine.directory(self.steady())
 
     def flows(self) -> Mapping[tuple[str, str, str], int]:
         return self.machine.flows()
 
-    def desks_most(self) -> int:
-        """How many desks there may be at the most: those known at once, a quarter more, one a zone."""
-        most = self.machine.most_desks(self.steady())
+    def proxies_most(self) -> int:
+        """How many proxies there may be at the most: those known at once, a quarter more, one a zone."""
+        most = self.machine.most_proxies(self.steady())
         if not self.machine.settled and not self.recalled:
-            return max(most, UNSURE_DESKS)
+            return max(most, UNSURE_PROXIES)
         return most + -(-most // 4) + len(self.settings.zones)
 
     def _step(self, event: Event) -> None:
@@ -214,12 +216,12 @@
                     for heard in self.hearers:
                         heard(effect.put, effect.gone)
 
-    def _there(self, now: int) -> list[Desk]:
-        """Desks to send clients to. One whose node has been silent for a moment may be lost with it, and
+    def _there(self, now: int) -> list[ProxyRecord]:
+        """Proxies to send clients to. One whose node has been silent for a moment may be lost with it, and
         is back elsewhere soon if it isn't: it is left out while at least half are left."""
         known = [one for one in self.machine.directory(now).values() if one[1].ready and not one[1].leaving]
-        sure = [desk for keeper, desk in known if not keeper or self.ledger.lately(keeper)]
-        return sure if 2 * len(sure) >= len(known) else [desk for _, desk in known]
+        sure = [proxy for keeper, proxy in known if not keeper or self.ledger.lately(keeper)]
+        return sure if 2 * len(sure) >= len(known) else [proxy for _, proxy in known]
 
     def _read(self) -> None:
         if not self.read:  # Only now is what the disk holds surely there.
@@ -231,7 +233,7 @@
         if self.side is None or not self.machine.settled:
             return
         self.keep.changed |= self.side.failed
-        most = self.machine.most_desks(now)
+        most = self.machine.most_proxies(now)
         if not self.keep.due(now, most):
             return
         listing = self.machine.listing
@@ -299,7 +301,7 @@
 
 
 def backend(life: Life, now: int) -> Backend:
-    """A life as desks are told of it."""
+    """A life as proxies are told of it."""
     return Backend(
         life.id,
         life.service,
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -12,7 +12,7 @@
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import codec, rounds
 from ambershift.system.processes.attachment import Attachment
-from ambershift.system.proxy.desk import Desk
+from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.simulation.cluster import ZONES, Cluster
@@ -26,11 +26,11 @@
 
 @dataclass
 class Front:
-    """One proxy: its desk and attachment as they run."""
+    """One proxy: its proxy and attachment as they run."""
 
     settings: Local
     loop: SimulatedLoop
-    desk: Desk
+    server: ProxyServer
     attachment: Attachment
     frozen: list[asyncio.Handle] | None = None
 
@@ -62,7 +62,7 @@
         def send(to: str, message: msgspec.Struct) -> None:
             self.send(ip, to, message)
 
-        def send_desk(name: str, message: msgspec.Struct) -> None:
+        def send_proxy(name: str, message: msgspec.Struct) -> None:
             if (line := self.lines.get((ip, name))) is not None:
                 line.carry(False, codec.encode(message))
 
@@ -75,7 +75,7 @@
                 settings,
                 process.store,
                 registry,
-                send_desk,
+                send_proxy,
                 send,
                 steady,
                 chance.getrandbits(62),
@@ -104,12 +104,12 @@
                 return
             if isinstance(event, FromProxy):
                 if self.lines.get((box.ip, event.line.proxy)) is event.line:
-                    controller.hear_desk(event.line.proxy, event.message)
+                    controller.hear_proxy(event.line.proxy, event.message)
                 return
             if isinstance(event, HungUp):
                 if self.lines.get((box.ip, event.line.proxy)) is event.line:
                     del self.lines[box.ip, event.line.proxy]
-                    controller.desk_lost(event.line.proxy)
+                    controller.proxy_lost(event.line.proxy)
                 return
         super().happen(box, event)
         if isinstance(event, Tick):
@@ -122,7 +122,7 @@
         if before is not None:
             before.end()
         self.lines[ip, line.proxy] = line
-        controller.desk_linked(line.proxy)
+        controller.proxy_linked(line.proxy)
 
     def hang_up(self, line: ProxyLink) -> None:
         self.step(line.ip, line.life, HungUp(line))
@@ -157,22 +157,22 @@
             return self.steady(name)
 
         with loop.current():
-            desk = Desk(settings, steady, random.Random(self.chance.getrandbits(62)))
-            attachment = Attachment(settings, desk, ProxyLinks(self, name), steady, log)
-            self.fronts[name] = Front(settings, loop, desk, attachment)
+            server = ProxyServer(settings, steady, random.Random(self.chance.getrandbits(62)))
+            attachment = Attachment(settings, server, ProxyLinks(self, name), steady, log)
+            self.fronts[name] = Front(settings, loop, server, attachment)
             loop.create_task(attachment.run())
             loop.create_task(self._greet(attachment))
-            loop.create_task(self._report(desk, attachment, steady))
+            loop.create_task(self._report(server, attachment, steady))
 
     async def _greet(self, attachment: Attachment) -> None:
         while True:
             attachment.greet()
             await asyncio.sleep(GREET_S)
 
-    async def _report(self, desk: Desk, attachment: Attachment, steady: Any) -> None:
+    async def _report(self, server: ProxyServer, attachment: Attachment, steady: Any) -> None:
         while True:
             await asyncio.sleep(REPORT_S)
-            attachment.report(desk.report(steady()))
+            attachment.report(server.report(steady()))
 
     def _run(self, name: str, handle: asyncio.Handle) -> None:
         front = self.fronts[name]
--- a/ambershift/system/simulation/fleet_history.py
+++ b/ambershift/system/simulation/fleet_history.py
@@ -169,7 +169,7 @@
         for name, front in self.fleet.fronts.items():
             touched: bool | None = None
             for one in self.storm.acknowledged[-300:]:
-                held = front.desk.routing.items.get(one.key)
+                held = front.server.routing.items.get(one.key)
                 since = self.fleet.now - one.at
                 if since == 0 or (held is not None and held.version[0] >= one.version):
                     continue
@@ -191,7 +191,7 @@
         for name, front in self.fleet.fronts.items():
             calm = self.fleet.now - self._disturbed.get(name, -bound) >= bound
             if calm and (proved := front.attachment.choice.proved) is not None:
-                self._compare(name, proved, front.desk.routing.items)
+                self._compare(name, proved, front.server.routing.items)
 
     def _compare(self, machine: str, proved: int, held: Mapping[Key, Item]) -> None:
         moment = self.fleet.moment(machine, proved) - ON_THE_WAY
--- a/ambershift/system/simulation/fleet_troubles.py
+++ b/ambershift/system/simulation/fleet_troubles.py
@@ -163,7 +163,7 @@
 
 
 def unready(fleet: Fleet) -> list[str]:
-    return [f"{name} is not ready" for name, front in fleet.fronts.items() if not front.desk.ready]
+    return [f"{name} is not ready" for name, front in fleet.fronts.items() if not front.server.ready]
 
 
 def storm_while_cut(seed: int, apart: tuple[int, ...], lasts: float = 8.0, alone: bool = False) -> Judge:
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -26,7 +26,7 @@
 def by_its_word(real: Any) -> Any:
     def sign(self: controller.Controller, cores: Any) -> Cores:
         made: Cores = real(self, cores)
-        return Cores(made.cores, made.in_touch, made.desks, 0 if made.in_touch else NEVER_MS)
+        return Cores(made.cores, made.in_touch, made.proxies, 0 if made.in_touch else NEVER_MS)
 
     return sign
 
--- a/ambershift/system/steps.py
+++ b/ambershift/system/steps.py
@@ -18,7 +18,7 @@
 # Events that all machines know.
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """A message from another machine, named by its ip; for desks by their name."""
+    """A message from another machine, named by its ip; for proxies by their name."""
 
     sender: str
     message: msgspec.Struct
@@ -40,7 +40,7 @@
 # Effects.
 @dataclass(frozen=True, slots=True)
 class Send:
-    """To a control node's ip or a desk's name. May be lost: whoever needs an answer asks again."""
+    """To a control node's ip or a proxy's name. May be lost: whoever needs an answer asks again."""
 
     to: str
     message: msgspec.Struct
--- a/ambershift/system/testbed/__main__.py
+++ b/ambershift/system/testbed/__main__.py
@@ -27,14 +27,14 @@
         epilog="example: python3 -m ambershift.system.testbed --seconds 20 --lose control",
     )
     made.add_argument("--control-nodes", type=int, default=6, metavar="N")
-    made.add_argument("--desks", type=int, default=6, metavar="N")
+    made.add_argument("--proxies", type=int, default=6, metavar="N")
     made.add_argument("--backends", type=int, default=24, metavar="N")
     made.add_argument("--seconds", type=float, default=20, metavar="S", help="how long traffic lasts")
     made.add_argument("--rate", type=float, default=100, metavar="R", help="requests a second")
     made.add_argument(
         "--lose",
-        choices=("desk", "control", "core", "frozen", "none"),
-        default="desk",
+        choices=("proxy", "control", "core", "frozen", "none"),
+        default="proxy",
         help="killed in the middle and started again (core: all control nodes at once; frozen: "
         "a control node that stands still for a while)",
     )
@@ -54,7 +54,7 @@
         "--hollow",
         type=int,
         metavar="N",
-        help="instead of desks: N links to the control nodes that only listen, to measure them",
+        help="instead of proxies: N links to the control nodes that only listen, to measure them",
     )
     return made
 
@@ -111,7 +111,7 @@
     site = Site(
         folder,
         asked.control_nodes,
-        0 if asked.hollow else asked.desks,
+        0 if asked.hollow else asked.proxies,
         asked.seed,
         heartbeat_ms=1500 if asked.hollow else 500,
     )
@@ -131,7 +131,7 @@
     asked = parser().parse_args(arguments)
     if not asked.hollow and not (
         asked.control_nodes > 0
-        and asked.desks > 0
+        and asked.proxies > 0
         and 0 < asked.services <= asked.backends
         and 0 < asked.seconds <= 600
         and 0 < asked.rate <= 1000
--- a/ambershift/system/testbed/clients.py
+++ b/ambershift/system/testbed/clients.py
@@ -113,7 +113,7 @@
         return outcome
 
     async def probe(self, address: str, route: Route) -> tuple[str, str]:
-        """One try, sent directly to one desk; it earns nothing. Its outcome and why."""
+        """One try, sent directly to one proxy; it earns nothing. Its outcome and why."""
         try:
             line = await Line.open(address)
         except NotReachedError:
--- a/ambershift/system/testbed/faults.py
+++ b/ambershift/system/testbed/faults.py
@@ -10,7 +10,7 @@
 from ambershift.system.testbed.book import COLD_S, Route
 from ambershift.system.testbed.processes import Child
 from ambershift.system.testbed.rig import Rig, until
-from ambershift.system.testbed.settings import CONTROL_NODE, DESK
+from ambershift.system.testbed.settings import CONTROL_NODE, PROXY
 
 BACK_S, CORE_BACK_S, READY_S = 2.5, 0.5, 20.0
 HEARS_S = 1.0  # A process that is just being started can't hear a signal yet.
@@ -30,7 +30,7 @@
     async def back(self, child: Child) -> None:
         await child.start()
         began = time.monotonic()
-        if child.machine.kind == DESK:
+        if child.machine.kind == PROXY:
             await until(f"{child.machine.name} ready again", lambda: self.rig.ready(child.machine), READY_S)
             self.rig.say(f"{child.machine.name} is back, ready after {time.monotonic() - began:.1f} s")
         else:
@@ -63,7 +63,7 @@
         child.thaw()
         self.rig.say(f"{child.machine.name} goes on")
 
-    async def end_in_order(self, kind: str = DESK) -> None:
+    async def end_in_order(self, kind: str = PROXY) -> None:
         """SIGTERM: it serves what it has, goes by itself within the grace, and comes back."""
         child = self.rig.of(kind)[0]
         grace = self.site.bounds["GraceS"]
@@ -114,19 +114,19 @@
         await self.rig.operator.take_back(zone)
 
     async def configure(self) -> None:
-        """A route moves, one is new; once it must be in force every ready desk is asked for the new one."""
+        """A route moves, one is new; once it must be in force every ready proxy is asked for the new one."""
         if await self.rig.operator.shift():
             await self.probe(list(self.rig.book.routes.values())[-1], "served", "")
 
     async def drop(self) -> None:
-        """A route goes; clients no longer ask for it, but every ready desk is asked once."""
+        """A route goes; clients no longer ask for it, but every ready proxy is asked once."""
         route = self.chance.choice(list(self.rig.book.routes.values()))
         if await self.rig.operator.drop(route.name):
             await self.probe(route, "failed", "404")
 
     async def probe(self, route: Route, outcome: str, reason: str) -> None:
         await asyncio.sleep(self.site.bounds["ConfigApplyMs"] / 1e3)
-        for child in self.rig.of(DESK):
+        for child in self.rig.of(PROXY):
             if not await self.rig.ready(child.machine):
                 continue
             found = await self.rig.clients[0].probe(self.site.front(child.machine), route)
@@ -156,7 +156,7 @@
         (0.75, faults.drop),
     ]
     losses: dict[str, Callable[[], Awaitable[None]]] = {
-        "desk": lambda: faults.lose(DESK),
+        "proxy": lambda: faults.lose(PROXY),
         "control": lambda: faults.lose(CONTROL_NODE, wipe),
         "core": faults.lose_core,
         "frozen": faults.freeze,
--- a/ambershift/system/testbed/hollow.py
+++ b/ambershift/system/testbed/hollow.py
@@ -1,4 +1,4 @@
-"""Many desks that are links only, against real nodes: what a desk, a route and a backend cost them."""
+"""Many proxies that are links only, against real nodes: what a proxy, a route and a backend cost them."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from ambershift.system.testbed.settings import CONTROL_NODE, Site
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.outbox import Outbox
-from ambershift.system.transport.words import DESK, Caller
+from ambershift.system.transport.words import PROXY, Caller
 
 REPORT_S, DIALS_AT_ONCE, SETTLE_S, UP_S = 1.0, 32, 6.0, 120.0
-CAME_MEAN = 20  # Requests a second that each hollow desk reports, spread over the pools.
+CAME_MEAN = 20  # Requests a second that each hollow proxy reports, spread over the pools.
 
 
-class HollowDesk:
+class HollowProxy:
     """Says Hello, reports, reads all that is pushed, and answers marks. `got` counts bytes by kind."""
 
     def __init__(self, site: Site, number: int, zone: str, pools: list[str], chance: random.Random) -> None:
@@ -46,7 +46,7 @@
 
     async def run(self, gate: asyncio.Semaphore) -> None:
         links = Links(
-            Caller(DESK, self.name, self.life),
+            Caller(PROXY, self.name, self.life),
             self.site.ports.internal,
             lambda *_: None,
             lambda _: None,
@@ -103,7 +103,7 @@
 
 
 async def measure(site: Site, asked: argparse.Namespace, say: Callable[[str], None]) -> int:
-    """Fill the configuration, link the hollow desks, and print what it costs for `seconds`."""
+    """Fill the configuration, link the hollow proxies, and print what it costs for `seconds`."""
     _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
     chance = random.Random(site.seed)
@@ -116,16 +116,16 @@
                 for service in route.services
             }
         )
-        desks = [HollowDesk(site, at, zones[at % len(zones)], pools, chance) for at in range(asked.hollow)]
+        proxies = [HollowProxy(site, at, zones[at % len(zones)], pools, chance) for at in range(asked.hollow)]
         try:
             await rig.settle(UP_S)
             gate = asyncio.Semaphore(DIALS_AT_ONCE)
             began, before = time.monotonic(), spent(rig)
-            for desk in desks:
-                rig.spawn(desk.run(gate))
+            for proxy in proxies:
+                rig.spawn(proxy.run(gate))
             await until(
-                "every hollow desk has all items",
-                lambda: all(one.complete for one in desks) or available_share() < 0.5,
+                "every hollow proxy has all items",
+                lambda: all(one.complete for one in proxies) or available_share() < 0.5,
                 UP_S,
             )
             if available_share() < 0.5:
@@ -133,12 +133,12 @@
                 return 1
             each = ", ".join(f"{now - was:.2f}" for was, now in zip(before, spent(rig), strict=True))
             say(
-                f"{len(desks)} hollow desks have all after {time.monotonic() - began:.1f} s; processor "
+                f"{len(proxies)} hollow proxies have all after {time.monotonic() - began:.1f} s; processor "
                 f"seconds of this program and each control node: {each}"
             )
             await asyncio.sleep(SETTLE_S)  # Not a verdict: first tables are dealt meanwhile.
-            say(f"bytes to each so far: {by_kind(desks, 1.0)}")
-            await span(rig, desks, asked.seconds)
+            say(f"bytes to each so far: {by_kind(proxies, 1.0)}")
+            await span(rig, proxies, asked.seconds)
         except NotMetError as why:
             say(str(why))
             return 1
@@ -151,19 +151,21 @@
     return [time.process_time(), *(cost.cpu if cost else 0.0 for cost in costs)]
 
 
-def by_kind(desks: list[HollowDesk], over: float) -> str:
+def by_kind(proxies: list[HollowProxy], over: float) -> str:
     """Bytes that each was sent on the mean, divided by `over`, the most first."""
     kinds = Counter[str]()
-    for desk in desks:
-        kinds.update(desk.got)
-    return ", ".join(f"{name} {size / over / len(desks):.1f}" for name, size in kinds.most_common()) or "none"
+    for proxy in proxies:
+        kinds.update(proxy.got)
+    return (
+        ", ".join(f"{name} {size / over / len(proxies):.1f}" for name, size in kinds.most_common()) or "none"
+    )
 
 
-async def span(rig: Rig, desks: list[HollowDesk], seconds: float) -> None:
+async def span(rig: Rig, proxies: list[HollowProxy], seconds: float) -> None:
     """Look twice, `seconds` apart, and print the difference for each control node."""
     children = rig.of(CONTROL_NODE)
-    for desk in desks:
-        desk.got.clear()
+    for proxy in proxies:
+        proxy.got.clear()
     costs = {child.machine.ip: cost_of(child.process.pid) for child in children if child.process}
     began = time.monotonic()
     await asyncio.sleep(seconds)
@@ -174,7 +176,7 @@
     )
     for child in children:
         ip = child.machine.ip
-        mine = [desk for desk in desks if desk.ip == ip]
+        mine = [proxy for proxy in proxies if proxy.ip == ip]
         before, now = costs.get(ip), cost_of(child.process.pid) if child.process else None
         if before is None or now is None:
             print(f"{child.machine.name:28} has ended by itself")
@@ -184,8 +186,8 @@
             f"{child.machine.name:28} {len(mine):>6} {now.now:>8.1f} {now.peak:>9.1f} "
             f"{(now.cpu - before.cpu) / lasted:>9.4f} {bytes_each:>15.1f}"
         )
-    print(f"\nbytes a second a link by kind: {by_kind(desks, lasted)}")
+    print(f"\nbytes a second a link by kind: {by_kind(proxies, lasted)}")
     print(
-        f"links that broke: {sum(one.breaks for one in desks)}, dials that failed: "
-        f"{sum(one.undialled for one in desks)}"
+        f"links that broke: {sum(one.breaks for one in proxies)}, dials that failed: "
+        f"{sum(one.undialled for one in proxies)}"
     )
--- a/ambershift/system/testbed/judge.py
+++ b/ambershift/system/testbed/judge.py
@@ -63,7 +63,7 @@
         self.waits = list[float]()
         self.began, self.notes = time.monotonic(), list[str]()  # A line for each request out of its aim.
         self.reasons = Counter[str]()
-        self.lost_spans = list[tuple[str, float, float]]()  # Desks that ended in order: address, from, to.
+        self.lost_spans = list[tuple[str, float, float]]()  # Proxies that ended in order: address, from, to.
 
     def fault(self, name: str, words: str) -> None:
         self.faults[name] += 1
@@ -165,7 +165,7 @@
         found = self.tries[attempt]
         found.ended = why
         now = time.monotonic()
-        planned = any(desk == address and begin <= now <= end for desk, begin, end in self.lost_spans)
+        planned = any(proxy == address and begin <= now <= end for proxy, begin, end in self.lost_spans)
         if read and planned and not found.dropped:
             self.fault("lost at an orderly end", f"{attempt} ({found.route}) at {address}: {why}")
 
--- a/ambershift/system/testbed/report.py
+++ b/ambershift/system/testbed/report.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from ambershift.system.testbed.rig import Rig
-from ambershift.system.testbed.settings import CONTROL_NODE, DESK
+from ambershift.system.testbed.settings import CONTROL_NODE, PROXY
 
 # What must be none, in the order of the table.
 PROMISES = (
@@ -90,7 +90,7 @@
     lines = [
         f"{'role':12} {'processes':>9} {'starts':>7} {'processor s':>12} {'most of one':>12} {'peak MiB':>9}"
     ]
-    for kind, title in ((DESK, "desk"), (CONTROL_NODE, "control")):
+    for kind, title in ((PROXY, "proxy"), (CONTROL_NODE, "control")):
         found = rig.of(kind)
         lines.append(
             f"{title:12} {len(found):>9} {sum(one.starts for one in found):>7} "
--- a/ambershift/system/testbed/rig.py
+++ b/ambershift/system/testbed/rig.py
@@ -18,7 +18,7 @@
 from ambershift.system.testbed.judge import Judge
 from ambershift.system.testbed.operator import Operator
 from ambershift.system.testbed.processes import Child, end_all
-from ambershift.system.testbed.settings import CONTROL_NODE, DESK, Machine, Site
+from ambershift.system.testbed.settings import CONTROL_NODE, PROXY, Machine, Site
 from ambershift.system.testbed.speech import BrokenOffError, LateError, NotReachedError, once
 
 LOOK_S, STEP_S = 0.25, 0.02
@@ -174,7 +174,7 @@
             self.late = max(self.late, time.monotonic() - due)
 
     async def ready(self, machine: Machine) -> bool:
-        """Whether the platform's check finds this desk ready."""
+        """Whether the platform's check finds this proxy ready."""
         try:
             found = await once(self.site.readiness(machine), "GET", "/ambershift/readiness", limit=1.0)
         except (NotReachedError, BrokenOffError, LateError):
@@ -182,10 +182,10 @@
         return found.status == 200
 
     async def all_ready(self) -> bool:
-        return all(await asyncio.gather(*(self.ready(child.machine) for child in self.of(DESK))))
+        return all(await asyncio.gather(*(self.ready(child.machine) for child in self.of(PROXY))))
 
     async def settle(self, within: float) -> None:
-        """The first configuration is accepted, every backend's beat acknowledged, every desk ready."""
+        """The first configuration is accepted, every backend's beat acknowledged, every proxy ready."""
         began = time.monotonic()
         first = self.spawn(self.operator.first(within))
         await self.standing("the first configuration acknowledged", first.done, within)
@@ -196,9 +196,9 @@
             lambda: all(one.known.is_set() for one in self.backends),
             within,
         )
-        await self.standing("every desk ready", self.all_ready, within)
+        await self.standing("every proxy ready", self.all_ready, within)
         self.say(
-            f"{len(self.of(CONTROL_NODE))} nodes, {len(self.of(DESK))} desks and {len(self.backends)} "
+            f"{len(self.of(CONTROL_NODE))} nodes, {len(self.of(PROXY))} proxies and {len(self.backends)} "
             f"backends are up after {time.monotonic() - began:.1f} s"
         )
 
--- a/ambershift/system/testbed/settings.py
+++ b/ambershift/system/testbed/settings.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 SYLLABLES = ("ba", "der", "fo", "gal", "hu", "jin", "kor", "la", "mest", "ni", "or", "pel", "ru", "sam", "tu")
-DESK, CONTROL_NODE = "front", "core"
+PROXY, CONTROL_NODE = "front", "core"
 PORTS = range(11_000, 30_000)  # Below those that the system gives to callers.
 
 # The platform's bounds, tighter than a deployment's so that a short run comes past all of them.
@@ -92,7 +92,7 @@
 
     folder: Path
     control_nodes: int
-    desks: int
+    proxies: int
     seed: int | None = None
     zone_count: int = 6
     heartbeat_ms: int = 500
@@ -109,7 +109,7 @@
         self.ports = Ports(*free_ports(free, 6))
         self.counts = dict[str, int]()
         self.machines = dict[str, Machine]()
-        for kind, count in ((CONTROL_NODE, self.control_nodes), (DESK, self.desks)):
+        for kind, count in ((CONTROL_NODE, self.control_nodes), (PROXY, self.proxies)):
             for at in range(count):
                 self.add(kind, zones[at % len(zones)])
 
@@ -125,7 +125,7 @@
 
     def add(self, kind: str, zone: str) -> Machine:
         number = sum(one.kind == kind and one.zone == zone for one in self.machines.values()) + 1
-        name = f"{'control' if kind == CONTROL_NODE else 'desk'}-{zone}-{number}"
+        name = f"{'control' if kind == CONTROL_NODE else 'proxy'}-{zone}-{number}"
         self.machines[name] = Machine(name, kind, self.address(zone), zone, self.zones[zone])
         return self.machines[name]
 
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -1,8 +1,8 @@
 """All links of one machine: those it dials and those it is dialled by.
 
 Messages of one link come in order; what is under way when a link breaks is lost without a word, so whoever
-needs an answer asks again. A control node dials each other one and sends on the link it dialled; a desk dials
-one control node, and both speak on that link.
+needs an answer asks again. A control node dials each other one and sends on the link it dialled; a proxy
+dials one control node, and both speak on that link.
 """
 
 from __future__ import annotations
--- a/ambershift/system/transport/words.py
+++ b/ambershift/system/transport/words.py
@@ -6,7 +6,7 @@
 
 from ambershift.system.messages.codec import WIRE
 
-CONTROL_NODE, DESK = "control", "desk"
+CONTROL_NODE, PROXY = "control", "desk"
 
 
 @dataclass(eq=False)
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who dialled: a control node by its ip, a desk by its name. `life` is random at each start."""
+    """Who dialled: a control node by its ip, a proxy by its name. `life` is random at each start."""
 
     kind: str
     name: str
@@ -32,6 +32,6 @@
 def caller_of(path: str) -> Caller:
     """Raises `PathError`."""
     parts = path.split("/")
-    if len(parts) != 5 or parts[1] != str(WIRE) or parts[2] not in (CONTROL_NODE, DESK) or not parts[3]:
+    if len(parts) != 5 or parts[1] != str(WIRE) or parts[2] not in (CONTROL_NODE, PROXY) or not parts[3]:
         raise PathError(path)
     return Caller(parts[2], parts[3], parts[4])
--- a/benchmarks/capacity/assigner.py
+++ b/benchmarks/capacity/assigner.py
@@ -21,13 +21,13 @@
 
 
 class Hall:
-    """Some pools' assigners with joined desks, on a chosen clock. A sixth of the desks is linked here."""
+    """Some pools' assigners with joined proxies, on a chosen clock. A sixth of the proxies is linked here."""
 
-    def __init__(self, size: Size, desks: int) -> None:
-        self.size, self.count, self.now = size, desks, 1000 * SECOND
+    def __init__(self, size: Size, proxies: int) -> None:
+        self.size, self.count, self.now = size, proxies, 1000 * SECOND
         self.zones = {zone: at for at, zone in enumerate(zones_of(size.places))}
-        self.names = [world.desk_name(at) for at in range(desks)]
-        self.zoned = [self.zones[size.names[at % size.zones]] for at in range(desks)]
+        self.names = [world.proxy_name(at) for at in range(proxies)]
+        self.zoned = [self.zones[size.names[at % size.zones]] for at in range(proxies)]
         self.sent, self.tables = 0, set[int]()
         pools = [Pool(world.service(at), world.service(at), (), 500) for at in range(POOLS)]
         self.assigners = [Assigner(one.name, terms_for(one, size.places), 1) for one in pools]
@@ -56,7 +56,7 @@
         self.deal()
 
     def usual(self, at: int) -> None:
-        """A second: what came to each desk, what some met, and the step that is due then."""
+        """A second: what came to each proxy, what some met, and the step that is due then."""
         for pool, assigner in enumerate(self.assigners):
             for name in self.names:
                 assigner.came(name, 7, SECOND)
@@ -65,10 +65,10 @@
         self.due(at)
 
 
-def variant(told: str, size: Size, desks: int) -> Found:
+def variant(told: str, size: Size, proxies: int) -> Found:
     found: Found = {}
     before = megabytes()
-    hall = Hall(size, desks)
+    hall = Hall(size, proxies)
     found[f"{told}: first step of a pool|ms"] = micros(hall.due, 1) / 1e3 / POOLS
     for at in range(2):
         hall.usual(at)
@@ -86,10 +86,10 @@
 def play(size: Size) -> Found:
     by_region = replace(size, zones=size.regions)
     found: Found = {}
-    for told, one, desks in (("a proxy a region", by_region, size.regions),
-                             ("regions for zones, a proxy a desk", by_region, size.desks),
-                             ("a proxy a zone", size, size.zones), ("a proxy a desk", size, size.desks)):
-        made, = elsewhere(lambda told=told, one=one, desks=desks: [  # type: ignore[misc]
-            msgspec.json.encode(variant(told, one, desks))])
+    for told, one, proxies in (("a proxy a region", by_region, size.regions),
+                             ("regions for zones, one seat a proxy", by_region, size.proxies),
+                             ("a proxy a zone", size, size.zones), ("one seat a proxy", size, size.proxies)):
+        made, = elsewhere(lambda told=told, one=one, proxies=proxies: [  # type: ignore[misc]
+            msgspec.json.encode(variant(told, one, proxies))])
         found |= msgspec.json.decode(made, type=Found)
     return found
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -1,6 +1,6 @@
-"""A control node's controller with real tables: what pools and desks cost it each second, and what it sends.
+"""A controller with real tables: what pools and proxies cost it each second, and what it sends.
 
-Sizes are smaller here, and by pools times desks: at the whole size it is more than a machine has.
+Sizes are smaller here, and by pools times proxies: at the whole size it is more than a machine has.
 """
 
 from __future__ import annotations
@@ -23,12 +23,13 @@
 
 assert control_node
 SMALL, MIDDLE, _ = SIZES
-# 448, 4,488 and 41,440 pools times desks.
-OURS = (SMALL, replace(SMALL, routes=240, backends=875, services=24, desks=187, zones=12, regions=6), MIDDLE)
+# 448, 4,488 and 41,440 pools times proxies.
+BETWEEN = replace(SMALL, routes=240, backends=875, services=24, proxies=187, zones=12, regions=6)
+OURS = (SMALL, BETWEEN, MIDDLE)
 
 
 class Dealing(Scene):
-    """A scene with the controller, whose own desks greet, report each second and answer marks."""
+    """A scene with the controller, whose own proxies greet, report each second and answer marks."""
 
     def __init__(self, size: Size) -> None:
         super().__init__(size)
@@ -45,16 +46,16 @@
             self.marks.append((name, message))
 
     def step(self) -> None:
-        """Twenty ticks; marks are answered at the next, a report comes from each own desk."""
+        """Twenty ticks; marks are answered at the next, a report comes from each own proxy."""
         for at in range(20):
             self.now += SECOND // 20
             marks, self.marks = self.marks, []
             for name, mark in marks:
-                self.controller.hear_desk(name, mark)
+                self.controller.hear_proxy(name, mark)
             self.registry.tick()
             self.controller.tick()
-            for number in self.desks[at::20]:
-                self.controller.hear_desk(world.desk_name(number), self.report)
+            for number in self.proxies[at::20]:
+                self.controller.hear_proxy(world.proxy_name(number), self.report)
 
     def quiet_second(self) -> None:
         """One in which all own backends beat, too, so that none falls silent."""
@@ -73,15 +74,15 @@
     scene.beats(scene.bodies(scene.own))
     scene.step()
     before = megabytes()
-    hellos = [world.hello(size, at) for at in scene.desks]
-    found["greet a desk|µs"] = micros(lambda at: greet(scene, hellos[at]), len(hellos))
+    hellos = [world.hello(size, at) for at in scene.proxies]
+    found["greet a proxy|µs"] = micros(lambda at: greet(scene, hellos[at]), len(hellos))
     first = sum(scene.bytes[one.__name__] for one in (Items, Backends)) / len(hellos)
     found["told to a new link at once|B"] = first
     await asyncio.sleep(0)
     for _ in range(6):
         scene.quiet_second()
         await asyncio.sleep(0)
-    found["tables and desks in memory|MB"] = megabytes() - before
+    found["tables and proxies in memory|MB"] = megabytes() - before
     scene.bytes.clear()
     scene.messages.clear()
     found["a second of quiet|ms"] = micros(lambda _: scene.quiet_second(), 3) / 1e3
@@ -89,7 +90,7 @@
         found[f"{kind} in a quiet second a link|B"] = scene.bytes[kind] / 3 / len(hellos)
     report = scene.report
     found["hear a report|µs"] = micros(
-        lambda at: scene.controller.hear_desk(world.desk_name(scene.desks[at % len(hellos)]), report), 60)
+        lambda at: scene.controller.hear_proxy(world.proxy_name(scene.proxies[at % len(hellos)]), report), 60)
     scene.step()
     scene.bytes.clear()
     id, drained = world.backend(size, 0).id, world.beat(size, 0, 999, "draining")
@@ -102,7 +103,7 @@
 
 
 def greet(scene: Dealing, hello: Hello) -> None:
-    scene.controller.hear_desk(hello.name, hello)
+    scene.controller.hear_proxy(hello.name, hello)
 
 
 def play(size: Size) -> Found:
--- a/benchmarks/capacity/links.py
+++ b/benchmarks/capacity/links.py
@@ -1,4 +1,4 @@
-"""One real control node process with many hollow desks: processor time, memory and bytes of a link."""
+"""One real control node process with many hollow proxies: processor time, memory and bytes of a link."""
 
 from __future__ import annotations
 
@@ -33,34 +33,34 @@
         pools = sorted({pool_of(service, route.homes) for route in rig.book.routes.values()
                         for service in route.services})
         zones, gate = list(site.zones), asyncio.Semaphore(DIALS_AT_ONCE)
-        desks = [HollowDesk(site, at, zones[at % len(zones)], pools, chance) for at in range(count)]
+        proxies = [HollowDesk(site, at, zones[at % len(zones)], pools, chance) for at in range(count)]
         spent = cpu_of(child.pid)
-        for desk in desks:
-            rig.spawn(desk.run(gate))
-        await until("every hollow desk has all items", lambda: all(one.complete for one in desks), UP_S)
+        for proxy in proxies:
+            rig.spawn(proxy.run(gate))
+        await until("every hollow proxy has all items", lambda: all(one.complete for one in proxies), UP_S)
         dialled = cpu_of(child.pid) - spent
         await asyncio.sleep(SETTLE_S)
         for _ in range(SPANS):
-            for desk in desks:
-                desk.got.clear()
+            for proxy in proxies:
+                proxy.got.clear()
             began, spent = time.monotonic(), cpu_of(child.pid)
             await asyncio.sleep(SPAN_S)
             lasted = time.monotonic() - began
             spans.append({"processor a second, all|ms": (cpu_of(child.pid) - spent) / lasted * 1e3,
-                          "sent a second a link|B": sent(desks) / lasted / count})
+                          "sent a second a link|B": sent(proxies) / lasted / count})
         after = cost_of(child.pid)
         assert before is not None and after is not None
     found = {key: sorted(one[key] for one in spans)[SPANS // 2] for key in spans[0]}
     mib = 1.048576
     return found | {"memory over that without links|MB": (after.now - before.now) * mib,
                     "peak of memory|MB": after.peak * mib, "taking a link in|ms": dialled / count * 1e3,
-                    "links that broke|number": sum(one.breaks for one in desks)}
+                    "links that broke|number": sum(one.breaks for one in proxies)}
 
 
-def sent(desks: list[HollowDesk]) -> int:
+def sent(proxies: list[HollowDesk]) -> int:
     kinds = Counter[str]()
-    for desk in desks:
-        kinds.update(desk.got)
+    for proxy in proxies:
+        kinds.update(proxy.got)
     return sum(kinds.values())
 
 
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -16,10 +16,10 @@
 EPOCH, NUMBER = 3, 1_500_000_123
 
 
-def to_desks(size: Size) -> dict[str, msgspec.Struct]:
+def to_proxies(size: Size) -> dict[str, msgspec.Struct]:
     whole = tuple(world.backend(size, at) for at in range(size.backends))
     return {
-        "fh Hello": world.hello(size, 7), "fc Cores": fronts.Cores(world.cores(size), True, size.desks),
+        "fh Hello": world.hello(size, 7), "fc Cores": fronts.Cores(world.cores(size), True, size.proxies),
         "fi Items, whole": fronts.Items(world.items(size), False),
         "fi Items, one route": fronts.Items((world.changed(size, 7, 9),), False),
         "fb Backends, whole": fronts.Backends(whole, (), True),
@@ -39,7 +39,7 @@
                      for one in core)
     members = tuple(machine.member for machine in machines)
     lives = tuple(world.lived(size, at) for at in range(0, size.backends, CONTROL_NODES))
-    desks = tuple(world.attached(size, at) for at in range(0, size.desks, CONTROL_NODES))
+    proxies = tuple(world.attached(size, at) for at in range(0, size.proxies, CONTROL_NODES))
     zones = size.names[::CONTROL_NODES]
     flows = tuple(rounds.Flow(zone, world.service(at), 12_345)
                   for zone in zones for at in range(size.services))
@@ -65,11 +65,12 @@
             f"l/lock-{at:04}": (BALLOT, BALLOT) for at in range(300)}),
         "ct Share, equal": copies.Share(EPOCH, NUMBER, 3, 1_234_567_890, 0, 1, False, (), ()),
         "rp Pulse": rounds.Pulse(NUMBER, 400_000), "ra Ask": rounds.Ask(400_000),
-        "rd Delta, one life": rounds.Delta(NUMBER, 7, 8, lives[:1], (), (), (), size.desks),
-        "rd Delta, one desk": rounds.Delta(NUMBER, 7, 8, (), desks[:1], (), (), size.desks),
-        "rd Delta, lives of one control node": rounds.Delta(NUMBER, -1, 8, lives, (), (), (), size.desks),
-        "rd Delta, desks of one control node": rounds.Delta(NUMBER, -1, 8, (), desks, (), (), size.desks),
-        "rd Delta, flows of one control node": rounds.Delta(NUMBER, -1, 8, (), (), flows, (), size.desks),
+        "rd Delta, one life": rounds.Delta(NUMBER, 7, 8, lives[:1], (), (), (), size.proxies),
+        "rd Delta, one proxy": rounds.Delta(NUMBER, 7, 8, (), proxies[:1], (), (), size.proxies),
+        "rd Delta, lives of one control node": rounds.Delta(NUMBER, -1, 8, lives, (), (), (), size.proxies),
+        "rd Delta, proxies of one control node":
+            rounds.Delta(NUMBER, -1, 8, (), proxies, (), (), size.proxies),
+        "rd Delta, flows of one control node": rounds.Delta(NUMBER, -1, 8, (), (), flows, (), size.proxies),
         "eo ForwardedCall": forwarding.ForwardedCall(NUMBER, "locks.heartbeat", "lock-0007",
                                     b'{"Holder":"a0.77aa","fence":1700,"HoldMs":3000}', 400),
         "ed Outcome": forwarding.Outcome(NUMBER, 200, b'{"fence":1700}'),
@@ -78,7 +79,7 @@
 
 def play(size: Size) -> Found:
     found: Found = {f"{name}|B": len(codec.encode(message))
-                    for name, message in (to_desks(size) | between(size)).items()}
+                    for name, message in (to_proxies(size) | between(size)).items()}
     for name in ("fi Items, whole", "fb Backends, whole"):
-        found[f"{name}, deflated|B"] = len(zlib.compress(codec.encode(to_desks(size)[name]), 1))
+        found[f"{name}, deflated|B"] = len(zlib.compress(codec.encode(to_proxies(size)[name]), 1))
     return found
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -40,7 +40,7 @@
     def __init__(self, size: Size) -> None:
         self.size, self.now, self.sent = size, 1000 * SECOND, 0
         self.own = [at for at in range(size.backends) if at % CONTROL_NODES == 0]
-        self.desks = [at for at in range(size.desks) if at % CONTROL_NODES == 0]
+        self.proxies = [at for at in range(size.proxies) if at % CONTROL_NODES == 0]
         self.ledger = Held(size)
         self.sequence = 0
         self.registry = Registry(world.local(size), self.ledger, self.send, lambda: self.now, 1,
@@ -64,10 +64,10 @@
         zones = size.names[peer::CONTROL_NODES] if flows else []
         return codec.encode(rounds.Delta(
             9, -1, 8, tuple(world.lived(size, at) for at in mine),
-            tuple(world.attached(size, at) for at in range(peer, size.desks, CONTROL_NODES)),
+            tuple(world.attached(size, at) for at in range(peer, size.proxies, CONTROL_NODES)),
             tuple(rounds.Flow(zone, world.service(at), 12_345)
                   for zone in zones for at in range(size.services)),
-            (), size.desks))
+            (), size.proxies))
 
     def hear(self, peer: int, data: bytes) -> None:
         self.registry.hear_core(world.cores(self.size)[peer].ip, codec.decode(data))
@@ -80,13 +80,13 @@
 
 
 def reports(size: Size) -> float:
-    """What the sums of traffic keep of each desk linked here."""
+    """What the sums of traffic keep of each proxy linked here."""
     count, flows, data = 100, Flows(), codec.encode(world.report(size))
     before = megabytes()
     for at in range(15 * count):
         report = codec.decode(data)
         assert isinstance(report, Report)
-        flows.report(at, world.desk_name(at % count), size.names[0], SECOND, report.came)
+        flows.report(at, world.proxy_name(at % count), size.names[0], SECOND, report.came)
     return (megabytes() - before) * 1e3 / count
 
 
@@ -97,8 +97,8 @@
     registry.tick()
     first, told = scene.bodies(scene.own), [scene.told(peer) for peer in range(1, CONTROL_NODES)]
     found["first beat of a life|µs"] = micros(lambda _: scene.beats(first), 1) / len(first)
-    greets = [world.hello(size, at) for at in scene.desks]
-    found["greet a desk|µs"] = micros(lambda at: registry.greet(greets[at]), len(greets))
+    greets = [world.hello(size, at) for at in scene.proxies]
+    found["greet a proxy|µs"] = micros(lambda at: registry.greet(greets[at]), len(greets))
     found["hear all of another control node|ms"] = micros(
         lambda at: scene.hear(at + 1, told[at]), CONTROL_NODES - 1) / 1e3
     found["memory: records|MB"] = megabytes() - before
@@ -110,19 +110,19 @@
     found["beat that changes the list|µs"] = micros(lambda at: scene.beats(new[at:at + 1]), len(new))
     zone = size.names[1]
     found["a resolution|µs"] = micros(lambda _: registry.addresses("", zone), 20)
-    found["count the desks|µs"] = micros(lambda _: registry.desks_most(), 20)
+    found["count the proxies|µs"] = micros(lambda _: registry.proxies_most(), 20)
     controller = Controller(world.local(size), scene.ledger, registry, coded, scene.send, lambda: scene.now,
                             1, lambda *_: None)
     controller.freshening = cast(Any, 1)  # No loop runs here.
-    names = [world.hello(size, at) for at in scene.desks[:9]]
+    names = [world.hello(size, at) for at in scene.proxies[:9]]
     found["first words of a first link, coded|ms"] = micros(
-        lambda at: controller.hear_desk(names[0].name, names[0]), 1) / 1e3
+        lambda at: controller.hear_proxy(names[0].name, names[0]), 1) / 1e3
     found["first words of each other, coded|ms"] = micros(
-        lambda at: controller.hear_desk(names[at + 1].name, names[at + 1]), 8) / 1e3
+        lambda at: controller.hear_proxy(names[at + 1].name, names[at + 1]), 8) / 1e3
     controller.pool_loads.route(scene.ledger.items().values())
     found["routes looked at again|ms"] = micros(
         lambda _: controller.pool_loads.route(scene.ledger.items().values()), 3) / 1e3
-    found["15 s of a desk's reports|KB"] = reports(size)
+    found["15 s of a proxy's reports|KB"] = reports(size)
     scene.sent = 0
     scene.second()
     found["bytes to the others after 40 new lives|B"] = scene.sent
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -1,4 +1,4 @@
-"""Time that a desk at rest adds to a request, against a direct one in the same run; costs of calls."""
+"""Time that a proxy at rest adds to a request, against a direct one in the same run; costs of calls."""
 
 from __future__ import annotations
 
@@ -82,23 +82,23 @@
 
 
 def through(size: Size, number: int, ports: list[int], found: Found) -> None:
-    near, desk = f"127.0.0.1:{ports[0]}", f"127.0.0.1:{ports[1]}"
+    near, proxy = f"127.0.0.1:{ports[0]}", f"127.0.0.1:{ports[1]}"
     asked = request(size, 0)  # Its route goes to the first service alone.
-    with process("plain", str(number), near), process("desk", str(number), desk, near) as pid:
-        direct, by = Caller(near), Caller(desk)
+    with process("plain", str(number), near), process("proxy", str(number), proxy, near) as pid:
+        direct, by = Caller(near), Caller(proxy)
         for _ in range(WARM):
             direct.timed(asked)
             by.timed(asked)
         spent = cpu_of(pid)
         pairs = [(direct.timed(asked), by.timed(asked)) for _ in range(ASKED)]
-        found["request on end: processor of the desk|µs"] = (cpu_of(pid) - spent) / ASKED * 1e6
+        found["request on end: processor of the proxy|µs"] = (cpu_of(pid) - spent) / ASKED * 1e6
         tell("request on end", pairs, found)
         spent, pairs, due = cpu_of(pid), [], time.monotonic()
         for _ in range(RATED):
             due += 1 / RATE
             time.sleep(max(0.0, due - time.monotonic()))
             pairs.append((direct.timed(asked), by.timed(asked)))
-        found["95 a second: processor of the desk|µs"] = (cpu_of(pid) - spent) / RATED * 1e6
+        found["95 a second: processor of the proxy|µs"] = (cpu_of(pid) - spent) / RATED * 1e6
         tell("95 a second", pairs, found)
         found["refused in all|number"] = by.refused
 
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -1,4 +1,4 @@
-"""The servers that `requests` measures, one a process: a backend, a desk before it, a node's calls."""
+"""The servers that `requests` measures, one a process: a backend, a proxy before it, a node's calls."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.messages import fronts
 from ambershift.system.processes.serving import listener, served
-from ambershift.system.proxy.desk import Desk
+from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.registry.registry import Registry
 from benchmarks.capacity import world
 from benchmarks.capacity.registry import ended
@@ -47,9 +47,9 @@
     await server.serve_forever()
 
 
-async def desk(size: Size, address: str, backend: str) -> None:
+async def proxy(size: Size, address: str, backend: str) -> None:
     """All items and backends of the size; those of the first service are at one address."""
-    made = Desk(world.local(size), time.monotonic_ns, random.Random(1))
+    made = ProxyServer(world.local(size), time.monotonic_ns, random.Random(1))
     made.hear(fronts.Cores(world.cores(size), True, 1))
     made.hear(fronts.Items(world.items(size), True))
     lives = [world.backend(size, at) for at in range(size.backends)]
@@ -62,13 +62,13 @@
 
 
 async def calls(size: Size, address: str) -> None:
-    """A control node's HTTP with its registry, which has all backends and desks."""
+    """A control node's HTTP with its registry, which has all backends and proxies."""
     ledger = world.Held(size)
     settings = world.local(size)
     registry = Registry(settings, ledger, lambda *_: None, time.monotonic_ns, 1, lambda *_: None)
     for at in range(size.backends):
         ended(registry.beat(world.backend(size, at).id, world.beat(size, at, 1)))
-    for at in range(size.desks):
+    for at in range(size.proxies):
         registry.greet(world.hello(size, at))
     api = ControlApi(settings, ledger, registry, time.monotonic_ns, lambda *_: None, lambda *_: None, 1)
     await serve(api,
@@ -89,7 +89,7 @@
     what, number, address, *more = sys.argv[1:]
     size = SIZES[int(number)]
     work = plain(address) if what == "plain" else (
-        desk(size, address, more[0]) if what == "desk" else calls(size, address))
+        proxy(size, address, more[0]) if what == "proxy" else calls(size, address))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(work)
 
--- a/benchmarks/capacity/sums.py
+++ b/benchmarks/capacity/sums.py
@@ -13,7 +13,7 @@
 DAY, PROXIES, BACKENDS, SERVICES, CONTROL_NODES = 86_400, 5_600, 27_000, 740, 6
 LINKS, LINKS_ONE_LOST, ZONES = PROXIES / CONTROL_NODES, PROXIES / (CONTROL_NODES - 1), 111
 REQUESTS, BEATS, CHANGES, RESTARTS = 530_000 / PROXIES, BACKENDS / 1.5, 14_000 / DAY, 5_400 / DAY
-POOLS_TIMES_DESKS = (448, 4_488, 41_440)
+POOLS_TIMES_PROXIES = (448, 4_488, 41_440)
 Row = tuple[str, str, float, float | None]  # What, unit, value, bound.
 
 
@@ -60,11 +60,11 @@
     def proxy(self) -> list[Row]:
         at, first = self.at, self.first()
         signs, reports = 2 * self.sent("fc Cores"), self.sent("fr Report, 95 requests")
-        merging = at("desk", "hear items, whole|ms") + at("desk", "hear backends, whole|ms")
-        binding = SERVICES * at("desk", "hear a bind|µs") / 1e3
-        steady = (at("desk", "a report of 95 requests|µs") + 2 * at("desk", "hear a sign of life|µs")) / 1e3
+        merging = at("proxy", "hear items, whole|ms") + at("proxy", "hear backends, whole|ms")
+        binding = SERVICES * at("proxy", "hear a bind|µs") / 1e3
+        steady = (at("proxy", "a report of 95 requests|µs") + 2 * at("proxy", "hear a sign of life|µs")) / 1e3
         gap = BACKENDS / REQUESTS
-        each = at("requests", "request on end: processor of the desk|µs") / 1e3
+        each = at("requests", "request on end: processor of the proxy|µs") / 1e3
         return [
             ("link, steady: signs of life", "B/s", signs, None),
             ("link, steady: reports", "B/s", reports, None),
@@ -75,15 +75,15 @@
             ("link: a zone's backends back", "B", self.sent("fb Backends, a zone new"), 90_000),
             ("processor, steady, of a core", "%", steady / 10, 3.6),
             ("processor: first words, in one go", "ms", merging + binding, 360),
-            ("memory of the whole process", "MB", at("desk", "memory: peak|MB"), 64),
+            ("memory of the whole process", "MB", at("proxy", "memory: peak|MB"), 64),
             ("memory without interpreter and libraries", "MB",
-             at("desk", "memory: all|MB") - at("desk", "memory: before|MB"), 64),
+             at("proxy", "memory: all|MB") - at("proxy", "memory: before|MB"), 64),
             ("tenants as items, besides", "MB", at("tenants", "as items: memory|MB"), None),
             ("processor of a request", "ms", each, None),
             ("of a core, by requests", "%", each * REQUESTS / 10, None),
             ("added at rest, median", "ms", at("requests", "request on end: added, median|ms"), None),
             ("processor of a request at 95 a second", "ms",
-             at("requests", "95 a second: processor of the desk|µs") / 1e3, None),
+             at("requests", "95 a second: processor of the proxy|µs") / 1e3, None),
             ("added at rest, 99 in 100", "ms", at("requests", "request on end: added, of 99 in 100|ms"), 1.4),
             # One of so many waits for another, up to a whole one: the wait that 1 in 100 exceeds.
             ("added at the rate asked, 99 in 100, computed", "ms",
@@ -100,12 +100,12 @@
         kept, fresh = (at("requests", f"beat on a {one} connection|µs") / 1e6 for one in ("kept", "new"))
         links = self.slope("links", "processor a second, all|ms", (50, 150, 400), LINKS) / 1e3
         report = self.slope("controller", "hear a report|µs", (8, 24, 74), SERVICES) / 1e6
-        pool = at("assigner", "a proxy a desk: a second of a pool|ms") / 1e3
+        pool = at("assigner", "one seat a proxy: a second of a pool|ms") / 1e3
         records = at("registry", "memory: records|MB")
         items = at("copies", "memory of all items, one of six|MB")
-        pools = SERVICES * at("assigner", "a proxy a desk: memory of a pool|MB")
+        pools = SERVICES * at("assigner", "one seat a proxy: memory of a pool|MB")
         plugs = self.slope("links", "memory over that without links|MB", (50, 150, 400), LINKS)
-        reports = LINKS * at("registry", "15 s of a desk's reports|KB") / 1e3
+        reports = LINKS * at("registry", "15 s of a proxy's reports|KB") / 1e3
         flows = self.sent("rd Delta, flows of one control node") * moved_share(
             REQUESTS * PROXIES / SERVICES / ZONES) / 2 * 5
         burst = LINKS_ONE_LOST - LINKS
@@ -119,7 +119,7 @@
             ("processor: a resolution", "ms", at("requests", "a resolution|µs") / 1e3, None),
             ("clients that six carry at 2 s each, half a core", "number",
              CONTROL_NODES / at("requests", "a resolution|µs") * 1e6, None),
-            ("memory: records of lives, desks, flows", "MB", records, None),
+            ("memory: records of lives, proxies, flows", "MB", records, None),
             ("memory: items, registers aside", "MB", items, None), ("memory: links", "MB", plugs, None),
             ("memory: 15 s of reports", "MB", reports, None),
             ("memory: tables of all pools", "MB", pools, 296),
@@ -158,7 +158,7 @@
             ("proxy: first words after another control node, by digests", "B", 512 + 4 * 256, 90_000),
             ("proxy: report of these pools, bad tries only, each 2 s", "B/s", moved / 2, 9_000),
             ("proxy: memory of items and backends of these", "MB",
-             self.at("desk", "memory: items|MB", 1) + self.at("desk", "memory: backends|MB", 1), None),
+             self.at("proxy", "memory: items|MB", 1) + self.at("proxy", "memory: backends|MB", 1), None),
             ("proxy: tenants packed, all", "MB",
              self.at("tenants", "packed: to be sent, and memory|MB"), None),
             ("proxy: further tries allowed", "number", 18 * REQUESTS / SERVICES, 1),
@@ -168,8 +168,8 @@
             ("proxy: beats of its zone's backends, processor", "%",
              BACKENDS / ZONES / 1.5 / (PROXIES / ZONES) * kept / 1e4, 3.6),
             ("node: all pools by regions, each pool at one", "s/s", SERVICES / CONTROL_NODES * region, 1),
-            ("control node: the same with a proxy a desk", "s/s", SERVICES / CONTROL_NODES * self.at(
-                "assigner", "regions for zones, a proxy a desk: a second of a pool|ms") / 1e3, 1),
+            ("control node: the same with one seat a proxy", "s/s", SERVICES / CONTROL_NODES * self.at(
+                "assigner", "regions for zones, one seat a proxy: a second of a pool|ms") / 1e3, 1),
             ("control node: memory of these", "MB", SERVICES / CONTROL_NODES * self.at(
                 "assigner", "a proxy a region: memory of a pool|MB"), 296),
             ("control node: links of a tree, one proxy a zone, one lost", "number", ZONES / 5, None),
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants as items at a desk, which no message brings today; and packed: hash, version and homes of each."""
+"""Tenants as items at a proxy, which no message brings today; and packed: hash, version and homes of each."""
 
 from __future__ import annotations
 
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -1,4 +1,4 @@
-"""A deployment of a given size as messages and settings: items, backends, desks, control nodes."""
+"""A deployment of a given size as messages and settings: items, backends, proxies, control nodes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     routes: int
     backends: int
     services: int
-    desks: int
+    proxies: int
     zones: int
     regions: int
     tenants: int
@@ -95,12 +95,12 @@
         "Condition": {"State": state, "Sequence": sequence, "ColdRemainingMs": 0}})
 
 
-def desk_name(at: int) -> str:
+def proxy_name(at: int) -> str:
     return f"front-{at:05}"
 
 
 def hello(size: Size, at: int, ready: bool = True) -> fronts.Hello:
-    return fronts.Hello(desk_name(at), f"{at:016x}", size.names[at % size.zones],
+    return fronts.Hello(proxy_name(at), f"{at:016x}", size.names[at % size.zones],
                         f"10.200.{at >> 8}.{at & 255}:8641", ready, False)
 
 
@@ -116,7 +116,7 @@
 
 
 def report(size: Size, requests: int = 95) -> fronts.Report:
-    """A second of a desk: so many requests, each to a service and a backend in turn."""
+    """A second of a proxy: so many requests, each to a service and a backend in turn."""
     came = {service(at % size.services): 1 + (requests - 1 - at) // size.services
             for at in range(min(requests, size.services))}
     return fronts.Report(1000, came, tuple(fronts.Met(backend(size, at).id, 1, 0, 120)
@@ -130,7 +130,7 @@
 
 
 def local(size: Size, at: int = 0, listen: Mapping[str, str] | None = None) -> Local:
-    """Settings of a control node or (its zone's) desk."""
+    """Settings of a control node or (its zone's) proxy."""
     core = cores(size)[at]
     return Local("", f"node{at}", "core", core.ip, core.zone, core.region, True, True, None, (7000, 7001),
                  tuple(f"{one.ip}:8080" for one in cores(size)),
--- a/tests/circulated.py
+++ b/tests/circulated.py
@@ -1,4 +1,4 @@
-"""A desk in this process, served by uvicorn on 127.0.0.1, backends that do as scripted, and a client."""
+"""A proxy in this process, served by uvicorn on 127.0.0.1, backends that do as scripted, and a client."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 from ambershift.system.messages.fronts import Backend, Backends, Cores, Items
 from ambershift.system.messages.items import ROUTE, SERVICE, Item
-from ambershift.system.proxy.desk import Desk
 from ambershift.system.proxy.intake import Intake
+from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Bounds, Local
 
 ZONES = {"north": "up", "hill": "up", "south": "down"}
@@ -26,7 +26,7 @@
 def settings(**changed: Any) -> Local:
     plain: dict[str, Any] = dict(
         file="",
-        name="desk-1",
+        name="proxy-1",
         machine_class="front",
         ip="127.0.0.1",
         zone="north",
@@ -132,25 +132,25 @@
 
 
 class Rig:
-    """`async with Rig(scripts) as rig`: a desk that knows one backend a script, all in the desk's zone."""
+    """`async with Rig(scripts) as rig`: a proxy that knows one backend a script, all in the proxy's zone."""
 
     def __init__(self, *scripts: Script, items: Items = PLAIN) -> None:
-        self.desk = Desk(settings(), time.monotonic_ns, Random(1))
+        self.proxy = ProxyServer(settings(), time.monotonic_ns, Random(1))
         self.shelves = [Shelf(script) for script in scripts]
         self.items = items
         self.late = 0  # So far is the clock of clients' connections ahead, ns.
         self.armed: dict[Any, int] = {}  # And was when these timers were first seen.
 
     async def __aenter__(self) -> Rig:
-        self.desk.hear(Cores((), True, 1, 0))
-        self.desk.hear(self.items)
+        self.proxy.hear(Cores((), True, 1, 0))
+        self.proxy.hear(self.items)
         put = tuple(
             [backend(f"i-{number}", await shelf.start()) for number, shelf in enumerate(self.shelves)]
         )
-        self.desk.hear(Backends(put, (), True))
-        speaks = partial(Intake, lambda: self.desk.routing.limits, lambda: time.monotonic_ns() + self.late)
+        self.proxy.hear(Backends(put, (), True))
+        speaks = partial(Intake, lambda: self.proxy.routing.limits, lambda: time.monotonic_ns() + self.late)
         config = uvicorn.Config(
-            self.desk,
+            self.proxy,
             "127.0.0.1",
             0,
             http=speaks,  # type: ignore[arg-type]
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -105,7 +105,7 @@
             Bounds(),
         )
         self.ledger, self.logs = Ledger(world, ip), list[tuple[int, Any]]()
-        self.sent: dict[str, list[msgspec.Struct]] = {}  # To desks.
+        self.sent: dict[str, list[msgspec.Struct]] = {}  # To proxies.
 
         def log(number: int, fields: Any) -> None:
             self.logs.append((number, fields))
@@ -113,13 +113,13 @@
         def send(to: str, message: msgspec.Struct) -> None:
             world.post(ip, to, message)
 
-        def send_desk(name: str, message: msgspec.Struct) -> None:
+        def send_proxy(name: str, message: msgspec.Struct) -> None:
             self.sent.setdefault(name, []).append(codec.decode(codec.encode(message)))
 
         seed = next(world.seeds)
         self.registry = Registry(settings, self.ledger, send, lambda: world.now, seed, log)
         self.controller = Controller(
-            settings, self.ledger, self.registry, send_desk, send, lambda: world.now, seed, log
+            settings, self.ledger, self.registry, send_proxy, send, lambda: world.now, seed, log
         )
 
     def shown(self) -> set[str]:
@@ -135,10 +135,10 @@
         self.cut, self.down, self.frozen = set[tuple[str, str]](), set[str](), set[str]()
         self.mail: list[tuple[int, int, str, str, bytes]] = []
         self.bytes = 0
-        self.mean_ms = 0  # What desks tell of answers' times, where not 0.
+        self.mean_ms = 0  # What proxies tell of answers' times, where not 0.
         self.nodes: dict[str, Node] = {}
         self.beating: dict[str, tuple[str, dict[str, Any], int]] = {}  # Lives: keeper, body, next beat.
-        self.desks: dict[
+        self.proxies: dict[
             str, tuple[str, dict[str, int]]
         ] = {}  # Control node; requests a second for each pool.
         for ip in self.zones:
@@ -176,24 +176,24 @@
         self.beating[id] = keeper or known, body, self.now + BEAT
         return await self.nodes[keeper or known].registry.beat(id, msgspec.json.encode(body))
 
-    def desk(
+    def proxy(
         self, name: str, ip: str, zone: str, ready: bool = True, leaving: bool = False, **rates: int
     ) -> list[msgspec.Struct]:
-        """A desk says Hello on a link to a control node. Returns what it will have been sent."""
-        self.desks[name] = ip, rates
+        """A proxy says Hello on a link to a control node. Returns what it will have been sent."""
+        self.proxies[name] = ip, rates
         hello = fronts.Hello(name, "x", zone, f"{name}:80", ready, leaving)
         sent = self.nodes[ip].sent.setdefault(name, [])
-        self.nodes[ip].controller.hear_desk(name, hello)
+        self.nodes[ip].controller.hear_proxy(name, hello)
         return sent
 
     def part(self, name: str) -> None:
-        ip, _ = self.desks.pop(name)
-        self.nodes[ip].controller.desk_lost(name)
+        ip, _ = self.proxies.pop(name)
+        self.nodes[ip].controller.proxy_lost(name)
 
-    def _desks_speak(self) -> None:
-        for name, (ip, rates) in self.desks.items():
+    def _proxies_speak(self) -> None:
+        for name, (ip, rates) in self.proxies.items():
             if ip not in self.down | self.frozen:
-                hear = self.nodes[ip].controller.hear_desk
+                hear = self.nodes[ip].controller.hear_proxy
                 for one in list(self.nodes[ip].sent.get(name, ())):
                     if isinstance(one, fronts.Mark):
                         hear(name, one)
@@ -212,7 +212,7 @@
             for id, (keeper, _, due) in list(self.beating.items()):
                 if due <= self.now and keeper not in self.down | self.frozen:
                     await self.beat(id)
-            self._desks_speak()
+            self._proxies_speak()
             for ip, node in self.nodes.items():
                 if ip not in self.down | self.frozen:
                     node.registry.tick()
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -212,9 +212,9 @@
     assert [list(box.disk["items"]) for box in world.boxes.values()] == [[row_key(THE_CLEARED)]] * 5
 
 
-def test_desks_and_their_controllers_forget_the_same() -> None:
+def test_proxies_and_their_controllers_forget_the_same() -> None:
     pushes = Pushes()
-    sent = pushes.greet("desk", [ended("a"), ended("b")], Backends((), (), True))
+    sent = pushes.greet("proxy", [ended("a"), ended("b")], Backends((), (), True))
     sent += pushes.items([cleared(1, "a"), ended("c")])
     assert {id for kind, id in pushes.told if kind == INSTANCE} == {"b", "c"}
     routing = Routing()
--- a/tests/test_system_distribution.py
+++ b/tests/test_system_distribution.py
@@ -1,4 +1,4 @@
-"""Distribution: which tables desks get in small deployments, in which order, what is held back."""
+"""Distribution: which tables proxies get in small deployments, in which order, what is held back."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 async def serve(world: World, counts: dict[str, int], *homes: str, full: float = 0.41, **rates: int) -> None:
-    """So many backends of service `s` a zone, named like "a1.0"; a desk a zone, with requests a second (20).
+    """So many backends of service `s` a zone, named like "a1.0"; a proxy a zone, with requests a second (20).
 
     Answers take so long that they fill that part of all slots; at 0.41 the threshold of overload is 0.95.
     """
@@ -51,15 +51,15 @@
     await world.run(4)
     for zone in ZONES:
         pool = "|".join(("s", *homes))
-        world.desk(f"desk {zone}", KEEPERS[ZONES[zone]], zone, **{pool: rates.get(zone, 20)})
+        world.proxy(f"proxy {zone}", KEEPERS[ZONES[zone]], zone, **{pool: rates.get(zone, 20)})
     await world.run(50)
 
 
 def tables(world: World, of: str = "") -> dict[str, set[str]]:
-    """The table that each zone's desk uses now, by replaying what it was sent."""
+    """The table that each zone's proxy uses now, by replaying what it was sent."""
     found = dict[str, set[str]]()
     for node in world.nodes.values():
-        for desk, messages in node.sent.items():
+        for proxy, messages in node.sent.items():
             number, lines = -1, set[str]()
             for one in messages:
                 match one:
@@ -67,7 +67,7 @@
                         number, lines = one.table, {id for id, _ in one.lines}
                     case Line() if one.table == number:
                         (lines.add if one.weight else lines.discard)(one.id)
-            found[desk.removeprefix("desk ")] = lines
+            found[proxy.removeprefix("proxy ")] = lines
     return found
 
 
@@ -103,7 +103,7 @@
 
 
 @play
-async def test_traffic_of_all_desks_makes_the_shares_and_one_answer_everywhere(world: World) -> None:
+async def test_traffic_of_all_proxies_makes_the_shares_and_one_answer_everywhere(world: World) -> None:
     await serve(world, dict.fromkeys(ZONES, 2), full=0.6, a1=90, a2=90, b1=20, b2=20, c1=10, c2=10)
     found = tables(world)
     assert [len(found[zone]) for zone in sorted(ZONES)] == [3, 3, 2, 1, 1, 2]  # Due 4.5 in a: lent one each.
@@ -116,10 +116,10 @@
     # Due 1.83 each: a pair that lost one is no reason yet, or each drain would send half of all abroad.
     await serve(world, dict.fromkeys(ZONES, 2) | {"a1": 1})
     assert [len(ids) for _, ids in sorted(tables(world).items())] == [1, 2, 2, 2, 2, 2]
-    world.desks["desk a1"] = "1", {"s": 25}  # Due 2.2 there.
+    world.proxies["proxy a1"] = "1", {"s": 25}  # Due 2.2 there.
     await world.run(40)
     assert all(ids == set(world.beating) for ids in tables(world).values())
-    world.desks["desk a1"] = "1", {"s": 15}
+    world.proxies["proxy a1"] = "1", {"s": 15}
     await world.run(40)
     assert len(tables(world)["a1"]) == 1
 
@@ -155,9 +155,9 @@
     ledger = world.nodes["1"].ledger
     await serve(world, dict.fromkeys(ZONES, 2))
     ledger.gate.clear()
-    world.desks.pop("desk a1")
-    world.nodes["1"].controller.desk_linked("new")
-    sent = world.desk("new", "1", "a1", ready=False, s=20)
+    world.proxies.pop("proxy a1")
+    world.nodes["1"].controller.proxy_linked("new")
+    sent = world.proxy("new", "1", "a1", ready=False, s=20)
     await world.run(1)
     kinds = [type(one) for one in sent if not isinstance(one, Cores)]
     assert kinds[:4] == [Items, Backends, Bind, Mark]
@@ -168,11 +168,11 @@
     await world.run(0.1)
     told = [one for one in sent if isinstance(one, Items)]
     assert [[item.name for item in one.items] for one in told] == [["r"], ["later"], []] and told[-1].complete
-    world.desk("new", "1", "a1", ready=True, s=20)  # The same link.
+    world.proxy("new", "1", "a1", ready=True, s=20)  # The same link.
     assert sum(isinstance(one, Backends) for one in sent) == 1
-    world.desk("new", "1", "a1", ready=True, s=20)  # Another one, since it says nothing new.
-    world.nodes["1"].controller.desk_linked("new")
-    world.desk("new", "1", "a1", ready=False, s=20)
+    world.proxy("new", "1", "a1", ready=True, s=20)  # Another one, since it says nothing new.
+    world.nodes["1"].controller.proxy_linked("new")
+    world.proxy("new", "1", "a1", ready=False, s=20)
     await world.run(0.5)
     assert sum(isinstance(one, Backends) for one in sent) == 3
 
@@ -183,8 +183,8 @@
     ledger = world.nodes["1"].ledger
     ledger.gate.clear()
     for _ in range(2):
-        world.nodes["1"].controller.desk_linked("new")
-        sent = world.desk("new", "1", "a1")
+        world.nodes["1"].controller.proxy_linked("new")
+        sent = world.proxy("new", "1", "a1")
         await world.run(0.1)
     ledger.gate.set()
     while not any(isinstance(one, Items) and one.complete for one in sent):
@@ -195,7 +195,7 @@
 @play
 async def test_freshening_goes_on_until_enough_answer(world: World) -> None:
     world.nodes["1"].ledger.holds = False
-    sent = world.desk("new", "1", "a1", ready=False)
+    sent = world.proxy("new", "1", "a1", ready=False)
     await world.run(0.1)
     assert not any(isinstance(one, Items) and one.complete for one in sent)
     world.nodes["1"].ledger.holds = True
@@ -209,7 +209,7 @@
     await route(world, "s", "a", name="second")  # Another pool with the same backend.
     del world.beating["a2.0"]  # It goes missing, and with the list.
     await world.run(8)
-    sent = world.nodes["1"].sent["desk a1"]
+    sent = world.nodes["1"].sent["proxy a1"]
     before = len(sent)
     assert "a2.0" in [id for one in sent if isinstance(one, Backends) for id in one.gone]
     assert not any(isinstance(one, Withdraw) for one in sent)
@@ -221,15 +221,15 @@
 
 
 @play
-async def test_a_new_control_node_takes_nothing_from_desks_until_it_has_heard_all(world: World) -> None:
+async def test_a_new_control_node_takes_nothing_from_proxies_until_it_has_heard_all(world: World) -> None:
     await serve(world, dict.fromkeys(ZONES, 2))
     for ip in world.zones:
         world.start(ip)
-    sent = [world.desk(f"desk {zone}", KEEPERS[ZONES[zone]], zone, s=20) for zone in ZONES][0]
+    sent = [world.proxy(f"proxy {zone}", KEEPERS[ZONES[zone]], zone, s=20) for zone in ZONES][0]
     await world.run(2)
     assert not any(one.whole for one in sent if isinstance(one, Backends))
     assert not any(isinstance(one, Bind) for one in sent)
-    assert [one.desks for one in sent if isinstance(one, Cores)][-1] == 256
+    assert [one.proxies for one in sent if isinstance(one, Cores)][-1] == 256
     await world.run(2.5)
     whole = [one for one in sent if isinstance(one, Backends) and one.whole]
     assert len(whole) == 1 and {one.id for one in whole[0].put} == set(world.beating)
@@ -237,21 +237,21 @@
 
 
 @play
-async def test_a_desk_that_changes_its_control_node_counts_once_and_gets_its_table(world: World) -> None:
+async def test_a_proxy_that_changes_its_control_node_counts_once_and_gets_its_table(world: World) -> None:
     await serve(world, dict.fromkeys(ZONES, 2))
-    world.part("desk a1")
-    sent = world.desk("desk a1", "2", "a1", s=20)
+    world.part("proxy a1")
+    sent = world.proxy("proxy a1", "2", "a1", s=20)
     await world.run(3)
     assert [one.table for one in sent if isinstance(one, Bind)] == [0]
     floors = [node.controller.pool_loads for node in world.nodes.values()]
-    assert all(set(floor.desks) == set(world.desks) for floor in floors)
-    assert [floor.desks["desk a1"][1] for floor in floors] == ["2", "", "2"]
+    assert all(set(floor.proxies) == set(world.proxies) for floor in floors)
+    assert [floor.proxies["proxy a1"][1] for floor in floors] == ["2", "", "2"]
     world.down.add("2")
     await world.run(6)
-    assert "desk a1" not in floors[0].desks and "desk c1" in floors[0].desks
+    assert "proxy a1" not in floors[0].proxies and "proxy c1" in floors[0].proxies
 
 
-def test_the_channel_does_not_wait_for_desks_of_other_control_nodes() -> None:
+def test_the_channel_does_not_wait_for_proxies_of_other_control_nodes() -> None:
     zones = {"a1": "a", "b1": "b"}
     assigner = Assigner("s", terms_for(Pool("s", "s", (), 500), zones), 7)
     assigner.seat({f"b{number}": Seat(number % 2, api.Phase.READY, 4.0) for number in range(60)})
@@ -267,9 +267,9 @@
     told = list[int]()
     for rate in [50] * 20 + [53] * 20 + [80] * 20:
         now += SECOND
-        flows.report(now, "desk", "a1", 1000 * MS, {"s": rate})
+        flows.report(now, "proxy", "a1", 1000 * MS, {"s": rate})
         told += [flow.rate for flow in flows.tell(now, ["s"])[0]]
     assert told[0] == 5000 and 3 <= len(told) <= 7 and abs(told[-1] - 8000) <= 800
     assert told[1] > 5500
-    flows.leave("desk")
+    flows.leave("proxy")
     assert flows.tell(now + 3 * SECOND, ["s"]) == ([], [("a1", "s")])
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -329,7 +329,7 @@
     fleet.run(8)
     batches = {box.replica.store.forgotten.batch for box in fleet.boxes.values() if box.replica is not None}
     assert batches == {5}
-    routings = {name: front.desk.routing for name, front in fleet.fronts.items()}
+    routings = {name: front.server.routing for name, front in fleet.fronts.items()}
     assert (ROUTE, "r0") in routings["front-1"].items and routings["front-1"].routes == ROUTES
     fleet.cut -= links
     fleet.run(6)
--- a/tests/test_system_homes.py
+++ b/tests/test_system_homes.py
@@ -67,24 +67,24 @@
 
 def test_sums_of_hosts_are_told_and_taken_back() -> None:
     flows = Flows()
-    flows.report(SECOND, "desk", "a1", SECOND, {"s": 3, ALL: 5, BOUND: 4})
+    flows.report(SECOND, "proxy", "a1", SECOND, {"s": 3, ALL: 5, BOUND: 4})
     moved, gone = flows.tell(2 * SECOND, ["s"])
     assert {one.pool: one.rate for one in moved} == {"s": 300, ALL: 500, BOUND: 400} and not gone
-    flows.report(20 * SECOND, "desk", "a1", SECOND, {})
+    flows.report(20 * SECOND, "proxy", "a1", SECOND, {})
     _, gone = flows.tell(20 * SECOND, ["s"])
     assert sorted(gone) == sorted([("a1", ALL), ("a1", BOUND)])
 
 
-def test_the_directory_names_desks_of_the_homes_while_two_are_ready() -> None:
+def test_the_directory_names_proxies_of_the_homes_while_two_are_ready() -> None:
     async def play() -> None:
         world = World("a1", "b1", "c1")
         find = world.nodes["3"].registry.addresses
         for name, ip, zone in (("p", "1", "a1"), ("q", "2", "b1"), ("r", "3", "c1")):
-            world.desk(name, ip, zone, **{ALL: 50, BOUND: 40})
+            world.proxy(name, ip, zone, **{ALL: 50, BOUND: 40})
         await world.run(6)
         assert sorted(find("c", "c1", "h.example")) == sorted(find("", "c1", "h.example")) == ["p:80", "q:80"]
         assert find("a", "a1", "h.example") == ["p:80"] and find("c", "c1", "other") == ["r:80"]
-        world.desk("q", "2", "b1", leaving=True)
+        world.proxy("q", "2", "b1", leaving=True)
         await world.run(0.3)
         assert find("c", "c1", "h.example") == ["r:80"]
 
--- a/tests/test_system_limits.py
+++ b/tests/test_system_limits.py
@@ -1,4 +1,4 @@
-"""What a client may send, and how long it may take or stay idle: `Limits` at a desk's sockets."""
+"""What a client may send, and how long it may take or stay idle: `Limits` at a proxy's sockets."""
 
 import asyncio
 import socket
@@ -36,7 +36,7 @@
 
 
 class Client:
-    """A raw socket: what is sent is in the desk's kernel at once, whether the desk has read it or not."""
+    """A raw socket: what is sent is in the proxy's kernel at once, whether the proxy has read it or not."""
 
     def __init__(self, rig):
         self.plug = socket.create_connection(("127.0.0.1", rig.port))
@@ -48,7 +48,7 @@
         return self
 
     async def hear(self):
-        """All that comes until the desk ends the connection."""
+        """All that comes until the proxy ends the connection."""
         loop, heard = asyncio.get_running_loop(), b""
         try:
             while part := await loop.sock_recv(self.plug, 1 << 16):
@@ -59,12 +59,12 @@
         return heard
 
     def deaf(self, rig):
-        """Whether the desk hears it no more."""
+        """Whether the proxy hears it no more."""
         there = self.there(rig)
         return there is not None and there.deaf
 
     def there(self, rig):
-        """Its connection at the desk."""
+        """Its connection at the proxy."""
         port = self.plug.getsockname()[1]
         return next((one for one in connections(rig) if one.client[1] == port), None)
 
@@ -79,7 +79,7 @@
 
 
 async def met(rig, *clients):
-    """Until the desk has read all that these have sent."""
+    """Until the proxy has read all that these have sent."""
     while not all((there := client.there(rig)) and not _unread(there.transport) for client in clients):
         await asyncio.sleep(0)
 
@@ -89,7 +89,7 @@
 
 
 def later(rig, seconds):
-    """The desk's clock goes on; timers that are due by it go off before anything more is read."""
+    """The proxy's clock goes on; timers that are due by it go off before anything more is read."""
     for one in connections(rig):
         if one.timeout_keep_alive_task is not None:
             rig.armed.setdefault(one.timeout_keep_alive_task, rig.late)
@@ -138,7 +138,7 @@
             later(rig, 0.2)
             while connections(rig):
                 await asyncio.sleep(0)
-            assert len(rig.shelves[0].heads) == 5 and rig.desk.idle()
+            assert len(rig.shelves[0].heads) == 5 and rig.proxy.idle()
 
     run(playing)
 
@@ -283,12 +283,12 @@
     async def playing():
         async with Rig(good, items=BOUND) as rig:
             assert await (client := Client(rig).say(head(MOST))).answered() == 200
-            rig.desk.hear(Items((limits(2, HeaderBytes=300, IdleTimeoutMs=4000),), False))
+            rig.proxy.hear(Items((limits(2, HeaderBytes=300, IdleTimeoutMs=4000),), False))
             assert await client.say(head(300)).answered() == 200
             later(rig, 4.1)
             assert await client.hear() == b""
             assert (await Client(rig).say(head(301)).hear()).startswith(b"HTTP/1.1 431 ")
-            rig.desk.hear(Items((limits(3, HeaderBytes=5000, IdleTimeoutMs=9000),), False))
+            rig.proxy.hear(Items((limits(3, HeaderBytes=5000, IdleTimeoutMs=9000),), False))
             assert await (client := Client(rig).say(head(5000))).answered() == 200
             later(rig, 8)
             assert await client.say(head(300)).answered() == 200
@@ -328,7 +328,7 @@
     async def playing():
         async with Rig(good, items=BOUND) as rig:
             rig.server.__class__ = Served
-            rig.server.tell_keep(rig.desk.routing.limits.told)
+            rig.server.tell_keep(rig.proxy.routing.limits.told)
             await rig.server.on_tick(0)
             assert b"\r\nkeep-alive: timeout=14\r\n" in (await rig.ask())[1]
             rig.server.tell_keep(None)
--- a/tests/test_system_processes.py
+++ b/tests/test_system_processes.py
@@ -21,19 +21,19 @@
 from ambershift.system.testbed.processes import Child
 from ambershift.system.testbed.report import table
 from ambershift.system.testbed.rig import Rig, until
-from ambershift.system.testbed.settings import BOUNDS, CONTROL_NODE, DESK, Site
+from ambershift.system.testbed.settings import BOUNDS, CONTROL_NODE, PROXY, Site
 
 pytestmark = pytest.mark.timeout(90)
 
 
 def rehearse(folder: Path, act: Callable[[Rig, Faults], Awaitable[None]]) -> None:
-    """Three control nodes, two desks and four backends; whatever happens, every promise is to be kept."""
+    """Three control nodes, two proxies and four backends; whatever happens, every promise is to be kept."""
 
     async def whole() -> None:
         site = Site(
             folder,
             control_nodes=3,
-            desks=2,
+            proxies=2,
             zone_count=3,
             heartbeat_ms=300,
             bounds={**BOUNDS, "GraceS": 2, "DrainMs": 1000},
@@ -72,7 +72,7 @@
     await until(f"{more} more requests served", lambda: rig.judge.counts["served"] >= goal, 15.0)
 
 
-def test_a_control_node_lost_and_a_desk_ended_in_order_lose_nothing(tmp_path: Path) -> None:
+def test_a_control_node_lost_and_a_proxy_ended_in_order_lose_nothing(tmp_path: Path) -> None:
     async def act(rig: Rig, faults: Faults) -> None:
         await served(rig, 50)
         losing = rig.spawn(faults.lose("core"))
@@ -101,7 +101,7 @@
     """Without the mask it ends the process: the platform tells of a changed file whenever it has changed."""
 
     async def whole() -> None:
-        child = Child(site := Site(tmp_path, control_nodes=1, desks=1, zone_count=1), site.of(DESK)[0])
+        child = Child(site := Site(tmp_path, control_nodes=1, proxies=1, zone_count=1), site.of(PROXY)[0])
         await child.start()
         try:
             assert child.process
@@ -250,10 +250,10 @@
     assert [row[0] for row in change([book.routes[first]])["Upsert"]["Routes"]["Rows"]] == [first]
 
 
-def test_desks_of_a_site_have_addresses_of_their_own(tmp_path: Path) -> None:
+def test_proxies_of_a_site_have_addresses_of_their_own(tmp_path: Path) -> None:
     site = Site(tmp_path, 6, 7)
     ips = [one.ip for one in site.machines.values()]
     assert len(set(ips)) == 13 and len(set(site.zones.values())) == 3
     zone = list(site.zones)[4]
     assert site.near(zone)[0].zone == zone and site.near(zone)[1].region == site.zones[zone]
-    assert len(site.of(DESK)) == 7 and site.tolerated == 1
+    assert len(site.of(PROXY)) == 7 and site.tolerated == 1
--- a/tests/test_system_processes_unit.py
+++ b/tests/test_system_processes_unit.py
@@ -10,7 +10,7 @@
 
 from ambershift.system.processes.control_node import ControlNode
 from ambershift.system.processes.serving import TAKES_ON, last_answers_s, served
-from ambershift.system.transport.words import CONTROL_NODE, DESK, Caller
+from ambershift.system.transport.words import CONTROL_NODE, PROXY, Caller
 
 PARTS = ("ledger", "registry", "controller", "control_api")
 
@@ -28,11 +28,11 @@
 
 def test_links_that_come_and_go_are_told_to_the_controller() -> None:
     made = shell()
-    made.linked(Caller(DESK, "desk-1", "a"))
+    made.linked(Caller(PROXY, "proxy-1", "a"))
     made.linked(Caller(CONTROL_NODE, "10.0.0.1", "b"))
-    made.lost(Caller(DESK, "desk-1", "a"))
+    made.lost(Caller(PROXY, "proxy-1", "a"))
     told = [(name, *args) for name, args, _ in made.controller.method_calls]  # type: ignore[attr-defined]
-    assert told == [("desk_linked", "desk-1"), ("core_linked", "10.0.0.1"), ("desk_lost", "desk-1")]
+    assert told == [("proxy_linked", "proxy-1"), ("core_linked", "10.0.0.1"), ("proxy_lost", "proxy-1")]
     made.links.there.assert_called_once_with("10.0.0.1")  # type: ignore[attr-defined]
     made.reached("10.0.0.1")
     made.ledger.reached.assert_called_once_with("10.0.0.1")  # type: ignore[attr-defined]
--- a/tests/test_system_proxy_pick.py
+++ b/tests/test_system_proxy_pick.py
@@ -8,33 +8,33 @@
 from ambershift.system.messages.fronts import Backends, Bind, Cores, Items, Line, Mark, Withdraw
 from ambershift.system.messages.items import INSTANCE, ROUTE, ZONE, Item
 from ambershift.system.proxy.cold import ColdGate
-from ambershift.system.proxy.desk import Desk
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.routing import Routing
+from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.steps import MS, SECOND
 
 PLACES = ("north", "north", "north", "hill", "hill", "south", "south", "south")
 
 
 class Hall:
-    """A desk with eight backends of one service, its table holding the three of its zone; a clock by hand."""
+    """A proxy with eight backends of one service, three of its zone in its table; a clock by hand."""
 
     def __init__(self):
         self.now = 1000 * SECOND
-        self.desk = Desk(settings(), lambda: self.now, Random(7))
-        self.desk.hear(Cores((), True, 3, 0))
-        self.desk.hear(PLAIN)
+        self.server = ProxyServer(settings(), lambda: self.now, Random(7))
+        self.server.hear(Cores((), True, 3, 0))
+        self.server.hear(PLAIN)
         self.tell(*(backend(f"i-{at}", zone=zone) for at, zone in enumerate(PLACES)), whole=True)
-        self.desk.hear(Bind("loans", 4, (("i-0", 1.0), ("i-1", 1.0), ("i-2", 2.0))))
+        self.server.hear(Bind("loans", 4, (("i-0", 1.0), ("i-1", 1.0), ("i-2", 2.0))))
 
     def tell(self, *put, gone=(), whole=False):
-        self.desk.hear(Backends(put, gone, whole))
+        self.server.hear(Backends(put, gone, whole))
 
     def life(self, at):
-        return self.desk.backend_view.lives[f"i-{at}"]
+        return self.server.backend_view.lives[f"i-{at}"]
 
     def pick(self, pool="loans", tried=()):
-        found = self.desk.pick(self.desk.backend_view.pool(pool), self.now, list(tried), 500 * MS)
+        found = self.server.pick(self.server.backend_view.pool(pool), self.now, list(tried), 500 * MS)
         return int(found.id[2:]) if found else None
 
     def picks(self, pool="loans", times=300):
@@ -57,15 +57,15 @@
     assert 900 < counts[0] < 1100 and 900 < counts[1] < 1100
     hall.life(2).flying = 3
     assert sum(hall.pick() == 2 for _ in range(1000)) < 350  # Half of the draws meet another one.
-    hall.desk.hear(Line("loans", 4, "i-2", 0.0))
-    hall.desk.hear(Line("loans", 4, "i-3", 1.0))
-    hall.desk.hear(Line("loans", 5, "i-5", 1.0))  # A table that is not bound yet.
+    hall.server.hear(Line("loans", 4, "i-2", 0.0))
+    hall.server.hear(Line("loans", 4, "i-3", 1.0))
+    hall.server.hear(Line("loans", 5, "i-5", 1.0))  # A table that is not bound yet.
     assert hall.picks() == {0, 1, 3}
-    assert hall.desk.hear(Mark(9)) == [Mark(9)]
+    assert hall.server.hear(Mark(9)) == [Mark(9)]
 
 
 def test_what_is_full_spills_to_the_region_then_to_short_queues_then_abroad(hall):
-    for life in hall.desk.backend_view.lives.values():
+    for life in hall.server.backend_view.lives.values():
         life.work = 100 * MS
     hall.fill(0, 1, 2)
     assert hall.picks() == {3, 4}
@@ -98,26 +98,26 @@
 @pytest.mark.parametrize(
     "leave",
     [
-        lambda hall: hall.desk.hear(Items((Item(INSTANCE, "i-1", (1, ""), b"{}"),), False)),
+        lambda hall: hall.server.hear(Items((Item(INSTANCE, "i-1", (1, ""), b"{}"),), False)),
         lambda hall: hall.tell(backend("i-1", draining=True)),
         lambda hall: hall.tell(gone=("i-1",)),
-        lambda hall: hall.desk.hear(Withdraw("i-1", True)),
-        lambda hall: hall.desk.hear(Items((Item(ZONE, "north", (3, "m"), b"true"),), False)),
+        lambda hall: hall.server.hear(Withdraw("i-1", True)),
+        lambda hall: hall.server.hear(Items((Item(ZONE, "north", (3, "m"), b"true"),), False)),
     ],
 )
 def test_nothing_goes_to_what_leaves_though_the_table_has_it_alone(hall, leave):
-    hall.desk.hear(Bind("loans", 5, (("i-1", 1.0),)))
+    hall.server.hear(Bind("loans", 5, (("i-1", 1.0),)))
     assert hall.picks() == {1}
     hall.fill(0, 2, 3, 4, 5, 6, 7, flying=7)
     leave(hall)
     assert 1 not in hall.picks() and hall.picks()
-    assert not hall.life(1).open(hall.now) if "i-1" in hall.desk.backend_view.lives else True
+    assert not hall.life(1).open(hall.now) if "i-1" in hall.server.backend_view.lives else True
 
 
 def test_a_drained_life_stays_out_when_an_older_word_comes_again(hall):
-    hall.desk.hear(Items((Item(INSTANCE, "i-1", (2, ""), None),), False))
+    hall.server.hear(Items((Item(INSTANCE, "i-1", (2, ""), None),), False))
     hall.tell(backend("i-1"), whole=True)
-    hall.desk.hear(
+    hall.server.hear(
         Items(
             (
                 Item(INSTANCE, "i-1", (1, ""), b"{}"),
@@ -137,7 +137,7 @@
     hall.now += 4 * SECOND
     assert hall.picks() == {0}
     hall.tell()
-    assert set(hall.desk.backend_view.lives) == {"i-0"}
+    assert set(hall.server.backend_view.lives) == {"i-0"}
 
 
 def test_failures_rest_a_backend_longer_each_time_and_at_most_a_third_of_the_pool(hall):
@@ -182,7 +182,7 @@
 
 def test_a_zone_taken_back_counts_as_cold_until_a_newer_list_says_otherwise(hall):
     for body in (b"true", b"false"):
-        hall.desk.hear(Items((Item(ZONE, "north", (len(body), "m"), body),), False))
+        hall.server.hear(Items((Item(ZONE, "north", (len(body), "m"), body),), False))
     hall.now += 1900 * MS
     hall.tell(backend("i-0"))  # May have been said before it was taken back.
     assert hall.picks() == {3, 4}
@@ -193,17 +193,17 @@
     assert hall.picks() == {0, 1, 2}
 
 
-@pytest.mark.parametrize("desks", [9, 57, 150])
-def test_all_desks_together_stay_under_a_cold_backends_rate(desks):
-    chance, rate, slack = Random(desks), 11.0 * 1.5, 5
+@pytest.mark.parametrize("proxies", [9, 57, 150])
+def test_all_proxies_together_stay_under_a_cold_backends_rate(proxies):
+    chance, rate, slack = Random(proxies), 11.0 * 1.5, 5
     for number in range(8):
         life = Life(f"i-{number}", "loans", "", "", "", 4)
-        gates = [ColdGate(f"front-{at}") for at in range(desks)]
+        gates = [ColdGate(f"front-{at}") for at in range(proxies)]
         sent = []
         for step in range(400):  # All want to send all the time, in any order.
             now = step * 10 * MS
             for gate in chance.sample(gates, len(gates)):
-                if gate.may(life, now, desks, rate):
+                if gate.may(life, now, proxies, rate):
                     gate.sent(life, now)
                     sent.append(now)
         assert sent
@@ -227,26 +227,26 @@
     assert routing.find(b"books.example", b"/x/") is None and routing.routes == 0
 
 
-def test_a_desk_that_nobody_answers_refuses_but_for_a_trial(hall):
+def test_a_proxy_that_nobody_answers_refuses_but_for_a_trial(hall):
     for at in (0, 1, 2):
         hall.life(at).started(hall.now)
     hall.now += SECOND
-    assert not hall.desk.cut(hall.now)  # All in one zone: that may have gone instead.
+    assert not hall.server.cut(hall.now)  # All in one zone: that may have gone instead.
     hall.life(5).started(hall.now)
     hall.life(3).started(hall.now)
     hall.now += SECOND
-    assert [hall.desk.cut(hall.now + at * 30 * MS) for at in range(5)] == [False, True, True, True, False]
+    assert [hall.server.cut(hall.now + at * 30 * MS) for at in range(5)] == [False, True, True, True, False]
     hall.life(5).ended_well(hall.now, MS)
-    hall.desk.isolation.heard = hall.now
-    assert not hall.desk.cut(hall.now + 50 * MS)
+    hall.server.isolation.heard = hall.now
+    assert not hall.server.cut(hall.now + 50 * MS)
 
 
 def test_ready_only_after_a_complete_merge_with_a_route():
-    desk = Desk(settings(), lambda: 0)
-    assert ZONES and not desk.ready
-    desk.hear(Items((route("r", "/"), *SERVICES), False))
-    assert not desk.hello().ready
-    desk.hear(Items((), True))
-    assert desk.hello().ready and not desk.hello().leaving
-    desk.leave()
-    assert desk.hello().leaving
+    server = ProxyServer(settings(), lambda: 0)
+    assert ZONES and not server.ready
+    server.hear(Items((route("r", "/"), *SERVICES), False))
+    assert not server.hello().ready
+    server.hear(Items((), True))
+    assert server.hello().ready and not server.hello().leaving
+    server.leave()
+    assert server.hello().leaving
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -33,7 +33,7 @@
 from ambershift.system.proxy.backend_view import BackendView
 from ambershift.system.registry.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.registry.records import Life
-from ambershift.system.registry.registry import UNSURE_DESKS
+from ambershift.system.registry.registry import UNSURE_PROXIES
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.steps import MS, Send, Written
 from ambershift.system.transport import links
@@ -45,7 +45,9 @@
 
 def kept(world: World, ip: str) -> bytes:
     registry = world.nodes[ip].registry
-    return write_sheet(ip, world.now, registry.machine.most_desks(world.now), list(registry.lives().values()))
+    return write_sheet(
+        ip, world.now, registry.machine.most_proxies(world.now), list(registry.lives().values())
+    )
 
 
 async def worn(cold: int = 0) -> tuple[World, dict[str, bytes]]:
@@ -73,13 +75,13 @@
         lost = {id: world.beating.pop(id) for id in ("a1-1", "b1-2")}
         beating, world.beating = world.beating, {}
         again(world, sheets)
-        told = world.desk("desk", "2", "b1")
+        told = world.proxy("proxy", "2", "b1")
         await world.run(0.5)
         first = next(one for one in told if isinstance(one, Backends))
         assert {one.id for one in first.put} == here and not first.whole
         assert all(one.unsure for one in first.put)
         world.beating = beating
-        await world.run(1.5)  # A beat makes sure of those that beat, and desks are told.
+        await world.run(1.5)  # A beat makes sure of those that beat, and proxies are told.
         sure = {one.id for list in told if isinstance(list, Backends) for one in list.put if not one.unsure}
         assert sure == set(world.beating)
         assert all(node.shown() == here for node in world.nodes.values())
@@ -89,16 +91,16 @@
     asyncio.run(run())
 
 
-def test_so_many_desks_are_reckoned_with_as_were_known() -> None:
+def test_so_many_proxies_are_reckoned_with_as_were_known() -> None:
     async def run() -> None:
         world, _ = await worn()
         for number in range(7):
-            world.desk(f"desk{number}", "1", "a1")
+            world.proxy(f"proxy{number}", "1", "a1")
         await world.run(0.3)
-        sheet, usual = kept(world, "2"), world.nodes["2"].registry.desks_most()
+        sheet, usual = kept(world, "2"), world.nodes["2"].registry.proxies_most()
         again(world, {"2": sheet})
-        assert world.nodes["2"].registry.desks_most() == usual < UNSURE_DESKS
-        assert world.nodes["1"].registry.desks_most() == UNSURE_DESKS  # Nothing is known here.
+        assert world.nodes["2"].registry.proxies_most() == usual < UNSURE_PROXIES
+        assert world.nodes["1"].registry.proxies_most() == UNSURE_PROXIES  # Nothing is known here.
 
     asyncio.run(run())
 
@@ -214,7 +216,7 @@
     keep.changed = True
     assert not keep.due(NOW + EACH_LEAST - 1, 9) and keep.due(NOW + EACH_LEAST, 9)
     keep.changed = False
-    assert not keep.due(NOW + EACH_LEAST, 9) and keep.due(NOW + EACH_LEAST, 10)  # Another desk.
+    assert not keep.due(NOW + EACH_LEAST, 9) and keep.due(NOW + EACH_LEAST, 10)  # Another proxy.
     assert keep.due(NOW + 3 * SECOND, 9)
 
 
@@ -256,7 +258,7 @@
     asyncio.run(run())
 
 
-def test_a_desk_believes_what_was_heard_before_what_is_recalled() -> None:
+def test_a_proxy_believes_what_was_heard_before_what_is_recalled() -> None:
     view = BackendView("a", ZONES, lambda service: 3 * SECOND)
     told = Backend("one", "s", "x:1", "a1", 4, False, 2000)
     view.take(NOW, Backends((told,), (), True))
@@ -457,7 +459,7 @@
 
 
 @pytest.mark.parametrize("most", [200, 0])
-def test_a_request_waits_a_moment_for_a_desk_that_has_just_started(
+def test_a_request_waits_a_moment_for_a_proxy_that_has_just_started(
     monkeypatch: pytest.MonkeyPatch, most: int
 ) -> None:
     monkeypatch.setattr(handling, "WAIT", 10.0)
@@ -471,10 +473,10 @@
             heads = rig.shelves[0].heads
             asked = asyncio.ensure_future(rig.ask())
             if most:
-                while not rig.desk.admission.flying:
+                while not rig.proxy.admission.flying:
                     await asyncio.sleep(0)
                 assert not heads
-                rig.desk.hear(Items((), True))
+                rig.proxy.hear(Items((), True))
             status, head, _ = await asked
             assert (status, b"retry-after" in head) == ((200, False) if most else (503, True))
             if not most:
--- a/tests/test_system_registry.py
+++ b/tests/test_system_registry.py
@@ -1,4 +1,4 @@
-"""Backends and desks as control nodes know them: beats, sign-offs, silence, the directory; three of them."""
+"""Backends and proxies as three control nodes know them: beats, sign-offs, silence, the directory."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 @play
 async def test_draining_is_acknowledged_once_held_and_told_at_once(world: World) -> None:
     ledger = world.nodes["1"].ledger
-    sent = world.desk("desk", "1", "a1")
+    sent = world.proxy("proxy", "1", "a1")
     ledger.gate.clear()
     first = asyncio.ensure_future(world.beat("a1-0", State="draining"))
     again = asyncio.ensure_future(world.beat("a1-0", State="draining"))
@@ -220,14 +220,14 @@
 
 @play
 async def test_who_stood_still_does_not_take_all_for_silent(world: World) -> None:
-    sent = world.desk("desk", "1", "a1")
+    sent = world.proxy("proxy", "1", "a1")
     world.frozen.add("1")
     await world.run(30)
     assert not [id for id in world.nodes["2"].shown() if id.startswith("a1")]
     world.frozen.clear()
     late = {id: world.beating.pop(id) for id in list(world.beating) if id.startswith("a1")}
     world.nodes["1"].registry.tick()  # Before it has read what has come meanwhile.
-    assert world.nodes["1"].registry.addresses("a", "a1") == ["desk:80"]
+    assert world.nodes["1"].registry.addresses("a", "a1") == ["proxy:80"]
     await world.run(1)
     assert len([id for id in world.nodes["1"].shown() if id.startswith("a1")]) == 4 and sent
     world.beating |= late
@@ -248,29 +248,29 @@
 
 
 @play
-async def test_the_directory_names_ready_desks_nearest_first(world: World) -> None:
+async def test_the_directory_names_ready_proxies_nearest_first(world: World) -> None:
     find = world.nodes["3"].registry.addresses
     assert find("a", "a1") == []
     for name, ip, zone in (("p", "1", "a1"), ("q", "1", "a2"), ("r", "2", "b1"), ("s", "3", "b1")):
-        world.desk(name, ip, zone)
-    world.desk("t", "1", "a1", ready=False)
+        world.proxy(name, ip, zone)
+    world.proxy("t", "1", "a1", ready=False)
     await world.run(0.3)
     assert sorted(find("a", "a1")) == ["p:80", "q:80"]  # One in the zone: the region.
     assert sorted(find("b", "b1")) == ["r:80", "s:80"] and len(find("c", "c1")) == 4
     assert len({tuple(find("c", "c1")) for _ in range(20)}) > 1
-    assert world.nodes["3"].registry.desks_most() == 5 + 2 + 6
-    world.desk("s", "3", "b1", leaving=True)
+    assert world.nodes["3"].registry.proxies_most() == 5 + 2 + 6
+    world.proxy("s", "3", "b1", leaving=True)
     assert find("b", "b2") == ["r:80"]
-    world.desk("s", "2", "b1")  # A word that was on its way: this life leaves.
+    world.proxy("s", "2", "b1")  # A word that was on its way: this life leaves.
     world.part("p")
     world.part("r")
     await world.run(0.5)
     assert find("b", "b1") == ["r:80"] and sorted(find("a", "a1")) == ["p:80", "q:80"]
     world.part("s")
-    world.desk("r", "1", "b1", ready=False)  # On another link before it is given up here.
+    world.proxy("r", "1", "b1", ready=False)  # On another link before it is given up here.
     await world.run(0.3)
     assert "r:80" not in find("b", "b1")
-    world.desk("r", "1", "b1")
+    world.proxy("r", "1", "b1")
     await world.run(0.7)
     assert find("b", "b1") == ["r:80"] and find("a", "a1") == ["q:80"]
     world.down.add("1")
@@ -280,22 +280,22 @@
     assert find("c", "c1") == []
     world.start("3")
     await world.run(6)
-    assert world.nodes["3"].registry.desks_most() == 5 + 2 + 6  # The most ever known to any.
+    assert world.nodes["3"].registry.proxies_most() == 5 + 2 + 6  # The most ever known to any.
 
 
 @play
-async def test_desks_of_a_silent_control_node_are_left_out_while_half_are_left(world: World) -> None:
+async def test_proxies_of_a_silent_control_node_are_left_out_while_half_are_left(world: World) -> None:
     find = world.nodes["3"].registry.addresses
     for name, ip, zone in (("p", "1", "a1"), ("q", "1", "a1"), ("r", "2", "b1"), ("s", "3", "b1")):
-        world.desk(name, ip, zone)
+        world.proxy(name, ip, zone)
     for name in "tu":  # These don't count.
-        world.desk(name, "3", "c1", ready=False)
+        world.proxy(name, "3", "c1", ready=False)
     await world.run(0.3)
     assert sorted(find("a", "a1")) == ["p:80", "q:80"]
     world.down.add("1")
     await world.run(0.1)
     assert sorted(find("a", "a1")) == ["r:80", "s:80"]
-    world.desk("p", "2", "a1")  # Only its control node was lost.
+    world.proxy("p", "2", "a1")  # Only its control node was lost.
     await world.run(0.3)
     assert find("a", "a1") == ["p:80"]
     world.down.add("2")  # Of four one is left: that would be too much for it, and those may be there.
@@ -304,13 +304,13 @@
 
 
 @play
-async def test_a_desk_that_says_nothing_leaves_the_directory_until_it_speaks(world: World) -> None:
-    world.desk("p", "1", "a1")
+async def test_a_proxy_that_says_nothing_leaves_the_directory_until_it_speaks(world: World) -> None:
+    world.proxy("p", "1", "a1")
     await world.run(0.5)
-    kept = world.desks.pop("p")
+    kept = world.proxies.pop("p")
     await world.run(3.2)
     assert world.nodes["2"].registry.addresses("a", "a1") == []
-    world.desks["p"] = kept
+    world.proxies["p"] = kept
     await world.run(1.3)
     assert world.nodes["2"].registry.addresses("a", "a1") == ["p:80"]
 
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -8,12 +8,12 @@
 from ambershift.system.__main__ import main
 from ambershift.system.processes.rereading import Watched
 from ambershift.system.settings.local import SettingsError, read_local
-from ambershift.system.testbed.settings import CONTROL_NODE, DESK, Machine, Site, toml
+from ambershift.system.testbed.settings import CONTROL_NODE, PROXY, Machine, Site, toml
 
 
 @pytest.fixture
 def site(tmp_path: Path) -> Site:
-    return Site(tmp_path, control_nodes=4, desks=2, seed=1)
+    return Site(tmp_path, control_nodes=4, proxies=2, seed=1)
 
 
 def machine(site: Site, kind: str) -> Machine:
@@ -21,7 +21,7 @@
 
 
 def test_a_whole_file_is_read(site: Site) -> None:
-    core, front = machine(site, CONTROL_NODE), machine(site, DESK)
+    core, front = machine(site, CONTROL_NODE), machine(site, PROXY)
     read = read_local(str(site.write(core, initial=True)))
     assert (read.name, read.ip, read.zone, read.region) == (core.name, core.ip, core.zone, core.region)
     assert read.initial and read.counted and read.folder == str(site.data(core))
@@ -29,12 +29,12 @@
     assert read.heartbeat == 0.5 and read.tolerated == (1, 1, 1)
     assert read.bounds.drain == 1.5 and read.bounds.retry_ratio == 0.2 and read.bounds.ttl_most == 2
     assert read.seed_ips == tuple(one.ip for one in site.of(CONTROL_NODE)[:3])
-    desk = read_local(str(site.write(front, initial=False)))
-    assert desk.folder is None and not desk.initial and not desk.counted
+    proxy = read_local(str(site.write(front, initial=False)))
+    assert proxy.folder is None and not proxy.initial and not proxy.counted
 
 
 def test_unknown_fields_are_passed_over_and_missing_bounds_have_defaults(site: Site) -> None:
-    tables = site.settings(machine(site, DESK), initial=False)
+    tables = site.settings(machine(site, PROXY), initial=False)
     tables["Later"] = {"Field": [1, 2]}
     tables["Provisions"]["TimerBounds"] = {"GraceS": 2.5, "Fenced": True}
     path = site.folder / "more.toml"
@@ -70,7 +70,7 @@
     ],
 )
 def test_a_bad_value_is_named(site: Site, capsys: pytest.CaptureFixture[str], key: str, value: Any) -> None:
-    tables = site.settings(machine(site, DESK), initial=False)
+    tables = site.settings(machine(site, PROXY), initial=False)
     *path, last = key.split(".")
     within = tables
     for part in path:
--- a/tests/test_system_strain.py
+++ b/tests/test_system_strain.py
@@ -9,8 +9,8 @@
 def strained(rate: int, slots: int = 72) -> float:
     strain = Strain(0.6)
     for _ in range(20):
-        for desk in ("one", "two"):
-            strain.came(desk, rate // 2, SECOND)
+        for proxy in ("one", "two"):
+            strain.came(proxy, rate // 2, SECOND)
         strain.took(120 * MS)
     return strain.overload(slots)
 
@@ -22,7 +22,7 @@
     assert strained(560) == LEAST and strained(5600) == LEAST
 
 
-def test_a_small_move_leaves_the_threshold_and_a_lost_desk_counts_no_more() -> None:
+def test_a_small_move_leaves_the_threshold_and_a_lost_proxy_counts_no_more() -> None:
     strain = Strain(1.4)
     strain.came("one", 201, SECOND)
     strain.took(120 * MS)
