--- a/tests/test_system_transport.py
+++ b/tests/test_system_transport.py
@@ -1,4 +1,4 @@
-"""Links over real websockets on 127.0.0.0/8, and a desk's choice of the control node that looks after it."""
+"""Links over real websockets on 127.0.0.0/8, and a proxy's choice of the control node that looks after it."""
 
 import asyncio
 import itertools
@@ -31,7 +31,7 @@
 from ambershift.system.transport import outbox as outboxes
 from ambershift.system.transport.links import Links, receive
 from ambershift.system.transport.outbox import Outbox
-from ambershift.system.transport.words import CONTROL_NODE, DESK, Caller, PathError, caller_of, path_of
+from ambershift.system.transport.words import CONTROL_NODE, PROXY, Caller, PathError, caller_of, path_of
 
 pytestmark = pytest.mark.timeout(30)
 BLOCKS = itertools.count(os.getpid() % 200 * 200)
@@ -128,11 +128,11 @@
 
 
 def test_a_path_of_another_version_is_refused() -> None:
-    caller = Caller(DESK, "desk-a-1", "ab12")
+    caller = Caller(PROXY, "proxy-a-1", "ab12")
     assert caller_of(path_of(caller)) == caller
 
     async def act(near: End, far: End, one: str, other: str) -> None:
-        for path in ("/0/desk/a/1", "/1/clerk/a/1", "/1/desk//1", "/1/desk/a", "/"):
+        for path in ("/0/proxy/a/1", "/1/clerk/a/1", "/1/proxy//1", "/1/proxy/a", "/"):
             with pytest.raises(PathError):
                 caller_of(path)
             with pytest.raises(InvalidStatus):
@@ -169,7 +169,7 @@
 CORES = (Core("c1", "z1", "r1"), Core("c2", "z2", "r1"), Core("c3", "z3", "r2"), Core("c4", "z4", "r2"))
 
 
-def choice(name: str = "desk", seeds: tuple[str, ...] = ("c3",)) -> Choice:
+def choice(name: str = "proxy", seeds: tuple[str, ...] = ("c3",)) -> Choice:
     return Choice(name, "z1", "r1", seeds)
 
 
@@ -183,7 +183,7 @@
     one.up(0, "c3")
     one.hear(0, sign())
     assert one.candidates(0)[:2] == ["c1", "c2"] and one.candidates(0)[-1] == "c9"
-    proxies = [choice(f"desk-{at}") for at in range(30)]
+    proxies = [choice(f"proxy-{at}") for at in range(30)]
     for proxy in proxies:
         proxy.hear(0, sign())
     assert {proxy.candidates(0)[2] for proxy in proxies} == {"c3", "c4"}
