--- a/ambershift/system/proxy/course.py
+++ b/ambershift/system/proxy/course.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 import httpcore
 
@@ -12,13 +11,11 @@
 from ambershift.system.proxy.backend_view import Pool
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.routing import Route
+from ambershift.system.proxy.state import ProxyState
 from ambershift.system.proxy.trying import Came, Try
 from ambershift.system.proxy.wire import Wire
 from ambershift.system.steps import SECOND
 
-if TYPE_CHECKING:
-    from ambershift.system.proxy.server import ProxyServer
-
 Make = Callable[[Wire, Life, int], httpcore.Request]
 Racing = asyncio.Task[Came]
 
@@ -30,12 +27,12 @@
     """`make` builds the request for a connection, a backend and the time left, ns."""
 
     def __init__(
-        self, server: ProxyServer, route: Route, pool: Pool, deadline: int, attempt: bytes, make: Make
+        self, proxy: ProxyState, route: Route, pool: Pool, deadline: int, attempt: bytes, make: Make
     ) -> None:
-        self.server, self.pool, self.attempt, self.make = server, pool, attempt, make
+        self.proxy, self.pool, self.attempt, self.make = proxy, pool, attempt, make
         self.tries = Tries(route.repeatable, route.most, deadline)
-        self.budget = server.budget(pool.service)
-        self.aim = min(deadline, server.steady() + int(route.target * (1 - YIELDED * min(route.priority, 5))))
+        self.budget = proxy.budget(pool.service)
+        self.aim = min(deadline, proxy.steady() + int(route.target * (1 - YIELDED * min(route.priority, 5))))
         self.nobody = False  # No backend was left to try.
         self._tried = list[Life]()
         self._under_way = list[Try]()
@@ -67,11 +64,11 @@
 
     def _begin(self) -> Try | None:
         """The next try, if one may be made and a backend is there for it."""
-        server, tries = self.server, self.tries
-        now = server.steady()
+        proxy, tries = self.proxy, self.tries
+        now = proxy.steady()
         if self._left or not tries.may(now):
             return None
-        life = server.pick(self.pool, now, self._tried, self.aim - now)
+        life = proxy.pick(self.pool, now, self._tried, self.aim - now)
         if life is None:
             self.nobody = True
             return None
@@ -80,7 +77,7 @@
             return None
         tries.begun()
         self._tried.append(life)
-        trying = Try(server.connections, server.steady, life, life.region == server.settings.region, paid)
+        trying = Try(proxy.connections, proxy.steady, life, life.region == proxy.settings.region, paid)
         self._under_way.append(trying)
         return trying
 
@@ -90,10 +87,10 @@
         finally:
             self._under_way.remove(trying)
         if trying.paid and came.stage <= Stage.CONNECTED:
-            self.budget.give_back(self.server.steady())
+            self.budget.give_back(self.proxy.steady())
         self.tries.ended(came.stage, came.outcome)
         if came.stage is Stage.WHOLE:
-            self.server.isolation.heard = self.server.steady()
+            self.proxy.isolation.heard = self.proxy.steady()
         if came.outcome is Outcome.GOOD:
             self._under_way.append(trying)  # A large answer is still to come through it.
         return came
@@ -126,7 +123,7 @@
             raise
         finally:
             for one in racing:
-                self.server.let_run(one)
+                self.proxy.let_run(one)
 
 
 async def _either(task: Racing, seconds: float) -> None:
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import httpcore
 
@@ -15,13 +15,11 @@
 from ambershift.system.proxy.headers import Headers, read_request
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.routing import Route
+from ambershift.system.proxy.state import ProxyState
 from ambershift.system.proxy.trying import Came
 from ambershift.system.proxy.wire import Reply, TryError, UnsendableError, Wire
 from ambershift.system.steps import MS, SECOND
 
-if TYPE_CHECKING:
-    from ambershift.system.proxy.server import ProxyServer
-
 Receive = Callable[[], Awaitable[Any]]
 Send = Callable[[Any], Awaitable[None]]
 
@@ -41,13 +39,13 @@
 
 
 async def answer(
-    server: ProxyServer, send: Send, status: int, again: bytes | None = None, close: bool = False
+    proxy: ProxyState, send: Send, status: int, again: bytes | None = None, close: bool = False
 ) -> None:
     """An answer of our own, without a body. `again`: seconds after which to come back."""
     headers = [(b"content-length", b"0")]
     if again is not None:
         headers.append((b"retry-after", again))
-    if close or server.leaving:
+    if close or proxy.leaving:
         headers.append(CLOSE)
     await send({"type": "http.response.start", "status": status, "headers": headers})
     await send({"type": "http.response.body", "body": b""})
@@ -56,8 +54,8 @@
 class Handling:
     """Reads one request and sees it through. Knows no rule: route, pick, budget and tries say what to do."""
 
-    def __init__(self, server: ProxyServer, scope: Any, receive: Receive, send: Send) -> None:
-        self.server, self.scope, self.receive, self.send = server, scope, receive, send
+    def __init__(self, proxy: ProxyState, scope: Any, receive: Receive, send: Send) -> None:
+        self.proxy, self.scope, self.receive, self.send = proxy, scope, receive, send
         self.asked = read_request(scope["headers"])
         self.body = b""
         self.held = 0
@@ -65,20 +63,20 @@
         self.watching: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        server, asked = self.server, self.asked
-        arrived = server.steady()
+        proxy, asked = self.proxy, self.asked
+        arrived = proxy.steady()
         if not asked.attempt:
             return await self.refuse(400)
-        if not server.routing.complete and not await server.merged.within(WAIT):
+        if not proxy.routing.complete and not await proxy.merged.within(WAIT):
             return await self.refuse(503, LATER)
-        route = server.routing.find(asked.host, self.scope["raw_path"])
+        route = proxy.routing.find(asked.host, self.scope["raw_path"])
         if route is None:
             return await self.refuse(404)
         pool = self.choose(route, arrived)
-        for name in (pool.name, *server.routing.tallies(route)):
-            server.came[name] = server.came.get(name, 0) + 1
-        server.budget(pool.service).came(arrived)
-        if not server.admission.takes(route.priority) or server.cut(arrived):
+        for name in (pool.name, *proxy.routing.tallies(route)):
+            proxy.came[name] = proxy.came.get(name, 0) + 1
+        proxy.budget(pool.service).came(arrived)
+        if not proxy.admission.takes(route.priority) or proxy.cut(arrived):
             return await self.refuse(503, LATER)
         left = route.timeout if asked.left is None else min(route.timeout, asked.left)
         try:
@@ -87,7 +85,7 @@
                     async with asyncio.timeout(left / SECOND):
                         status = await self.read_body()
                 except TimeoutError:
-                    return await answer(server, self.send, 408, close=True)
+                    return await answer(proxy, self.send, 408, close=True)
                 if status:
                     return await self.refuse(status, LATER if status == 503 else None)
             watch = asyncio.get_running_loop().call_later(WATCH_AFTER, self.watch)
@@ -100,10 +98,10 @@
         except UnsendableError:
             await self.say(400)
         finally:
-            server.admission.held -= self.held
+            proxy.admission.held -= self.held
 
     async def say(self, status: int, again: bytes | None = None) -> None:
-        await answer(self.server, self.send, status, again)
+        await answer(self.proxy, self.send, status, again)
 
     async def refuse(self, status: int, again: bytes | None = None) -> None:
         """An answer before the body was taken. A small one is read first: closing on it would reset the
@@ -111,9 +109,9 @@
         more = self.asked.chunked or bool(self.asked.length)
         if more and (self.asked.length or 0) <= DISCARD_MOST:
             with contextlib.suppress(TimeoutError):  # Who drips a body is not waited for.
-                async with asyncio.timeout(self.server.routing.limits.head_for / SECOND):
+                async with asyncio.timeout(self.proxy.routing.limits.head_for / SECOND):
                     more = await self.discard()
-        await answer(self.server, self.send, status, again, close=more)
+        await answer(self.proxy, self.send, status, again, close=more)
 
     async def discard(self) -> bool:
         """Reads a body that is small. Returns whether there is more of it."""
@@ -128,17 +126,17 @@
 
     def choose(self, route: Route, now: int) -> Pool:
         """The pool of the route's service; of several drawn by weight, one that has a backend if any has."""
-        pools = [self.server.backend_view.pool(pool_of(name, route.homes)) for name, _ in route.shares]
+        pools = [self.proxy.backend_view.pool(pool_of(name, route.homes)) for name, _ in route.shares]
         if len(pools) == 1:
             return pools[0]
         weights = [max(weight, 0.0) for _, weight in route.shares]
         alive = [weight if pool.alive(now) else 0.0 for pool, weight in zip(pools, weights, strict=True)]
         best = next((one for one in (alive, weights) if sum(one) > 0), [1.0] * len(pools))
-        return self.server.chance.choices(pools, best)[0]
+        return self.proxy.chance.choices(pools, best)[0]
 
     async def read_body(self) -> int:
         """Reads it whole. Returns the status to refuse it with, or 0."""
-        most = self.server.routing.limits.body
+        most = self.proxy.routing.limits.body
         parts, size, more = list[bytes](), 0, True
         if (self.asked.length or 0) > most:
             return 413
@@ -161,14 +159,14 @@
 
     def hold(self, more: int) -> bool:
         """Whether so many bytes more may be held; they count until the request is over."""
-        if not self.server.admission.holds(more):
+        if not self.proxy.admission.holds(more):
             return False
         self.held += more
         return True
 
     async def serve(self, route: Route, pool: Pool, deadline: int) -> None:
         """See it through its tries; then pass on what a backend has answered, or answer by ourselves."""
-        course = self.course = Course(self.server, route, pool, deadline, self.asked.attempt, self.request)
+        course = self.course = Course(self.proxy, route, pool, deadline, self.asked.attempt, self.request)
         came = await course.run()
         if course.left:
             if came is not None:
@@ -176,7 +174,7 @@
             raise LeftError
         if came is not None and came.reply is not None:
             return await self.pass_on(came, came.reply)
-        status = course.tries.last_word(self.server.steady())
+        status = course.tries.last_word(self.proxy.steady())
         await self.say(status, (LATER if course.nobody else SOON) if status == 503 else None)
 
     def request(self, wire: Wire, life: Life, left: int) -> httpcore.Request:
@@ -201,7 +199,7 @@
         """An answer of the backend, whole or as it comes. One that breaks off ends the connection."""
         if reply.rest is None:
             return await self.pass_whole(came.headers, reply)
-        if self.server.leaving:
+        if self.proxy.leaving:
             came.headers.append(CLOSE)
         await self.send({"type": "http.response.start", "status": reply.status, "headers": came.headers})
         try:
@@ -209,7 +207,7 @@
             async for part in came.by.rest(reply):
                 await self.send({"type": "http.response.body", "body": part, "more_body": True})
         except TryError:
-            return  # Ended before it is complete, the server closes the connection: the client sees it.
+            return  # Ended before it is complete, the proxy closes the connection: the client sees it.
         finally:
             came.by.close()
         await self.send({"type": "http.response.body", "body": b""})
@@ -219,7 +217,7 @@
             headers = [pair for pair in headers if pair[0] != b"content-length"]
         elif self.scope["method"] != "HEAD" and not any(name == b"content-length" for name, _ in headers):
             headers.append((b"content-length", b"%d" % len(reply.body)))
-        if self.server.leaving:
+        if self.proxy.leaving:
             headers.append(CLOSE)
         await self.send({"type": "http.response.start", "status": reply.status, "headers": headers})
         await self.send({"type": "http.response.body", "body": reply.body})
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Callable, Iterable
 from random import Random
 from secrets import token_hex
@@ -11,47 +10,23 @@
 import msgspec
 
 from ambershift.system.messages import fronts, items
-from ambershift.system.proxy.admission import Admission
-from ambershift.system.proxy.awaited import Awaited
-from ambershift.system.proxy.backend_view import BackendView, Pool
-from ambershift.system.proxy.budget import Budget
-from ambershift.system.proxy.cold import ColdGate
-from ambershift.system.proxy.connections import Connections
 from ambershift.system.proxy.handling import Handling, Receive, Send, answer
-from ambershift.system.proxy.isolation import Isolation
 from ambershift.system.proxy.lives import Life
-from ambershift.system.proxy.pick import pick
-from ambershift.system.proxy.routing import Routing
-from ambershift.system.proxy.trying import Came
+from ambershift.system.proxy.state import ProxyState
 from ambershift.system.proxy.wire import HOLD_LEAST, HOLD_MOST
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.steps import MS
 
 READINESS = b"/ambershift/readiness"
 ROOM_SHARE, ROOM_LEAST = 0.9, 2
 MANY = 200  # Requests under way from which on less of each answer is held.
 
 
-class ProxyServer:
+class ProxyServer(ProxyState):
     """One front machine's part in the traffic. `steady` gives ns of a clock that only runs forward."""
 
     def __init__(self, settings: Local, steady: Callable[[], int], chance: Random | None = None) -> None:
-        self.settings, self.steady = settings, steady
-        self.chance = chance or Random()
-        self.routing = Routing()
-        self.backend_view = BackendView(
-            settings.region, settings.zones, lambda service: self.routing.service(service).cold_for
-        )
-        self.connections = Connections(steady)
-        self.admission = Admission()
-        self.cold = ColdGate(settings.name)
-        self.isolation = Isolation()
-        self.merged = Awaited()
-        self.proxies = 1
-        self.leaving = False
-        self.came: dict[str, int] = {}
-        self._on_their_own: set[asyncio.Task[Came]] = set()
-        self._budgets: dict[str, Budget] = {}
+        super().__init__(settings, steady, chance or Random())
         self._life = token_hex(8)
         self._reported = steady()
         readiness = settings.listen.get("Readiness", "")
@@ -139,39 +114,6 @@
         finally:
             self.admission.flying -= 1
 
-    def let_run(self, task: asyncio.Task[Came]) -> None:
-        """A try whose answer is not needed any more goes on to its end by itself."""
-
-        def ended(task: asyncio.Task[Came]) -> None:
-            self._on_their_own.discard(task)
-            if not task.cancelled() and task.exception() is None:
-                task.result().by.close()
-
-        self._on_their_own.add(task)
-        task.add_done_callback(ended)
-
-    def budget(self, service: str) -> Budget:
-        found = self._budgets.get(service)
-        if found is None:
-            bounds = self.settings.bounds
-            found = self._budgets[service] = Budget(int(bounds.retry_window * SECOND), bounds.retry_ratio)
-        return found
-
-    def cut(self, now: int) -> bool:
-        """Whether nobody answers this proxy, so that a request is better refused at once."""
-        return self.isolation.cut(now, self.backend_view.lives.values())
-
-    def pick(self, pool: Pool, now: int, tried: list[Life], left: int) -> Life | None:
-        found = pick(pool, now, tried, self.chance, self._cold_may, left)
-        if found is not None and now < found.cold_until:
-            self.cold.sent(found, now)
-        return found
-
-    def _cold_may(self, life: Life, now: int) -> bool:
-        bounds = self.settings.bounds
-        rate = self.routing.service(life.service).cold_rate * bounds.cold_overrun
-        return self.cold.may(life, now, self.proxies, rate)
-
     def _merge(self, now: int, message: fronts.Items) -> None:
         for item in self.routing.merge(message.items):
             if item.kind == items.ZONE:
--- /dev/null
+++ b/ambershift/system/proxy/state.py
@@ -0,0 +1,76 @@
+"""What all requests of one proxy share: what is known, what is under way, and what may be done next."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from random import Random
+
+from ambershift.system.proxy.admission import Admission
+from ambershift.system.proxy.awaited import Awaited
+from ambershift.system.proxy.backend_view import BackendView, Pool
+from ambershift.system.proxy.budget import Budget
+from ambershift.system.proxy.cold import ColdGate
+from ambershift.system.proxy.connections import Connections
+from ambershift.system.proxy.isolation import Isolation
+from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.pick import pick
+from ambershift.system.proxy.routing import Routing
+from ambershift.system.proxy.trying import Came
+from ambershift.system.settings.local import Local
+from ambershift.system.steps import SECOND
+
+
+class ProxyState:
+    """`steady` gives ns of a clock that only runs forward. `came` counts requests by pool since the last
+    report, `proxies` is how many proxies there may be at the most."""
+
+    def __init__(self, settings: Local, steady: Callable[[], int], chance: Random) -> None:
+        self.settings, self.steady, self.chance = settings, steady, chance
+        self.routing = Routing()
+        self.backend_view = BackendView(
+            settings.region, settings.zones, lambda service: self.routing.service(service).cold_for
+        )
+        self.connections = Connections(steady)
+        self.admission = Admission()
+        self.cold = ColdGate(settings.name)
+        self.isolation = Isolation()
+        self.merged = Awaited()
+        self.proxies = 1
+        self.leaving = False
+        self.came: dict[str, int] = {}
+        self._on_their_own: set[asyncio.Task[Came]] = set()
+        self._budgets: dict[str, Budget] = {}
+
+    def budget(self, service: str) -> Budget:
+        found = self._budgets.get(service)
+        if found is None:
+            bounds = self.settings.bounds
+            found = self._budgets[service] = Budget(int(bounds.retry_window * SECOND), bounds.retry_ratio)
+        return found
+
+    def cut(self, now: int) -> bool:
+        """Whether nobody answers this proxy, so that a request is better refused at once."""
+        return self.isolation.cut(now, self.backend_view.lives.values())
+
+    def pick(self, pool: Pool, now: int, tried: list[Life], left: int) -> Life | None:
+        found = pick(pool, now, tried, self.chance, self._cold_may, left)
+        if found is not None and now < found.cold_until:
+            self.cold.sent(found, now)
+        return found
+
+    def _cold_may(self, life: Life, now: int) -> bool:
+        bounds = self.settings.bounds
+        rate = self.routing.service(life.service).cold_rate * bounds.cold_overrun
+        return self.cold.may(life, now, self.proxies, rate)
+
+    def let_run(self, task: asyncio.Task[Came]) -> None:
+        """A try whose answer is not needed any more goes on to its end by itself."""
+
+        def ended(task: asyncio.Task[Came]) -> None:
+            self._on_their_own.discard(task)
+            if not task.cancelled() and task.exception() is None:
+                task.result().by.close()
+
+        self._on_their_own.add(task)
+        task.add_done_callback(ended)
