--- /dev/null
+++ b/ambershift/system/registry/ends.py
@@ -0,0 +1,62 @@
+"""Ends of backends' lives, put on enough copies: acknowledged once they are, and forgotten when long over."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Sequence
+from typing import Any
+
+import msgspec
+
+from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by
+from ambershift.system.registry.clearing import REFUSED
+
+PUT_LIMIT_S = 0.8  # A backend waits a second for its acknowledgement.
+HELD_MOST = 20_000  # Of these lives we remember that their end is held; others are just put again.
+
+Answered = tuple[int, dict[str, Any]]  # HTTP's status and the body.
+
+
+class Ends:
+    """`ip` is this control node's."""
+
+    def __init__(self, ledger: Ledger, ip: str) -> None:
+        self._ledger, self._ip = ledger, ip
+        self._held = dict[str, int]()
+        self._holding = dict[tuple[str, int], asyncio.Task[None]]()
+        self._clearing: asyncio.Future[None] | None = None
+
+    async def hold(self, id: str, version: int, service: str, address: str) -> Answered:
+        """Acknowledge once enough copies hold that this life ends."""
+        if self._held.get(id, 0) < version:
+            key = id, version
+            if key not in self._holding:
+                item = Item(
+                    INSTANCE, id, (version, ""), msgspec.json.encode({"Service": service, "Address": address})
+                )
+                self._holding[key] = task = asyncio.ensure_future(self._ledger.put([item], PUT_LIMIT_S))
+                task.add_done_callback(lambda done: self._put(key, done))
+            try:
+                await asyncio.shield(self._holding[key])
+            except (NotHeldError, NotDoneError) as why:
+                return 503, {"Error": why.reason}
+        return 200, {}
+
+    def _put(self, key: tuple[str, int], done: asyncio.Task[None]) -> None:
+        self._holding.pop(key, None)
+        if not done.cancelled() and done.exception() is None:
+            if len(self._held) >= HELD_MOST:
+                self._held.clear()
+            self._held[key[0]] = max(key[1], self._held.get(key[0], 0))
+
+    def clear(self, ids: Sequence[str]) -> None:
+        """Let all forget the ends of lives that are long over. One node does so; two at once do no harm:
+        what the one has told last is held, and the rest comes again."""
+        if not ids:
+            return
+        last = self._ledger.items().get(THE_CLEARED)
+        told = [*(cleared_by(last) if last else ()), *ids][-REFUSED:]
+        item = Item(*THE_CLEARED, (last.version[0] + 1 if last else 1, self._ip), msgspec.json.encode(told))
+        self._clearing = asyncio.ensure_future(self._ledger.put([item], PUT_LIMIT_S))
+        self._clearing.add_done_callback(lambda done: done.cancelled() or done.exception())
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import hashlib
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -11,12 +10,12 @@
 
 import msgspec
 
-from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.contracts import Ledger
 from ambershift.system.messages.fronts import Backend, Hello
-from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, cleared_by
+from ambershift.system.messages.items import CLEARED, INSTANCE, Item, cleared_by
 from ambershift.system.messages.rounds import Ask, Delta, Flow, Pulse
 from ambershift.system.registry.beats import BeatError, check_id, read_beat
-from ambershift.system.registry.clearing import REFUSED
+from ambershift.system.registry.ends import Answered, Ends
 from ambershift.system.registry.events import (
     Cleared,
     Ended,
@@ -39,7 +38,6 @@
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import MS, SECOND, Heard, Log, Send
 
-PUT_LIMIT_S = 0.8  # A backend waits a second for its acknowledgement.
 UNSURE_PROXIES = (
     256  # Told while proxies may not have been heard yet: too few would let too much to cold ones.
 )
@@ -47,7 +45,6 @@
 RATED_EACH = SECOND
 NEAR_MOST = 1000  # Callers may name any place.
 RECALLED, NO_LIST = 304, 305  # Numbers of the log's events.
-HELD_MOST = 20_000  # Of these lives we remember that their end is held; others are just put again.
 
 
 class Side(Protocol):
@@ -60,7 +57,6 @@
 
 Sending = Callable[[str, msgspec.Struct], None]
 Logging = Callable[[int, dict[str, Any]], None]
-Answered = tuple[int, dict[str, Any]]
 
 
 class Registry:
@@ -79,8 +75,7 @@
         self.chance = random.Random(seed)
         self.machine = RegistryMachine(self.chance.getrandbits(31), int(settings.heartbeat * SECOND))
         self.port = settings.listen.get("Control", "").rpartition(":")[2]
-        self.held = dict[str, int]()
-        self.holding = dict[tuple[str, int], asyncio.Task[None]]()
+        self.ends = Ends(ledger, settings.ip)
         self.homes = Homes()
         # Addresses for a region, zone and homes, of the proxies known.
         self.near = dict[tuple[str, str, frozenset[str]], list[str]]()
@@ -88,7 +83,6 @@
         self.read = False
         self.side, self.keep = side, Keep()
         self.recalled = False  # Whether the disk has told how many proxies there may be.
-        self.clears: asyncio.Future[None] | None = None
         self.known_at, self.known = -SECOND, list[ProxyRecord]()
         self.rated_at = -SECOND
         ledger.listen(self._items)
@@ -101,7 +95,7 @@
             return 400, {"Error": f"{why.field}: {why.reason}"}
         self._step(beat)
         if beat.draining:
-            return await self._hold(id, DRAINING, beat.service, beat.address)
+            return await self.ends.hold(id, DRAINING, beat.service, beat.address)
         if not self.ledger.in_touch():
             # The others would take it for silent if it kept to us: it is to call another one.
             return 503, {"Error": "out of touch"}
@@ -115,7 +109,7 @@
         except BeatError as why:
             return 400, {"Error": f"{why.field}: {why.reason}"}
         life = self.machine.listing.lives.get(id)
-        return await self._hold(id, GONE, life.service if life else "", life.address if life else "")
+        return await self.ends.hold(id, GONE, life.service if life else "", life.address if life else "")
 
     def addresses(self, region: str, zone: str, host: str = "") -> list[str]:
         """Where clients of this place are best served, in an order that varies; empty if nobody is ready."""
@@ -155,7 +149,7 @@
         alive = frozenset(ip for ip in ips if self.ledger.alive(ip))
         self._step(Look(self.ledger.in_touch(), alive, tuple(ips)))
         if self.ledger.in_touch() and all(self.settings.ip < ip for ip in alive):
-            self._clear()
+            self.ends.clear(self.machine.clearable(self.steady()))
 
     def hear_core(self, ip: str, message: msgspec.Struct) -> None:
         if isinstance(message, Delta | Pulse | Ask):
@@ -248,42 +242,6 @@
             if one.kind == CLEARED:
                 self._step(Cleared(tuple(cleared_by(one))))
 
-    def _clear(self) -> None:
-        """Let all forget the ends of lives that are long over. One node does so; two at once do no harm:
-        what the one has told last is held, and the rest comes again."""
-        if not (ids := self.machine.clearable(self.steady())):
-            return
-        last = self.ledger.items().get(THE_CLEARED)
-        told = [*(cleared_by(last) if last else ()), *ids][-REFUSED:]
-        item = Item(
-            *THE_CLEARED, (last.version[0] + 1 if last else 1, self.settings.ip), msgspec.json.encode(told)
-        )
-        self.clears = asyncio.ensure_future(self.ledger.put([item], PUT_LIMIT_S))
-        self.clears.add_done_callback(lambda done: done.cancelled() or done.exception())
-
-    async def _hold(self, id: str, version: int, service: str, address: str) -> Answered:
-        """Acknowledge once enough copies hold that this life ends."""
-        if self.held.get(id, 0) < version:
-            key = id, version
-            if key not in self.holding:
-                item = Item(
-                    INSTANCE, id, (version, ""), msgspec.json.encode({"Service": service, "Address": address})
-                )
-                self.holding[key] = task = asyncio.ensure_future(self.ledger.put([item], PUT_LIMIT_S))
-                task.add_done_callback(lambda done: self._put(key, done))
-            try:
-                await asyncio.shield(self.holding[key])
-            except (NotHeldError, NotDoneError) as why:
-                return 503, {"Error": why.reason}
-        return 200, {}
-
-    def _put(self, key: tuple[str, int], done: asyncio.Task[None]) -> None:
-        self.holding.pop(key, None)
-        if not done.cancelled() and done.exception() is None:
-            if len(self.held) >= HELD_MOST:
-                self.held.clear()
-            self.held[key[0]] = max(key[1], self.held.get(key[0], 0))
-
     def _target(self, id: str, zone: str) -> str:
         """The nearest control node's address for later beats; empty if none is nearer than this one."""
         if zone == self.settings.zone or not self.port:
