--- a/ambershift/system/consensus/disk.py
+++ b/ambershift/system/consensus/disk.py
@@ -28,6 +28,14 @@
         os.close(handle)
 
 
+def _make_folder(folder: Path) -> None:
+    """With the names of all folders made on disk: else a loss of power takes the whole folder with it."""
+    missing = [one for one in (folder, *folder.parents) if not one.exists()]
+    folder.mkdir(parents=True, exist_ok=True)
+    for one in missing:
+        sync_folder(one.parent)
+
+
 def _connect(file: Path) -> sqlite3.Connection:
     base = sqlite3.connect(file, isolation_level=None, check_same_thread=False)
     # Write-ahead logging without shared memory (exclusive), one sync a transaction.
@@ -94,7 +102,7 @@
 
     def open(self) -> Rows:
         """Read all rows and begin to write. Raises `OSError` or `sqlite3.Error` without a usable disk."""
-        self._folder.mkdir(parents=True, exist_ok=True)
+        _make_folder(self._folder)
         file = self._folder / FILE
         try:
             self._base, rows = _read(file, self._ip)
--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -14,6 +14,7 @@
 
 import pytest
 
+from ambershift.system.consensus import disk
 from ambershift.system.consensus.disk import ASIDE, FILE, Disk, Rows
 from ambershift.system.consensus.journal import Journal
 from ambershift.system.consensus.outbox import Outbox
@@ -177,3 +178,45 @@
 
     assert asyncio.run(life(True, first)) == 1 + 2
     assert asyncio.run(life(False, second)) == 3
+
+
+def test_the_names_of_all_folders_made_are_on_disk_before_anything_is_acknowledged(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A loss of power takes a name that its folder wasn't synced for, and all that lies below."""
+    synced: list[Path] = []
+    monkeypatch.setattr(disk, "sync_folder", synced.append)
+    folder = tmp_path / "a" / "b" / "c"
+    opened = Opened(folder)
+    assert {tmp_path, tmp_path / "a", tmp_path / "a" / "b", folder} == set(synced)
+    assert (folder / FILE).exists() and synced[-1] == folder
+    opened.disk.close()
+    synced.clear()
+    Opened(folder).disk.close()
+    assert synced == [folder]
+
+
+@pytest.mark.parametrize("lost", [FILE, f"{FILE}-wal", "both"])
+@pytest.mark.parametrize("writes", [3, 400])
+def test_a_folder_that_lost_one_of_its_names_holds_all_or_is_not_this_machine_s(
+    tmp_path: Path, lost: str, writes: int
+) -> None:
+    """Killed without an end, and then a name is gone: whatever is read has an owner and no holes in it."""
+    opened = Opened(tmp_path / "live")
+    assert opened.write(0, ("meta", "ip", IP.encode()), ("meta", "birth", b"7")) is None
+    for number in range(1, writes):
+        assert opened.write(number, ("items", f"k{number}", b"v" * 900)) is None
+    left = tmp_path / "left"
+    left.mkdir()
+    for name in {FILE, f"{FILE}-wal"} - {lost}:
+        if lost != "both":
+            shutil.copy(tmp_path / "live" / name, left / name)
+    again = Opened(left)
+    numbers = sorted(int(name[1:]) for name in again.rows.get("items", {}))
+    assert numbers == list(range(1, len(numbers) + 1))
+    assert not numbers or again.rows["meta"] == {"ip": IP.encode(), "birth": b"7"}
+    assert again.write(writes, ("meta", "ip", IP.encode())) is None  # At the least as an empty one it goes on.
+        again.write(writes, ("meta", "ip", IP.encode())) is None
+    )  # It goes on, as an empty one at the least.
+    for one in (again, opened):
+        one.disk.close()
