--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -215,8 +215,7 @@
     numbers = sorted(int(name[1:]) for name in again.rows.get("items", {}))
     assert numbers == list(range(1, len(numbers) + 1))
     assert not numbers or again.rows["meta"] == {"ip": IP.encode(), "birth": b"7"}
-    assert again.write(writes, ("meta", "ip", IP.encode())) is None  # At the least as an empty one it goes on.
-        again.write(writes, ("meta", "ip", IP.encode())) is None
-    )  # It goes on, as an empty one at the least.
+    # At the least as an empty one it goes on.
+    assert again.write(writes, ("meta", "ip", IP.encode())) is None
     for one in (again, opened):
         one.disk.close()
