--- a/ambershift/system/proxy/attempt.py
+++ b/ambershift/system/proxy/attempt.py
@@ -83,6 +83,8 @@
     return Outcome.FAILED if told.status >= 500 else Outcome.GOOD
 
 
+# The event loop counts in ms: a timer of the deadline may fire so much before it, ns.
+TIMER_EARLY = 2 * MS
 # With less left a further try can't bring an answer in time, ns.
 LEAST_LEFT = 20 * MS
 # Connections that may fail in one request: they prove that nothing ran, but they take time.
@@ -132,4 +134,4 @@
         """The status of our own answer when no backend's is passed on."""
         if self.evidence is Evidence.NOT_RUN:
             return 503
-        return 504 if now >= self.deadline else 502
+        return 504 if now + TIMER_EARLY >= self.deadline else 502
