--- a/benchmarks/simulated_schedules.py
+++ b/benchmarks/simulated_schedules.py
@@ -1,10 +1,10 @@
 """Simulated control nodes in trouble: `python -m benchmarks.simulated_schedules --seeds 1-1000 --jobs 1`.
 
 One seed is one history. The first failure is shrunk to the fewest troubles that still fail; exit code 1 if
-there is one. With `--fleet` proxies stand before the control nodes, and what is judged is when changes are in
-force at them; its failures are not shrunk. With `--variant NAME` one place of the real classes is broken,
-with `all` each in its turn. A variant that no seed finds is tried in its scripted world, if it has one
-(`simulation/scripts.py`).
+there is one. With `--forgetting` whole nodes forget each dropped item at once. With `--fleet` proxies stand
+before the control nodes, and what is judged is when changes are in force at them; failures are not shrunk.
+With `--variant NAME` one place of the real classes is broken, with `all` each in its turn. A variant that no
+seed finds is tried in its scripted world, if it has one (`simulation/scripts.py`).
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
 
 from ambershift.modelcheck.mutants.words import broken
 from ambershift.system.simulation import fleet_troubles, variants_fleet
-from ambershift.system.simulation.histories import Played, play
+from ambershift.system.simulation.forgetting_soon import forgetting_soon
+from ambershift.system.simulation.histories import Played, play, play_cluster
 from ambershift.system.simulation.scripts import SCRIPTS
 from ambershift.system.simulation.shrinking import shrink
 from ambershift.system.simulation.variants import BY_NAME, VARIANTS
@@ -35,6 +36,12 @@
     return play(seed)
 
 
+def of_forgetting_nodes(seed: int) -> Played:
+    """Of each item that is dropped the drop is forgotten within half a second; two drops are listed."""
+    with forgetting_soon():
+        return play_cluster(seed)
+
+
 def of_fleet(seed: int) -> Played:
     """The changes acknowledged count as what was told."""
     found = fleet_troubles.play(seed)
@@ -115,6 +122,7 @@
     parser.add_argument("--jobs", type=int, default=1)
     parser.add_argument("--variant", default="", choices=["", "all", *NAMES])
     parser.add_argument("--fleet", action="store_true", help="proxies before the control nodes")
+    parser.add_argument("--forgetting", action="store_true", help="dropped items are forgotten at once")
     parser.add_argument("--most", type=int, default=1, help="stop after so many failures")
     given = parser.parse_args()
     first, _, last = given.seeds.partition("-")
@@ -124,7 +132,7 @@
                   if schedules(begin, end, given.jobs, one.name, 1, False) is None and not scripted(one.name)]
         print(f"{len(VARIANTS) - len(missed)} of {len(VARIANTS)} found; missed: {missed or 'none'}")
         return int(bool(missed))
-    player = of_fleet if given.fleet else of_nodes
+    player = of_fleet if given.fleet else of_forgetting_nodes if given.forgetting else of_nodes
     found = schedules(begin, end, given.jobs, given.variant, given.most, True, player) is not None
     return int(found or scripted(given.variant))
 
--- a/tests/test_system_simulation.py
+++ b/tests/test_system_simulation.py
@@ -7,6 +7,7 @@
 import pytest
 
 from ambershift.modelcheck.mutants.words import broken
+from ambershift.system.consensus import syncing
 from ambershift.system.simulation.histories import Played, play, play_cluster
 from ambershift.system.simulation.judging import Judge, Told
 from ambershift.system.simulation.operator_history import Change, OperatorHistory, Order, Sight
@@ -49,6 +50,15 @@
         assert any(play(seed).broken for seed in range(1, 41))
 
 
+@pytest.mark.parametrize("seed", [2, 4, 11, 18])
+def test_a_reading_is_of_one_moment_though_copies_come_in_many_parts(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Each item is a part of its own: no route is seen without the service that came with it, or before."""
+    monkeypatch.setattr(syncing, "PART", 1)
+    assert play_cluster(seed).broken == []
+
+
 def test_a_failure_is_shrunk_to_the_troubles_that_matter() -> None:
     def player(seed: int, seconds: float, skip: Collection[str]) -> Played:
         left = {f"t{at}": "" for at in range(20) if f"t{at}" not in skip}
