--- a/ambershift/system/consensus/disk.py
+++ b/ambershift/system/consensus/disk.py
@@ -29,11 +29,18 @@
 
 
 def _make_folder(folder: Path) -> None:
-    """With the names of all folders made on disk: else a loss of power takes the whole folder with it."""
-    missing = [one for one in (folder, *folder.parents) if not one.exists()]
+    """With its name, and those above it, on disk: else a loss of power takes the whole folder with it.
+
+    All are synced at each start, as the process before may have been killed between making and syncing them.
+    Those that aren't ours to sync were not made by us."""
+    made = [one.parent for one in (folder, *folder.parents) if not one.exists()]
     folder.mkdir(parents=True, exist_ok=True)
-    for one in missing:
-        sync_folder(one.parent)
+    for one in folder.parents:
+        try:
+            sync_folder(one)
+        except OSError:
+            if one in made:
+                raise
 
 
 def _connect(file: Path) -> sqlite3.Connection:
--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -188,12 +188,31 @@
     monkeypatch.setattr(disk, "sync_folder", synced.append)
     folder = tmp_path / "a" / "b" / "c"
     opened = Opened(folder)
-    assert {tmp_path, tmp_path / "a", tmp_path / "a" / "b", folder} == set(synced)
+    assert {tmp_path, tmp_path / "a", tmp_path / "a" / "b", folder} <= set(synced)
     assert (folder / FILE).exists() and synced[-1] == folder
     opened.disk.close()
+    before = synced.copy()
     synced.clear()
-    Opened(folder).disk.close()
-    assert synced == [folder]
+    Opened(folder).disk.close()  # The one before may have been killed when it had made them.
+    assert synced == before
+
+
+def test_folders_above_that_cannot_be_synced_are_passed_over_unless_they_were_made_now(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    real, refused = disk.sync_folder, [tmp_path]
+
+    def sync(folder: Path) -> None:
+        if folder in refused:
+            raise PermissionError(folder)
+        real(folder)
+
+    monkeypatch.setattr(disk, "sync_folder", sync)
+    with pytest.raises(PermissionError):
+        Opened(tmp_path / "a" / "b")  # The name of `a` may be lost.
+    Opened(tmp_path / "a" / "b").disk.close()
+    refused.append(tmp_path / "a")
+    Opened(tmp_path / "a" / "b").disk.close()
 
 
 @pytest.mark.parametrize("lost", [FILE, f"{FILE}-wal", "both"])
