--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -220,12 +220,17 @@
         try:
             await receive(connection, lambda message: self.hear(outbox, message), self.log)
         finally:
-            outbox.break_off()
             writer.cancel()
-            if self.outbox is outbox:
-                self.outbox = None
-                self.server.unlinked()
-                self.choice.fail(self.steady(), ip)
+            self._end(outbox)
+
+    def _end(self, outbox: Outbox) -> None:
+        """What still comes on this link is void."""
+        outbox.break_off()
+        if self.outbox is outbox:
+            self.outbox = None
+            self.server.unlinked()
+            if self.choice.linked is not None:
+                self.choice.fail(self.steady(), self.choice.linked)
 
     def hear(self, outbox: Outbox, message: msgspec.Struct) -> None:
         if outbox is not self.outbox:
@@ -247,11 +252,12 @@
                 },
             )
         if isinstance(message, Items):
-            self._tell_items(message)
-            self.greet()
             if self.server.routing.unusable:
                 self._leave("outdated")
-                outbox.break_off()
+                self._end(outbox)
+                return
+            self._tell_items(message)
+            self.greet()
 
     def _tell_items(self, message: Items) -> None:
         """The log says when a version came into force here, and by whom."""
--- a/tests/test_system_fleet.py
+++ b/tests/test_system_fleet.py
@@ -118,3 +118,22 @@
     fleet.run(0.3)
     found = asked.result()
     assert found is not None and front.attachment.choice.current(found.sign)
+
+
+def test_a_link_that_ends_is_replaced_though_a_node_that_hangs_is_being_asked() -> None:
+    fleet, name = Fleet(1), "front-1"
+    fleet.run(4)
+    for number in (1, 4, 7):
+        fleet.freeze(f"10.0.0.{number}")
+    choice = fleet.fronts[name].attachment.choice
+    while choice.linked in (None, "10.0.0.1", "10.0.0.4", "10.0.0.7") or not choice.nearer(
+        fleet.steady(name)
+    ):
+        fleet.run(0.02)
+        assert fleet.now < 60 * SECOND
+    fleet.run(0.15)  # It is asked, and hangs for a second.
+    left = choice.linked
+    assert left is not None
+    fleet.kill(left)
+    fleet.run(1.2)  # Three that hang are passed by, 0.25 s each; to wait for the one asked takes 0.7 s more.
+    assert choice.linked not in (None, left)
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -93,7 +93,7 @@
 def test_a_proxy_tells_its_version_and_how_old_it_may_be() -> None:
     made = object.__new__(Attachment)
     made.choice, made.steady, made.log = Choice("p", "z", "r", ()), lambda: 7 * SECOND, Mock()
-    made.proxy, made.outbox, made.said, made.version, made.left = Mock(), None, None, 0, Mock()
+    made.server, made.outbox, made.said, made.version, made.left = Mock(), None, None, 0, Mock()
     assert values(made.figures())["configuration_age_seconds"] == -1.0
     made.choice.hear(6 * SECOND, Cores((), True, 1, 500))
     made._tell_items(Items((Item(ROUTE, "r", (12, "agreed"), b"{}"), Item("zone", "z", (99, "a"))), False))
