--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -41,7 +41,7 @@
 
 class ControlApi:
     """`steady` is the steady clock in ns. `send` brings a message to a control node's ip, or loses it. The
-    shell calls `tick` many times a second, and hands `hear` what comes for it. Errands are numbered from
+    shell calls `tick` many times a second, and hands `hear` what comes for it. Calls are numbered from
     `begin`, which no other life of this machine may ever come upon: by chance, if none is given."""
 
     def __init__(
--- a/ambershift/system/control_api/open_calls.py
+++ b/ambershift/system/control_api/open_calls.py
@@ -1,4 +1,4 @@
-"""Errands under way: what was handed to which machine, and who waits for the outcome."""
+"""Forwarded calls under way: what was handed to which machine, and who waits for the outcome."""
 
 from __future__ import annotations
 
--- a/tests/test_system_codec.py
+++ b/tests/test_system_codec.py
@@ -37,7 +37,7 @@
     st.binary(max_size=2000),
     st.integers(0, 1 << 31),
 )
-def test_errands_come_back_and_are_never_longer(
+def test_forwarded_calls_come_back_and_are_never_longer(
     number: int, name: str, of: str, body: bytes, left: int
 ) -> None:
     for message in (ForwardedCall(number, name, of, body, left), Outcome(number, 200, body)):
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -61,7 +61,7 @@
     play(story)
 
 
-def test_an_outcome_counts_only_from_whom_the_errand_was_handed_to_last() -> None:
+def test_an_outcome_counts_only_from_whom_the_call_was_handed_to_last() -> None:
     async def story() -> None:
         open_calls = OpenCalls(lambda to, message: None, 7)
         at = open_calls.number()
