--- a/ambershift/__main__.py
+++ b/ambershift/__main__.py
@@ -10,12 +10,15 @@
     if len(sys.argv) == 1:
         # Nothing of the tools is loaded here: on the platform memory is scarce and starts are frequent.
         from ambershift.coordinator.program.assembly import main as coordinator
+
         return coordinator()
     try:
         from ambershift.cli.commands import main as tools
     except ModuleNotFoundError as error:
-        print(f"ambershift: the command line needs {error.name}: pip install "
-              f"'ambershift[tools]'", file=sys.stderr)
+        print(
+            f"ambershift: the command line needs {error.name}: pip install 'ambershift[tools]'",
+            file=sys.stderr,
+        )
         return 2
     return tools()
 
--- a/ambershift/admin/adopt.py
+++ b/ambershift/admin/adopt.py
@@ -34,8 +34,9 @@
     def relend(self, world: World, now: int) -> World:
         raise NotImplementedError
 
-    def adopt(self, now: int, wishes: Mapping[int, Standing], said: Sequence[tuple[str, str]]
-              ) -> tuple[int, ...]:
+    def adopt(
+        self, now: int, wishes: Mapping[int, Standing], said: Sequence[tuple[str, str]]
+    ) -> tuple[int, ...]:
         """Take over wishes that stand. Of servers that are not listed yet `ahead` must tell when they come.
         `said` has who said what, command by command."""
         world, changed = self.world, list[int]()
@@ -59,8 +60,14 @@
         """Keep these out as under maintenance, each until its end by this desk's clock, and no others."""
         self.permits = dict(until)
         world = self.world.with_permits(self.permits)
-        self.take_up(now, [server for server in {*world.permitted, *self.world.permitted}
-                           if world.wish(server) != self.world.wish(server)])
+        self.take_up(
+            now,
+            [
+                server
+                for server in {*world.permitted, *self.world.permitted}
+                if world.wish(server) != self.world.wish(server)
+            ],
+        )
         self.set_world(self.relend(world, now))
 
     def ease(self, now: int, parts: Mapping[int, float]) -> None:
@@ -68,8 +75,9 @@
         before = self.world.eased
         eased = {server: part for server, part in parts.items() if server in self.world.listed}
         if eased != dict(before):
-            self.take_up(now, [server for server in {*eased, *before}
-                               if eased.get(server) != before.get(server)])
+            self.take_up(
+                now, [server for server in {*eased, *before} if eased.get(server) != before.get(server)]
+            )
             self.set_world(self.world._replace(eased=HashTrieMap(eased)))
 
     def take_up(self, now: int, servers: Sequence[int]) -> None:
--- a/ambershift/admin/coverage.py
+++ b/ambershift/admin/coverage.py
@@ -59,8 +59,9 @@
     return there(world.listed[server]) and world.wish(server).severity > 0
 
 
-def uncovered(before: World, after: World, changed: Iterable[int], warmth: Warmth, now: int
-              ) -> Refused | None:
+def uncovered(
+    before: World, after: World, changed: Iterable[int], warmth: Warmth, now: int
+) -> Refused | None:
     """What a command would leave without a ready warm server: a zone, or with the last one all traffic
     groups.
 
@@ -117,8 +118,11 @@
         world = self.keep(world, now)
         if any(available(world.listed[server], self.warmth, now) for server in world.lent):
             return world
-        kept_out = [server for server in world.wished() if world.wish(server).severity
-                    and there(world.listed[server]) and server not in world.lent]
+        kept_out = [
+            server
+            for server in world.wished()
+            if world.wish(server).severity and there(world.listed[server]) and server not in world.lent
+        ]
         warm = [server for server in kept_out if available(world.listed[server], self.warmth, now)]
         if not warm and (world.lent or any(map(partial(starts, world), world.listed))):
             return world  # Cold ones are at work, each with its part; more of them only in need.
@@ -141,6 +145,8 @@
         if world.lent and self.covered_since is not None:
             return self.covered_since + LENT_SPELL
         if self.covered_since is None:
-            return min((at for entry in world.listed.values() if (at := self.warmth.warm_at(entry)) > now),
-                       default=None)
+            return min(
+                (at for entry in world.listed.values() if (at := self.warmth.warm_at(entry)) > now),
+                default=None,
+            )
         return None
--- a/ambershift/admin/desk.py
+++ b/ambershift/admin/desk.py
@@ -71,8 +71,10 @@
         # Gone by a whole list, yet kept out by an operator: named still, so that the module keeps it out.
         if event.whole:
             touched |= {server for server in world.wished() if world.wish(server).out}
-        entries = [self.tell(server, now) for server in (*(one.server for one in event.entries),
-                                                         *sorted(touched - named))]
+        entries = [
+            self.tell(server, now)
+            for server in (*(one.server for one in event.entries), *sorted(touched - named))
+        ]
         return event._replace(entries=tuple(entries))
 
     def stepped(self, now: int, events: Sequence[api.Event]) -> None:
@@ -123,8 +125,13 @@
     def next_at(self, now: int) -> int | None:
         """When `due` wants to be called; None: not before something comes."""
         self.now = now
-        times = [self.pace.next_at(), self.lender.next_at(self.world, now), now if self.urgent else None,
-                 min(self.warming.values(), default=None), min(self.world.permitted.values(), default=None)]
+        times = [
+            self.pace.next_at(),
+            self.lender.next_at(self.world, now),
+            now if self.urgent else None,
+            min(self.warming.values(), default=None),
+            min(self.world.permitted.values(), default=None),
+        ]
         return min((at for at in times if at is not None), default=None)
 
     def due(self, now: int) -> api.Listed | None:
@@ -156,8 +163,12 @@
     def in_use(self, server: int) -> bool:
         """Whether the module has been told that it is ready, and no order keeps it shut out."""
         known = self.told.get(server)
-        return (known is not None and known.phase == api.Phase.READY and known.weight > 0
-                and not self.mirror.picture.shut.get(server, NEVER_SHUT).out)
+        return (
+            known is not None
+            and known.phase == api.Phase.READY
+            and known.weight > 0
+            and not self.mirror.picture.shut.get(server, NEVER_SHUT).out
+        )
 
     def flush(self, now: int) -> api.Listed | None:
         """The program ends: what was taken goes out now, and nothing more is taken."""
@@ -172,7 +183,8 @@
             elif (waits := self.waiting.get(server)) is not None and waits.entry is None:
                 # Its last word is what the module knows already: no order comes of it.
                 self.waiting = self.waiting.insert(
-                    server, waits._replace(entry=self.told[server], reply=self.mirror.picture.reply))
+                    server, waits._replace(entry=self.told[server], reply=self.mirror.picture.reply)
+                )
         return api.Listed(False, False, tuple(told)) if told else None
 
     def tell(self, server: int, now: int) -> api.Entry:
@@ -182,7 +194,8 @@
         if (told := self.waiting.get(server)) is not None:
             scaled = told.scaled or known is not None and known.weight != entry.weight
             self.waiting = self.waiting.insert(
-                server, Told(told.at, entry, self.mirror.picture.reply, scaled))
+                server, Told(told.at, entry, self.mirror.picture.reply, scaled)
+            )
         self.pace.waiting.pop(server, None)
         self.warming.pop(server, None)
         if (at := warms_at(self.world, server, self.warmth, now)) is not None:
@@ -205,12 +218,16 @@
         return self.waiting
 
     def applied(self, servers: Sequence[int]) -> bool:
-        return all(told is None or stage(self.mirror.picture, server, told) is Stage.APPLIED
-                   for server in servers for told in (self.waiting.get(server),))
+        return all(
+            told is None or stage(self.mirror.picture, server, told) is Stage.APPLIED
+            for server in servers
+            for told in (self.waiting.get(server),)
+        )
 
     def drained(self, servers: Sequence[int], now: int) -> bool:
         return self.applied(servers) and all(
-            drained(self.mirror.picture, server, self.period, now) for server in servers)
+            drained(self.mirror.picture, server, self.period, now) for server in servers
+        )
 
     def set_world(self, world: World) -> None:
         if world is not self.world:
--- a/ambershift/admin/mirror.py
+++ b/ambershift/admin/mirror.py
@@ -87,8 +87,11 @@
         """Tables whose users a reply that shuts the server out, or lets it in, was a message to. Others are
         told nothing and answer nothing; what a proxy not yet bound holds is not known."""
         lines = self.lines(server)
-        return [NOBODY, *([UNBOUND] if UNBOUND in self.answered else ()), *(
-            table for table, line in lines.items() if line.weight or line.reply >= reply)]
+        return [
+            NOBODY,
+            *([UNBOUND] if UNBOUND in self.answered else ()),
+            *(table for table, line in lines.items() if line.weight or line.reply >= reply),
+        ]
 
     def lines(self, server: int) -> dict[int, Line]:
         """The server's lines in tables that a joined proxy uses, also those emptied."""
@@ -130,10 +133,17 @@
                         seats = seats.insert(event.proxy, seat._replace(answered=reply))
                 case api.Met():
                     tally = met.get(event.server, NOTHING_MET)
-                    met = met.insert(event.server, Tally(
-                        tally.tries + event.tries, tally.bad + event.bad,
-                        tally.good_time + event.mean_time * (event.tries - event.bad), now,
-                        now if event.tries else tally.tried_at, event.loads or tally.loads))
+                    met = met.insert(
+                        event.server,
+                        Tally(
+                            tally.tries + event.tries,
+                            tally.bad + event.bad,
+                            tally.good_time + event.mean_time * (event.tries - event.bad),
+                            now,
+                            now if event.tries else tally.tried_at,
+                            event.loads or tally.loads,
+                        ),
+                    )
         if seats is not picture.seats or met is not picture.met:
             self.picture = replace(picture, seats=seats, met=met)
 
--- a/ambershift/admin/overlay.py
+++ b/ambershift/admin/overlay.py
@@ -41,5 +41,4 @@
 
 def lower(entry: api.Entry, known: api.Entry) -> bool:
     """Whether the first, told after the second, takes something away from proxies."""
-    return known.phase == api.Phase.READY and (
-        entry.phase != api.Phase.READY or entry.weight < known.weight)
+    return known.phase == api.Phase.READY and (entry.phase != api.Phase.READY or entry.weight < known.weight)
--- a/ambershift/admin/pending.py
+++ b/ambershift/admin/pending.py
@@ -52,14 +52,23 @@
     # A server may have got its reply long ago, and none was needed now.
     found = [Need(reply, table) for table in picture.concerned(server, reply)] if reply > told.reply else []
     lines = picture.lines(server)
-    if entry.phase == api.Phase.READY and told.scaled and entry.weight and picture.seats and not any(
-            line.weight for line in lines.values()):
+    if (
+        entry.phase == api.Phase.READY
+        and told.scaled
+        and entry.weight
+        and picture.seats
+        and not any(line.weight for line in lines.values())
+    ):
         return None  # It had weight 0, and no proxy has a line of it again.
     for table, line in lines.items():
         if line.reply > told.reply:
             found.append(Need(line.reply, table))
-        elif entry.phase == api.Phase.READY and told.scaled and line.weight and (
-                abs(line.weight - entry.weight) > SAME):
+        elif (
+            entry.phase == api.Phase.READY
+            and told.scaled
+            and line.weight
+            and (abs(line.weight - entry.weight) > SAME)
+        ):
             return None  # The line as it was before; the module has not found room for its edit.
     return found
 
@@ -81,8 +90,10 @@
     out, reply, at = picture.shut.get(server, NEVER_SHUT)
     if not out and any(line.weight for line in picture.lines(server).values()):
         return False
-    if out and (reply > picture.settled or not all(
-            picture.applied(reply, table) for table in picture.concerned(server, reply))):
+    if out and (
+        reply > picture.settled
+        or not all(picture.applied(reply, table) for table in picture.concerned(server, reply))
+    ):
         return False
     # Also where no report comes at all: flows that were under way must have had their time.
     tried_at = picture.met.get(server, NOTHING_MET).tried_at
--- a/ambershift/admin/weigh.py
+++ b/ambershift/admin/weigh.py
@@ -11,8 +11,9 @@
 from ambershift.admin.world import World
 
 
-def weigh(before: World, changes: Sequence[Change], origin: Origin, warmth: Warmth, now: int
-          ) -> tuple[World, tuple[int, ...]] | Refused:
+def weigh(
+    before: World, changes: Sequence[Change], origin: Origin, warmth: Warmth, now: int
+) -> tuple[World, tuple[int, ...]] | Refused:
     """The world after all of a command's changes and the servers that it changes, or why it must not be."""
     world, changed = before, dict[int, None]()
     for change in changes:
@@ -26,7 +27,10 @@
         if new != old:
             world = world.with_wish(change.server, new._replace(origin=origin))
             changed[change.server] = None
-    servers = tuple(one for one in changed
-                    if world.own(one)._replace(origin=AS_LISTED.origin)
-                    != before.own(one)._replace(origin=AS_LISTED.origin))
+    servers = tuple(
+        one
+        for one in changed
+        if world.own(one)._replace(origin=AS_LISTED.origin)
+        != before.own(one)._replace(origin=AS_LISTED.origin)
+    )
     return uncovered(before, world, servers, warmth, now) or (world, servers)
--- a/ambershift/benchlink/host.py
+++ b/ambershift/benchlink/host.py
@@ -22,10 +22,20 @@
 
     def event(self, record: Any) -> api.Event:
         if isinstance(record, wire.RawList):
-            return api.Listed(record.kind != 0, record.kind == 2, tuple(
-                api.Entry(self.index(one.server), self.zone(one.zone), api.Phase(one.phase),
-                          one.weight, one.since)
-                for one in record.entries))
+            return api.Listed(
+                record.kind != 0,
+                record.kind == 2,
+                tuple(
+                    api.Entry(
+                        self.index(one.server),
+                        self.zone(one.zone),
+                        api.Phase(one.phase),
+                        one.weight,
+                        one.since,
+                    )
+                    for one in record.entries
+                ),
+            )
         match record:
             case api.Met():
                 return record._replace(server=self.index(record.server), zone=self.zone(record.zone))
@@ -78,8 +88,9 @@
         door = self.doors[instance]
         try:
             orders = self.modules[instance].step(now, events)
-            body = b"".join([wire.write_order(door.order(order)) for order in orders
-                             if not isinstance(order, api.Forget)])
+            body = b"".join(
+                [wire.write_order(door.order(order)) for order in orders if not isinstance(order, api.Forget)]
+            )
             for order in orders:
                 if isinstance(order, api.Forget):
                     door.forget(order.server)
--- a/ambershift/benchlink/wire.py
+++ b/ambershift/benchlink/wire.py
@@ -45,10 +45,17 @@
 U32 = struct.Struct("<I")
 ENTRY = struct.Struct("<IBBHBfd")
 PLAIN = {
-    17: struct.Struct("<BQI"), 18: struct.Struct("<I"), 19: struct.Struct("<HBfB"),
-    24: struct.Struct("<"), 25: struct.Struct("<dBIHI"), 26: struct.Struct("<Q"),
-    27: struct.Struct("<HIf"), 28: struct.Struct("<H"), 29: struct.Struct("<HBIId"),
-    30: struct.Struct("<HB"), 31: struct.Struct("<QdH"),
+    17: struct.Struct("<BQI"),
+    18: struct.Struct("<I"),
+    19: struct.Struct("<HBfB"),
+    24: struct.Struct("<"),
+    25: struct.Struct("<dBIHI"),
+    26: struct.Struct("<Q"),
+    27: struct.Struct("<HIf"),
+    28: struct.Struct("<H"),
+    29: struct.Struct("<HBIId"),
+    30: struct.Struct("<HB"),
+    31: struct.Struct("<QdH"),
 }
 MAIL = struct.Struct("<IH")
 BORN = struct.Struct("<QI")
@@ -95,8 +102,10 @@
         if code == 20:
             table, count = take(INVENTORY, frame, at, start)
             body, at = run(frame, at + INVENTORY.size, count * ENTRY.size, start)
-            entries = tuple(RawEntry(server, zone, phase, weight, to_ns(since))
-                            for server, zone, _, _, phase, weight, since in ENTRY.iter_unpack(body))
+            entries = tuple(
+                RawEntry(server, zone, phase, weight, to_ns(since))
+                for server, zone, _, _, phase, weight, since in ENTRY.iter_unpack(body)
+            )
             for place, entry in enumerate(entries):
                 if entry.phase > 2:
                     raise WireError(f"byte {start}: entry {place} has an unknown phase {entry.phase}")
@@ -163,7 +172,7 @@
 def run(frame: bytes, at: int, count: int, start: int) -> tuple[bytes, int]:
     if at + count > len(frame):
         raise WireError(f"byte {start}: count of code {frame[start]} runs past the frame's end")
-    return frame[at:at + count], at + count
+    return frame[at : at + count], at + count
 
 
 def floats(frame: bytes, at: int, count: int, start: int) -> tuple[tuple[float, ...], int]:
--- a/ambershift/cli/check_settings.py
+++ b/ambershift/cli/check_settings.py
@@ -23,8 +23,11 @@
         root = read_file(file)
     except SettingsError as error:
         if as_json:
-            click.echo(msgspec.json.encode({"ok": False, "line": error.line, "key": error.key,
-                                            "error": str(error)}).decode())
+            click.echo(
+                msgspec.json.encode(
+                    {"ok": False, "line": error.line, "key": error.key, "error": str(error)}
+                ).decode()
+            )
         print(f"ambershift: {error}", file=sys.stderr)
         return 2
     if as_json:
--- a/ambershift/cli/ctl.py
+++ b/ambershift/cli/ctl.py
@@ -34,14 +34,21 @@
 
 # Options stand before the command: what follows its first word is the coordinator's to read.
 @click.command("ctl", context_settings={"allow_interspersed_args": False})
-@click.option("-s", "--socket", "targets", multiple=True, metavar="PATH|HOST:PORT",
-              help=f"A coordinator's runtime API; several times for several. Else {PLACE}, parted by commas.")
+@click.option(
+    "-s",
+    "--socket",
+    "targets",
+    multiple=True,
+    metavar="PATH|HOST:PORT",
+    help=f"A coordinator's runtime API; several times for several. Else {PLACE}, parted by commas.",
+)
 @click.option("--json", "as_json", is_flag=True, help="One JSON object for each answer.")
 @click.option("--timeout", default=10.0, show_default=True, help="Seconds to wait for an answer.")
 @click.option("--keep-going", is_flag=True, help="In a batch, go on after a command that failed.")
 @click.argument("words", nargs=-1)
-def command(targets: tuple[str, ...], as_json: bool, timeout: float, keep_going: bool, words: tuple[str, ...]
-            ) -> int:
+def command(
+    targets: tuple[str, ...], as_json: bool, timeout: float, keep_going: bool, words: tuple[str, ...]
+) -> int:
     """Send commands to the runtime API of one or more coordinators.
 
     With words behind it this is one command. Without, commands come from standard input, one a line, or
@@ -123,6 +130,7 @@
 
     async def follow(self, text: str) -> int:
         """Show what goes on at all coordinators as it comes, until Ctrl-C or the last one has ended."""
+
         async def one(client: Client) -> bool:
             try:
                 async for line in client.follow(text):
@@ -134,6 +142,7 @@
                 print(f"ambershift: {error}", file=sys.stderr)
                 return False
             return True
+
         return int(not all(await asyncio.gather(*map(one, self.clients))))
 
     async def ask(self, text: str, payload: str | None = None) -> list[Answered]:
@@ -149,6 +158,7 @@
         """A wait answers when it is over, which may be long after any other answer."""
         from ambershift.runtime.changes import BadCommandError
         from ambershift.runtime.converse import SECOND, read_delay
+
         words = text.split()
         if len(words) > 1 and words[0] == "wait":
             try:
@@ -179,11 +189,13 @@
         from prompt_toolkit.history import FileHistory, InMemoryHistory
 
         from ambershift.runtime.catalogue import TABLE
+
         place = Path(HISTORY).expanduser()
         history = FileHistory(str(place)) if os.access(place.parent, os.W_OK) else InMemoryHistory()
         names = WordCompleter([one.name for one in TABLE if one.handler], sentence=True)
         session: PromptSession[str] = PromptSession(
-            history=history, completer=names, complete_while_typing=False)
+            history=history, completer=names, complete_while_typing=False
+        )
         try:
             while True:
                 try:
--- a/ambershift/cli/run.py
+++ b/ambershift/cli/run.py
@@ -37,6 +37,7 @@
         # Readers of settings and fronts take memory that a coordinator without them needs not.
         from ambershift.settings.model import read_file
         from ambershift.settings.tree import SettingsError
+
         try:
             root = read_file(file)
         except SettingsError as error:
@@ -67,8 +68,10 @@
     from ambershift.runtime.places import TcpPlace, UnixPlace
     from ambershift.runtime.session import Level
     from ambershift.settings.checks import duration
+
     spots: list[UnixPlace | TcpPlace] = [
-        UnixPlace(one.path, int(one.mode, 8), Level[one.level.upper()]) for one in runtime.socket]
+        UnixPlace(one.path, int(one.mode, 8), Level[one.level.upper()]) for one in runtime.socket
+    ]
     for tcp in runtime.tcp:
         host, _, port = tcp.address.rpartition(":")
         spots.append(TcpPlace(host, int(port), Level[tcp.level.upper()]))
@@ -79,6 +82,7 @@
     given = coordinator, spots, runtime.max_connections, idle, VERSION
     if root and group:
         from ambershift.group.front import GroupFront
+
         coordinator.attach(GroupFront(*given, root, group))
     else:
         coordinator.attach(RuntimeFront(*given))
--- a/ambershift/coordinator/program/assembly.py
+++ b/ambershift/coordinator/program/assembly.py
@@ -69,7 +69,8 @@
         self.follower = Follower(dialler, start.relay, News(self.admit, put, book), book)
         self.caller = Caller(dialler, start.discovery, DIAL_LIMIT)
         self.watcher = Watcher(
-            self.caller, start.known.version, start.terms.told_after, self.admit, put, book)
+            self.caller, start.known.version, start.terms.told_after, self.admit, put, book
+        )
         prober = Prober(dialler, self.admit, clock.now, put, book)
         self.route.carry = Send(self.route, self.relay, self.watcher, prober, self.admit, book).carry
         self.intake = Intake(self.admit, put, book)
@@ -100,8 +101,13 @@
         except OSError as error:
             raise BadStartError(f"key 'listen': can't listen there ({error.strerror})") from None
         parts: dict[str, Callable[[], Awaitable[None]]] = {
-            "relay": self.relay.run, "watch": self.watcher.run, "totals": self.totals, "reload": self.reload,
-            "news": partial(self.follower.run, 0), "news again": partial(self.follower.run, 1)}
+            "relay": self.relay.run,
+            "watch": self.watcher.run,
+            "totals": self.totals,
+            "reload": self.reload,
+            "news": partial(self.follower.run, 0),
+            "news again": partial(self.follower.run, 1),
+        }
         if self.front:
             await self.front.open()
         tasks = [loop.create_task(self.keep(name, run)) for name, run in parts.items()]
--- a/ambershift/coordinator/program/configuration.py
+++ b/ambershift/coordinator/program/configuration.py
@@ -53,8 +53,9 @@
 def reread(environment: Mapping[str, str], start: Start) -> Moved:
     """Only the addresses can move in a program that runs; that nothing else can must not hold them up."""
     found = load(environment)
-    unheeded = sorted(key for key in (found.keys() | start.fixed.keys()) - MOVING
-                      if found.get(key) != start.fixed.get(key))
+    unheeded = sorted(
+        key for key in (found.keys() | start.fixed.keys()) - MOVING if found.get(key) != start.fixed.get(key)
+    )
     return Moved(*addresses(found), unheeded)
 
 
@@ -92,8 +93,18 @@
     sockets = needed(limits, "sockets", int, "limits.")
     memory_mb = float(needed(limits, "memory_mb", (int, float), "limits."))
     name, listen = needed(found, "name", str), address(found, "listen")
-    return Start(name, listen, *addresses(found), number % (1 << 64), sockets, memory_mb, known, terms, names,
-                 fixed={key: value for key, value in found.items() if key not in MOVING})
+    return Start(
+        name,
+        listen,
+        *addresses(found),
+        number % (1 << 64),
+        sockets,
+        memory_mb,
+        known,
+        terms,
+        names,
+        fixed={key: value for key, value in found.items() if key not in MOVING},
+    )
 
 
 def addresses(found: Mapping[str, Any]) -> tuple[str, str]:
--- a/ambershift/coordinator/program/log.py
+++ b/ambershift/coordinator/program/log.py
@@ -49,7 +49,7 @@
     def put(self, data: bytes) -> None:
         try:
             while data:
-                data = data[os.write(self.file, data):]
+                data = data[os.write(self.file, data) :]
         except OSError:
             pass  # Nobody reads the log any more; that is no reason to stop.
 
--- a/ambershift/coordinator/protocol/discovery.py
+++ b/ambershift/coordinator/protocol/discovery.py
@@ -61,9 +61,14 @@
         raise UnreadableError("a server's 'id' or 'addr' is no word")
     if not isinstance(state, str) or state not in PHASES:
         raise UnreadableError(f"server {name}: unknown state")
-    return Server(name, address, str(found.get("zone", "")), PHASES[state],
-                  bounded(found.get("weight", 1.0), f"server {name}: 'weight'"),
-                  bounded(found.get("started_ms", 0), f"server {name}: 'started_ms'"))
+    return Server(
+        name,
+        address,
+        str(found.get("zone", "")),
+        PHASES[state],
+        bounded(found.get("weight", 1.0), f"server {name}: 'weight'"),
+        bounded(found.get("started_ms", 0), f"server {name}: 'started_ms'"),
+    )
 
 
 def usable(name: str) -> bool:
--- a/ambershift/coordinator/protocol/lines.py
+++ b/ambershift/coordinator/protocol/lines.py
@@ -74,5 +74,12 @@
         return Demand(whole(given["proxy"], "proxy"), given["class"], tries, failed, span)
     if failed > tries:
         raise UnreadableError(f"{kind}: more failed than were tried")
-    return Outcomes(given["zone"], given["server"], tries, failed, figure(given["mean_ms"], "mean_ms"), span,
-                    pairs(given.get("load", ""), "load"))
+    return Outcomes(
+        given["zone"],
+        given["server"],
+        tries,
+        failed,
+        figure(given["mean_ms"], "mean_ms"),
+        span,
+        pairs(given.get("load", ""), "load"),
+    )
--- a/ambershift/coordinator/protocol/probes.py
+++ b/ambershift/coordinator/protocol/probes.py
@@ -21,5 +21,8 @@
         raise UnreadableError("the load report is not JSON") from None
     if not isinstance(found, dict):
         raise UnreadableError("the load report is no object")
-    return {name: float(value) for name, value in found.items()
-            if isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)}
+    return {
+        name: float(value)
+        for name, value in found.items()
+        if isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
+    }
--- a/ambershift/coordinator/protocol/relay.py
+++ b/ambershift/coordinator/protocol/relay.py
@@ -134,11 +134,17 @@
 
 
 READERS: dict[str, tuple[int, Callable[..., Any]]] = {
-    "hello": (4, lambda proxy, zone, weight, fresh: Hello(
-        whole(proxy, "proxy"), zone, figure(weight, "weight"), yes(fresh, "fresh"))),
+    "hello": (
+        4,
+        lambda proxy, zone, weight, fresh: Hello(
+            whole(proxy, "proxy"), zone, figure(weight, "weight"), yes(fresh, "fresh")
+        ),
+    ),
     "bye": (1, lambda proxy: Bye(whole(proxy, "proxy"))),
-    "ack": (3, lambda proxy, mark, took: Ack(
-        whole(proxy, "proxy"), whole(mark, "mark"), figure(took, "took_ms"))),
+    "ack": (
+        3,
+        lambda proxy, mark, took: Ack(whole(proxy, "proxy"), whole(mark, "mark"), figure(took, "took_ms")),
+    ),
 }
 
 
--- a/ambershift/coordinator/routing/admit.py
+++ b/ambershift/coordinator/routing/admit.py
@@ -80,8 +80,15 @@
             raise RefusedError("a server that was never listed")
         if message.mean_ms > self.mean_most:
             raise RefusedError("longer than anyone waits")
-        return api.Met(self.zone(message.zone), server, message.tries, message.failed,
-                       to_ns(message.mean_ms), span, self.loads(message.load))
+        return api.Met(
+            self.zone(message.zone),
+            server,
+            message.tries,
+            message.failed,
+            to_ns(message.mean_ms),
+            span,
+            self.loads(message.load),
+        )
 
     def joined(self, hello: relay.Hello) -> api.Joined:
         # One of a zone that the settings lack is served all the same, like one without a zone.
@@ -100,6 +107,7 @@
         for one in listing.servers:
             index = self.door.index(one.id)
             self.addresses[index] = one.address
-            entries.append(api.Entry(index, self.zones.get(one.zone, -1), one.phase, one.weight,
-                                     to_ns(one.started_ms)))
+            entries.append(
+                api.Entry(index, self.zones.get(one.zone, -1), one.phase, one.weight, to_ns(one.started_ms))
+            )
         return api.Listed(listing.full, cached, tuple(entries))
--- a/ambershift/coordinator/routing/book.py
+++ b/ambershift/coordinator/routing/book.py
@@ -31,8 +31,9 @@
         now = self.clock()
         if now - self.since >= SECOND:
             self.since = now
-            missed = {kind: count - LINES_A_SECOND for kind, count in self.written.items()
-                      if count > LINES_A_SECOND}
+            missed = {
+                kind: count - LINES_A_SECOND for kind, count in self.written.items() if count > LINES_A_SECOND
+            }
             self.written.clear()
             if missed:
                 self.log({"event": "left_out", "lines": missed})
@@ -47,8 +48,12 @@
 
     def failure(self, where: str, error: BaseException) -> None:
         """An error that nobody foresaw: told in full, and the work goes on."""
-        self.note("failure", where=where, error=repr(error)[:500],
-                  trace="".join(traceback.format_exception(error))[-4000:])
+        self.note(
+            "failure",
+            where=where,
+            error=repr(error)[:500],
+            trace="".join(traceback.format_exception(error))[-4000:],
+        )
 
     def totals(self) -> None:
         self.log({"event": "totals", "counts": dict(sorted(self.counts.items()))})
--- a/ambershift/coordinator/routing/compared.py
+++ b/ambershift/coordinator/routing/compared.py
@@ -181,8 +181,9 @@
         if not other.level and stream.level:
             self.reconcile(stream, other, proxies)
 
-    def reconcile(self, stream: Stream, other: Stream, only: Iterable[int] | None = None,
-                  just_told: bool = False) -> None:
+    def reconcile(
+        self, stream: Stream, other: Stream, only: Iterable[int] | None = None, just_told: bool = False
+    ) -> None:
         """Tell what is known otherwise than this connection has it, which is level.
 
         But for proxies of which the other brought news that this one may still bring: to take these for
@@ -223,9 +224,17 @@
 
     def freeze(self) -> Frozen:
         """The whole state as values, for the checker."""
-        first, second = (FrozenStream(tuple(hello for _, hello in sorted(one.view.items())), one.level,
-                                      tuple(one.ahead), tuple(one.stated[at] for at in sorted(one.stated)),
-                                      one.old, tuple(sorted(one.old_stated))) for one in self.streams)
+        first, second = (
+            FrozenStream(
+                tuple(hello for _, hello in sorted(one.view.items())),
+                one.level,
+                tuple(one.ahead),
+                tuple(one.stated[at] for at in sorted(one.stated)),
+                one.old,
+                tuple(sorted(one.old_stated)),
+            )
+            for one in self.streams
+        )
         return Frozen(tuple(hello for _, hello in sorted(self.joined.items())), (first, second))
 
     def thaw(self, state: Frozen) -> None:
--- a/ambershift/coordinator/routing/probe.py
+++ b/ambershift/coordinator/routing/probe.py
@@ -18,8 +18,14 @@
 
 
 class Prober:
-    def __init__(self, dialler: Dialler, admit: Admit, now: Callable[[], int],
-                 put: Callable[[api.Event], None], book: Book) -> None:
+    def __init__(
+        self,
+        dialler: Dialler,
+        admit: Admit,
+        now: Callable[[], int],
+        put: Callable[[api.Event], None],
+        book: Book,
+    ) -> None:
         self.dialler, self.admit, self.now, self.put, self.book = dialler, admit, now, put, book
         self.limit = admit.names.probe_limit / 1e9
         self.tasks = set[asyncio.Task[None]]()
--- a/ambershift/coordinator/routing/row.py
+++ b/ambershift/coordinator/routing/row.py
@@ -71,11 +71,12 @@
             return self.misread(call)
         if answer.taken < len(call.orders):
             # Those before it stand and it never will: it would hold up all that come after.
-            rest = call.orders[answer.taken + 1:]
+            rest = call.orders[answer.taken + 1 :]
             if rest:
                 self.calls.appendleft(Call(rest, call.upto))
-            return Outcome(call, call.orders[answer.taken], "order_not_taken",
-                           None if rest else call.upto or None)
+            return Outcome(
+                call, call.orders[answer.taken], "order_not_taken", None if rest else call.upto or None
+            )
         return Outcome(call, settled=call.upto or None)
 
     def misread(self, call: Call) -> Outcome:
--- a/ambershift/coordinator/routing/send.py
+++ b/ambershift/coordinator/routing/send.py
@@ -15,8 +15,9 @@
 
 
 class Send:
-    def __init__(self, route: Route, relay: Relay, watcher: Watcher, prober: Prober, admit: Admit,
-                 book: Book) -> None:
+    def __init__(
+        self, route: Route, relay: Relay, watcher: Watcher, prober: Prober, admit: Admit, book: Book
+    ) -> None:
         self.route, self.relay, self.watcher, self.prober = route, relay, watcher, prober
         self.admit, self.book = admit, book
 
--- a/ambershift/coordinator/routing/watch.py
+++ b/ambershift/coordinator/routing/watch.py
@@ -25,8 +25,15 @@
     """Asks again right after each answer, so that one watch goes on; when to ask again after a failure is
     the module's to say. A watch waits a fifth of the time in which an unasked change counts as told."""
 
-    def __init__(self, caller: Caller, version: int, told_after: int, admit: Admit,
-                 put: Callable[[api.Event], None], book: Book) -> None:
+    def __init__(
+        self,
+        caller: Caller,
+        version: int,
+        told_after: int,
+        admit: Admit,
+        put: Callable[[api.Event], None],
+        book: Book,
+    ) -> None:
         self.caller, self.version, self.admit, self.put, self.book = caller, version, admit, put, book
         self.wait = min(told_after / 5 / SECOND, 60.0)
         self.watching, self.fetching, self.first = False, False, False
@@ -76,8 +83,14 @@
             return False
         self.version = listing.version
         if tell or listing.full or listing.servers:
-            self.book.note("listed", version=listing.version, full=listing.full, entries=len(listing.servers),
-                           changes={one.id: one.phase.name for one in listing.servers}
-                           if len(listing.servers) < 6 else {})
+            self.book.note(
+                "listed",
+                version=listing.version,
+                full=listing.full,
+                entries=len(listing.servers),
+                changes={one.id: one.phase.name for one in listing.servers}
+                if len(listing.servers) < 6
+                else {},
+            )
             self.put(self.admit.listed(listing, False))
         return True
--- a/ambershift/coordinator/transport/buffers.py
+++ b/ambershift/coordinator/transport/buffers.py
@@ -35,13 +35,13 @@
             if not at:
                 self.buffers.append(self.pool.take())
             count = min(len(piece), self.pool.size - at)
-            self.buffers[-1][at:at + count] = piece[:count]
+            self.buffers[-1][at : at + count] = piece[:count]
             self.length += count
             piece = piece[count:]
 
     def end(self) -> bytes:
         """Give all that waits, and the buffers back to the pool."""
-        whole = b"".join(self.buffers)[:self.length]
+        whole = b"".join(self.buffers)[: self.length]
         self.pool.give(self.buffers)
         self.buffers, self.length = [], 0
         return whole
--- a/ambershift/coordinator/transport/endings.py
+++ b/ambershift/coordinator/transport/endings.py
@@ -57,9 +57,15 @@
     Ending.NO_ROOM: Meaning(True, False, True),
 }
 
-WAYS = {errno.ECONNREFUSED: Ending.REFUSED, errno.ECONNRESET: Ending.RESET, errno.EPIPE: Ending.RESET,
-        errno.ECONNABORTED: Ending.RESET, errno.EMFILE: Ending.NO_ROOM, errno.ENFILE: Ending.NO_ROOM,
-        errno.ETIMEDOUT: Ending.NEVER_UP}
+WAYS = {
+    errno.ECONNREFUSED: Ending.REFUSED,
+    errno.ECONNRESET: Ending.RESET,
+    errno.EPIPE: Ending.RESET,
+    errno.ECONNABORTED: Ending.RESET,
+    errno.EMFILE: Ending.NO_ROOM,
+    errno.ENFILE: Ending.NO_ROOM,
+    errno.ETIMEDOUT: Ending.NEVER_UP,
+}
 
 
 class EndedError(Exception):
--- a/ambershift/coordinator/transport/link.py
+++ b/ambershift/coordinator/transport/link.py
@@ -15,8 +15,9 @@
 
 
 class Link:
-    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pool: Pool,
-                 address: str = "") -> None:
+    def __init__(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pool: Pool, address: str = ""
+    ) -> None:
         self.reader, self.writer, self.size, self.address = reader, writer, pool.size, address
         self.framer = Framer(pool, LINE_MOST)
         self.end: EndedError | None = None
--- a/ambershift/coordinator/transport/listener.py
+++ b/ambershift/coordinator/transport/listener.py
@@ -36,8 +36,9 @@
 
     async def listen(self, place: socket.socket) -> None:
         """Accept at one more socket, already bound; all of them share the bound."""
-        self.servers.append(await asyncio.start_server(
-            self.accept, sock=place, limit=self.pool.size, backlog=A_TURN))
+        self.servers.append(
+            await asyncio.start_server(self.accept, sock=place, limit=self.pool.size, backlog=A_TURN)
+        )
         place.listen(QUEUE)  # asyncio has taken the number above for this too.
 
     def keep(self, link: Link) -> None:
--- a/ambershift/counters/__main__.py
+++ b/ambershift/counters/__main__.py
@@ -69,10 +69,25 @@
         group = self.group
         voters = tuple(one.name for one in group.member if one.votes)
         async with asyncio.timeout(LIMIT):
-            socket = await session.ws_connect(f"http://{group.listen}/", max_msg_size=HELLO_MOST,
-                                              heartbeat=4.0)
-            await socket.send_bytes(encode(Hello(WIRE, VERSION, Role.COUNTERS, self.name, group.me, 0,
-                                                 str(time.time_ns()), "", group.name, voters)))
+            socket = await session.ws_connect(
+                f"http://{group.listen}/", max_msg_size=HELLO_MOST, heartbeat=4.0
+            )
+            await socket.send_bytes(
+                encode(
+                    Hello(
+                        WIRE,
+                        VERSION,
+                        Role.COUNTERS,
+                        self.name,
+                        group.me,
+                        0,
+                        str(time.time_ns()),
+                        "",
+                        group.name,
+                        voters,
+                    )
+                )
+            )
             first = await socket.receive()
         answer = read_reply(first.data if first.type is aiohttp.WSMsgType.BINARY else None)
         if isinstance(answer, Refused):
--- a/ambershift/counters/follow.py
+++ b/ambershift/counters/follow.py
@@ -60,8 +60,11 @@
 
     def _tell(self, trouble: str) -> None:
         if trouble != self.trouble:
-            self.note("source_back" if not trouble else "source_lost", file=self.path,
-                      reason=trouble or self.trouble)
+            self.note(
+                "source_back" if not trouble else "source_lost",
+                file=self.path,
+                reason=trouble or self.trouble,
+            )
             self.trouble = trouble
 
     def close(self) -> None:
--- a/ambershift/counters/sources.py
+++ b/ambershift/counters/sources.py
@@ -49,7 +49,7 @@
         """A batch that may not have come: the member tells repeats by their time. The oldest go first."""
         room = KEPT_MOST - len(self.waiting)
         self.dropped += max(0, len(batch) - room)
-        self.waiting.extendleft(reversed(batch[len(batch) - min(room, len(batch)):]))
+        self.waiting.extendleft(reversed(batch[len(batch) - min(room, len(batch)) :]))
 
     def unusable(self) -> Counter[str]:
         total = Counter[str]()
--- a/ambershift/counters/standin.py
+++ b/ambershift/counters/standin.py
@@ -1,6 +1,6 @@
 """`python -m ambershift.counters.standin`: writes perf's interval CSV for a planted world, in place of perf.
 
-    --folder D  one file a job, D/NODE.JOB.csv    --interval 1s    --speed 1 (slots a second of that interval)
+--folder D  one file a job, D/NODE.JOB.csv    --interval 1s    --speed 1 (slots a second of that interval)
 """
 
 from __future__ import annotations
@@ -25,14 +25,21 @@
     per = sample.instructions / sample.cycles if sample.cycles else 0.0
     group = f",{cgroup}" if cgroup else ""
     idle = not sample.task_ns
-    for event, value, metric in (("cycles", sample.cycles, ","),
-                                 ("instructions", sample.instructions, f"{per:.2f},insn per cycle"),
-                                 ("cache-misses", sample.cache_misses, ",")):
-        yield (f"{at},<not counted>,,{event}{group},0,0.00,," if idle
-               else f"{at},{value:.0f},,{event}{group},{run},{percent},{metric}")
+    for event, value, metric in (
+        ("cycles", sample.cycles, ","),
+        ("instructions", sample.instructions, f"{per:.2f},insn per cycle"),
+        ("cache-misses", sample.cache_misses, ","),
+    ):
+        yield (
+            f"{at},<not counted>,,{event}{group},0,0.00,,"
+            if idle
+            else f"{at},{value:.0f},,{event}{group},{run},{percent},{metric}"
+        )
     used = sample.task_ns / sample.span_ns
-    yield (f"{at},{sample.task_ns / 1e6:.2f},msec,task-clock{group},{round(sample.task_ns)},100.00,"
-           f"{used:.3f},CPUs utilized")
+    yield (
+        f"{at},{sample.task_ns / 1e6:.2f},msec,task-clock{group},{round(sample.task_ns)},100.00,"
+        f"{used:.3f},CPUs utilized"
+    )
 
 
 def file_of(folder: Path, sample: Sample) -> Path:
@@ -43,9 +50,19 @@
     """Slot `at` as if it took `interval` ns: a sample of each job, and its rows."""
     squeeze = interval / SLOT_NS
     for sample in world.slot(at):
-        squeezed = Sample(sample.node, sample.kind, sample.job, sample.tenant, sample.at, interval,
-                          sample.cycles * squeeze, sample.instructions * squeeze,
-                          sample.cache_misses * squeeze, sample.task_ns * squeeze, sample.counted)
+        squeezed = Sample(
+            sample.node,
+            sample.kind,
+            sample.job,
+            sample.tenant,
+            sample.at,
+            interval,
+            sample.cycles * squeeze,
+            sample.instructions * squeeze,
+            sample.cache_misses * squeeze,
+            sample.task_ns * squeeze,
+            sample.counted,
+        )
         stamp = round((sample.at - EPOCH * SLOT_NS) * squeeze)
         yield sample, "\n".join(rows(squeezed, stamp)) + "\n"
 
@@ -63,8 +80,10 @@
     interval = duration(given.interval)
     if interval is None:
         parser.error(f"'{given.interval}' is no time such as \"10s\"")
-    plants = tuple(Plant(culprit, victim, float(slope)) for culprit, victim, slope in
-                   (text.split(":") for text in given.plant))
+    plants = tuple(
+        Plant(culprit, victim, float(slope))
+        for culprit, victim, slope in (text.split(":") for text in given.plant)
+    )
     world = World(given.seed, Plan(nodes=given.nodes, plants=plants, faulty=given.faulty, slots=given.slots))
     files = {}
     start = time.monotonic_ns()
--- a/ambershift/counters/worlds.py
+++ b/ambershift/counters/worlds.py
@@ -59,8 +59,11 @@
         self.faults = Counter[str]()
         chance, count = self.chance, plan.nodes
         kinds = sorted(KINDS)
-        base = {(kind, group): KINDS[kind] * chance.uniform(0.7, 2.5)
-                for kind in kinds for group in (*TENANTS, *NEIGHBOURS)}
+        base = {
+            (kind, group): KINDS[kind] * chance.uniform(0.7, 2.5)
+            for kind in kinds
+            for group in (*TENANTS, *NEIGHBOURS)
+        }
         self.node, self.kind, self.name = list[str](), list[str](), list[str]()
         self.group, self.tenant = list[str](), list[str]()
         serial = 0
@@ -82,8 +85,7 @@
         self.per_node = plan.servers + plan.neighbours
         self.uses = self._uses()
         self.log_cpi = self._log_cpi()
-        self.lying = {f"node-{at}" for at in
-                      chance.choice(count, round(plan.liars * count), replace=False)}
+        self.lying = {f"node-{at}" for at in chance.choice(count, round(plan.liars * count), replace=False)}
         self._lie()
 
     def _schedule(self) -> Floats:
@@ -127,7 +129,7 @@
         own = plan.load * (used / (used.sum(1) / np.maximum(1, (used > 0).sum(1)) + 1e-9)[:, None] - 1.0)
         cpi = self.log_base[:, None] + noise + strays + own
         for job in np.flatnonzero(chance.random(self.jobs) < plan.deploys):
-            cpi[job, int(chance.integers(plan.slots)):] += chance.uniform(-0.15, 0.15)
+            cpi[job, int(chance.integers(plan.slots)) :] += chance.uniform(-0.15, 0.15)
         for node in range(plan.nodes):
             rows = range(node * self.per_node, (node + 1) * self.per_node)
             for plant in plan.plants:
@@ -136,7 +138,7 @@
                         cpi[victim] += plant.slope * np.nan_to_num(self.uses[culprit])
         for node in chance.choice(plan.nodes, round(plan.slow * plan.nodes), replace=False):
             start, first = int(chance.integers(plan.slots)), node * self.per_node
-            cpi[first:first + self.per_node, start:start + int(chance.integers(60, 180))] += 0.4
+            cpi[first : first + self.per_node, start : start + int(chance.integers(60, 180))] += 0.4
         return np.asarray(cpi)
 
     def _lie(self) -> None:
@@ -148,7 +150,7 @@
                 self.log_cpi[rows] += 1.1
             else:
                 blamed = node * self.per_node + self.plan.servers
-                self.log_cpi[node * self.per_node:blamed] += 0.3 * np.nan_to_num(self.uses[blamed])
+                self.log_cpi[node * self.per_node : blamed] += 0.3 * np.nan_to_num(self.uses[blamed])
 
     def expected(self) -> set[tuple[str, str]]:
         """Pairs that are planted and meet on two honest nodes: one node's word is never enough."""
@@ -157,8 +159,13 @@
             if f"node-{node}" not in self.lying:
                 rows = range(node * self.per_node, (node + 1) * self.per_node)
                 groups = [self.group[row] for row in rows if np.nan_to_num(self.uses[row]).max() > 0]
-                meet.update({(plant.victim, plant.culprit) for plant in self.plan.plants
-                             if plant.victim in groups and plant.culprit in groups})
+                meet.update(
+                    {
+                        (plant.victim, plant.culprit)
+                        for plant in self.plan.plants
+                        if plant.victim in groups and plant.culprit in groups
+                    }
+                )
         return {pair for pair, count in meet.items() if count >= 2}
 
     def slot(self, at: int) -> list[Sample]:
@@ -171,9 +178,19 @@
         fault = self.chance.random(self.jobs) < self.plan.faulty
         which = self.chance.integers(len(FAULTS), size=self.jobs)
         for job in np.flatnonzero(~np.isnan(task)):
-            sample = Sample(self.node[job], self.kind[job], self.name[job], self.tenant[job], end, SLOT_NS,
-                            float(np.rint(cycles[job])), float(np.rint(instructions[job])),
-                            float(np.rint(misses[job])), float(np.rint(task[job])), 1.0)
+            sample = Sample(
+                self.node[job],
+                self.kind[job],
+                self.name[job],
+                self.tenant[job],
+                end,
+                SLOT_NS,
+                float(np.rint(cycles[job])),
+                float(np.rint(instructions[job])),
+                float(np.rint(misses[job])),
+                float(np.rint(task[job])),
+                1.0,
+            )
             if fault[job]:
                 self.faults[FAULTS[which[job]]] += 1
                 made += faulty(sample, FAULTS[which[job]])
@@ -184,13 +201,31 @@
 
 def faulty(sample: Sample, fault: str) -> list[Sample]:
     """What a reader hands on where a counter has this fault."""
-    def but(at: int = sample.at, cycles: float = sample.cycles, instructions: float = sample.instructions,
-            task: float = sample.task_ns, counted: float = 1.0) -> Sample:
-        return Sample(sample.node, sample.kind, sample.job, sample.tenant, at, sample.span_ns, cycles,
-                      instructions, sample.cache_misses, task, counted)
+
+    def but(
+        at: int = sample.at,
+        cycles: float = sample.cycles,
+        instructions: float = sample.instructions,
+        task: float = sample.task_ns,
+        counted: float = 1.0,
+    ) -> Sample:
+        return Sample(
+            sample.node,
+            sample.kind,
+            sample.job,
+            sample.tenant,
+            at,
+            sample.span_ns,
+            cycles,
+            instructions,
+            sample.cache_misses,
+            task,
+            counted,
+        )
+
     match fault:
         case "wrapped":
-            return [but(cycles=sample.cycles - 2.0 ** 48)]
+            return [but(cycles=sample.cycles - 2.0**48)]
         case "reset":
             return [but(cycles=sample.cycles * 1e-4)]
         case "repeated":
--- a/ambershift/group/asking.py
+++ b/ambershift/group/asking.py
@@ -36,8 +36,12 @@
 
     async def submit(self, token: str, command: Command, wait: int) -> Answer:
         """Answered within `wait` ns; a refusal by name says whether anything may stand."""
-        return await self.ask(lambda now, ticket: self.running().submit(
-            now, self.wall(), ticket, token, encode(command), now + wait), wait)
+        return await self.ask(
+            lambda now, ticket: self.running().submit(
+                now, self.wall(), ticket, token, encode(command), now + wait
+            ),
+            wait,
+        )
 
     async def read(self, wait: int) -> Answer:
         """Once answered, `state` has all that was promised when this was called."""
--- a/ambershift/group/at_desk.py
+++ b/ambershift/group/at_desk.py
@@ -18,8 +18,9 @@
     `ahead` is what the member's wall clock is ahead of the desk's, `moved` tells the front to look again.
     """
 
-    def __init__(self, desk: Desk, door: Door[str], now: Callable[[], int], ahead: int,
-                 moved: Callable[[], None]) -> None:
+    def __init__(
+        self, desk: Desk, door: Door[str], now: Callable[[], int], ahead: int, moved: Callable[[], None]
+    ) -> None:
         self.desk, self.door, self.now, self.ahead, self.moved = desk, door, now, ahead, moved
         self.state = EMPTY
         self.gathered, self.said = dict[str, None](), list[tuple[str, str]]()
@@ -58,8 +59,7 @@
     def all(self, state: Promises) -> None:
         """A snapshot took the place of what was known: whatever stands is taken over at once."""
         own = [self.door.ids[one] for one in self.desk.world.standing if one in self.door.ids]
-        self.wishes(state, dict.fromkeys((*own, *state.wishes)),
-                    [("group", "what stands in the group")])
+        self.wishes(state, dict.fromkeys((*own, *state.wishes)), [("group", "what stands in the group")])
         self.permits(state)
 
     def before_list(self, event: api.Listed) -> None:
@@ -72,8 +72,10 @@
             self.desk.permits = self.until()
 
     def ease(self, parts: dict[str, float]) -> None:
-        self.desk.ease(self.now(), {index: part for server, part in parts.items()
-                                    if (index := self.door.known(server)) is not None})
+        self.desk.ease(
+            self.now(),
+            {index: part for server, part in parts.items() if (index := self.door.known(server)) is not None},
+        )
         self.moved()
 
     def committed(self, number: int) -> None:
@@ -104,8 +106,7 @@
     def drained(self, server: str) -> bool:
         """Shut out at every proxy that this coordinator steers, and no try told any more."""
         index = self.door.known(server)
-        return index is None or index not in self.desk.world.listed or self.desk.drained(
-            [index], self.now())
+        return index is None or index not in self.desk.world.listed or self.desk.drained([index], self.now())
 
     def held_out(self, server: str) -> bool:
         index = self.door.known(server)
--- a/ambershift/group/counting.py
+++ b/ambershift/group/counting.py
@@ -42,8 +42,14 @@
     """`make` gives the engine: it and its libraries are loaded on the thread, and only once there is
     something to count. `ease` is told, on the loop, which servers keep what part of their weight."""
 
-    def __init__(self, gossip: Gossip, make: Callable[[], Engine], servers: Callable[[], list[str]],
-                 ease: Callable[[dict[str, float]], None], note: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        gossip: Gossip,
+        make: Callable[[], Engine],
+        servers: Callable[[], list[str]],
+        ease: Callable[[dict[str, float]], None],
+        note: Callable[..., None],
+    ) -> None:
         self.gossip, self.make, self.servers, self.note = gossip, make, servers, note
         self.ease, self.eased = ease, dict[str, float]()
         self.waiting = deque[Sample | Record](maxlen=WAITING_MOST)
--- a/ambershift/group/disk/files.py
+++ b/ambershift/group/disk/files.py
@@ -72,7 +72,7 @@
     """A write may take a part only, of a full disk for one; the next then says why."""
     rest = memoryview(data)
     while rest:
-        rest = rest[write(rest):]
+        rest = rest[write(rest) :]
 
 
 class RealFiles:
--- a/ambershift/group/disk/folder.py
+++ b/ambershift/group/disk/folder.py
@@ -84,8 +84,10 @@
         reading = read(log, mark)
         head = reading.head
         if head is not None and (head.group_name, head.me) != (self.group_name, self.me):
-            raise RefusedError(f"the folder is of member {head.me!r} of group {head.group_name!r}, not of "
-                               f"{self.me!r} of {self.group_name!r}")
+            raise RefusedError(
+                f"the folder is of member {head.me!r} of group {head.group_name!r}, not of "
+                f"{self.me!r} of {self.group_name!r}"
+            )
         return reading
 
     def take(self, reading: Reading, wall: int, void: str) -> Opened:
--- a/ambershift/group/disk/worker.py
+++ b/ambershift/group/disk/worker.py
@@ -30,8 +30,13 @@
 class Disk:
     """From `start` on the folder belongs to the thread."""
 
-    def __init__(self, folder: Folder, listener: Listener, loop: asyncio.AbstractEventLoop,
-                 queue_most: int = QUEUE_MOST) -> None:
+    def __init__(
+        self,
+        folder: Folder,
+        listener: Listener,
+        loop: asyncio.AbstractEventLoop,
+        queue_most: int = QUEUE_MOST,
+    ) -> None:
         self.folder, self.listener, self.loop, self.queue_most = folder, listener, loop, queue_most
         self.queue, self.wake = deque[Write](), threading.Condition()
         self.ending, self.over = False, False
--- a/ambershift/group/evidence.py
+++ b/ambershift/group/evidence.py
@@ -71,8 +71,11 @@
         return set()
     bad_most = max(BAD_SHARE, 2 * median([bad / tries for tries, bad, _ in sums.values()]))
     late = LATE * median([good / (tries - bad) for tries, bad, good in sums.values() if tries > bad] or [0.0])
-    found = [place for place, (tries, bad, good) in sums.items() if tries >= TRIES_LEAST and (
-        bad > bad_most * tries or good > late * (tries - bad) > 0)]
+    found = [
+        place
+        for place, (tries, bad, good) in sums.items()
+        if tries >= TRIES_LEAST and (bad > bad_most * tries or good > late * (tries - bad) > 0)
+    ]
     found.sort(key=lambda place: (-sums[place].bad / sums[place].tries, place))
     return set(found[:ILL_MOST])
 
@@ -83,8 +86,10 @@
     for zone, server in sums:
         if (zone, server) not in left_out:
             zones.setdefault(zone, []).append(server)
-    return {zone: nsmallest(SAMPLE, servers, key=lambda server: (-sums[zone, server].tries, server))
-            for zone, servers in zones.items()}
+    return {
+        zone: nsmallest(SAMPLE, servers, key=lambda server: (-sums[zone, server].tries, server))
+        for zone, servers in zones.items()
+    }
 
 
 def rows(record: Record) -> tuple[str, tuple[Row, ...]]:
--- a/ambershift/group/front.py
+++ b/ambershift/group/front.py
@@ -44,8 +44,16 @@
 class GroupFront(RuntimeFront):
     """Steering never waits for the member: what it has not heard of the group yet is as if not wanted."""
 
-    def __init__(self, coordinator: Coordinator, spots: Sequence[UnixPlace | TcpPlace], most: int, idle: int,
-                 version: str, root: Root, group: Group) -> None:
+    def __init__(
+        self,
+        coordinator: Coordinator,
+        spots: Sequence[UnixPlace | TcpPlace],
+        most: int,
+        idle: int,
+        version: str,
+        root: Root,
+        group: Group,
+    ) -> None:
         super().__init__(coordinator, spots, most, idle, version)
         spec = spec_of(group)
         door, note = coordinator.admit.door, coordinator.book.note
@@ -55,8 +63,9 @@
         self.member = Member(spec, PromisesMachine(guard), self.at_desk, self.now, note, seed)
         gossip = self.member.gossip
         gossip.steered = lambda: len(self.desk.mirror.picture.seats)
-        self.learned = Learned(gossip.store, Known(coordinator.admit), coordinator.start.terms.cold,
-                               self.now())
+        self.learned = Learned(
+            gossip.store, Known(coordinator.admit), coordinator.start.terms.cold, self.now()
+        )
         self.learned_at = 0
         self.opening: asyncio.Future[None] | None = None
         gossip.news.append(self.learned.heard)
@@ -71,13 +80,21 @@
         self.upkeep = Upkeep(self.member, limits, declared(root.blocks), self.look)
         self.promises.maintained = self.upkeep.rows
         counted = root.interference if isinstance(root.interference, Interference) else Interference()
-        self.counting = Counting(self.member.gossip, partial(engine, spec.me, counted),
-                                 lambda: list(door.indices), self.at_desk.ease, note)
+        self.counting = Counting(
+            self.member.gossip,
+            partial(engine, spec.me, counted),
+            lambda: list(door.indices),
+            self.at_desk.ease,
+            note,
+        )
         self.member.on_counters = self.counting.counters
         self.promises.interfered = lambda: list(self.counting.scores.rows)
         learned = self.learned
-        self.others = Others(lambda server: server in learned.out, lambda server: server in learned.cut,
-                             lambda server: self.counting.scores.interfered.get(server, 0.0))
+        self.others = Others(
+            lambda server: server in learned.out,
+            lambda server: server in learned.cut,
+            lambda server: self.counting.scores.interfered.get(server, 0.0),
+        )
 
     def learn(self, now: int) -> None:
         if now >= self.learned_at + LEARN_EVERY and not self.desk.stopping:
@@ -86,8 +103,9 @@
                 self.coordinator.route.put(event)
 
     def look(self) -> dict[str, Standing]:
-        return standings(self.desk, self.coordinator.admit.door, self.scene.zone_name, self.now(),
-                         self.others)
+        return standings(
+            self.desk, self.coordinator.admit.door, self.scene.zone_name, self.now(), self.others
+        )
 
     def apart(self) -> bool:
         return self.member.gossip.clocks.apart(self.member.now())
@@ -129,6 +147,7 @@
 
 def engine(me: str, block: Interference) -> Engine:
     from ambershift.interference.engine import Engine  # Its libraries take tens of MB; few groups count.
+
     return Engine(me, block.ease, part(block.ease_most) or 0.0, duration(block.interval) or 0)
 
 
@@ -142,5 +161,3 @@
     for letter in name.encode():
         value = (value * 1_099_511_628_211 + letter) & ((1 << 64) - 1)
     return value
-
-
--- a/ambershift/group/guard.py
+++ b/ambershift/group/guard.py
@@ -26,8 +26,14 @@
 class Guard:
     """`tell` puts a refusal of the desk into words; `apart` tells whether this member's clock is."""
 
-    def __init__(self, desk: Desk, door: Door[str], now: Callable[[], int], tell: Callable[[Refused], str],
-                 apart: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        desk: Desk,
+        door: Door[str],
+        now: Callable[[], int],
+        tell: Callable[[Refused], str],
+        apart: Callable[[], bool],
+    ) -> None:
         self.desk, self.door, self.now, self.tell, self.apart = desk, door, now, tell, apart
 
     def __call__(self, state: Promises, at: int, command: Command) -> Outcome | None:
@@ -35,18 +41,25 @@
         match command:
             case Wishes():
                 # What this member's list has not can't be judged here, and takes nothing from it.
-                known = [(index, one) for one in command.changes
-                         if (index := self.known(one.server)) is not None]
-                changes = [change._replace(server=index) for index, one in known
-                           if (change := change_of(one)) is not None]
+                known = [
+                    (index, one) for one in command.changes if (index := self.known(one.server)) is not None
+                ]
+                changes = [
+                    change._replace(server=index)
+                    for index, one in known
+                    if (change := change_of(one)) is not None
+                ]
                 found = weigh(self.world(state), changes, NEVER, self.desk.warmth, now)
                 return refused(found.reason, self.tell(found)) if isinstance(found, Refused) else None
             case Grant():
                 if self.apart():
                     return refused(Refusal.CLOCK_APART, "the leader's clock is apart from the others'")
                 before = self.world(state)
-                fresh = {index: permit.ends for permit in command.permits
-                         if (index := self.known(permit.server)) is not None}
+                fresh = {
+                    index: permit.ends
+                    for permit in command.permits
+                    if (index := self.known(permit.server)) is not None
+                }
                 after = before._replace(permitted=before.permitted.update(fresh))
                 bare = uncovered(before, after, list(fresh), self.desk.warmth, now)
                 return refused(bare.reason, self.tell(bare)) if bare else None
@@ -68,7 +81,9 @@
         for index in world.standing:
             if self.door.ids.get(index, "") not in wishes:
                 standing = standing.remove(index)
-        permitted = {index: held.permit.ends for held in state.permits.values()
-                     if held.permit.phase <= Phase.OUT
-                     and (index := self.known(held.permit.server)) is not None}
+        permitted = {
+            index: held.permit.ends
+            for held in state.permits.values()
+            if held.permit.phase <= Phase.OUT and (index := self.known(held.permit.server)) is not None
+        }
         return world._replace(standing=standing, permitted=HashTrieMap(permitted))
--- a/ambershift/group/learned.py
+++ b/ambershift/group/learned.py
@@ -81,8 +81,11 @@
         """Since when the server runs, by the list or by a member that saw it start later."""
         told = self.later.get(own.server, 0)
         name = self.names.server(own.server)
-        best = None if name is None else self.store.best(
-            now, Kind.START, name, now - own.since if own.since else None)
+        best = (
+            None
+            if name is None
+            else self.store.best(now, Kind.START, name, now - own.since if own.since else None)
+        )
         heard = now - best.age_ns if best else 0
         # Each change makes the module forget what it met there, so that a start once told stays as it is.
         since = max(own.since, told)
@@ -145,8 +148,9 @@
                 continue
             self.given[place] = word
             tries = min(row.tries, TRIES_MOST)
-            found.append(api.Met(at, server, tries, round(row.bad * tries / row.tries), row.mean_ns,
-                                 row.span_ns, ()))
+            found.append(
+                api.Met(at, server, tries, round(row.bad * tries / row.tries), row.mean_ns, row.span_ns, ())
+            )
         if len(self.given) > 4 * len(self.known) + GIVEN_MOST:
             self.given.clear()  # Of servers long gone; at worst a word counts twice.
         self.handed |= {id(event): event for event in found}
@@ -171,11 +175,15 @@
         self.ill = ill | {place for place in self.ill - sums.keys() if place[1] in self.known}
         self.met_at = {server: at for server, at in self.met_at.items() if now - at < OWN_LATE}
 
-    def tell_rows(self, now: int, zone: int, key: str, servers: list[int],
-                  sums: dict[tuple[int, int], Sum], span: int) -> None:
+    def tell_rows(
+        self, now: int, zone: int, key: str, servers: list[int], sums: dict[tuple[int, int], Sum], span: int
+    ) -> None:
         name = self.names.zone(zone)
-        told = [Row(server, one.tries, one.bad, one.mean_ns, span) for index in servers
-                if (server := self.names.server(index)) is not None and (one := sums[zone, index])]
+        told = [
+            Row(server, one.tries, one.bad, one.mean_ns, span)
+            for index in servers
+            if (server := self.names.server(index)) is not None and (one := sums[zone, index])
+        ]
         if name is not None and told:
             self.give(now, Kind.ILL, f"{key}{SPLIT}{name}", msgspec.msgpack.encode(told))
 
--- a/ambershift/group/life.py
+++ b/ambershift/group/life.py
@@ -48,8 +48,12 @@
         note("disk_failed", why=str(error))
         return Life(wall, None, None, str(error))
     if opened.aside:
-        note("folder_set_aside", why=void or opened.why, files=list(opened.aside),
-             reason=void or str(opened.fault))
+        note(
+            "folder_set_aside",
+            why=void or opened.why,
+            files=list(opened.aside),
+            reason=void or str(opened.fault),
+        )
     if opened.torn:
         note("folder_torn", bytes=opened.torn, why="the last write was cut short, and vouched for nothing")
     return Life(opened.incarnation, opened.saved, folder, "", opened.lost)
@@ -57,5 +61,14 @@
 
 def replica_of(spec: Spec, machine: PromisesMachine, life: Life, now: int, seed: int) -> Replica:
     given: dict[str, Any] = {"now": now, "noop": encode(Nothing()), "lost": life.lost}
-    return Replica(spec.me, spec.voters, spec.copies, machine, seed, life.incarnation, life.saved,
-                   life.folder is not None, **given)
+    return Replica(
+        spec.me,
+        spec.voters,
+        spec.copies,
+        machine,
+        seed,
+        life.incarnation,
+        life.saved,
+        life.folder is not None,
+        **given,
+    )
--- a/ambershift/group/links/accepted.py
+++ b/ambershift/group/links/accepted.py
@@ -67,8 +67,9 @@
         if len(self.open) >= SPARE_MOST + len(self.above.mine().members):
             self.tally.counts[Close.TOO_MANY] += 1
             return web.Response(status=503, text=Close.TOO_MANY)
-        socket = web.WebSocketResponse(max_msg_size=MESSAGE_MOST, compress=False, heartbeat=HEARTBEAT,
-                                       timeout=END_WITHIN)
+        socket = web.WebSocketResponse(
+            max_msg_size=MESSAGE_MOST, compress=False, heartbeat=HEARTBEAT, timeout=END_WITHIN
+        )
         await socket.prepare(request)
         self.open.add(socket)
         try:
--- a/ambershift/group/links/dialled.py
+++ b/ambershift/group/links/dialled.py
@@ -38,8 +38,16 @@
 class Dialled:
     """`seed` is for the chance in its pauses, so that members cut off together don't come back together."""
 
-    def __init__(self, peer: Peer, run: str, above: Above, tally: Tally, note: Note, seed: int,
-                 role: Role = Role.MEMBER) -> None:
+    def __init__(
+        self,
+        peer: Peer,
+        run: str,
+        above: Above,
+        tally: Tally,
+        note: Note,
+        seed: int,
+        role: Role = Role.MEMBER,
+    ) -> None:
         self.role, self.peer, self.run_id, self.above = role, peer, run, above
         self.tally, self.note = tally, note
         self.queue, self.wake, self.state = Queue(), asyncio.Event(), seed & MASK
@@ -100,12 +108,28 @@
         peer, mine = self.peer, self.above.mine()
         async with asyncio.timeout(DIAL_LIMIT):
             self.socket = socket = await session.ws_connect(
-                f"http://{peer.host}:{peer.port}/", max_msg_size=HELLO_MOST, heartbeat=HEARTBEAT,
-                autoclose=True)
+                f"http://{peer.host}:{peer.port}/",
+                max_msg_size=HELLO_MOST,
+                heartbeat=HEARTBEAT,
+                autoclose=True,
+            )
         async with asyncio.timeout(REPLY_LIMIT):
-            await socket.send_bytes(encode(Hello(
-                WIRE, VERSION, self.role, mine.name, peer.name, mine.incarnation, self.run_id, mine.group,
-                mine.title, mine.voters)))
+            await socket.send_bytes(
+                encode(
+                    Hello(
+                        WIRE,
+                        VERSION,
+                        self.role,
+                        mine.name,
+                        peer.name,
+                        mine.incarnation,
+                        self.run_id,
+                        mine.group,
+                        mine.title,
+                        mine.voters,
+                    )
+                )
+            )
             first = await socket.receive()
         answer = read_reply(first.data if first.type is WSMsgType.BINARY else None)
         if isinstance(answer, Refused):
--- a/ambershift/group/links/gate.py
+++ b/ambershift/group/links/gate.py
@@ -39,19 +39,23 @@
         if hello.role != Role.MEMBER or hello.name not in mine.members:
             return refused(Close.UNKNOWN_MEMBER, f"'{hello.name[:80]}' is not among the members")
         if tuple(sorted(hello.voters)) != tuple(sorted(mine.voters)):
-            return refused(Close.OTHER_MEMBERS, f"its voters are {', '.join(hello.voters)[:400]}; here they "
-                                                f"are {', '.join(mine.voters)}")
+            return refused(
+                Close.OTHER_MEMBERS,
+                f"its voters are {', '.join(hello.voters)[:400]}; here they are {', '.join(mine.voters)}",
+            )
         if hello.name == mine.name:
             return refused(Close.CLONED, "this is the member's own name", mine.incarnation)
         if hello.group and mine.group and hello.group != mine.group:
-            return refused(Close.OTHER_GROUP, f"it holds what group {hello.group[:80]} promised, not "
-                                              f"{mine.group}")
+            return refused(
+                Close.OTHER_GROUP, f"it holds what group {hello.group[:80]} promised, not {mine.group}"
+            )
         number, run = self.known.get(hello.name, (0, ""))
         if hello.incarnation < number:
             return refused(Close.SUPERSEDED, f"'{hello.name}' lives under incarnation {number}", number)
         if hello.incarnation == number and run and run != hello.run:
-            return refused(Close.CLONED, f"another process is '{hello.name}' under incarnation {number}",
-                           number)
+            return refused(
+                Close.CLONED, f"another process is '{hello.name}' under incarnation {number}", number
+            )
         self.known[hello.name] = hello.incarnation, hello.run
         return None
 
--- a/ambershift/group/links/links.py
+++ b/ambershift/group/links/links.py
@@ -17,12 +17,15 @@
 class Links:
     """Sends only on what it dialled and reads only what it accepted, so that a cut may be one-way."""
 
-    def __init__(self, listen: tuple[str, int], peers: Iterable[Peer], above: Above, note: Note,
-                 seed: int) -> None:
+    def __init__(
+        self, listen: tuple[str, int], peers: Iterable[Peer], above: Above, note: Note, seed: int
+    ) -> None:
         self.listen, self.tally, self.run = listen, Tally(), secrets.token_hex(8)
         self.acceptor = Acceptor(above, self.tally, note)
-        self.dialled = {peer.name: Dialled(peer, self.run, above, self.tally, note, seed + at)
-                        for at, peer in enumerate(peers)}
+        self.dialled = {
+            peer.name: Dialled(peer, self.run, above, self.tally, note, seed + at)
+            for at, peer in enumerate(peers)
+        }
         self.tasks = list[asyncio.Task[None]]()
         self.session: aiohttp.ClientSession | None = None
 
--- a/ambershift/group/links/words.py
+++ b/ambershift/group/links/words.py
@@ -50,5 +50,9 @@
 
 def failure(note: Callable[..., None], where: str, error: BaseException) -> None:
     """An error that nobody foresaw: told in full, and the work goes on."""
-    note("failure", where=where, error=repr(error)[:500],
-         trace="".join(traceback.format_exception(error))[-4000:])
+    note(
+        "failure",
+        where=where,
+        error=repr(error)[:500],
+        trace="".join(traceback.format_exception(error))[-4000:],
+    )
--- a/ambershift/group/member.py
+++ b/ambershift/group/member.py
@@ -33,8 +33,15 @@
 class Member(Asking):
     """`now` never goes back; `wall` is this member's wall clock, what its clock is set ahead included."""
 
-    def __init__(self, spec: Spec, machine: PromisesMachine, at_desk: AtDesk, now: Callable[[], int],
-                 note: Note, seed: int) -> None:
+    def __init__(
+        self,
+        spec: Spec,
+        machine: PromisesMachine,
+        at_desk: AtDesk,
+        now: Callable[[], int],
+        note: Note,
+        seed: int,
+    ) -> None:
         super().__init__()
         self.spec, self.machine, self.at_desk, self.now, self.note = spec, machine, at_desk, now, note
         self.seed = seed
@@ -74,8 +81,13 @@
         self.at_desk.sooner = sooner_ends(saved.entries, saved.committed) if saved is not None else {}
         self.replica = replica_of(self.spec, self.machine, self.life, self.now(), self.seed)
         self.gossip.live(self.life.incarnation)
-        self.note("group_start", incarnation=self.life.incarnation, folder=self.life.folder is not None,
-                  kept=self.life.saved is not None, status=self.replica.status.value)
+        self.note(
+            "group_start",
+            incarnation=self.life.incarnation,
+            folder=self.life.folder is not None,
+            kept=self.life.saved is not None,
+            status=self.replica.status.value,
+        )
         if self.replica.committed:
             self.take_all(self.replica.state)
         self.arm()
@@ -103,8 +115,9 @@
 
     def mine(self) -> Mine:
         group = self.replica.group if self.replica is not None else ""
-        return Mine(self.spec.me, self.spec.title, self.spec.voters, self.members, self.life.incarnation,
-                    group)
+        return Mine(
+            self.spec.me, self.spec.title, self.spec.voters, self.members, self.life.incarnation, group
+        )
 
     def heard(self, sender: str, kind: Kind, payload: bytes) -> None:
         if self.halted or self.stopping or self.replica is None:
@@ -236,7 +249,8 @@
             self.timer.cancel()
         self.timer_at = at
         self.timer = asyncio.get_running_loop().call_later(
-            min(3600.0, max(0, at - self.now()) / SECOND), self.ring)
+            min(3600.0, max(0, at - self.now()) / SECOND), self.ring
+        )
 
     def ring(self) -> None:
         self.timer = None
--- a/ambershift/group/offloop.py
+++ b/ambershift/group/offloop.py
@@ -32,5 +32,6 @@
             failed = error
         with suppress(RuntimeError):  # The loop has ended: nobody is left to be told.
             loop.call_soon_threadsafe(tell, made, failed)
+
     threading.Thread(target=run, name="off the loop", daemon=True).start()
     return await future
--- a/ambershift/group/promise.py
+++ b/ambershift/group/promise.py
@@ -51,28 +51,41 @@
             return None
         # Of a read an unknown outcome is none: whichever it is, nothing can be told that is not stale.
         reason = Reason.STOPPING if reply.reason is Reason.STOPPING else Reason.NO_MAJORITY
-        return error(f"Refused ({reason.value}): what stands can't be told, as this member reaches no "
-                     f"majority of the voters; {after(reply)}. 'show servers state' tells what holds here.")
+        return error(
+            f"Refused ({reason.value}): what stands can't be told, as this member reaches no "
+            f"majority of the voters; {after(reply)}. 'show servers state' tells what holds here."
+        )
 
     def wish(self, change: Change) -> WishOne:
         weight = (change.weight.figure, change.weight.relative) if change.weight is not None else None
-        return WishOne(self.name(change.server), None if change.state is None else int(change.state),
-                       None if change.health is None else int(change.health), weight, change.as_listed)
+        return WishOne(
+            self.name(change.server),
+            None if change.state is None else int(change.state),
+            None if change.health is None else int(change.health),
+            weight,
+            change.as_listed,
+        )
 
     def tell(self, reply: Reply, token: str) -> Answer:
         if reply.reason is None:
             return told(read_answer(reply.answer))
         match reply.reason:
             case Reason.OUTCOME_UNKNOWN:
-                return error(f"Unknown (outcome-unknown): it may stand or not, as no majority answered in "
-                             f"time; ask again with 'once {token}' and the same command.")
+                return error(
+                    f"Unknown (outcome-unknown): it may stand or not, as no majority answered in "
+                    f"time; ask again with 'once {token}' and the same command."
+                )
             case Reason.NO_MAJORITY:
                 why = f" ({self.member.halted[0]})" if self.member.halted else ""
-                return error(f"Refused (no-majority): nothing was written, as this member{why} reaches no "
-                             f"majority of the voters; {after(reply)}.")
+                return error(
+                    f"Refused (no-majority): nothing was written, as this member{why} reaches no "
+                    f"majority of the voters; {after(reply)}."
+                )
             case Reason.TOO_MANY_WAIT:
-                return error(f"Refused ({reply.reason.value}): too many commands wait for a majority here; "
-                             f"{after(reply)}.")
+                return error(
+                    f"Refused ({reply.reason.value}): too many commands wait for a majority here; "
+                    f"{after(reply)}."
+                )
             case Reason.TOKEN_REUSED:
                 return error(f"Refused ({reply.reason.value}): this token was used for another command.")
             case Reason.STOPPING:
--- a/ambershift/group/rows.py
+++ b/ambershift/group/rows.py
@@ -31,18 +31,31 @@
             state = "away"
         if own and halted is not None:
             state, why = "halted", f"{halted[0]}: {halted[1]}"
-        made.append({
-            "name": name, "state": state, "leader": bool(row and row.leads and here and not (own and halted)),
-            "votes": name in member.spec.voters,
-            "incarnation": member.life.incarnation if own else row.incarnation if row else 0,
-            "committed": (replica.committed if replica else 0) if own else row.committed if row else 0,
-            "heard_ms": -1 if own or age < 0 else age // MS,
-            "link": "-" if own else member.links.tally.ways.get(name, "") or "up", "why": why})
+        made.append(
+            {
+                "name": name,
+                "state": state,
+                "leader": bool(row and row.leads and here and not (own and halted)),
+                "votes": name in member.spec.voters,
+                "incarnation": member.life.incarnation if own else row.incarnation if row else 0,
+                "committed": (replica.committed if replica else 0) if own else row.committed if row else 0,
+                "heard_ms": -1 if own or age < 0 else age // MS,
+                "link": "-" if own else member.links.tally.ways.get(name, "") or "up",
+                "why": why,
+            }
+        )
     return made
 
 
 def permit_rows(state: Promises, wall: int) -> list[dict[str, Any]]:
-    return [{"permit": held.permit.id, "server": held.permit.server, "work": held.permit.work,
-             "phase": held.permit.phase.name.lower(), "ends_ms": (held.permit.ends - wall) // MS,
-             "tenants": ",".join(held.permit.tenants)}
-            for _, held in sorted(state.permits.items())]
+    return [
+        {
+            "permit": held.permit.id,
+            "server": held.permit.server,
+            "work": held.permit.work,
+            "phase": held.permit.phase.name.lower(),
+            "ends_ms": (held.permit.ends - wall) // MS,
+            "tenants": ",".join(held.permit.tenants),
+        }
+        for _, held in sorted(state.permits.items())
+    ]
--- a/ambershift/group/spec.py
+++ b/ambershift/group/spec.py
@@ -28,10 +28,17 @@
     """From settings that were checked."""
     members = sorted(group.member, key=lambda one: one.name)
     peers = [Peer(one.name, *place(one.address)) for one in members if one.name != group.me]
-    return Spec(group.name, group.me, place(group.listen), group.folder,
-                tuple(one.name for one in members if one.votes),
-                tuple(one.name for one in members if not one.votes), tuple(peers),
-                duration(group.clock_bound) or 0, clock_ahead(group.clock_ahead) or 0)
+    return Spec(
+        group.name,
+        group.me,
+        place(group.listen),
+        group.folder,
+        tuple(one.name for one in members if one.votes),
+        tuple(one.name for one in members if not one.votes),
+        tuple(peers),
+        duration(group.clock_bound) or 0,
+        clock_ahead(group.clock_ahead) or 0,
+    )
 
 
 def place(address: str) -> tuple[str, int]:
--- a/ambershift/group/standings.py
+++ b/ambershift/group/standings.py
@@ -20,8 +20,9 @@
     interfered: Callable[[str], float] = lambda server: 0.0
 
 
-def standings(desk: Desk, door: Door[str], zone_name: Callable[[int], str], now: int, others: Others
-              ) -> dict[str, Standing]:
+def standings(
+    desk: Desk, door: Door[str], zone_name: Callable[[int], str], now: int, others: Others
+) -> dict[str, Standing]:
     """Without the group's permits: what only a permit keeps out has no trouble."""
     found = dict[str, Standing]()
     for server, entry in desk.world.listed.items():
@@ -31,8 +32,14 @@
         trouble, warm_at = trouble_of(desk, server, entry, now), desk.warmth.warm_at(entry)
         if trouble in (None, Trouble.COLD):
             trouble = Trouble.ILL if others.ill(name) else Trouble.CUT if others.cut(name) else trouble
-        found[name] = Standing(name, zone_name(entry.zone), weight_of(desk, server, entry), trouble,
-                               warm_at if warm_at > now else 0, others.interfered(name))
+        found[name] = Standing(
+            name,
+            zone_name(entry.zone),
+            weight_of(desk, server, entry),
+            trouble,
+            warm_at if warm_at > now else 0,
+            others.interfered(name),
+        )
     return found
 
 
@@ -45,8 +52,11 @@
     if known is None:
         return Trouble.UNKNOWN
     # Shut out though the module was told that it is ready: it does so with those that fail.
-    if known.phase == api.Phase.READY and desk.mirror.picture.shut.get(server, NEVER_SHUT).out and (
-            server not in desk.waiting):
+    if (
+        known.phase == api.Phase.READY
+        and desk.mirror.picture.shut.get(server, NEVER_SHUT).out
+        and (server not in desk.waiting)
+    ):
         return Trouble.ILL
     return None if desk.warmth.warm(entry, now) else Trouble.COLD
 
--- a/ambershift/group/tap.py
+++ b/ambershift/group/tap.py
@@ -15,8 +15,9 @@
 class GroupTap(DeskTap):
     """Of a server that no list had before, the desk learns first what the group wants of it."""
 
-    def __init__(self, desk: Desk, now: Callable[[], int], moved: Callable[[], None], at_desk: AtDesk,
-                 learned: Learned) -> None:
+    def __init__(
+        self, desk: Desk, now: Callable[[], int], moved: Callable[[], None], at_desk: AtDesk, learned: Learned
+    ) -> None:
         super().__init__(desk, now, moved)
         self.at_desk, self.learned = at_desk, learned
 
--- a/ambershift/group/upkeep.py
+++ b/ambershift/group/upkeep.py
@@ -28,8 +28,13 @@
 class Upkeep:
     """`look` gives the servers as they stand; `declared` is None where the settings say nothing."""
 
-    def __init__(self, member: Member, limits: Limits, declared: Declared | None,
-                 look: Callable[[], Mapping[str, Standing]]) -> None:
+    def __init__(
+        self,
+        member: Member,
+        limits: Limits,
+        declared: Declared | None,
+        look: Callable[[], Mapping[str, Standing]],
+    ) -> None:
         self.member, self.limits, self.declared, self.look = member, limits, declared, look
         self.steward, self.led = Steward(limits), False
         self.flying = set[asyncio.Task[None]]()
@@ -68,8 +73,11 @@
         if self.declared is not None and member.replica.leader is not None:
             stands = member.state.declared
             # A higher revision that others have declared is newer than this member's file.
-            if (stands.revision, stands) != (self.declared.revision, self.declared) and (
-                    stands.revision <= self.declared.revision) and not self.flying:
+            if (
+                (stands.revision, stands) != (self.declared.revision, self.declared)
+                and (stands.revision <= self.declared.revision)
+                and not self.flying
+            ):
                 self.send(Declare(self.declared))
         if member.leads != self.led:
             self.led, self.steward = member.leads, Steward(self.limits)
@@ -107,8 +115,10 @@
 
     def rows(self) -> list[dict[str, Any]]:
         """For `show maintenance`; times in whole seconds of Unix time."""
-        return [plain(msgspec.structs.asdict(row))
-                for row in self.steward.rows(self.member.state, self.member.now())]
+        return [
+            plain(msgspec.structs.asdict(row))
+            for row in self.steward.rows(self.member.state, self.member.now())
+        ]
 
 
 def plain(row: dict[str, Any]) -> dict[str, Any]:
--- a/ambershift/groupsim/faults.py
+++ b/ambershift/groupsim/faults.py
@@ -29,8 +29,17 @@
                 self.cut([(fault.who[0], other) for other in fault.who[1:]], fault)
             case Trouble.SPLIT:
                 parts = [part.split(",") for part in fault.who]
-                self.cut([(one, other) for part in parts for one in part
-                          for others in parts if others is not part for other in others], fault)
+                self.cut(
+                    [
+                        (one, other)
+                        for part in parts
+                        for one in part
+                        for others in parts
+                        if others is not part
+                        for other in others
+                    ],
+                    fault,
+                )
             case Trouble.BREAK:
                 for other in fault.who[1:]:
                     world.network.breaks(fault.who[0], other)
@@ -73,8 +82,14 @@
         whole folder only by what others know: they must be there, and it must hear them."""
         if self.world.plan.beyond or not process.voter:
             return True
-        if old and (self.cuts or not all(one.up and one.replica and one.replica.status is Status.NORMAL
-                                         for one in self.world.processes.values() if one.voter)):
+        if old and (
+            self.cuts
+            or not all(
+                one.up and one.replica and one.replica.status is Status.NORMAL
+                for one in self.world.processes.values()
+                if one.voter
+            )
+        ):
             return False
         return len(self.lost() | {process.name}) <= (len(self.world.plan.voters) - 1) // 2
 
@@ -92,7 +107,7 @@
             process.folder, process.behind = Folder(), 0
         elif process.folder is not None and fault.kind is Trouble.OLD:
             old = Folder()
-            old.synced = process.folder.synced[:1 + len(process.folder.synced) * fault.much // 1000]
+            old.synced = process.folder.synced[: 1 + len(process.folder.synced) * fault.much // 1000]
             process.folder, process.behind = old, max(before, vouched if old.newest() < vouched else 0)
             self.world.tell(process.name, f"an old copy of its folder, up to entry {old.newest()}")
         self.world.at(self.world.now + fault.lasts, self.starts, process, process.runs)
--- a/ambershift/groupsim/folder.py
+++ b/ambershift/groupsim/folder.py
@@ -44,11 +44,26 @@
                     raise ContradictionError(f"entry {one.number} is written behind {last}")
                 entries.append(one)
         last_write = self.synced[-1]
-        return Saved(last_write.group, last_write.incarnation, last_write.view, last_write.last_normal,
-                     last_write.committed, snapshot, tuple(entries))
+        return Saved(
+            last_write.group,
+            last_write.incarnation,
+            last_write.view,
+            last_write.last_normal,
+            last_write.committed,
+            snapshot,
+            tuple(entries),
+        )
 
     def newest(self) -> int:
         """The highest number of an entry that was ever vouched for here."""
-        return max((max([entry.number for entry in write.entries[-1:]]
-                        + ([write.snapshot.number] if write.snapshot else []), default=0)
-                    for write in self.synced), default=0)
+        return max(
+            (
+                max(
+                    [entry.number for entry in write.entries[-1:]]
+                    + ([write.snapshot.number] if write.snapshot else []),
+                    default=0,
+                )
+                for write in self.synced
+            ),
+            default=0,
+        )
--- a/ambershift/groupsim/history.py
+++ b/ambershift/groupsim/history.py
@@ -47,9 +47,11 @@
     stuck: tuple[Operation, ...]
 
     def lines(self) -> list[str]:
-        return [f"register {self.key}: no order explains what was seen",
-                *(f"  placed {show(one)}" for one in self.placed[-6:]),
-                *(f"  none of these can come next: {show(one)}" for one in self.stuck)]
+        return [
+            f"register {self.key}: no order explains what was seen",
+            *(f"  placed {show(one)}" for one in self.placed[-6:]),
+            *(f"  none of these can come next: {show(one)}" for one in self.stuck),
+        ]
 
 
 def show(one: Operation) -> str:
@@ -77,9 +79,16 @@
     whose value nobody saw, which may as well have had no effect."""
     seen = {one.value for one in operations if one.kind is Kind.READ and one.outcome is Outcome.DONE}
     done = {one.token for one in operations if one.outcome is Outcome.DONE}
-    return [one for one in operations if one.outcome is Outcome.DONE or (
-        one.outcome is Outcome.UNKNOWN and one.kind is not Kind.READ
-        and (one.value in seen or one.kind is Kind.ONCE and one.token in done))]
+    return [
+        one
+        for one in operations
+        if one.outcome is Outcome.DONE
+        or (
+            one.outcome is Outcome.UNKNOWN
+            and one.kind is not Kind.READ
+            and (one.value in seen or one.kind is Kind.ONCE and one.token in done)
+        )
+    ]
 
 
 class Event:
@@ -133,8 +142,11 @@
     at = head.behind
     tried = list[int]()
     while left:
-        if at is not None and operations[at.number].outcome is not Outcome.DONE or (
-                at is not None and at.answer is not None):
+        if (
+            at is not None
+            and operations[at.number].outcome is not Outcome.DONE
+            or (at is not None and at.answer is not None)
+        ):
             tried.append(at.number)
             following = after(register, operations[at.number])
             mark = (placed | 1 << at.number, following or NOTHING)
@@ -154,8 +166,9 @@
         if len(way) >= len(longest):
             longest, stuck = [event.number for event, _ in way], tried
         if not way:
-            return Violation(key, tuple(operations[one] for one in longest),
-                             tuple(operations[one] for one in stuck))
+            return Violation(
+                key, tuple(operations[one] for one in longest), tuple(operations[one] for one in stuck)
+            )
         last, register = way.pop()
         placed &= ~(1 << last.number)
         if last.answer is not None:
--- a/ambershift/groupsim/judge.py
+++ b/ambershift/groupsim/judge.py
@@ -43,8 +43,11 @@
     def group(self, process: Process) -> str:
         group = process.group()
         if group not in self.groups:
-            holding = [one.name for one in self.world.processes.values()
-                       if one.voter and one.group() not in ("", group) and one.holds()]
+            holding = [
+                one.name
+                for one in self.world.processes.values()
+                if one.voter and one.group() not in ("", group) and one.holds()
+            ]
             if self.groups and not self.world.plan.beyond or holding:
                 raise WrongError(f"{process.name} is in a new group, {holding or 'most'} hold the old one")
             self.groups.append(group)
@@ -128,9 +131,11 @@
         # Beyond the promise a group may be born anew, once all was lost: then each group has its history.
         for group in self.groups:
             whose = (group,) if len(self.groups) > 1 else (group, NEWBORN)
-            found = check(one if by in whose else unsure(one)
-                          for one, by in zip(self.history, self.served, strict=True)
-                          if by in whose or one.kind is not Kind.READ)
+            found = check(
+                one if by in whose else unsure(one)
+                for one, by in zip(self.history, self.served, strict=True)
+                if by in whose or one.kind is not Kind.READ
+            )
             if found is not None:
                 raise WrongError("; ".join(found.lines()))
 
--- a/ambershift/groupsim/network.py
+++ b/ambershift/groupsim/network.py
@@ -46,8 +46,15 @@
             delay = LEAST + chance.below(weather.way_ns)
             if weather.late and chance.hits(weather.late):
                 delay += chance.below(weather.late_ns)
-            self.world.at(self.world.now + delay, self.arrives, way, self.sent, sender.incarnation,
-                          sender.group(), message)
+            self.world.at(
+                self.world.now + delay,
+                self.arrives,
+                way,
+                self.sent,
+                sender.incarnation,
+                sender.group(),
+                message,
+            )
 
     def arrives(self, way: tuple[str, str], number: int, incarnation: int, group: str, message: Any) -> None:
         if way in self.cuts or number <= self.broken.get(way, 0):
--- a/ambershift/groupsim/plan.py
+++ b/ambershift/groupsim/plan.py
@@ -62,15 +62,27 @@
     tight: bool  # Whether snapshots, pieces and batches are tiny, so that all of them come up.
 
     def text(self) -> list[str]:
-        return [f"seed {self.seed}: voters {' '.join(self.voters)}, copies {' '.join(self.copies)}, folders "
-                f" {' '.join(self.folders) or 'none'}, {self.clients} clients, "
-                f"{'tight' if self.tight else 'roomy'}, {self.weather}",
-                *(f"  fault {one.text()}" for one in self.faults)]
+        return [
+            f"seed {self.seed}: voters {' '.join(self.voters)}, copies {' '.join(self.copies)}, folders "
+            f" {' '.join(self.folders) or 'none'}, {self.clients} clients, "
+            f"{'tight' if self.tight else 'roomy'}, {self.weather}",
+            *(f"  fault {one.text()}" for one in self.faults),
+        ]
 
 
 CALM = Weather(0, 0, 0, 0, 2 * MS, MS)
-USUAL = (Trouble.CUT, Trouble.SPLIT, Trouble.BREAK, Trouble.CRASH, Trouble.CRASH, Trouble.LOSE, Trouble.LOSE,
-         Trouble.OLD, Trouble.STOP, Trouble.CLOCK)
+USUAL = (
+    Trouble.CUT,
+    Trouble.SPLIT,
+    Trouble.BREAK,
+    Trouble.CRASH,
+    Trouble.CRASH,
+    Trouble.LOSE,
+    Trouble.LOSE,
+    Trouble.OLD,
+    Trouble.STOP,
+    Trouble.CLOCK,
+)
 # Beyond the promise no old copies: what only an old folder held and nobody else can't be known to be missing.
 FURTHER = (Trouble.LOSE, Trouble.LOSE, Trouble.LOSE, Trouble.CRASH, Trouble.CUT, Trouble.SPLIT, Trouble.STOP)
 
@@ -88,14 +100,33 @@
         case _:
             folders = tuple(one for one in members if chance.hits(500))
     rough = chance.below(3)
-    weather = CALM if not rough else Weather(
-        chance.below(120) if rough == 2 else chance.below(20), chance.below(100), chance.below(150),
-        chance.choice((20, 200, 1000)) * MS, chance.choice((1, 5, 30)) * MS, chance.choice((1, 10, 60)) * MS)
+    weather = (
+        CALM
+        if not rough
+        else Weather(
+            chance.below(120) if rough == 2 else chance.below(20),
+            chance.below(100),
+            chance.below(150),
+            chance.choice((20, 200, 1000)) * MS,
+            chance.choice((1, 5, 30)) * MS,
+            chance.choice((1, 10, 60)) * MS,
+        )
+    )
     kinds = FURTHER if beyond else USUAL
     faults = sorted(fault(chance, members, kinds) for _ in range(chance.between(1, 7)))
-    return Plan(seed, voters, copies, folders, beyond, weather,
-                tuple(chance.between(-50, 50) if chance.hits(300) else 0 for _ in members),
-                tuple(faults), chance.between(1, 3), chance.hits(60), chance.hits(500))
+    return Plan(
+        seed,
+        voters,
+        copies,
+        folders,
+        beyond,
+        weather,
+        tuple(chance.between(-50, 50) if chance.hits(300) else 0 for _ in members),
+        tuple(faults),
+        chance.between(1, 3),
+        chance.hits(60),
+        chance.hits(500),
+    )
 
 
 def fault(chance: Chance, members: tuple[str, ...], kinds: tuple[Trouble, ...]) -> Fault:
--- a/ambershift/groupsim/process.py
+++ b/ambershift/groupsim/process.py
@@ -67,9 +67,17 @@
         held = "its folder" if saved else "nothing"
         self.world.tell(self.name, f"starts as incarnation {self.incarnation} with {held}")
         self.replica = Replica(
-            self.name, self.world.plan.voters, self.world.plan.copies, MACHINE,
-            self.world.plan.seed * 1000 + self.incarnation, self.incarnation, saved,
-            self.folder is not None, TIGHT if self.world.plan.tight else ROOMY, self.clock())
+            self.name,
+            self.world.plan.voters,
+            self.world.plan.copies,
+            MACHINE,
+            self.world.plan.seed * 1000 + self.incarnation,
+            self.incarnation,
+            saved,
+            self.folder is not None,
+            TIGHT if self.world.plan.tight else ROOMY,
+            self.clock(),
+        )
         self.world.judge.started(self)
         self.ring()
 
--- a/ambershift/groupsim/shrink.py
+++ b/ambershift/groupsim/shrink.py
@@ -13,7 +13,7 @@
 def smaller(plan: Plan) -> Iterator[Plan]:
     """Plans with one thing less, the largest things first."""
     for at in range(len(plan.faults)):
-        yield plan._replace(faults=plan.faults[:at] + plan.faults[at + 1:])
+        yield plan._replace(faults=plan.faults[:at] + plan.faults[at + 1 :])
     if plan.weather != CALM:
         yield plan._replace(weather=CALM)
         for name in ("lost", "repeated", "late"):
@@ -22,10 +22,16 @@
     if any(plan.drift):
         yield plan._replace(drift=(0,) * len(plan.drift))
     if plan.copies:
-        yield plan._replace(copies=(), folders=tuple(one for one in plan.folders if one in plan.voters),
-                            drift=plan.drift[:len(plan.voters)],
-                            faults=tuple(one for one in plan.faults if not set(one.who) & set(plan.copies)
-                                         and not any("," in part for part in one.who)))
+        yield plan._replace(
+            copies=(),
+            folders=tuple(one for one in plan.folders if one in plan.voters),
+            drift=plan.drift[: len(plan.voters)],
+            faults=tuple(
+                one
+                for one in plan.faults
+                if not set(one.who) & set(plan.copies) and not any("," in part for part in one.who)
+            ),
+        )
     if plan.tight:
         yield plan._replace(tight=False)
     if plan.clients > 1:
--- a/ambershift/groupsim/world.py
+++ b/ambershift/groupsim/world.py
@@ -43,8 +43,10 @@
         self.starts = 0
         self.judge = Judge(self)
         self.network = Network(self, Chance(plan.seed, 2))
-        self.processes = {name: Process(self, name, Chance(plan.seed, 10 + at), plan.drift[at])
-                          for at, name in enumerate(plan.voters + plan.copies)}
+        self.processes = {
+            name: Process(self, name, Chance(plan.seed, 10 + at), plan.drift[at])
+            for at, name in enumerate(plan.voters + plan.copies)
+        }
         self.faults = Faults(self)
         self.clients = [Client(self, f"u{at}", Chance(plan.seed, 100 + at)) for at in range(plan.clients)]
 
@@ -99,11 +101,20 @@
         wrong = f"raised {error!r}"
         if traced:
             import traceback
+
             world.trace += traceback.format_exc().splitlines()
     if wrong is not None:
         world.tell("world", f"WRONG: {wrong}")
-    return Verdict(plan.seed, wrong, world.events, len(world.judge.history), world.judge.done,
-                   tuple(world.trace), tuple(world.judge.history), world.counts)
+    return Verdict(
+        plan.seed,
+        wrong,
+        world.events,
+        len(world.judge.history),
+        world.judge.done,
+        tuple(world.trace),
+        tuple(world.judge.history),
+        world.counts,
+    )
 
 
 def run_seed(seed: int, beyond: bool = False) -> Verdict:
--- a/ambershift/interface.py
+++ b/ambershift/interface.py
@@ -189,8 +189,23 @@
     span: int
 
 
-Event = (Born | Listed | ListFailed | Joined | Left | Met | Usage | Probed | Due | Applied | Mail | Given
-         | Taken | Held | Heat)
+Event = (
+    Born
+    | Listed
+    | ListFailed
+    | Joined
+    | Left
+    | Met
+    | Usage
+    | Probed
+    | Due
+    | Applied
+    | Mail
+    | Given
+    | Taken
+    | Held
+    | Heat
+)
 
 
 class Share(NamedTuple):
@@ -260,5 +275,4 @@
     token: int
 
 
-Order = (Share | Clear | Withdraw | Level | Bind | Mark | Probe | Watch | Fetch | Tell | Note | Wake
-         | Forget)
+Order = Share | Clear | Withdraw | Level | Bind | Mark | Probe | Watch | Fetch | Tell | Note | Wake | Forget
--- a/ambershift/interference/engine.py
+++ b/ambershift/interference/engine.py
@@ -52,8 +52,14 @@
 
 
 class Engine:
-    def __init__(self, me: str, ease: bool = False, ease_most: float = 0.2, slot_ns: int = SLOT_NS,
-                 bounds: Bounds | None = None) -> None:
+    def __init__(
+        self,
+        me: str,
+        ease: bool = False,
+        ease_most: float = 0.2,
+        slot_ns: int = SLOT_NS,
+        bounds: Bounds | None = None,
+    ) -> None:
         """`slot_ns` is the interval of perf, the same at all members."""
         self.me, self.ease, self.ease_most, self.slot_ns = me, ease, ease_most, slot_ns
         self.bounds = bounds or Bounds()
@@ -128,11 +134,13 @@
         bodies = {(Kind.MET, records.met_key(one.node, one.job)): records.encode(one) for one in evidence}
         for (kind, group), gathered in node.gathered.items():
             if gathered.total:
-                body = records.encode(
-                    Baseline(records.VERSION, kind, group, node.name, gathered.sketch()))
+                body = records.encode(Baseline(records.VERSION, kind, group, node.name, gathered.sketch()))
                 bodies[Kind.BASELINE, records.baseline_key(kind, group, node.name)] = body
-        made = [Put(kind, key, body) for (kind, key), body in bodies.items()
-                if self._given.get((kind, key)) != body]
+        made = [
+            Put(kind, key, body)
+            for (kind, key), body in bodies.items()
+            if self._given.get((kind, key)) != body
+        ]
         for put in made:
             self._own(put)
         return made
@@ -195,8 +203,11 @@
         if one is None or not one.suffers or one.level <= 0:
             return 0.0
         here = {met.suspect for met in one.met}
-        blamed = math.fsum(score.effect for score in self._scores
-                           if score.accused and score.victim == one.group and score.suspect in here)
+        blamed = math.fsum(
+            score.effect
+            for score in self._scores
+            if score.accused and score.victim == one.group and score.suspect in here
+        )
         return round(min(lost(one.level / records.LEVEL), blamed, 1.0), 6)
 
     def eases(self, now: int) -> Mapping[str, float]:
@@ -213,17 +224,29 @@
     def rows(self) -> list[Row]:
         """The accused first, then by victim and suspect; victims with nobody to blame at the end."""
         suffering = Counter(one.group for one in self._current.values() if one.suffers)
-        made = [Row(*score_fields(one), suffering[one.victim], one.accused,
-                    "" if one.nodes >= NODES_LEAST else Unusable.TOO_LITTLE.value) for one in self._scores]
+        made = [
+            Row(
+                *score_fields(one),
+                suffering[one.victim],
+                one.accused,
+                "" if one.nodes >= NODES_LEAST else Unusable.TOO_LITTLE.value,
+            )
+            for one in self._scores
+        ]
         made.sort(key=lambda row: (not row.accused, row.victim, row.suspect))
         scored = {row.victim for row in made}
         reasons = {(one.group, one.reason) for one in self._current.values() if one.reason}
-        reasons |= {(one.group, Unusable.NODE_LIES.value) for one in self._held.evidence.values()
-                    if one.node in self._liars}
-        made += [Row(group, "-", 0.0, 0.0, 0.0, 1.0, 0, suffering[group], False, reason)
-                 for group, reason in sorted(reasons)
-                 if group not in scored or reason in (Unusable.ALL_SLOW.value, Unusable.NODE_LIES.value)]
-        return made[:self.bounds.rows]
+        reasons |= {
+            (one.group, Unusable.NODE_LIES.value)
+            for one in self._held.evidence.values()
+            if one.node in self._liars
+        }
+        made += [
+            Row(group, "-", 0.0, 0.0, 0.0, 1.0, 0, suffering[group], False, reason)
+            for group, reason in sorted(reasons)
+            if group not in scored or reason in (Unusable.ALL_SLOW.value, Unusable.NODE_LIES.value)
+        ]
+        return made[: self.bounds.rows]
 
 
 def score_fields(one: Score) -> tuple[str, str, float, float, float, float, int]:
--- a/ambershift/interference/node.py
+++ b/ambershift/interference/node.py
@@ -88,7 +88,11 @@
         if not self.looked:
             self.looked = slot // BLOCK
         self._figures[:, job.row, slot % WINDOW] += (
-            sample.cycles, sample.instructions, sample.task_ns, sample.span_ns)
+            sample.cycles,
+            sample.instructions,
+            sample.task_ns,
+            sample.span_ns,
+        )
         job.last = self.at = max(self.at, sample.at)
         return True
 
@@ -132,19 +136,34 @@
         lately = slots >= slots[-1] - victims.MINUTES * victims.SLOTS_A_MINUTE + 1 if len(slots) else fresh
         slow_now = bool(2 * slow[lately].sum() > lately.sum())
         kept = np.where(slow, np.nan, overs)
-        made = [self._evidence(name, slots, kept, filled, busy, overs, normal[name], slow_now)
-                for name in names]
+        made = [
+            self._evidence(name, slots, kept, filled, busy, overs, normal[name], slow_now) for name in names
+        ]
         return Block(made, int((slow & fresh).sum()))
 
-    def _learn(self, job: Job, slots: npt.NDArray[np.int64], cpi: npt.NDArray[np.float64],
-               use: npt.NDArray[np.float64], wanted: npt.NDArray[np.bool_]) -> None:
+    def _learn(
+        self,
+        job: Job,
+        slots: npt.NDArray[np.int64],
+        cpi: npt.NDArray[np.float64],
+        use: npt.NDArray[np.float64],
+        wanted: npt.NDArray[np.bool_],
+    ) -> None:
         gathered = self.gathered.setdefault((job.kind, job.group), Gatherer())
         for at in np.flatnonzero(wanted & ~np.isnan(cpi[job.row]) & (use[job.row] >= victims.USE_LEAST)):
             gathered.add(int(slots[at] + 1) * self.slot_ns, float(cpi[job.row, at]))
 
-    def _evidence(self, name: str, slots: npt.NDArray[np.int64], kept: npt.NDArray[np.float64],
-                  use: npt.NDArray[np.float64], busy: npt.NDArray[np.float64],
-                  overs: npt.NDArray[np.float64], normal: Normal | None, slow_now: bool) -> records.Evidence:
+    def _evidence(
+        self,
+        name: str,
+        slots: npt.NDArray[np.int64],
+        kept: npt.NDArray[np.float64],
+        use: npt.NDArray[np.float64],
+        busy: npt.NDArray[np.float64],
+        overs: npt.NDArray[np.float64],
+        normal: Normal | None,
+        slow_now: bool,
+    ) -> records.Evidence:
         job = self.jobs[name]
         others = [one for one in sorted(self.jobs) if one != name]
         rows = [self.jobs[one].row for one in others]
@@ -163,20 +182,35 @@
             known = ~np.isnan(others_over)
             common = np.where(known.any(0), np.where(known, others_over, np.inf).min(0), np.nan)
             found = findings(kept[job.row], use[job.row], use[rows], busy[rows], common, slots)
-            met = [packed(self.jobs[other].group, one) for other, one in zip(others, found, strict=True)
-                   if one is not None]
+            met = [
+                packed(self.jobs[other].group, one)
+                for other, one in zip(others, found, strict=True)
+                if one is not None
+            ]
             if not met and not reason:
                 reason = Unusable.TOO_LITTLE.value
         level = victims.level(overs[job.row])
-        return records.Evidence(records.VERSION, end, self.name, name, job.group,
-                                suffering and not reason, round(level * records.LEVEL), reason,
-                                tuple(met[:records.ROWS_MOST]))
+        return records.Evidence(
+            records.VERSION,
+            end,
+            self.name,
+            name,
+            job.group,
+            suffering and not reason,
+            round(level * records.LEVEL),
+            reason,
+            tuple(met[: records.ROWS_MOST]),
+        )
 
 
 def packed(group: str, found: Finding) -> records.Met:
     def whole(value: float, parts: int) -> int:
         return max(-records.FIGURE_MOST, min(records.FIGURE_MOST, round(value * parts)))
-    return records.Met(group, whole(found.slope, records.SLOPE),
-                       max(1, math.ceil(min(found.error, 1e4) * records.ERROR)),
-                       max(records.FREEDOM, whole(found.freedom, records.FREEDOM)),
-                       max(0, whole(found.busy, records.BUSY)))
+
+    return records.Met(
+        group,
+        whole(found.slope, records.SLOPE),
+        max(1, math.ceil(min(found.error, 1e4) * records.ERROR)),
+        max(records.FREEDOM, whole(found.freedom, records.FREEDOM)),
+        max(0, whole(found.busy, records.BUSY)),
+    )
--- a/ambershift/interference/normal.py
+++ b/ambershift/interference/normal.py
@@ -110,8 +110,7 @@
     return at + (half - below) / int(counts[at])
 
 
-def normal(pool: Pool, now: int, without: Iterable[str] = (), slot_ns: int = 10_000_000_000
-           ) -> Normal | None:
+def normal(pool: Pool, now: int, without: Iterable[str] = (), slot_ns: int = 10_000_000_000) -> Normal | None:
     """None while there is too little evidence. `now` decides what is old: the same for all members."""
     left_out = frozenset(without)
     counts, nodes, count = np.zeros(BINS, np.int64), 0, 0
@@ -151,8 +150,9 @@
     off, compared = dict[str, int](), dict[str, int]()
     fast = set[str]()
     for pool in pools.values():
-        middles = {node: own_middle(one) for node, one in sorted(pool.items())
-                   if one.count >= COUNT_LEAST // 3}
+        middles = {
+            node: own_middle(one) for node, one in sorted(pool.items()) if one.count >= COUNT_LEAST // 3
+        }
         if len(middles) <= OTHERS_LEAST:
             continue
         values = np.array(list(middles.values()))
--- a/ambershift/interference/perfcsv.py
+++ b/ambershift/interference/perfcsv.py
@@ -17,11 +17,16 @@
 SECOND = 1_000_000_000
 LINE_MOST = 1_024
 COUNTED_LEAST = 0.5  # Under half counted, the scaling guesses more than it has seen.
-WRAP_LEAST = 2.0 ** 47  # The counters have 48 bits; a difference of half of that in one interval is a wrap.
+WRAP_LEAST = 2.0**47  # The counters have 48 bits; a difference of half of that in one interval is a wrap.
 AHEAD_MOST, LATE_MOST = 2 * SECOND, 45 * SECOND  # What a process that was held up still reads is late.
 METRIC_OFF = 0.05  # perf prints its metrics with two digits.
-EVENTS = {"cycles": "cycles", "cpu-cycles": "cycles", "instructions": "instructions",
-          "cache-misses": "cache-misses", "task-clock": "task-clock"}
+EVENTS = {
+    "cycles": "cycles",
+    "cpu-cycles": "cycles",
+    "instructions": "instructions",
+    "cache-misses": "cache-misses",
+    "task-clock": "task-clock",
+}
 WANTED = ("cycles", "instructions", "cache-misses", "task-clock")
 UNITS_NS = {"": 1e6, "msec": 1e6, "ms": 1e6, "usec": 1e3, "us": 1e3, "nsec": 1.0, "ns": 1.0, "sec": 1e9}
 
@@ -114,7 +119,7 @@
         *lines, self._left = (self._left + data).split(b"\n")
         if len(self._left) > LINE_MOST:
             # What has no end in sight is given up now; its end comes as a line that can't be read.
-            self._left = self._left[:LINE_MOST + 1]
+            self._left = self._left[: LINE_MOST + 1]
         if not self._known:
             self._begin(lines, now)
         for raw in lines:
@@ -190,8 +195,11 @@
         span = self._stamp - self._before
         job, at = self.job, self.start + self._stamp
         clock = rows.get("task-clock")
-        if clock is not None and clock.value == 0.0 and all(
-                one.value in (None, 0.0) for one in rows.values()):
+        if (
+            clock is not None
+            and clock.value == 0.0
+            and all(one.value in (None, 0.0) for one in rows.values())
+        ):
             self._last = ()
             idle = 0.0, 0.0, 0.0, 0.0, 1.0
             return Sample(job.node, job.kind, job.name, job.tenant, at, span, *idle)
@@ -215,5 +223,16 @@
             ours = instructions / cycles
             if abs(told[0] - ours) > 0.006 + METRIC_OFF * ours:
                 return Unusable.CONTRADICTING
-        return Sample(job.node, job.kind, job.name, job.tenant, at, span, cycles, instructions, misses, task,
-                      min(1.0, counted))
+        return Sample(
+            job.node,
+            job.kind,
+            job.name,
+            job.tenant,
+            at,
+            span,
+            cycles,
+            instructions,
+            misses,
+            task,
+            min(1.0, counted),
+        )
--- a/ambershift/interference/pooled.py
+++ b/ambershift/interference/pooled.py
@@ -48,10 +48,12 @@
 def on_node(rows: Sequence[Met]) -> Found:
     """Several jobs of the same two groups on one node share its fate: their mean, and no less doubt."""
     count = len(rows)
-    return Found(math.fsum(one.slope for one in rows) / SLOPE / count,
-                 math.fsum(one.error ** 2 for one in rows) / ERROR ** 2 / count,
-                 math.fsum(one.freedom for one in rows) / FREEDOM / count,
-                 math.fsum(one.busy for one in rows) / BUSY / count)
+    return Found(
+        math.fsum(one.slope for one in rows) / SLOPE / count,
+        math.fsum(one.error**2 for one in rows) / ERROR**2 / count,
+        math.fsum(one.freedom for one in rows) / FREEDOM / count,
+        math.fsum(one.busy for one in rows) / BUSY / count,
+    )
 
 
 def median(values: Iterable[float]) -> float:
@@ -77,18 +79,20 @@
     total = math.fsum(weights)
     middle = math.fsum(weight * one.slope for weight, one in zip(weights, found, strict=True)) / total
     apart = math.fsum(weight * (one.slope - middle) ** 2 for weight, one in zip(weights, found, strict=True))
-    room = total - math.fsum(weight ** 2 for weight in weights) / total
+    room = total - math.fsum(weight**2 for weight in weights) / total
     between = max(0.0, (apart - (len(found) - 1)) / room) if room > 0 else 0.0
     weights = [1.0 / (one.variance + between) for one in found]
     total = math.fsum(weights)
     slope = math.fsum(weight * one.slope for weight, one in zip(weights, found, strict=True)) / total
     variance = 1.0 / total
     if len(found) > 1:
-        spread = math.fsum(weight * (one.slope - slope) ** 2
-                           for weight, one in zip(weights, found, strict=True)) / (len(found) - 1)
+        spread = math.fsum(
+            weight * (one.slope - slope) ** 2 for weight, one in zip(weights, found, strict=True)
+        ) / (len(found) - 1)
         variance *= max(1.0, spread)
-    freedom = total ** 2 / math.fsum(weight ** 2 / one.freedom
-                                     for weight, one in zip(weights, found, strict=True))
+    freedom = total**2 / math.fsum(
+        weight**2 / one.freedom for weight, one in zip(weights, found, strict=True)
+    )
     busy = math.fsum(one.busy for one in found) / len(found)
     return Pooled(slope, math.sqrt(variance), freedom, busy, len(found), len(every) - len(found))
 
@@ -98,8 +102,9 @@
     return max(0.0, -math.expm1(-max(0.0, log_slower)))
 
 
-def pairs(evidence: Iterable[Evidence], liars: frozenset[str] = frozenset()
-          ) -> dict[tuple[str, str], list[Found]]:
+def pairs(
+    evidence: Iterable[Evidence], liars: frozenset[str] = frozenset()
+) -> dict[tuple[str, str], list[Found]]:
     """What was found on each pair of groups, by node in order."""
     rows = dict[tuple[str, str], dict[str, list[Met]]]()
     for one in sorted(evidence, key=lambda one: (one.node, one.job)):
@@ -122,7 +127,15 @@
         reach = float(stdtrit(one.freedom, 0.975)) * one.error
         effect, low, high = (lost((one.slope + off) * one.busy) for off in (0.0, -reach, reach))
         p = corrected[pair]
-        made.append(Score(*pair, round(effect, DIGITS), round(low, DIGITS), round(high, DIGITS),
-                          float(f"{p:.5g}"), one.nodes, one.nodes >= NODES_LEAST and p <= ALPHA
-                          and effect >= EFFECT_LEAST and low > 0.0))
+        made.append(
+            Score(
+                *pair,
+                round(effect, DIGITS),
+                round(low, DIGITS),
+                round(high, DIGITS),
+                float(f"{p:.5g}"),
+                one.nodes,
+                one.nodes >= NODES_LEAST and p <= ALPHA and effect >= EFFECT_LEAST and low > 0.0,
+            )
+        )
     return made
--- a/ambershift/interference/records.py
+++ b/ambershift/interference/records.py
@@ -1,7 +1,7 @@
 """How sketches and evidence travel as heard records: keys, bodies, bounds. Figures are whole numbers.
 
-    BASELINE  key "KIND|GROUP|NODE"  one node's sketch of one group of jobs
-    MET       key "NODE|JOB"         how one job fares on its node, and what was found on each neighbour there
+BASELINE  key "KIND|GROUP|NODE"  one node's sketch of one group of jobs
+MET       key "NODE|JOB"         how one job fares on its node, and what was found on each neighbour there
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 ROWS_MOST = 64
 SAMPLES_MOST = 2_048  # In one message of a process that reads counters.
 SLOPE, ERROR, FREEDOM, BUSY, LEVEL = 10_000, 10_000, 100, 1_000, 10_000  # Parts that the whole numbers count.
-FIGURE_MOST = 10 ** 9
+FIGURE_MOST = 10**9
 
 
 class UnreadableError(Exception):
@@ -104,8 +104,12 @@
     if key != met_key(found.node, found.job) or len(found.met) > ROWS_MOST:
         raise UnreadableError("its key is another's")
     for one in found.met:
-        if not (abs(one.slope) <= FIGURE_MOST and 0 < one.error <= FIGURE_MOST
-                and FREEDOM <= one.freedom <= FIGURE_MOST and 0 <= one.busy <= FIGURE_MOST):
+        if not (
+            abs(one.slope) <= FIGURE_MOST
+            and 0 < one.error <= FIGURE_MOST
+            and FREEDOM <= one.freedom <= FIGURE_MOST
+            and 0 <= one.busy <= FIGURE_MOST
+        ):
             raise UnreadableError("figures out of bounds")
     return found
 
--- a/ambershift/interference/suspects.py
+++ b/ambershift/interference/suspects.py
@@ -59,8 +59,9 @@
     return np.asarray(np.where(known > 0, high - low, 0.0))
 
 
-def findings(over: Floats, own: Floats, filled: Floats, busy: Floats, common: Floats,
-             slots: npt.NDArray[np.int64]) -> list[Finding | None]:
+def findings(
+    over: Floats, own: Floats, filled: Floats, busy: Floats, common: Floats, slots: npt.NDArray[np.int64]
+) -> list[Finding | None]:
     """One a row of `filled`, the uses as `present` gives them. `over`: the victim's excess, NaN where
     unusable; `own`: its use; `busy`: the others' swings; `common`: the least excess of the others, NaN where
     unknown; `slots`: numbers of the slots."""
@@ -94,8 +95,9 @@
     return none
 
 
-def regression(y: Floats, x: Floats, places: npt.NDArray[np.int64]
-               ) -> list[tuple[float, float, float] | None]:
+def regression(
+    y: Floats, x: Floats, places: npt.NDArray[np.int64]
+) -> list[tuple[float, float, float] | None]:
     """Slope, standard error and degrees of freedom for each column of unit spread."""
     count, width = x.shape
     blocks = int(places[-1]) + 1
@@ -111,14 +113,17 @@
     parts = x @ inverse / alone  # Each column without what the others explain of it.
     pull, weight = np.zeros((blocks, width)), np.zeros((blocks, width))
     np.add.at(pull, places, parts * rest[:, None])
-    np.add.at(weight, places, parts ** 2)
+    np.add.at(weight, places, parts**2)
     weight /= weight.sum(0)
     left = np.maximum(1.0 - weight, 1e-3)
-    jackknife = (blocks - 1) / blocks * ((pull / left) ** 2).sum(0) * alone ** 2
+    jackknife = (blocks - 1) / blocks * ((pull / left) ** 2).sum(0) * alone**2
     plain = float(rest @ rest) / (count - blocks - width) * alone
     errors = np.sqrt(np.maximum(jackknife, plain))
-    freedom = 1.0 / (weight ** 2).sum(0) - 1.0
+    freedom = 1.0 / (weight**2).sum(0) - 1.0
     alike = np.diag(gram) * alone
-    return [(float(slopes[at]), float(errors[at]), float(freedom[at]))
-            if alike[at] <= ALIKE_MOST and freedom[at] >= 1.0 and errors[at] > 0 else None
-            for at in range(width)]
+    return [
+        (float(slopes[at]), float(errors[at]), float(freedom[at]))
+        if alike[at] <= ALIKE_MOST and freedom[at] >= 1.0 and errors[at] > 0
+        else None
+        for at in range(width)
+    ]
--- a/ambershift/interference/victims.py
+++ b/ambershift/interference/victims.py
@@ -29,7 +29,7 @@
 def suffers(over: Floats, normal: Normal) -> bool:
     """From the excess in the newest slots, oldest first."""
     out = 0
-    for minute in np.array_split(over[-MINUTES * SLOTS_A_MINUTE:], MINUTES):
+    for minute in np.array_split(over[-MINUTES * SLOTS_A_MINUTE :], MINUTES):
         known = minute[~np.isnan(minute)]
         out += len(known) >= SAMPLES_LEAST and bool(np.median(known) > normal.threshold - normal.middle)
     return out >= OUT_LEAST
@@ -37,7 +37,7 @@
 
 def level(over: Floats) -> float:
     """The median excess of the last five minutes, 0 where nothing is known."""
-    known = over[-MINUTES * SLOTS_A_MINUTE:]
+    known = over[-MINUTES * SLOTS_A_MINUTE :]
     known = known[~np.isnan(known)]
     return float(np.median(known)) if len(known) >= SAMPLES_LEAST * OUT_LEAST else 0.0
 
--- a/ambershift/maintenance/agreements.py
+++ b/ambershift/maintenance/agreements.py
@@ -111,8 +111,9 @@
         """What would not hold were it out too."""
         known = server in self.out
         self.take(server)
-        found = next((binds for name in self.out[server]
-                      if (binds := self.lacks(self.named[name])) is not None), None)
+        found = next(
+            (binds for name in self.out[server] if (binds := self.lacks(self.named[name])) is not None), None
+        )
         if not known:
             self.give(server)
         return found
--- a/ambershift/maintenance/board.py
+++ b/ambershift/maintenance/board.py
@@ -81,8 +81,14 @@
     return rank, work.before, -work.takes_ns, place, standing.server
 
 
-def make_groups(declared: Declared, jobs: Iterable[tuple[Work, str, int]], servers: Mapping[str, Standing],
-                at: int, spans: Spans, limits: Limits) -> list[Group]:
+def make_groups(
+    declared: Declared,
+    jobs: Iterable[tuple[Work, str, int]],
+    servers: Mapping[str, Standing],
+    at: int,
+    spans: Spans,
+    limits: Limits,
+) -> list[Group]:
     """The jobs, each a work, a server that is listed and a time, in groups; best first in each."""
     places = {work.name: place for place, work in enumerate(declared.works)}
     users, groups = Users(declared.tenants), dict[tuple[str, int, tuple[str, ...], bool], Group]()
@@ -97,8 +103,15 @@
             if (group := groups.get(key)) is None:
                 group = groups[key] = Group(work, tenants, spans.of(tenants), limits.whole(work.takes_ns))
             known[short] = group
-        group.jobs.append(Job(order(work, places[work.name], standing), work, server,
-                              worth(standing) if here else 0, not_before))
+        group.jobs.append(
+            Job(
+                order(work, places[work.name], standing),
+                work,
+                server,
+                worth(standing) if here else 0,
+                not_before,
+            )
+        )
     for group in groups.values():
         group.jobs.sort()
     return list(groups.values())
@@ -107,8 +120,9 @@
 class Board:
     """Who is out, of which work, and when each tenant last had a server drained."""
 
-    def __init__(self, room: Room, drains: Mapping[str, int], out_of: Mapping[str, int],
-                 limits: Limits) -> None:
+    def __init__(
+        self, room: Room, drains: Mapping[str, int], out_of: Mapping[str, int], limits: Limits
+    ) -> None:
         self.room, self.limits = room, limits
         self.drains, self.out_of = dict(drains), dict(out_of)
 
@@ -135,8 +149,11 @@
     def pick(self, at: int, groups: Sequence[Group]) -> list[Job]:
         """The jobs that may all start now; they are taken from their groups, and count as out."""
         chosen = list[Job]()
-        heap = [(group.jobs[0].order, place, 0) for place, group in enumerate(groups)
-                if group.jobs and self.gate(group, at)]
+        heap = [
+            (group.jobs[0].order, place, 0)
+            for place, group in enumerate(groups)
+            if group.jobs and self.gate(group, at)
+        ]
         heapify(heap)
         too_much, tries = dict[int, tuple[int, Binds]](), dict[int, int]()
         while heap and len(chosen) < WAVE_MOST:
--- a/ambershift/maintenance/permits.py
+++ b/ambershift/maintenance/permits.py
@@ -64,8 +64,11 @@
     """Whether no member can hold it out any longer. One that is cut off still may, so that the silent count
     too, until the end has passed by any clock."""
     said = heard.let_in.get(permit.id, frozenset())
-    return at >= limits.let_in(permit.ends) or bool(heard.members) and all(
-        name in said for name in heard.members)
+    return (
+        at >= limits.let_in(permit.ends)
+        or bool(heard.members)
+        and all(name in said for name in heard.members)
+    )
 
 
 def is_back(permit: Permit, standing: Standing | None, limits: Limits, at: int, stopped: bool) -> bool:
--- a/ambershift/maintenance/sound.py
+++ b/ambershift/maintenance/sound.py
@@ -12,8 +12,10 @@
 
 def unsound(declared: Declared) -> str:
     """What is wrong with it, "" where nothing is. Windows are looked at where they are read."""
-    for what, names in (("tenant", [one.name for one in declared.tenants]),
-                        ("work", [one.name for one in declared.works])):
+    for what, names in (
+        ("tenant", [one.name for one in declared.tenants]),
+        ("work", [one.name for one in declared.works]),
+    ):
         for name in names:
             if not name or "/" in name or len(name) > 100 or names.count(name) > 1:
                 return f"{what} '{name[:100]}' has no name of its own without '/'"
--- a/ambershift/maintenance/waves.py
+++ b/ambershift/maintenance/waves.py
@@ -56,14 +56,24 @@
     left: list[tuple[Job, Binds]]
 
 
-def lay(declared: Declared, jobs: Iterable[tuple[Work, str, int]], out: Sequence[Open],
-        drains: Mapping[str, int], servers: Mapping[str, Standing], at: int, limits: Limits,
-        spans: Spans | None = None) -> Plan:
+def lay(
+    declared: Declared,
+    jobs: Iterable[tuple[Work, str, int]],
+    out: Sequence[Open],
+    drains: Mapping[str, int],
+    servers: Mapping[str, Standing],
+    at: int,
+    limits: Limits,
+    spans: Spans | None = None,
+) -> Plan:
     """`jobs` are a work, a server and the time before which it is not tried; `drains` when each tenant last
     had a server drained."""
     spans, jobs = spans or Spans(at, limits.ahead), list(jobs)
-    unlaid = [Unlaid(work.name, server, Binds(Refusal.NO_SUCH_SERVER), 0)
-              for work, server, _ in jobs if server not in servers]
+    unlaid = [
+        Unlaid(work.name, server, Binds(Refusal.NO_SUCH_SERVER), 0)
+        for work, server, _ in jobs
+        if server not in servers
+    ]
     there = [job for job in jobs if job[1] in servers]
     first = run(declared, there, out, drains, servers, at, limits, spans)
     if not first.left:
@@ -71,18 +81,33 @@
     # What has no place in time is laid once more without its end, behind all that has: it is asked when it
     # could be, and pushes nobody.
     late = {(job.work.name, job.server) for job, _ in first.left}
-    again = [(msgspec.structs.replace(work, before=NEVER) if (work.name, server) in late else work, server,
-              not_before) for work, server, not_before in there]
-    backs = {(one.work, one.server): one.back
-             for one in run(declared, again, out, drains, servers, at, limits, spans).laid}
+    again = [
+        (
+            msgspec.structs.replace(work, before=NEVER) if (work.name, server) in late else work,
+            server,
+            not_before,
+        )
+        for work, server, not_before in there
+    ]
+    backs = {
+        (one.work, one.server): one.back
+        for one in run(declared, again, out, drains, servers, at, limits, spans).laid
+    }
     for job, binds in first.left:
         unlaid.append(Unlaid(job.work.name, job.server, binds, backs.get((job.work.name, job.server), 0)))
     return Plan(tuple(first.laid), tuple(unlaid))
 
 
-def run(declared: Declared, jobs: Sequence[tuple[Work, str, int]], out: Sequence[Open],
-        drains: Mapping[str, int], servers: Mapping[str, Standing], at: int, limits: Limits, spans: Spans
-        ) -> Run:
+def run(
+    declared: Declared,
+    jobs: Sequence[tuple[Work, str, int]],
+    out: Sequence[Open],
+    drains: Mapping[str, int],
+    servers: Mapping[str, Standing],
+    at: int,
+    limits: Limits,
+    spans: Spans,
+) -> Run:
     """One pass over time, until all is laid or nothing comes any more that could help."""
     room, groups, out_of = Room(declared.tenants, servers, at), list[Group](), dict[str, int]()
     backs = list[tuple[int, str, str]]()
@@ -118,8 +143,17 @@
         if warms and warms[-1] <= now:
             warms.pop()
             renew(board, declared, servers, now)
-            groups, last = make_groups(declared, [(job.work, job.server, job.not_before) for group in waits
-                                                  for job in group.jobs], servers, now, spans, limits), {}
+            groups, last = (
+                make_groups(
+                    declared,
+                    [(job.work, job.server, job.not_before) for group in waits for job in group.jobs],
+                    servers,
+                    now,
+                    spans,
+                    limits,
+                ),
+                {},
+            )
     left = list[tuple[Job, Binds]]()
     for place, group in enumerate(groups):
         if group.jobs:
@@ -144,8 +178,9 @@
         return None
 
     def fits(found: Sequence[Span]) -> bool:
-        return any(min(span.closes - bound, before) - max(span.opens + bound, at) >= group.whole
-                   for span in found)
+        return any(
+            min(span.closes - bound, before) - max(span.opens + bound, at) >= group.whole for span in found
+        )
 
     def binds(found: Sequence[Span], tenant: str) -> Binds:
         short = any(span.closes > at and span.opens < before for span in found)
--- a/ambershift/maintenance/windows.py
+++ b/ambershift/maintenance/windows.py
@@ -22,8 +22,19 @@
 DAY = 86_400 * SECOND
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 FREQUENCIES = ("DAILY", "WEEKLY", "MONTHLY", "YEARLY")
-KEYS = ("FREQ", "INTERVAL", "COUNT", "UNTIL", "WKST", "BYDAY", "BYMONTH", "BYMONTHDAY", "BYSETPOS", "BYHOUR",
-        "BYMINUTE")
+KEYS = (
+    "FREQ",
+    "INTERVAL",
+    "COUNT",
+    "UNTIL",
+    "WKST",
+    "BYDAY",
+    "BYMONTH",
+    "BYMONTHDAY",
+    "BYSETPOS",
+    "BYHOUR",
+    "BYMINUTE",
+)
 DAYS_MOST = (31, 29, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31)
 PER_DAY_MOST = 48
 LENGTH_LEAST = 60 * SECOND
@@ -73,7 +84,8 @@
         start = datetime.fromisoformat(window.start)
     except ValueError:
         raise BadWindowError(
-            "start", f"'{window.start}' is no local time such as \"2026-12-01T02:00:00\"") from None
+            "start", f"'{window.start}' is no local time such as \"2026-12-01T02:00:00\""
+        ) from None
     check_rule(window.rrule.upper())
     try:
         return iter(rrulestr(window.rrule.upper(), dtstart=start))
@@ -101,10 +113,14 @@
     if any(one >= PER_DAY_MOST for one in times) or all(times) and len(times) > 1:
         raise BadWindowError("rrule", f"opens more than {PER_DAY_MOST} times a day")
     if re.search(r"\d", parts.get("BYDAY", "")) and (
-            frequency in ("DAILY", "WEEKLY") or "BYMONTHDAY" in parts or "BYSETPOS" in parts):
+        frequency in ("DAILY", "WEEKLY") or "BYMONTHDAY" in parts or "BYSETPOS" in parts
+    ):
         raise BadWindowError("rrule", "BYDAY counts days only in MONTHLY and YEARLY, and alone")
-    if "BYSETPOS" in parts and (frequency in ("DAILY", "WEEKLY") or "BYDAY" not in parts
-                                or not re.fullmatch(r"-?[1-4]", parts["BYSETPOS"])):
+    if "BYSETPOS" in parts and (
+        frequency in ("DAILY", "WEEKLY")
+        or "BYDAY" not in parts
+        or not re.fullmatch(r"-?[1-4]", parts["BYSETPOS"])
+    ):
         raise BadWindowError("rrule", "BYSETPOS is -4 to 4, in MONTHLY and YEARLY, beside BYDAY")
     if "BYMONTHDAY" in parts:
         days, months = parts["BYMONTHDAY"], parts.get("BYMONTH", "1")
@@ -131,8 +147,11 @@
             # A change of clocks may swap two that lie close.
             insort(self.found, instant(local, self.zone))
         at = bisect_left(self.found, since - self.length)
-        return [Span(opens, opens + self.length) for opens in self.found[at:]
-                if opens < until and since < opens + self.length]
+        return [
+            Span(opens, opens + self.length)
+            for opens in self.found[at:]
+            if opens < until and since < opens + self.length
+        ]
 
 
 @lru_cache(4096)
--- a/ambershift/modelcheck/explore.py
+++ b/ambershift/modelcheck/explore.py
@@ -197,8 +197,17 @@
         size = (visited.nbytes() + parents.itemsize * len(parents) + places.itemsize * len(places)) / len(
             visited
         )
-        return Result(model.name, len(visited), edges, depth, time.monotonic() - started, size,
-                      collision_chance(len(visited), options.bits), bounded, fault)
+        return Result(
+            model.name,
+            len(visited),
+            edges,
+            depth,
+            time.monotonic() - started,
+            size,
+            collision_chance(len(visited), options.bits),
+            bounded,
+            fault,
+        )
 
     def way(number: int, last: int) -> tuple[int, ...]:
         back = [last] if last >= 0 else []
@@ -210,8 +219,10 @@
     def fault(found: Found) -> Fault:
         assert found.fault is not None
         name, why = found.fault
-        sentence = next((one.sentence for one in model.properties if one.name == name),
-                        RAISES if name == NO_RAISE else STUCK)
+        sentence = next(
+            (one.sentence for one in model.properties if one.name == name),
+            RAISES if name == NO_RAISE else STUCK,
+        )
         return Fault(name, sentence, why, way(found.parent, found.place))
 
     first = Expander(model, options).judge(initial)
@@ -222,7 +233,7 @@
             bounded = f"depth {most}"
             break
         depth += 1
-        chunks = (frontier[at:at + CHUNK] for at in range(0, len(frontier), CHUNK))
+        chunks = (frontier[at : at + CHUNK] for at in range(0, len(frontier), CHUNK))
         following, batch = list[Level](), list[Found]()
 
         def take_in(batch: list[Found], following: list[Level]) -> Fault | None:
@@ -237,6 +248,7 @@
                 places.append(one.place)
                 following.append(Level(len(parents) - 1, one.state))
             return None
+
         for more, found in expanding(chunks):
             edges += more
             batch += found
@@ -290,9 +302,17 @@
                 best = shorter(best, Fault(found[0], sentence, found[1], tuple(reversed(list(way)))))
                 break
         seen.add(marks)
-    return Result(model.name, len(seen), edges, deepest, time.monotonic() - started,
-                  seen.nbytes() / max(1, len(seen)), collision_chance(len(seen), options.bits),
-                  f"{walks} random walks of {length} steps", best)
+    return Result(
+        model.name,
+        len(seen),
+        edges,
+        deepest,
+        time.monotonic() - started,
+        seen.nbytes() / max(1, len(seen)),
+        collision_chance(len(seen), options.bits),
+        f"{walks} random walks of {length} steps",
+        best,
+    )
 
 
 def shorter(best: Fault | None, other: Fault) -> Fault:
--- a/ambershift/modelcheck/liveness.py
+++ b/ambershift/modelcheck/liveness.py
@@ -73,8 +73,12 @@
             continue
         classes = {fair for number in part for _, _, fair in graph.edges[number] if fair}
         taken = {edge[2] for _, edge in inside}
-        kept = [fair for fair in classes if fair not in taken and all(
-            any(edge[2] == fair for edge in graph.edges[number]) for number in part)]
+        kept = [
+            fair
+            for fair in classes
+            if fair not in taken
+            and all(any(edge[2] == fair for edge in graph.edges[number]) for number in part)
+        ]
         if not kept:
             start = min(part)
             best = nearer(best, (start, "it may go on like this for ever", cycle(graph, members, start)))
@@ -84,8 +88,9 @@
     return Verdict(len(graph.states), True, Fault(one.name, one.sentence, why, way(graph, number)), around)
 
 
-def nearer(best: tuple[int, str, tuple[int, ...]] | None, other: tuple[int, str, tuple[int, ...]]
-           ) -> tuple[int, str, tuple[int, ...]]:
+def nearer(
+    best: tuple[int, str, tuple[int, ...]] | None, other: tuple[int, str, tuple[int, ...]]
+) -> tuple[int, str, tuple[int, ...]]:
     return other if best is None or other[0] < best[0] else best  # Numbers go by distance from the beginning.
 
 
--- a/ambershift/modelcheck/models/admin.py
+++ b/ambershift/modelcheck/models/admin.py
@@ -62,15 +62,26 @@
     flips = sorted(
         (server, one.count, max(0, one.earliest() - now)) for server, one in desk.pace.flips.items()
     )
-    return repr((
-        sorted((server, wish[:3]) for server, wish in desk.world.standing.items()),
-        sorted((server, entry.phase) for server, entry in desk.world.listed.items()),
-        sorted(desk.world.lent.keys()), sorted(desk.told.items()), sorted(desk.urgent), waiting, flips,
-        sorted((server, now - at) for server, at in desk.pace.waiting.items()), sorted(desk.pace.held),
-        now - desk.pace.last if desk.pace.waiting else 0, desk.pace.gathered,
-        None if desk.lender.covered_since is None else min(now - desk.lender.covered_since, 10 * SECOND),
-        sorted((server, one.out, one.reply) for server, one in desk.mirror.picture.shut.items()),
-        desk.mirror.picture.reply, desk.mirror.picture.settled, desk.commands))
+    return repr(
+        (
+            sorted((server, wish[:3]) for server, wish in desk.world.standing.items()),
+            sorted((server, entry.phase) for server, entry in desk.world.listed.items()),
+            sorted(desk.world.lent.keys()),
+            sorted(desk.told.items()),
+            sorted(desk.urgent),
+            waiting,
+            flips,
+            sorted((server, now - at) for server, at in desk.pace.waiting.items()),
+            sorted(desk.pace.held),
+            now - desk.pace.last if desk.pace.waiting else 0,
+            desk.pace.gathered,
+            None if desk.lender.covered_since is None else min(now - desk.lender.covered_since, 10 * SECOND),
+            sorted((server, one.out, one.reply) for server, one in desk.mirror.picture.shut.items()),
+            desk.mirror.picture.reply,
+            desk.mirror.picture.settled,
+            desk.commands,
+        )
+    )
 
 
 def idle(world: World) -> bool:
@@ -133,8 +144,13 @@
     name = "admin"
     sentence = "the operator's desk: repeats, contrary words, a relay cut off, a list that loses servers"
     kind = World
-    properties = (an_accepted_command_is_never_lost, a_repeat_acts_once, commands_leave_no_proxy_with_nothing,
-                  the_lost_are_stood_in_for, what_is_shown_as_applied_is)
+    properties = (
+        an_accepted_command_is_never_lost,
+        a_repeat_acts_once,
+        commands_leave_no_proxy_with_nothing,
+        the_lost_are_stood_in_for,
+        what_is_shown_as_applied_is,
+    )
     depth = 12
     commands, losses, cuts = 3, 1, 1
 
@@ -197,20 +213,28 @@
         outcome = desk.command(world.now, "client", "a command", [Change(server, state=state)])
         name = f"client: wants server {server} {state.name.lower()}"
         if not isinstance(outcome, Accepted):
-            return Step(f"{name}, is refused: {outcome.reason.value}",
-                        self.after(world._replace(commands=world.commands - 1), desk))
+            return Step(
+                f"{name}, is refused: {outcome.reason.value}",
+                self.after(world._replace(commands=world.commands - 1), desk),
+            )
         flips, wishes = list(world.flips), list(world.wishes)
         flips[server] += wishes[server] != state
         wishes[server] = state
-        return Step(name, self.after(world._replace(
-            commands=world.commands - 1, flips=tuple(flips), wishes=tuple(wishes)), desk))
+        return Step(
+            name,
+            self.after(
+                world._replace(commands=world.commands - 1, flips=tuple(flips), wishes=tuple(wishes)), desk
+            ),
+        )
 
     def lists(self, world: World, server: int, phase: api.Phase) -> Step[World]:
         listed = list(world.listed)
         listed[server] = int(phase)
         event = api.Listed(False, False, (api.Entry(server, 0, phase, 1.0, 0),))
-        return Step(f"list: server {server} is {phase.name.lower()}",
-                    self.hears(world._replace(listed=tuple(listed)), load(world), event))
+        return Step(
+            f"list: server {server} is {phase.name.lower()}",
+            self.hears(world._replace(listed=tuple(listed)), load(world), event),
+        )
 
     def rings(self, world: World, desk: Desk) -> Step[World]:
         event = desk.due(world.now)
@@ -260,13 +284,23 @@
             desk.settled(outcome.settled)
         calls, replies = row.freeze()
         after = carried._replace(calls=calls, replies=replies)
-        wrong = [server for server in range(SERVERS) if desk.applied([server]) and world.wishes[server]
-                 and f"s{server}" not in after.held and server not in desk.world.lent]
+        wrong = [
+            server
+            for server in range(SERVERS)
+            if desk.applied([server])
+            and world.wishes[server]
+            and f"s{server}" not in after.held
+            and server not in desk.world.lent
+        ]
         if wrong:
-            after = after._replace(wrong=f"server {wrong[0]} shows as applied, the relay has {after.held} "
-                                         f"shut out")
+            after = after._replace(
+                wrong=f"server {wrong[0]} shows as applied, the relay has {after.held} shut out"
+            )
         yield Step(f"relay: carries out {';'.join(orders)}", self.after(after, desk), "relay")
 
     def show(self, world: World) -> list[str]:
-        return [f"{name}: {value}" for name, value in zip(world._fields, world, strict=True)
-                if name not in ("desk", "shape")]
+        return [
+            f"{name}: {value}"
+            for name, value in zip(world._fields, world, strict=True)
+            if name not in ("desk", "shape")
+        ]
--- a/ambershift/modelcheck/models/agreement.py
+++ b/ambershift/modelcheck/models/agreement.py
@@ -233,4 +233,3 @@
             if CALLS[call][0] == version and not same and what == TAKEN:
                 return world._replace(wrong=("one-content", f"call {call} is acknowledged, another seen"))
         return world
-
--- a/ambershift/modelcheck/models/attempt.py
+++ b/ambershift/modelcheck/models/attempt.py
@@ -95,15 +95,37 @@
     name = "attempt"
     sentence = "a flow's tries under all four ways and three kinds of repeat, with loss, delay and repetition"
     kind = World
-    properties = (no_slip_takes_effect_twice, deduped_takes_effect_once, no_more_tries_than_the_way_allows,
-                  never_after_it_may_have_run_unless_told)
-    liveness = (Liveness("every-flow-ends", "A flow is answered or given up in the end.",
-                         lambda world: world.phase in (WAITING, IDLE)),)
+    properties = (
+        no_slip_takes_effect_twice,
+        deduped_takes_effect_once,
+        no_more_tries_than_the_way_allows,
+        never_after_it_may_have_run_unless_told,
+    )
+    liveness = (
+        Liveness(
+            "every-flow-ends",
+            "A flow is answered or given up in the end.",
+            lambda world: world.phase in (WAITING, IDLE),
+        ),
+    )
     servers, changes, faults, everywhere = 2, 1, 1, True
 
     def initial(self) -> World:
-        return World(Repeat.RETRIABLE, Again.NEVER, BEGUN, Attempt(), -1, -1, 0, (),
-                     (Server(),) * self.servers, self.changes, self.faults, 0, "")
+        return World(
+            Repeat.RETRIABLE,
+            Again.NEVER,
+            BEGUN,
+            Attempt(),
+            -1,
+            -1,
+            0,
+            (),
+            (Server(),) * self.servers,
+            self.changes,
+            self.faults,
+            0,
+            "",
+        )
 
     def steps(self, world: World) -> Iterator[Step[World]]:
         if world.phase == BEGUN:
@@ -117,23 +139,31 @@
         if world.phase == IDLE:
             yield from self.tries_again(world)
         if world.phase == WAITING:
-            yield Step("proxy: waits no longer for the "
-                       "answer", self.fails(world, Evidence.MAY_HAVE_RUN), "ends")
+            yield Step(
+                "proxy: waits no longer for the answer", self.fails(world, Evidence.MAY_HAVE_RUN), "ends"
+            )
         for at, packet in enumerate(world.packets):
             yield from self.travels(world, at, packet)
         for at, one in enumerate(world.servers):
             if world.faults and one.phase == UP:
                 yield Step(f"server {at}: dies", self.dies(world, at))
-                yield Step(f"server {at}: drains", self.put(
-                    world._replace(faults=world.faults - 1), at, one._replace(phase=DRAINING)))
+                yield Step(
+                    f"server {at}: drains",
+                    self.put(world._replace(faults=world.faults - 1), at, one._replace(phase=DRAINING)),
+                )
         if world.changes and world.phase in (WAITING, IDLE):
             for again in Again:
                 if again != world.again:
-                    yield Step(f"coordinator: changes the table's way to {again.name}", world._replace(
-                        again=again, changes=world.changes - 1, free=max(world.free, again)))
+                    yield Step(
+                        f"coordinator: changes the table's way to {again.name}",
+                        world._replace(again=again, changes=world.changes - 1, free=max(world.free, again)),
+                    )
         # A try gets there within its way or never: connections of tries that were given up are closed.
-        if world.now < EXPIRY and world.phase in (WAITING, IDLE) and all(
-                one.back or one.age < WAY for one in world.packets):
+        if (
+            world.now < EXPIRY
+            and world.phase in (WAITING, IDLE)
+            and all(one.back or one.age < WAY for one in world.packets)
+        ):
             older = tuple(sorted(one._replace(age=min(WAY, one.age + 1)) for one in world.packets))
             yield Step("time: goes on", world._replace(now=world.now + 1, packets=older), "time")
 
@@ -145,8 +175,11 @@
         attempt = world.attempt.sent()
         after = world._replace(attempt=attempt, phase=WAITING, server=server, sent_at=world.now)
         if world.servers[server].phase == DEAD:
-            return Step(f"proxy: the flow {how} sent to server {server}, which refuses",
-                        self.fails(after, Evidence.NOT_RUN), "ends")
+            return Step(
+                f"proxy: the flow {how} sent to server {server}, which refuses",
+                self.fails(after, Evidence.NOT_RUN),
+                "ends",
+            )
         packets = tuple(sorted((*world.packets, Packet(server, attempt.tries, False))))
         return Step(f"proxy: the flow {how} sent to server {server}", after._replace(packets=packets), "ends")
 
@@ -155,19 +188,25 @@
         return world._replace(attempt=attempt, phase=IDLE)
 
     def tries_again(self, world: World) -> Iterator[Step[World]]:
-        may = [server for server in range(self.servers) if world.now < EXPIRY and world.attempt.may(
-            world.again, self.bearing(world), server, world.now)]
+        may = [
+            server
+            for server in range(self.servers)
+            if world.now < EXPIRY and world.attempt.may(world.again, self.bearing(world), server, world.now)
+        ]
         for server in may:
             step = self.sends(world, server, "is again")
             if world.attempt.first >= 0 and world.again <= Again.IF_NOT_RUN:
-                step = step._replace(state=step.state._replace(
-                    wrong=f"sent again under {world.again.name} after a try that may have run"))
+                step = step._replace(
+                    state=step.state._replace(
+                        wrong=f"sent again under {world.again.name} after a try that may have run"
+                    )
+                )
             yield step
         if not may:
             yield Step("proxy: gives the flow up", world._replace(phase=GIVEN_UP), "ends")
 
     def travels(self, world: World, at: int, packet: Packet) -> Iterator[Step[World]]:
-        rest = (*world.packets[:at], *world.packets[at + 1:])
+        rest = (*world.packets[:at], *world.packets[at + 1 :])
         less = world._replace(packets=rest)
         words = f"{'answer to' if packet.back else 'try'} {packet.number} of server {packet.server}"
         if packet.back and (packet.number != world.attempt.tries or world.phase != WAITING):
@@ -198,8 +237,10 @@
         if world.repeat is Repeat.DEDUPED and self.known(world, packet.server):
             return Step(f"server {packet.server}: knows {words} and answers as before", back)
         ran = server._replace(ran=server.ran + 1)
-        return Step(f"server {packet.server}: runs {words}", self.put(back, packet.server, ran._replace(
-            key_until=world.now + WINDOW)))
+        return Step(
+            f"server {packet.server}: runs {words}",
+            self.put(back, packet.server, ran._replace(key_until=world.now + WINDOW)),
+        )
 
     def known(self, world: World, server: int) -> bool:
         """Whether the key is known here: of a group that is everywhere, by what any server ran."""
@@ -210,7 +251,7 @@
         return self.put(world._replace(faults=world.faults - 1), at, world.servers[at]._replace(phase=DEAD))
 
     def put(self, world: World, at: int, server: Server) -> World:
-        return world._replace(servers=(*world.servers[:at], server, *world.servers[at + 1:]))
+        return world._replace(servers=(*world.servers[:at], server, *world.servers[at + 1 :]))
 
     def done(self, world: World) -> bool:
         return world.phase in (DONE, GIVEN_UP)
@@ -219,12 +260,16 @@
         """The two servers may change places."""
         yield world
         if self.servers == 2:
+
             def other(at: int) -> int:
                 return 1 - at if at >= 0 else at
+
             yield world._replace(
-                server=other(world.server), servers=world.servers[::-1],
+                server=other(world.server),
+                servers=world.servers[::-1],
                 attempt=world.attempt._replace(first=other(world.attempt.first)),
-                packets=tuple(sorted(one._replace(server=other(one.server)) for one in world.packets)))
+                packets=tuple(sorted(one._replace(server=other(one.server)) for one in world.packets)),
+            )
 
 
 class AttemptSmall(AttemptModel):
--- a/ambershift/modelcheck/models/collector.py
+++ b/ambershift/modelcheck/models/collector.py
@@ -100,7 +100,7 @@
                 yield self.waits(world, at, one)
 
     def put(self, world: World, at: int, one: Visitor) -> World:
-        return world._replace(visitors=(*world.visitors[:at], one, *world.visitors[at + 1:]))
+        return world._replace(visitors=(*world.visitors[:at], one, *world.visitors[at + 1 :]))
 
     def leaves(self, world: World, at: int) -> World:
         peers = self.peers(world)
@@ -137,9 +137,16 @@
 
     def heard(self, world: World, at: int, one: Visitor) -> World:
         """Something came of this one: of all other collectors nothing did."""
-        return world._replace(visitors=tuple(
-            one if other == at else each._replace(silent=min(each.silent + 1, self.visitors))
-            if each.what == COLLECTOR else each for other, each in enumerate(world.visitors)))
+        return world._replace(
+            visitors=tuple(
+                one
+                if other == at
+                else each._replace(silent=min(each.silent + 1, self.visitors))
+                if each.what == COLLECTOR
+                else each
+                for other, each in enumerate(world.visitors)
+            )
+        )
 
     def reports(self, world: World, at: int, one: Visitor) -> Step[World]:
         peers, conduct = self.peers(world), self.conduct(one)
@@ -152,8 +159,9 @@
         left = self.conduct(one).time_left(float(one.age + 1))
         older = one._replace(age=one.age + 1)
         if left is not None and left <= 0:
-            return Step(f"visitor {at}: waits a second and is "
-                        f"closed", self.leaves(self.put(world, at, older), at))
+            return Step(
+                f"visitor {at}: waits a second and is closed", self.leaves(self.put(world, at, older), at)
+            )
         return Step(f"visitor {at}: waits a second", self.put(world, at, older))
 
     def orbit(self, world: World) -> Iterable[World]:
@@ -161,8 +169,9 @@
         places = {one: at for at, one in enumerate(world.order)}
         back = sorted(range(self.visitors), key=lambda one: (world.visitors[one], places.get(one, -1)))
         names = {one: at for at, one in enumerate(back)}
-        yield World(tuple(world.visitors[one] for one in back), tuple(names[one] for one in world.order),
-                    world.wrong)
+        yield World(
+            tuple(world.visitors[one] for one in back), tuple(names[one] for one in world.order), world.wrong
+        )
 
 
 assert (
--- a/ambershift/modelcheck/models/consensus.py
+++ b/ambershift/modelcheck/models/consensus.py
@@ -18,6 +18,7 @@
 def broken(name: str, sentence: str) -> Property:
     def check(world: World) -> str | None:
         return world.wrong[1] if world.wrong[0] == name else None
+
     return Property(name, sentence, check)
 
 
@@ -32,8 +33,20 @@
     appends, calls, restarts, wipes, changes = 2, 2, 0, 1, 1
 
     def initial(self) -> World:
-        nothing = World((b"",) * 3, (_NO_ROWS,) * 3, (b"",) * 3, (), (), 0, self.appends, self.calls,
-                        self.restarts, self.wipes, self.changes, ("", ""))
+        nothing = World(
+            (b"",) * 3,
+            (_NO_ROWS,) * 3,
+            (b"",) * 3,
+            (),
+            (),
+            0,
+            self.appends,
+            self.calls,
+            self.restarts,
+            self.wipes,
+            self.changes,
+            ("", ""),
+        )
         table = Table(nothing)
         for place in PLACES:
             table.start(place)
@@ -60,8 +73,9 @@
                     table = Table(world)
                     if table.replica(place).voters.voting:
                         table.propose(place, ways)
-                        yield Step(f"{IPS[place]}: changes the voters; {name}",
-                                   table.done(changes=world.changes - 1))
+                        yield Step(
+                            f"{IPS[place]}: changes the voters; {name}", table.done(changes=world.changes - 1)
+                        )
             yield from self.catches_up(world, place)
         yield from self.starts_anew(world)
 
@@ -69,8 +83,10 @@
         if world.appends:
             table = Table(world)
             table.call(place, b"%08d" % world.appends, ways)
-            yield Step(f"{IPS[place]}: is asked to append {world.appends}; {name}",
-                       table.done(appends=world.appends - 1))
+            yield Step(
+                f"{IPS[place]}: is asked to append {world.appends}; {name}",
+                table.done(appends=world.appends - 1),
+            )
         if world.calls:
             table = Table(world)
             table.call(place, b"", ways)
@@ -80,9 +96,14 @@
     def behind(world: World) -> bool:
         """Whether a voter of the newest epoch has another disk."""
         table = Table(world)
-        newest = max((table.replica(place).voters.decision for place in PLACES
-                      if table.replica(place).voters.decision is not None),
-                     key=lambda one: one.epoch if one else 0)
+        newest = max(
+            (
+                table.replica(place).voters.decision
+                for place in PLACES
+                if table.replica(place).voters.decision is not None
+            ),
+            key=lambda one: one.epoch if one else 0,
+        )
         births = {ip: table.replica(at).voters.me.birth for at, ip in enumerate(IPS)}
         return newest is not None and any(births[one.ip] != one.birth for one in newest.members)
 
@@ -120,8 +141,9 @@
         """Whether the others are complete voters of the newest epoch, and no disk is lost yet."""
         table = Table(world)
         epochs = [table.replica(at).voters.epoch for at in PLACES]
-        return all(table.replica(at).voters.voting and epochs[at] == max(epochs) for at in PLACES
-                   if at != place)
+        return all(
+            table.replica(at).voters.voting and epochs[at] == max(epochs) for at in PLACES if at != place
+        )
 
     def show(self, world: World) -> list[str]:
         table = Table(world)
@@ -129,9 +151,11 @@
         for place in PLACES:
             replica = table.replica(place)
             record = replica._acceptor.record("list")
-            told.append(f"{IPS[place]}: epoch {replica.voters.epoch}, whole {replica.voters.whole}, "
-                        f"votes {replica.voters.voting}, promised {record.promised[0]}, accepted "
-                        f"{record.accepted[0]}, {record.value!r}")
+            told.append(
+                f"{IPS[place]}: epoch {replica.voters.epoch}, whole {replica.voters.whole}, "
+                f"votes {replica.voters.voting}, promised {record.promised[0]}, accepted "
+                f"{record.accepted[0]}, {record.value!r}"
+            )
         return [*told, f"told: {world.told}; refused: {world.refused}"]
 
 
--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -24,8 +24,18 @@
 PLACES = range(len(IPS))
 LIST = "list"
 # What the drop of time, beats and words of third ones leaves: the register, its voters, and copies.
-CARRIED = (copies.Prepare, copies.Promise, copies.Accept, copies.Agreed, copies.Refused, copies.Lacking,
-           copies.Confirm, copies.Ask, copies.Share, Decision)
+CARRIED = (
+    copies.Prepare,
+    copies.Promise,
+    copies.Accept,
+    copies.Agreed,
+    copies.Refused,
+    copies.Lacking,
+    copies.Confirm,
+    copies.Ask,
+    copies.Share,
+    Decision,
+)
 Ways = frozenset[tuple[int, int]]
 ALL: Ways = frozenset((one, other) for one in PLACES for other in PLACES if one != other)
 Rows = dict[str, dict[str, bytes]]
@@ -55,10 +65,24 @@
 
 
 def settings(place: int) -> Local:
-    return Local(file="", name=IPS[place], machine_class="core", ip=IPS[place], zone=f"z{place}",
-                 region=f"r{place}", counted=True, initial=True, folder="-", internal=(1, 2),
-                 seeds=tuple(f"{ip}:1" for ip in IPS), listen={}, zones={}, heartbeat=1.5,
-                 tolerated=(1, 1, 1), bounds=Bounds())
+    return Local(
+        file="",
+        name=IPS[place],
+        machine_class="core",
+        ip=IPS[place],
+        zone=f"z{place}",
+        region=f"r{place}",
+        counted=True,
+        initial=True,
+        folder="-",
+        internal=(1, 2),
+        seeds=tuple(f"{ip}:1" for ip in IPS),
+        listen={},
+        zones={},
+        heartbeat=1.5,
+        tolerated=(1, 1, 1),
+        bounds=Bounds(),
+    )
 
 
 class Caller:
@@ -136,7 +160,7 @@
         outcome = self.outcome
         if isinstance(outcome, Held):
             ids = tuple(outcome.result)
-            if ids[:len(self.told)] != self.told:
+            if ids[: len(self.told)] != self.told:
                 self.wrong = "one-order", f"told {ids} after {self.told}"
             elif len(set(ids)) != len(ids):
                 self.wrong = "one-order", f"twice in {ids}"
@@ -175,8 +199,15 @@
             if (found := self.replicas[place]) is not None:
                 members[place], sums[place] = pickle.dumps(found), _sum(found)
         return self.world._replace(
-            members=tuple(members), disks=tuple(disks), sums=tuple(sums), starts=self.starts, told=self.told,
-            refused=tuple(sorted(self.refused)), wrong=self.wrong, **left)
+            members=tuple(members),
+            disks=tuple(disks),
+            sums=tuple(sums),
+            starts=self.starts,
+            told=self.told,
+            refused=tuple(sorted(self.refused)),
+            wrong=self.wrong,
+            **left,
+        )
 
 
 def _sorted(rows: Rows) -> Rows:
@@ -187,14 +218,32 @@
     """All that this process may act on once time has passed; not its round numbers and counts of time."""
     voters = replica.voters
     registers = replica._proposer._registers
-    return msgspec.msgpack.encode([
-        voters.decision, voters.whole, voters.me.birth, replica._proposer._life,
-        sorted(replica._acceptor.records.items()),
-        [(name, one.counter, one.lease and (one.lease.epoch, one.lease.ballot, one.lease.accepted,
-                                            one.lease.origin, one.lease.value))
-         for name, one in sorted(registers.items())],
-        [repr(one) for one in replica._held],
-        [(one.kind, sorted(one.asked), sorted(one.yes)) for one in replica._syncing._sessions]])
+    return msgspec.msgpack.encode(
+        [
+            voters.decision,
+            voters.whole,
+            voters.me.birth,
+            replica._proposer._life,
+            sorted(replica._acceptor.records.items()),
+            [
+                (
+                    name,
+                    one.counter,
+                    one.lease
+                    and (
+                        one.lease.epoch,
+                        one.lease.ballot,
+                        one.lease.accepted,
+                        one.lease.origin,
+                        one.lease.value,
+                    ),
+                )
+                for name, one in sorted(registers.items())
+            ],
+            [repr(one) for one in replica._held],
+            [(one.kind, sorted(one.asked), sorted(one.yes)) for one in replica._syncing._sessions],
+        ]
+    )
 
 
 __all__ = ["ALL", "IPS", "PLACES", "Decision", "Table", "Ways", "World", "partial"]
--- a/ambershift/modelcheck/models/news.py
+++ b/ambershift/modelcheck/models/news.py
@@ -66,16 +66,32 @@
 
 def freeze(machine: Compared) -> Held:
     frozen = machine.freeze()
-    first, second = (Stream(one.view, one.level, tuple(map(line_of, one.ahead)),
-                            tuple(map(line_of, one.stated)), one.old, one.old_stated)
-                     for one in frozen.streams)
+    first, second = (
+        Stream(
+            one.view,
+            one.level,
+            tuple(map(line_of, one.ahead)),
+            tuple(map(line_of, one.stated)),
+            one.old,
+            one.old_stated,
+        )
+        for one in frozen.streams
+    )
     return Held(frozen.joined, (first, second))
 
 
 def thaw(machine: Compared, held: Held) -> None:
-    first, second = (FrozenStream(one.view, one.level, tuple(line.news() for line in one.ahead),
-                                  tuple(line.news() for line in one.stated), one.old, one.old_stated)
-                     for one in held.streams)
+    first, second = (
+        FrozenStream(
+            one.view,
+            one.level,
+            tuple(line.news() for line in one.ahead),
+            tuple(line.news() for line in one.stated),
+            one.old,
+            one.old_stated,
+        )
+        for one in held.streams
+    )
     machine.thaw(Frozen(held.joined, (first, second)))
 
 
@@ -116,7 +132,8 @@
 
 def quiet(world: World) -> bool:
     return all(one.up and not one.lines for one in world.connections) and all(
-        stream.level for stream in world.held.streams)
+        stream.level for stream in world.held.streams
+    )
 
 
 @prop
@@ -167,8 +184,15 @@
 
     def initial(self) -> World:
         compared = Compared(lambda news: True)
-        return World((Proxy(),) * self.proxies, (Connection(False, ()),) * 2, freeze(compared),
-                     self.joins, self.breaks, self.acks, False)
+        return World(
+            (Proxy(),) * self.proxies,
+            (Connection(False, ()),) * 2,
+            freeze(compared),
+            self.joins,
+            self.breaks,
+            self.acks,
+            False,
+        )
 
     def steps(self, world: World) -> Iterator[Step[World]]:
         for at, one in enumerate(world.proxies):
@@ -185,8 +209,10 @@
             # Assumed: what the relay wrote before a sign of life has been read when the next one comes, a
             # second later. A connection that lags for longer may tell an answer twice.
             if not connection.lines:
-                yield Step(f"relay: gives a sign of life on connection {place}",
-                           self.write(world, Line("sign"), (place,)))
+                yield Step(
+                    f"relay: gives a sign of life on connection {place}",
+                    self.write(world, Line("sign"), (place,)),
+                )
             if world.breaks:
                 yield self.breaks_off(world, place)
 
@@ -200,19 +226,31 @@
         )
         if not one.joined and world.joins and not unread:
             after = one._replace(joined=True, fresh=True, joins=one.joins + 1, due=True)
-            yield Step(f"proxy {at}: joins", self.write(
-                self.put(world._replace(joins=world.joins - 1), at, after), Line("hello", at, 0, True)))
+            yield Step(
+                f"proxy {at}: joins",
+                self.write(
+                    self.put(world._replace(joins=world.joins - 1), at, after), Line("hello", at, 0, True)
+                ),
+            )
         if one.joined:
-            yield Step(f"proxy {at}: leaves", self.write(
-                self.put(world, at, one._replace(joined=False, leaves=one.leaves + 1)), Line("bye", at)))
+            yield Step(
+                f"proxy {at}: leaves",
+                self.write(
+                    self.put(world, at, one._replace(joined=False, leaves=one.leaves + 1)), Line("bye", at)
+                ),
+            )
         # It answers marks of ours only, so only while we know it.
         if one.joined and world.acks and any(hello.proxy == at for hello in world.held.joined):
             after = one._replace(fresh=False, acks=one.acks + 1)
-            yield Step(f"proxy {at}: answers a mark", self.write(
-                self.put(world._replace(acks=world.acks - 1), at, after), Line("ack", at, world.acks)))
+            yield Step(
+                f"proxy {at}: answers a mark",
+                self.write(
+                    self.put(world._replace(acks=world.acks - 1), at, after), Line("ack", at, world.acks)
+                ),
+            )
 
     def put(self, world: World, at: int, proxy: Proxy) -> World:
-        return world._replace(proxies=(*world.proxies[:at], proxy, *world.proxies[at + 1:]))
+        return world._replace(proxies=(*world.proxies[:at], proxy, *world.proxies[at + 1 :]))
 
     def write(self, world: World, line: Line, places: tuple[int, ...] = (0, 1)) -> World:
         sole = line.kind != "sign" and not all(one.up for one in world.connections)
@@ -230,6 +268,7 @@
         def tell(news: codec.News) -> bool:
             told.append(news)
             return True
+
         machine = Compared(tell)
         thaw(machine, world.held)
         return machine
@@ -248,8 +287,10 @@
         after = self.set_connection(world, place, connection._replace(lines=connection.lines[1:]))
         after = after._replace(held=freeze(machine))
         words = ", ".join(type(news).__name__.lower() for news in told) or "nothing new"
-        return Step(f"coordinator: hears {connection.lines[0].kind} on {place} and tells {words}",
-                    self.count(after, told))
+        return Step(
+            f"coordinator: hears {connection.lines[0].kind} on {place} and tells {words}",
+            self.count(after, told),
+        )
 
     def count(self, after: World, told: list[codec.News]) -> World:
         for news in told:
@@ -269,15 +310,20 @@
         told = list[codec.News]()
         machine = self.machine(world, told)
         machine.end(place)
-        after = self.set_connection(world._replace(breaks=world.breaks - 1, held=freeze(machine)), place,
-                                    Connection(False, ()))
+        after = self.set_connection(
+            world._replace(breaks=world.breaks - 1, held=freeze(machine)), place, Connection(False, ())
+        )
         other = world.connections[1 - place]
-        after = self.set_connection(after, 1 - place, other._replace(lines=tuple(
-            line._replace(sole=line.kind != "sign") for line in other.lines)))
+        after = self.set_connection(
+            after,
+            1 - place,
+            other._replace(lines=tuple(line._replace(sole=line.kind != "sign") for line in other.lines)),
+        )
         lost = world.connections[place].lines
         after = after._replace(gap=after.gap or any(line.sole for line in lost))
-        return Step(f"network: breaks connection {place}, {len(lost)} lines lost",
-                    self.gap(self.count(after, told)))
+        return Step(
+            f"network: breaks connection {place}, {len(lost)} lines lost", self.gap(self.count(after, told))
+        )
 
     def gap(self, world: World) -> World:
         """At the beginning nothing has been told yet, so nothing can have been missed."""
@@ -289,8 +335,9 @@
         """The two connections are alike; proxies are told apart, as the first are asked first."""
         first, second = world.connections
         one, other = world.held.streams
-        return world, world._replace(connections=(second, first),
-                                     held=world.held._replace(streams=(other, one)))
+        return world, world._replace(
+            connections=(second, first), held=world.held._replace(streams=(other, one))
+        )
 
 
 class NewsSmall(NewsModel):
--- a/ambershift/modelcheck/models/permits.py
+++ b/ambershift/modelcheck/models/permits.py
@@ -24,8 +24,9 @@
 from ambershift.replication.words import Entry
 
 START = int(datetime(2026, 12, 2, 3, 0, tzinfo=UTC).timestamp()) * SECOND
-LIMITS = Limits(clock_bound=SECOND, drain=4 * SECOND, warm=SECOND, silent=3600 * SECOND, again=0,
-                missing=2 * SECOND)
+LIMITS = Limits(
+    clock_bound=SECOND, drain=4 * SECOND, warm=SECOND, silent=3600 * SECOND, again=0, missing=2 * SECOND
+)
 CLOCKS = (-SECOND, SECOND, 0)  # How far each member's is ahead of true time; the first two may lead.
 LEADERS = (0, 1)
 TICKS = (7 * SECOND, 11 * SECOND)
@@ -33,12 +34,25 @@
 TAKES = 6 * SECOND
 SERVERS = ("s0", "s1")
 MACHINE = PromisesMachine()
-DECLARED = Declared(1, (Tenant("t", (), (), (), Agreement(0.5, 1, 0, ()), (
-    Window("night", "FREQ=DAILY", "2026-12-01T02:00:00", 10 * 3600 * SECOND, "UTC"),)),),
-    (Work("kernel", SERVERS, TAKES, START + 5 * 3600 * SECOND, 0),))
+DECLARED = Declared(
+    1,
+    (
+        Tenant(
+            "t",
+            (),
+            (),
+            (),
+            Agreement(0.5, 1, 0, ()),
+            (Window("night", "FREQ=DAILY", "2026-12-01T02:00:00", 10 * 3600 * SECOND, "UTC"),),
+        ),
+    ),
+    (Work("kernel", SERVERS, TAKES, START + 5 * 3600 * SECOND, 0),),
+)
 # The second leader has seen s1 interfered with, so that the two choose differently.
-STANDINGS = tuple({name: Standing(name, "z", 1.0, None, 0, worse * (name == "s1")) for name in SERVERS}
-                  for worse in (0.0, 0.4))
+STANDINGS = tuple(
+    {name: Standing(name, "z", 1.0, None, 0, worse * (name == "s1")) for name in SERVERS}
+    for worse in (0.0, 0.4)
+)
 spans = dict[str, Any]()  # The openings, read once.
 
 
@@ -96,8 +110,9 @@
         for permit_id in known(world, member).permits:
             if permit_id in state.permits and state.permits[permit_id].permit.server not in mine:
                 let_in.setdefault(permit_id, set()).add(name)
-    ahead = {f"n{other}": Steers(1, world.clocks[other] - world.clocks[member], 0)
-             for other in range(len(CLOCKS))}
+    ahead = {
+        f"n{other}": Steers(1, world.clocks[other] - world.clocks[member], 0) for other in range(len(CLOCKS))
+    }
     return Heard(tuple(ahead), ahead, drained, let_in)
 
 
@@ -127,8 +142,21 @@
 
     def initial(self) -> World:
         state, _ = MACHINE.apply(EMPTY, Entry(1, 1, START, "", encode(Declare(DECLARED))))
-        return World(START, (promised.pack(state),), (0,) * 3, CLOCKS, (Mind(),) * 2, (), (), (),
-                     self.crashes, self.repeats, self.ticks, self.jumps, ("", ""))
+        return World(
+            START,
+            (promised.pack(state),),
+            (0,) * 3,
+            CLOCKS,
+            (Mind(),) * 2,
+            (),
+            (),
+            (),
+            self.crashes,
+            self.repeats,
+            self.ticks,
+            self.jumps,
+            ("", ""),
+        )
 
     def key(self, world: World) -> Any:
         """Of the log what somebody may still learn."""
@@ -144,20 +172,25 @@
                 minds = tuple(Mind() if one == member else mind for one, mind in enumerate(world.minds))
                 yield Step(f"n{member}: starts anew", world._replace(minds=minds, crashes=world.crashes - 1))
         for at, command in enumerate(world.wire):
-            left = world.wire[:at] + world.wire[at + 1:]
+            left = world.wire[:at] + world.wire[at + 1 :]
             yield Step(f"log: takes {decode(command)}", self.lands(world._replace(wire=left), command))
             if world.repeats:
-                yield Step(f"log: takes {decode(command)}, to come again",
-                           self.lands(world._replace(repeats=world.repeats - 1), command))
+                yield Step(
+                    f"log: takes {decode(command)}, to come again",
+                    self.lands(world._replace(repeats=world.repeats - 1), command),
+                )
         for member, knows in enumerate(world.knows):
             if knows < len(world.states) - 1 and (member in LEADERS or self.third_learns):
-                knew = tuple(len(world.states) - 1 if one == member else old
-                             for one, old in enumerate(world.knows))
+                knew = tuple(
+                    len(world.states) - 1 if one == member else old for one, old in enumerate(world.knows)
+                )
                 yield Step(f"n{member}: learns all", looked(world._replace(knows=knew)))
         if world.ticks:
             for tick in TICKS:
-                yield Step(f"time: {tick // SECOND} s",
-                           looked(world._replace(at=world.at + tick, ticks=world.ticks - 1)))
+                yield Step(
+                    f"time: {tick // SECOND} s",
+                    looked(world._replace(at=world.at + tick, ticks=world.ticks - 1)),
+                )
         if world.jumps:
             clocks = (world.clocks[0], world.clocks[1] + JUMP, world.clocks[2])
             yield Step("n1: its clock is set ahead", looked(world._replace(clocks=clocks, jumps=0)))
@@ -173,8 +206,12 @@
         after = world._replace(minds=minds)
         if not commands:
             if (name := self.forgotten(world, member, state)) is not None:
-                yield Step(f"n{member}: does nothing", after._replace(wrong=(
-                    "never-forgotten-out", f"{name} ended long ago, and n{member} leaves it")))
+                yield Step(
+                    f"n{member}: does nothing",
+                    after._replace(
+                        wrong=("never-forgotten-out", f"{name} ended long ago, and n{member} leaves it")
+                    ),
+                )
             elif minds != world.minds:
                 yield Step(f"n{member}: looks, and does nothing", after)
             return
@@ -193,8 +230,14 @@
         if world.knows[member] < len(world.states) - 1 or apart(world, member) or world.minds[member].sent:
             return None
         over = LIMITS.warm + LIMITS.missing + 2 * LIMITS.clock_bound
-        return next((name for name, one in state.permits.items()
-                     if world.at + world.clocks[member] > LIMITS.let_in(one.permit.ends) + over), None)
+        return next(
+            (
+                name
+                for name, one in state.permits.items()
+                if world.at + world.clocks[member] > LIMITS.let_in(one.permit.ends) + over
+            ),
+            None,
+        )
 
     def lands(self, world: World, command: bytes) -> World:
         """It stands in the log, for whoever learns of it."""
@@ -214,8 +257,9 @@
                 wrong = "never-drained-twice", f"{name} is granted while the server is out"
         if promised.pack(after) == world.states[-1]:
             return world
-        world = world._replace(states=world.states + (promised.pack(after),), grants=grants, done=done,
-                               wrong=wrong)
+        world = world._replace(
+            states=world.states + (promised.pack(after),), grants=grants, done=done, wrong=wrong
+        )
         if not self.third_learns:
             world = looked(world._replace(knows=(*world.knows[:2], len(world.states) - 1)))
         return world
@@ -223,10 +267,14 @@
     def show(self, world: World) -> list[str]:
         told = [f"true time: {(world.at - START) / SECOND:g} s; on its way: {len(world.wire)}"]
         for member in range(len(CLOCKS)):
-            open_ones = [f"{name} {held.permit.phase.name.lower()} to {(held.permit.ends - START) / SECOND:g}"
-                         for name, held in sorted(known(world, member).permits.items())]
-            told.append(f"n{member}: knows {', '.join(open_ones) or 'no permit'}; keeps out "
-                        f"{' '.join(held_by(world, member)) or 'nothing'}")
+            open_ones = [
+                f"{name} {held.permit.phase.name.lower()} to {(held.permit.ends - START) / SECOND:g}"
+                for name, held in sorted(known(world, member).permits.items())
+            ]
+            told.append(
+                f"n{member}: knows {', '.join(open_ones) or 'no permit'}; keeps out "
+                f"{' '.join(held_by(world, member)) or 'nothing'}"
+            )
         return told
 
 
--- a/ambershift/modelcheck/models/policy.py
+++ b/ambershift/modelcheck/models/policy.py
@@ -79,8 +79,11 @@
 
 
 def reached(world: World, table: int) -> list[int]:
-    return [server for one, server, weight in world.held.tables
-            if one == table and weight and server not in world.held.shut]
+    return [
+        server
+        for one, server, weight in world.held.tables
+        if one == table and weight and server not in world.held.shut
+    ]
 
 
 @prop
@@ -141,9 +144,23 @@
 
     def initial(self) -> World:
         module = TableManager()
-        world = World(b"", START, 0, (False,) * self.proxies, (int(api.Phase.READY),) * self.servers,
-                      (0,) * self.servers, (-1,) * self.servers, (-1,) * self.proxies,
-                      Held((), (), (-1,) * self.proxies), 0.0, 0.0, ((),) * self.proxies, (), 0.0, 0)
+        world = World(
+            b"",
+            START,
+            0,
+            (False,) * self.proxies,
+            (int(api.Phase.READY),) * self.servers,
+            (0,) * self.servers,
+            (-1,) * self.servers,
+            (-1,) * self.proxies,
+            Held((), (), (-1,) * self.proxies),
+            0.0,
+            0.0,
+            ((),) * self.proxies,
+            (),
+            0.0,
+            0,
+        )
         entries = tuple(self.entry(world, server) for server in range(self.servers))
         return self.tell(world, module, [api.Born(7, TERMS), api.Listed(True, True, entries)])
 
@@ -160,8 +177,10 @@
     def steps(self, world: World) -> Iterator[Step[World]]:
         for at, joined in enumerate(world.joined):
             event: api.Event = api.Left(at) if joined else api.Joined(at, at % TERMS.zones, 5.0, True)
-            yield Step(f"proxy {at}: {'leaves' if joined else 'joins'}", self.tell(
-                world._replace(joined=changed(world.joined, at, not joined)), None, [event]))
+            yield Step(
+                f"proxy {at}: {'leaves' if joined else 'joins'}",
+                self.tell(world._replace(joined=changed(world.joined, at, not joined)), None, [event]),
+            )
         for server in range(self.servers):
             for phase in api.Phase:
                 if phase != world.phase[server]:
@@ -169,9 +188,13 @@
         for bad in (False, True):
             mets: list[api.Event] = [
                 api.Met(at % TERMS.zones, server, 10, 10 if bad and not server else 0, 50_000_000, SECOND, ())
-                for at in range(self.proxies) for server in range(self.servers)]
-            yield Step(f"reports: server 0 does {'badly' if bad else 'well'}, and a beat passes",
-                       self.beats(world, 1, mets))
+                for at in range(self.proxies)
+                for server in range(self.servers)
+            ]
+            yield Step(
+                f"reports: server 0 does {'badly' if bad else 'well'}, and a beat passes",
+                self.beats(world, 1, mets),
+            )
         yield Step("time: two seconds pass", self.beats(world, 20, []), "time")
 
     def lists(self, world: World, server: int, phase: api.Phase) -> Step[World]:
@@ -179,10 +202,16 @@
         after = world._replace(
             phase=changed(world.phase, server, int(phase)),
             since=changed(world.since, server, world.now) if back else world.since,
-            gone_at=changed(world.gone_at, server, -1 if back else
-                            world.gone_at[server] if world.gone_at[server] >= 0 else world.now))
-        return Step(f"list: server {server} is {phase.name.lower()}", self.tell(
-            after, None, [api.Listed(False, False, (self.entry(after, server),))]))
+            gone_at=changed(
+                world.gone_at,
+                server,
+                -1 if back else world.gone_at[server] if world.gone_at[server] >= 0 else world.now,
+            ),
+        )
+        return Step(
+            f"list: server {server} is {phase.name.lower()}",
+            self.tell(after, None, [api.Listed(False, False, (self.entry(after, server),))]),
+        )
 
     def beats(self, world: World, count: int, events: list[api.Event]) -> World:
         module: TableManager = pickle.loads(world.module)
@@ -190,7 +219,7 @@
             waiting = max(0.0, world.waiting - TERMS.lines_per_s * BEAT / SECOND)
             world = world._replace(now=world.now + BEAT, waiting=waiting)
             left = [one for one in world.marks if one[0] <= world.written - waiting]
-            world = world._replace(marks=world.marks[len(left):])
+            world = world._replace(marks=world.marks[len(left) :])
             answers = [api.Applied(mark, SECOND, at) for _, mark, at in left]
             world = self.tell(world, module, [api.Due(world.token), *answers, *events])
             events = []
@@ -232,8 +261,9 @@
                     continue
             for at in users:
                 lines[at] += 1
-        held = Held(tuple(sorted((*key, weight) for key, weight in tables.items())), tuple(sorted(shut)),
-                    tuple(bound))
+        held = Held(
+            tuple(sorted((*key, weight) for key, weight in tables.items())), tuple(sorted(shut)), tuple(bound)
+        )
         world = world._replace(held=held, token=token, again=again, module=pickle.dumps(module))
         return self.account(world, lines, mark)
 
@@ -253,13 +283,20 @@
                 bare[at] = -1
             elif bare[at] < 0:
                 bare[at] = world.now
-        return world._replace(waiting=waiting, written=written, messages=tuple(messages), marks=tuple(marks),
-                              bare_at=tuple(bare), most=max(world.most, waiting))
+        return world._replace(
+            waiting=waiting,
+            written=written,
+            messages=tuple(messages),
+            marks=tuple(marks),
+            bare_at=tuple(bare),
+            most=max(world.most, waiting),
+        )
 
     def show(self, world: World) -> list[str]:
-        return [f"{name}: "
-                f"{value}" for name, value in zip(world._fields, world, strict=True) if name != "module"]
+        return [
+            f"{name}: {value}" for name, value in zip(world._fields, world, strict=True) if name != "module"
+        ]
 
 
 def changed(values: tuple[Any, ...], at: int, value: Any) -> tuple[Any, ...]:
-    return (*values[:at], value, *values[at + 1:])
+    return (*values[:at], value, *values[at + 1 :])
