--- a/ambershift/modelcheck/models/replication.py
+++ b/ambershift/modelcheck/models/replication.py
@@ -34,6 +34,7 @@
 def broken(name: str, sentence: str) -> Property:
     def check(world: World) -> str | None:
         return world.wrong[1] if world.wrong[0] == name else None
+
     return Property(name, sentence, check)
 
 
@@ -53,13 +54,28 @@
 
     def initial(self) -> World:
         thawed.clear()  # A broken variant is not to find what the real machine made.
-        nothing = World((b"",) * 3, (packed(()),) * 3, (0,) * 3, (), (), (), (), 0, self.writes, self.reads,
-                        self.calls, self.restarts, self.lates, ("", ""))
+        nothing = World(
+            (b"",) * 3,
+            (packed(()),) * 3,
+            (0,) * 3,
+            (),
+            (),
+            (),
+            (),
+            0,
+            self.writes,
+            self.reads,
+            self.calls,
+            self.restarts,
+            self.lates,
+            ("", ""),
+        )
         table = Table(nothing, self.folders)
         for place in PLACES:
             table.starts += 1
-            table.replicas[place] = Replica(VOTERS[place], VOTERS, (), MACHINE, place, table.starts, None,
-                                            self.folders, QUIET, 0)
+            table.replicas[place] = Replica(
+                VOTERS[place], VOTERS, (), MACHINE, place, table.starts, None, self.folders, QUIET, 0
+            )
         for place in (0, 1, 2, 0, 0):  # Born; the last calls tell all what is committed.
             table.does(place, its_time)
             table.exchange(ALL)
@@ -82,12 +98,14 @@
         for place in PLACES:
             if world.calls:
                 for name, ways in self.ways(place):
-                    for late in (False, True)[:1 + bool(world.lates)]:
+                    for late in (False, True)[: 1 + bool(world.lates)]:
                         table = Table(world, self.folders)
                         table.does(place, its_time)
                         table.exchange(ways, late)
-                        yield Step(f"{VOTERS[place]}: its time has come; {name}{', the rest late' * late}",
-                                   table.done(calls=world.calls - 1, lates=world.lates - late))
+                        yield Step(
+                            f"{VOTERS[place]}: its time has come; {name}{', the rest late' * late}",
+                            table.done(calls=world.calls - 1, lates=world.lates - late),
+                        )
             if world.writes:
                 yield from self.write(world, place)
             if world.reads:
@@ -96,8 +114,9 @@
                     table.wants.append(Want(100 + world.reads, "", world.acked))
                     table.does(place, partial(Replica.read, now=0, ticket=100 + world.reads, until=LONG))
                     table.exchange(ways)
-                    yield Step(f"{VOTERS[place]}: is asked to read; {name}",
-                               table.done(reads=world.reads - 1))
+                    yield Step(
+                        f"{VOTERS[place]}: is asked to read; {name}", table.done(reads=world.reads - 1)
+                    )
         if world.restarts:
             yield from self.starts_anew(world)
 
@@ -112,14 +131,26 @@
                     table.unsynced = unsynced
                     table.wants.append(Want(ticket, token, ()))
                     command = b"a=" + token.encode()
-                    table.does(place, partial(Replica.submit, now=0, at=0, ticket=ticket, token=token,
-                                              command=command, until=LONG))
+                    table.does(
+                        place,
+                        partial(
+                            Replica.submit,
+                            now=0,
+                            at=0,
+                            ticket=ticket,
+                            token=token,
+                            command=command,
+                            until=LONG,
+                        ),
+                    )
                     table.exchange(ways)
                     if unsynced >= 0 and not table.died:
                         continue
                     died = f", {VOTERS[unsynced]} dies before its disk has it" if table.died else ""
-                    yield Step(f"{VOTERS[place]}: is asked to write {token}; {name}{died}",
-                               table.done(writes=world.writes - 1, restarts=world.restarts - table.died))
+                    yield Step(
+                        f"{VOTERS[place]}: is asked to write {token}; {name}{died}",
+                        table.done(writes=world.writes - 1, restarts=world.restarts - table.died),
+                    )
 
     def starts_anew(self, world: World) -> Iterator[Step[World]]:
         now = Table(world, self.folders)
@@ -129,8 +160,10 @@
                 continue
             table = Table(world, self.folders)
             table.start(place, self.folders)
-            yield Step(f"{VOTERS[place]}: starts anew with {'its folder' if self.folders else 'nothing'}",
-                       table.done(restarts=world.restarts - 1))
+            yield Step(
+                f"{VOTERS[place]}: starts anew with {'its folder' if self.folders else 'nothing'}",
+                table.done(restarts=world.restarts - 1),
+            )
             if self.folders and len(table.folder(place)) > 1:
                 table = Table(world, True)
                 table.folder(place).pop()
@@ -138,8 +171,10 @@
                 # What it lacks is known only by the others: the first that it says must reach them.
                 table.does(place, its_time)
                 table.exchange(ALL)
-                yield Step(f"{VOTERS[place]}: starts anew with an older folder; all hear",
-                           table.done(restarts=world.restarts - 1))
+                yield Step(
+                    f"{VOTERS[place]}: starts anew with an older folder; all hear",
+                    table.done(restarts=world.restarts - 1),
+                )
 
     def late(self, world: World) -> Iterator[Step[World]]:
         for at, letter in enumerate(world.mail):
@@ -149,20 +184,28 @@
                 message = pickle.loads(letter.message)
                 table.hear(letter.sender, letter.to, message)
                 table.exchange(ways)
-                yield Step(f"{VOTERS[letter.to]}: hears late {type(message).__name__} of "
-                           f"{VOTERS[letter.sender]}; {name}", table.done())
+                yield Step(
+                    f"{VOTERS[letter.to]}: hears late {type(message).__name__} of "
+                    f"{VOTERS[letter.sender]}; {name}",
+                    table.done(),
+                )
 
     def show(self, world: World) -> list[str]:
         table = Table(world, self.folders)
         told = []
         for place in PLACES:
             core = table.replica(place).core
-            entries = " ".join(f"{one.number}:{one.token.split(':')[0] or '-'}@{one.view}"
-                               for one in core.log.entries)
-            told.append(f"{VOTERS[place]}: {core.status.value}, view {core.view}, incarnation "
-                        f"{core.incarnation}, committed {core.committed} of {entries}")
-        told.append(f"acknowledged: {' '.join(world.acked) or 'nothing'}; waiting: "
-                    f"{' '.join(one.token or 'read' for one in world.wants) or 'nobody'}")
+            entries = " ".join(
+                f"{one.number}:{one.token.split(':')[0] or '-'}@{one.view}" for one in core.log.entries
+            )
+            told.append(
+                f"{VOTERS[place]}: {core.status.value}, view {core.view}, incarnation "
+                f"{core.incarnation}, committed {core.committed} of {entries}"
+            )
+        told.append(
+            f"acknowledged: {' '.join(world.acked) or 'nothing'}; waiting: "
+            f"{' '.join(one.token or 'read' for one in world.wants) or 'nobody'}"
+        )
         return told
 
 
--- a/ambershift/modelcheck/models/replication_table.py
+++ b/ambershift/modelcheck/models/replication_table.py
@@ -138,9 +138,17 @@
         for place, writes in self.folders.items():
             folders[place] = packed(tuple(writes))
         return self.world._replace(
-            members=tuple(members), folders=tuple(folders), forgot=tuple(self.forgot), mail=tuple(self.mail),
-            log=tuple(self.log), acked=tuple(self.acked), wants=tuple(self.wants), starts=self.starts,
-            wrong=self.wrong, **changes)
+            members=tuple(members),
+            folders=tuple(folders),
+            forgot=tuple(self.forgot),
+            mail=tuple(self.mail),
+            log=tuple(self.log),
+            acked=tuple(self.acked),
+            wants=tuple(self.wants),
+            starts=self.starts,
+            wrong=self.wrong,
+            **changes,
+        )
 
     def fails(self, name: str, why: str) -> None:
         self.wrong = self.wrong if self.wrong[0] else (name, why)
@@ -154,7 +162,7 @@
             elif isinstance(effect, Write):
                 if place == self.unsynced:
                     # What does not wait for the disk has left by then.
-                    self.carry(place, [one for one in effects[at + 1:] if isinstance(one, Send)])
+                    self.carry(place, [one for one in effects[at + 1 :] if isinstance(one, Send)])
                     self.died, self.unsynced = True, -1
                     self.start(place, True)
                     return
@@ -180,15 +188,28 @@
         folder = Folder()
         folder.synced = self.folder(place) if self.with_folders else []
         self.starts += 1
-        self.replicas[place] = Replica(VOTERS[place], VOTERS, (), MACHINE, self.starts, self.starts,
-                                       folder.saved(), self.with_folders, QUIET, 0)
+        self.replicas[place] = Replica(
+            VOTERS[place],
+            VOTERS,
+            (),
+            MACHINE,
+            self.starts,
+            self.starts,
+            folder.saved(),
+            self.with_folders,
+            QUIET,
+            0,
+        )
 
     def applied(self, place: int, effect: Applied[Any]) -> None:
         entry, number = effect.entry, effect.entry.number
         if number <= len(self.log):
             if self.log[number - 1] != (entry.view, entry.token):
-                self.fails("one-order", f"place {number} is {entry.token or 'empty'} of view {entry.view} at "
-                                        f"{VOTERS[place]}, {self.log[number - 1]} elsewhere")
+                self.fails(
+                    "one-order",
+                    f"place {number} is {entry.token or 'empty'} of view {entry.view} at "
+                    f"{VOTERS[place]}, {self.log[number - 1]} elsewhere",
+                )
         else:
             self.log.append((entry.view, entry.token))
         if effect.state.twice:
--- a/ambershift/modelcheck/models/row.py
+++ b/ambershift/modelcheck/models/row.py
@@ -108,10 +108,20 @@
     name = "row"
     sentence = "the row of calls to the relay: outcomes unknown, folding, cutting, busy, misread, refused"
     kind = World
-    properties = (no_call_overtakes, the_last_word_is_held, settled_means_held,
-                  only_what_can_not_be_read_is_lost, what_waits_is_bounded)
-    liveness = (Liveness("commands-are-applied", "A command is applied if the relay stays up long enough.",
-                         lambda world: bool(world.calls)),)
+    properties = (
+        no_call_overtakes,
+        the_last_word_is_held,
+        settled_means_held,
+        only_what_can_not_be_read_is_lost,
+        what_waits_is_bounded,
+    )
+    liveness = (
+        Liveness(
+            "commands-are-applied",
+            "A command is applied if the relay stays up long enough.",
+            lambda world: bool(world.calls),
+        ),
+    )
     pushes, losses, refusals = 3, 2, 1
 
     def initial(self) -> World:
@@ -143,8 +153,11 @@
                     wrong
                     or f"overtook: {';'.join(orders)} goes out, and {';'.join(world.unknown)} is unknown"
                 )
-            yield Step(f"coordinator: sends {';'.join(orders)}",
-                       world._replace(wire=Wire("out", orders, ""), wrong=wrong, unknown=orders), "relay")
+            yield Step(
+                f"coordinator: sends {';'.join(orders)}",
+                world._replace(wire=Wire("out", orders, ""), wrong=wrong, unknown=orders),
+                "relay",
+            )
         if world.wire.way == "out":
             yield from self.relay_acts(world)
         if world.wire.way == "back":
@@ -161,19 +174,29 @@
                 name, value = what(text)
                 wanted[name] = value, row.replies
         calls, replies = row.freeze()
-        return Step(f"module: orders {';'.join(texts)}", world._replace(
-            calls=calls, replies=replies,
-            wanted=tuple(sorted((name, *one) for name, one in wanted.items()))))
+        return Step(
+            f"module: orders {';'.join(texts)}",
+            world._replace(
+                calls=calls,
+                replies=replies,
+                wanted=tuple(sorted((name, *one) for name, one in wanted.items())),
+            ),
+        )
 
     def relay_acts(self, world: World) -> Iterator[Step[World]]:
         orders, losses = world.wire.orders, world.losses
         if losses:
             yield Step("network: loses the call", world._replace(wire=IDLE, losses=losses - 1))
-            yield Step("relay: is busy", world._replace(
-                wire=Wire("back", orders, "too_many_calls"), losses=losses - 1))
+            yield Step(
+                "relay: is busy",
+                world._replace(wire=Wire("back", orders, "too_many_calls"), losses=losses - 1),
+            )
         if POISON in orders:
-            yield Step("relay: can't read the call", world._replace(wire=Wire("back", orders, "bad_request")),
-                       "relay")
+            yield Step(
+                "relay: can't read the call",
+                world._replace(wire=Wire("back", orders, "bad_request")),
+                "relay",
+            )
             return
         yield self.carries_out(world, len(orders))
         if world.refusals:
@@ -185,8 +208,11 @@
         orders, held = world.wire.orders, world.held
         for order in orders[:count]:
             held = set_in(held, order)
-        return Step("relay: carries out the call", world._replace(
-            held=held, wire=Wire("back", orders, f"OK {count}")), "relay")
+        return Step(
+            "relay: carries out the call",
+            world._replace(held=held, wire=Wire("back", orders, f"OK {count}")),
+            "relay",
+        )
 
     def arrives(self, world: World, row: Row) -> Step[World]:
         """The codec reads the answer and the row hears of it, as in the program."""
@@ -204,13 +230,17 @@
     def excuse(self, world: World, order: str, answer: str) -> World:
         """An order that the relay refused by itself need not be held; any other that is given up is lost."""
         if answer == "bad_request" and order != POISON:
-            return world._replace(wrong=world.wrong or f"lost: {order} was given up, which the relay can "
-                                                       f"read")
+            return world._replace(
+                wrong=world.wrong or f"lost: {order} was given up, which the relay can read"
+            )
         if order == POISON:
             return world
         name, value = what(order)
-        return world._replace(wanted=tuple(
-            (one, "" if (one, had) == (name, value) else had, reply) for one, had, reply in world.wanted))
+        return world._replace(
+            wanted=tuple(
+                (one, "" if (one, had) == (name, value) else had, reply) for one, had, reply in world.wanted
+            )
+        )
 
     def done(self, world: World) -> bool:
         return not world.calls and not world.wire.way
--- a/ambershift/modelcheck/mutants/__init__.py
+++ b/ambershift/modelcheck/mutants/__init__.py
@@ -12,8 +12,15 @@
 __all__ = ["MUTANTS", "SIMULATED", "Mutant", "broken", "by_name", "simulated"]
 
 MUTANTS: tuple[Mutant, ...] = (
-    *row.MUTANTS, *news.MUTANTS, *collector.MUTANTS, *admin.MUTANTS, *attempt.MUTANTS, *policy.MUTANTS,
-    *replication.MUTANTS, *permits.MUTANTS)
+    *row.MUTANTS,
+    *news.MUTANTS,
+    *collector.MUTANTS,
+    *admin.MUTANTS,
+    *attempt.MUTANTS,
+    *policy.MUTANTS,
+    *replication.MUTANTS,
+    *permits.MUTANTS,
+)
 SIMULATED: tuple[Mutant, ...] = replication.SIMULATED
 
 
--- a/ambershift/modelcheck/mutants/admin.py
+++ b/ambershift/modelcheck/mutants/admin.py
@@ -41,6 +41,7 @@
             row.calls.pop()
         folded: int = real(row, texts)
         return folded
+
     return push
 
 
--- a/ambershift/modelcheck/mutants/attempt.py
+++ b/ambershift/modelcheck/mutants/attempt.py
@@ -16,6 +16,7 @@
             bearing = bearing._replace(repeat=api.Repeat.RETRIABLE)
         allowed: bool = real(self, again, bearing, server, now)
         return allowed
+
     return may
 
 
@@ -29,19 +30,23 @@
             return self._replace(first=-1, since=-1)
         found: Attempt = real(self, evidence, server, sent_at)
         return found
+
     return failed
 
 
 def bearing_with(**changes: Any) -> Callable[[Any], Any]:
     def change(real: Any) -> Any:
         return lambda self, again, bearing, server, now: real(
-            self, again, bearing._replace(**changes), server, now)
+            self, again, bearing._replace(**changes), server, now
+        )
+
     return change
 
 
 def one_try_too_many(real: Any) -> Any:
     return lambda self, again, bearing, server, now: real(
-        self._replace(tries=max(0, self.tries - 1)), again, bearing, server, now)
+        self._replace(tries=max(0, self.tries - 1)), again, bearing, server, now
+    )
 
 
 MUTANTS: tuple[Mutant, ...] = (
--- a/ambershift/modelcheck/mutants/collector.py
+++ b/ambershift/modelcheck/mutants/collector.py
@@ -20,6 +20,7 @@
     def unusable(self: peers.Conduct) -> bool:
         self.bad += 1
         return True
+
     return unusable
 
 
--- a/ambershift/modelcheck/mutants/news.py
+++ b/ambershift/modelcheck/mutants/news.py
@@ -13,6 +13,7 @@
         real(self, place)
         self.streams[place].ahead.clear()
         self.streams[place].stated.clear()
+
     return begin
 
 
@@ -22,6 +23,7 @@
     ) -> None:
         if not (just and other.level):
             real(self, stream, other, only, just)
+
     return reconcile
 
 
@@ -30,6 +32,7 @@
         self: compared.Compared, stream: Any, other: Any, only: Any = None, just: bool = False
     ) -> None:
         real(self, other, stream, only, just)
+
     return reconcile
 
 
--- a/ambershift/modelcheck/mutants/permits.py
+++ b/ambershift/modelcheck/mutants/permits.py
@@ -17,8 +17,10 @@
 
 def judged_by_anything(real: Any) -> Any:
     """A grant stands whatever was granted since it was judged."""
+
     def grant(state: Promises, number: int, at: int, command: Grant) -> Any:
         return real(state, number, at, msgspec.structs.replace(command, based_on=state.permits_touched))
+
     return grant
 
 
@@ -34,6 +36,7 @@
             permits = state.permits.insert(command.permit, held._replace(done=False))
             state = state._replace(permits=permits)
         return real(state, number, msgspec.structs.replace(command, done=False))
+
     return move
 
 
@@ -42,6 +45,7 @@
         if held.permit.phase is Phase.DRAINING and at >= held.permit.ends:
             return None
         return real(self, at, held, *words)
+
     return next_move
 
 
@@ -52,18 +56,67 @@
 
 TWO = "no-two-break-an-agreement"
 MUTANTS: tuple[Mutant, ...] = (
-    Mutant("permit-granted-by-two", "permits", TWO, "a grant stands, whatever came since it was judged",
-           machine, "grant", judged_by_anything),
-    Mutant("permit-ends-without-clock-bound", "permits-small", TWO, "ended by one clock is ended by all",
-           Limits, "let_in", no_bound),
-    Mutant("permit-without-an-end", "permits-small", TWO, "who learns nothing keeps a server out for good",
-           Promises, "kept_out", no_end),
-    Mutant("closed-before-all-let-in", "permits-small", TWO, "closed while others keep its server out",
-           steward, "all_let_in", lambda real: lambda *words: True),
-    Mutant("done-is-dropped", "permits-small", "never-drained-twice", "that the work is done is not kept",
-           machine, "move", done_is_dropped),
-    Mutant("ended-permits-are-left", "permits-small", "never-forgotten-out", "a drain that ran over stays",
-           Steward, "next_move", ended_ones_are_left),
-    Mutant("grants-with-its-clock-apart", "permits", "no-grant-while-apart", "a leader trusts its own clock",
-           steward, "clock_apart", lambda real: lambda *words: False),
+    Mutant(
+        "permit-granted-by-two",
+        "permits",
+        TWO,
+        "a grant stands, whatever came since it was judged",
+        machine,
+        "grant",
+        judged_by_anything,
+    ),
+    Mutant(
+        "permit-ends-without-clock-bound",
+        "permits-small",
+        TWO,
+        "ended by one clock is ended by all",
+        Limits,
+        "let_in",
+        no_bound,
+    ),
+    Mutant(
+        "permit-without-an-end",
+        "permits-small",
+        TWO,
+        "who learns nothing keeps a server out for good",
+        Promises,
+        "kept_out",
+        no_end,
+    ),
+    Mutant(
+        "closed-before-all-let-in",
+        "permits-small",
+        TWO,
+        "closed while others keep its server out",
+        steward,
+        "all_let_in",
+        lambda real: lambda *words: True,
+    ),
+    Mutant(
+        "done-is-dropped",
+        "permits-small",
+        "never-drained-twice",
+        "that the work is done is not kept",
+        machine,
+        "move",
+        done_is_dropped,
+    ),
+    Mutant(
+        "ended-permits-are-left",
+        "permits-small",
+        "never-forgotten-out",
+        "a drain that ran over stays",
+        Steward,
+        "next_move",
+        ended_ones_are_left,
+    ),
+    Mutant(
+        "grants-with-its-clock-apart",
+        "permits",
+        "no-grant-while-apart",
+        "a leader trusts its own clock",
+        steward,
+        "clock_apart",
+        lambda real: lambda *words: False,
+    ),
 )
--- a/ambershift/modelcheck/mutants/policy.py
+++ b/ambershift/modelcheck/mutants/policy.py
@@ -15,6 +15,7 @@
         """The grace counts from when the list speaks again, and not from when it told of the drain."""
         drains = {one.server for one in event.entries if one.phase == api.Phase.DRAINING}
         real(self, event._replace(entries=tuple(one for one in event.entries if one.server not in drains)))
+
     return hear_list
 
 
@@ -24,6 +25,7 @@
         real(self, event)
         proxy = self.users[None].pop(event.proxy)
         self.users[held][event.proxy], proxy.table = proxy, held
+
     return join
 
 
@@ -35,6 +37,7 @@
     def judge(state: State) -> None:
         real(state)
         state.again = api.Again.ONCE
+
     return judge
 
 
--- a/ambershift/modelcheck/mutants/replication.py
+++ b/ambershift/modelcheck/mutants/replication.py
@@ -23,9 +23,11 @@
 
 def born_at_once(real: Any) -> Any:
     """A blank one takes itself for a member and votes, whatever the others hold."""
+
     def ask(core: Core, now: int) -> None:
         if core.status is Status.BLANK and core.fixed.votes:
             birth.be_born(core, now, knowing.all_lives(core))
+
     return ask
 
 
@@ -33,25 +35,30 @@
     def on_blank(core: Core, now: int, sender: str, message: messages.Blank) -> None:
         if core.status is Status.BLANK and message.asked == core.incarnation:
             birth.be_born(core, now, knowing.all_lives(core))
+
     return {**real, messages.Blank: on_blank}
 
 
 def recovered_from_anyone(real: Any) -> Any:
     """What one member tells is enough, leader or not."""
+
     def on_told(core: Core, now: int, sender: str, message: messages.Told) -> None:
         if core.status is Status.BLANK and message.asked == core.incarnation and message.normal:
             core.fetching = None
             core.status, core.view, core.sure = Status.NORMAL, message.view, 0
+
     return {**real, messages.Told: on_told}
 
 
 def recovered_without_the_leader(real: Any) -> Any:
     """f + 1 answers are enough, though the leader's is not among them."""
+
     def on_told(core: Core, now: int, sender: str, message: messages.Told) -> None:
         real[messages.Told](core, now, sender, message)
         counted = birth.crash_consistent(core)
         if core.status is Status.BLANK and core.fetching is None and len(counted) >= core.fixed.majority - 1:
             core.status, core.view = Status.NORMAL, max(core.told[name][1] for name in counted)
+
     return {**real, messages.Told: on_told}
 
 
@@ -60,6 +67,7 @@
         for name in core.fixed.voters:
             core.have[name] = core.lives.get(name, 0), core.log.top
         real(core, now)
+
     return count
 
 
@@ -69,34 +77,41 @@
             real(core, reader)
         else:
             wants.reply_read(core, reader.member, reader.incarnation, reader.ticket, core.committed)
+
     return wait_for_round
 
 
 def any_member_reads(real: Any) -> Any:
     """What is committed here is good enough to read."""
+
     def read(core: Core, now: int, ticket: int, until: int) -> None:
         real(core, now, ticket, until)
         wants.take_read(core, ticket, core.committed)
+
     return read
 
 
 def first_log_wins(real: Any) -> Any:
     """Who leads next begins with its own log, older or not."""
+
     def count_votes(core: Core, now: int) -> None:
         counted = views.current(core, {name: held[0] for name, held in core.votes.items()})
         if len(counted) >= core.fixed.majority and core.fixed.me in counted and core.fetching is None:
             leading.start_leading(core, now)
+
     return count_votes
 
 
 def leaves_alone(real: Any) -> Any:
     """One vote, its own, makes a leader."""
+
     def count_leavers(core: Core, now: int) -> None:
         if core.status is Status.CHANGING and core.leader == core.fixed.me:
             core.voted = True
             leading.start_leading(core, now)
         else:
             real(core, now)
+
     return count_leavers
 
 
@@ -106,8 +121,10 @@
 
 def tokens_count_once(real: Any) -> Any:
     """Asked after, a token is forgotten."""
+
     def get(self: Tokens, token: str) -> None:
         self.kept.pop(token, None)
+
     return get
 
 
@@ -126,24 +143,30 @@
 
 def commits_what_it_has(real: Any) -> Any:
     """A follower applies up to the leader's mark whatever its own log holds there."""
+
     def commit_to(core: Core, number: int) -> Any:
         if not core.leading:
             core.sure = max(core.sure, min(number, core.log.top))
         return real(core, number)
+
     return commit_to
 
 
 def keeps_its_tail(real: Any) -> Any:
     """Entries of another view in the same places stay."""
+
     def append(core: Core, entries: Any) -> None:
         real(core, tuple(one for one in entries if one.number > core.log.top))
+
     return append
 
 
 def nothing_was_written(real: Any) -> Any:
     """A command whose time is over is told as not written."""
+
     def give_up(core: Core, ticket: int, want: Any) -> None:
         real(core, ticket, want._replace(open=()))
+
     return give_up
 
 
@@ -152,39 +175,157 @@
 
 
 MUTANTS: tuple[Mutant, ...] = (
-    Mutant("votes-after-amnesia", "replication-small", ORDER, "a blank one takes itself for one that votes",
-           birth, "ask", born_at_once),
-    Mutant("recovers-from-anyone", "replication-small", ORDER, "one answer of any member ends a recovery",
-           replica, "HANDLERS", recovered_from_anyone),
-    Mutant("acknowledged-before-majority", "replication-small", HELD, "the leader's own log is enough",
-           leading, "count", counts_itself_alone),
-    Mutant("stale-read", "replication", STALE, "a leader answers reads without a round to a majority",
-           leading, "wait_for_round", reads_without_a_round),
-    Mutant("reads-anywhere", "replication", STALE, "any member answers reads from what it has",
-           requests, "read", any_member_reads),
-    Mutant("older-log-wins", "replication-small", ORDER, "a new leader begins with its own log",
-           views, "count_votes", first_log_wins),
-    Mutant("leads-alone", "replication-small", ORDER, "a new leader needs no other vote",
-           views, "count_leavers", leaves_alone),
-    Mutant("tokens-are-forgotten", "replication-tokens", GUARDS, "a token that comes again is written again",
-           Tokens, "get", tokens_are_forgotten),
-    Mutant("effect-twice", "replication-tokens", "no-effect-twice", "a token is forgotten once asked after",
-           Tokens, "get", tokens_count_once),
-    Mutant("old-folder-accepted", "replication-folders", ORDER, "a folder behind its member's word is taken",
-           knowing, "judge_myself", older_life_counts),
-    Mutant("vouches-before-sync", "replication-folders", HELD, "what is not on the disk yet counts as held",
-           Core, "durable", log_is_durable),
+    Mutant(
+        "votes-after-amnesia",
+        "replication-small",
+        ORDER,
+        "a blank one takes itself for one that votes",
+        birth,
+        "ask",
+        born_at_once,
+    ),
+    Mutant(
+        "recovers-from-anyone",
+        "replication-small",
+        ORDER,
+        "one answer of any member ends a recovery",
+        replica,
+        "HANDLERS",
+        recovered_from_anyone,
+    ),
+    Mutant(
+        "acknowledged-before-majority",
+        "replication-small",
+        HELD,
+        "the leader's own log is enough",
+        leading,
+        "count",
+        counts_itself_alone,
+    ),
+    Mutant(
+        "stale-read",
+        "replication",
+        STALE,
+        "a leader answers reads without a round to a majority",
+        leading,
+        "wait_for_round",
+        reads_without_a_round,
+    ),
+    Mutant(
+        "reads-anywhere",
+        "replication",
+        STALE,
+        "any member answers reads from what it has",
+        requests,
+        "read",
+        any_member_reads,
+    ),
+    Mutant(
+        "older-log-wins",
+        "replication-small",
+        ORDER,
+        "a new leader begins with its own log",
+        views,
+        "count_votes",
+        first_log_wins,
+    ),
+    Mutant(
+        "leads-alone",
+        "replication-small",
+        ORDER,
+        "a new leader needs no other vote",
+        views,
+        "count_leavers",
+        leaves_alone,
+    ),
+    Mutant(
+        "tokens-are-forgotten",
+        "replication-tokens",
+        GUARDS,
+        "a token that comes again is written again",
+        Tokens,
+        "get",
+        tokens_are_forgotten,
+    ),
+    Mutant(
+        "effect-twice",
+        "replication-tokens",
+        "no-effect-twice",
+        "a token is forgotten once asked after",
+        Tokens,
+        "get",
+        tokens_count_once,
+    ),
+    Mutant(
+        "old-folder-accepted",
+        "replication-folders",
+        ORDER,
+        "a folder behind its member's word is taken",
+        knowing,
+        "judge_myself",
+        older_life_counts,
+    ),
+    Mutant(
+        "vouches-before-sync",
+        "replication-folders",
+        HELD,
+        "what is not on the disk yet counts as held",
+        Core,
+        "durable",
+        log_is_durable,
+    ),
 )
 # `seed` is one whose history shows it; `property` a part of what is told then.
 SIMULATED: tuple[Mutant, ...] = (
-    Mutant("follower-commits-ahead", "simulation", "elsewhere", "a follower applies what it has up to a mark",
-           following, "commit_to", commits_what_it_has, 36),
-    Mutant("keeps-its-tail", "simulation", "not done within", "entries of older views stay in newer places",
-           following, "append", keeps_its_tail, 1),
-    Mutant("time-out-is-refusal", "simulation", "no order explains", "what timed out is told as not written",
-           wants, "give_up", nothing_was_written, 71),
-    Mutant("recovery-without-the-leader", "simulation", "in a new group", "answers of f members are enough",
-           replica, "HANDLERS", recovered_without_the_leader, 7),
-    Mutant("birth-with-a-majority", "simulation", "in a new group", "born while a voter may hold something",
-           replica, "HANDLERS", born_with_a_majority, 5, True),
+    Mutant(
+        "follower-commits-ahead",
+        "simulation",
+        "elsewhere",
+        "a follower applies what it has up to a mark",
+        following,
+        "commit_to",
+        commits_what_it_has,
+        36,
+    ),
+    Mutant(
+        "keeps-its-tail",
+        "simulation",
+        "not done within",
+        "entries of older views stay in newer places",
+        following,
+        "append",
+        keeps_its_tail,
+        1,
+    ),
+    Mutant(
+        "time-out-is-refusal",
+        "simulation",
+        "no order explains",
+        "what timed out is told as not written",
+        wants,
+        "give_up",
+        nothing_was_written,
+        71,
+    ),
+    Mutant(
+        "recovery-without-the-leader",
+        "simulation",
+        "in a new group",
+        "answers of f members are enough",
+        replica,
+        "HANDLERS",
+        recovered_without_the_leader,
+        7,
+    ),
+    Mutant(
+        "birth-with-a-majority",
+        "simulation",
+        "in a new group",
+        "born while a voter may hold something",
+        replica,
+        "HANDLERS",
+        born_with_a_majority,
+        5,
+        True,
+    ),
 )
--- a/ambershift/modelcheck/mutants/row.py
+++ b/ambershift/modelcheck/mutants/row.py
@@ -16,11 +16,13 @@
 
 def goes_behind(real: Any) -> Any:
     """A call that is turned away goes to the end of the row."""
+
     def answered(row: Row, answer: codec.Answer) -> Outcome | None:
         if isinstance(answer, codec.Busy):
             row.calls.rotate(-1)
         found: Outcome | None = real(row, answer)
         return found
+
     return answered
 
 
@@ -43,6 +45,7 @@
             return None
         found: Outcome | None = real(row, answer)
         return found
+
     return answered
 
 
@@ -53,6 +56,7 @@
             return Outcome(call, call.orders[answer.taken], "order_not_taken", call.upto)
         found: Outcome | None = real(row, answer)
         return found
+
     return answered
 
 
@@ -67,6 +71,7 @@
             for at in range(len(call.orders) - 1):
                 row.calls[at] = row.calls[at]._replace(upto=call.upto - 1)
         return found
+
     return misread
 
 
@@ -75,6 +80,7 @@
         upto = row.first().upto
         found: Outcome | None = real(row, answer)
         return found._replace(settled=upto) if found is not None and found.lost else found
+
     return answered
 
 
--- a/ambershift/modelcheck/registry.py
+++ b/ambershift/modelcheck/registry.py
@@ -29,9 +29,21 @@
 
 # Those that are not checked where none is named: for a machine with time, or parts of others.
 BESIDES = {
-    "permits-small", "permits-large", "replication-small", "replication-late", "replication-large",
-    "news-small", "agreement", "consensus", "consensus-kills", "consensus-large",
-    "attempt-one-table", "row-large", "news-large", "attempt-apart", "attempt-large",
+    "permits-small",
+    "permits-large",
+    "replication-small",
+    "replication-late",
+    "replication-large",
+    "news-small",
+    "agreement",
+    "consensus",
+    "consensus-kills",
+    "consensus-large",
+    "attempt-one-table",
+    "row-large",
+    "news-large",
+    "attempt-apart",
+    "attempt-large",
 }
 
 
--- a/ambershift/modelcheck/trace.py
+++ b/ambershift/modelcheck/trace.py
@@ -19,13 +19,17 @@
 
 
 def text(model: Model, fault: Fault) -> list[str]:
-    lines = [f"{fault.property} does not hold: {fault.sentence}", f"  {fault.why}",
-             f"  after {len(fault.places)} steps:"]
+    lines = [
+        f"{fault.property} does not hold: {fault.sentence}",
+        f"  {fault.why}",
+        f"  after {len(fault.places)} steps:",
+    ]
     for one in moments(model, fault.places):
         lines.append(f"  {one['step']:>3}. {one['what']}")
         lines += [f"         {belief}" for belief in one["beliefs"]] if one["step"] else []
-    lines.append(f"  again: ambershift check-model --model {model.name} --replay "
-                 + ",".join(map(str, fault.places)))
+    lines.append(
+        f"  again: ambershift check-model --model {model.name} --replay " + ",".join(map(str, fault.places))
+    )
     return lines
 
 
--- a/ambershift/modelcheck/visited.py
+++ b/ambershift/modelcheck/visited.py
@@ -44,6 +44,7 @@
 
     def nbytes(self) -> int:
         import sys
+
         return sys.getsizeof(self.held) + sum(map(sys.getsizeof, self.held))
 
 
@@ -104,7 +105,7 @@
     same[found] = run[1][at[found]] == low[found]
     for one in np.flatnonzero(found & ~same):
         end = np.searchsorted(run[0], high[one], side="right")
-        same[one] = bool((run[1][at[one]:end] == low[one]).any())
+        same[one] = bool((run[1][at[one] : end] == low[one]).any())
     return same
 
 
--- a/ambershift/policy/health.py
+++ b/ambershift/policy/health.py
@@ -35,8 +35,12 @@
     # Few tries count here too: while most is blocked, only servers that fail might be met often.
     usual = median([bad / tries for tries, bad, _ in seen.values() if tries] or [0.0])
     # Late answers tell of load, which putting out moves on; not where few come while no flow is blocked.
-    shares = {one: bad / tries for one, (tries, bad, took) in seen.items() if tries >= EVIDENCE_TRIES and (
-        took < LATE * state.budget or bad > LOST_SHARE * tries and state.level == 1.0)}
+    shares = {
+        one: bad / tries
+        for one, (tries, bad, took) in seen.items()
+        if tries >= EVIDENCE_TRIES
+        and (took < LATE * state.budget or bad > LOST_SHARE * tries and state.level == 1.0)
+    }
     ease(state)
     bound = max(BAD_SHARE, min(3 * usual, LOST_SHARE))  # So many may be lost that it is usual.
     out = sum(server.ill is not None for server in state.servers.values())
@@ -66,8 +70,11 @@
 
 def across(state: State, ready: list[Server], pair: tuple[int, int], since: int) -> tuple[int, int, int]:
     """Tries, bad ones and failing servers from a zone to another; a server known as ill is no cut."""
-    met = [recent(state, server, since, pair[0]) for server in ready
-           if server.entry.zone == pair[1] and not server.ill]
+    met = [
+        recent(state, server, since, pair[0])
+        for server in ready
+        if server.entry.zone == pair[1] and not server.ill
+    ]
     # Late answers are answers: overloaded servers of another zone looked like a cut.
     failing = sum(bad > CUT_SHARE * tries and took < LATE * state.budget for tries, bad, took in met)
     return sum(one[0] for one in met), sum(one[1] for one in met), failing
@@ -79,8 +86,11 @@
     # Of most pairs of a hundred zones nothing is met, of zones whose proxies report elsewhere nothing here.
     nears = set(state.zone_of.values())
     pairs = {(met.zone, server.entry.zone) for server in ready for _, met in server.met if met.zone in nears}
-    met = {pair: across(state, ready, pair, state.now - evidence)
-           for pair in sorted(pairs) if 0 <= pair[1] < state.terms.zones}
+    met = {
+        pair: across(state, ready, pair, state.now - evidence)
+        for pair in sorted(pairs)
+        if 0 <= pair[1] < state.terms.zones
+    }
     tries, bad = sum(one[0] for one in met.values()), sum(one[1] for one in met.values())
     for pair, (some, failed, failing) in met.items():
         clear = failing >= CUT_SERVERS and some >= EVIDENCE_TRIES and failed > CUT_SHARE * some
--- a/ambershift/policy/parts.py
+++ b/ambershift/policy/parts.py
@@ -49,6 +49,7 @@
             state.zone_of[proxy.part] = zone
     fresh = {part: flow[part] / sum(flow.values()) for part in sorted(flow)}
     if fresh.keys() != state.share.keys() or any(
-            abs(fresh[part] - state.share[part]) > SHARE_MOVE * state.share[part] for part in fresh):
+        abs(fresh[part] - state.share[part]) > SHARE_MOVE * state.share[part] for part in fresh
+    ):
         state.share = fresh
     return state.share
--- a/ambershift/policy/shares.py
+++ b/ambershift/policy/shares.py
@@ -14,7 +14,7 @@
     limit = terms.overload_calm if state.fallback else terms.overload_limit
     at = dict(enumerate(terms.regions))
     # Its own zone has a server first, then its region, where regions are known.
-    for places in ({}, at)[:1 + bool(at)]:
+    for places in ({}, at)[: 1 + bool(at)]:
         homes, left, spare = defaultdict[int, list[int]](list), spare, list[int]()
         for part in due:
             homes[places.get(zone_of[part], zone_of[part])].append(part)
@@ -31,10 +31,18 @@
     for index in spare if due else ():
         # The worst off borrows first, abroad only if over the limit; a server stays where it is, if it can.
         zone = state.servers[index].entry.zone
-        part = max(due, key=lambda part: (
-            bool(at) and due[part] - got[part] > limit * got[part], at.get(zone_of[part], -1) == at.get(zone),
-            due[part] - got[part] + 0.3 * (index in state.laid.get(part, ())) + 0.1 * (zone_of[part] == zone),
-            -part))
+        part = max(
+            due,
+            key=lambda part: (
+                bool(at) and due[part] - got[part] > limit * got[part],
+                at.get(zone_of[part], -1) == at.get(zone),
+                due[part]
+                - got[part]
+                + 0.3 * (index in state.laid.get(part, ()))
+                + 0.1 * (zone_of[part] == zone),
+                -part,
+            ),
+        )
         lines[part].append(index)
         got[part] += worth[index]
     worst = max(((due[part] - got[part]) / got[part] if got[part] else 1.0 for part in due), default=0.0)
@@ -71,5 +79,8 @@
 
 def reach(state: State, zone: int, weigh: dict[int, float]) -> dict[int, float]:
     spells = {index: state.cut.get((zone, state.servers[index].entry.zone)) for index in weigh}
-    return {index: weigh[index] * (TRIAL_PART if spell else 1.0)
-            for index, spell in spells.items() if spell is None or spell.trial}
+    return {
+        index: weigh[index] * (TRIAL_PART if spell else 1.0)
+        for index, spell in spells.items()
+        if spell is None or spell.trial
+    }
--- a/ambershift/policy/state.py
+++ b/ambershift/policy/state.py
@@ -65,8 +65,11 @@
 
     def hear_list(self, event: api.Listed) -> None:
         listed = {entry.server for entry in event.entries} if event.whole else self.servers.keys()
-        gone = [server.entry._replace(phase=api.Phase.GONE)
-                for index, server in self.servers.items() if index not in listed]
+        gone = [
+            server.entry._replace(phase=api.Phase.GONE)
+            for index, server in self.servers.items()
+            if index not in listed
+        ]
         for entry in (*event.entries, *gone):
             known = self.servers.setdefault(entry.server, Server(entry, self.now))
             if entry.phase != known.entry.phase:
@@ -92,5 +95,8 @@
         known.messages.clear()
 
     def ready(self) -> list[tuple[int, Server]]:
-        return [(index, server) for index, server in self.servers.items()
-                if (server.entry.phase == api.Phase.READY or server.doubted) and server.entry.weight > 0]
+        return [
+            (index, server)
+            for index, server in self.servers.items()
+            if (server.entry.phase == api.Phase.READY or server.doubted) and server.entry.weight > 0
+        ]
--- a/ambershift/policy/tables.py
+++ b/ambershift/policy/tables.py
@@ -19,12 +19,19 @@
             # A proxy taken over gets a table without it, for less than a line for each of a wave.
             if out and state.users[None] and not state.sliced and state.now < server.told + patience:
                 continue
-            if not out and any(laid.get(index, 0.0) > most(state, server)
-                               for table, laid in state.laid.items() if state.users[table]):
+            if not out and any(
+                laid.get(index, 0.0) > most(state, server)
+                for table, laid in state.laid.items()
+                if state.users[table]
+            ):
                 continue  # An old line may be larger than a cold server stands.
             # It costs a line at each proxy whose table has it, or whose table is none of ours.
-            holders = [proxy for table, users in state.users.items()
-                       if table is None or index in state.laid[table] for proxy in users]
+            holders = [
+                proxy
+                for table, users in state.users.items()
+                if table is None or index in state.laid[table]
+                for proxy in users
+            ]
             if not afford(state, holders, 1, BINDING if out else PRESSING):
                 state.shut_at = state.now + gap // 2
                 break
@@ -86,8 +93,11 @@
 
 def forget(state: State) -> None:
     """Let go of servers long gone, or those that replacements leave behind would pile up for ever."""
-    gone = [index for index, server in state.servers.items() if server.entry.phase == api.Phase.GONE
-            and not server.doubted and state.now > server.told + FORGET]
+    gone = [
+        index
+        for index, server in state.servers.items()
+        if server.entry.phase == api.Phase.GONE and not server.doubted and state.now > server.told + FORGET
+    ]
     for index in gone if not state.users[None] and not state.sliced else ():
         for table, laid in state.laid.items():
             if index in laid and afford(state, state.users[table], 1, ORDINARY):
--- a/ambershift/promises/machine.py
+++ b/ambershift/promises/machine.py
@@ -122,9 +122,11 @@
         wishes = wishes.insert(one.server, wanted(old, change)._replace(origin=origin))
     # The same wish again is no change: a command sent twice acts once.
     named = dict.fromkeys(one.server for one in command.changes)
-    changed = tuple(server for server in named
-                    if wishes.get(server, AS_LISTED)._replace(origin=NEVER)
-                    != state.wish(server)._replace(origin=NEVER))
+    changed = tuple(
+        server
+        for server in named
+        if wishes.get(server, AS_LISTED)._replace(origin=NEVER) != state.wish(server)._replace(origin=NEVER)
+    )
     for server in named:
         old = state.wish(server)
         new = wishes.get(server, AS_LISTED) if server in changed else old
@@ -148,11 +150,14 @@
     if new.revision < old.revision:
         return state, refused(Why.OLDER_REVISION, f"revision {old.revision} stands, {new.revision} is older")
     if new.revision == old.revision:
-        return state, refused(Why.OTHER_CONTENTS, f"revision {old.revision} stands with other contents; "
-                                                  "give the new ones a higher one")
+        return state, refused(
+            Why.OTHER_CONTENTS,
+            f"revision {old.revision} stands with other contents; give the new ones a higher one",
+        )
     works = {work.name for work in new.works}
     past: HashTrieMap[tuple[str, str], Past] = HashTrieMap(
-        {key: one for key, one in state.past.items() if key[0] in works})
+        {key: one for key, one in state.past.items() if key[0] in works}
+    )
     tenants = {tenant.name for tenant in new.tenants}
     drains = HashTrieMap({name: at for name, at in state.drains.items() if name in tenants})
     return state._replace(declared=new, past=past, drains=drains, permits_touched=number), Outcome(True)
@@ -163,8 +168,10 @@
     if any(at > permit.granted + STALE for permit in command.permits):
         return state, refused(Refusal.CHANGED_MEANWHILE, "judged too long ago")
     if command.based_on != state.permits_touched:
-        return state, refused(Refusal.CHANGED_MEANWHILE, f"judged by entry {command.based_on}, "
-                                                         f"{state.permits_touched} came since")
+        return state, refused(
+            Refusal.CHANGED_MEANWHILE,
+            f"judged by entry {command.based_on}, {state.permits_touched} came since",
+        )
     works = {work.name: work for work in state.declared.works}
     taken = {held.permit.server for held in state.permits.values()}
     permits, past, drains = state.permits, state.past, state.drains
@@ -178,15 +185,18 @@
         taken.add(permit.server)
         permits = permits.insert(permit.id, Held(permit, number, False, permit.ends))
         before = past.get((permit.work, permit.server), FRESH)
-        past = past.insert((permit.work, permit.server),
-                           before._replace(tries=before.tries + 1, granted=permit.granted))
+        past = past.insert(
+            (permit.work, permit.server), before._replace(tries=before.tries + 1, granted=permit.granted)
+        )
         for name in permit.tenants:
             drains = drains.insert(name, max(drains.get(name, 0), permit.granted))
     if not command.permits:
         return state, Outcome(True)
     changed = tuple(permit.id for permit in command.permits)
-    return (state._replace(permits=permits, past=past, drains=drains, permits_touched=number),
-            Outcome(True, changed=changed))
+    return (
+        state._replace(permits=permits, past=past, drains=drains, permits_touched=number),
+        Outcome(True, changed=changed),
+    )
 
 
 def move(state: Promises, number: int, command: Move) -> tuple[Promises, Outcome]:
@@ -195,8 +205,9 @@
         return state, refused(Why.NO_SUCH_PERMIT, command.permit)
     permit = held.permit
     if held.number > command.based_on:
-        return state, refused(Refusal.CHANGED_MEANWHILE, f"judged by entry {command.based_on}, "
-                                                         f"{held.number} changed it since")
+        return state, refused(
+            Refusal.CHANGED_MEANWHILE, f"judged by entry {command.based_on}, {held.number} changed it since"
+        )
     if command.phase < permit.phase:
         return state, refused(Why.PHASE, f"{permit.id} is {permit.phase.name.lower()} already")
     done = held.done or command.done
@@ -213,7 +224,8 @@
     moved = msgspec.structs.replace(permit, phase=command.phase, ends=ends)
     if moved == permit and done == held.done:
         return state, Outcome(True)
-    state = state._replace(permits=state.permits.insert(
-        permit.id, Held(moved, number, done, max(held.latest, ends))),
-                           permits_touched=number)
+    state = state._replace(
+        permits=state.permits.insert(permit.id, Held(moved, number, done, max(held.latest, ends))),
+        permits_touched=number,
+    )
     return state, Outcome(True, changed=(permit.id,))
--- a/ambershift/promises/rows.py
+++ b/ambershift/promises/rows.py
@@ -43,9 +43,18 @@
 
 
 def permit_rows(state: Promises) -> list[Row]:
-    return [Row(permit.id, permit.work, (permit.server,), permit.phase.name.lower(), permit.granted,
-                permit.ends, permit.tenants)
-            for permit in (held.permit for _, held in sorted(state.permits.items()))]
+    return [
+        Row(
+            permit.id,
+            permit.work,
+            (permit.server,),
+            permit.phase.name.lower(),
+            permit.granted,
+            permit.ends,
+            permit.tenants,
+        )
+        for permit in (held.permit for _, held in sorted(state.permits.items()))
+    ]
 
 
 def plan_rows(plan: Plan) -> list[Row]:
@@ -68,8 +77,18 @@
         latest[key] = max(latest.get(key, 0), one.nearest)
     for key, servers in bound.items():
         work, binds, _ = key
-        rows.append(Row(work, work, named(servers), "not-laid", reason=binds.reason.value,
-                        tenant=binds.tenant, nearest=latest[key], text=TEXTS[binds.reason]))
+        rows.append(
+            Row(
+                work,
+                work,
+                named(servers),
+                "not-laid",
+                reason=binds.reason.value,
+                tenant=binds.tenant,
+                nearest=latest[key],
+                text=TEXTS[binds.reason],
+            )
+        )
     return rows
 
 
--- a/ambershift/promises/state.py
+++ b/ambershift/promises/state.py
@@ -66,14 +66,23 @@
     def kept_out(self, at: int) -> dict[str, Permit]:
         """The servers that permits keep out for a member whose wall clock shows `at`, in the order of their
         ids. The operator's word counts beside it: whichever is stricter holds."""
-        found = {held.permit.server: held.permit for held in self.permits.values()
-                 if held.permit.phase <= Phase.OUT and at < held.permit.ends}
+        found = {
+            held.permit.server: held.permit
+            for held in self.permits.values()
+            if held.permit.phase <= Phase.OUT and at < held.permit.ends
+        }
         return dict(sorted(found.items()))
 
     def next_end(self, at: int) -> int | None:
         """When the next of them ends by that clock."""
-        return min((held.permit.ends for held in self.permits.values()
-                    if held.permit.phase <= Phase.OUT and at < held.permit.ends), default=None)
+        return min(
+            (
+                held.permit.ends
+                for held in self.permits.values()
+                if held.permit.phase <= Phase.OUT and at < held.permit.ends
+            ),
+            default=None,
+        )
 
 
 EMPTY = Promises(HashTrieMap(), NOTHING_DECLARED, HashTrieMap(), HashTrieMap(), HashTrieMap(), 0, 0, (), 0)
@@ -97,16 +106,34 @@
 
 def pack(state: Promises) -> bytes:
     """The same bytes on every member for the same state."""
-    wishes = [(server, int(wish.state), int(wish.health),
-               None if wish.weight is None else (wish.weight.figure, wish.weight.relative),
-               (wish.origin.who, wish.origin.at, wish.origin.number))
-              for server, wish in sorted(state.wishes.items())]
-    permits = [(held.permit, held.number, held.done, held.latest)
-               for _, held in sorted(state.permits.items())]
+    wishes = [
+        (
+            server,
+            int(wish.state),
+            int(wish.health),
+            None if wish.weight is None else (wish.weight.figure, wish.weight.relative),
+            (wish.origin.who, wish.origin.at, wish.origin.number),
+        )
+        for server, wish in sorted(state.wishes.items())
+    ]
+    permits = [
+        (held.permit, held.number, held.done, held.latest) for _, held in sorted(state.permits.items())
+    ]
     past = [(*key, one.tries, one.done, one.granted) for key, one in sorted(state.past.items())]
-    return msgspec.msgpack.encode(Packed(
-        VERSION, wishes, state.declared, permits, past, sorted(state.drains.items()), state.permits_touched,
-        state.commands, state.kept, state.unread))
+    return msgspec.msgpack.encode(
+        Packed(
+            VERSION,
+            wishes,
+            state.declared,
+            permits,
+            past,
+            sorted(state.drains.items()),
+            state.permits_touched,
+            state.commands,
+            state.kept,
+            state.unread,
+        )
+    )
 
 
 def unpack(data: bytes) -> Promises:
@@ -118,14 +145,22 @@
         raise UnreadableStateError(f"packed by version {version!r:.20}, this program reads {VERSION}")
     try:
         packed = DECODER.decode(data)
-        wishes = {server: Standing(State(state), Health(health), weight and Weight(*weight), Origin(*origin))
-                  for server, state, health, weight, origin in packed.wishes}
+        wishes = {
+            server: Standing(State(state), Health(health), weight and Weight(*weight), Origin(*origin))
+            for server, state, health, weight, origin in packed.wishes
+        }
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise UnreadableStateError(str(error)) from None
     return Promises(
-        HashTrieMap(wishes), packed.declared,
+        HashTrieMap(wishes),
+        packed.declared,
         HashTrieMap({one[0].id: Held(*one) for one in packed.permits}),
-        HashTrieMap({(work, server): Past(tries, done, granted)
-                     for work, server, tries, done, granted in packed.past}),
+        HashTrieMap(
+            {(work, server): Past(tries, done, granted) for work, server, tries, done, granted in packed.past}
+        ),
         HashTrieMap(dict(packed.drains)),
-        packed.permits_touched, packed.commands, packed.kept, packed.unread)
+        packed.permits_touched,
+        packed.commands,
+        packed.kept,
+        packed.unread,
+    )
--- a/ambershift/promises/steward.py
+++ b/ambershift/promises/steward.py
@@ -50,8 +50,9 @@
         self.drains: dict[str, tuple[int, int]] | None = None  # As granted, and as seen.
         self.apart, self.seen = False, Seen(0, {}, Heard((), {}, {}, {}))
 
-    def due(self, now: int, at: int, state: Promises, servers: Mapping[str, Standing], heard: Heard
-            ) -> list[Command]:
+    def due(
+        self, now: int, at: int, state: Promises, servers: Mapping[str, Standing], heard: Heard
+    ) -> list[Command]:
         """What to submit now, at the leader alone, every second or when something changed.
 
         `now` never goes back, `at` is the wall clock. `servers` are those of the list, by id, as they stand
@@ -70,8 +71,9 @@
         recalled = self.recalled(at, state, servers)
         moves = list[tuple[Held, Move]]()
         for _, held in sorted(state.permits.items()):
-            move = self.next_move(at, held, works.get(held.permit.work), state, servers, heard,
-                                  held.permit.id in recalled)
+            move = self.next_move(
+                at, held, works.get(held.permit.work), state, servers, heard, held.permit.id in recalled
+            )
             if move is not None:
                 moves.append((held, move))
         if moves:
@@ -94,8 +96,16 @@
         self.sent[key] = based_on, now
         return True
 
-    def next_move(self, at: int, held: Held, work: Work | None, state: Promises,
-                  servers: Mapping[str, Standing], heard: Heard, recall: bool) -> Move | None:
+    def next_move(
+        self,
+        at: int,
+        held: Held,
+        work: Work | None,
+        state: Promises,
+        servers: Mapping[str, Standing],
+        heard: Heard,
+        recall: bool,
+    ) -> Move | None:
         permit, limits, on = held.permit, self.limits, state.permits_touched
         standing = servers.get(permit.server)
         if permit.phase is Phase.RETURNING:
@@ -128,11 +138,15 @@
     def fits(self, at: int, permit: Permit, standing: Standing | None, ends: int, work: Work) -> bool:
         """Whether, with this end, it is back and warm before the opening closes and the work is due."""
         declared, limits = self.spans_of, self.limits
-        tenants = self.users.of(standing.zone) if standing is not None else tuple(
-            tenant for tenant in declared.tenants if tenant.name in permit.tenants)
+        tenants = (
+            self.users.of(standing.zone)
+            if standing is not None
+            else tuple(tenant for tenant in declared.tenants if tenant.name in permit.tenants)
+        )
         back = limits.let_in(ends) + limits.warm
         return back <= work.before and any(
-            span.opens <= at and back + limits.clock_bound <= span.closes for span in self.spans.of(tenants))
+            span.opens <= at and back + limits.clock_bound <= span.closes for span in self.spans.of(tenants)
+        )
 
     def recalled(self, at: int, state: Promises, servers: Mapping[str, Standing]) -> set[str]:
         """The drains to break off, as a fault took capacity meanwhile: as few as let all agreements hold.
@@ -142,14 +156,17 @@
         draining = [held.permit for held in state.permits.values() if held.permit.phase is Phase.DRAINING]
         if not draining:
             return set()
-        known = {name: one if one.trouble is not Trouble.UNKNOWN else msgspec.structs.replace(
-            one, trouble=None, warm_at=0) for name, one in servers.items()}
+        known = {
+            name: one
+            if one.trouble is not Trouble.UNKNOWN
+            else msgspec.structs.replace(one, trouble=None, warm_at=0)
+            for name, one in servers.items()
+        }
         room, found = Room(state.declared.tenants, known, at), set[str]()
         for held in state.permits.values():
             if held.permit.phase <= Phase.OUT:
                 room.take(held.permit.server, held.permit)
-        helps = [permit for permit in draining
-                 if permit.server in known and usable(known[permit.server], at)]
+        helps = [permit for permit in draining if permit.server in known and usable(known[permit.server], at)]
         helps.sort(key=lambda permit: (-worth(known[permit.server]), permit.id))
         for tenant in state.declared.tenants:
             for permit in helps if room.lacks(tenant) else ():
@@ -173,9 +190,18 @@
         board = Board(room, {name: seen for name, (_, seen) in (self.drains or {}).items()}, out_of, limits)
         chosen = board.pick(at, make_groups(declared, jobs, servers, at, self.spans, limits))
         return tuple(
-            Permit(f"{job.work.name}/{job.server}/{self.tries(state, job.work.name, job.server) + 1}",
-                   job.work.name, job.server, Phase.DRAINING, at, at + limits.drain + job.work.takes_ns,
-                   room.users_of(job.server), servers[job.server].weight) for job in chosen)
+            Permit(
+                f"{job.work.name}/{job.server}/{self.tries(state, job.work.name, job.server) + 1}",
+                job.work.name,
+                job.server,
+                Phase.DRAINING,
+                at,
+                at + limits.drain + job.work.takes_ns,
+                room.users_of(job.server),
+                servers[job.server].weight,
+            )
+            for job in chosen
+        )
 
     def open_now(self, at: int, tenants: tuple[Tenant, ...]) -> bool:
         return any(span.opens <= at < span.closes for span in self.spans.of(tenants))
@@ -186,9 +212,12 @@
         it from its own beginning where the server still is out."""
         fresh, known = self.drains is None, self.drains or {}
         out = {name for held in state.permits.values() for name in held.permit.tenants}
-        return {name: known[name] if name in known and known[name][0] == granted else
-                (granted, max(at, granted) if not fresh or name in out else granted)
-                for name, granted in state.drains.items()}
+        return {
+            name: known[name]
+            if name in known and known[name][0] == granted
+            else (granted, max(at, granted) if not fresh or name in out else granted)
+            for name, granted in state.drains.items()
+        }
 
     def tries(self, state: Promises, work: str, server: str) -> int:
         past = state.past.get((work, server))
@@ -228,5 +257,3 @@
         if permit.phase is Phase.RETURNING:
             return max(at + SECOND, servers[permit.server].warm_at if permit.server in servers else 0)
         return self.limits.let_in(permit.ends) + self.limits.warm
-
-
--- a/ambershift/replication/applying.py
+++ b/ambershift/replication/applying.py
@@ -21,8 +21,10 @@
         if held == entry.view:
             continue
         if held >= 0 and entry.number <= core.committed:
-            core.halt(Reason.OTHER_GROUP, f"entry {entry.number} was committed as of view {held}, told is "
-                                          f"another of view {entry.view}")
+            core.halt(
+                Reason.OTHER_GROUP,
+                f"entry {entry.number} was committed as of view {held}, told is another of view {entry.view}",
+            )
             return False
         if held >= 0:
             void(core, entry.number)
@@ -78,8 +80,12 @@
     heavy = core.log.size > timing.snapshot_bytes and done >= timing.snapshot_entries // 16
     if done < timing.snapshot_entries and not heavy:
         return
-    core.snapshot = Snapshot(core.committed, core.log.view_at(core.committed),
-                             core.fixed.machine.pack(core.state), core.tokens.all())
+    core.snapshot = Snapshot(
+        core.committed,
+        core.log.view_at(core.committed),
+        core.fixed.machine.pack(core.state),
+        core.tokens.all(),
+    )
     core.snapshot_due = True
     keep = 0 if heavy else timing.snapshot_entries // 2  # For those that lag a little.
     core.log.compact(min(core.committed, max(core.log.base, core.committed - keep)))
--- a/ambershift/replication/birth.py
+++ b/ambershift/replication/birth.py
@@ -43,8 +43,16 @@
         return
     core.round = core.round or 1
     for name in others(core):
-        core.send(name, Ask(incarnation=core.incarnation, view=0, round=core.round, voters=core.fixed.voters,
-                            lives=all_lives(core)))
+        core.send(
+            name,
+            Ask(
+                incarnation=core.incarnation,
+                view=0,
+                round=core.round,
+                voters=core.fixed.voters,
+                lives=all_lives(core),
+            ),
+        )
 
 
 def on_ask(core: Core, now: int, sender: str, message: Ask) -> None:
@@ -54,13 +62,26 @@
     learn_lives(core, message.lives)
     if core.status is Status.BLANK and core.fixed.votes:
         if core.barren:
-            core.send(sender, Blank(incarnation=core.incarnation, view=0, asked=message.incarnation,
-                                    round=message.round))
+            core.send(
+                sender,
+                Blank(incarnation=core.incarnation, view=0, asked=message.incarnation, round=message.round),
+            )
     elif core.fixed.votes:
-        core.vouch(sender, Told(incarnation=core.incarnation, view=core.view, asked=message.incarnation,
-                                round=message.round, normal=core.status is Status.NORMAL,
-                                group=core.told_group, number=core.log.top, lives=all_lives(core),
-                                birth=birth_of(core), rows=all_rows(core)))
+        core.vouch(
+            sender,
+            Told(
+                incarnation=core.incarnation,
+                view=core.view,
+                asked=message.incarnation,
+                round=message.round,
+                normal=core.status is Status.NORMAL,
+                group=core.told_group,
+                number=core.log.top,
+                lives=all_lives(core),
+                birth=birth_of(core),
+                rows=all_rows(core),
+            ),
+        )
 
 
 def birth_of(core: Core) -> Lives:
@@ -146,8 +167,11 @@
 def crash_consistent(core: Core) -> list[str]:
     """Without answers of which another knows that who gave it has been started anew since (Michael, Ports,
     Sharma, Szekeres 2017)."""
-    return [name for name, (incarnation, _, _, _) in sorted(core.told.items())
-            if incarnation == core.lives.get(name)]
+    return [
+        name
+        for name, (incarnation, _, _, _) in sorted(core.told.items())
+        if incarnation == core.lives.get(name)
+    ]
 
 
 def recovered(core: Core, now: int, view: int) -> None:
--- a/ambershift/replication/following.py
+++ b/ambershift/replication/following.py
@@ -79,8 +79,17 @@
     """Vouch for what is on the disk; what is not yet is vouched for once it is."""
     number = core.vouched
     if number >= 0 and core.status is Status.NORMAL and not core.leading:
-        core.send(core.leader, Have(incarnation=core.incarnation, view=core.view, round=round_, number=number,
-                                    committed=core.committed, status=core.status.value))
+        core.send(
+            core.leader,
+            Have(
+                incarnation=core.incarnation,
+                view=core.view,
+                round=round_,
+                number=number,
+                committed=core.committed,
+                status=core.status.value,
+            ),
+        )
 
 
 def fetch(core: Core, now: int, source: str) -> None:
@@ -99,8 +108,16 @@
         return
     core.fetching = task._replace(at=now)
     after = core.sure
-    core.send(task.source, Fetch(incarnation=core.incarnation, view=task.view, after=after,
-                                 snapshot=task.snapshot, offset=len(task.data)))
+    core.send(
+        task.source,
+        Fetch(
+            incarnation=core.incarnation,
+            view=task.view,
+            after=after,
+            snapshot=task.snapshot,
+            offset=len(task.data),
+        ),
+    )
 
 
 def on_fetch(core: Core, now: int, sender: str, message: Fetch) -> None:
@@ -110,16 +127,42 @@
     after, timing = message.after, core.fixed.timing
     if after >= core.log.base:
         entries = core.log.after(after, timing.chunk_bytes) if after < core.log.top else ()
-        core.send(sender, Chunk(incarnation=core.incarnation, view=core.view, group=core.told_group,
-                                after=after, entries=entries, top=core.log.top, committed=core.committed,
-                                snapshot=0, offset=0, total=0, data=b""))
+        core.send(
+            sender,
+            Chunk(
+                incarnation=core.incarnation,
+                view=core.view,
+                group=core.told_group,
+                after=after,
+                entries=entries,
+                top=core.log.top,
+                committed=core.committed,
+                snapshot=0,
+                offset=0,
+                total=0,
+                data=b"",
+            ),
+        )
         return
     assert core.snapshot is not None
     offset = message.offset if message.snapshot == core.snapshot.number else 0
     total, data = piece(core, offset)
-    core.send(sender, Chunk(incarnation=core.incarnation, view=core.view, group=core.told_group, after=after,
-                            entries=(), top=core.log.top, committed=core.committed,
-                            snapshot=core.snapshot.number, offset=offset, total=total, data=data))
+    core.send(
+        sender,
+        Chunk(
+            incarnation=core.incarnation,
+            view=core.view,
+            group=core.told_group,
+            after=after,
+            entries=(),
+            top=core.log.top,
+            committed=core.committed,
+            snapshot=core.snapshot.number,
+            offset=offset,
+            total=total,
+            data=data,
+        ),
+    )
 
 
 def on_chunk(core: Core, now: int, sender: str, message: Chunk) -> None:
--- a/ambershift/replication/heard/ages.py
+++ b/ambershift/replication/heard/ages.py
@@ -14,8 +14,9 @@
     def __init__(self) -> None:
         self.heap = list[Due]()
 
-    def add(self, at: int, name: str, incarnation: int, version: int, place: tuple[int, str],
-            held: int) -> None:
+    def add(
+        self, at: int, name: str, incarnation: int, version: int, place: tuple[int, str], held: int
+    ) -> None:
         """`held` is how many records there are: with over four entries each, only the newest of each stay."""
         heapq.heappush(self.heap, (at, name, incarnation, version, place))
         if len(self.heap) > 4 * held + 1024:
--- a/ambershift/replication/heard/store.py
+++ b/ambershift/replication/heard/store.py
@@ -74,8 +74,15 @@
         return bool(held.body) and now - held.since < longest(held.kind)
 
     def record(self, now: int, name: str, held: Held) -> Record:
-        return Record(name, self.origins[name].incarnation, held.version, held.kind, held.key, held.body,
-                      max(0, now - held.since))
+        return Record(
+            name,
+            self.origins[name].incarnation,
+            held.version,
+            held.kind,
+            held.key,
+            held.body,
+            max(0, now - held.since),
+        )
 
     # Between members
 
@@ -123,14 +130,24 @@
                     sent[name] += 1
         parts, more = [], False
         for name, (since, rows) in pending.items():
-            cut = rows[:sent[name]]
+            cut = rows[: sent[name]]
             whole = len(cut) == len(rows) and not self.overflows(rows, most)
             more |= not whole
             if cut or whole:
                 origin = self.origins[name]
                 upto = origin.upto if whole else cut[-1].version
-                parts.append(Part(name, origin.incarnation, since, upto, tuple(
-                    Row(one.version, one.kind, one.key, one.body, max(0, now - one.since)) for one in cut)))
+                parts.append(
+                    Part(
+                        name,
+                        origin.incarnation,
+                        since,
+                        upto,
+                        tuple(
+                            Row(one.version, one.kind, one.key, one.body, max(0, now - one.since))
+                            for one in cut
+                        ),
+                    )
+                )
         return Delta(tuple(parts), more)
 
     @staticmethod
@@ -208,8 +225,14 @@
             self.drop(name, next(iter(most.records.values())))
 
     def expires(self, name: str, origin: Origin, held: Held) -> None:
-        self.ages.add(held.since + longest(held.kind), name, origin.incarnation, held.version,
-                      (held.kind, held.key), self.count)
+        self.ages.add(
+            held.since + longest(held.kind),
+            name,
+            origin.incarnation,
+            held.version,
+            (held.kind, held.key),
+            self.count,
+        )
 
     def drop(self, name: str, held: Held) -> None:
         del self.origins[name].records[held.kind, held.key]
--- a/ambershift/replication/keeping.py
+++ b/ambershift/replication/keeping.py
@@ -25,8 +25,12 @@
 
 
 def dirty(core: Core) -> bool:
-    return bool(core.written != (core.view, core.group) or core.written_top != core.log.top or core.cut
-                or core.snapshot_due)
+    return bool(
+        core.written != (core.view, core.group)
+        or core.written_top != core.log.top
+        or core.cut
+        or core.snapshot_due
+    )
 
 
 def write(core: Core) -> Write:
@@ -34,9 +38,18 @@
     snapshot = core.snapshot if core.snapshot_due or core.cut == 1 else None
     first = max(core.written_top, snapshot.number if snapshot else 0)
     assert first >= core.log.base
-    entries = tuple(core.log.entries[first - core.log.base:])
-    write = Write(core.ticket, core.group, core.incarnation, core.view, core.log.last, core.committed,
-                  entries, core.cut, snapshot)
+    entries = tuple(core.log.entries[first - core.log.base :])
+    write = Write(
+        core.ticket,
+        core.group,
+        core.incarnation,
+        core.view,
+        core.log.last,
+        core.committed,
+        entries,
+        core.cut,
+        snapshot,
+    )
     core.writes.append((core.ticket, core.view, core.log.top))
     core.written, core.written_top = (core.view, core.group), core.log.top
     core.cut, core.snapshot_due = 0, False
--- a/ambershift/replication/knowing.py
+++ b/ambershift/replication/knowing.py
@@ -12,8 +12,15 @@
 def own_row(core: Core) -> Vouch:
     number = max(0, core.vouched)
     view = core.durable_view if core.fixed.disk else core.view
-    return Vouch(core.fixed.me, core.incarnation, max(0, view), max(0, core.log.view_at(number)), number,
-                 core.committed, core.status.value)
+    return Vouch(
+        core.fixed.me,
+        core.incarnation,
+        max(0, view),
+        max(0, core.log.view_at(number)),
+        number,
+        core.committed,
+        core.status.value,
+    )
 
 
 def all_rows(core: Core) -> tuple[Vouch, ...]:
@@ -36,8 +43,11 @@
     """What a member vouches for never shrinks, over its starts too, unless its folder is behind: so the
     most is kept, until it vouches for as much again."""
     old = core.rows.get(row.name)
-    if old is None or (row.view >= old.view and (row.last, row.number) >= (old.last, old.number)
-                       and row.incarnation >= old.incarnation):
+    if old is None or (
+        row.view >= old.view
+        and (row.last, row.number) >= (old.last, old.number)
+        and row.incarnation >= old.incarnation
+    ):
         core.rows[row.name] = row
 
 
@@ -51,8 +61,11 @@
         if core.status is Status.NORMAL and core.view >= row.view and has >= (row.last, row.number):
             core.behind = None
         if core.behind and (row.view > core.behind[0] or (row.last, row.number) > core.behind[1:]):
-            core.halt(Reason.OLD_FOLDER, f"vouched for {row.number} of view {row.view}, the folder has "
-                                         f"{core.behind[2]} of view {core.behind[0]}")
+            core.halt(
+                Reason.OLD_FOLDER,
+                f"vouched for {row.number} of view {row.view}, the folder has "
+                f"{core.behind[2]} of view {core.behind[0]}",
+            )
     elif row.incarnation > core.incarnation:
         core.halt(Reason.SUPERSEDED, f"incarnation {row.incarnation} lives, this is {core.incarnation}")
     elif row.view > core.view or (row.view == core.view and row.number > core.log.top):
@@ -72,8 +85,15 @@
             core.fetching = None
         if name == core.leader and core.status is Status.NORMAL:
             core.leader_heard = -NEVER  # Whoever led this view doesn't any more.
-        said: tuple[dict[str, Any], ...] = (core.have, core.rounds, core.leavers, core.votes, core.agreed,
-                                            core.told, core.attempts)
+        said: tuple[dict[str, Any], ...] = (
+            core.have,
+            core.rounds,
+            core.leavers,
+            core.votes,
+            core.agreed,
+            core.told,
+            core.attempts,
+        )
         for held in said:
             held.pop(name, None)
     return incarnation >= known
--- a/ambershift/replication/leading.py
+++ b/ambershift/replication/leading.py
@@ -65,8 +65,9 @@
     return entry.number
 
 
-def accept(core: Core, now: int, origin: str, incarnation: int, ticket: int, attempt: int, token: str,
-           command: bytes) -> None:
+def accept(
+    core: Core, now: int, origin: str, incarnation: int, ticket: int, attempt: int, token: str, command: bytes
+) -> None:
     """A command of a client, here or at another member. One attempt of a member is taken at most once."""
     assert core.leading
     if core.doubt or not core.log.top:  # For good, in this view; or there is no group yet.
@@ -107,9 +108,16 @@
 
 def beat(core: Core, now: int) -> None:
     core.beat_at = now + core.fixed.timing.beat
-    message = Beat(incarnation=core.incarnation, view=core.view, group=core.told_group, round=core.round,
-                   top=core.sent_top, committed=core.committed, rows=all_rows(core),
-                   voters=core.fixed.voters)
+    message = Beat(
+        incarnation=core.incarnation,
+        view=core.view,
+        group=core.told_group,
+        round=core.round,
+        top=core.sent_top,
+        committed=core.committed,
+        rows=all_rows(core),
+        voters=core.fixed.voters,
+    )
     for name in core.fixed.members:
         if name != core.fixed.me:
             core.send(name, message)
@@ -123,9 +131,18 @@
         return
     if message.number >= core.have.get(sender, (0, 0))[1]:
         core.have[sender] = message.incarnation, message.number
-        learn_row(core, Vouch(sender, message.incarnation, message.view,
-                             max(0, core.log.view_at(message.number)), message.number, message.committed,
-                             message.status))
+        learn_row(
+            core,
+            Vouch(
+                sender,
+                message.incarnation,
+                message.view,
+                max(0, core.log.view_at(message.number)),
+                message.number,
+                message.committed,
+                message.status,
+            ),
+        )
     core.rounds[sender] = max(core.rounds.get(sender, 0), message.round)
 
 
@@ -148,9 +165,15 @@
 
 def send_batch(core: Core) -> None:
     entries = core.log.after(core.sent_top, core.fixed.timing.batch_bytes)
-    message = Prepare(incarnation=core.incarnation, view=core.view, group=core.told_group,
-                      after=core.sent_top, after_view=max(0, core.log.view_at(core.sent_top)),
-                      entries=entries, committed=core.committed)
+    message = Prepare(
+        incarnation=core.incarnation,
+        view=core.view,
+        group=core.told_group,
+        after=core.sent_top,
+        after_view=max(0, core.log.view_at(core.sent_top)),
+        entries=entries,
+        committed=core.committed,
+    )
     core.sent_top += len(entries)
     core.batches.append(core.sent_top)
     for name in core.fixed.members:
@@ -160,8 +183,13 @@
 
 def count(core: Core, now: int) -> None:
     """Commit what a majority vouches for, if it is of this view: what is older goes with it."""
-    held = sorted((max(0, core.vouched) if name == core.fixed.me else core.have.get(name, (0, 0))[1]
-                   for name in core.fixed.voters), reverse=True)
+    held = sorted(
+        (
+            max(0, core.vouched) if name == core.fixed.me else core.have.get(name, (0, 0))[1]
+            for name in core.fixed.voters
+        ),
+        reverse=True,
+    )
     number = held[core.fixed.majority - 1]
     if number <= core.committed or core.log.view_at(number) != core.view:
         return
@@ -176,8 +204,10 @@
     """A read is served once a majority has said, in a round that began after it came, that this is still its
     leader; and once what was promised before this view is known to be committed."""
     while core.readers and core.log.view_at(core.committed) == core.view:
-        said = sorted((core.round if name == core.fixed.me else core.rounds.get(name, 0)
-                       for name in core.fixed.voters), reverse=True)
+        said = sorted(
+            (core.round if name == core.fixed.me else core.rounds.get(name, 0) for name in core.fixed.voters),
+            reverse=True,
+        )
         heard = said[core.fixed.majority - 1]
         waiting = list[Reader]()
         for one in core.readers:
@@ -191,8 +221,12 @@
         if all(one.round for one in waiting) or any(one.round > heard for one in waiting):
             return
         core.round += 1
-        core.readers = [one if one.round else one._replace(
-            round=core.round, number=one.number if one.attempt else core.committed) for one in waiting]
+        core.readers = [
+            one
+            if one.round
+            else one._replace(round=core.round, number=one.number if one.attempt else core.committed)
+            for one in waiting
+        ]
         beat(core, now)
 
 
@@ -200,8 +234,11 @@
     """A leader that hears no majority for a silence stops beating: the others go on without it."""
     if not core.leading or core.doubt:
         return
-    lately = sum(1 for name in core.fixed.voters
-                 if name == core.fixed.me or now - core.heard.get(name, now) <= core.fixed.timing.silence)
+    lately = sum(
+        1
+        for name in core.fixed.voters
+        if name == core.fixed.me or now - core.heard.get(name, now) <= core.fixed.timing.silence
+    )
     if lately < core.fixed.majority:
         core.doubt = True
         core.note("group-doubts", view=core.view)
--- a/ambershift/replication/log.py
+++ b/ambershift/replication/log.py
@@ -54,9 +54,9 @@
     def cut(self, number: int) -> None:
         """Void from this number on."""
         assert number > self.base
-        gone = self.entries[number - self.base - 1:]
+        gone = self.entries[number - self.base - 1 :]
         self.size -= sum(weight(entry) for entry in gone)
-        del self.entries[number - self.base - 1:]
+        del self.entries[number - self.base - 1 :]
 
     def compact(self, number: int) -> None:
         """Forget up to this number."""
--- a/ambershift/replication/messages.py
+++ b/ambershift/replication/messages.py
@@ -196,8 +196,23 @@
 
 
 Message = (
-    Ask | Blank | Told | Beat | Prepare | Have | Fetch | Chunk | Suspect | Suspected | Leave | Vote | Newer
-    | Forward | Answered | ReadAsk | ReadAt
+    Ask
+    | Blank
+    | Told
+    | Beat
+    | Prepare
+    | Have
+    | Fetch
+    | Chunk
+    | Suspect
+    | Suspected
+    | Leave
+    | Vote
+    | Newer
+    | Forward
+    | Answered
+    | ReadAsk
+    | ReadAt
 )
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
--- a/ambershift/replication/records.py
+++ b/ambershift/replication/records.py
@@ -87,8 +87,9 @@
 
 
 def line(write: Write) -> Line:
-    return Line(write.group, write.view, write.last_normal, write.committed, write.entries, write.cut,
-                write.snapshot)
+    return Line(
+        write.group, write.view, write.last_normal, write.committed, write.entries, write.cut, write.snapshot
+    )
 
 
 def preamble(generation: int, base: int, version: int = VERSION) -> bytes:
@@ -109,12 +110,12 @@
     """The generation and the bytes that were synced before the file got its name."""
     if not data:
         return Fault.EMPTY
-    if not data.startswith(MAGIC[:len(data)]):
+    if not data.startswith(MAGIC[: len(data)]):
         return Fault.FOREIGN
     if len(data) < PREAMBLE.size:
         return Fault.SHORT
     _, version, generation, base, checksum = PREAMBLE.unpack_from(data)
-    if checksum != google_crc32c.value(data[:PREAMBLE.size - 4]):
+    if checksum != google_crc32c.value(data[: PREAMBLE.size - 4]):
         return Fault.FLIPPED
     return Fault.NEWER if version > VERSION else (generation, base)
 
@@ -130,7 +131,7 @@
         if seal != sealed(length, checksum, generation, at) or length > FRAME_MOST:
             yield Stopped(at, Fault.FLIPPED)
             return
-        body = data[at + FRAME.size:at + FRAME.size + length]
+        body = data[at + FRAME.size : at + FRAME.size + length]
         if len(body) < length:
             yield Stopped(at, Fault.SHORT)
             return
@@ -155,7 +156,7 @@
     """What the two slots say; None where one can't be read."""
     found: list[Mark | None] = []
     for at in (0, SLOT_BYTES):
-        one = data[at:at + SLOT.size]
+        one = data[at : at + SLOT.size]
         whole = len(one) == SLOT.size and one.startswith(MARK_MAGIC)
         whole = whole and struct.unpack("<I", one[-4:])[0] == google_crc32c.value(one[:-4])
         found.append(Mark(*SLOT.unpack(one)[1:4]) if whole else None)
--- a/ambershift/replication/replica.py
+++ b/ambershift/replication/replica.py
@@ -44,9 +44,22 @@
     it waits for others to recover from and no group is born with it. Times are ns; `noop` is the command that
     a new leader writes."""
 
-    def __init__(self, me: str, voters: Sequence[str], copies: Sequence[str], machine: Machine[Any],
-                 seed: int, incarnation: int, saved: Saved | None, disk: bool, timing: Timing = PLAIN,
-                 now: int = 0, *, noop: bytes = b"", lost: bool = False) -> None:
+    def __init__(
+        self,
+        me: str,
+        voters: Sequence[str],
+        copies: Sequence[str],
+        machine: Machine[Any],
+        seed: int,
+        incarnation: int,
+        saved: Saved | None,
+        disk: bool,
+        timing: Timing = PLAIN,
+        now: int = 0,
+        *,
+        noop: bytes = b"",
+        lost: bool = False,
+    ) -> None:
         if len(set(voters)) != len(voters) or len(voters) % 2 == 0 or len(voters) > 7:
             raise ValueError("1, 3, 5 or 7 voters")
         members = (*voters, *copies)
@@ -104,8 +117,9 @@
             if core.status is Status.NORMAL and not core.leading:  # Half of the silence counts as over.
                 core.leader_heard = min(core.leader_heard, now - core.fixed.timing.agree)
             for ticket, want in core.wants.items():
-                core.keep_want(ticket, want._replace(
-                    retry_at=min(want.retry_at, now + core.fixed.timing.beat)))
+                core.keep_want(
+                    ticket, want._replace(retry_at=min(want.retry_at, now + core.fixed.timing.beat))
+                )
         return self.end(now)
 
     def synced(self, now: int, ticket: int) -> list[Effect]:
@@ -236,8 +250,17 @@
         for name in core.fixed.members:
             row, heard = rows.get(name), 0 if name == core.fixed.me else now - core.heard.get(name, now + 1)
             status = core.status.value if name == core.fixed.me else row.status if row else "unknown"
-            found.append(MemberRow(name, name in core.fixed.voters, name == self.leader, status,
-                                   core.lives.get(name, 0), row.committed if row else 0, heard))
+            found.append(
+                MemberRow(
+                    name,
+                    name in core.fixed.voters,
+                    name == self.leader,
+                    status,
+                    core.lives.get(name, 0),
+                    row.committed if row else 0,
+                    heard,
+                )
+            )
         return tuple(found)
 
     # For the model checker
@@ -247,8 +270,18 @@
         return freeze(self.core)
 
     @classmethod
-    def thaw(cls, me: str, voters: Sequence[str], copies: Sequence[str], machine: Machine[Any], disk: bool,
-             timing: Timing, frozen: Frozen, *, noop: bytes = b"") -> Replica:
+    def thaw(
+        cls,
+        me: str,
+        voters: Sequence[str],
+        copies: Sequence[str],
+        machine: Machine[Any],
+        disk: bool,
+        timing: Timing,
+        frozen: Frozen,
+        *,
+        noop: bytes = b"",
+    ) -> Replica:
         """The replica that was frozen."""
         replica = cls.__new__(cls)
         fixed = Fixed(me, tuple(voters), (*voters, *copies), machine, disk, timing, noop)
--- a/ambershift/replication/requests.py
+++ b/ambershift/replication/requests.py
@@ -42,8 +42,7 @@
     want = core.wants[ticket]
     # What goes to a leader that has long been quiet could no more be refused: its outcome would be unknown.
     quiet = not core.leading and now - core.leader_heard > core.fixed.timing.silence
-    if core.status is not Status.NORMAL or core.doubt or quiet or want.place >= 0 or (
-            now >= want.until):
+    if core.status is not Status.NORMAL or core.doubt or quiet or want.place >= 0 or (now >= want.until):
         core.keep_want(ticket, want._replace(retry_at=now + core.fixed.timing.retry))
         return
     if want.read:
@@ -51,8 +50,10 @@
         if core.leading:
             ask_to_read(core, core.fixed.me, core.incarnation, ticket)
         else:
-            core.send(core.leader, ReadAsk(incarnation=core.incarnation, view=core.view, ticket=ticket,
-                                            group=core.group))
+            core.send(
+                core.leader,
+                ReadAsk(incarnation=core.incarnation, view=core.view, ticket=ticket, group=core.group),
+            )
         return
     core.attempt += 1
     tries = (*want.open, core.attempt) if len(want.open) < 8 else (LOST, *want.open[-6:], core.attempt)
@@ -60,8 +61,17 @@
     if core.leading:
         accept(core, now, core.fixed.me, core.incarnation, ticket, core.attempt, want.token, want.command)
     else:
-        core.send(core.leader, Forward(incarnation=core.incarnation, view=core.view, ticket=ticket,
-                                       attempt=core.attempt, token=want.token, command=want.command))
+        core.send(
+            core.leader,
+            Forward(
+                incarnation=core.incarnation,
+                view=core.view,
+                ticket=ticket,
+                attempt=core.attempt,
+                token=want.token,
+                command=want.command,
+            ),
+        )
 
 
 def push_late(core: Core, now: int) -> None:
@@ -88,8 +98,16 @@
     if message.attempt in taken or (len(taken) == TAKEN and message.attempt < taken[0]):
         return
     core.attempts[sender] = tuple(sorted((*taken, message.attempt))[-TAKEN:])
-    accept(core, now, sender, message.incarnation, message.ticket, message.attempt, message.token,
-           message.command)
+    accept(
+        core,
+        now,
+        sender,
+        message.incarnation,
+        message.ticket,
+        message.attempt,
+        message.token,
+        message.command,
+    )
 
 
 def on_answered(core: Core, now: int, sender: str, message: Answered) -> None:
--- a/ambershift/replication/views.py
+++ b/ambershift/replication/views.py
@@ -41,8 +41,9 @@
     rows = all_rows(core)
     for name in core.fixed.voters:
         if name != core.fixed.me:
-            core.send(name, Suspect(incarnation=core.incarnation, view=core.view, round=core.round,
-                                    rows=rows))
+            core.send(
+                name, Suspect(incarnation=core.incarnation, view=core.view, round=core.round, rows=rows)
+            )
     count_agreed(core, now)
 
 
@@ -60,8 +61,17 @@
     if core.status not in AT_WORK:
         return
     join(core, now, message.view)
-    core.send(sender, Suspected(incarnation=core.incarnation, view=core.view, asked=message.view,
-                                round=message.round, agree=agree, rows=all_rows(core)))
+    core.send(
+        sender,
+        Suspected(
+            incarnation=core.incarnation,
+            view=core.view,
+            asked=message.view,
+            round=message.round,
+            agree=agree,
+            rows=all_rows(core),
+        ),
+    )
 
 
 def on_suspected(core: Core, now: int, sender: str, message: Suspected) -> None:
@@ -75,8 +85,9 @@
 
 
 def count_agreed(core: Core, now: int) -> None:
-    agreed = [name for name, asked in core.agreed.items()
-              if asked == core.round and name in core.fixed.voters]
+    agreed = [
+        name for name, asked in core.agreed.items() if asked == core.round and name in core.fixed.voters
+    ]
     if core.suspecting and len(agreed) >= core.fixed.majority:
         leave_for(core, now, next_view(core, now, core.view + 1))
 
@@ -116,8 +127,7 @@
 
 
 def tell_leaving(core: Core) -> None:
-    message = Leave(incarnation=core.incarnation, view=core.view, lives=all_lives(core),
-                    rows=all_rows(core))
+    message = Leave(incarnation=core.incarnation, view=core.view, lives=all_lives(core), rows=all_rows(core))
     for name in core.fixed.voters:
         if name != core.fixed.me:
             core.vouch(name, message)
@@ -141,8 +151,11 @@
 
 
 def current(core: Core, names: dict[str, int]) -> list[str]:
-    return [name for name, incarnation in names.items()
-            if incarnation == core.lives.get(name) and name in core.fixed.voters]
+    return [
+        name
+        for name, incarnation in names.items()
+        if incarnation == core.lives.get(name) and name in core.fixed.voters
+    ]
 
 
 def count_leavers(core: Core, now: int) -> None:
@@ -162,9 +175,18 @@
 
 
 def vote(core: Core) -> None:
-    core.vouch(core.leader, Vote(incarnation=core.incarnation, view=core.view, last=core.log.last,
-                                 number=core.log.top, committed=core.committed, lives=all_lives(core),
-                                 rows=all_rows(core)))
+    core.vouch(
+        core.leader,
+        Vote(
+            incarnation=core.incarnation,
+            view=core.view,
+            last=core.log.last,
+            number=core.log.top,
+            committed=core.committed,
+            lives=all_lives(core),
+            rows=all_rows(core),
+        ),
+    )
 
 
 def on_vote(core: Core, now: int, sender: str, message: Vote) -> None:
@@ -175,8 +197,12 @@
     if core.status not in AT_WORK:
         return
     join(core, now, message.view)
-    if core.view == message.view and core.status is Status.CHANGING and core.leader == core.fixed.me \
-            and core.fetching is None:
+    if (
+        core.view == message.view
+        and core.status is Status.CHANGING
+        and core.leader == core.fixed.me
+        and core.fetching is None
+    ):
         core.votes[sender] = message.incarnation, message.last, message.number
         count_votes(core, now)
 
--- a/ambershift/replication/vouched.py
+++ b/ambershift/replication/vouched.py
@@ -36,9 +36,9 @@
         entries = self.entries
         start = self.snapshot.number if self.snapshot else 0
         if line.cut:
-            entries = entries[:max(0, line.cut - 1 - start)]
+            entries = entries[: max(0, line.cut - 1 - start)]
         if line.snapshot:
-            entries = entries[max(0, line.snapshot.number - start):]
+            entries = entries[max(0, line.snapshot.number - start) :]
             start = line.snapshot.number
         following = start + len(entries) + 1
         for place, entry in enumerate(line.entries, following):
@@ -54,14 +54,22 @@
 
     def line(self) -> Line:
         """One write that says all."""
-        return Line(self.group, self.view, self.last_normal, self.committed, tuple(self.entries), 0,
-                    self.snapshot)
+        return Line(
+            self.group, self.view, self.last_normal, self.committed, tuple(self.entries), 0, self.snapshot
+        )
 
     def saved(self, incarnation: int) -> Saved | None:
         if not self.written:
             return None
-        return Saved(self.group, incarnation, self.view, self.last_normal, self.committed, self.snapshot,
-                     tuple(self.entries))
+        return Saved(
+            self.group,
+            incarnation,
+            self.view,
+            self.last_normal,
+            self.committed,
+            self.snapshot,
+            tuple(self.entries),
+        )
 
 
 class Reading(NamedTuple):
@@ -83,8 +91,9 @@
     latest = max(known, default=Mark(0, 0, 0))
     if log is None:
         fault = Fault.MISSING if latest.end else None  # A mark is made before its first log, and says 0.
-        return Reading(fault, "a mark and no log" if fault else "", None, Held(), latest.generation, 0,
-                       latest.turn)
+        return Reading(
+            fault, "a mark and no log" if fault else "", None, Held(), latest.generation, 0, latest.turn
+        )
     begun = begin(log)
     if isinstance(begun, Fault):
         return Reading(begun, "its first bytes", None, Held(), latest.generation, 0, latest.turn)
@@ -101,8 +110,15 @@
             at = one.at
             fault = judge(one.at, one.fault, vouched, generation, known)
             why = f"no whole record at byte {one.at} of {len(log)}, synced to {vouched}"
-            return Reading(fault, why if fault else "", head, Held() if fault else held, newest,
-                           len(log) - at, latest.turn)
+            return Reading(
+                fault,
+                why if fault else "",
+                head,
+                Held() if fault else held,
+                newest,
+                len(log) - at,
+                latest.turn,
+            )
         try:
             if head is None:
                 head = msgspec.msgpack.decode(one.body, type=Head)
--- a/ambershift/replication/wants.py
+++ b/ambershift/replication/wants.py
@@ -9,14 +9,26 @@
 FINAL = {Reason.TOKEN_REUSED.value, Reason.TOO_LARGE.value}
 
 
-def reply(core: Core, to: str, incarnation: int, ticket: int, attempt: int, reason: str,
-          answer: bytes) -> None:
+def reply(
+    core: Core, to: str, incarnation: int, ticket: int, attempt: int, reason: str, answer: bytes
+) -> None:
     """What a leader says of a command to the member that forwarded it, which may be itself."""
     if to == core.fixed.me:
         take_answer(core, ticket, attempt, reason, answer)
     else:
-        core.send(to, Answered(incarnation=core.incarnation, view=core.view, asked=incarnation, ticket=ticket,
-                               attempt=attempt, reason=reason, answer=answer, retry_ns=0))
+        core.send(
+            to,
+            Answered(
+                incarnation=core.incarnation,
+                view=core.view,
+                asked=incarnation,
+                ticket=ticket,
+                attempt=attempt,
+                reason=reason,
+                answer=answer,
+                retry_ns=0,
+            ),
+        )
 
 
 def take_answer(core: Core, ticket: int, attempt: int, reason: str, answer: bytes) -> None:
@@ -43,8 +55,12 @@
     if to == core.fixed.me:
         take_read(core, ticket, number)
     else:
-        core.send(to, ReadAt(incarnation=core.incarnation, view=core.view, asked=incarnation, ticket=ticket,
-                             number=number))
+        core.send(
+            to,
+            ReadAt(
+                incarnation=core.incarnation, view=core.view, asked=incarnation, ticket=ticket, number=number
+            ),
+        )
 
 
 def take_read(core: Core, ticket: int, number: int) -> None:
--- a/ambershift/runtime/changes.py
+++ b/ambershift/runtime/changes.py
@@ -15,11 +15,17 @@
 FIGURE_LONGEST = 20
 # What HAProxy sets on a server and this program can't, each with its reason.
 NOT_OURS = {
-    "addr": "discovery tells the addresses of servers", "port": "discovery tells the addresses of servers",
-    "fqdn": "there are no names to look up", "ssl": "a coordinator ends no TLS",
-    "agent": "there are no agent checks", "agent-addr": "there are no agent checks",
-    "agent-port": "there are no agent checks", "agent-send": "there are no agent checks",
-    "check-addr": "there are no health checks", "check-port": "there are no health checks"}
+    "addr": "discovery tells the addresses of servers",
+    "port": "discovery tells the addresses of servers",
+    "fqdn": "there are no names to look up",
+    "ssl": "a coordinator ends no TLS",
+    "agent": "there are no agent checks",
+    "agent-addr": "there are no agent checks",
+    "agent-port": "there are no agent checks",
+    "agent-send": "there are no agent checks",
+    "check-addr": "there are no health checks",
+    "check-port": "there are no health checks",
+}
 
 
 class BadCommandError(Exception):
@@ -51,8 +57,11 @@
         raise BadCommandError("Empty weight.")
     digits, relative = text.removesuffix("%"), text.endswith("%")
     if text.startswith("-"):
-        raise BadCommandError("Relative weight must be positive." if relative else
-                              "Absolute weight can only be between 0 and 256 inclusive.")
+        raise BadCommandError(
+            "Relative weight must be positive."
+            if relative
+            else "Absolute weight can only be between 0 and 256 inclusive."
+        )
     if not FIGURE.fullmatch(digits) or len(digits) > FIGURE_LONGEST:
         raise BadCommandError(f"Trailing garbage in weight string '{text[:40]}'.")
     if relative:
@@ -121,12 +130,13 @@
     texts = {
         Reason.NO_SUCH_SERVER: "no such server",
         Reason.ZONE_WITHOUT_WARM: f"without {server} zone {scene.zone_name(refused.zone)} would have no "
-                                  "ready warm server; make another one ready first, or wait until one is "
-                                  "warm",
+        "ready warm server; make another one ready first, or wait until one is "
+        "warm",
         Reason.GROUP_WITHOUT_WARM: f"without {server} no traffic group would have a ready warm server "
-                                   "anywhere; make another one ready first, or wait until one is warm",
+        "anywhere; make another one ready first, or wait until one is warm",
         Reason.WEIGHT_OUT_OF_RANGE: f"{server}: a weight lies between 0 and 256, a part between 0 and 100%",
         Reason.TOO_MANY_WAIT: "too many wishes are on their way; see 'show pending' and whether the relay "
-                              "answers",
-        Reason.STOPPING: "the coordinator ends; send it to the next one"}
+        "answers",
+        Reason.STOPPING: "the coordinator ends; send it to the next one",
+    }
     return texts[refused.reason]
--- a/ambershift/runtime/changing.py
+++ b/ambershift/runtime/changing.py
@@ -43,8 +43,16 @@
         """`text` is for records; a group is told the whole, as a token must come with the same again."""
         scene = self.scene
         if scene.common is not None and not scene.desk.stopping:
-            return Promise(partial(scene.common.promise, session.who, command.token, whole(command), changes,
-                                   session.idle or WAIT))
+            return Promise(
+                partial(
+                    scene.common.promise,
+                    session.who,
+                    command.token,
+                    whole(command),
+                    changes,
+                    session.idle or WAIT,
+                )
+            )
         outcome = scene.desk.command(scene.now(), session.who, text, changes)
         if isinstance(outcome, Refused):
             return error(tell_refused(scene, scene.view(), outcome))
@@ -97,16 +105,20 @@
         try:
             return self.handle(session, inner)
         except BadCommandError as bad:
-            return Promise(partial(common.refuse, inner.token, whole(inner), BAD_COMMAND, str(bad),
-                                   session.idle or WAIT))
+            return Promise(
+                partial(common.refuse, inner.token, whole(inner), BAD_COMMAND, str(bad), session.idle or WAIT)
+            )
 
     def do_wait(self, session: Session, command: Command, rest: tuple[str, ...]) -> Outcome:
         if rest in ((), ("-h",)):
-            return Answer(("usage: wait {-h | <delay>} [<condition> [<args>...]]",
-                           "srv-drained <backend>/<server>: shut out at every proxy, and no try told any "
-                           "more",
-                           "srv-applied <backend>/<server>: every joined proxy has applied the last wish",
-                           "srv-removable <backend>/<server>: drained, and kept out by operator or list"))
+            return Answer(
+                (
+                    "usage: wait {-h | <delay>} [<condition> [<args>...]]",
+                    "srv-drained <backend>/<server>: shut out at every proxy, and no try told any more",
+                    "srv-applied <backend>/<server>: every joined proxy has applied the last wish",
+                    "srv-removable <backend>/<server>: drained, and kept out by operator or list",
+                )
+            )
         scene, view = self.scene, self.scene.view()
         until = view.now + read_delay(rest[0], "ms")
         if len(rest) == 1:
@@ -120,10 +132,18 @@
             case "srv-drained":
                 return Wait(until, lambda: desk.drained(servers, scene.now()))
             case "srv-removable":
-                return Wait(until, lambda: desk.drained(servers, scene.now()) and all(
-                    scene.entry(scene.view(), server).phase != api.Phase.READY for server in servers))
-        raise BadCommandError(f"'wait' knows srv-drained, srv-applied and srv-removable, not "
-                              f"'{rest[1][:40]}'.")
+                return Wait(
+                    until,
+                    lambda: (
+                        desk.drained(servers, scene.now())
+                        and all(
+                            scene.entry(scene.view(), server).phase != api.Phase.READY for server in servers
+                        )
+                    ),
+                )
+        raise BadCommandError(
+            f"'wait' knows srv-drained, srv-applied and srv-removable, not '{rest[1][:40]}'."
+        )
 
     def do_clear_counters(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
         scene = self.scene
--- a/ambershift/runtime/client.py
+++ b/ambershift/runtime/client.py
@@ -71,8 +71,10 @@
         except TimeoutError:
             raise ClientError(f"{self.target}: did not come up within {DIAL_LIMIT:g} s") from None
         except OSError as error:
-            raise ClientError(f"{self.target}: can't connect ({error.strerror or error}); is the coordinator "
-                              "running with this socket in its settings?") from None
+            raise ClientError(
+                f"{self.target}: can't connect ({error.strerror or error}); is the coordinator "
+                "running with this socket in its settings?"
+            ) from None
         self.reader, self.writer = streams
         try:
             async with asyncio.timeout(self.limit):
@@ -81,9 +83,11 @@
                     await self.answer()
         except (TimeoutError, OSError, EOFError, asyncio.IncompleteReadError):
             self.close()
-            raise ClientError(f"{self.target}: closed or silent before the first answer; it may serve as "
-                              f"many as "
-                              "it may already") from None
+            raise ClientError(
+                f"{self.target}: closed or silent before the first answer; it may serve as "
+                f"many as "
+                "it may already"
+            ) from None
 
     async def run(self, command: str, payload: str | None = None, limit: float | None = None) -> Reply:
         """One command and its answer.
@@ -103,14 +107,17 @@
                     return await self.ask(text, payload)
             except TimeoutError:
                 self.close()
-                raise ClientError(f"{self.target}: no answer in time; the command may have been carried out"
-                                  ) from None
+                raise ClientError(
+                    f"{self.target}: no answer in time; the command may have been carried out"
+                ) from None
             except (OSError, EOFError, asyncio.IncompleteReadError):
                 self.close()
                 if not safe or turn + 1 == TRIES:
-                    raise ClientError(f"{self.target}: the connection ended before the answer; the command "
-                                      f"may "
-                                      "have been carried out") from None
+                    raise ClientError(
+                        f"{self.target}: the connection ended before the answer; the command "
+                        f"may "
+                        "have been carried out"
+                    ) from None
                 await asyncio.sleep(PAUSE)
         raise AssertionError("unreached")
 
@@ -131,8 +138,11 @@
 
     async def ask(self, text: str, payload: str | None) -> Reply:
         assert self.writer is not None
-        lines = text if payload is None else f"{text} <<\n" + "".join(
-            f"{line}\n" for line in payload.split("\n") if line.strip())
+        lines = (
+            text
+            if payload is None
+            else f"{text} <<\n" + "".join(f"{line}\n" for line in payload.split("\n") if line.strip())
+        )
         self.writer.write(f"{lines}\n".encode())
         await self.writer.drain()
         return read_reply(await self.answer())
@@ -162,8 +172,9 @@
         raise ClientError("one command at a time, and payloads by themselves")
     words = row.commands[0].words
     if words[0] == "prompt" or words[:2] == ("set", "severity-output"):
-        raise ClientError(f"'{words[0]}' is for those who speak to the socket by hand; this client sets it "
-                          f"itself")
+        raise ClientError(
+            f"'{words[0]}' is for those who speak to the socket by hand; this client sets it itself"
+        )
     found = lookup.find(words)
     if found is None or found[0].handler not in ONCE:
         return command, False
--- a/ambershift/runtime/common.py
+++ b/ambershift/runtime/common.py
@@ -14,8 +14,9 @@
 class Common(Protocol):
     """Rows are as `show` gives them, with plain values under the names of their columns."""
 
-    def promise(self, who: str, token: str, text: str, changes: Sequence[Change], wait: int
-                ) -> Awaitable[Answer]:
+    def promise(
+        self, who: str, token: str, text: str, changes: Sequence[Change], wait: int
+    ) -> Awaitable[Answer]:
         """Answered within `wait` ns: done once a majority holds it. `token` is "" where the client has none;
         `text` is what the same token must come with again."""
 
--- a/ambershift/runtime/converse.py
+++ b/ambershift/runtime/converse.py
@@ -17,7 +17,7 @@
 def read_delay(text: str, unit: str) -> int:
     """A time in HAProxy's form: a whole number and a unit, `unit` where none is given. Nanoseconds."""
     digits = text.rstrip("abcdefghijklmnopqrstuvwxyz")
-    scale = UNITS.get(text[len(digits):] or unit)
+    scale = UNITS.get(text[len(digits) :] or unit)
     if scale is None or not digits.isascii() or not digits.isdigit() or len(digits) > 12:
         raise BadCommandError(f"'{text[:40]}' is no delay; write a whole number and us, ms, s, m, h or d.")
     if int(digits) * scale > DELAY_MOST:
@@ -37,21 +37,32 @@
         return not entry.grouped or self.scene.common is not None
 
     def do_help(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
-        some = [one for one in catalogue.TABLE
-                if one.handler and one.level <= session.level and one.path[:len(rest)] == rest
-                and self.has(one)]
+        some = [
+            one
+            for one in catalogue.TABLE
+            if one.handler and one.level <= session.level and one.path[: len(rest)] == rest and self.has(one)
+        ]
         if not some:
             return error(f"No command begins with '{' '.join(rest)[:80]}'.")
         width = max(len(usage(one)) for one in some)
-        return Answer(["The following commands are valid at this level:",
-                       *(f"{usage(one):<{min(width, 60)}} : {one.note}" for one in some)])
+        return Answer(
+            [
+                "The following commands are valid at this level:",
+                *(f"{usage(one):<{min(width, 60)}} : {one.note}" for one in some),
+            ]
+        )
 
     def do_prompt(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
         way = rest[0] if rest else "p" if not session.prompted else "i"
         if way == "help":
-            return Answer(("prompt n: one line, one answer, then the connection is closed",
-                           "prompt i: many lines, no prompt", "prompt p: many lines, with a prompt",
-                           "prompt timed: the prompt shows how long the program has been running"))
+            return Answer(
+                (
+                    "prompt n: one line, one answer, then the connection is closed",
+                    "prompt i: many lines, no prompt",
+                    "prompt p: many lines, with a prompt",
+                    "prompt timed: the prompt shows how long the program has been running",
+                )
+            )
         if way not in ("n", "i", "p", "timed"):
             return error(f"'prompt' knows n, i, p, timed and help, not '{way[:40]}'.")
         if way == "timed":
@@ -91,5 +102,6 @@
         return Answer((session.level.name.lower(),))
 
     def do_show_cli_sockets(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
-        return Answer(("# socket lvl "
-                       "processes", *(f"{one.address} {one.level} all" for one in self.scene.places)))
+        return Answer(
+            ("# socket lvl processes", *(f"{one.address} {one.level} all" for one in self.scene.places))
+        )
--- a/ambershift/runtime/document.py
+++ b/ambershift/runtime/document.py
@@ -18,8 +18,10 @@
     rows = ["| command | level | HAProxy's | what it does, or why not |", "| --- | --- | --- | --- |"]
     for one in TABLE:
         name = f"{one.name} {one.usage}".rstrip().replace("|", "\\|")
-        rows.append(f"| `{name}` | {one.level.name.lower()} | {one.kind.value} | "
-                    f"{one.note.replace('|', chr(92) + '|')} |")
+        rows.append(
+            f"| `{name}` | {one.level.name.lower()} | {one.kind.value} | "
+            f"{one.note.replace('|', chr(92) + '|')} |"
+        )
     return "\n".join(rows) + "\n"
 
 
--- a/ambershift/runtime/execute.py
+++ b/ambershift/runtime/execute.py
@@ -44,10 +44,11 @@
         return handler(session, command, rest)
 
     def unknown(self, session: Session, command: Command) -> Answer:
-        near = [one for one in lookup.alike(command.words)
-                if one.level <= session.level and self.has(one)]
+        near = [one for one in lookup.alike(command.words) if one.level <= session.level and self.has(one)]
         first = f"Unknown command: '{' '.join(command.words)[:80]}'"
         if not near:
             return error(f"{first}. Please enter 'help' to see the commands.")
-        return Answer((f"{first}, but maybe one of the following ones is a better match:", *map(usage, near)),
-                      Severity.ERROR)
+        return Answer(
+            (f"{first}, but maybe one of the following ones is a better match:", *map(usage, near)),
+            Severity.ERROR,
+        )
--- a/ambershift/runtime/figures.py
+++ b/ambershift/runtime/figures.py
@@ -42,17 +42,30 @@
     yield "]" if ahead == "," else "[]"
 
 
-NATURES = {"A": "Age", "C": "Counter", "D": "Duration", "G": "Gauge", "L": "Limit", "M": "Max", "N": "Name",
-           "O": "Output", "R": "Rate", "T": "Time"}
+NATURES = {
+    "A": "Age",
+    "C": "Counter",
+    "D": "Duration",
+    "G": "Gauge",
+    "L": "Limit",
+    "M": "Max",
+    "N": "Name",
+    "O": "Output",
+    "R": "Rate",
+    "T": "Time",
+}
 ORIGINS = {"M": "Metric", "S": "Status", "K": "Key", "C": "Config", "P": "Product"}
 SCOPES = {"S": "Service", "P": "Process", "C": "Cluster"}
 
 
 def typed_object(ahead: dict[str, Any], field: Field) -> dict[str, Any]:
     origin, nature, scope = tuple(field.tags)
-    return {"field": {**ahead, "name": field.name}, "processNum": 1,
-            "tags": {"origin": ORIGINS[origin], "nature": NATURES[nature], "scope": SCOPES[scope]},
-            "value": {"type": kind(field.value), "value": field.value}}
+    return {
+        "field": {**ahead, "name": field.name},
+        "processNum": 1,
+        "tags": {"origin": ORIGINS[origin], "nature": NATURES[nature], "scope": SCOPES[scope]},
+        "value": {"type": kind(field.value), "value": field.value},
+    }
 
 
 def rows(items: Iterator[dict[str, Any]], names: tuple[str, ...], json: bool) -> Iterator[str]:
--- a/ambershift/runtime/front.py
+++ b/ambershift/runtime/front.py
@@ -29,20 +29,39 @@
 class RuntimeFront(Serving):
     """`idle` is how many nanoseconds a connection may say nothing, `most` how many there may be."""
 
-    def __init__(self, coordinator: Coordinator, spots: Sequence[UnixPlace | TcpPlace], most: int, idle: int,
-                 version: str) -> None:
+    def __init__(
+        self,
+        coordinator: Coordinator,
+        spots: Sequence[UnixPlace | TcpPlace],
+        most: int,
+        idle: int,
+        version: str,
+    ) -> None:
         self.coordinator, self.spots, self.idle = coordinator, spots, idle
         start, admit, self.now = coordinator.start, coordinator.admit, coordinator.clock.now
         self.desk = Desk(start.terms.cold, start.terms.report_period)
         self.tap: Tap = DeskTap(self.desk, self.now, self.moved)
         relay = coordinator.relay
         self.scene = Scene(
-            self.desk, start.names, admit.door, admit.addresses, self.now, coordinator.book.counts,
-            lambda: Relaying(relay.address, len(relay.calls)), start.name, len(start.terms.groups), version)
+            self.desk,
+            start.names,
+            admit.door,
+            admit.addresses,
+            self.now,
+            coordinator.book.counts,
+            lambda: Relaying(relay.address, len(relay.calls)),
+            start.name,
+            len(start.terms.groups),
+            version,
+        )
         self.scene.pid, self.scene.memory_mb = os.getpid(), start.memory_mb
         self.executor = Executor(self.scene)
-        self.listener = Listener(Pool(BUFFER, BUFFERS_A_CLIENT * most), most, self.serve,
-                                 partial(coordinator.book.ended, "runtime"))
+        self.listener = Listener(
+            Pool(BUFFER, BUFFERS_A_CLIENT * most),
+            most,
+            self.serve,
+            partial(coordinator.book.ended, "runtime"),
+        )
         self.bound = list[Bound]()
         self.levels = dict[object, UnixPlace | TcpPlace]()
         self.timer: asyncio.TimerHandle | None = None
@@ -63,9 +82,13 @@
             self.release()
             raise BadStartError(f"key 'runtime': {error}") from None
         self.scene.places = tuple(
-            Place(spot.title, spot.level.name.lower(),
-                  f"{spot.mode:04o}" if isinstance(spot, UnixPlace) else "-")
-            for spot in self.spots)
+            Place(
+                spot.title,
+                spot.level.name.lower(),
+                f"{spot.mode:04o}" if isinstance(spot, UnixPlace) else "-",
+            )
+            for spot in self.spots
+        )
         self.coordinator.book.note("runtime_open", places=[spot.title for spot in self.spots])
 
     async def close(self) -> None:
--- a/ambershift/runtime/grammar.py
+++ b/ambershift/runtime/grammar.py
@@ -98,7 +98,7 @@
         raise GrammarError(f"the pattern behind << has more than {PATTERN_MOST} characters")
     if len(last.words) == 1:
         raise GrammarError("a payload with no command before it")
-    commands[-1] = Command(last.words[:-1], last.text[:last.text.rindex("<<")].rstrip())
+    commands[-1] = Command(last.words[:-1], last.text[: last.text.rindex("<<")].rstrip())
     return Row(tuple(commands), pattern)
 
 
--- a/ambershift/runtime/lookup.py
+++ b/ambershift/runtime/lookup.py
@@ -37,13 +37,14 @@
             break
         node = node.next[word]
         if node.entry is not None:
-            found = node.entry, words[at + 1:]
+            found = node.entry, words[at + 1 :]
     return found
 
 
 def alike(words: tuple[str, ...], most: int = 8) -> list[Entry]:
     """The commands closest to words that are none: those that share the longest beginning, then by
     likeness."""
+
     def shared(entry: Entry) -> int:
         count = 0
         for one, other in zip(entry.path, words, strict=False):
@@ -51,10 +52,12 @@
                 break
             count += 1
         return count
+
     best = max(map(shared, TABLE))
     if best:
         return [entry for entry in TABLE if shared(entry) == best][:most]
     from difflib import get_close_matches  # Only here, as few need it.
+
     names = {entry.name: entry for entry in TABLE if entry.handler}
     first = {entry.path[0] for entry in names.values()}
     near = set(get_close_matches(words[0], first, 3, 0.6)) if words else set()
--- a/ambershift/runtime/places.py
+++ b/ambershift/runtime/places.py
@@ -72,8 +72,9 @@
 def bind_unix(place: UnixPlace) -> Bound:
     path = place.path
     if (size := len(os.fsencode(path))) > PATH_MOST:
-        raise PlaceError(f"{path}: the path has {size} bytes, the system takes {PATH_MOST}; choose "
-                         "a shorter one")
+        raise PlaceError(
+            f"{path}: the path has {size} bytes, the system takes {PATH_MOST}; choose a shorter one"
+        )
     clear(path)
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     # Made with no rights for others: between bind and chmod nobody else may get in.
@@ -84,8 +85,9 @@
         found = os.lstat(path)
     except OSError as error:
         sock.close()
-        raise PlaceError(f"{path}: can't listen there ({error.strerror}); is the folder there, and may we "
-                         "write in it?") from None
+        raise PlaceError(
+            f"{path}: can't listen there ({error.strerror}); is the folder there, and may we write in it?"
+        ) from None
     finally:
         os.umask(before)
     return Bound(place, sock, (found.st_dev, found.st_ino))
@@ -113,8 +115,9 @@
     try:
         os.unlink(path)
     except OSError as error:
-        raise PlaceError(f"{path}: what a program left there can't be taken away "
-                         f"({error.strerror})") from None
+        raise PlaceError(
+            f"{path}: what a program left there can't be taken away ({error.strerror})"
+        ) from None
 
 
 def peer(sock: socket.socket) -> str:
--- a/ambershift/runtime/reading.py
+++ b/ambershift/runtime/reading.py
@@ -19,10 +19,20 @@
 
 SECOND = 1_000_000_000
 MEMBER_COLUMNS = ("name", "state", "leader", "votes", "incarnation", "committed", "heard_ms", "link", "why")
-PERMIT_COLUMNS = ("id", "work", "servers", "state", "granted", "ends", "tenants", "reason", "tenant",
-                  "nearest", "text")
-PAIR_COLUMNS = ("victim", "suspect", "effect", "low", "high", "p", "nodes", "suffering", "accused",
-                "reason")
+PERMIT_COLUMNS = (
+    "id",
+    "work",
+    "servers",
+    "state",
+    "granted",
+    "ends",
+    "tenants",
+    "reason",
+    "tenant",
+    "nearest",
+    "text",
+)
+PAIR_COLUMNS = ("victim", "suspect", "effect", "low", "high", "p", "nodes", "suffering", "accused", "reason")
 
 
 class Reading:
@@ -42,16 +52,20 @@
         zones, types, server = self.zones(()), -1, -1
         if words and words[0] not in ("json", "typed"):
             if len(words) < 3:
-                raise BadCommandError("'show stat' takes <zone> <type> <sid>, each -1 for all, or none of "
-                                      "them.")
+                raise BadCommandError(
+                    "'show stat' takes <zone> <type> <sid>, each -1 for all, or none of them."
+                )
             if words[0] not in ("-1", "0"):
                 zones = self.zones((words[0],)) if not words[0].isdigit() else [self.number(words[0]) - 2]
             if not set(zones) <= set(self.zones(())):
                 raise BadCommandError(f"No such backend '{words[0][:40]}'.")
             types, server = self.number(words[1]), self.number(words[2])
             words = words[3:]
-        return Answer(stat.show_stat(self.scene, zones, types, server, self.form(words, ("json", "typed")),
-                                     no_maint, up))
+        return Answer(
+            stat.show_stat(
+                self.scene, zones, types, server, self.form(words, ("json", "typed")), no_maint, up
+            )
+        )
 
     def do_show_servers_state(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
         return Answer(stat.show_servers_state(self.scene, self.zones(rest)))
@@ -66,26 +80,41 @@
         return Answer(f"{name}: {self.scene.count(name)}" for name in sorted(self.scene.counts))
 
     def do_show_env(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
-        names = [name for name in sorted(os.environ)
-                 if name.startswith("BALANCER_") and rest in ((), (name,))]
+        names = [
+            name for name in sorted(os.environ) if name.startswith("BALANCER_") and rest in ((), (name,))
+        ]
         if rest and not names:
             return error("Variable not found")
         return Answer(f"{name}={os.environ[name]}" for name in names)
 
     def do_show_schema_json(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
         field = {"type": "object", "required": ["field", "processNum", "tags", "value"]}
-        return Answer((orjson.dumps({
-            "$schema": "http://json-schema.org/draft-04/schema#", "title": "ambershift show info, show stat",
-            "anyOf": [{"type": "array", "items": field},
-                      {"type": "array", "items": {"type": "array", "items": field}}]}).decode(),))
+        return Answer(
+            (
+                orjson.dumps(
+                    {
+                        "$schema": "http://json-schema.org/draft-04/schema#",
+                        "title": "ambershift show info, show stat",
+                        "anyOf": [
+                            {"type": "array", "items": field},
+                            {"type": "array", "items": {"type": "array", "items": field}},
+                        ],
+                    }
+                ).decode(),
+            )
+        )
 
     def do_get_weight(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
         view = self.scene.view()
         if len(rest) != 1:
             raise BadCommandError("Require 'backend/server'.")
-        return Answer([f"{figures.figure(self.scene.entry(view, server).weight)} "
-                       f"(initial {figures.figure(view.world.listed[server].weight)})"
-                       for server in named(self.scene, view, rest[0])])
+        return Answer(
+            [
+                f"{figures.figure(self.scene.entry(view, server).weight)} "
+                f"(initial {figures.figure(view.world.listed[server].weight)})"
+                for server in named(self.scene, view, rest[0])
+            ]
+        )
 
     def do_show_pending(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
         view, json, servers = self.chosen(rest)
@@ -138,9 +167,12 @@
         words = [word for word in rest if not word.startswith("-")]
         flags = set("".join(word[1:] for word in rest if word.startswith("-")))
         if not rest:
-            return Answer(("Supported events sinks are listed below. Add -w (wait), -n (new). Any key to "
-                           "stop.",
-                           f"    admin          : {self.scene.desk.ledger.count} records, 0 dropped"))
+            return Answer(
+                (
+                    "Supported events sinks are listed below. Add -w (wait), -n (new). Any key to stop.",
+                    f"    admin          : {self.scene.desk.ledger.count} records, 0 dropped",
+                )
+            )
         if flags - {"w", "n"} or words not in ([], ["admin"]):
             return error("'show events' knows the sink 'admin' and the flags -w and -n.")
         ledger = self.scene.desk.ledger
@@ -153,7 +185,7 @@
         if len(rest) > 1:
             raise BadCommandError("At most a count may stand here.")
         if rest:
-            errors = errors[-max(1, self.number(rest[0])):]
+            errors = errors[-max(1, self.number(rest[0])) :]
         return Answer([self.record(one) for one in errors])
 
     def record(self, one: Record) -> str:
--- a/ambershift/runtime/scene.py
+++ b/ambershift/runtime/scene.py
@@ -35,9 +35,19 @@
 class Scene:
     """Read by handlers; `counts` are the book's, `base` what they were when counters were cleared last."""
 
-    def __init__(self, desk: Desk, names: Names, door: Door[str], addresses: Mapping[int, str],
-                 now: Callable[[], int], counts: Mapping[str, int], relaying: Callable[[], Relaying],
-                 node: str, groups: int, version: str) -> None:
+    def __init__(
+        self,
+        desk: Desk,
+        names: Names,
+        door: Door[str],
+        addresses: Mapping[int, str],
+        now: Callable[[], int],
+        counts: Mapping[str, int],
+        relaying: Callable[[], Relaying],
+        node: str,
+        groups: int,
+        version: str,
+    ) -> None:
         self.desk, self.names, self.door, self.addresses, self.now = desk, names, door, addresses, now
         self.counts, self.relaying = counts, relaying
         self.node, self.groups, self.version = node, groups, version
--- a/ambershift/runtime/serving.py
+++ b/ambershift/runtime/serving.py
@@ -59,8 +59,9 @@
                         return
         except EndedError as end:
             if end.ending is Ending.TOO_LONG:
-                self.say(link, session, f"Refused: a line may have {LINE_MOST} bytes; nothing of it was "
-                                        "done.")
+                self.say(
+                    link, session, f"Refused: a line may have {LINE_MOST} bytes; nothing of it was done."
+                )
                 await self.linger(link)
             elif end.ending is Ending.SILENT:
                 self.say(link, session, "Closed: nothing came for too long.")
@@ -126,8 +127,11 @@
             await asyncio.sleep(LOOK_AGAIN)  # Steps may come by the hundred, and clients that wait too.
         if wait.done is None:
             return Answer(())
-        return Answer(("Done.",), Severity.INFO) if wait.done() else Answer(
-            ("Wait delay expired.",), Severity.ERROR)
+        return (
+            Answer(("Done.",), Severity.INFO)
+            if wait.done()
+            else Answer(("Wait delay expired.",), Severity.ERROR)
+        )
 
     async def stream(self, link: Link, session: Session, stream: Stream) -> None:
         after, ledger = stream.after, self.desk.ledger
@@ -140,14 +144,16 @@
                 key.cancel()
                 await asyncio.gather(key, return_exceptions=True)
 
-    async def follow(self, link: Link, ledger: Ledger, after: int, key: asyncio.Future[list[bytes]] | None
-                     ) -> None:
+    async def follow(
+        self, link: Link, ledger: Ledger, after: int, key: asyncio.Future[list[bytes]] | None
+    ) -> None:
         while not (self.desk.stopping or link.writer.is_closing() or key and key.done()):
             fresh = [one for one in ledger.records if one.number > after]
             if fresh:
                 if fresh[0].number > after + 1 and after:
-                    await link.write(f"# {fresh[0].number - after - 1} records "
-                                     f"missed\n".encode(), WRITE_LIMIT)
+                    await link.write(
+                        f"# {fresh[0].number - after - 1} records missed\n".encode(), WRITE_LIMIT
+                    )
                 after = fresh[-1].number
                 text = "".join(f"{self.executor.record(one)}\n" for one in fresh)
                 await link.write(text.encode(), WRITE_LIMIT)
--- a/ambershift/runtime/show.py
+++ b/ambershift/runtime/show.py
@@ -27,29 +27,45 @@
     uptime = (view.now - scene.started) // SECOND
     phases = [scene.entry(view, server).phase for server in view.world.listed]
     return [
-        Field("Name", "POS", "ambershift"), Field("Version", "POS", scene.version),
-        Field("Nbthread", "CGS", 1), Field("Nbproc", "CGS", 1), Field("Process_num", "KGP", 1),
+        Field("Name", "POS", "ambershift"),
+        Field("Version", "POS", scene.version),
+        Field("Nbthread", "CGS", 1),
+        Field("Nbproc", "CGS", 1),
+        Field("Process_num", "KGP", 1),
         Field("Pid", "SGP", scene.pid),
-        Field("Uptime", "MDP", f"{uptime // 86400}d "
-                               f"{uptime // 3600 % 24}h{uptime // 60 % 60:02}m{uptime % 60:02}s"),
-        Field("Uptime_sec", "MDP", uptime), Field("Memmax_MB", "CLP", scene.memory_mb),
-        Field("CurrConns", "MGP", scene.connections), Field("CumConns", "MCP", scene.accepted),
-        Field("Stopping", "SGP", int(scene.desk.stopping)), Field("node", "CGS", scene.node),
-        Field("Zones", "CGS", len(scene.names.zones)), Field("Traffic_groups", "CGS", scene.groups),
+        Field(
+            "Uptime",
+            "MDP",
+            f"{uptime // 86400}d {uptime // 3600 % 24}h{uptime // 60 % 60:02}m{uptime % 60:02}s",
+        ),
+        Field("Uptime_sec", "MDP", uptime),
+        Field("Memmax_MB", "CLP", scene.memory_mb),
+        Field("CurrConns", "MGP", scene.connections),
+        Field("CumConns", "MCP", scene.accepted),
+        Field("Stopping", "SGP", int(scene.desk.stopping)),
+        Field("node", "CGS", scene.node),
+        Field("Zones", "CGS", len(scene.names.zones)),
+        Field("Traffic_groups", "CGS", scene.groups),
         Field("Servers", "SGP", len(phases)),
         Field("Servers_ready", "SGP", sum(phase == api.Phase.READY for phase in phases)),
         Field("Servers_draining", "SGP", sum(phase == api.Phase.DRAINING for phase in phases)),
         Field("Servers_lent", "SGP", len(view.world.lent)),
         Field("Proxies_joined", "SGP", len(view.picture.seats)),
-        Field("Wishes_standing", "SGP", sum(bool(one.severity) or one.weight is not None
-                                            for one in view.world.standing.values())),
+        Field(
+            "Wishes_standing",
+            "SGP",
+            sum(bool(one.severity) or one.weight is not None for one in view.world.standing.values()),
+        ),
         Field("Wishes_pending", "SGP", len(scene.desk.sweep(view.now))),
         Field("Commands_accepted", "MCP", scene.desk.commands),
-        Field("State_version", "SCP", view.version), Field("Relay_address", "CGS", relaying.address),
+        Field("State_version", "SCP", view.version),
+        Field("Relay_address", "CGS", relaying.address),
         Field("Relay_calls_waiting", "SGP", relaying.calls),
         Field("Replies_ordered", "MCP", view.picture.reply),
         Field("Replies_settled", "MCP", view.picture.settled),
-        Field("Steps", "MCP", scene.count("steps")), Field("Slow_steps", "MCP", scene.count("slow_step"))]
+        Field("Steps", "MCP", scene.count("steps")),
+        Field("Slow_steps", "MCP", scene.count("slow_step")),
+    ]
 
 
 def show_info(scene: Scene, form: str) -> Iterator[str]:
@@ -70,9 +86,14 @@
         if told is None or reached in (None, Stage.APPLIED):
             continue
         origin = view.world.wish(server).origin
-        yield {"server": scene.title(view, server), "stage": Stage(reached or 0).name.lower(),
-               "wish": wish_words(view, server),
-               "number": origin.number, "who": origin.who, "waiting_ms": (view.now - told.at) // 1_000_000}
+        yield {
+            "server": scene.title(view, server),
+            "stage": Stage(reached or 0).name.lower(),
+            "wish": wish_words(view, server),
+            "number": origin.number,
+            "who": origin.who,
+            "waiting_ms": (view.now - told.at) // 1_000_000,
+        }
 
 
 def wish_words(view: View, server: int) -> str:
@@ -90,10 +111,15 @@
     for server in servers:
         wish, lent = view.world.standing.get(server), view.world.lent.get(server)
         if wish is not None:
-            yield {"server": scene.title(view, server), "wish": wish_words(view, server),
-                   "status": scene.status(view, server), "number": wish.origin.number, "who": wish.origin.who,
-                   "since_ms": (view.now - wish.origin.at) // 1_000_000,
-                   "lent_ms": (view.now - lent) // 1_000_000 if lent is not None else -1}
+            yield {
+                "server": scene.title(view, server),
+                "wish": wish_words(view, server),
+                "status": scene.status(view, server),
+                "number": wish.origin.number,
+                "who": wish.origin.who,
+                "since_ms": (view.now - wish.origin.at) // 1_000_000,
+                "lent_ms": (view.now - lent) // 1_000_000 if lent is not None else -1,
+            }
 
 
 def table_rows(scene: Scene, view: View, tables: list[int]) -> Iterator[dict[str, Any]]:
@@ -101,6 +127,12 @@
     for table in tables:
         for server, line in sorted(view.picture.tables[table].items()):
             if line.weight:
-                yield {"table": table, "proxies": used.count(table), "server": scene.title(view, server),
-                       "weight": line.weight, "shut": view.picture.shut.get(server, NEVER_SHUT).out,
-                       "reply": line.reply, "settled": line.reply <= view.picture.settled}
+                yield {
+                    "table": table,
+                    "proxies": used.count(table),
+                    "server": scene.title(view, server),
+                    "weight": line.weight,
+                    "shut": view.picture.shut.get(server, NEVER_SHUT).out,
+                    "reply": line.reply,
+                    "settled": line.reply <= view.picture.settled,
+                }
--- a/ambershift/settings/group.py
+++ b/ambershift/settings/group.py
@@ -1,14 +1,14 @@
 """The settings block `group`: who the members are, where they are reached, and what one of them is.
 
-    group {
-      name   = "archive"
-      me     = "n1"
-      listen = "127.0.0.1:7101"
-      folder = "/var/lib/ambershift/n1"
-      member "n1" { address = "127.0.0.1:7101" }
-      member "n2" { address = "127.0.0.1:7202" }
-      member "n3" { address = "127.0.0.1:7303" }
-    }
+group {
+  name   = "archive"
+  me     = "n1"
+  listen = "127.0.0.1:7101"
+  folder = "/var/lib/ambershift/n1"
+  member "n1" { address = "127.0.0.1:7101" }
+  member "n2" { address = "127.0.0.1:7202" }
+  member "n3" { address = "127.0.0.1:7303" }
+}
 """
 
 from __future__ import annotations
@@ -61,9 +61,9 @@
     if group.folder and (not group.folder.startswith("/") or "\0" in group.folder):
         raise complain("group.folder", f"'{group.folder}' is no absolute path")
     if duration(group.clock_bound) is None:
-        raise complain("group.clock_bound", f"'{group.clock_bound}' is no time such as \"500ms\" or \"1s\"")
+        raise complain("group.clock_bound", f'\'{group.clock_bound}\' is no time such as "500ms" or "1s"')
     if clock_ahead(group.clock_ahead) is None:
-        raise complain("group.clock_ahead", f"'{group.clock_ahead}' is no time such as \"2s\" or \"-2s\"")
+        raise complain("group.clock_ahead", f'\'{group.clock_ahead}\' is no time such as "2s" or "-2s"')
     names, addresses = dict[str, str](), dict[str, str]()
     for at, one in enumerate(group.member):
         key = f"group.member[{at}]"
@@ -83,5 +83,8 @@
         raise complain("group.me", f"'{group.me}' is not among the members: {', '.join(names) or 'none'}")
     voters = sum(one.votes for one in group.member)
     if voters not in VOTERS:
-        raise complain("group.member", f"{voters} of the members vote; it takes 1, 3, 5 or 7, as an even "
-                                       "number bears no more losses than the odd one below")
+        raise complain(
+            "group.member",
+            f"{voters} of the members vote; it takes 1, 3, 5 or 7, as an even "
+            "number bears no more losses than the odd one below",
+        )
--- a/ambershift/settings/interference.py
+++ b/ambershift/settings/interference.py
@@ -1,15 +1,15 @@
 """The settings block `interference`: whose counters are read where, and whether weights are eased by scores.
 
-    interference {
-      interval = "10s"
-      ease = false
-      ease_most = "20%"
-      source "node-1" {
-        kind = "m2"
-        job "s-1"   { tenant = "games"  file = "/run/perf/s-1.csv" }
-        job "batch" { file = "/run/perf/all.csv"  cgroup = "batch.slice" }
-      }
-    }
+interference {
+  interval = "10s"
+  ease = false
+  ease_most = "20%"
+  source "node-1" {
+    kind = "m2"
+    job "s-1"   { tenant = "games"  file = "/run/perf/s-1.csv" }
+    job "batch" { file = "/run/perf/all.csv"  cgroup = "batch.slice" }
+  }
+}
 """
 
 from __future__ import annotations
@@ -59,9 +59,9 @@
 def check_interference(root: Interference, complain: Complaint) -> None:
     interval = duration(root.interval)
     if interval is None or not INTERVAL_LEAST <= interval <= INTERVAL_MOST:
-        raise complain("interference.interval", f"'{root.interval}' is no time from \"100ms\" to \"60s\"")
+        raise complain("interference.interval", f'\'{root.interval}\' is no time from "100ms" to "60s"')
     if part(root.ease_most) is None:
-        raise complain("interference.ease_most", f"'{root.ease_most}' is no part from \"1%\" to \"90%\"")
+        raise complain("interference.ease_most", f'\'{root.ease_most}\' is no part from "1%" to "90%"')
     if len(root.source) > SOURCES_MOST:
         raise complain("interference.source", f"{len(root.source)} sources; there may be {SOURCES_MOST}")
     nodes, files = dict[str, str](), dict[tuple[str, str], str]()
@@ -88,6 +88,9 @@
             if not job.file.startswith("/") or "\0" in job.file:
                 raise complain(f"{where}.file", f"'{job.file}' is no absolute path")
             if (job.file, job.cgroup) in files:
-                raise complain(f"{where}.file", f"'{job.file}' is read for {files[job.file, job.cgroup]} "
-                                                "already; two jobs can't have the same counters")
+                raise complain(
+                    f"{where}.file",
+                    f"'{job.file}' is read for {files[job.file, job.cgroup]} "
+                    "already; two jobs can't have the same counters",
+                )
             files[job.file, job.cgroup] = where
--- a/ambershift/settings/maintenance.py
+++ b/ambershift/settings/maintenance.py
@@ -1,18 +1,18 @@
 """The settings blocks of maintenance: tenants with their agreements, windows, works, and the revision.
 
-    tenant "games" {
-      zones = ["z1", "z2"]
-      agreement { capacity = 12  servers_out = 1  apart = "10m"  closed = ["2026-12-24"] }
-    }
-    window "night" {
-      tenants = ["games"]
-      rrule   = "FREQ=DAILY"
-      start   = "2026-12-01T02:00:00"
-      length  = "2h"
-      zone    = "Europe/Budapest"
-    }
-    work "kernel" { servers = ["a1", "a2"]  takes = "10m"  before = "2026-12-03T04:00:00Z"  at_once = 2 }
-    maintenance { revision = 3 }
+tenant "games" {
+  zones = ["z1", "z2"]
+  agreement { capacity = 12  servers_out = 1  apart = "10m"  closed = ["2026-12-24"] }
+}
+window "night" {
+  tenants = ["games"]
+  rrule   = "FREQ=DAILY"
+  start   = "2026-12-01T02:00:00"
+  length  = "2h"
+  zone    = "Europe/Budapest"
+}
+work "kernel" { servers = ["a1", "a2"]  takes = "10m"  before = "2026-12-03T04:00:00Z"  at_once = 2 }
+maintenance { revision = 3 }
 """
 
 from __future__ import annotations
@@ -106,15 +106,30 @@
     """What the blocks declare, which were checked; None where they declare nothing."""
     if not isinstance(blocks.maintenance, MaintenanceBlock):
         return None
-    windows = [(one, Window(one.name, one.rrule, one.start, length_of(one.length), one.zone))
-               for one in blocks.window]
-    tenants = tuple(Tenant(
-        one.name, one.groups, one.zones, one.proxies,
-        Agreement(one.agreement.capacity, one.agreement.servers_out, length_of(one.agreement.apart),
-                  one.agreement.closed),
-        tuple(window for block, window in windows if one.name in block.tenants)) for one in blocks.tenant)
-    works = tuple(Work(one.name, one.servers, length_of(one.takes), read_moment(one.before) or 0, one.at_once)
-                  for one in blocks.work)
+    windows = [
+        (one, Window(one.name, one.rrule, one.start, length_of(one.length), one.zone))
+        for one in blocks.window
+    ]
+    tenants = tuple(
+        Tenant(
+            one.name,
+            one.groups,
+            one.zones,
+            one.proxies,
+            Agreement(
+                one.agreement.capacity,
+                one.agreement.servers_out,
+                length_of(one.agreement.apart),
+                one.agreement.closed,
+            ),
+            tuple(window for block, window in windows if one.name in block.tenants),
+        )
+        for one in blocks.tenant
+    )
+    works = tuple(
+        Work(one.name, one.servers, length_of(one.takes), read_moment(one.before) or 0, one.at_once)
+        for one in blocks.work
+    )
     return Declared(blocks.maintenance.revision, tenants, works)
 
 
@@ -128,9 +143,11 @@
     if not grouped:
         raise complain("maintenance", "takes a group: permits are promises that its members hold")
     time(blocks.maintenance.drain, "maintenance.drain", complain)
-    for kind, names in (("tenant", [one.name for one in blocks.tenant]),
-                        ("window", [one.name for one in blocks.window]),
-                        ("work", [one.name for one in blocks.work])):
+    for kind, names in (
+        ("tenant", [one.name for one in blocks.tenant]),
+        ("window", [one.name for one in blocks.window]),
+        ("work", [one.name for one in blocks.work]),
+    ):
         check_names(kind, names, complain)
     for at, tenant in enumerate(blocks.tenant):
         check_tenant(tenant, f"tenant[{at}]", complain)
@@ -151,7 +168,7 @@
 
 def time(text: str, key: str, complain: Complaint) -> int:
     if (found := duration(text)) is None:
-        raise complain(key, f"'{text}' is no time such as \"90s\", \"10m\" or \"2h\", of a day at most")
+        raise complain(key, f'\'{text}\' is no time such as "90s", "10m" or "2h", of a day at most')
     return found
 
 
@@ -188,8 +205,9 @@
     distinct(window.tenants, f"{key}.tenants", complain)
     for name in window.tenants:
         if name not in known:
-            raise complain(f"{key}.tenants", f"no tenant is called '{name}'; there is: "
-                                             f"{', '.join(known) or 'none'}")
+            raise complain(
+                f"{key}.tenants", f"no tenant is called '{name}'; there is: {', '.join(known) or 'none'}"
+            )
     time(window.length, f"{key}.length", complain)
     try:
         zone_of(window.zone)
@@ -206,8 +224,9 @@
     distinct(work.servers, f"{key}.servers", complain)
     time(work.takes, f"{key}.takes", complain)
     if read_moment(work.before) is None:
-        raise complain(f"{key}.before", f"'{work.before}' is no time with its offset such as "
-                                        "\"2026-12-03T04:00:00Z\"")
+        raise complain(
+            f"{key}.before", f"'{work.before}' is no time with its offset such as \"2026-12-03T04:00:00Z\""
+        )
 
 
 def check_together(blocks: Blocks, complain: Complaint) -> None:
@@ -217,10 +236,14 @@
     least = min(length_of(work.takes) for work in blocks.work) + length_of(blocks.maintenance.drain)
     for at, window in enumerate(blocks.window):
         if length_of(window.length) <= least:
-            raise complain(f"window[{at}].length", f"'{window.length}' is too short for any work: the "
-                                                   "shortest and its drain take as long")
+            raise complain(
+                f"window[{at}].length",
+                f"'{window.length}' is too short for any work: the shortest and its drain take as long",
+            )
     opened = {name for window in blocks.window for name in window.tenants}
     for at, tenant in enumerate(blocks.tenant):
         if tenant.name not in opened:
-            raise complain(f"tenant[{at}]", f"no window names '{tenant.name}', so that no work can be done "
-                                            "on the servers that it uses")
+            raise complain(
+                f"tenant[{at}]",
+                f"no window names '{tenant.name}', so that no work can be done on the servers that it uses",
+            )
--- a/ambershift/settings/model.py
+++ b/ambershift/settings/model.py
@@ -1,12 +1,12 @@
 """What our settings may say: the typed form, its bounds and defaults, and the checks across keys.
 
-    runtime {
-      socket "/run/ambershift.sock" { mode = "0600"  level = "admin" }
-      tcp "127.0.0.1:9999" { level = "user" }
-      max_connections = 64
-      timeout = "60s"
-    }
-    log { level = "info" }
+runtime {
+  socket "/run/ambershift.sock" { mode = "0600"  level = "admin" }
+  tcp "127.0.0.1:9999" { level = "user" }
+  max_connections = 64
+  timeout = "60s"
+}
+log { level = "info" }
 """
 
 from __future__ import annotations
@@ -82,9 +82,16 @@
 
 
 # Blocks with a label: the key that the label stands for. All other blocks stand once, without labels.
-LABELLED = {"runtime.socket": "path", "runtime.tcp": "address", "group.member": "name", "tenant": "name",
-            "window": "name", "work": "name", "interference.source": "node",
-            "interference.source.job": "name"}
+LABELLED = {
+    "runtime.socket": "path",
+    "runtime.tcp": "address",
+    "group.member": "name",
+    "tenant": "name",
+    "window": "name",
+    "work": "name",
+    "interference.source": "node",
+    "interference.source.job": "name",
+}
 
 
 def read_file(path: str) -> Root:
@@ -172,8 +179,9 @@
         host, port = split(tcp.address, f"{key}.address", complain)
         taken(places, f"{host}:{port}", key, complain)
     if duration(root.runtime.timeout) is None:
-        raise complain("runtime.timeout", f"'{root.runtime.timeout}' is no time such as \"500ms\", \"60s\" "
-                                          f"or \"5m\"")
+        raise complain(
+            "runtime.timeout", f'\'{root.runtime.timeout}\' is no time such as "500ms", "60s" or "5m"'
+        )
     if isinstance(root.group, Group):
         check_group(root.group, complain)
         host, port = split(root.group.listen, "group.listen", complain)
--- a/ambershift/settings/tree.py
+++ b/ambershift/settings/tree.py
@@ -85,8 +85,11 @@
         case list():
             return [plain(one, place, line, key) for one in value]
         case dict():
-            return {unquote(str(name)): plain(one, place, line, f"{key}.{name}")
-                    for name, one in value.items() if not str(name).startswith("__")}
+            return {
+                unquote(str(name)): plain(one, place, line, f"{key}.{name}")
+                for name, one in value.items()
+                if not str(name).startswith("__")
+            }
         case float() if not math.isfinite(value):
             raise SettingsError(place, line, key, "is no finite number")
     return value
@@ -103,7 +106,7 @@
         if text[at] == "\\":
             at += 1
             if at == len(text) or text[at] not in ESCAPES:
-                raise SettingsError(place, line, key, f"unknown escape '\\{text[at:at + 1]}'")
+                raise SettingsError(place, line, key, f"unknown escape '\\{text[at : at + 1]}'")
             found.append(ESCAPES[text[at]])
         else:
             found.append(text[at])
--- a/ambershift/standins/__main__.py
+++ b/ambershift/standins/__main__.py
@@ -56,6 +56,7 @@
         async def ask() -> bool:
             found = await self.holders()
             return all(set(names) <= set(found.get(server, ())) for server in self.promised)
+
         with contextlib.suppress(AssertionError):
             await self.rig.eventually(ask, limit, "all hold what was promised")
         found = await self.holders()
@@ -67,12 +68,19 @@
         rig, names = self.rig, list(self.rig.names)
         await rig.eventually(self.steered, SETTLE, "all proxies bound")
         leader = await rig.leader()
-        self.tell(f"{len(names)} coordinators run on {rig.host}; {leader} leads; "
-                  f"{len(rig.fleet.proxies)} proxies send to {len(rig.fleet.servers)} servers")
+        self.tell(
+            f"{len(names)} coordinators run on {rig.host}; {leader} leads; "
+            f"{len(rig.fleet.proxies)} proxies send to {len(rig.fleet.servers)} servers"
+        )
         going = asyncio.Event()
-        operators = [asyncio.create_task(self.history.operator(
-            f"op{at}", random.Random(self.chance.random()), lambda: not going.is_set(), rig.running))
-            for at in range(2)]
+        operators = [
+            asyncio.create_task(
+                self.history.operator(
+                    f"op{at}", random.Random(self.chance.random()), lambda: not going.is_set(), rig.running
+                )
+            )
+            for at in range(2)
+        ]
         try:
             await self.promise(names[0], f"disable server {DRAINED}", DRAINED, "maint")
             await self.promise(names[1], "set server west/s-1 state drain", "west/s-1", "drain")
@@ -81,8 +89,10 @@
             at = time.monotonic()
             await self.promise(leader, f"disable server {self.titles[2]}", self.titles[2], "maint")
             await rig.kill(leader, wipe=True)
-            self.tell(f"killed {leader}, the leader, at the moment of its answer, and removed its folder; "
-                      "its proxies go to the others")
+            self.tell(
+                f"killed {leader}, the leader, at the moment of its answer, and removed its folder; "
+                "its proxies go to the others"
+            )
             rest = rig.running()
             await self.held_by(rest)
             now = await rig.leader(rest)
@@ -110,8 +120,10 @@
     def judge(self, since: float) -> None:
         fleet, drained = self.rig.fleet, list(self.promised)[:2]
         ids, which = [one.split("/")[1] for one in drained], " or ".join(drained)
-        sent, all_sent = (sum(len(fleet.servers[one].since(at)) for one in names)
-                          for names, at in ((ids, since), (fleet.servers, 0.0)))
+        sent, all_sent = (
+            sum(len(fleet.servers[one].since(at)) for one in names)
+            for names, at in ((ids, since), (fleet.servers, 0.0))
+        )
         self.rule(sent == 0, f"of {all_sent} flows none went to {which} over the change of leader and after")
         again = [one for name in ids for one in fleet.let_in(name, since)]
         self.rule(not again, f"no proxy let {which} in again, or drained it twice")
--- a/ambershift/standins/agents.py
+++ b/ambershift/standins/agents.py
@@ -39,8 +39,9 @@
             self.reports += 1
 
     def lines(self) -> list[bytes]:
-        mine = [proxy for proxy in self.fleet.proxies
-                if proxy.member == self.member and proxy.zone == self.zone]
+        mine = [
+            proxy for proxy in self.fleet.proxies if proxy.member == self.member and proxy.zone == self.zone
+        ]
         found, rows = Counter[str](), list[bytes]()
         for (zone, server), count in self.fleet.tried.items():
             if zone == self.zone:
@@ -49,12 +50,16 @@
             tries = count - self.seen[server]
             if tries and mine:
                 failed = tries if server in self.ill else 0
-                rows.append(f"outcomes zone={self.zone} server={server} tries={tries} failed={failed} "
-                            f"mean_ms=20.0 span_ms={PERIOD * 1e3}\r\n".encode())
+                rows.append(
+                    f"outcomes zone={self.zone} server={server} tries={tries} failed={failed} "
+                    f"mean_ms=20.0 span_ms={PERIOD * 1e3}\r\n".encode()
+                )
         self.seen = found
         for proxy in mine:
             for group in self.fleet.groups:
                 tries = max(1, round(self.fleet.rate))
-                rows.append(f"demand proxy={proxy.number} class={group} tries={tries} failed=0 "
-                            f"span_ms={PERIOD * 1e3}\r\n".encode())
+                rows.append(
+                    f"demand proxy={proxy.number} class={group} tries={tries} failed=0 "
+                    f"span_ms={PERIOD * 1e3}\r\n".encode()
+                )
         return rows
--- a/ambershift/standins/breaker.py
+++ b/ambershift/standins/breaker.py
@@ -104,9 +104,11 @@
             return
         await self.forward.unheld()
         far_reader, pair.far = await asyncio.open_connection(*self.target)
-        pumps = [asyncio.create_task(self.pump(pair, reader, pair.far, self.forward)),
-                 asyncio.create_task(self.pump(pair, far_reader, pair.near, self.back)),
-                 asyncio.create_task(pair.gone.wait())]
+        pumps = [
+            asyncio.create_task(self.pump(pair, reader, pair.far, self.forward)),
+            asyncio.create_task(self.pump(pair, far_reader, pair.near, self.back)),
+            asyncio.create_task(pair.gone.wait()),
+        ]
         try:
             await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -114,8 +116,9 @@
                 pump.cancel()
             await asyncio.gather(*pumps, return_exceptions=True)
 
-    async def pump(self, pair: Pair, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way
-                   ) -> None:
+    async def pump(
+        self, pair: Pair, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way
+    ) -> None:
         while True:
             with contextlib.suppress(OSError):
                 if data := await reader.read(PIECE):
@@ -137,12 +140,12 @@
                 return
             piece = data[:SLOW_PIECE] if way.mode is Mode.SLOW else data
             if way.left is not None:
-                piece = piece[:way.left]
+                piece = piece[: way.left]
                 way.left -= len(piece)
             writer.write(piece)
             await writer.drain()
             way.passed += len(piece)
-            data = data[len(piece):]
+            data = data[len(piece) :]
             if way.left == 0:
                 way.left = None
                 self.resets += 1
--- a/ambershift/standins/channel.py
+++ b/ambershift/standins/channel.py
@@ -49,5 +49,11 @@
 
     def messages_most(self, span: float) -> int:
         """The most messages that any proxy got within so many seconds."""
-        return max((sum(start <= at < start + span for at in times) for times in self.messages.values()
-                    for start in times), default=0)
+        return max(
+            (
+                sum(start <= at < start + span for at in times)
+                for times in self.messages.values()
+                for start in times
+            ),
+            default=0,
+        )
--- a/ambershift/standins/counting.py
+++ b/ambershift/standins/counting.py
@@ -29,30 +29,53 @@
         for at, member in enumerate(self.rig.members.values()):
             jobs = "".join(
                 f'    job "{name}" {{\n      file = "{self.folder}/node-{at}.{name}.csv"\n'
-                + (f'      tenant = "{tenant}"\n' if tenant else "") + "    }\n"
+                + (f'      tenant = "{tenant}"\n' if tenant else "")
+                + "    }\n"
                 for node, name, tenant in zip(world.node, world.name, world.tenant, strict=True)
-                if node == f"node-{at}")
+                if node == f"node-{at}"
+            )
             kind = world.kind[world.node.index(f"node-{at}")]
-            member.extra += (f'interference {{\n  interval = "{self.interval}"\n  source "node-{at}" {{\n'
-                             f'    kind = "{kind}"\n{jobs}  }}\n}}\n')
+            member.extra += (
+                f'interference {{\n  interval = "{self.interval}"\n  source "node-{at}" {{\n'
+                f'    kind = "{kind}"\n{jobs}  }}\n}}\n'
+            )
 
     async def start(self) -> None:
         self.writer = await self.run(
-            "ambershift.counters.standin", "--folder", str(self.folder), "--interval", self.interval,
-            "--seed", str(self.seed), "--nodes", str(len(self.rig.names)), "--plant", self.plant,
-            "--slots", "100000")
+            "ambershift.counters.standin",
+            "--folder",
+            str(self.folder),
+            "--interval",
+            self.interval,
+            "--seed",
+            str(self.seed),
+            "--nodes",
+            str(len(self.rig.names)),
+            "--plant",
+            self.plant,
+            "--slots",
+            "100000",
+        )
         await asyncio.gather(*(self.read(name) for name in self.rig.names))
 
     async def run(self, module: str, *words: str) -> asyncio.subprocess.Process:
         return await asyncio.create_subprocess_exec(
-            sys.executable, "-m", module, *words, cwd=ROOT, stdout=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.DEVNULL, env=dict(os.environ))
+            sys.executable,
+            "-m",
+            module,
+            *words,
+            cwd=ROOT,
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.DEVNULL,
+            env=dict(os.environ),
+        )
 
     async def read(self, name: str) -> None:
         """A reader beside this member."""
         member: Member = self.rig.members[name]
         self.readers[name] = await self.run(
-            "ambershift.counters", "--settings", str(Path(member.place) / "run.hcl"))
+            "ambershift.counters", "--settings", str(Path(member.place) / "run.hcl")
+        )
 
     async def lose(self, name: str) -> None:
         self.readers[name].kill()
--- a/ambershift/standins/discovery.py
+++ b/ambershift/standins/discovery.py
@@ -47,9 +47,13 @@
             return 200, json.dumps(listing(after, full=False)).encode()
         if self.mood == "mute":
             await asyncio.sleep(60)
-        bad = {"503": (503, b""), "reset": (0, b""), "garbage": (200, b'{"version": 1'),
-               "old": (200, json.dumps(listing(after - 1, full=False)).encode()),
-               "large": (200, b" " * (9 << 20))}
+        bad = {
+            "503": (503, b""),
+            "reset": (0, b""),
+            "garbage": (200, b'{"version": 1'),
+            "old": (200, json.dumps(listing(after - 1, full=False)).encode()),
+            "large": (200, b" " * (9 << 20)),
+        }
         if self.mood in bad:
             return bad[self.mood]
         found = self.changes.get(after + 1) if after + 1 == self.now["version"] else None
--- a/ambershift/standins/fleet.py
+++ b/ambershift/standins/fleet.py
@@ -72,16 +72,26 @@
         return server not in self.shut and self.has(server)
 
     def pick(self, group: str, chance: random.Random) -> str | None:
-        lines = {name: weight for name, weight in self.lines[group].items()
-                 if name not in self.shut and weight > 0}
+        lines = {
+            name: weight for name, weight in self.lines[group].items() if name not in self.shut and weight > 0
+        }
         return chance.choices(list(lines), list(lines.values()))[0] if lines else None
 
 
 class Fleet:
     """All proxies and servers of the rig, and which coordinator steers which proxy."""
 
-    def __init__(self, zones: Iterable[str], groups: Iterable[str], servers: Iterable[dict[str, Any]],
-                 proxies: int, cold_for: float, rate: float, now: Callable[[], float], seed: int) -> None:
+    def __init__(
+        self,
+        zones: Iterable[str],
+        groups: Iterable[str],
+        servers: Iterable[dict[str, Any]],
+        proxies: int,
+        cold_for: float,
+        rate: float,
+        now: Callable[[], float],
+        seed: int,
+    ) -> None:
         self.zones, self.groups, self.now = list(zones), list(groups), now
         self.proxies = [Proxy(at, self.zones[at % len(self.zones)]) for at in range(proxies)]
         self.servers = {one["id"]: Server(one["id"], one["zone"], cold_for) for one in servers}
@@ -100,6 +110,7 @@
         def carried(orders: list[str], joined: list[int], after: float) -> None:
             self.orders += [(self.now(), member, order) for order in orders]
             asyncio.get_running_loop().call_later(after, self.apply, member, orders, joined)
+
         relay.watchers.append(carried)
 
     def apply(self, member: str, orders: list[str], joined: list[int]) -> None:
@@ -119,8 +130,9 @@
                             # From here on it follows this coordinator's withdrawals alone.
                             # Who was shut out and is in none of its lines is as far away as before.
                             for server in proxy.shut | self.withdrawn[member]:
-                                self.shut(proxy, server,
-                                          server in self.withdrawn[member] or not proxy.has(server))
+                                self.shut(
+                                    proxy, server, server in self.withdrawn[member] or not proxy.has(server)
+                                )
                             proxy.fresh = False
                 case "eject" | "uneject":
                     held = self.withdrawn[member]
@@ -132,8 +144,10 @@
         tables = [words[0]] if words[0] != EVERY else [at for of, at in self.tables if of == member]
         for table in tables:
             key = member, table
-            held = [self.tables[key], *(
-                proxy.lines[group] for proxy in users for group, at in proxy.bound.items() if at == key)]
+            held = [
+                self.tables[key],
+                *(proxy.lines[group] for proxy in users for group, at in proxy.bound.items() if at == key),
+            ]
             for lines in held:
                 if len(words) == 1:
                     lines.clear()
--- a/ambershift/standins/histories.py
+++ b/ambershift/standins/histories.py
@@ -39,8 +39,9 @@
         self.numbers += 1
         return self.numbers
 
-    async def write(self, who: str, member: str, server: str, value: int, token: str, limit: float
-                    ) -> Outcome:
+    async def write(
+        self, who: str, member: str, server: str, value: int, token: str, limit: float
+    ) -> Outcome:
         called = time.monotonic_ns()
         try:
             reply = await self.rig.say(member, f"once {token} set weight {server} {weight(value)}", limit)
@@ -54,8 +55,9 @@
             outcome = Outcome.UNKNOWN
             self.reasons["no answer"] += 1
         returned = None if outcome is Outcome.UNKNOWN else time.monotonic_ns()
-        self.operations.append(Operation(
-            who, server, Kind.ONCE, weight(value), called, returned, outcome, token))
+        self.operations.append(
+            Operation(who, server, Kind.ONCE, weight(value), called, returned, outcome, token)
+        )
         return outcome
 
     async def read(self, who: str, member: str, limit: float) -> bool:
@@ -71,16 +73,21 @@
         returned, seen = time.monotonic_ns(), {row["server"]: row["wish"] for row in json.loads(reply.text)}
         for server in self.servers:
             value = wished(seen.get(server))
-            self.operations.append(Operation(
-                who, server, Kind.READ, value, called, returned, Outcome.DONE))
+            self.operations.append(Operation(who, server, Kind.READ, value, called, returned, Outcome.DONE))
         return True
 
     async def read_at_last(self, member: str, limit: float = 60.0) -> None:
         """Once all is mended a read must come to an answer, however busy the machine is meanwhile."""
         await self.rig.eventually(lambda: self.read("last", member, 5.0), limit, f"a read at {member}")
 
-    async def operator(self, name: str, chance: random.Random, going: Callable[[], bool],
-                       members: Callable[[], list[str]], limit: float = 5.0) -> None:
+    async def operator(
+        self,
+        name: str,
+        chance: random.Random,
+        going: Callable[[], bool],
+        members: Callable[[], list[str]],
+        limit: float = 5.0,
+    ) -> None:
         """Writes and reads at whichever member, and asks again with the same token where it does not know."""
         count = 0
         while going():
--- a/ambershift/standins/processes.py
+++ b/ambershift/standins/processes.py
@@ -20,8 +20,9 @@
 class Member:
     """A coordinator of the group. `folder` is its own, None for one that keeps nothing on disk."""
 
-    def __init__(self, name: str, place: Path, configuration: dict[str, Any], group: str, extra: str,
-                 disk: bool) -> None:
+    def __init__(
+        self, name: str, place: Path, configuration: dict[str, Any], group: str, extra: str, disk: bool
+    ) -> None:
         self.name, self.place, self.configuration = name, place, configuration
         self.group, self.extra = group, extra
         self.folder = place / "folder" if disk else None
@@ -60,9 +61,19 @@
             os.unlink(self.socket)
         self.starts += 1
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ambershift", "run", "--config", str(self.place / "config.json"),
-            "--settings", str(self.place / "run.hcl"), cwd=ROOT, stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.STDOUT, env={**os.environ, "BALANCER_NAME": self.name})
+            sys.executable,
+            "-m",
+            "ambershift",
+            "run",
+            "--config",
+            str(self.place / "config.json"),
+            "--settings",
+            str(self.place / "run.hcl"),
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+            env={**os.environ, "BALANCER_NAME": self.name},
+        )
         self.reader = asyncio.create_task(self.read(self.process))
 
     async def read(self, process: asyncio.subprocess.Process) -> None:
@@ -75,8 +86,11 @@
 
     def logged(self, event: str, start: int | None = None) -> list[dict[str, Any]]:
         """Lines of this start, or of another."""
-        return [line for line in self.log
-                if line.get("event") == event and line["start"] == (start or self.starts)]
+        return [
+            line
+            for line in self.log
+            if line.get("event") == event and line["start"] == (start or self.starts)
+        ]
 
     def end_now(self) -> None:
         """SIGKILL and nothing else, before anything further can run here."""
--- a/ambershift/standins/relay.py
+++ b/ambershift/standins/relay.py
@@ -56,8 +56,14 @@
             for order in orders[:taken] if self.answering else ():
                 if order.startswith("fence"):
                     loop.call_later(after, self.answer, order.split(",")[1])
-        answers = {"break after": b"", "break before": b"", "mute": b"", "garbage": b"hm\r\n",
-                   "endless": b"OK " + b"1" * (2 << 20), "in pieces": f"OK {taken}".encode()}
+        answers = {
+            "break after": b"",
+            "break before": b"",
+            "mute": b"",
+            "garbage": b"hm\r\n",
+            "endless": b"OK " + b"1" * (2 << 20),
+            "in pieces": f"OK {taken}".encode(),
+        }
         writer.write(answers.get(mood, f"OK {taken}\r\n".encode()))
         await writer.drain()
         if mood == "in pieces":
--- a/ambershift/standins/rig.py
+++ b/ambershift/standins/rig.py
@@ -34,9 +34,20 @@
 class Rig:
     """Use as `async with Rig(place, 3) as rig`. `grouped` False starts coordinators that share nothing."""
 
-    def __init__(self, place: Path, count: int, disk: bool | Sequence[bool] = True, grouped: bool = True,
-                 proxies: int = 6, servers: int = 8, extra: str = "", seed: int = 1, rate: float = 5.0,
-                 voters: int | None = None, ahead: Sequence[str] = ()) -> None:
+    def __init__(
+        self,
+        place: Path,
+        count: int,
+        disk: bool | Sequence[bool] = True,
+        grouped: bool = True,
+        proxies: int = 6,
+        servers: int = 8,
+        extra: str = "",
+        seed: int = 1,
+        rate: float = 5.0,
+        voters: int | None = None,
+        ahead: Sequence[str] = (),
+    ) -> None:
         self.place, self.host = place, own_host()
         self.names = [f"n{at + 1}" for at in range(count)]
         listens = [TALK + at for at in range(count)]
@@ -45,8 +56,16 @@
         self.discovery.now = listing(5, *(server(at) for at in range(servers)))
         rules = SETTINGS_OF_RIG["rules"]
         self.cold, self.grace = rules["cold"] / 1e3, rules["stop_sending_within"] / 1e3
-        self.fleet = Fleet(SETTINGS_OF_RIG["zones"], [one["name"] for one in SETTINGS_OF_RIG["classes"]],
-                           self.discovery.now["servers"], proxies, self.cold, rate, time.monotonic, seed)
+        self.fleet = Fleet(
+            SETTINGS_OF_RIG["zones"],
+            [one["name"] for one in SETTINGS_OF_RIG["classes"]],
+            self.discovery.now["servers"],
+            proxies,
+            self.cold,
+            rate,
+            time.monotonic,
+            seed,
+        )
         self.members = dict[str, Member]()
         self.tasks, self.servers = list[asyncio.Task[None]](), list[asyncio.Server]()
         for at, name in enumerate(self.names):
@@ -54,12 +73,14 @@
             self.fleet.relays[name].answering = True
             copies = disk if isinstance(disk, bool) else disk[at]
             group = self.group_text(at, voters or count) if grouped else ""
-            self.members[name] = Member(
-                name, place / name, self.configure(at, name), group, extra, copies)
+            self.members[name] = Member(name, place / name, self.configure(at, name), group, extra, copies)
             if ahead:
                 self.members[name].clock_ahead = ahead[at]
-        self.agents = [Agent(self.fleet, name, zone, (self.host, AGENTS + at))
-                       for at, name in enumerate(self.names) for zone in self.fleet.zones]
+        self.agents = [
+            Agent(self.fleet, name, zone, (self.host, AGENTS + at))
+            for at, name in enumerate(self.names)
+            for zone in self.fleet.zones
+        ]
 
     def group_text(self, at: int, voters: int) -> str:
         """What stands in the group block of one member: the others are reached over its own breakers."""
@@ -71,10 +92,16 @@
         return f'  name = "rig"\n  listen = "{self.host}:{TALK + at}"\n{"".join(rows)}'
 
     def configure(self, at: int, name: str) -> dict[str, Any]:
-        return {"name": name, "listen": f"{self.host}:{AGENTS + at}", "discovery": f"{self.host}:{DISCOVERY}",
-                "seed": f"{1000 + at:x}", "relay": {"address": f"{self.host}:{RELAY + at}"},
-                "known": self.discovery.now, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "settings": SETTINGS_OF_RIG}
+        return {
+            "name": name,
+            "listen": f"{self.host}:{AGENTS + at}",
+            "discovery": f"{self.host}:{DISCOVERY}",
+            "seed": f"{1000 + at:x}",
+            "relay": {"address": f"{self.host}:{RELAY + at}"},
+            "known": self.discovery.now,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": SETTINGS_OF_RIG,
+        }
 
     async def __aenter__(self) -> Rig:
         places: list[tuple[Callable[..., Any], int]] = [(self.discovery.serve, DISCOVERY)]
@@ -82,14 +109,18 @@
         for serve, port in places:
             self.servers.append(await asyncio.start_server(serve, self.host, port))
         await self.net.open()
-        runs = [self.fleet.send, *(relay.live for relay in self.fleet.relays.values()),
-                *(agent.run for agent in self.agents)]
+        runs = [
+            self.fleet.send,
+            *(relay.live for relay in self.fleet.relays.values()),
+            *(agent.run for agent in self.agents),
+        ]
         self.tasks = [asyncio.create_task(run()) for run in runs]
         try:
             await asyncio.gather(*(member.start() for member in self.members.values()))
             relays = self.fleet.relays.values()
-            await until(lambda: all(relay.followers for relay in relays)
-                        or len(self.running()) < len(relays), 60.0)
+            await until(
+                lambda: all(relay.followers for relay in relays) or len(self.running()) < len(relays), 60.0
+            )
             assert len(self.running()) == len(relays), f"a member ended at its start\n{self.tail()}"
         except BaseException:
             await self.end()
@@ -137,8 +168,14 @@
         real, at = self.members[name], self.names.index(name)
         others = f'listen = "{self.host}:{TALK + at}"', f'listen = "{self.host}:{CLONE}"'
         configuration = {**real.configuration, "listen": f"{self.host}:{CLONE + 1}"}
-        clone = Member(name, self.place / f"{name}-clone", configuration, real.group.replace(*others),
-                       real.extra, real.folder is not None)
+        clone = Member(
+            name,
+            self.place / f"{name}-clone",
+            configuration,
+            real.group.replace(*others),
+            real.extra,
+            real.folder is not None,
+        )
         if real.folder:
             clone.put_back(real.keep_copy("cloned"))
         return clone
@@ -181,8 +218,9 @@
     async def find_leader(self, among: Sequence[str] = ()) -> str:
         found = dict[str, str]()
         names = [name for name in among or self.names if self.members[name].running]
-        for name, rows in zip(names, await asyncio.gather(
-                *(self.rows(name, "show group json") for name in names)), strict=True):
+        for name, rows in zip(
+            names, await asyncio.gather(*(self.rows(name, "show group json") for name in names)), strict=True
+        ):
             found[name] = next((row["name"] for row in rows if row.get("leader")), "")
         for name, said in found.items():
             if said == name and 2 * sum(one == name for one in found.values()) > len(names):
@@ -202,14 +240,21 @@
 
     async def settled(self, limit: float = 30.0) -> None:
         """All that run are normal members under one leader, each with all that is committed."""
+
         async def ask() -> bool:
             names = self.running()
             views = await asyncio.gather(*(self.rows(name, "show group json") for name in names))
-            own = [next((row for row in rows if row.get("name") == name), None)
-                   for name, rows in zip(names, views, strict=True)]
+            own = [
+                next((row for row in rows if row.get("name") == name), None)
+                for name, rows in zip(names, views, strict=True)
+            ]
             leaders = {row["name"] for rows in views for row in rows if row.get("leader")}
-            return (all(row is not None and row["state"] == "normal" for row in own) and len(leaders) == 1
-                    and len({row["committed"] for row in own if row}) == 1)
+            return (
+                all(row is not None and row["state"] == "normal" for row in own)
+                and len(leaders) == 1
+                and len({row["committed"] for row in own if row}) == 1
+            )
+
         await self.eventually(ask, limit, "all members settled")
 
     async def say(self, name: str, command: str, limit: float = 10.0) -> Reply:
@@ -223,6 +268,7 @@
             with contextlib.suppress(ClientError):
                 return not (await self.say(name, f"once {token} {command}")).failed
             return False
+
         await self.eventually(ask, limit, f"'{command}' done at {name}")
 
     def tail(self, lines: int = 12) -> str:
@@ -232,6 +278,8 @@
             state = "runs" if member.running else "stopped" if member.alive else "dead"
             rows.append(f"{member.name} ({state}):")
             rows += [f"  {line}" for line in member.raw[-lines:]]
-            rows += [f"  {str(line)[:400]}" for line in
-                     [one for one in member.log if one.get("event") not in ("call", "totals")][-lines:]]
+            rows += [
+                f"  {str(line)[:400]}"
+                for line in [one for one in member.log if one.get("event") not in ("call", "totals")][-lines:]
+            ]
         return "\n".join(rows)
--- a/ambershift/standins/schedules.py
+++ b/ambershift/standins/schedules.py
@@ -13,9 +13,23 @@
 from ambershift.standins.rig import Rig
 
 STEPS_MOST, PAUSE_MOST = 6, 1.5
-KINDS = {"kill": 2.0, "kill wiped": 3.0, "restart": 5.0, "stop": 2.0, "go on": 4.0, "cut one way": 2.0,
-         "cut": 2.0, "isolate": 2.0, "split": 1.0, "hold": 1.0, "slow": 1.0, "reset at": 2.0,
-         "half open": 1.0, "heal": 3.0, "old folder": 2.0}
+KINDS = {
+    "kill": 2.0,
+    "kill wiped": 3.0,
+    "restart": 5.0,
+    "stop": 2.0,
+    "go on": 4.0,
+    "cut one way": 2.0,
+    "cut": 2.0,
+    "isolate": 2.0,
+    "split": 1.0,
+    "hold": 1.0,
+    "slow": 1.0,
+    "reset at": 2.0,
+    "half open": 1.0,
+    "heal": 3.0,
+    "old folder": 2.0,
+}
 
 
 class Fault(NamedTuple):
@@ -66,7 +80,7 @@
             case "restart":
                 return await self.restart()
             case "stop":
-                if (able := rig.members[one].running):
+                if able := rig.members[one].running:
                     rig.members[one].stop()
                 return able
             case "go on":
@@ -137,14 +151,20 @@
                 await self.rig.start(name)
 
 
-async def run(rig: Rig, faults: list[Fault], seed: int, operators: int = 3
-              ) -> tuple[list[str], Runner, History]:
+async def run(
+    rig: Rig, faults: list[Fault], seed: int, operators: int = 3
+) -> tuple[list[str], Runner, History]:
     """Everything that broke a rule, in words; empty where none did."""
     history = History(rig, [f"{one['zone']}/{one['id']}" for one in rig.discovery.now["servers"][:4]])
     runner, over, broken = Runner(rig, history), asyncio.Event(), list[str]()
-    tasks = [asyncio.create_task(history.operator(
-        f"op{at}", random.Random(seed * 100 + at), lambda: not over.is_set(), rig.running, 2.0))
-        for at in range(operators)]
+    tasks = [
+        asyncio.create_task(
+            history.operator(
+                f"op{at}", random.Random(seed * 100 + at), lambda: not over.is_set(), rig.running, 2.0
+            )
+        )
+        for at in range(operators)
+    ]
     checks: list[Callable[[], Awaitable[None]]] = [runner.mend, lambda: rig.settled(40.0)]
     try:
         for fault in faults:
--- a/ambershift/terms.py
+++ b/ambershift/terms.py
@@ -67,7 +67,10 @@
 
 
 REPEATS = {
-    "free": api.Repeat.RETRIABLE, "guarded": api.Repeat.DEDUPED, "single_shot": api.Repeat.NON_RETRIABLE}
+    "free": api.Repeat.RETRIABLE,
+    "guarded": api.Repeat.DEDUPED,
+    "single_shot": api.Repeat.NON_RETRIABLE,
+}
 
 
 def read_terms(found: Any) -> api.Terms:
@@ -82,32 +85,43 @@
         if not isinstance(one, dict):
             raise TermsError(f"settings: key 'classes[{at}]' is not an object")
         effect = needed(one, "effect", where)
-        groups.append(api.Group(
-            budget=to_ns(positive(one, "on_time", None, where)),
-            expiry=to_ns(positive(one, "deadline", None, where)),
-            utility=number(one, "worth", 1.0, where),
-            repeat=REPEATS.get(str(effect), api.Repeat.NON_RETRIABLE),
-            dedup_everywhere=one.get("group", "all") == "all",
-            dedup_window=to_ns(number(one, "dedup_window", 0, where))))
+        groups.append(
+            api.Group(
+                budget=to_ns(positive(one, "on_time", None, where)),
+                expiry=to_ns(positive(one, "deadline", None, where)),
+                utility=number(one, "worth", 1.0, where),
+                repeat=REPEATS.get(str(effect), api.Repeat.NON_RETRIABLE),
+                dedup_everywhere=one.get("group", "all") == "all",
+                dedup_window=to_ns(number(one, "dedup_window", 0, where)),
+            )
+        )
     return api.Terms(
-        zones=len(zones), groups=tuple(groups), must_watch=found.get("discovery") == "subscribe",
+        zones=len(zones),
+        groups=tuple(groups),
+        must_watch=found.get("discovery") == "subscribe",
         told_after=to_ns(number(rules, "ask_within", 10_000)),
         grace=to_ns(number(rules, "stop_sending_within", None, "rules.")),
         only_draining_binds=bool(rules.get("soft_removal", False)),
-        cold=to_ns(number(rules, "cold", 0)), cold_share=number(rules, "cold_share", 1.0),
+        cold=to_ns(number(rules, "cold", 0)),
+        cold_share=number(rules, "cold_share", 1.0),
         fall_multiple=positive(rules, "tip_multiple", 4.0, "rules."),
         bare_limit=to_ns(number(info, "blackhole", 3000)),
-        lines_per_s=positive(info, "egress_per_s", None, "family_info."), head=number(info, "per_message", 0),
+        lines_per_s=positive(info, "egress_per_s", None, "family_info."),
+        head=number(info, "per_message", 0),
         waiting_limit=positive(info, "most_waiting", None, "family_info."),
         message_limit=int(number(info, "messages_most", 0)),
         message_span=to_ns(number(info, "reload_span", 10_000)),
-        way=to_ns(number(info, "late", 0)), way_most=to_ns(number(info, "push_delay_max", 0)),
-        report_period=to_ns(number(info, "cycle", 1000)), levels=str(info.get("admit", "silent")),
+        way=to_ns(number(info, "late", 0)),
+        way_most=to_ns(number(info, "push_delay_max", 0)),
+        report_period=to_ns(number(info, "cycle", 1000)),
+        levels=str(info.get("admit", "silent")),
         slices=int(number(info, "slices", 0)),
         single_owner=bool(info.get("one_owner", False)),
-        in_hand=to_ns(number(info, "in_flight_max", 0)), lease=to_ns(number(info, "tenure", 0)),
+        in_hand=to_ns(number(info, "in_flight_max", 0)),
+        lease=to_ns(number(info, "tenure", 0)),
         strikes=int(number(info, "strikes", 0)),
-        proxies=number(info, "proxies", 1) / max(1.0, number(found, "instances", 1)))
+        proxies=number(info, "proxies", 1) / max(1.0, number(found, "instances", 1)),
+    )
 
 
 def read_names(found: Mapping[str, Any]) -> Names:
@@ -115,10 +129,12 @@
     info, limits = section(found, "family_info"), section(found, "limits")
     groups = [str(needed(one, "name", f"classes[{at}].")) for at, one in enumerate(found["classes"])]
     return Names(
-        zones=tuple(str(zone) for zone in found["zones"]), groups=tuple(groups),
+        zones=tuple(str(zone) for zone in found["zones"]),
+        groups=tuple(groups),
         load_fields=tuple(str(one) for one in section(found, "report").get("fields", ())),
         proxies=int(number(info, "proxies", None, "family_info.")),
         reports_per_s=number(info, "intake_per_s", 1000.0),
         may_probe=bool(limits.get("may_probe", False)),
         probe_limit=to_ns(number(limits, "dial_timeout", 1000)),
-        longest_ms=max(number(one, "deadline") for one in found["classes"]))
+        longest_ms=max(number(one, "deadline") for one in found["classes"]),
+    )
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -19,17 +19,28 @@
 
 LIMIT_S = 120.0
 # The part, what its sizes are told by, how often it is played.
-PARTS = {"messages": ("backends", 1), "proxy": ("backends", 3), "registry": ("backends", 3),
-         "controller": ("pools times proxies", 3), "assigner": ("proxies", 3), "copies": ("routes", 3),
-         "links": ("links", 1), "requests": ("routes", 3),
-         "tenants": ("tenants", 3)}
+PARTS = {
+    "messages": ("backends", 1),
+    "proxy": ("backends", 3),
+    "registry": ("backends", 3),
+    "controller": ("pools times proxies", 3),
+    "assigner": ("proxies", 3),
+    "copies": ("routes", 3),
+    "links": ("links", 1),
+    "requests": ("routes", 3),
+    "tenants": ("tenants", 3),
+}
 
 SPECIAL = {"links": (50, 150, 400), "pools times proxies": (448, 4_488, 41_440)}
 
 
 def play(part: str, size: int, limit: float) -> dict[str, float]:
-    done = subprocess.run([sys.executable, "-m", "benchmarks.capacity", "--one", part, str(size)],
-                          stdout=subprocess.PIPE, timeout=limit, check=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "benchmarks.capacity", "--one", part, str(size)],
+        stdout=subprocess.PIPE,
+        timeout=limit,
+        check=True,
+    )
     found: dict[str, float] = json.loads(done.stdout)
     return found
 
--- a/benchmarks/capacity/assigner.py
+++ b/benchmarks/capacity/assigner.py
@@ -86,10 +86,16 @@
 def play(size: Size) -> Found:
     by_region = replace(size, zones=size.regions)
     found: Found = {}
-    for told, one, proxies in (("a proxy a region", by_region, size.regions),
-                             ("regions for zones, one seat a proxy", by_region, size.proxies),
-                             ("a proxy a zone", size, size.zones), ("one seat a proxy", size, size.proxies)):
-        made, = elsewhere(lambda told=told, one=one, proxies=proxies: [  # type: ignore[misc]
-            msgspec.json.encode(variant(told, one, proxies))])
+    for told, one, proxies in (
+        ("a proxy a region", by_region, size.regions),
+        ("regions for zones, one seat a proxy", by_region, size.proxies),
+        ("a proxy a zone", size, size.zones),
+        ("one seat a proxy", size, size.proxies),
+    ):
+        (made,) = elsewhere(
+            lambda told=told, one=one, proxies=proxies: [  # type: ignore[misc]
+                msgspec.json.encode(variant(told, one, proxies))
+            ]
+        )
         found |= msgspec.json.decode(made, type=Found)
     return found
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -35,8 +35,16 @@
         super().__init__(size)
         self.bytes, self.marks = Counter[str](), list[tuple[str, Mark]]()
         self.messages, self.report = Counter[str](), world.report(size)
-        self.controller = Controller(world.local(size), self.ledger, self.registry, self.tell, self.send,
-                                     lambda: self.now, 1, lambda *_: None)
+        self.controller = Controller(
+            world.local(size),
+            self.ledger,
+            self.registry,
+            self.tell,
+            self.send,
+            lambda: self.now,
+            1,
+            lambda *_: None,
+        )
 
     def tell(self, name: str, message: msgspec.Struct) -> None:
         kind = type(message).__name__
@@ -90,7 +98,8 @@
         found[f"{kind} in a quiet second a link|B"] = scene.bytes[kind] / 3 / len(hellos)
     report = scene.report
     found["hear a report|µs"] = micros(
-        lambda at: scene.controller.hear_proxy(world.proxy_name(scene.proxies[at % len(hellos)]), report), 60)
+        lambda at: scene.controller.hear_proxy(world.proxy_name(scene.proxies[at % len(hellos)]), report), 60
+    )
     scene.step()
     scene.bytes.clear()
     id, drained = world.backend(size, 0).id, world.beat(size, 0, 999, "draining")
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -82,7 +82,8 @@
     exchange.messages.clear()
     exchange.written = 0
     found["put of one route, all six|µs"] = micros(
-        lambda at: exchange.called(Put(at, (routes[at],), 2.0)), PUTS)
+        lambda at: exchange.called(Put(at, (routes[at],), 2.0)), PUTS
+    )
     found["put of one route, between the six|B"] = sum(exchange.bytes.values()) / PUTS
     found["put of one route, messages|number"] = sum(exchange.messages.values()) / PUTS
     found["put of one route, to all disks|B"] = exchange.written / PUTS
@@ -96,9 +97,13 @@
         exchange.bytes.clear()
         found[f"change of a register of {told} bytes, all six|µs"] = micros(
             lambda at, register=register, change=change: exchange.called(  # type: ignore[misc]
-                ChangeRegister(at, register, change, 2.0)), PUTS)
-        found[f"change of a register of {told} bytes, between the six|B"] = sum(
-            exchange.bytes.values()) / PUTS
+                ChangeRegister(at, register, change, 2.0)
+            ),
+            PUTS,
+        )
+        found[f"change of a register of {told} bytes, between the six|B"] = (
+            sum(exchange.bytes.values()) / PUTS
+        )
 
 
 def play(size: Size) -> Found:
@@ -121,7 +126,8 @@
     found["a quiet second, one to the five|B"] = sum(exchange.bytes.values()) / CONTROL_NODES
     changes(exchange, size, found)
     found["digests of the buckets, encoded|µs"] = micros(
-        lambda _: msgspec.msgpack.encode(exchange.nodes[exchange.ips[0]].store.buckets.long()), 200)
+        lambda _: msgspec.msgpack.encode(exchange.nodes[exchange.ips[0]].store.buckets.long()), 200
+    )
     found |= disk(size)
     return found
 
--- a/benchmarks/capacity/links.py
+++ b/benchmarks/capacity/links.py
@@ -30,8 +30,13 @@
         child = rig.of(CONTROL_NODE)[0].process
         assert child is not None
         before = cost_of(child.pid)
-        pools = sorted({pool_of(service, route.homes) for route in rig.book.routes.values()
-                        for service in route.services})
+        pools = sorted(
+            {
+                pool_of(service, route.homes)
+                for route in rig.book.routes.values()
+                for service in route.services
+            }
+        )
         zones, gate = list(site.zones), asyncio.Semaphore(DIALS_AT_ONCE)
         proxies = [HollowDesk(site, at, zones[at % len(zones)], pools, chance) for at in range(count)]
         spent = cpu_of(child.pid)
@@ -46,15 +51,22 @@
             began, spent = time.monotonic(), cpu_of(child.pid)
             await asyncio.sleep(SPAN_S)
             lasted = time.monotonic() - began
-            spans.append({"processor a second, all|ms": (cpu_of(child.pid) - spent) / lasted * 1e3,
-                          "sent a second a link|B": sent(proxies) / lasted / count})
+            spans.append(
+                {
+                    "processor a second, all|ms": (cpu_of(child.pid) - spent) / lasted * 1e3,
+                    "sent a second a link|B": sent(proxies) / lasted / count,
+                }
+            )
         after = cost_of(child.pid)
         assert before is not None and after is not None
     found = {key: sorted(one[key] for one in spans)[SPANS // 2] for key in spans[0]}
     mib = 1.048576
-    return found | {"memory over that without links|MB": (after.now - before.now) * mib,
-                    "peak of memory|MB": after.peak * mib, "taking a link in|ms": dialled / count * 1e3,
-                    "links that broke|number": sum(one.breaks for one in proxies)}
+    return found | {
+        "memory over that without links|MB": (after.now - before.now) * mib,
+        "peak of memory|MB": after.peak * mib,
+        "taking a link in|ms": dialled / count * 1e3,
+        "links that broke|number": sum(one.breaks for one in proxies),
+    }
 
 
 def sent(proxies: list[HollowDesk]) -> int:
@@ -66,8 +78,11 @@
 
 def play(size: Size) -> Found:
     import uvloop
+
     _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
-    with (tempfile.TemporaryDirectory(prefix="ambershift-capacity-") as folder,
-          asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner):
+    with (
+        tempfile.TemporaryDirectory(prefix="ambershift-capacity-") as folder,
+        asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
+    ):
         return runner.run(play_in_loop(LINKS[SIZES.index(size)], Path(folder)))
