--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -19,67 +19,84 @@
 def to_proxies(size: Size) -> dict[str, msgspec.Struct]:
     whole = tuple(world.backend(size, at) for at in range(size.backends))
     return {
-        "fh Hello": world.hello(size, 7), "fc Cores": fronts.Cores(world.cores(size), True, size.proxies),
+        "fh Hello": world.hello(size, 7),
+        "fc Cores": fronts.Cores(world.cores(size), True, size.proxies),
         "fi Items, whole": fronts.Items(world.items(size), False),
         "fi Items, one route": fronts.Items((world.changed(size, 7, 9),), False),
         "fb Backends, whole": fronts.Backends(whole, (), True),
         "fb Backends, one new": fronts.Backends(whole[:1], (), False),
         "fb Backends, one gone": fronts.Backends((), (whole[0].id,), False),
         "fb Backends, a zone new": fronts.Backends(
-            tuple(one for one in whole if one.zone == size.names[0]), (), False),
-        "fl Line": fronts.Line("service007", 111, whole[0].id, 6.0), "fd Bind": world.bind(size, 1),
-        "fw Withdraw": fronts.Withdraw(whole[0].id, True), "fm Mark": fronts.Mark(NUMBER),
-        "fr Report, 95 requests": world.report(size)}
+            tuple(one for one in whole if one.zone == size.names[0]), (), False
+        ),
+        "fl Line": fronts.Line("service007", 111, whole[0].id, 6.0),
+        "fd Bind": world.bind(size, 1),
+        "fw Withdraw": fronts.Withdraw(whole[0].id, True),
+        "fm Mark": fronts.Mark(NUMBER),
+        "fr Report, 95 requests": world.report(size),
+    }
 
 
 def between(size: Size) -> dict[str, msgspec.Struct]:
     item, core = world.changed(size, 7, 9), world.cores(size)
     ending = Item(INSTANCE, "i-00000007", (1, ""), b'{"Service":"service007","Address":"10.0.0.7:8080"}')
-    machines = tuple(copies.Machine(one.ip, one.zone, one.region, 1_234_567_890, 2, False, True)
-                     for one in core)
+    machines = tuple(
+        copies.Machine(one.ip, one.zone, one.region, 1_234_567_890, 2, False, True) for one in core
+    )
     members = tuple(machine.member for machine in machines)
     lives = tuple(world.lived(size, at) for at in range(0, size.backends, CONTROL_NODES))
     proxies = tuple(world.attached(size, at) for at in range(0, size.proxies, CONTROL_NODES))
     zones = size.names[::CONTROL_NODES]
-    flows = tuple(rounds.Flow(zone, world.service(at), 12_345)
-                  for zone in zones for at in range(size.services))
+    flows = tuple(
+        rounds.Flow(zone, world.service(at), 12_345) for zone in zones for at in range(size.services)
+    )
     value = b"v" * 300
     return {
         "cm Merge, one route": copies.Merge(EPOCH, NUMBER, (item,)),
         "cm Merge, an ending": copies.Merge(EPOCH, NUMBER, (ending,)),
         "cm Merge, all items": copies.Merge(EPOCH, NUMBER, world.items(size)),
-        "cy Agreed": copies.Agreed(EPOCH, NUMBER), "cr Refused": copies.Refused(EPOCH, NUMBER, 1_700),
+        "cy Agreed": copies.Agreed(EPOCH, NUMBER),
+        "cr Refused": copies.Refused(EPOCH, NUMBER, 1_700),
         "cb Beat": copies.Beat(EPOCH, 2**63 + 5, 2**31 + 5, ()),
-        "ck Knock": copies.Knock(machines[0], EPOCH, 2**31 + 5), "cn Known": copies.Known(machines),
+        "ck Knock": copies.Knock(machines[0], EPOCH, 2**31 + 5),
+        "cn Known": copies.Known(machines),
         "cv Decision": copies.Decision(EPOCH, members, members),
         "cp Prepare": copies.Prepare(EPOCH, NUMBER, "l/lock-0007", BALLOT, BALLOT),
         "cq Promise, 300 bytes": copies.Promise(EPOCH, NUMBER, BALLOT, BALLOT, value),
         "ca Accept, whole 300": copies.Accept(EPOCH, NUMBER, "l/lock-0007", BALLOT, None, None, value),
-        "ca Accept, difference 40": copies.Accept(EPOCH, NUMBER, "l/lock-0007", BALLOT, None, BALLOT,
-                                                  value[:40]),
+        "ca Accept, difference 40": copies.Accept(
+            EPOCH, NUMBER, "l/lock-0007", BALLOT, None, BALLOT, value[:40]
+        ),
         "cl Lacking": copies.Lacking(EPOCH, NUMBER),
         "ce Confirm": copies.Confirm(EPOCH, NUMBER, "l/lock-0007", BALLOT),
         "cs Ask, short": copies.Ask(EPOCH, NUMBER, b"8" * 8, None),
         "cs Ask, buckets": copies.Ask(EPOCH, NUMBER, b"8" * 512, None),
-        "cs Ask, 300 registers": copies.Ask(EPOCH, NUMBER, b"8" * 8, {
-            f"l/lock-{at:04}": (BALLOT, BALLOT) for at in range(300)}),
+        "cs Ask, 300 registers": copies.Ask(
+            EPOCH, NUMBER, b"8" * 8, {f"l/lock-{at:04}": (BALLOT, BALLOT) for at in range(300)}
+        ),
         "ct Share, equal": copies.Share(EPOCH, NUMBER, 3, 1_234_567_890, 0, 1, False, (), ()),
-        "rp Pulse": rounds.Pulse(NUMBER, 400_000), "ra Ask": rounds.Ask(400_000),
+        "rp Pulse": rounds.Pulse(NUMBER, 400_000),
+        "ra Ask": rounds.Ask(400_000),
         "rd Delta, one life": rounds.Delta(NUMBER, 7, 8, lives[:1], (), (), (), size.proxies),
         "rd Delta, one proxy": rounds.Delta(NUMBER, 7, 8, (), proxies[:1], (), (), size.proxies),
         "rd Delta, lives of one control node": rounds.Delta(NUMBER, -1, 8, lives, (), (), (), size.proxies),
-        "rd Delta, proxies of one control node":
-            rounds.Delta(NUMBER, -1, 8, (), proxies, (), (), size.proxies),
+        "rd Delta, proxies of one control node": rounds.Delta(
+            NUMBER, -1, 8, (), proxies, (), (), size.proxies
+        ),
         "rd Delta, flows of one control node": rounds.Delta(NUMBER, -1, 8, (), (), flows, (), size.proxies),
-        "eo ForwardedCall": forwarding.ForwardedCall(NUMBER, "locks.heartbeat", "lock-0007",
-                                    b'{"Holder":"a0.77aa","fence":1700,"HoldMs":3000}', 400),
+        "eo ForwardedCall": forwarding.ForwardedCall(
+            NUMBER, "locks.heartbeat", "lock-0007", b'{"Holder":"a0.77aa","fence":1700,"HoldMs":3000}', 400
+        ),
         "ed Outcome": forwarding.Outcome(NUMBER, 200, b'{"fence":1700}'),
-        "es Stirred": forwarding.Stirred("g7.", 1_700)}
+        "es Stirred": forwarding.Stirred("g7.", 1_700),
+    }
 
 
 def play(size: Size) -> Found:
-    found: Found = {f"{name}|B": len(codec.encode(message))
-                    for name, message in (to_proxies(size) | between(size)).items()}
+    found: Found = {
+        f"{name}|B": len(codec.encode(message))
+        for name, message in (to_proxies(size) | between(size)).items()
+    }
     for name in ("fi Items, whole", "fb Backends, whole"):
         found[f"{name}, deflated|B"] = len(zlib.compress(codec.encode(to_proxies(size)[name]), 1))
     return found
--- a/benchmarks/capacity/meter.py
+++ b/benchmarks/capacity/meter.py
@@ -51,8 +51,10 @@
 
 def cpu_of(pid: int) -> float:
     """Processor seconds of another process's threads so far, to the nanosecond."""
-    return sum(int((task / "schedstat").read_text().split()[0])
-               for task in Path(f"/proc/{pid}/task").iterdir()) / 1e9
+    return (
+        sum(int((task / "schedstat").read_text().split()[0]) for task in Path(f"/proc/{pid}/task").iterdir())
+        / 1e9
+    )
 
 
 def middle(found: Sequence[float]) -> float:
--- a/benchmarks/capacity/proxy.py
+++ b/benchmarks/capacity/proxy.py
@@ -25,8 +25,11 @@
 
 def told(size: Size) -> list[bytes]:
     lives = tuple(world.backend(size, at) for at in range(size.backends))
-    messages = (fronts.Items(world.items(size), True), fronts.Backends(lives, (), True),
-                *(world.bind(size, at) for at in range(size.services)))
+    messages = (
+        fronts.Items(world.items(size), True),
+        fronts.Backends(lives, (), True),
+        *(world.bind(size, at) for at in range(size.services)),
+    )
     return [codec.encode(one) for one in messages]
 
 
@@ -50,11 +53,14 @@
     data.clear()
     binds.clear()
     found["memory: all|MB"], found["memory: peak|MB"] = megabytes(), peak_megabytes()
-    hosts = [(route.host.encode(), f"{route.prefix}2f".encode())
-             for route in (world.route(size, at * 31 % size.routes) for at in range(64))]
+    hosts = [
+        (route.host.encode(), f"{route.prefix}2f".encode())
+        for route in (world.route(size, at * 31 % size.routes) for at in range(64))
+    ]
     found["route look-up|µs"] = micros(lambda at: proxy.routing.find(*hosts[at % 64]), TRIES)
     found["pick|µs"] = micros(
-        lambda at: proxy.pick(pools[at % len(pools)], time.monotonic_ns(), [], SECOND), TRIES)
+        lambda at: proxy.pick(pools[at % len(pools)], time.monotonic_ns(), [], SECOND), TRIES
+    )
     changes(size, proxy, found)
     return found
 
@@ -62,11 +68,15 @@
 def changes(size: Size, proxy: ProxyServer, found: Found) -> None:
     routes = [codec.encode(fronts.Items((world.changed(size, at, 9 + at),), False)) for at in range(60)]
     found["hear one route|µs"] = micros(lambda at: heard(proxy, routes[at]), len(routes))
-    new = [codec.encode(fronts.Backends((world.backend(size, size.backends + at),), (), False))
-           for at in range(60)]
+    new = [
+        codec.encode(fronts.Backends((world.backend(size, size.backends + at),), (), False))
+        for at in range(60)
+    ]
     found["hear one new backend|µs"] = micros(lambda at: heard(proxy, new[at]), len(new))
-    gone = [codec.encode(fronts.Backends((), (world.backend(size, size.backends + at).id,), False))
-            for at in range(60)]
+    gone = [
+        codec.encode(fronts.Backends((), (world.backend(size, size.backends + at).id,), False))
+        for at in range(60)
+    ]
     found["hear one backend gone|µs"] = micros(lambda at: heard(proxy, gone[at]), len(gone))
     line = codec.encode(fronts.Line(world.service(1), 111, world.backend(size, 1).id, 5.0))
 
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -43,8 +43,9 @@
         self.proxies = [at for at in range(size.proxies) if at % CONTROL_NODES == 0]
         self.ledger = Held(size)
         self.sequence = 0
-        self.registry = Registry(world.local(size), self.ledger, self.send, lambda: self.now, 1,
-                                 lambda *_: None)
+        self.registry = Registry(
+            world.local(size), self.ledger, self.send, lambda: self.now, 1, lambda *_: None
+        )
         self.registry.listen(lambda put, gone: None)
 
     def send(self, ip: str, message: msgspec.Struct) -> None:
@@ -62,12 +63,22 @@
         """All records of another control node."""
         size, mine = self.size, range(peer, self.size.backends, CONTROL_NODES)
         zones = size.names[peer::CONTROL_NODES] if flows else []
-        return codec.encode(rounds.Delta(
-            9, -1, 8, tuple(world.lived(size, at) for at in mine),
-            tuple(world.attached(size, at) for at in range(peer, size.proxies, CONTROL_NODES)),
-            tuple(rounds.Flow(zone, world.service(at), 12_345)
-                  for zone in zones for at in range(size.services)),
-            (), size.proxies))
+        return codec.encode(
+            rounds.Delta(
+                9,
+                -1,
+                8,
+                tuple(world.lived(size, at) for at in mine),
+                tuple(world.attached(size, at) for at in range(peer, size.proxies, CONTROL_NODES)),
+                tuple(
+                    rounds.Flow(zone, world.service(at), 12_345)
+                    for zone in zones
+                    for at in range(size.services)
+                ),
+                (),
+                size.proxies,
+            )
+        )
 
     def hear(self, peer: int, data: bytes) -> None:
         self.registry.hear_core(world.cores(self.size)[peer].ip, codec.decode(data))
@@ -99,29 +110,34 @@
     found["first beat of a life|µs"] = micros(lambda _: scene.beats(first), 1) / len(first)
     greets = [world.hello(size, at) for at in scene.proxies]
     found["greet a proxy|µs"] = micros(lambda at: registry.greet(greets[at]), len(greets))
-    found["hear all of another control node|ms"] = micros(
-        lambda at: scene.hear(at + 1, told[at]), CONTROL_NODES - 1) / 1e3
+    found["hear all of another control node|ms"] = (
+        micros(lambda at: scene.hear(at + 1, told[at]), CONTROL_NODES - 1) / 1e3
+    )
     found["memory: records|MB"] = megabytes() - before
     again = scene.bodies(scene.own)
     found["beat that changes nothing|µs"] = micros(lambda _: scene.beats(again), 1) / len(again)
     scene.second()
     found["ticks of a second|ms"] = micros(lambda _: scene.second(), 1) / 1e3
     new = scene.bodies([size.backends + at for at in range(40)])
-    found["beat that changes the list|µs"] = micros(lambda at: scene.beats(new[at:at + 1]), len(new))
+    found["beat that changes the list|µs"] = micros(lambda at: scene.beats(new[at : at + 1]), len(new))
     zone = size.names[1]
     found["a resolution|µs"] = micros(lambda _: registry.addresses("", zone), 20)
     found["count the proxies|µs"] = micros(lambda _: registry.proxies_most(), 20)
-    controller = Controller(world.local(size), scene.ledger, registry, coded, scene.send, lambda: scene.now,
-                            1, lambda *_: None)
+    controller = Controller(
+        world.local(size), scene.ledger, registry, coded, scene.send, lambda: scene.now, 1, lambda *_: None
+    )
     controller.freshening = cast(Any, 1)  # No loop runs here.
     names = [world.hello(size, at) for at in scene.proxies[:9]]
-    found["first words of a first link, coded|ms"] = micros(
-        lambda at: controller.hear_proxy(names[0].name, names[0]), 1) / 1e3
-    found["first words of each other, coded|ms"] = micros(
-        lambda at: controller.hear_proxy(names[at + 1].name, names[at + 1]), 8) / 1e3
+    found["first words of a first link, coded|ms"] = (
+        micros(lambda at: controller.hear_proxy(names[0].name, names[0]), 1) / 1e3
+    )
+    found["first words of each other, coded|ms"] = (
+        micros(lambda at: controller.hear_proxy(names[at + 1].name, names[at + 1]), 8) / 1e3
+    )
     controller.pool_loads.route(scene.ledger.items().values())
-    found["routes looked at again|ms"] = micros(
-        lambda _: controller.pool_loads.route(scene.ledger.items().values()), 3) / 1e3
+    found["routes looked at again|ms"] = (
+        micros(lambda _: controller.pool_loads.route(scene.ledger.items().values()), 3) / 1e3
+    )
     found["15 s of a proxy's reports|KB"] = reports(size)
     scene.sent = 0
     scene.second()
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -23,8 +23,9 @@
 @contextlib.contextmanager
 def process(*words: str) -> Iterator[int]:
     """A server of `serving`; its pid."""
-    child = subprocess.Popen([sys.executable, "-m", "benchmarks.capacity.serving", *words],
-                             stdout=subprocess.PIPE)
+    child = subprocess.Popen(
+        [sys.executable, "-m", "benchmarks.capacity.serving", *words], stdout=subprocess.PIPE
+    )
     try:
         assert child.stdout is not None and child.stdout.readline() == b"up\n"
         yield child.pid
@@ -66,14 +67,18 @@
 
 def request(size: Size, at: int) -> bytes:
     one = world.route(size, at)
-    return (f"GET {one.prefix}2f HTTP/1.1\r\nHost: {one.host}\r\nX-Attempt-Id: {at:016x}\r\n"
-            f"X-Deadline-Remaining: 1500\r\nAccept: */*\r\n\r\n").encode()
+    return (
+        f"GET {one.prefix}2f HTTP/1.1\r\nHost: {one.host}\r\nX-Attempt-Id: {at:016x}\r\n"
+        f"X-Deadline-Remaining: 1500\r\nAccept: */*\r\n\r\n"
+    ).encode()
 
 
 def beat(size: Size, at: int, sequence: int) -> bytes:
     body = world.beat(size, at, sequence)
-    head = (f"POST /ambershift/rpc?call=instances.heartbeat&of={world.backend(size, at).id} HTTP/1.1\r\n"
-            f"Host: x\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n")
+    head = (
+        f"POST /ambershift/rpc?call=instances.heartbeat&of={world.backend(size, at).id} HTTP/1.1\r\n"
+        f"Host: x\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
+    )
     return head.encode() + body
 
 
@@ -128,8 +133,9 @@
         found["beat on a new connection|µs"] = (cpu_of(pid) - spent) / FRESH * 1e6
         zone, region = next(iter(size.places.items()))
         name = world.route(size, 0).host
-        call = (f"GET /ambershift/resolution?Name={name}&Region={region}&Zone={zone} HTTP/1.1\r\n"
-                f"Host: x\r\n\r\n").encode()
+        call = (
+            f"GET /ambershift/resolution?Name={name}&Region={region}&Zone={zone} HTTP/1.1\r\nHost: x\r\n\r\n"
+        ).encode()
         spent = cpu_of(pid)
         for at in range(RESOLUTIONS):
             answer = callers[at % 20].ask(call)
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -37,7 +37,8 @@
             attempt = head.lower().partition(b"x-attempt-id: ")[2].partition(b"\r\n")[0]
             self.transport.write(  # type: ignore[attr-defined]
                 b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: 3e1b.07\r\n"
-                b"Content-Length: %d\r\n\r\n%s" % (attempt, len(BODY), BODY))
+                b"Content-Length: %d\r\n\r\n%s" % (attempt, len(BODY), BODY)
+            )
 
 
 async def plain(address: str) -> None:
@@ -53,9 +54,24 @@
     made.hear(fronts.Cores(world.cores(size), True, 1))
     made.hear(fronts.Items(world.items(size), True))
     lives = [world.backend(size, at) for at in range(size.backends)]
-    made.hear(fronts.Backends(tuple(
-        fronts.Backend(one.id, one.service, backend if one.service == world.service(0) else one.address,
-                       one.zone, one.slots, False, 0) for one in lives), (), True))
+    made.hear(
+        fronts.Backends(
+            tuple(
+                fronts.Backend(
+                    one.id,
+                    one.service,
+                    backend if one.service == world.service(0) else one.address,
+                    one.zone,
+                    one.slots,
+                    False,
+                    0,
+                )
+                for one in lives
+            ),
+            (),
+            True,
+        )
+    )
     for at in range(size.services):
         made.hear(world.bind(size, at))
     await serve(made, address)
@@ -71,8 +87,7 @@
     for at in range(size.proxies):
         registry.greet(world.hello(size, at))
     api = ControlApi(settings, ledger, registry, time.monotonic_ns, lambda *_: None, lambda *_: None, 1)
-    await serve(api,
-                address)
+    await serve(api, address)
 
 
 async def serve(application: object, address: str) -> None:
@@ -88,8 +103,11 @@
 def main() -> None:
     what, number, address, *more = sys.argv[1:]
     size = SIZES[int(number)]
-    work = plain(address) if what == "plain" else (
-        proxy(size, address, more[0]) if what == "proxy" else calls(size, address))
+    work = (
+        plain(address)
+        if what == "plain"
+        else (proxy(size, address, more[0]) if what == "proxy" else calls(size, address))
+    )
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(work)
 
--- a/benchmarks/capacity/sums.py
+++ b/benchmarks/capacity/sums.py
@@ -48,14 +48,19 @@
 
     def changes(self) -> float:
         """Bytes a second that changes make on a link: of the configuration, and of backends that restart."""
-        restart = (2 * self.sent("cm Merge, an ending") + 2 * self.sent("fb Backends, one new")
-                   + self.sent("fb Backends, one gone") + 2 * (self.sent("fl Line") + self.sent("fm Mark")))
+        restart = (
+            2 * self.sent("cm Merge, an ending")
+            + 2 * self.sent("fb Backends, one new")
+            + self.sent("fb Backends, one gone")
+            + 2 * (self.sent("fl Line") + self.sent("fm Mark"))
+        )
         return CHANGES * self.sent("fi Items, one route") + RESTARTS * restart
 
     def first(self) -> float:
         """Bytes of the first words of a link, tables too."""
-        return (self.sent("fi Items, whole") + self.sent("fb Backends, whole")
-                + SERVICES * self.sent("fd Bind"))
+        return (
+            self.sent("fi Items, whole") + self.sent("fb Backends, whole") + SERVICES * self.sent("fd Bind")
+        )
 
     def proxy(self) -> list[Row]:
         at, first = self.at, self.first()
@@ -76,23 +81,36 @@
             ("processor, steady, of a core", "%", steady / 10, 3.6),
             ("processor: first words, in one go", "ms", merging + binding, 360),
             ("memory of the whole process", "MB", at("proxy", "memory: peak|MB"), 64),
-            ("memory without interpreter and libraries", "MB",
-             at("proxy", "memory: all|MB") - at("proxy", "memory: before|MB"), 64),
+            (
+                "memory without interpreter and libraries",
+                "MB",
+                at("proxy", "memory: all|MB") - at("proxy", "memory: before|MB"),
+                64,
+            ),
             ("tenants as items, besides", "MB", at("tenants", "as items: memory|MB"), None),
             ("processor of a request", "ms", each, None),
             ("of a core, by requests", "%", each * REQUESTS / 10, None),
             ("added at rest, median", "ms", at("requests", "request on end: added, median|ms"), None),
-            ("processor of a request at 95 a second", "ms",
-             at("requests", "95 a second: processor of the proxy|µs") / 1e3, None),
+            (
+                "processor of a request at 95 a second",
+                "ms",
+                at("requests", "95 a second: processor of the proxy|µs") / 1e3,
+                None,
+            ),
             ("added at rest, 99 in 100", "ms", at("requests", "request on end: added, of 99 in 100|ms"), 1.4),
             # One of so many waits for another, up to a whole one: the wait that 1 in 100 exceeds.
-            ("added at the rate asked, 99 in 100, computed", "ms",
-             each + each * max(0.0, 1 - 0.01 / (each * REQUESTS / 1e3)), 1.4),
+            (
+                "added at the rate asked, 99 in 100, computed",
+                "ms",
+                each + each * max(0.0, 1 - 0.01 / (each * REQUESTS / 1e3)),
+                1.4,
+            ),
             ("requests of a service at a proxy in 10 s", "number", 10 * REQUESTS / SERVICES, None),
             ("further tries these allow (0.18 of them)", "number", 1.8 * REQUESTS / SERVICES, 1),
             ("seconds between requests to one backend", "s", gap, 4),
             ("requests that need a new connection", "%", 100 * math.exp(-4 / gap), None),
-            ("connections of all proxies at one backend", "number", 2 * PROXIES, 550)]
+            ("connections of all proxies at one backend", "number", 2 * PROXIES, 550),
+        ]
 
     def control_node(self) -> list[Row]:
         at = self.at
@@ -106,8 +124,12 @@
         pools = SERVICES * at("assigner", "one seat a proxy: memory of a pool|MB")
         plugs = self.slope("links", "memory over that without links|MB", (50, 150, 400), LINKS)
         reports = LINKS * at("registry", "15 s of a proxy's reports|KB") / 1e3
-        flows = self.sent("rd Delta, flows of one control node") * moved_share(
-            REQUESTS * PROXIES / SERVICES / ZONES) / 2 * 5
+        flows = (
+            self.sent("rd Delta, flows of one control node")
+            * moved_share(REQUESTS * PROXIES / SERVICES / ZONES)
+            / 2
+            * 5
+        )
         burst = LINKS_ONE_LOST - LINKS
         return [
             ("processor: beats on kept connections", "s/s", beats * kept, 1),
@@ -117,10 +139,15 @@
             ("processor: reports to pools", "s/s", LINKS * report, 1),
             ("processor: tables of all pools", "s/s", SERVICES * pool, 1),
             ("processor: a resolution", "ms", at("requests", "a resolution|µs") / 1e3, None),
-            ("clients that six carry at 2 s each, half a core", "number",
-             CONTROL_NODES / at("requests", "a resolution|µs") * 1e6, None),
+            (
+                "clients that six carry at 2 s each, half a core",
+                "number",
+                CONTROL_NODES / at("requests", "a resolution|µs") * 1e6,
+                None,
+            ),
             ("memory: records of lives, proxies, flows", "MB", records, None),
-            ("memory: items, registers aside", "MB", items, None), ("memory: links", "MB", plugs, None),
+            ("memory: items, registers aside", "MB", items, None),
+            ("memory: links", "MB", plugs, None),
             ("memory: 15 s of reports", "MB", reports, None),
             ("memory: tables of all pools", "MB", pools, 296),
             ("bytes to the five: flows that moved", "B/s", flows, None),
@@ -130,21 +157,36 @@
             ("one lost: links that come at once", "number", burst, None),
             ("one lost: first words to these", "MB", burst * self.first() / 1e6, None),
             ("one lost: these at 1,000 Mbit/s", "s", burst * self.first() / 125e6, 10),
-            ("one lost: made and coded", "s",
-             burst * at("registry", "first words of each other, coded|ms") / 1e3, 1.6),
-            ("routes looked at again after each change", "s/s",
-             CHANGES * at("registry", "routes looked at again|ms") / 1e3, 1),
+            (
+                "one lost: made and coded",
+                "s",
+                burst * at("registry", "first words of each other, coded|ms") / 1e3,
+                1.6,
+            ),
+            (
+                "routes looked at again after each change",
+                "s/s",
+                CHANGES * at("registry", "routes looked at again|ms") / 1e3,
+                1,
+            ),
             ("put of a route, all six", "µs", at("copies", "put of one route, all six|µs"), None),
-            ("changes of the configuration, all six", "s/s",
-             CHANGES * at("copies", "put of one route, all six|µs") / 1e6, 1)]
+            (
+                "changes of the configuration, all six",
+                "s/s",
+                CHANGES * at("copies", "put of one route, all six|µs") / 1e6,
+                1,
+            ),
+        ]
 
     def instead(self) -> list[Row]:
         """Other ways: a tenth of the services a proxy, its own region in full, others in sums."""
         tenth, services = self.sent("fi Items, whole", 1), SERVICES // 10
         sums, own = services * 28 * 14, services * 36.5 / 29 * self.sent("fb Backends, whole") / BACKENDS
         region = self.at("assigner", "a proxy a region: a second of a pool|ms") / 1e3
-        lines, kept = services * self.sent("fd Bind") * 1.26 / 36.5, self.at(
-            "requests", "beat on a kept connection|µs")
+        lines, kept = (
+            services * self.sent("fd Bind") * 1.26 / 36.5,
+            self.at("requests", "beat on a kept connection|µs"),
+        )
         near = services * 1.26 / REQUESTS
         moved = services * 14 + 20
         return [
@@ -153,28 +195,56 @@
             ("proxy: own region's backends of these", "B", own, None),
             ("proxy: sums of 28 regions, 14 B each", "B", sums, None),
             ("proxy: tables of these", "B", lines, None),
-            ("proxy: first words, deflated items", "B",
-             self.sent("fi Items, whole, deflated", 1) + own + sums + lines, 90_000),
+            (
+                "proxy: first words, deflated items",
+                "B",
+                self.sent("fi Items, whole, deflated", 1) + own + sums + lines,
+                90_000,
+            ),
             ("proxy: first words after another control node, by digests", "B", 512 + 4 * 256, 90_000),
             ("proxy: report of these pools, bad tries only, each 2 s", "B/s", moved / 2, 9_000),
-            ("proxy: memory of items and backends of these", "MB",
-             self.at("proxy", "memory: items|MB", 1) + self.at("proxy", "memory: backends|MB", 1), None),
-            ("proxy: tenants packed, all", "MB",
-             self.at("tenants", "packed: to be sent, and memory|MB"), None),
+            (
+                "proxy: memory of items and backends of these",
+                "MB",
+                self.at("proxy", "memory: items|MB", 1) + self.at("proxy", "memory: backends|MB", 1),
+                None,
+            ),
+            (
+                "proxy: tenants packed, all",
+                "MB",
+                self.at("tenants", "packed: to be sent, and memory|MB"),
+                None,
+            ),
             ("proxy: further tries allowed", "number", 18 * REQUESTS / SERVICES, 1),
             ("proxy: seconds between requests to one backend", "s", near, 4),
             ("requests that need a new connection", "%", 100 * math.exp(-4 / near), None),
             ("connections of all proxies at one backend", "number", 2 * PROXIES / 29 / 10, 110),
-            ("proxy: beats of its zone's backends, processor", "%",
-             BACKENDS / ZONES / 1.5 / (PROXIES / ZONES) * kept / 1e4, 3.6),
+            (
+                "proxy: beats of its zone's backends, processor",
+                "%",
+                BACKENDS / ZONES / 1.5 / (PROXIES / ZONES) * kept / 1e4,
+                3.6,
+            ),
             ("node: all pools by regions, each pool at one", "s/s", SERVICES / CONTROL_NODES * region, 1),
-            ("control node: the same with one seat a proxy", "s/s", SERVICES / CONTROL_NODES * self.at(
-                "assigner", "regions for zones, one seat a proxy: a second of a pool|ms") / 1e3, 1),
-            ("control node: memory of these", "MB", SERVICES / CONTROL_NODES * self.at(
-                "assigner", "a proxy a region: memory of a pool|MB"), 296),
+            (
+                "control node: the same with one seat a proxy",
+                "s/s",
+                SERVICES
+                / CONTROL_NODES
+                * self.at("assigner", "regions for zones, one seat a proxy: a second of a pool|ms")
+                / 1e3,
+                1,
+            ),
+            (
+                "control node: memory of these",
+                "MB",
+                SERVICES / CONTROL_NODES * self.at("assigner", "a proxy a region: memory of a pool|MB"),
+                296,
+            ),
             ("control node: links of a tree, one proxy a zone, one lost", "number", ZONES / 5, None),
             ("control node: first words to these, one lost", "MB", ZONES / 30 * self.first() / 1e6, None),
-            ("relay of a zone: changes to its 50 proxies", "B/s", PROXIES / ZONES * self.changes(), 9_000)]
+            ("relay of a zone: changes to its 50 proxies", "B/s", PROXIES / ZONES * self.changes(), 9_000),
+        ]
 
 
 def table(title: str, rows: Sequence[Row]) -> None:
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -27,8 +27,12 @@
 
 
 def told(size: Size) -> list[bytes]:
-    return [codec.encode(fronts.Items(tuple(item(at) for at in range(first, min(first + PART, size.tenants))),
-                                      False)) for first in range(0, size.tenants, PART)]
+    return [
+        codec.encode(
+            fronts.Items(tuple(item(at) for at in range(first, min(first + PART, size.tenants))), False)
+        )
+        for first in range(0, size.tenants, PART)
+    ]
 
 
 def play(size: Size) -> Found:
@@ -45,12 +49,13 @@
     found["as items: hear all|ms"] = micros(hear, len(data)) * len(data) / 1e3
     found["as items: memory|MB"] = megabytes() - before
     before = megabytes()
-    packed = bytearray().join(one.to_bytes(8, "big") + bytes(ENTRY - 8)
-                              for one in sorted(hashed(at) for at in range(size.tenants)))
+    packed = bytearray().join(
+        one.to_bytes(8, "big") + bytes(ENTRY - 8) for one in sorted(hashed(at) for at in range(size.tenants))
+    )
     found["packed: to be sent, and memory|MB"] = len(packed) / 1e6
 
     def first(at: int) -> int:
-        return int.from_bytes(packed[at * ENTRY:at * ENTRY + 8], "big")
+        return int.from_bytes(packed[at * ENTRY : at * ENTRY + 8], "big")
 
     def look(at: int) -> int:
         return bisect.bisect_left(range(size.tenants), hashed(at % size.tenants), key=first)
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -46,8 +46,11 @@
         return {name: name.partition("-")[0] for name in self.names}
 
 
-SIZES = (Size(77, 270, 8, 56, 6, 3, 2_800), Size(770, 2_700, 74, 560, 30, 10, 28_000),
-         Size(7_700, 27_000, 740, 5_600, 111, 29, 280_000))
+SIZES = (
+    Size(77, 270, 8, 56, 6, 3, 2_800),
+    Size(770, 2_700, 74, 560, 30, 10, 28_000),
+    Size(7_700, 27_000, 740, 5_600, 111, 29, 280_000),
+)
 
 
 def service(at: int) -> str:
@@ -63,9 +66,14 @@
 
 def items(size: Size) -> tuple[Item, ...]:
     """All items of a first configuration, read as the operator's call is."""
-    whole = {"Upsert": {"Routes": routes_part(route(size, at) for at in range(size.routes)),
-                        "Services": services_part([service(at) for at in range(size.services)], 7),
-                        "Limits": limits_part(7)}, "Remove": {"Routes": []}}
+    whole = {
+        "Upsert": {
+            "Routes": routes_part(route(size, at) for at in range(size.routes)),
+            "Services": services_part([service(at) for at in range(size.services)], 7),
+            "Limits": limits_part(7),
+        },
+        "Remove": {"Routes": []},
+    }
     return read_order(msgspec.json.encode(whole)).items
 
 
@@ -76,9 +84,15 @@
 
 
 def backend(size: Size, at: int, draining: bool = False) -> fronts.Backend:
-    return fronts.Backend(f"i-{at:08x}", service(at % size.services),
-                          f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:8080",
-                          size.names[at // size.services % size.zones], 6, draining, 0)
+    return fronts.Backend(
+        f"i-{at:08x}",
+        service(at % size.services),
+        f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:8080",
+        size.names[at // size.services % size.zones],
+        6,
+        draining,
+        0,
+    )
 
 
 def lived(size: Size, at: int) -> rounds.Lived:
@@ -88,11 +102,18 @@
 
 def beat(size: Size, at: int, sequence: int, state: str = "ready") -> bytes:
     one = backend(size, at)
-    return msgspec.json.encode({
-        "Address": one.address,
-        "Information": {"Service": one.service, "ConfigVersion": "v1", "Zone": one.zone,
-                        "CapacitySlots": one.slots},
-        "Condition": {"State": state, "Sequence": sequence, "ColdRemainingMs": 0}})
+    return msgspec.json.encode(
+        {
+            "Address": one.address,
+            "Information": {
+                "Service": one.service,
+                "ConfigVersion": "v1",
+                "Zone": one.zone,
+                "CapacitySlots": one.slots,
+            },
+            "Condition": {"State": state, "Sequence": sequence, "ColdRemainingMs": 0},
+        }
+    )
 
 
 def proxy_name(at: int) -> str:
@@ -100,8 +121,14 @@
 
 
 def hello(size: Size, at: int, ready: bool = True) -> fronts.Hello:
-    return fronts.Hello(proxy_name(at), f"{at:016x}", size.names[at % size.zones],
-                        f"10.200.{at >> 8}.{at & 255}:8641", ready, False)
+    return fronts.Hello(
+        proxy_name(at),
+        f"{at:016x}",
+        size.names[at % size.zones],
+        f"10.200.{at >> 8}.{at & 255}:8641",
+        ready,
+        False,
+    )
 
 
 def attached(size: Size, at: int) -> rounds.Attached:
@@ -117,24 +144,46 @@
 
 def report(size: Size, requests: int = 95) -> fronts.Report:
     """A second of a proxy: so many requests, each to a service and a backend in turn."""
-    came = {service(at % size.services): 1 + (requests - 1 - at) // size.services
-            for at in range(min(requests, size.services))}
-    return fronts.Report(1000, came, tuple(fronts.Met(backend(size, at).id, 1, 0, 120)
-                                           for at in range(min(requests, size.backends))))
+    came = {
+        service(at % size.services): 1 + (requests - 1 - at) // size.services
+        for at in range(min(requests, size.services))
+    }
+    return fronts.Report(
+        1000,
+        came,
+        tuple(fronts.Met(backend(size, at).id, 1, 0, 120) for at in range(min(requests, size.backends))),
+    )
 
 
 def cores(size: Size) -> tuple[fronts.Core, ...]:
     places = size.places
-    return tuple(fronts.Core(f"10.128.0.{at + 1}", size.names[at], places[size.names[at]])
-                 for at in range(CONTROL_NODES))
+    return tuple(
+        fronts.Core(f"10.128.0.{at + 1}", size.names[at], places[size.names[at]])
+        for at in range(CONTROL_NODES)
+    )
 
 
 def local(size: Size, at: int = 0, listen: Mapping[str, str] | None = None) -> Local:
     """Settings of a control node or (its zone's) proxy."""
     core = cores(size)[at]
-    return Local("", f"node{at}", "core", core.ip, core.zone, core.region, True, True, None, (7000, 7001),
-                 tuple(f"{one.ip}:8080" for one in cores(size)),
-                 dict(listen or {"Control": f"{core.ip}:8080"}), size.places, HEARTBEAT, (1, 1, 1), Bounds())
+    return Local(
+        "",
+        f"node{at}",
+        "core",
+        core.ip,
+        core.zone,
+        core.region,
+        True,
+        True,
+        None,
+        (7000, 7001),
+        tuple(f"{one.ip}:8080" for one in cores(size)),
+        dict(listen or {"Control": f"{core.ip}:8080"}),
+        size.places,
+        HEARTBEAT,
+        (1, 1, 1),
+        Bounds(),
+    )
 
 
 class Held:
--- a/benchmarks/configuration_age.py
+++ b/benchmarks/configuration_age.py
@@ -101,8 +101,11 @@
                 with way(name):
                     one = measure(proxies, seed)
                 ages = " | ".join(f"{one.age(share):.2f}" for share in (0.5, 0.99, 1))
-                print(f"| {proxies} | {name or 'as it runs'} | {seed} | {ages} | {one.lacked:.2f} "
-                      f"| {one.late} | {one.dials} | {one.took:.0f} |", flush=True)
+                print(
+                    f"| {proxies} | {name or 'as it runs'} | {seed} | {ages} | {one.lacked:.2f} "
+                    f"| {one.late} | {one.dials} | {one.took:.0f} |",
+                    flush=True,
+                )
     return 0
 
 
--- a/benchmarks/group.py
+++ b/benchmarks/group.py
@@ -42,6 +42,7 @@
 
 # Promises
 
+
 async def promises(rig: Rig, clients: int, seconds: float) -> tuple[float, list[float], int]:
     """Promises a second, the time of each, and how many were not had: weights of all servers, from clients at
     all members."""
@@ -57,6 +58,7 @@
                 reply = await client.run(f"set weight {names[turn % len(names)]} {90 + turn % 10}%")
                 # A machine that is too busy answers `Unknown` after 2 s: told, and left out of the rate.
                 (missed if reply.failed else times).append(time.perf_counter() - started)
+
     started = time.monotonic()
     await asyncio.gather(*(operate(at) for at in range(clients)))
     return len(times) / (time.monotonic() - started), times, len(missed)
@@ -68,15 +70,22 @@
         for disk in (False, True):
             for clients in (1, 32):
                 rate, times, missed = await with_rig(
-                    lambda rig, clients=clients: promises(rig, clients, 2 if quick else 5), count, disk=disk,
-                    servers=32, rate=0.5)
-                print(f"| {count} | {'yes' if disk else 'no'} | {clients} | {rate:.0f} | "
-                      f"{1e3 * part(times, 0.5):.1f} | {1e3 * part(times, 0.99):.1f} | {missed} |",
-                      flush=True)
+                    lambda rig, clients=clients: promises(rig, clients, 2 if quick else 5),
+                    count,
+                    disk=disk,
+                    servers=32,
+                    rate=0.5,
+                )
+                print(
+                    f"| {count} | {'yes' if disk else 'no'} | {clients} | {rate:.0f} | "
+                    f"{1e3 * part(times, 0.5):.1f} | {1e3 * part(times, 0.99):.1f} | {missed} |",
+                    flush=True,
+                )
 
 
 # Without a leader
 
+
 async def without_leader(rig: Rig, fault: str) -> float:
     """The longest time between two answers `Done.` at another member, from the fault on."""
     leader = await rig.leader()
@@ -94,6 +103,7 @@
                         reply = await client.run(f"set weight east/s-0 {90 + at % 10}%")
                         if not reply.failed:
                             done.append(time.monotonic())
+
     task = asyncio.create_task(operate())
     try:
         await asyncio.sleep(1.0)
@@ -120,14 +130,22 @@
     head("Without a leader", "members | fault | runs | median ms | most ms")
     for count in (3,) if quick else (3, 5):
         for fault in ("kill", "cut", "stop"):
-            found = [await with_rig(lambda rig, fault=fault: without_leader(rig, fault), count, disk=True,
-                                    servers=8, rate=0.5) for _ in range(2 if quick else 5)]
-            print(f"| {count} | {fault} | {len(found)} | {1e3 * statistics.median(found):.0f} | "
-                  f"{1e3 * max(found):.0f} |", flush=True)
+            found = [
+                await with_rig(
+                    lambda rig, fault=fault: without_leader(rig, fault), count, disk=True, servers=8, rate=0.5
+                )
+                for _ in range(2 if quick else 5)
+            ]
+            print(
+                f"| {count} | {fault} | {len(found)} | {1e3 * statistics.median(found):.0f} | "
+                f"{1e3 * max(found):.0f} |",
+                flush=True,
+            )
 
 
 # Catching up
 
+
 def memory_mb(pid: int) -> float:
     with open(f"/proc/{pid}/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
@@ -141,7 +159,7 @@
     assert process is not None
     before = memory_mb(process.pid)
     for first in range(0, len(names), 500):
-        payload = "\n".join(f"set weight {name} 95%" for name in names[first:first + 500])
+        payload = "\n".join(f"set weight {name} 95%" for name in names[first : first + 500])
         async with Client(rig.members["n1"].socket, 30.0) as client:
             await client.run("set timeout cli 30s")
             reply = await client.run("apply", payload)
@@ -172,6 +190,7 @@
 
 # Steps
 
+
 async def steps(rig: Rig, seconds: float) -> None:
     await asyncio.sleep(seconds)
     for member in rig.members.values():
@@ -187,25 +206,46 @@
             for grouped in (False, True) if turn % 2 else (True, False):
                 with tempfile.TemporaryDirectory(prefix="steps-") as place:
                     os.environ["STEPS_FILE"] = f"{place}/%"
-                    await with_rig(lambda rig: steps(rig, 8 if quick else 15), 3, disk=True, grouped=grouped,
-                                   servers=count, proxies=24, rate=20.0)
-                    pairs = [tuple(map(int, line.split())) for file in Path(place).iterdir()
-                             for line in file.read_text().splitlines()[20:]]
+                    await with_rig(
+                        lambda rig: steps(rig, 8 if quick else 15),
+                        3,
+                        disk=True,
+                        grouped=grouped,
+                        servers=count,
+                        proxies=24,
+                        rate=20.0,
+                    )
+                    pairs = [
+                        tuple(map(int, line.split()))
+                        for file in Path(place).iterdir()
+                        for line in file.read_text().splitlines()[20:]
+                    ]
                 took, waited = [one[0] / 1e6 for one in pairs], [one[1] / 1e6 for one in pairs]
                 found.setdefault(grouped, []).append(
-                    (part(took, 0.5), part(took, 0.99), part(waited, 0.99), len(pairs)))
+                    (part(took, 0.5), part(took, 0.99), part(waited, 0.99), len(pairs))
+                )
         for grouped, runs in sorted(found.items()):
             p50, p99, waits = (statistics.median(one[at] for one in runs) for at in range(3))
-            print(f"| {count} | {'yes' if grouped else 'no'} | {len(runs)} | {sum(one[3] for one in runs)} | "
-                  f"{p50:.2f} | {p99:.2f} | {waits:.2f} |", flush=True)
+            print(
+                f"| {count} | {'yes' if grouped else 'no'} | {len(runs)} | {sum(one[3] for one in runs)} | "
+                f"{p50:.2f} | {p99:.2f} | {waits:.2f} |",
+                flush=True,
+            )
         ratios = [with_[1] / without[1] for with_, without in zip(found[True], found[False], strict=True)]
-        print(f"\nStep p99 with over without at {count} servers: median {statistics.median(ratios):.3f}, "
-              f"{min(ratios):.3f} to {max(ratios):.3f}.\n", flush=True)
+        print(
+            f"\nStep p99 with over without at {count} servers: median {statistics.median(ratios):.3f}, "
+            f"{min(ratios):.3f} to {max(ratios):.3f}.\n",
+            flush=True,
+        )
     del os.environ["PYTHONPATH"], os.environ["STEPS_FILE"]
 
 
-PARTS = {"promises": measure_promises, "leaders": measure_leaders, "catching-up": measure_catching_up,
-         "steps": measure_steps}
+PARTS = {
+    "promises": measure_promises,
+    "leaders": measure_leaders,
+    "catching-up": measure_catching_up,
+    "steps": measure_steps,
+}
 
 
 def main() -> None:
--- a/benchmarks/group_disk.py
+++ b/benchmarks/group_disk.py
@@ -99,8 +99,11 @@
     print("| --- " * 7 + "|")
     for writers in (1, 10, 100):
         count = (300 if quick else 2000) * (1 if writers == 1 else 5 if writers == 10 else 10)
-        rows = (("shared sync and mark (as run)", Folder, 512), ("a sync for each write", Folder, 1),
-                ("shared sync, no mark", Unmarked, 512))
+        rows = (
+            ("shared sync and mark (as run)", Folder, 512),
+            ("a sync for each write", Folder, 1),
+            ("shared sync, no mark", Unmarked, 512),
+        )
         for name, kind, shared in rows:
             place = tempfile.mkdtemp(dir=root)
             times = count if shared > 1 else min(count, 2000)
@@ -112,8 +115,11 @@
 
 
 def openings(root: str, quick: bool) -> None:
-    print("\n| entries held | bytes | open, ms | write anew, ms | snapshot of as many bytes, ms |\n"
-          + "| --- " * 5 + "|")
+    print(
+        "\n| entries held | bytes | open, ms | write anew, ms | snapshot of as many bytes, ms |\n"
+        + "| --- " * 5
+        + "|"
+    )
     for count in (100, 1_000, 10_000) if quick else (1_000, 10_000, 100_000):
         place = tempfile.mkdtemp(dir=root)
         folder = Folder(RealFiles(place), "archive", "n1")
@@ -133,8 +139,11 @@
         snapshot = Snapshot(count, 1, os.urandom(size), ())
         started = time.perf_counter()
         again.append([Write(99, "g", WALL, 1, 1, count, (), 0, snapshot)])
-        print(f"| {count} | {size} | {took * 1e3:.1f} | {anew * 1e3:.1f} | "
-              f"{(time.perf_counter() - started) * 1e3:.1f} |", flush=True)
+        print(
+            f"| {count} | {size} | {took * 1e3:.1f} | {anew * 1e3:.1f} | "
+            f"{(time.perf_counter() - started) * 1e3:.1f} |",
+            flush=True,
+        )
         again.close()
 
 
--- a/benchmarks/group_processes.py
+++ b/benchmarks/group_processes.py
@@ -41,8 +41,10 @@
         trace += [fault.show() for fault in faults]
         counts, operations = Counter[str](), Counter[str]()
         try:
-            async with asyncio.timeout(LIMIT), Rig(Path(place), members, disk, proxies=2, seed=seed,
-                                                   rate=1.0) as rig:
+            async with (
+                asyncio.timeout(LIMIT),
+                Rig(Path(place), members, disk, proxies=2, seed=seed, rate=1.0) as rig,
+            ):
                 try:
                     await rig.settled(40.0)
                     broken, runner, history = await schedules.run(rig, faults, seed)
@@ -76,6 +78,7 @@
             if done % 20 == 0:
                 took = time.monotonic() - started
                 print(f"{done} of {count}, {len(failed)} failed, {took:.0f} s", flush=True)
+
     await asyncio.gather(*(worker() for _ in range(jobs)))
     print(f"\n{done} schedules from seed {first}, {len(failed)} failed, {time.monotonic() - started:.0f} s")
     print("faults:", ", ".join(f"{kind} {number}" for kind, number in sorted(faults.items())))
--- a/benchmarks/group_schedules.py
+++ b/benchmarks/group_schedules.py
@@ -57,8 +57,10 @@
 def schedules(given: argparse.Namespace) -> int:
     started, seeds, events, operations, done = time.monotonic(), 0, 0, 0, 0
     counts, wrong = Counter[str](), list[Verdict]()
-    chunks = [(at, min(CHUNK, given.first + given.seeds - at), given.beyond)
-              for at in range(given.first, given.first + given.seeds, CHUNK)]
+    chunks = [
+        (at, min(CHUNK, given.first + given.seeds - at), given.beyond)
+        for at in range(given.first, given.first + given.seeds, CHUNK)
+    ]
     # Forked, so that workers have the machine as a mutant has left it.
     with multiprocessing.get_context("fork").Pool(given.jobs) as pool:
         for many, more, asked, good, what, found in pool.imap(part, chunks):
@@ -71,9 +73,11 @@
                 pool.terminate()
                 break
     seconds = time.monotonic() - started
-    print(f"{seeds} seeds, {events} events, {operations} operations, {done} promises acknowledged, "
-          f"{len(wrong)} failures; {seconds:.0f} s with {given.jobs} jobs, "
-          f"{60 * seeds / seconds:.0f} seeds a minute")
+    print(
+        f"{seeds} seeds, {events} events, {operations} operations, {done} promises acknowledged, "
+        f"{len(wrong)} failures; {seconds:.0f} s with {given.jobs} jobs, "
+        f"{60 * seeds / seconds:.0f} seeds a minute"
+    )
     print(", ".join(f"{name} {many}" for name, many in sorted(counts.items())))
     if wrong and (given.shrink or given.trace):
         failing = plan(wrong[0].seed, given.beyond)
--- a/benchmarks/heard_state.py
+++ b/benchmarks/heard_state.py
@@ -51,9 +51,19 @@
 
 def push(one: Store, other: Store, now: int) -> int:
     """All that it holds, as one message."""
-    parts = tuple(Part(name, origin.incarnation, 0, origin.upto, tuple(
-        Row(held.version, held.kind, held.key, held.body, now - held.since)
-        for held in origin.records.values())) for name, origin in one.origins.items())
+    parts = tuple(
+        Part(
+            name,
+            origin.incarnation,
+            0,
+            origin.upto,
+            tuple(
+                Row(held.version, held.kind, held.key, held.body, now - held.since)
+                for held in origin.records.values()
+            ),
+        )
+        for name, origin in one.origins.items()
+    )
     data = encode(Delta(parts, False))
     other.hear(now, decode(data) if len(data) <= 1 << 20 else Delta(parts, False))
     return len(data)
@@ -83,34 +93,45 @@
 
 
 def costs(quick: bool) -> None:
-    print("| servers | how | bytes a second, all members | a server and second | messages a second | "
-          "work, ms a second |\n" + "| --- " * 6 + "|")
+    print(
+        "| servers | how | bytes a second, all members | a server and second | messages a second | "
+        "work, ms a second |\n" + "| --- " * 6 + "|"
+    )
     for servers in (10, 100, 1_000, 10_000):
         for name, full in (("deltas", False), ("all is pushed", True)):
             seconds = 10 if quick or full and servers > 1_000 else 60
             size, work, count = run(servers, seconds, full)
-            print(f"| {servers} | {name} | {size:.0f} | {size / servers:.1f} | {count:.1f} | {work:.1f} |",
-                  flush=True)
+            print(
+                f"| {servers} | {name} | {size:.0f} | {size / servers:.1f} | {count:.1f} | {work:.1f} |",
+                flush=True,
+            )
 
 
 def catching_up(quick: bool) -> None:
-    print("\n| records held | bytes to a new member | messages | ms | memory, bytes a record |\n"
-          + "| --- " * 5 + "|")
+    print(
+        "\n| records held | bytes to a new member | messages | ms | memory, bytes a record |\n"
+        + "| --- " * 5
+        + "|"
+    )
     for records in (100, 1_000, 10_000) if quick else (1_000, 10_000, 100_000):
         tracemalloc.start()
         known = Store("n1", 1)
         for at in range(min(records, 50_000)):
             known.put(0, Kind.START, f"server-{at:05d}", bytes(8))
-        rows = tuple(Row(at + 1, Kind.START, f"server-{at:05d}", bytes(8), 0)
-                     for at in range(records - 50_000))
+        rows = tuple(
+            Row(at + 1, Kind.START, f"server-{at:05d}", bytes(8), 0) for at in range(records - 50_000)
+        )
         known.hear(0, Delta((Part("n2", 1, 0, len(rows), rows),), False))
         memory = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         fresh, started = Store("n3", 1), time.perf_counter()
         size, count = exchange(fresh, known, S)
         assert fresh.count == records
-        print(f"| {records} | {size} | {count} | {(time.perf_counter() - started) * 1e3:.0f} | "
-              f"{memory / records:.0f} |", flush=True)
+        print(
+            f"| {records} | {size} | {count} | {(time.perf_counter() - started) * 1e3:.0f} | "
+            f"{memory / records:.0f} |",
+            flush=True,
+        )
 
 
 def main() -> None:
--- a/benchmarks/interference.py
+++ b/benchmarks/interference.py
@@ -1,6 +1,6 @@
 """Scores against a plain threshold and plain correlation on planted worlds, and what heard state costs.
 
-    python -m benchmarks.interference quality|none|sizes [--worlds N]    prints the rows of docs/measurements
+python -m benchmarks.interference quality|none|sizes [--worlds N]    prints the rows of docs/measurements
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
             limit = np.nanmean(seen) + 2 * np.nanstd(seen)
             for at, job in enumerate(jobs):
                 if (seen[at, -BLOCK:].reshape(5, 6) > limit).mean(1).round().sum() >= 3:
-                    lately = uses[:, end - BLOCK:end].mean(1)
+                    lately = uses[:, end - BLOCK : end].mean(1)
                     worst = max(neighbours(world, job), key=lately.__getitem__)
                     accused.setdefault((world.group[job], world.group[worst]), end)
     return accused
@@ -97,7 +97,10 @@
 
 
 WAYS: dict[str, Callable[[World], Pairs]] = {
-    "scores": ours, "plain threshold": threshold, "plain correlation": correlation}
+    "scores": ours,
+    "plain threshold": threshold,
+    "plain correlation": correlation,
+}
 
 
 def one(work: tuple[str, int, Plan]) -> Told:
@@ -113,14 +116,18 @@
     planted = {(plant.victim, plant.culprit) for plant in PLANTS} if wanted else set[tuple[str, str]]()
     wrong = [sum(pair not in each.wanted and pair not in planted for pair in each.accused) for each in told]
     share = f"{len(right) / (len(right) + sum(wrong)):.2f}" if right or sum(wrong) else "-"
-    return (f"| {name} | {way} | {len(told)} | {wanted} | {share} | "
-            f"{f'{len(right) / wanted:.2f}' if wanted else '-'} | "
-            f"{f'{statistics.median(right) / 6:.0f}' if right else '-'} | {sum(wrong)} | "
-            f"{sum(each > 0 for each in wrong) / len(told):.3f} |")
+    return (
+        f"| {name} | {way} | {len(told)} | {wanted} | {share} | "
+        f"{f'{len(right) / wanted:.2f}' if wanted else '-'} | "
+        f"{f'{statistics.median(right) / 6:.0f}' if right else '-'} | {sum(wrong)} | "
+        f"{sum(each > 0 for each in wrong) / len(told):.3f} |"
+    )
 
 
-HEAD = ("| worlds | way | how many | planted | precision | recall | min to find | wrong | "
-        "worlds with a wrong one |")
+HEAD = (
+    "| worlds | way | how many | planted | precision | recall | min to find | wrong | "
+    "worlds with a wrong one |"
+)
 
 
 def compare(plans: dict[str, Plan], worlds: int, first: int, ways: list[str], workers: int) -> None:
@@ -133,8 +140,11 @@
 
 
 def sizes() -> None:
-    print("| nodes | records | bytes a round | ms to look at all | ms to score | us a sample |\n"
-          + "| --- " * 6 + "|")
+    print(
+        "| nodes | records | bytes a round | ms to look at all | ms to score | us a sample |\n"
+        + "| --- " * 6
+        + "|"
+    )
     points = list[tuple[int, int, float]]()
     for nodes in (10, 100, 1_000):
         plan = Plan(nodes=nodes, plants=PLANTS, slots=4 * BLOCK + 5)
@@ -156,12 +166,17 @@
         scoring = time.perf_counter() - started
         size = sum(len(put.key) + len(put.body) for put in puts)
         points.append((nodes, size, looking + scoring))
-        print(f"| {nodes} | {len(puts)} | {size} | {looking * 1e3:.0f} | {scoring * 1e3:.0f} | "
-              f"{taking / count * 1e6:.1f} |", flush=True)
+        print(
+            f"| {nodes} | {len(puts)} | {size} | {looking * 1e3:.0f} | {scoring * 1e3:.0f} | "
+            f"{taking / count * 1e6:.1f} |",
+            flush=True,
+        )
     (low, small, quick), (high, large, slow) = points[0], points[-1]
     span = math.log(high / low)
-    print(f"\nExponents over nodes: bytes {math.log(large / small) / span:.2f}, "
-          f"time {math.log(slow / quick) / span:.2f}")
+    print(
+        f"\nExponents over nodes: bytes {math.log(large / small) / span:.2f}, "
+        f"time {math.log(slow / quick) / span:.2f}"
+    )
 
 
 def main() -> None:
@@ -174,14 +189,33 @@
     ways = list(WAYS)
     match given.part:
         case "quality":
-            compare({"planted": Plan(plants=PLANTS), "planted, hard": Plan(plants=PLANTS, **HARD),
-                     "planted, weak": Plan(plants=WEAK)}, given.worlds, given.first, ways, given.workers)
+            compare(
+                {
+                    "planted": Plan(plants=PLANTS),
+                    "planted, hard": Plan(plants=PLANTS, **HARD),
+                    "planted, weak": Plan(plants=WEAK),
+                },
+                given.worlds,
+                given.first,
+                ways,
+                given.workers,
+            )
         case "large":
-            compare({"100 nodes, hard": Plan(nodes=100, plants=PLANTS, slots=360, **HARD)},
-                    given.worlds, given.first, ways, given.workers)
+            compare(
+                {"100 nodes, hard": Plan(nodes=100, plants=PLANTS, slots=360, **HARD)},
+                given.worlds,
+                given.first,
+                ways,
+                given.workers,
+            )
         case "none":
-            compare({"none planted": Plan(), "none planted, hard": Plan(**HARD)}, given.worlds, given.first,
-                    ["scores"], given.workers)
+            compare(
+                {"none planted": Plan(), "none planted, hard": Plan(**HARD)},
+                given.worlds,
+                given.first,
+                ["scores"],
+                given.workers,
+            )
         case "sizes":
             sizes()
 
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -69,8 +69,13 @@
         trouble = Trouble.ILL if chance < 0.04 else Trouble.COLD if chance < 0.08 else None
         hurt = rng.choice([0.2, 0.4]) if rng.random() < 0.05 else 0.0
         servers[f"s{i:04}"] = Standing(
-            f"s{i:04}", zones[i % len(zones)], rng.choice([1.0, 1.0, 1.0, 2.0]), trouble,
-            START + 60 * S if trouble is Trouble.COLD else 0, hurt)
+            f"s{i:04}",
+            zones[i % len(zones)],
+            rng.choice([1.0, 1.0, 1.0, 2.0]),
+            trouble,
+            START + 60 * S if trouble is Trouble.COLD else 0,
+            hurt,
+        )
     pairs = [(zones[i], zones[i + 1]) for i in range(0, len(zones) - 1, 3)]
     mines = [*[(zone,) for zone in zones], *pairs, ()]
     tenants = list[Tenant]()
@@ -78,11 +83,26 @@
         own = [one for one in servers.values() if not mine or one.zone in mine]
         whole = sum(one.weight * (1 - one.interfered) for one in own if one.trouble is not Trouble.ILL)
         ill = sum(one.trouble is Trouble.ILL for one in own)
-        windows = (Window("night", "FREQ=DAILY", f"2026-12-01T0{rng.choice([1, 2])}:00:00", 3 * HOUR,
-                          "Europe/Budapest"),)
-        tenants.append(Tenant(f"t{i}", (), mine, (), Agreement(
-            whole * rng.choice([0.75, 0.8, 0.85]), ill + max(1, len(own) // 12), 0,
-            ("2026-12-03",) if rng.random() < 0.05 else ()), windows))
+        windows = (
+            Window(
+                "night", "FREQ=DAILY", f"2026-12-01T0{rng.choice([1, 2])}:00:00", 3 * HOUR, "Europe/Budapest"
+            ),
+        )
+        tenants.append(
+            Tenant(
+                f"t{i}",
+                (),
+                mine,
+                (),
+                Agreement(
+                    whole * rng.choice([0.75, 0.8, 0.85]),
+                    ill + max(1, len(own) // 12),
+                    0,
+                    ("2026-12-03",) if rng.random() < 0.05 else (),
+                ),
+                windows,
+            )
+        )
     work = Work("kernel", tuple(servers), 600 * S, START + 400 * 24 * HOUR, 0)
     return World(Declared(1, tuple(tenants), (work,)), servers, work)
 
@@ -97,14 +117,25 @@
         if zone not in known:
             known[zone] = spans.of(users.of(zone))
         bound = LIMITS.clock_bound
-        return next(max(at, opens + bound) for opens, closes in known[zone]
-                    if max(at, opens + bound) + world.whole + bound <= closes)
+        return next(
+            max(at, opens + bound)
+            for opens, closes in known[zone]
+            if max(at, opens + bound) + world.whole + bound <= closes
+        )
+
     return fit, users
 
 
 def ours(world: World) -> list[Out]:
-    plan = lay(world.declared, [(world.work, server, 0) for server in world.work.servers], [], {},
-               world.servers, START, LIMITS)
+    plan = lay(
+        world.declared,
+        [(world.work, server, 0) for server in world.work.servers],
+        [],
+        {},
+        world.servers,
+        START,
+        LIMITS,
+    )
     assert not plan.unlaid, plan.unlaid[:3]
     return [Out(one.server, one.at, one.back) for one in plan.laid]
 
@@ -133,10 +164,16 @@
         at = fit(server, since.get(zone, START))
         while True:
             # The most that are out at once in the time that it would take.
-            ends = [end for tenant in mine for begin, end in busy[tenant.name]
-                    if begin < at + world.whole and end > at]
-            if all(deepest(busy[tenant.name], at, at + world.whole) < tenant.agreement.out_most
-                   for tenant in mine):
+            ends = [
+                end
+                for tenant in mine
+                for begin, end in busy[tenant.name]
+                if begin < at + world.whole and end > at
+            ]
+            if all(
+                deepest(busy[tenant.name], at, at + world.whole) < tenant.agreement.out_most
+                for tenant in mine
+            ):
                 break
             at = fit(server, min(ends))
         since[zone] = at
@@ -148,8 +185,13 @@
 
 def deepest(busy: list[tuple[int, int]], since: int, until: int) -> int:
     here = [(begin, end) for begin, end in busy if begin < until and end > since]
-    return max((sum(begin <= at < end for begin, end in here)
-                for at in [since, *[begin for begin, _ in here if begin > since]]), default=0)
+    return max(
+        (
+            sum(begin <= at < end for begin, end in here)
+            for at in [since, *[begin for begin, _ in here if begin > since]]
+        ),
+        default=0,
+    )
 
 
 def broken(world: World, outs: list[Out]) -> tuple[int, float, int]:
@@ -157,12 +199,14 @@
     the tenants."""
     drains, hours, whose = set[str](), 0.0, set[str]()
     for tenant in world.declared.tenants:
-        mine = {name: one for name, one in world.servers.items()
-                if not tenant.zones or one.zone in tenant.zones}
+        mine = {
+            name: one for name, one in world.servers.items() if not tenant.zones or one.zone in tenant.zones
+        }
         events = [(one.at, 1, one) for one in outs if one.server in mine]
         events += [(one.back, -1, one) for one in outs if one.server in mine]
-        here = {name: other.weight * (1 - other.interfered) for name, other in mine.items()
-                if usable(other, LOOK)}  # By the first opening the cold are warm.
+        here = {
+            name: other.weight * (1 - other.interfered) for name, other in mine.items() if usable(other, LOOK)
+        }  # By the first opening the cold are warm.
         good, out, agreed = sum(here.values()), len(mine) - len(here), tenant.agreement
         at_before, short, away = START, False, 0
         for at, way, one in sorted(events, key=lambda event: (event[0], event[1], event[2].server)):
@@ -181,40 +225,56 @@
 
 
 def compare(sizes: list[int], seeds: int) -> None:
-    print("| servers | planner | hours until done | drains that broke an agreement | tenant hours broken | "
-          "tenants hit | of |\n" + "| --- " * 7 + "|")
+    print(
+        "| servers | planner | hours until done | drains that broke an agreement | tenant hours broken | "
+        "tenants hit | of |\n" + "| --- " * 7 + "|"
+    )
     for size in sizes:
         worlds = [some_world(size, seed) for seed in range(seeds if size < 1000 else 2)]
         for name, planner in (("ours", ours), ("first fit", first_fit), ("one at a time", one_at_a_time)):
             rows = []
             for world in worlds:
                 outs = planner(world)
-                rows.append(((max(one.back for one in outs) - START) / HOUR, *broken(world, outs),
-                             len(world.declared.tenants)))
+                rows.append(
+                    (
+                        (max(one.back for one in outs) - START) / HOUR,
+                        *broken(world, outs),
+                        len(world.declared.tenants),
+                    )
+                )
             mean = [sum(column) / len(rows) for column in zip(*rows, strict=True)]
-            print(f"| {size} | {name} | {mean[0]:.1f} | {mean[1]:.1f} | {mean[2]:.2f} | {mean[3]:.1f} | "
-                  f"{mean[4]:.0f} |", flush=True)
+            print(
+                f"| {size} | {name} | {mean[0]:.1f} | {mean[1]:.1f} | {mean[2]:.2f} | {mean[3]:.1f} | "
+                f"{mean[4]:.0f} |",
+                flush=True,
+            )
 
 
 def cost(sizes: list[int]) -> None:
-    print("\n| servers | tenants | lay all, ms | a look that grants, ms | a look while waves run, ms | "
-          "a look without work, us |\n" + "| --- " * 6 + "|")
+    print(
+        "\n| servers | tenants | lay all, ms | a look that grants, ms | a look while waves run, ms | "
+        "a look without work, us |\n" + "| --- " * 6 + "|"
+    )
     points = list[tuple[float, float, float]]()
     for size in sizes:
         world = some_world(size, 1)
         ours(world)  # Openings are found once a window, and kept.
         laying = best(partial(ours, world))
         state, _ = PromisesMachine().apply(EMPTY, Entry(1, 1, 1, "", encode(Declare(world.declared))))
-        idle, _ = PromisesMachine().apply(EMPTY, Entry(1, 1, 1, "", encode(Declare(
-            Declared(1, world.declared.tenants, ())))))
+        idle, _ = PromisesMachine().apply(
+            EMPTY, Entry(1, 1, 1, "", encode(Declare(Declared(1, world.declared.tenants, ()))))
+        )
         heard = Heard(("n1", "n2"), {"n1": Steers(9, 0, 0), "n2": Steers(9, 0, 0)}, {}, {})
         steward = Steward(LIMITS)
         (grant,) = steward.due(0, LOOK, state, world.servers, heard)
         waves, _ = PromisesMachine().apply(state, Entry(1, 2, LOOK, "", encode(grant)))
         granting, running, quiet = (look(steward, one, world, heard) for one in (state, waves, idle))
         points.append((size, laying, granting))
-        print(f"| {size} | {len(world.declared.tenants)} | {laying * 1e3:.1f} | {granting * 1e3:.2f} | "
-              f"{running * 1e3:.2f} | {quiet * 1e6:.0f} |", flush=True)
+        print(
+            f"| {size} | {len(world.declared.tenants)} | {laying * 1e3:.1f} | {granting * 1e3:.2f} | "
+            f"{running * 1e3:.2f} | {quiet * 1e6:.0f} |",
+            flush=True,
+        )
     for name, column in (("lay", 1), ("a look that grants", 2)):
         xs, ys = [log(point[0]) for point in points], [log(point[column]) for point in points]
         x, y = sum(xs) / len(xs), sum(ys) / len(ys)
--- a/benchmarks/model_checking.py
+++ b/benchmarks/model_checking.py
@@ -23,8 +23,20 @@
 def all_models(quick: bool, workers: int) -> None:
     print("| model | states | steps | depth | how far | s | states/s | bytes a state | collision at most |")
     print("| --- " * 9 + "|")
-    for name in ("row", "news-small", "news", "collector", "admin", "attempt-small", "attempt", "policy",
-                 "replication", "replication-tokens", "replication-folders", "permits"):
+    for name in (
+        "row",
+        "news-small",
+        "news",
+        "collector",
+        "admin",
+        "attempt-small",
+        "attempt",
+        "policy",
+        "replication",
+        "replication-tokens",
+        "replication-folders",
+        "permits",
+    ):
         most = 20_000 if quick else 400_000
         result = explore(models()[name], Options(workers=workers, states=most, memory_mb=8000))
         assert result.fault is None, result.fault
@@ -58,8 +70,11 @@
         with_it, without = (
             explore(models()[name], Options(reduction=one, states=most)) for one in (True, False)
         )
-        print(f"| {name} | {with_it.states} | {without.states} | {without.states / with_it.states:.2f} | "
-              f"{with_it.seconds:.1f} | {without.seconds:.1f} |", flush=True)
+        print(
+            f"| {name} | {with_it.states} | {without.states} | {without.states / with_it.states:.2f} | "
+            f"{with_it.seconds:.1f} | {without.seconds:.1f} |",
+            flush=True,
+        )
 
 
 def scaling(quick: bool) -> None:
@@ -68,13 +83,19 @@
     for workers in (1, 2, 4, 8):
         result = explore(models()["row"], Options(depth=8 if quick else 11, workers=workers))
         first = first or result.seconds
-        print(f"| {workers} | {result.seconds:.1f} | {result.states / result.seconds:.0f} | "
-              f"{first / result.seconds:.2f} |", flush=True)
+        print(
+            f"| {workers} | {result.seconds:.1f} | {result.states / result.seconds:.0f} | "
+            f"{first / result.seconds:.2f} |",
+            flush=True,
+        )
 
 
 def sets(quick: bool) -> None:
-    print("\n| fingerprints | set | bytes each | s to add, batches of 32,768 | s to look up again |\n"
-          + "| --- " * 5 + "|")
+    print(
+        "\n| fingerprints | set | bytes each | s to add, batches of 32,768 | s to look up again |\n"
+        + "| --- " * 5
+        + "|"
+    )
     for count in (10_000, 100_000) if quick else (10_000, 100_000, 1_000_000):
         rng = random.Random(1)
         marks = [rng.getrandbits(128) for _ in range(count)]
@@ -89,7 +110,7 @@
             for _ in range(2):
                 started = time.monotonic()
                 for at in range(0, count, 1 << 15):
-                    held.add(given[at:at + (1 << 15)])
+                    held.add(given[at : at + (1 << 15)])
                 took.append(time.monotonic() - started)
             print(
                 f"| {count} | {name} | {held.nbytes() / count:.0f} | {took[0]:.2f} | {took[1]:.2f} |",
--- a/benchmarks/probe/sitecustomize.py
+++ b/benchmarks/probe/sitecustomize.py
@@ -13,6 +13,7 @@
 def instrument() -> None:
     sys.path.insert(0, os.getcwd())
     from ambershift.coordinator.routing.route import Route
+
     run, put, asked = Route.run, Route.put, [0]
 
     def timed_put(self, event):  # type: ignore[no-untyped-def]
@@ -24,11 +25,13 @@
         waited, started = time.perf_counter_ns() - asked[0], time.thread_time_ns()
         run(self)
         STEPS.append((time.thread_time_ns() - started, waited))
+
     Route.run, Route.put = timed_run, timed_put
 
     def write() -> None:
         with open(PLACE.replace("%", os.environ.get("BALANCER_NAME", "x")), "w") as file:
             file.writelines(f"{took} {waited}\n" for took, waited in STEPS)
+
     atexit.register(write)
 
 
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -124,9 +124,12 @@
             for wiped in (False, True):
                 one = measure(items, changes, wiped, given.kill)
                 way = "disk lost" if wiped else "cut off"
-                print(f"{items} items, {changes} changes, {way}: equal after {one.equal_s:.2f} s, "
-                      f"{one.answers} answers, {one.size / 1e3:.0f} KB, largest {one.largest / 1e3:.0f} KB, "
-                      f"{one.processor_s:.2f} s of processor", flush=True)
+                print(
+                    f"{items} items, {changes} changes, {way}: equal after {one.equal_s:.2f} s, "
+                    f"{one.answers} answers, {one.size / 1e3:.0f} KB, largest {one.largest / 1e3:.0f} KB, "
+                    f"{one.processor_s:.2f} s of processor",
+                    flush=True,
+                )
     return 0
 
 
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -43,8 +43,10 @@
     def __init__(self, count: int, disk: bool, machine: Counting | None = None) -> None:
         names = [f"n{index}" for index in range(count)]
         self.names, machine = names, machine or Bulky(0)
-        self.members = {name: Replica(name, names, [], machine, 1, 1 + index, None, disk, noop=b"-")
-                        for index, name in enumerate(names)}
+        self.members = {
+            name: Replica(name, names, [], machine, 1, 1 + index, None, disk, noop=b"-")
+            for index, name in enumerate(names)
+        }
         self.now, self.answers, self.sent, self.queue = 0, 0, 0, deque[tuple[str, str, bytes]]()
         self.steps: list[int] = []
         for _ in range(100):
@@ -94,9 +96,11 @@
     assert net.answers == burst * rounds, net.answers
     steps = sorted(net.steps)
     middle, high = steps[len(steps) // 2], steps[len(steps) * 99 // 100]
-    return (f"| {count} | {'yes' if disk else 'no'} | {burst} | {spent / net.answers * 1e6:.0f} | "
-            f"{net.answers / spent:,.0f} | {net.sent / net.answers:,.0f} | {middle / 1e3:.0f} | "
-            f"{high / 1e3:.0f} |")
+    return (
+        f"| {count} | {'yes' if disk else 'no'} | {burst} | {spent / net.answers * 1e6:.0f} | "
+        f"{net.answers / spent:,.0f} | {net.sent / net.answers:,.0f} | {middle / 1e3:.0f} | "
+        f"{high / 1e3:.0f} |"
+    )
 
 
 def without_leader(kind: str, voters: int, seeds: int) -> str:
@@ -144,16 +148,20 @@
         net.pump()
     spent = time.process_time() - began
     entries = len(net.members["n0"].core.log.entries)
-    return (f"| {size / 1e6:.1f} | {slow:.1f} | {entries:,} | {net.sent / 1e6:.1f} | {spent * 1e3:.0f} | "
-            f"{max(net.steps) / MS:.1f} |")
+    return (
+        f"| {size / 1e6:.1f} | {slow:.1f} | {entries:,} | {net.sent / 1e6:.1f} | {spent * 1e3:.0f} | "
+        f"{max(net.steps) / MS:.1f} |"
+    )
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     quick = parser.parse_args().quick
-    print("| members | disk | at once | CPU us a promise, all members | promises a CPU second "
-          "| bytes a promise | step us (median) | p99 |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
+    print(
+        "| members | disk | at once | CPU us a promise, all members | promises a CPU second "
+        "| bytes a promise | step us (median) | p99 |\n| --- | --- | --- | --- | --- | --- | --- | --- |"
+    )
     for count in (1, 3) if quick else (1, 3, 5, 7):
         for disk in (False, True):
             for burst in (1, 32):
@@ -162,8 +170,10 @@
     for kind in ("kill", "kill, link not told", "kill, back at once", "cut", "stop"):
         for voters in (3,) if quick else (3, 5):
             print(without_leader(kind, voters, 5 if quick else 100), flush=True)
-    print("\n| state MB | snapshot's step ms | entries beside | MB sent to recover one | CPU ms, all members "
-          "| longest step ms |\n| --- | --- | --- | --- | --- | --- |")
+    print(
+        "\n| state MB | snapshot's step ms | entries beside | MB sent to recover one | CPU ms, all members "
+        "| longest step ms |\n| --- | --- | --- | --- | --- | --- |"
+    )
     for size in (0, 100_000) if quick else (0, 100_000, 1_000_000, 10_000_000):
         print(catch_up(size), flush=True)
 
--- a/benchmarks/runtime_socket.py
+++ b/benchmarks/runtime_socket.py
@@ -68,8 +68,19 @@
     info = SETTINGS["family_info"] | {"most_waiting": 20_000.0, "egress_per_s": 10_000.0}
     relay.answering = True
     relay.channel.__init__(info)  # type: ignore[misc]
-    known = [{"id": f"s-{at}", "addr": f"127.0.0.1:{9000 + at % 1000}", "zone": ZONES[at % 2], "kind": "m",
-              "cell": 0, "state": "up", "weight": 1.0, "started_ms": 0} for at in range(servers)]
+    known = [
+        {
+            "id": f"s-{at}",
+            "addr": f"127.0.0.1:{9000 + at % 1000}",
+            "zone": ZONES[at % 2],
+            "kind": "m",
+            "cell": 0,
+            "state": "up",
+            "weight": 1.0,
+            "started_ms": 0,
+        }
+        for at in range(servers)
+    ]
     discovery.now = listing(5, *known)
     hosts = [await asyncio.start_server(one.serve, "127.0.0.1", 0) for one in (relay, discovery)]
     ports = [one.sockets[0].getsockname()[1] for one in hosts]
@@ -78,15 +89,30 @@
         configuration = configure(listen, ports[1], ports[0], discovery.now)
         configuration["settings"] = SETTINGS | {"family_info": info}
         (place / "config.json").write_text(json.dumps(configuration))
-        (place / "run.hcl").write_text(f'runtime '
-                                       f'{{\n socket "{place}/r.sock" {{}}\n max_connections = 128\n}}\n')
-        words = {"bare": ["-m", "ambershift"], "off": ["-m", "ambershift", "run"], "socket": [
-            "-m", "ambershift", "run", "--settings", str(place / "run.hcl")]}.get(way) or [
-            "-m", "benchmarks.timed_run", str(place / "steps"), way, "run",
-            "--settings", str(place / "run.hcl")]
+        (place / "run.hcl").write_text(
+            f'runtime {{\n socket "{place}/r.sock" {{}}\n max_connections = 128\n}}\n'
+        )
+        words = {
+            "bare": ["-m", "ambershift"],
+            "off": ["-m", "ambershift", "run"],
+            "socket": ["-m", "ambershift", "run", "--settings", str(place / "run.hcl")],
+        }.get(way) or [
+            "-m",
+            "benchmarks.timed_run",
+            str(place / "steps"),
+            way,
+            "run",
+            "--settings",
+            str(place / "run.hcl"),
+        ]
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", *words, cwd=ROOT, stdout=asyncio.subprocess.DEVNULL,
-            env={**os.environ, "BALANCER_NAME": "n1", "BALANCER_CONFIG": str(place / "config.json")})
+            sys.executable,
+            "-B",
+            *words,
+            cwd=ROOT,
+            stdout=asyncio.subprocess.DEVNULL,
+            env={**os.environ, "BALANCER_NAME": "n1", "BALANCER_CONFIG": str(place / "config.json")},
+        )
         names = [f"{ZONES[at % 2]}/s-{at}" for at in range(servers)]
         tasks = [asyncio.create_task(relay.live())]
         try:
@@ -114,9 +140,10 @@
     while True:
         for _ in range(2):
             at += 1
-            writer.write(f"outcomes zone=east server=s-{at % servers} tries=5 failed=0 mean_ms=40 "
-                         f"span_ms=1000\r\n"
-                         .encode())
+            writer.write(
+                f"outcomes zone=east server=s-{at % servers} tries=5 failed=0 mean_ms=40 "
+                f"span_ms=1000\r\n".encode()
+            )
         await asyncio.sleep(REPORTS_EVERY)
 
 
@@ -131,6 +158,7 @@
                 reply = await api.run(make(number, at))
                 assert not reply.failed, reply
                 took.record_value(max(1, int((clock() - started) * 1e6)))
+
     started = clock()
     await asyncio.gather(*map(client, range(clients)))
     return count / (clock() - started), took
@@ -139,10 +167,13 @@
 async def answers(servers: int, count: int, rounds: int) -> None:
     async with running(servers, "paced") as one:
         names = one.names[:-4]
-        kinds = {"show version": lambda number, at: "show version",
-                 "get weight": lambda number, at: f"get weight {names[(number * 31 + at) % len(names)]}",
-                 "set state, no "
-                 "change": lambda number, at: f"enable server {names[(number * 31 + at) % len(names)]}"}
+        kinds = {
+            "show version": lambda number, at: "show version",
+            "get weight": lambda number, at: f"get weight {names[(number * 31 + at) % len(names)]}",
+            "set state, no change": lambda number, at: (
+                f"enable server {names[(number * 31 + at) % len(names)]}"
+            ),
+        }
         for kind, make in kinds.items():
             for clients in (1, 10, 50):
                 found = [await rate(one, clients, count, make) for _ in range(rounds)]
@@ -151,9 +182,11 @@
                 whole = HdrHistogram(1, 60_000_000, 3)
                 for _, took in found:
                     whole.add(took)
-                print(f"| {servers} | {kind} | {clients} | {statistics.median(rates):.0f} | {spread:.0%} | "
-                      + " | ".join(f"{whole.get_value_at_percentile(p) / 1000:.2f}" for p in (50, 99, 99.9)),
-                      "|")
+                print(
+                    f"| {servers} | {kind} | {clients} | {statistics.median(rates):.0f} | {spread:.0%} | "
+                    + " | ".join(f"{whole.get_value_at_percentile(p) / 1000:.2f}" for p in (50, 99, 99.9)),
+                    "|",
+                )
 
 
 def flood(names: list[str], seed: int) -> tuple[list[list[str]], set[str]]:
@@ -165,8 +198,9 @@
         at = chance.randrange(len(names))
         out[names[at]] = chance.random() < 0.5
         twice = 1 + (chance.random() < 0.5)
-        rows[at % 50] += [f"{'disable' if out[names[at]] else 'enable'} server "
-                          f"{names[at]}"] * min(twice, 1000 - sent)
+        rows[at % 50] += [f"{'disable' if out[names[at]] else 'enable'} server {names[at]}"] * min(
+            twice, 1000 - sent
+        )
         sent += twice
     return rows, {name for name, away in out.items() if away}
 
@@ -190,6 +224,7 @@
                 for text in row:
                     reply = await each.run(text)
                     assert not reply.failed, reply
+
         await asyncio.gather(*map(client, rows))
         took = clock() - started
         busy = await one.timings()
@@ -204,9 +239,11 @@
 
 
 async def memory() -> None:
-    for way, title in (("bare", "python -m "
-                                "ambershift"), ("off", "run without "
-                                                       "settings"), ("socket", "run with a socket")):
+    for way, title in (
+        ("bare", "python -m ambershift"),
+        ("off", "run without settings"),
+        ("socket", "run with a socket"),
+    ):
         async with running(30, way) as one:
             await asyncio.sleep(1.0)
             print(f"| {title} | {one.memory_mb():.1f} |")
@@ -228,22 +265,28 @@
 
 async def all_answers(quick: bool) -> None:
     rounds, count = (1, 200) if quick else (5, 2000)
-    print("| servers | command | clients | commands/s | spread | p50 ms | p99 ms | p99.9 ms "
-          "|\n" + "| --- " * 8 + "|")
+    print(
+        "| servers | command | clients | commands/s | spread | p50 ms | p99 ms | p99.9 ms "
+        "|\n" + "| --- " * 8 + "|"
+    )
     for servers in (30, 300, 3000):
         await answers(servers, count, rounds)
 
 
 async def all_floods(quick: bool) -> None:
-    print("\n| servers | way | round | step p99, flood over calm | distinct effects | eject lines | "
-          "messages a proxy | "
-          "most lines waiting | flood took s |\n" + "| --- " * 9 + "|")
+    print(
+        "\n| servers | way | round | step p99, flood over calm | distinct effects | eject lines | "
+        "messages a proxy | "
+        "most lines waiting | flood took s |\n" + "| --- " * 9 + "|"
+    )
     for servers in (44, 300, 3000):
         for way in ("paced", "plain"):
             for at in range(1 if quick else 3):
                 ratio, *rest, took = await flooding(servers, way, at)
-                print(f"| {servers} | {way} | {at + 1} | {ratio:.2f} | {' | '.join(map(str, rest))} | "
-                      f"{took:.2f} |")
+                print(
+                    f"| {servers} | {way} | {at + 1} | {ratio:.2f} | {' | '.join(map(str, rest))} | "
+                    f"{took:.2f} |"
+                )
 
 
 if __name__ == "__main__":
--- a/benchmarks/same_orders.py
+++ b/benchmarks/same_orders.py
@@ -167,8 +167,11 @@
         for _ in range(rng.choice([0, 0, 1, 3, self.crowd]) if rng.random() < 0.2 else 0):
             proxy = rng.randrange(self.crowd)
             zone = -1 if rng.random() < 0.005 else proxy % self.terms.zones
-            found.append(api.Left(proxy) if rng.random() < 0.4 else api.Joined(
-                proxy, zone, rng.choice([0.0, 1.0, 5.0]), True))
+            found.append(
+                api.Left(proxy)
+                if rng.random() < 0.4
+                else api.Joined(proxy, zone, rng.choice([0.0, 1.0, 5.0]), True)
+            )
         return found
 
     def lists(self) -> list[api.Event]:
@@ -193,23 +196,31 @@
         if rng.random() < 0.05:
             found.append(api.Applied(rng.randrange(60), S, rng.randrange(self.crowd)))
         if world.way and rng.random() < 0.05:
-            del world.way[:rng.randrange(len(world.way))]
+            del world.way[: rng.randrange(len(world.way))]
         for number in range(self.terms.slices):
             if rng.random() < 0.03:
                 found.append(api.Given(number) if rng.random() < 0.5 else api.Taken(number))
                 if isinstance(found[-1], api.Given) and rng.random() < 0.6:
                     found.append(api.Held(number, rng.randrange(self.servers), 1.0))
         if rng.random() < 0.02:
-            found += [api.Due(0), api.Left(9999), api.Usage(9999, 0, 1, 0, S), api.Probed(0, True, 1, ()),
-                      api.Mail(1, b""), api.Heat(0, 0, 1, 0, S)]
+            found += [
+                api.Due(0),
+                api.Left(9999),
+                api.Usage(9999, 0, 1, 0, S),
+                api.Probed(0, True, 1, ()),
+                api.Mail(1, b""),
+                api.Heat(0, 0, 1, 0, S),
+            ]
         return found
 
     def play(self, rounds: int) -> None:
         rng, world = self.rng, self.world
         for _ in range(rounds):
             self.moods()
-            usage = [api.Usage(rng.randrange(self.crowd), 0, rng.randrange(20), 0, rng.choice([S, S, 5 * S]))
-                     for _ in range(rng.choice([0, 4, 12]))]
+            usage = [
+                api.Usage(rng.randrange(self.crowd), 0, rng.randrange(20), 0, rng.choice([S, S, 5 * S]))
+                for _ in range(rng.choice([0, 4, 12]))
+            ]
             events = [*self.joins(), *self.lists(), *self.met(), *usage, *self.odd()]
             if rng.random() < 0.3:
                 world.tell(*events)  # Between two wakes.
@@ -265,8 +276,14 @@
 
 
 def values(package: dict[str, ModuleType]) -> list[str]:
-    return sorted({name for module in package.values() for name, one in vars(module).items()
-                   if name.isupper() and isinstance(one, int | float)})
+    return sorted(
+        {
+            name
+            for module in package.values()
+            for name, one in vars(module).items()
+            if name.isupper() and isinstance(one, int | float)
+        }
+    )
 
 
 @contextlib.contextmanager
@@ -320,8 +337,10 @@
             for now, events in row:
                 pair.step(now, events)
         if rows:
-            print(f"recorded: {len(rows)} instances, {Both.steps} steps, {Both.events.total()} events, "
-                  f"{Both.orders.total()} orders, the same")
+            print(
+                f"recorded: {len(rows)} instances, {Both.steps} steps, {Both.events.total()} events, "
+                f"{Both.orders.total()} orders, the same"
+            )
         days = sum(1 for _ in drawn(asked.events, asked.seed, asked.rounds))
     except DifferError as error:
         print(f"not the same after {Both.steps} steps, {error}")
--- a/benchmarks/simulated_schedules.py
+++ b/benchmarks/simulated_schedules.py
@@ -107,8 +107,11 @@
                 break
         seconds = time.monotonic() - started
         at = wrong[0][0] if wrong else "none"
-        print(f"{name}: {seeds} seeds, {outcomes} outcomes, {troubles} troubles, {len(wrong)} failures, "
-              f"first {at}; {seconds:.0f} s, {jobs} jobs", flush=True)
+        print(
+            f"{name}: {seeds} seeds, {outcomes} outcomes, {troubles} troubles, {len(wrong)} failures, "
+            f"first {at}; {seconds:.0f} s, {jobs} jobs",
+            flush=True,
+        )
         if not wrong:
             return None
         if told and player is of_nodes:
@@ -128,8 +131,11 @@
     first, _, last = given.seeds.partition("-")
     begin, end = int(first), int(last or first)
     if given.variant == "all":
-        missed = [one.name for one in VARIANTS
-                  if schedules(begin, end, given.jobs, one.name, 1, False) is None and not scripted(one.name)]
+        missed = [
+            one.name
+            for one in VARIANTS
+            if schedules(begin, end, given.jobs, one.name, 1, False) is None and not scripted(one.name)
+        ]
         print(f"{len(VARIANTS) - len(missed)} of {len(VARIANTS)} found; missed: {missed or 'none'}")
         return int(bool(missed))
     player = of_fleet if given.fleet else of_forgetting_nodes if given.forgetting else of_nodes
--- a/benchmarks/system_days/__main__.py
+++ b/benchmarks/system_days/__main__.py
@@ -20,8 +20,10 @@
     if isinstance(outcome, NotPlayed):
         return f"| {outcome.day} | {outcome.site} | not played: {outcome.why} | | | |"
     wrong = "; ".join((*outcome.rules, *outcome.short, *([outcome.fault] if outcome.fault else []))) or "none"
-    return (f"| {outcome.day} | {outcome.site} | {outcome.worth:.3f} | {outcome.worst} | {wrong} "
-            f"| {outcome.journal} |")
+    return (
+        f"| {outcome.day} | {outcome.site} | {outcome.worth:.3f} | {outcome.worst} | {wrong} "
+        f"| {outcome.journal} |"
+    )
 
 
 def tell(outcome: Outcome) -> None:
@@ -39,8 +41,9 @@
     parser.add_argument("--only", action="append", help="of these days only")
     parser.add_argument("--seed", type=int, help="other luck than the days' own")
     parser.add_argument("--jobs", type=int, default=1, help="plays at a time, each about a core")
-    parser.add_argument("--out", type=Path, default=Path("found/system-days"),
-                        help="where reports and results go")
+    parser.add_argument(
+        "--out", type=Path, default=Path("found/system-days"), help="where reports and results go"
+    )
     given = parser.parse_args()
     everything = found()
     wrong = [one for one in everything if isinstance(one, NoDay)]
--- a/benchmarks/system_days/days.py
+++ b/benchmarks/system_days/days.py
@@ -11,12 +11,43 @@
 FOLDER = Path(__file__).parent / "days"
 # Days that name no zone can be played at any site; the others lie in a folder named as their site.
 ANYWHERE = "any"
-PLAN = frozenset(("config_change", "config_race", "config_storm", "bad_config", "big_config", "evacuate",
-                  "release", "roll_term", "scale_in", "scale_out", "seed_turnover"))
-FAULTS = frozenset(("ack_lost", "after_ack_kill", "after_ack_wipe", "answer_lost", "clock_step",
-                    "cold_return", "core_cut", "disk_full", "disk_stall", "garble", "herd_kill", "node_cut",
-                    "node_kill", "replace_core", "replace_with_reuse", "retry_abuse", "srv_crash",
-                    "zone_loss"))
+PLAN = frozenset(
+    (
+        "config_change",
+        "config_race",
+        "config_storm",
+        "bad_config",
+        "big_config",
+        "evacuate",
+        "release",
+        "roll_term",
+        "scale_in",
+        "scale_out",
+        "seed_turnover",
+    )
+)
+FAULTS = frozenset(
+    (
+        "ack_lost",
+        "after_ack_kill",
+        "after_ack_wipe",
+        "answer_lost",
+        "clock_step",
+        "cold_return",
+        "core_cut",
+        "disk_full",
+        "disk_stall",
+        "garble",
+        "herd_kill",
+        "node_cut",
+        "node_kill",
+        "replace_core",
+        "replace_with_reuse",
+        "retry_abuse",
+        "srv_crash",
+        "zone_loss",
+    )
+)
 CLOSING = frozenset(("power_off_all", "kill_all", "wipe_after_ack"))
 # A standard day's traffic; the closing fault strikes at its end.
 LENGTH_S = 32.0
--- a/benchmarks/system_days/plays.py
+++ b/benchmarks/system_days/plays.py
@@ -49,13 +49,24 @@
     stem = f"{site.stem}-{day.name}"
     report = out / f"{stem}.json"
     report.unlink(missing_ok=True)
-    command = [str(bench), "run", str(site), str(day.path), "--jobs", "1", "--report", str(report),
-               "--why", f"Own day {day.name} on {site.stem}{'' if seed is None else f', seed {seed}'}"]
+    command = [
+        str(bench),
+        "run",
+        str(site),
+        str(day.path),
+        "--jobs",
+        "1",
+        "--report",
+        str(report),
+        "--why",
+        f"Own day {day.name} on {site.stem}{'' if seed is None else f', seed {seed}'}",
+    ]
     command += [] if seed is None else ["--seed", str(seed)]
     try:
         with (out / f"{stem}.txt").open("w+", encoding="utf-8") as text:
-            done = subprocess.run(command, stdout=text, stderr=subprocess.STDOUT, timeout=LIMIT_S,
-                                  check=False)
+            done = subprocess.run(
+                command, stdout=text, stderr=subprocess.STDOUT, timeout=LIMIT_S, check=False
+            )
             text.seek(0)
             said = text.read()
     except subprocess.TimeoutExpired:
@@ -69,27 +80,42 @@
 
 def judged(day: str, site: str, report: dict[str, Any], journal: str) -> Played:
     breaks: dict[str, Any] = report.get("breaks") or {}
-    return Played(day, site, float(report.get("G") or 0.0), _worst(report),
-                  tuple(f"{name} ({many})" for name, many in breaks.items()),
-                  tuple(str(one) for one in report.get("first") or ()),
-                  tuple(str(one) for one in report.get("short") or ()),
-                  str(report.get("fault") or ""), journal)
+    return Played(
+        day,
+        site,
+        float(report.get("G") or 0.0),
+        _worst(report),
+        tuple(f"{name} ({many})" for name, many in breaks.items()),
+        tuple(str(one) for one in report.get("first") or ()),
+        tuple(str(one) for one in report.get("short") or ()),
+        str(report.get("fault") or ""),
+        journal,
+    )
 
 
 def _worst(report: dict[str, Any]) -> str:
     """The kind of request or call, or the clients' zone, that earned least."""
     parts = [part for group in ("classes", "zones") for part in report.get(group) or ()]
-    told = [(part["worth"], part["name"]) for part in parts
-            if part.get("n") and part.get("worth") is not None]
+    told = [
+        (part["worth"], part["name"]) for part in parts if part.get("n") and part.get("worth") is not None
+    ]
     return "{1} {0:.2f}".format(*min(told)) if told else ""
 
 
-def play_all(bench: Path, wanted: list[tuple[Path, Day]], out: Path, jobs: int,
-             tell: Callable[[Outcome], None], seed: int | None = None) -> list[Outcome]:
+def play_all(
+    bench: Path,
+    wanted: list[tuple[Path, Day]],
+    out: Path,
+    jobs: int,
+    tell: Callable[[Outcome], None],
+    seed: int | None = None,
+) -> list[Outcome]:
     """All of them, several at a time, each told as it ends; in the order given."""
+
     def one(given: tuple[Path, Day]) -> Outcome:
         outcome = play(bench, given[0], given[1], out, seed)
         tell(outcome)
         return outcome
+
     with ThreadPoolExecutor(jobs) as pool:
         return list(pool.map(one, wanted))
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -61,8 +61,9 @@
             return super().tell(*events)
         own = self.learned.stepped(self.now, events)
         given = [event for event in events if not any(event is one for one in own)]
-        told = [self.learned.listed(self.now, event) if isinstance(event, api.Listed) else event
-                for event in own]
+        told = [
+            self.learned.listed(self.now, event) if isinstance(event, api.Listed) else event for event in own
+        ]
         return super().tell(*told, *given)
 
 
@@ -78,12 +79,21 @@
     """`ill` of the servers fail every try; `cold` of them start anew within the last seconds, and the list
     that tells of it reaches the one that takes over only `lag` after the take-over."""
 
-    def __init__(self, seed: int, use: bool, servers: int = 40, proxies: int = 16, ill: int = 4,
-                 cold: int = 6, lag: int = 8 * S) -> None:
+    def __init__(
+        self,
+        seed: int,
+        use: bool,
+        servers: int = 40,
+        proxies: int = 16,
+        ill: int = 4,
+        cold: int = 6,
+        lag: int = 8 * S,
+    ) -> None:
         self.rng, self.lag = random.Random(seed), lag
         lines = max(1000.0, proxies * servers / 4)  # A channel that binds all within seconds.
-        self.terms = make_terms(zones=2, cold=20 * S, cold_share=0.2, message_limit=0, lines_per_s=lines,
-                                waiting_limit=5 * lines)
+        self.terms = make_terms(
+            zones=2, cold=20 * S, cold_share=0.2, message_limit=0, lines_per_s=lines, waiting_limit=5 * lines
+        )
         entries = [entry(i, i % 2) for i in range(servers)]
         chosen = self.rng.sample(range(servers), ill + cold)
         self.ill, self.cold = set(chosen[:ill]), dict.fromkeys(chosen[ill:], 0)
@@ -150,7 +160,7 @@
         a.tell(*[api.Joined(proxy, proxy % 2, RATE, True) for proxy in range(self.proxies)])
         for at in range(30):
             if at >= 24:  # They start anew one after the other; only the one that steers hears of it in time.
-                for server in list(self.cold)[(at - 24)::6]:
+                for server in list(self.cold)[(at - 24) :: 6]:
                     self.cold[server] = a.now
                     a.tell(api.Listed(False, False, (entry(server, server % 2, since=a.now),)))
             self.second([a, b])
@@ -166,11 +176,15 @@
 
 
 # Servers, proxies, ill ones, those that start anew, and how late the list is.
-SCENES = {"40 servers, 4 ill, 6 cold": (40, 16, 4, 6, 8 * S), "nothing wrong": (40, 16, 0, 0, 8 * S),
-          "ill only": (40, 16, 6, 0, 8 * S), "cold only": (40, 16, 0, 10, 8 * S),
-          "cold, the list in time": (40, 16, 0, 10, 0),
-          "120 servers, 12 ill, 18 cold": (120, 40, 12, 18, 8 * S),
-          "400 servers, 40 ill, 60 cold": (400, 120, 40, 60, 8 * S)}
+SCENES = {
+    "40 servers, 4 ill, 6 cold": (40, 16, 4, 6, 8 * S),
+    "nothing wrong": (40, 16, 0, 0, 8 * S),
+    "ill only": (40, 16, 6, 0, 8 * S),
+    "cold only": (40, 16, 0, 10, 8 * S),
+    "cold, the list in time": (40, 16, 0, 10, 0),
+    "120 servers, 12 ill, 18 cold": (120, 40, 12, 18, 8 * S),
+    "400 servers, 40 ill, 60 cold": (400, 120, 40, 60, 8 * S),
+}
 
 
 def play(given: tuple[str, int, bool]) -> Outcome:
@@ -189,15 +203,19 @@
     parser.add_argument("--workers", type=int, default=4)
     given = parser.parse_args()
     seeds = range(2 if given.quick else given.seeds)
-    print("| scene | flows | failed tries without | with | beyond what cold servers stand, without | with |\n"
-          + "| --- " * 6 + "|")
+    print(
+        "| scene | flows | failed tries without | with | beyond what cold servers stand, without | with |\n"
+        + "| --- " * 6
+        + "|"
+    )
     with Pool(given.workers) as pool:
         for name, scene in SCENES.items():
             if given.quick and scene[0] > 40:
                 continue
             found = [pool.map(play, [(name, seed, use) for seed in seeds]) for use in (False, True)]
-            cells = [shown([getattr(one, field) for one in arm])
-                     for field in ("failed", "pushed") for arm in found]
+            cells = [
+                shown([getattr(one, field) for one in arm]) for field in ("failed", "pushed") for arm in found
+            ]
             print(f"| {name} | {found[0][0].flows} | " + " | ".join(cells) + " |", flush=True)
 
 
--- a/benchmarks/timed_run.py
+++ b/benchmarks/timed_run.py
@@ -34,8 +34,15 @@
 
 def tell(*_: object) -> None:
     with open(sys.argv[1], "a") as file:
-        file.write(json.dumps({"steps": steps.get_total_count(), **{
-            f"p{at}": steps.get_value_at_percentile(at) for at in (50, 99, 99.9)}}) + "\n")
+        file.write(
+            json.dumps(
+                {
+                    "steps": steps.get_total_count(),
+                    **{f"p{at}": steps.get_value_at_percentile(at) for at in (50, 99, 99.9)},
+                }
+            )
+            + "\n"
+        )
     steps.reset()
 
 
--- a/tests/maintained.py
+++ b/tests/maintained.py
@@ -61,8 +61,9 @@
 class Group:
     """`at` is true time in seconds: the middle of the members' clocks."""
 
-    def __init__(self, rng: random.Random, declared: Declared, servers: dict[str, Server],
-                 offsets: list[int]) -> None:
+    def __init__(
+        self, rng: random.Random, declared: Declared, servers: dict[str, Server], offsets: list[int]
+    ) -> None:
         self.rng, self.at, self.servers = rng, OPENS - 120, servers
         self.machine, self.log = PromisesMachine(), list[Entry]()
         self.states = [EMPTY]
@@ -114,10 +115,16 @@
     def lack(self, tenant: Tenant, out: set[str]) -> str:
         """What its agreement lacks with these out, counted from the servers as they are."""
         mine = [one for one in self.servers.values() if not tenant.zones or one.zone in tenant.zones]
-        away = [one.name for one in mine if one.name in out
-                or one.trouble(self.at) not in (None, Trouble.LISTED_OUT)]
-        good = sum(one.weight * (1 - one.interfered) for one in mine
-                   if one.name not in out and one.trouble(self.at) is None)
+        away = [
+            one.name
+            for one in mine
+            if one.name in out or one.trouble(self.at) not in (None, Trouble.LISTED_OUT)
+        ]
+        good = sum(
+            one.weight * (1 - one.interfered)
+            for one in mine
+            if one.name not in out and one.trouble(self.at) is None
+        )
         if good >= tenant.agreement.capacity - 1e-6 and len(away) <= tenant.agreement.out_most:
             return ""
         return f"{tenant.name} has {good} without {away}"
@@ -131,8 +138,11 @@
         for server in held_by:
             for tenant in self.state.declared.tenants:
                 zone = self.servers[server].zone
-                if (not tenant.zones or zone in tenant.zones) and not self.open_for(tenant) and any(
-                        abs(member.offset) <= 1 for member in held_by[server]):  # Alone, one can't tell.
+                if (
+                    (not tenant.zones or zone in tenant.zones)
+                    and not self.open_for(tenant)
+                    and any(abs(member.offset) <= 1 for member in held_by[server])
+                ):  # Alone, one can't tell.
                     self.wrong.append(f"{self.at - OPENS}: {server} is out while {tenant.name} is closed")
         if self.fault_at == 0:
             for tenant in self.state.declared.tenants:
@@ -143,26 +153,36 @@
             permit = held.permit
             if permit.phase is Phase.OUT and self.at + 2 < permit.ends // S - 1:
                 for member in self.members:
-                    if member.known == len(self.log) and member.alive and abs(member.offset) <= 1 \
-                            and not self.is_apart(member) and permit.server not in self.held_by(member):
-                        self.wrong.append(f"{self.at - OPENS}: {member.name} lets {permit.server} in "
-                                          "under its work")
+                    if (
+                        member.known == len(self.log)
+                        and member.alive
+                        and abs(member.offset) <= 1
+                        and not self.is_apart(member)
+                        and permit.server not in self.held_by(member)
+                    ):
+                        self.wrong.append(
+                            f"{self.at - OPENS}: {member.name} lets {permit.server} in under its work"
+                        )
 
     def open_for(self, tenant: Tenant) -> bool:
         """Every window of these worlds opens daily in UTC; closed days by the date."""
         now = datetime.fromtimestamp(self.at, UTC)
         for window in tenant.windows:
             start = datetime.fromisoformat(window.start).replace(tzinfo=UTC)
-            if (now - start).total_seconds() >= 0 and (now - start).total_seconds() % 86400 * S \
-                    < window.length_ns:
+            if (now - start).total_seconds() >= 0 and (
+                now - start
+            ).total_seconds() % 86400 * S < window.length_ns:
                 return now.date().isoformat() not in tenant.agreement.closed
         return False
 
     # How it goes on
 
     def is_apart(self, member: Member) -> bool:
-        heard = [one.offset - member.offset for one in self.members
-                 if one.alive or self.at <= one.silent_since + LIMITS.silent // S]
+        heard = [
+            one.offset - member.offset
+            for one in self.members
+            if one.alive or self.at <= one.silent_since + LIMITS.silent // S
+        ]
         return clock_apart([one * S for one in heard], LIMITS.clock_bound)
 
     def held_by(self, member: Member) -> dict[str, object]:
@@ -187,14 +207,28 @@
         for number, member in enumerate(self.members):
             if member.alive and member.leads:
                 clock = (self.at + member.offset) * S
-                standings = {one.name: Standing(
-                    one.name, one.zone, one.weight, one.trouble(self.at),
-                    (one.since * S + LIMITS.warm + member.offset * S) if one.since else 0, one.interfered)
-                    for one in self.servers.values() if one.listed}
-                own = heard._replace(steers={
-                    one.name: Steers(one.proxies, (one.offset - member.offset) * S,
-                                     0 if one.alive else (self.at - one.silent_since) * S)
-                    for one in self.members})
+                standings = {
+                    one.name: Standing(
+                        one.name,
+                        one.zone,
+                        one.weight,
+                        one.trouble(self.at),
+                        (one.since * S + LIMITS.warm + member.offset * S) if one.since else 0,
+                        one.interfered,
+                    )
+                    for one in self.servers.values()
+                    if one.listed
+                }
+                own = heard._replace(
+                    steers={
+                        one.name: Steers(
+                            one.proxies,
+                            (one.offset - member.offset) * S,
+                            0 if one.alive else (self.at - one.silent_since) * S,
+                        )
+                        for one in self.members
+                    }
+                )
                 for command in member.steward.due(self.at * S, clock, member.state, standings, own):
                     self.send(number, command)
         self.look()
@@ -215,8 +249,13 @@
                     drained.setdefault(permit, set()).add(member.name)
             for permit in self.state.permits:
                 held = member.state.permits.get(permit)
-                if held is not None and held.permit.phase is Phase.RETURNING or held is None \
-                        and permit not in member.out_since and member.known == len(self.log):
+                if (
+                    held is not None
+                    and held.permit.phase is Phase.RETURNING
+                    or held is None
+                    and permit not in member.out_since
+                    and member.known == len(self.log)
+                ):
                     let_in.setdefault(permit, set()).add(member.name)
         return Heard(tuple(one.name for one in self.members), {}, drained, let_in)
 
@@ -235,20 +274,43 @@
 
 def some_world(rng: random.Random, offsets: list[int]) -> Group:
     zones = ["z0", "z1"]
-    servers = {f"s{i}": Server(f"s{i}", rng.choice(zones), rng.choice([1.0, 1.0, 2.0]))
-               for i in range(rng.randint(3, 7))}
+    servers = {
+        f"s{i}": Server(f"s{i}", rng.choice(zones), rng.choice([1.0, 1.0, 2.0]))
+        for i in range(rng.randint(3, 7))
+    }
     for one in servers.values():
         one.interfered = rng.choice([0.0, 0.0, 0.3])
     tenants = list[Tenant]()
     for i in range(rng.randint(1, 3)):
         mine = tuple(rng.sample(zones, rng.randint(0, 2)))
-        whole = sum(one.weight * (1 - one.interfered) for one in servers.values()
-                    if not mine or one.zone in mine)
-        windows = tuple(Window(f"w{n}", "FREQ=DAILY", f"2026-12-0{rng.randint(1, 2)}T01:{10 * n:02}:00",
-                               rng.randint(25, 45) * 60 * S, "UTC") for n in range(rng.randint(1, 2)))
-        tenants.append(Tenant(f"t{i}", (), mine, (), Agreement(
-            whole * rng.choice([0.3, 0.5, 0.6]), rng.randint(1, 3), rng.choice([0, 60, 120]) * S,
-            ("2026-12-02",) if rng.random() < 0.05 else ()), windows))
+        whole = sum(
+            one.weight * (1 - one.interfered) for one in servers.values() if not mine or one.zone in mine
+        )
+        windows = tuple(
+            Window(
+                f"w{n}",
+                "FREQ=DAILY",
+                f"2026-12-0{rng.randint(1, 2)}T01:{10 * n:02}:00",
+                rng.randint(25, 45) * 60 * S,
+                "UTC",
+            )
+            for n in range(rng.randint(1, 2))
+        )
+        tenants.append(
+            Tenant(
+                f"t{i}",
+                (),
+                mine,
+                (),
+                Agreement(
+                    whole * rng.choice([0.3, 0.5, 0.6]),
+                    rng.randint(1, 3),
+                    rng.choice([0, 60, 120]) * S,
+                    ("2026-12-02",) if rng.random() < 0.05 else (),
+                ),
+                windows,
+            )
+        )
     names = sorted(servers)
     works = [Work("kernel", tuple(names), rng.choice([60, 120]) * S, (OPENS + 2400) * S, rng.choice([0, 2]))]
     if rng.random() < 0.3:
--- a/tests/operated.py
+++ b/tests/operated.py
@@ -60,9 +60,13 @@
 def some_changes(rng: random.Random, count: int) -> list[Change]:
     """One to three changes of servers below `count`, as an operator in a hurry makes them."""
     from ambershift.admin.words import Health, State, Weight
-    makers = [lambda s: Change(s, state=rng.choice(list(State))), lambda s: Change(s, state=State.READY),
-              lambda s: Change(s, health=rng.choice(list(Health))),
-              lambda s: Change(s, weight=Weight(rng.choice([0.0, 0.5, 1.0]), True)),
-              lambda s: Change(s, weight=Weight(rng.choice([0.0, 1.0, 3.0, 256.0]), False)),
-              lambda s: Change(s, as_listed=True)]
+
+    makers = [
+        lambda s: Change(s, state=rng.choice(list(State))),
+        lambda s: Change(s, state=State.READY),
+        lambda s: Change(s, health=rng.choice(list(Health))),
+        lambda s: Change(s, weight=Weight(rng.choice([0.0, 0.5, 1.0]), True)),
+        lambda s: Change(s, weight=Weight(rng.choice([0.0, 1.0, 3.0, 256.0]), False)),
+        lambda s: Change(s, as_listed=True),
+    ]
     return [rng.choice(makers)(rng.randrange(count)) for _ in range(rng.randint(1, 3))]
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -11,19 +11,45 @@
 
 
 def group(**changes: object) -> api.Group:
-    one = api.Group(budget=S // 2, expiry=2 * S, utility=1.0, repeat=api.Repeat.RETRIABLE,
-                    dedup_everywhere=True, dedup_window=0)
+    one = api.Group(
+        budget=S // 2,
+        expiry=2 * S,
+        utility=1.0,
+        repeat=api.Repeat.RETRIABLE,
+        dedup_everywhere=True,
+        dedup_window=0,
+    )
     return one._replace(**changes)
 
 
 def make_terms(**changes: object) -> api.Terms:
     terms = api.Terms(
-        zones=2, groups=(group(), group(utility=3.0, repeat=api.Repeat.NON_RETRIABLE)), must_watch=False,
-        told_after=10 * S, only_draining_binds=False, cold=10 * S, cold_share=0.2, fall_multiple=4.0,
-        bare_limit=4 * S, lines_per_s=1000.0, head=3.0, waiting_limit=1500.0,
-        message_limit=12, message_span=10 * S,
-        way=S // 5, way_most=S // 2, report_period=S, levels="fraction", slices=0, single_owner=False,
-        in_hand=S, lease=S, grace=3 * S, strikes=5, proxies=8.0)
+        zones=2,
+        groups=(group(), group(utility=3.0, repeat=api.Repeat.NON_RETRIABLE)),
+        must_watch=False,
+        told_after=10 * S,
+        only_draining_binds=False,
+        cold=10 * S,
+        cold_share=0.2,
+        fall_multiple=4.0,
+        bare_limit=4 * S,
+        lines_per_s=1000.0,
+        head=3.0,
+        waiting_limit=1500.0,
+        message_limit=12,
+        message_span=10 * S,
+        way=S // 5,
+        way_most=S // 2,
+        report_period=S,
+        levels="fraction",
+        slices=0,
+        single_owner=False,
+        in_hand=S,
+        lease=S,
+        grace=3 * S,
+        strikes=5,
+        proxies=8.0,
+    )
     return terms._replace(**changes)
 
 
@@ -98,8 +124,11 @@
             case api.Withdraw():
                 (self.shut.add if order.out else self.shut.discard)(order.server)
                 # A line at each proxy that holds the server; what a proxy not yet bound holds is not known.
-                return [proxy for proxy, tables in self.proxies.items() if not tables or any(
-                    order.server in self.tables[table] for table in tables.values())]
+                return [
+                    proxy
+                    for proxy, tables in self.proxies.items()
+                    if not tables or any(order.server in self.tables[table] for table in tables.values())
+                ]
             case api.Bind():
                 assert not self.terms.slices
                 self.proxies[order.proxy] = dict.fromkeys(range(len(self.terms.groups)), order.table)
@@ -165,7 +194,7 @@
             self.waiting = max(0.0, self.waiting - (at - self.now) / S * self.terms.lines_per_s)
             self.now = at
             left = [one for one in self.way if one[0] <= self.total - self.waiting]
-            self.way = self.way[len(left):]
+            self.way = self.way[len(left) :]
             self.tell(api.Due(token), *[one[1] for one in left], *events)
             events = ()
         self.now = end
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -60,8 +60,9 @@
     entries = (*(entry for entry in kept if entry.number > base), *write.entries)
     assert [entry.number for entry in entries] == list(range(base + 1, base + 1 + len(entries)))
     assert (entries[-1].view if entries else snapshot.view if snapshot else 0) == write.last_normal
-    return Saved(write.group, write.incarnation, write.view, write.last_normal, write.committed, snapshot,
-                 entries)
+    return Saved(
+        write.group, write.incarnation, write.view, write.last_normal, write.committed, snapshot, entries
+    )
 
 
 class Host:
@@ -102,9 +103,18 @@
 class Sim:
     """Parts of one: messages lost, repeated and very late, and syncs that take long."""
 
-    def __init__(self, seed: int, voters: int, copies: int = 0, disk: bool = False, timing: Timing = PLAIN,
-                 lose: float = 0.0, repeat: float = 0.0, late: float = 0.0,
-                 slow: float = 0.0) -> None:
+    def __init__(
+        self,
+        seed: int,
+        voters: int,
+        copies: int = 0,
+        disk: bool = False,
+        timing: Timing = PLAIN,
+        lose: float = 0.0,
+        repeat: float = 0.0,
+        late: float = 0.0,
+        slow: float = 0.0,
+    ) -> None:
         self.random = Random(seed)
         self.voters = [f"n{index + 1}" for index in range(voters)]
         self.copies = [f"c{index + 1}" for index in range(copies)]
@@ -146,9 +156,19 @@
         self.incarnation += 1
         host.life += 1
         host.pending, host.inbox, host.paused = [], [], False
-        host.replica = Replica(name, self.voters, self.copies, Counting(), self.random.getrandbits(63),
-                               self.incarnation, host.saved if self.disk else None, self.disk, self.timing,
-                               self.now, noop=b"noop")
+        host.replica = Replica(
+            name,
+            self.voters,
+            self.copies,
+            Counting(),
+            self.random.getrandbits(63),
+            self.incarnation,
+            host.saved if self.disk else None,
+            self.disk,
+            self.timing,
+            self.now,
+            noop=b"noop",
+        )
         host.fed = 0
         self.wake(host)
 
@@ -164,7 +184,7 @@
         core = host.replica.core
         if not self.disk and host.replica.status is not Status.BLANK:
             host.lost_mark = host.lost_mark or (core.log.last, core.log.top)
-        for write in host.pending[:self.random.randint(0, len(host.pending)) if tear else 0]:
+        for write in host.pending[: self.random.randint(0, len(host.pending)) if tear else 0]:
             host.saved = written(host.saved, write)
         if self.disk and host.saved is None and host.replica.status is not Status.BLANK:
             host.lost_mark = host.lost_mark or (core.log.last, core.log.top)
@@ -199,8 +219,11 @@
         host = self.hosts[name]
         if host.bare and (host.replica is None or host.replica.status is Status.BLANK):
             # One that was blank when the group was born is of it, told or not.
-            return any(not one.bare or one.replica and one.replica.status is not Status.BLANK
-                       for other, one in self.hosts.items() if other in self.voters)
+            return any(
+                not one.bare or one.replica and one.replica.status is not Status.BLANK
+                for other, one in self.hosts.items()
+                if other in self.voters
+            )
         if host.lost_mark is None:
             return False
         if host.replica is None or host.replica.status in (Status.BLANK, Status.HALTED):
@@ -245,6 +268,7 @@
                 self.crash(host.name, tear=False)
                 host.saved, host.olds = None, []
                 self.start(host.name)
+
         return then
 
     def syncing(self, host: Host, life: int, ticket: int) -> Any:
@@ -259,6 +283,7 @@
             if self.random.random() < 0.05 and host.saved is not None:
                 host.olds = [*host.olds[-3:], host.saved]
             self.feed(host, life, lambda replica: replica.synced(self.now, ticket))
+
         return then
 
     def feed(self, host: Host, life: int, call: Any) -> None:
@@ -280,6 +305,7 @@
                 if host.wake == self.now:
                     host.wake = -1
                 self.feed(host, life, lambda replica: replica.due(self.now, WALL + self.now))
+
             self.at(at - self.now, then)
 
     def post(self, source: str, to: str, data: bytes) -> None:
@@ -296,6 +322,7 @@
             host = self.hosts[to]
             if host.replica is not None and (source, to) not in self.cuts:
                 self.feed(host, host.life, lambda replica: replica.hear(self.now, source, decode(data)))
+
         return then
 
     def pause(self, name: str) -> None:
@@ -378,9 +405,16 @@
         for name in self.hosts:
             self.submit(name, f"last-{name}", b"last")
         self.run(3 * SECOND)
-        states = {name: host.replica and (host.replica.status, host.replica.committed, host.replica.state,
-                                          hash(host.replica.core.tokens.all()))
-                  for name, host in self.hosts.items()}
+        states = {
+            name: host.replica
+            and (
+                host.replica.status,
+                host.replica.committed,
+                host.replica.state,
+                hash(host.replica.core.tokens.all()),
+            )
+            for name, host in self.hosts.items()
+        }
         assert len(set(states.values())) == 1, states
         assert all(state and state[0] is Status.NORMAL for state in states.values()), states
         assert {f"last-{name}" for name in self.hosts} <= self.acked.keys(), (states, self.answers)
--- a/tests/schedules.py
+++ b/tests/schedules.py
@@ -14,10 +14,17 @@
 def history(seed: int, acts: int = 60) -> Sim:
     random = Random(seed)
     voters = random.choice((1, 3, 3, 3, 5, 5, 7))
-    sim = Sim(seed, voters, random.choice((0, 0, 1, 2)), disk=random.random() < 0.5,
-              timing=random.choice((PLAIN, SMALL)), lose=random.choice((0, 0, 0.02, 0.2)),
-              repeat=random.choice((0, 0.1)), late=random.choice((0, 0, 0.05)),
-              slow=random.choice((0, 0.3)))
+    sim = Sim(
+        seed,
+        voters,
+        random.choice((0, 0, 1, 2)),
+        disk=random.random() < 0.5,
+        timing=random.choice((PLAIN, SMALL)),
+        lose=random.choice((0, 0, 0.02, 0.2)),
+        repeat=random.choice((0, 0.1)),
+        late=random.choice((0, 0, 0.05)),
+        slow=random.choice((0, 0.3)),
+    )
     for name in sim.hosts:
         sim.at(random.randint(0, 300) * MS, lambda name=name: sim.start_if_down(name))  # type: ignore[misc]
     sim.run(random.randint(0, 1500) * MS)
@@ -36,10 +43,14 @@
 def sound(sim: Sim) -> bool:
     """An old folder is found out by those that know what it has vouched for: they are up, and heard."""
     cores = [host.replica.core for name, host in sim.hosts.items() if host.replica and name in sim.voters]
-    return (len(cores) == len(sim.voters) and not sim.cuts
-            and not any(host.paused or host.stuck for host in sim.hosts.values())
-            and len({(core.status, core.view, core.committed) for core in cores}) == 1
-            and not any(sim.is_lost(name) for name in sim.voters) and sim.lose < 0.1)
+    return (
+        len(cores) == len(sim.voters)
+        and not sim.cuts
+        and not any(host.paused or host.stuck for host in sim.hosts.values())
+        and len({(core.status, core.view, core.committed) for core in cores}) == 1
+        and not any(sim.is_lost(name) for name in sim.voters)
+        and sim.lose < 0.1
+    )
 
 
 def act(sim: Sim, random: Random, token: str) -> None:
--- a/tests/simdisk.py
+++ b/tests/simdisk.py
@@ -19,13 +19,13 @@
         self.pending: list[tuple[int, bytes]] = []
 
     def put(self, at: int, data: bytes) -> None:
-        self.seen[at:at + len(data)] = data
+        self.seen[at : at + len(data)] = data
         self.pending.append((at, data))
 
 
 def lay(base: bytearray, at: int, data: bytes) -> None:
     base.extend(bytes(max(0, at - len(base))))
-    base[at:at + len(data)] = data
+    base[at : at + len(data)] = data
 
 
 class SimHandle:
@@ -38,7 +38,7 @@
     def write_at(self, place: int, data: bytes) -> None:
         kind = self.disk.call("write")
         if kind:  # Part of it may be there all the same.
-            self.inode.put(place, data[:self.disk.rng.randrange(len(data) + 1)])
+            self.inode.put(place, data[: self.disk.rng.randrange(len(data) + 1)])
             raise kind
         self.inode.put(place, data)
 
@@ -122,7 +122,7 @@
             for at, data in inode.pending:
                 for part in range(0, len(data), SECTOR):
                     if self.rng.random() < keep:
-                        lay(new.durable, at + part, data[part:part + SECTOR])
+                        lay(new.durable, at + part, data[part : part + SECTOR])
             new.seen = bytearray(new.durable)
         return left
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -25,8 +25,13 @@
 class Stage:
     """A program that runs, and all that is around it."""
 
-    def __init__(self, relay: Relay, discovery: Discovery, process: asyncio.subprocess.Process,
-                 address: tuple[str, int]) -> None:
+    def __init__(
+        self,
+        relay: Relay,
+        discovery: Discovery,
+        process: asyncio.subprocess.Process,
+        address: tuple[str, int],
+    ) -> None:
         self.relay, self.discovery, self.process, self.address = relay, discovery, process, address
         self.log = list[dict[str, Any]]()
 
@@ -64,8 +69,11 @@
         return found
 
     def bound(self) -> dict[int, int]:
-        return {int(words[1]): int(words[2]) for words in (order.split(",") for order in self.relay.carried)
-                if words[0] == "attach"}
+        return {
+            int(words[1]): int(words[2])
+            for words in (order.split(",") for order in self.relay.carried)
+            if words[0] == "attach"
+        }
 
 
 def command() -> list[str]:
@@ -73,29 +81,49 @@
     return [sys.executable if word.endswith("bin/python") else word for word in shlex.split(run)[1:]]
 
 
-async def start(place: Path, configuration: Any, out: int = asyncio.subprocess.PIPE,
-                words: Sequence[str] = ()) -> asyncio.subprocess.Process:
+async def start(
+    place: Path, configuration: Any, out: int = asyncio.subprocess.PIPE, words: Sequence[str] = ()
+) -> asyncio.subprocess.Process:
     (place / "config.json").write_text(json.dumps(configuration))
     return await launch(place, out, words)
 
 
-async def launch(place: Path, out: int = asyncio.subprocess.PIPE, words: Sequence[str] = ()
-                 ) -> asyncio.subprocess.Process:
+async def launch(
+    place: Path, out: int = asyncio.subprocess.PIPE, words: Sequence[str] = ()
+) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
-        *command(), *words, cwd=ROOT, stdout=out, stderr=asyncio.subprocess.STDOUT,
-        env={**os.environ, "BALANCER_NAME": "n1", "BALANCER_CONFIG": str(place / "config.json")})
+        *command(),
+        *words,
+        cwd=ROOT,
+        stdout=out,
+        stderr=asyncio.subprocess.STDOUT,
+        env={**os.environ, "BALANCER_NAME": "n1", "BALANCER_CONFIG": str(place / "config.json")},
+    )
 
 
 def configure(listen: int, discovery: int, relay: int, known: dict[str, Any]) -> dict[str, Any]:
-    return {"name": "n1", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}",
-            "seed": "8c1f30d27a5be964", "relay": {"address": f"127.0.0.1:{relay}"}, "known": known,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": SETTINGS}
+    return {
+        "name": "n1",
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "8c1f30d27a5be964",
+        "relay": {"address": f"127.0.0.1:{relay}"},
+        "known": known,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": SETTINGS,
+    }
 
 
 @contextlib.asynccontextmanager
-async def playing(place: Path, known: dict[str, Any], listed: dict[str, Any], read: bool = True,
-                  sockets: int = 1024, words: Sequence[str] = (), settings: Any = None
-                  ) -> AsyncIterator[Stage]:
+async def playing(
+    place: Path,
+    known: dict[str, Any],
+    listed: dict[str, Any],
+    read: bool = True,
+    sockets: int = 1024,
+    words: Sequence[str] = (),
+    settings: Any = None,
+) -> AsyncIterator[Stage]:
     relay, discovery = Relay(), Discovery()
     discovery.now = listed
     servers = [await asyncio.start_server(one.serve, "127.0.0.1", 0) for one in (relay, discovery)]
@@ -129,12 +157,20 @@
 Play = Callable[[Stage], Awaitable[None]]
 
 
-def play(place: Path, act: Play, known: dict[str, Any] | None = None,
-         listed: dict[str, Any] | None = None, read: bool = True, sockets: int = 1024,
-         words: Sequence[str] = (), settings: Any = None) -> None:
+def play(
+    place: Path,
+    act: Play,
+    known: dict[str, Any] | None = None,
+    listed: dict[str, Any] | None = None,
+    read: bool = True,
+    sockets: int = 1024,
+    words: Sequence[str] = (),
+    settings: Any = None,
+) -> None:
     usual = listing(5, *(server(number) for number in range(6)))
 
     async def whole() -> None:
         async with playing(place, known or usual, listed or usual, read, sockets, words, settings) as stage:
             await act(stage)
+
     asyncio.run(whole())
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -47,8 +47,14 @@
         for server in range(count):
             events.append(api.Met(rng.randrange(zones), server, rng.randrange(15), 0, 50_000_000, S, ()))
         if rng.random() < 0.15:
-            events.append(listed(chosen := rng.randrange(count), rng.choice(list(api.Phase)), chosen % zones,
-                                 rng.choice([0, held.now])))
+            events.append(
+                listed(
+                    chosen := rng.randrange(count),
+                    rng.choice(list(api.Phase)),
+                    chosen % zones,
+                    rng.choice([0, held.now]),
+                )
+            )
         held.run(rng.choice([S // 10, S, 2 * S]), *events)
         if rng.random() < 0.4:
             held.operate(*some_changes(rng, count))
@@ -140,7 +146,8 @@
     # All in one go would be let through if each were looked at by itself; and in one go one may replace
     # another.
     assert held.operate(Change(1, state=MAINT), Change(3, state=MAINT), Change(2, state=MAINT)) == Refused(
-        Reason.GROUP_WITHOUT_WARM, 1, 1)
+        Reason.GROUP_WITHOUT_WARM, 1, 1
+    )
     assert isinstance(held.operate(Change(0, state=READY), Change(2, state=DRAIN)), Accepted)
     assert held.desk.commands == 2
 
@@ -157,7 +164,8 @@
 @pytest.mark.parametrize("phase", [api.Phase.DRAINING, api.Phase.GONE])
 @pytest.mark.parametrize("soft", [False, True])
 def test_when_the_last_is_lost_after_a_drain_the_drained_are_lent_until_others_stay(
-        phase: api.Phase, soft: bool) -> None:
+    phase: api.Phase, soft: bool
+) -> None:
     held = small(4, only_draining_binds=soft)
     for server, state in ((0, MAINT), (1, DRAIN)):
         assert isinstance(held.operate(Change(server, state=state)), Accepted)
@@ -242,12 +250,16 @@
     assert held.shut == {0} and not held.module.servers[0].doubted
 
 
-@pytest.mark.parametrize("changes, reason", [
-    ([Change(99, state=DRAIN)], Reason.NO_SUCH_SERVER),
-    ([Change(0, weight=Weight(257.0, False))], Reason.WEIGHT_OUT_OF_RANGE),
-    ([Change(0, weight=Weight(1.01, True))], Reason.WEIGHT_OUT_OF_RANGE),
-    ([Change(0, weight=Weight(float("nan"), False))], Reason.WEIGHT_OUT_OF_RANGE),
-    ([Change(0, state=DRAIN), Change(99, state=DRAIN)], Reason.NO_SUCH_SERVER)])
+@pytest.mark.parametrize(
+    "changes, reason",
+    [
+        ([Change(99, state=DRAIN)], Reason.NO_SUCH_SERVER),
+        ([Change(0, weight=Weight(257.0, False))], Reason.WEIGHT_OUT_OF_RANGE),
+        ([Change(0, weight=Weight(1.01, True))], Reason.WEIGHT_OUT_OF_RANGE),
+        ([Change(0, weight=Weight(float("nan"), False))], Reason.WEIGHT_OUT_OF_RANGE),
+        ([Change(0, state=DRAIN), Change(99, state=DRAIN)], Reason.NO_SUCH_SERVER),
+    ],
+)
 def test_what_is_refused_changes_nothing(changes: list[Change], reason: Reason) -> None:
     held = small()
     world = held.desk.world
@@ -294,6 +306,7 @@
 
     def stage() -> Stage | None:
         return held.desk.view(held.now).stage(0)
+
     assert stage() is Stage.GATHERED
     held.run(S // 5)
     assert stage() is Stage.ORDERED and not held.desk.applied([0])
@@ -361,8 +374,9 @@
     assert len(ledger.answers) == 4096 and ledger.answered("t0", "x") is None
 
 
-@pytest.mark.parametrize("make", [
-    lambda s: Change(s, state=DRAIN), lambda s: Change(s, weight=Weight(0.5, True))])
+@pytest.mark.parametrize(
+    "make", [lambda s: Change(s, state=DRAIN), lambda s: Change(s, weight=Weight(0.5, True))]
+)
 def test_a_thousand_wishes_cost_the_lines_of_their_last_words(make: Callable[[int], Change]) -> None:
     held = small(40, message_limit=0)
     held.run(5 * S)
@@ -377,7 +391,9 @@
             held.tell()
     changed = {server for server, out in wanted.items() if out}
     held.run(10 * S)
-    lines = sum(isinstance(order, api.Withdraw) or isinstance(order, api.Share) and bool(order.weight)
-                for order in held.ordered)
+    lines = sum(
+        isinstance(order, api.Withdraw) or isinstance(order, api.Share) and bool(order.weight)
+        for order in held.ordered
+    )
     assert lines == len(changed)
     assert held.desk.applied(range(30))
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -39,8 +39,11 @@
 def sources(*files: Path) -> tuple[Sources, list[tuple[str, str]]]:
     jobs = tuple(CounterJob(f"s-{at}", str(file)) for at, file in enumerate(files))
     noted = list[tuple[str, str]]()
-    return Sources(Interference(source=(Source("a", "m1", jobs),)), SLOT_NS,
-                   lambda event, **fields: noted.append((event, fields["reason"]))), noted
+    return Sources(
+        Interference(source=(Source("a", "m1", jobs),)),
+        SLOT_NS,
+        lambda event, **fields: noted.append((event, fields["reason"])),
+    ), noted
 
 
 def test_files_that_are_missing_cut_replaced_or_silent_are_told_by_name(tmp_path: Path) -> None:
@@ -56,6 +59,7 @@
                 more.write(text(number))
             made += reading.poll(now)
         return made
+
     assert reading.poll(now) == 0 and noted == [("source_lost", "missing")]
     assert grow(1, 2) == 0  # What lies there at first is of an unknown time, and what it cuts a part.
     assert noted[1:] == [("source_back", "missing")]
@@ -91,8 +95,9 @@
     reading.close()
 
 
-def test_while_nobody_takes_samples_the_newest_are_kept(tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-                                                         ) -> None:
+def test_while_nobody_takes_samples_the_newest_are_kept(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(kept, "KEPT_MOST", 20)
     file = tmp_path / "s.csv"
     file.touch()
@@ -166,6 +171,7 @@
 }}
 """
 
+
 async def until(true: Callable[[], bool]) -> None:
     async with asyncio.timeout(20):
         while not true():
@@ -185,12 +191,17 @@
         file.touch()
         place.write_text(SETTINGS.format(port=member.port, file=file))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ambershift.counters", "--settings", str(place), stderr=-1)
+            sys.executable, "-m", "ambershift.counters", "--settings", str(place), stderr=-1
+        )
         try:
             await until(lambda: bool(member.links))
             hello = member.hellos[0]
             assert (hello.role, hello.to, hello.title, hello.name) == (
-                Role.COUNTERS, "n1", "archive", "n1-counters")
+                Role.COUNTERS,
+                "n1",
+                "archive",
+                "n1-counters",
+            )
             await until(lambda: _has(process, file))
             write(1, 2, 3)
             await until(lambda: len(member.samples) == 1)
@@ -218,6 +229,7 @@
                 process.kill()
                 await process.wait()
             await member.runner.cleanup()
+
     asyncio.run(whole())
 
 
@@ -231,19 +243,38 @@
 JOB = 'job "s" {\n file = "/f"\n }\n'
 
 
-@pytest.mark.parametrize("extra, jobs, says", [
-    ('interval = "10"', JOB, "x:2: key 'interference.interval'"),
-    ('ease_most = "0%"', JOB, "x:2: key 'interference.ease_most'"),
-    ('ease = "yes"', JOB, "x:2: key 'interference.ease'"),
-    ("", "", "x:3: key 'interference.source[0]': 0 jobs"),
-    ("", 'job "s|" {\n file = "/f"\n }', "x:5: key 'interference.source[0].job[0]': 's|' is no name"),
-    ("", 'job "s" {\n file = "f"\n }', "x:6: key 'interference.source[0].job[0].file': 'f' is no absolute"),
-    ("", 'job "s" {\n }', "x:5: key 'interference.source[0].job[0]'"),
-    ("", JOB + JOB, "x:8: key 'interference.source[0].job[1]': 's' is interference.source[0].job[0] already"),
-    ("", JOB + JOB.replace('"s"', '"t"'), "x:9: key 'interference.source[0].job[1].file': '/f' is read for"),
-    ("", JOB + "speed = 1", "x:8: key 'interference.source[0].speed': no such key"),
-    ('source "a" {\n kind = "m"\n job "q" {\n file = "/q"\n }\n }', JOB, "is interference.source[0] already"),
-])
+@pytest.mark.parametrize(
+    "extra, jobs, says",
+    [
+        ('interval = "10"', JOB, "x:2: key 'interference.interval'"),
+        ('ease_most = "0%"', JOB, "x:2: key 'interference.ease_most'"),
+        ('ease = "yes"', JOB, "x:2: key 'interference.ease'"),
+        ("", "", "x:3: key 'interference.source[0]': 0 jobs"),
+        ("", 'job "s|" {\n file = "/f"\n }', "x:5: key 'interference.source[0].job[0]': 's|' is no name"),
+        (
+            "",
+            'job "s" {\n file = "f"\n }',
+            "x:6: key 'interference.source[0].job[0].file': 'f' is no absolute",
+        ),
+        ("", 'job "s" {\n }', "x:5: key 'interference.source[0].job[0]'"),
+        (
+            "",
+            JOB + JOB,
+            "x:8: key 'interference.source[0].job[1]': 's' is interference.source[0].job[0] already",
+        ),
+        (
+            "",
+            JOB + JOB.replace('"s"', '"t"'),
+            "x:9: key 'interference.source[0].job[1].file': '/f' is read for",
+        ),
+        ("", JOB + "speed = 1", "x:8: key 'interference.source[0].speed': no such key"),
+        (
+            'source "a" {\n kind = "m"\n job "q" {\n file = "/q"\n }\n }',
+            JOB,
+            "is interference.source[0] already",
+        ),
+    ],
+)
 def test_settings_that_can_not_be_name_file_line_and_key(extra: str, jobs: str, says: str) -> None:
     with pytest.raises(SettingsError) as told:
         read_text(BLOCK.format(extra=extra, jobs=jobs), "x")
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -48,15 +48,17 @@
         self.door, self.held, self.number, self.answers = Door[str](), EMPTY, 0, list[bytes]()
         super().__init__(make_terms(zones=zones, **terms), [])
         self.at_desk = AtDesk(self.desk, self.door, lambda: self.now, ahead, lambda: None)
-        self.guard = Guard(self.desk, self.door, lambda: self.now, lambda one: one.reason.value,
-                           lambda: self.apart)
+        self.guard = Guard(
+            self.desk, self.door, lambda: self.now, lambda one: one.reason.value, lambda: self.apart
+        )
         self.machine, self.apart, self.ahead = PromisesMachine(self.guard), False, ahead
         self.tell(*[api.Joined(proxy, proxy % zones, 5.0, True) for proxy in range(2 * zones)])
         self.list_of(range(count))
 
     def list_of(self, servers: Any, phase: api.Phase = api.Phase.READY, since: int = 0) -> None:
-        event = api.Listed(False, False, tuple(
-            entry(self.door.index(f"s{one}"), one % 2, phase, since) for one in servers))
+        event = api.Listed(
+            False, False, tuple(entry(self.door.index(f"s{one}"), one % 2, phase, since) for one in servers)
+        )
         self.at_desk.before_list(event)
         self.tell(event)
 
@@ -116,8 +118,11 @@
     again = member.held.wish("s0")._replace(origin=Origin("z", 7, 7))
     member.at_desk.all(member.held._replace(wishes=member.held.wishes.insert("s0", again)))
     assert not member.desk.waiting and member.desk.world.own(0).origin.who == "z"
-    member.at_desk.all(EMPTY._replace(wishes=member.held.wishes.insert("s2", Standing(
-        DRAIN, Health.UP, None, Origin("x", 1, 2)))))
+    member.at_desk.all(
+        EMPTY._replace(
+            wishes=member.held.wishes.insert("s2", Standing(DRAIN, Health.UP, None, Origin("x", 1, 2)))
+        )
+    )
     member.settle()
     assert member.shuts() == [0, 2]
     member.at_desk.all(EMPTY)  # What a snapshot has no more is taken back.
@@ -133,11 +138,20 @@
     fresh = Member(count=0)
     for _ in range(30):
         changes = some_changes(rng, 8)
-        command = Wishes("op", "x", tuple(WishOne(
-            f"s{one.server}", None if one.state is None else int(one.state),
-            None if one.health is None else int(one.health),
-            None if one.weight is None else (one.weight.figure, one.weight.relative), one.as_listed)
-            for one in changes))
+        command = Wishes(
+            "op",
+            "x",
+            tuple(
+                WishOne(
+                    f"s{one.server}",
+                    None if one.state is None else int(one.state),
+                    None if one.health is None else int(one.health),
+                    None if one.weight is None else (one.weight.figure, one.weight.relative),
+                    one.as_listed,
+                )
+                for one in changes
+            ),
+        )
         if members[0].judge(command) is None:
             for member in members:
                 member.apply(command)
@@ -156,9 +170,11 @@
             index = member.door.known(f"s{one}")
             assert index is not None
             assert member.desk.world.own(index)._replace(origin=NEVER) == member.held.wish(
-                f"s{one}")._replace(origin=NEVER), one
+                f"s{one}"
+            )._replace(origin=NEVER), one
             assert (index in member.shut) == (
-                member.desk.world.wish(index).out and index not in member.desk.world.lent), one
+                member.desk.world.wish(index).out and index not in member.desk.world.lent
+            ), one
 
 
 def test_wishes_of_the_unlisted_wait_and_come_before_the_server_does() -> None:
@@ -170,8 +186,9 @@
     four, five = member.door.known("s4"), member.door.known("s5")
     assert member.desk.told[four].phase == api.Phase.DRAINING  # type: ignore[index]
     assert member.desk.told[five].weight == pytest.approx(0.5 * entry(5, 1).weight)  # type: ignore[index]
-    assert not any(isinstance(one, api.Share) and one.server == four and one.weight
-                   for one in member.ordered), "it had a line before it was shut out"
+    assert not any(
+        isinstance(one, api.Share) and one.server == four and one.weight for one in member.ordered
+    ), "it had a line before it was shut out"
     # A server that is forgotten and listed anew has another index, and the same wish.
     member.list_of([4], api.Phase.GONE)
     member.door.forget(four)  # type: ignore[arg-type]
@@ -264,21 +281,30 @@
 
 def test_ends_in_entries_not_known_to_be_committed_hold_until_the_state_tells_itself() -> None:
     """A restart finds a permit as it was, and behind it entries that end it sooner or give it back."""
-    moves = [Move(2, "work/0/1", Phase.OUT, 5 * S), Move(2, "work/1/1", Phase.DRAINING, 99 * S),
-             Move(3, "work/1/1", Phase.RETURNING, 99 * S), Move(2, "work/2/1", Phase.OUT, 7 * S)]
+    moves = [
+        Move(2, "work/0/1", Phase.OUT, 5 * S),
+        Move(2, "work/1/1", Phase.DRAINING, 99 * S),
+        Move(3, "work/1/1", Phase.RETURNING, 99 * S),
+        Move(2, "work/2/1", Phase.OUT, 7 * S),
+    ]
     log = [Entry(1, number, 0, "", encode(one)) for number, one in enumerate(moves, 3)]
     found = sooner_ends(log, 5)
     assert found == {"work/2/1": SoonerEnd(6, 7 * S)}
     found = sooner_ends(log, 2)
-    assert found == {"work/0/1": SoonerEnd(3, 5 * S), "work/1/1": SoonerEnd(5, 0),
-                     "work/2/1": SoonerEnd(6, 7 * S)}
+    assert found == {
+        "work/0/1": SoonerEnd(3, 5 * S),
+        "work/1/1": SoonerEnd(5, 0),
+        "work/2/1": SoonerEnd(6, 7 * S),
+    }
     member = Member()
     member.apply(declare(0, 1, 2))
     assert member.apply(Grant(1, tuple(permit(member, at, member.now + 30 * S) for at in (0, 1, 2)))).done
     names = {held.permit.server: held.permit.id for held in member.held.permits.values()}
-    member.at_desk.sooner = {names["s0"]: SoonerEnd(3, 0),
-                             names["s1"]: SoonerEnd(4, member.now + 5 * S),
-                             names["s2"]: SoonerEnd(5, member.now + 40 * S)}
+    member.at_desk.sooner = {
+        names["s0"]: SoonerEnd(3, 0),
+        names["s1"]: SoonerEnd(4, member.now + 5 * S),
+        names["s2"]: SoonerEnd(5, member.now + 40 * S),
+    }
     kept = {member.door.ids[server]: ends for server, ends in member.at_desk.until().items()}
     assert kept == {"s1": member.now + 5 * S, "s2": member.now + 30 * S}
     member.at_desk.committed(3)  # It was not the entry that it was taken for: the state has the permit still.
@@ -291,8 +317,10 @@
     member = Member()
     returning = msgspec.structs.replace(permit(member, 0, member.now + S), phase=Phase.RETURNING)
     gossip = Gossip.__new__(Gossip)
-    gossip.member = SimpleNamespace(at_desk=member.at_desk,  # type: ignore[assignment]
-                                    replica=SimpleNamespace(durable=durable))
+    gossip.member = SimpleNamespace(
+        at_desk=member.at_desk,  # type: ignore[assignment]
+        replica=SimpleNamespace(durable=durable),
+    )
     assert gossip.word(Held(returning, 7, True, returning.ends)) == word
 
 
@@ -321,6 +349,7 @@
 
     def parts() -> list[float]:
         return [member.desk.told[one].weight / entry(one, one % 2).weight for one in (0, 1, 2)]
+
     assert parts() == pytest.approx([0.8, 1.0, 0.4])
     assert 4 in member.shut
     told = len(member.ordered)
@@ -342,9 +371,17 @@
     member.list_of([9], since=member.now - S)
     member.tell(*[api.Met(0, 4, 40, 40, 0, S, ()) for _ in range(3)])
     member.settle(3)
-    found = standings(member.desk, member.door, str, member.now,
-                      Others(ill=lambda one: one == "s5", cut=lambda one: one == "s1",
-                             interfered=lambda one: 0.25 * (one == "s6")))
+    found = standings(
+        member.desk,
+        member.door,
+        str,
+        member.now,
+        Others(
+            ill=lambda one: one == "s5",
+            cut=lambda one: one == "s1",
+            interfered=lambda one: 0.25 * (one == "s6"),
+        ),
+    )
     told = {name: one.trouble for name, one in found.items()}
     assert told["s0"] is None and told["s1"] is Trouble.WISHED_OUT and told["s3"] is Trouble.LISTED_OUT
     assert told["s5"] is Trouble.ILL and told["s9"] is Trouble.COLD and told["s6"] is None
@@ -370,6 +407,7 @@
 
 # The runtime API
 
+
 class Said:
     """A member that answers as told, and keeps what it was asked."""
 
@@ -449,28 +487,37 @@
 BAD = [
     ('  folder = "relative"\n', "", 5, "group.folder"),
     ('  clock_bound = "soon"\n', "", 5, "group.clock_bound"),
-    ('  clock_ahead = "+2s"\n', "", 5, "group.clock_ahead"), ("", "votes = false", 1, "group.member"),
+    ('  clock_ahead = "+2s"\n', "", 5, "group.clock_ahead"),
+    ("", "votes = false", 1, "group.member"),
     ('  member "b" { address = "127.0.0.1:7109" }\n', "", 7, "group.member[2]"),
     ('  member "d" { address = "127.0.0.1:7102" }\n', "", 7, "group.member[2].address"),
     ('  member "d" { address = "10.0.0.1:1" }\n', "", 5, "group.member[0].address"),
     ('  member "d" { address = "127.0.0.1" }\n', "", 5, "group.member[0].address"),
     ('  member "d d" { address = "127.0.0.1:4" }\n', "", 5, "group.member[0]"),
-    ('  votes = true\n', "", 5, "group.votes"), ("", "vote = true", 8, "group.member[2].vote"),
+    ("  votes = true\n", "", 5, "group.votes"),
+    ("", "vote = true", 8, "group.member[2].vote"),
 ]
 
 
 @pytest.mark.parametrize("more,inner,line,key", BAD, ids=[one[3] + str(at) for at, one in enumerate(BAD)])
-def test_a_contradiction_in_the_group_names_file_line_and_key(more: str, inner: str, line: int, key: str
-                                                              ) -> None:
+def test_a_contradiction_in_the_group_names_file_line_and_key(
+    more: str, inner: str, line: int, key: str
+) -> None:
     with pytest.raises(SettingsError) as caught:
         read_text(GROUP % (more, inner), "f.hcl")
     assert (caught.value.line, caught.value.key) == (line, key) and str(caught.value).startswith("f.hcl:")
 
 
-@pytest.mark.parametrize("old,new,key", [
-    ('me = "a"', 'me = "z"', "group.me"), ("127.0.0.1:7101\"\n", "0.0.0.0:7101\"\n", "group.listen"),
-    ('name = "g"', 'name = "g g"', "group.name"), ('listen = "127.0.0.1:7101"', "", "group.listen"),
-    ("group {", 'runtime {\n tcp "127.0.0.1:7101" {\n }\n}\ngroup {', "group.listen")])
+@pytest.mark.parametrize(
+    "old,new,key",
+    [
+        ('me = "a"', 'me = "z"', "group.me"),
+        ('127.0.0.1:7101"\n', '0.0.0.0:7101"\n', "group.listen"),
+        ('name = "g"', 'name = "g g"', "group.name"),
+        ('listen = "127.0.0.1:7101"', "", "group.listen"),
+        ("group {", 'runtime {\n tcp "127.0.0.1:7101" {\n }\n}\ngroup {', "group.listen"),
+    ],
+)
 def test_what_the_group_itself_lacks(old: str, new: str, key: str) -> None:
     with pytest.raises(SettingsError) as caught:
         read_text((GROUP % ("", "")).replace(old, new), "f.hcl")
@@ -479,24 +526,35 @@
 
 def test_a_good_group_is_read_and_leaders_follow_from_names() -> None:
     from ambershift.group.spec import spec_of
-    root = read_text(GROUP % ('  clock_ahead = "-1500ms"\n  folder = "/x"\n  member "0" {\n address = '
-                              '"127.0.0.1:1"\n votes = false\n }\n', "votes = true"), "f")
+
+    root = read_text(
+        GROUP
+        % (
+            '  clock_ahead = "-1500ms"\n  folder = "/x"\n  member "0" {\n address = '
+            '"127.0.0.1:1"\n votes = false\n }\n',
+            "votes = true",
+        ),
+        "f",
+    )
     spec = spec_of(root.group)  # type: ignore[arg-type]
     assert spec.voters == ("a", "b", "c") and spec.copies == ("0",) and spec.clock_ahead == -1_500_000_000
     assert [peer.name for peer in spec.peers] == ["0", "b", "c"] and spec.clock_bound == S
 
 
 def test_the_platforms_run_loads_nothing_of_a_group() -> None:
-    code = ("import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
-            "print([one for one in sys.modules if one.startswith(('ambershift.group', 'ambershift.promises',"
-            "'ambershift.replication', 'ambershift.maintenance', 'ambershift.interference', 'aiohttp',"
-            "'ambershift.admin', 'ambershift.runtime', 'numpy'))])")
+    code = (
+        "import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
+        "print([one for one in sys.modules if one.startswith(('ambershift.group', 'ambershift.promises',"
+        "'ambershift.replication', 'ambershift.maintenance', 'ambershift.interference', 'aiohttp',"
+        "'ambershift.admin', 'ambershift.runtime', 'numpy'))])"
+    )
     found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
     assert found.stdout.strip() == "[]", found
 
 
 # Three processes
 
+
 @pytest.fixture
 def place(tmp_path: Path) -> Iterator[Path]:
     yield tmp_path
@@ -529,7 +587,10 @@
             assert status is not None
             rows = await rig.rows(rest[1], "show group json")
             assert {row["name"]: row["link"] for row in rows if row["name"] in (gone, rest[0])} == {
-                gone: "away", rest[0]: "away"}
+                gone: "away",
+                rest[0]: "away",
+            }
+
     asyncio.run(play())
 
 
@@ -559,6 +620,7 @@
             await rig.settled()  # Newer than both.
             rows = await rig.rows("n2", "show standing json")
             assert [row["server"] for row in rows] == ["east/s-0"]
+
     asyncio.run(play())
 
 
@@ -576,6 +638,7 @@
             await until(lambda: rig.fleet.proxies and all(one.steered for one in rig.fleet.proxies), 30)
             assert (await rig.say("n1", "disable server east/s-0")).text.startswith("Refused (no-majority)")
             assert await member.terminate() == 0
+
     asyncio.run(play())
 
 
@@ -583,6 +646,7 @@
     from ambershift.runtime.execute import Executor
     from ambershift.runtime.grammar import Command as Said_
     from ambershift.runtime.session import Level, Session
+
     for common, known in ((None, False), (object(), True)):
         executor = Executor(SimpleNamespace(common=common))  # type: ignore[arg-type]
         session = Session("x", Level.ADMIN)
--- a/tests/test_group_counters.py
+++ b/tests/test_group_counters.py
@@ -20,12 +20,16 @@
 
 async def pairs(rig: Rig, name: str, nodes: int = 1) -> set[tuple[str, str]]:
     """The pairs that this member has a score for, met at so many nodes at least."""
-    return {(row["victim"], row["suspect"]) for row in await rig.rows(name, "show interference json")
-            if row["nodes"] >= nodes}
+    return {
+        (row["victim"], row["suspect"])
+        for row in await rig.rows(name, "show interference json")
+        if row["nodes"] >= nodes
+    }
 
 
 def test_a_counter_source_lost_holds_up_nothing_and_scores_come_back_to_a_member_that_lost_them(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     made = list[Counting]()
 
     def prepare(rig: Rig) -> None:
@@ -36,8 +40,10 @@
         counting = made[0]
         await counting.start()
         try:
+
             async def pooled() -> bool:
                 return all([await pairs(rig, name, 2) for name in rig.names])
+
             await rig.eventually(pooled, 60, "scores pooled over nodes at every member")
             await counting.lose("n2")
             await rig.kill("n3", wipe=True)
@@ -51,12 +57,19 @@
             assert all(process.returncode is None for process in counting.readers.values())
         finally:
             await counting.end()
+
     group(tmp_path, act, prepare=prepare)
 
 
 def test_try_tells_what_was_promised_and_who_holds_it(tmp_path: Path) -> None:
-    told = subprocess.run([sys.executable, "-m", "ambershift.standins", "--seconds", "5"], timeout=140,
-                          cwd=Path(__file__).parent.parent, capture_output=True, text=True, check=False)
+    told = subprocess.run(
+        [sys.executable, "-m", "ambershift.standins", "--seconds", "5"],
+        timeout=140,
+        cwd=Path(__file__).parent.parent,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert told.returncode == 0 and not told.stderr, told.stdout + told.stderr
     lines = [line.partition(" s  ")[2] for line in told.stdout.splitlines()]
     assert lines.count("kept    'maint' of east/s-0 is held by n1, n2, n3") == 3
@@ -73,6 +86,7 @@
     async def run(trial: trying.Trial) -> None:
         trial.rule(True, "held")
         assert not breaks, "no leader"
+
     monkeypatch.setattr(trying, "Rig", rig)
     monkeypatch.setattr(trying.Trial, "run", run)
     assert asyncio.run(trying.main(1.0, 3, 1, tmp_path)) == int(breaks)
--- a/tests/test_group_disk.py
+++ b/tests/test_group_disk.py
@@ -32,8 +32,14 @@
     return tuple(Entry(view, i, i * 7, f"t{i}", bytes([i % 251]) * (i % 40)) for i in range(first, last + 1))
 
 
-def write(ticket: int, view: int = 1, new: tuple[Entry, ...] = (), cut: int = 0, committed: int = 0,
-          snapshot: Snapshot | None = None) -> Write:
+def write(
+    ticket: int,
+    view: int = 1,
+    new: tuple[Entry, ...] = (),
+    cut: int = 0,
+    committed: int = 0,
+    snapshot: Snapshot | None = None,
+) -> Write:
     return Write(ticket, "g1", 5, view, view, committed, new, cut, snapshot)
 
 
@@ -168,12 +174,15 @@
         for at in range(size) if name == "log" else (*range(40), *range(size - 40, size)):
             for change in ("flip", "cut", "zero"):
                 for crash in (0, CALLS, CALLS - 3):  # Whole; its last mark, its last append torn.
-                    def spoil(files: dict[str, bytearray], change: str = change, at: int = at,
-                              name: str = name) -> None:
+
+                    def spoil(
+                        files: dict[str, bytearray], change: str = change, at: int = at, name: str = name
+                    ) -> None:
                         if change == "cut":
                             del files[name][at:]
                         elif at < len(files[name]):
                             files[name][at] ^= 1 << at % 8 if change == "flip" else files[name][at]
+
                     run, opened = damaged(spoil, crash, 0.5)
                     assert opened.fault or run.held(opened) >= run.acked, (name, at, change, crash)
                     if opened.fault:
@@ -181,14 +190,24 @@
     # And wherever the machine ended: what a log's name rests on was synced before its first mark.
     for crash in range(1, CALLS + 1):
         for seed in range(24):
+
             def flip(files: dict[str, bytearray], seed: int = seed, crash: int = crash) -> None:
                 if log := files.get("log"):
                     log[(seed * len(log) // 24 + crash % 5) % len(log)] ^= 4
+
             run, opened = damaged(flip, crash, seed % 3 / 2)
             assert opened.fault or run.held(opened) >= run.acked, (crash, seed)
     assert not seen[records.Fault.NEWER]
-    assert all(seen[one] for one in (records.Fault.EMPTY, records.Fault.SHORT, records.Fault.FLIPPED,
-                                     records.Fault.UNMARKED, records.Fault.FOREIGN)), seen
+    assert all(
+        seen[one]
+        for one in (
+            records.Fault.EMPTY,
+            records.Fault.SHORT,
+            records.Fault.FLIPPED,
+            records.Fault.UNMARKED,
+            records.Fault.FOREIGN,
+        )
+    ), seen
 
 
 def test_other_files_are_set_aside_by_name() -> None:
@@ -229,7 +248,8 @@
 
 
 def test_a_gap_in_the_numbers_fails_the_disk_and_a_log_grows_no_further_than_so_many_times(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(folders, "LOG_LEAST", 1000)
     folder = Folder(SimFiles(), "archive", "n1")
     folder.open(WALL)
@@ -333,8 +353,10 @@
 def test_two_processes_can_not_have_one_folder(tmp_path: object) -> None:
     mine = RealFiles(f"{tmp_path}/n1")
     Folder(mine, "archive", "n1").open(WALL)
-    code = ("from ambershift.group.disk.files import RealFiles, LockedError\n"
-            "try: RealFiles({0!r}).lock(); print('open')\nexcept LockedError as e: print('locked')")
+    code = (
+        "from ambershift.group.disk.files import RealFiles, LockedError\n"
+        "try: RealFiles({0!r}).lock(); print('open')\nexcept LockedError as e: print('locked')"
+    )
     ask = [sys.executable, "-c", code.format(f"{tmp_path}/n1")]
     assert subprocess.run(ask, capture_output=True, text=True, check=True).stdout == "locked\n"
     with pytest.raises(LockedError):
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -18,8 +18,9 @@
 pytestmark = pytest.mark.timeout(150)
 
 
-def group(place: Path, act: Act, count: int = 3, prepare: Callable[[Rig], None] = lambda rig: None,
-          **words: Any) -> None:
+def group(
+    place: Path, act: Act, count: int = 3, prepare: Callable[[Rig], None] = lambda rig: None, **words: Any
+) -> None:
     async def whole() -> None:
         prepare(made := Rig(place, count, **words))
         async with asyncio.timeout(140), made as rig:
@@ -28,6 +29,7 @@
             for member in rig.members.values():
                 failures = [one for one in member.log if one.get("event") == "failure"]
                 assert not member.raw and not failures, (failures, rig.tail())
+
     asyncio.run(whole())
 
 
@@ -50,27 +52,38 @@
     async def ask() -> bool:
         found = [await standing(rig, name) for name in names]
         return all(wish in one.get(server, "") for one in found)
+
     await rig.eventually(ask, limit, f"{wish} of {server} held by {names}")
 
 
 async def refused(rig: Rig, name: str, command: str, limit: float = 30.0) -> str:
     """The reason by which it is refused."""
+
     async def ask() -> str:
         with contextlib.suppress(ClientError):
             reply = await rig.say(name, command)
             return reply.text if reply.failed and "Refused (" in reply.text else ""
         return ""  # Done in the moment before it was known, unknown, or no answer.
+
     found: str = await rig.eventually(ask, limit, f"'{command}' refused by {name}")
     return found.partition("Refused (")[2].partition(")")[0]
 
 
-async def operated(rig: Rig, act: Callable[[History], Awaitable[None]], count: int = 3,
-                   places: Callable[[], list[str]] | None = None) -> History:
+async def operated(
+    rig: Rig,
+    act: Callable[[History], Awaitable[None]],
+    count: int = 3,
+    places: Callable[[], list[str]] | None = None,
+) -> History:
     """Operators at all members that run, while the act goes on; what they saw must have one order."""
     history = History(rig, [title(rig, at) for at in range(4, 8)])
     over, members = asyncio.Event(), places or rig.running
-    tasks = [asyncio.create_task(history.operator(
-        f"op{at}", random.Random(at), lambda: not over.is_set(), members)) for at in range(count)]
+    tasks = [
+        asyncio.create_task(
+            history.operator(f"op{at}", random.Random(at), lambda: not over.is_set(), members)
+        )
+        for at in range(count)
+    ]
     try:
         await act(history)
     finally:
@@ -87,8 +100,10 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_promises_are_held_though_who_acknowledged_them_are_lost_with_their_folders_at_once(
-        tmp_path: Path, seed: int) -> None:
+    tmp_path: Path, seed: int
+) -> None:
     """Two of five at a time, ten a seed: fifty in all."""
+
     async def act(rig: Rig) -> None:
         chance, promised = random.Random(seed), dict[str, str]()
         for turn in range(ROUNDS):
@@ -101,8 +116,13 @@
                 await rig.tell(name, f"set weight {server} {value}")
                 promised[server] = f"ready,weight={value}"
                 rig.members[name].end_now()  # At the moment of its answer.
-            await asyncio.gather(*(promise(name, server, f"{turn + 1}.{at + 1}")
-                                   for at, (name, server) in enumerate(zip(lost, servers, strict=True))))
+
+            await asyncio.gather(
+                *(
+                    promise(name, server, f"{turn + 1}.{at + 1}")
+                    for at, (name, server) in enumerate(zip(lost, servers, strict=True))
+                )
+            )
             await asyncio.gather(*(rig.kill(name, wipe=True) for name in lost))
             for server, wish in promised.items():
                 await holds(rig, rig.running(), server, wish)
@@ -110,6 +130,7 @@
             await rig.settled()
         for server, wish in promised.items():
             await holds(rig, rig.names, server, wish)
+
     group(tmp_path, act, 5)
 
 
@@ -130,12 +151,15 @@
 
                 async def steered(mine: set[int] = mine, at: float = at) -> bool:
                     return bool(mine & senders(rig, at))
+
                 await rig.eventually(steered, 10, "flows of the proxies of who is cut off")
                 rig.net.heal()
                 await rig.settled()
                 await holds(rig, rig.names, title(rig, 0), f"weight=7{turn}")
             assert title(rig, 1) not in await standing(rig, rig.names[0])
+
         await operated(rig, cuts)
+
     group(tmp_path, act)
 
 
@@ -144,9 +168,13 @@
         async def cuts(history: History) -> None:
             await rig.tell("n1", f"set weight {title(rig, 0)} 5")
             rig.net.split(["n1", "n2"], ["n3", "n4"], ["n5"])
-            told = await asyncio.gather(*(
-                refused(rig, name, command) for name in rig.names
-                for command in (f"set weight {title(rig, 0)} 6", "show standing json")))
+            told = await asyncio.gather(
+                *(
+                    refused(rig, name, command)
+                    for name in rig.names
+                    for command in (f"set weight {title(rig, 0)} 6", "show standing json")
+                )
+            )
             assert set(told) == {"no-majority"}
             rig.net.heal()
             await rig.tell("n5", f"set weight {title(rig, 1)} 7")
@@ -155,7 +183,9 @@
             # What the old leader had written before it doubted was told as unknown, and may stand.
             assert {one[title(rig, 0)] for one in found} in ({"ready,weight=5"}, {"ready,weight=6"}), found
             assert {one[title(rig, 1)] for one in found} == {"ready,weight=7"}, found
+
         await operated(rig, cuts)
+
     group(tmp_path, act, 5)
 
 
@@ -164,7 +194,9 @@
     async def act(rig: Rig) -> None:
         async def cuts(history: History) -> None:
             leader = await rig.leader()
-            for other in [name for name in rig.names if name != leader][:2 if way in ("slow", "half") else 1]:
+            for other in [name for name in rig.names if name != leader][
+                : 2 if way in ("slow", "half") else 1
+            ]:
                 match way:
                     case "from":
                         rig.net.cut(leader, other)
@@ -182,9 +214,12 @@
 
             async def more() -> bool:
                 return history.counts().get("once-done", 0) >= count + 10
+
             await rig.eventually(more, 30, "operations done in spite of it")
             rig.net.heal()
+
         await operated(rig, cuts)
+
     group(tmp_path, act)
 
 
@@ -208,7 +243,9 @@
                         assert reply.failed or f"weight={turn + 13}" in reply.text, reply
                 await rig.settled()
                 await holds(rig, rig.names, title(rig, 0), f"weight={turn + 13}")
+
         await operated(rig, stops)
+
     group(tmp_path, act)
 
 
@@ -238,6 +275,7 @@
             assert "token" in (await again(rig, second, f"once t{turn} disable server {server}")).text
             await rig.start(first)
             await rig.settled()
+
     group(tmp_path, act)
 
 
@@ -247,12 +285,14 @@
 
 async def again(rig: Rig, name: str, command: str) -> Reply:
     """Until there is an answer that tells its outcome."""
+
     async def ask() -> Reply | None:
         with contextlib.suppress(ClientError):
             reply = await rig.say(name, command)
             unsettled = "(no-majority)" in reply.text or "(outcome-unknown)" in reply.text
             return None if unsettled else reply
         return None
+
     found: Reply = await rig.eventually(ask, 20, f"an outcome of '{command}'")
     return found
 
@@ -263,21 +303,28 @@
             for at in (0, 2):
                 await rig.tell(rig.names[turn % 3], f"disable server {title(rig, at)}")
             places = random.Random(turn).sample(rig.names, 2)
-            asked = await asyncio.gather(*(again(rig, name, f"disable server {title(rig, at)}")
-                                           for name, at in zip(places, (4, 6), strict=True)))
+            asked = await asyncio.gather(
+                *(
+                    again(rig, name, f"disable server {title(rig, at)}")
+                    for name, at in zip(places, (4, 6), strict=True)
+                )
+            )
             assert sorted(reply.failed for reply in asked) == [False, True], asked
             assert "(zone-without-warm-server)" in "".join(reply.text for reply in asked)
             found = [await standing(rig, name) for name in rig.names]
             out = [{server for server, wish in one.items() if wish == "maint"} for one in found]
             assert out[0] == out[1] == out[2] and len(out[0]) == 3, found
             if not turn:
+
                 async def served() -> bool:
                     at = rig.now()
                     await asyncio.sleep(0.5)
                     return senders(rig, at) == {proxy.number for proxy in rig.fleet.proxies}
+
                 await rig.eventually(served, 20, "every proxy still has where to send")
             for server in out[0]:
                 await rig.tell("n1", f"enable server {server}")
+
     group(tmp_path, act)
 
 
@@ -298,6 +345,7 @@
         assert any("old-folder" in str(line) for line in member.log), rig.tail()
         aside = [one for one in member.place.rglob("*") if one.is_file() and "folder" in str(one)]
         assert len(aside) > len(list(member.folder.rglob("*"))) if member.folder else False, aside
+
     group(tmp_path, act)
 
 
@@ -308,20 +356,27 @@
         clone = rig.clone(name)
         await clone.start()
         try:
+
             async def named() -> bool:
-                return any("cloned" in str(line) or "superseded" in str(line)
-                           for one in (clone, *rig.members.values()) for line in one.log)
+                return any(
+                    "cloned" in str(line) or "superseded" in str(line)
+                    for one in (clone, *rig.members.values())
+                    for line in one.log
+                )
+
             await rig.eventually(named, 30, "a clone refused by name")
             await rig.tell(leader, f"set weight {title(rig, 0)} 3")
             await holds(rig, [leader], title(rig, 0), "weight=3")
         finally:
             await clone.kill()
+
     group(tmp_path, act)
 
 
 @pytest.mark.parametrize("disk", [True, False])
 def test_members_lost_one_after_the_other_lose_nothing_with_or_without_a_disk(
-        tmp_path: Path, disk: bool) -> None:
+    tmp_path: Path, disk: bool
+) -> None:
     async def act(rig: Rig) -> None:
         async def losses(history: History) -> None:
             for name in rig.names:
@@ -330,6 +385,7 @@
                 await rig.tell(rig.running()[0], f"set weight {title(rig, 1)} {int(name[1]) + 20}")
                 await rig.start(name)
                 await rig.settled()
+
         await operated(rig, losses)
         await holds(rig, rig.names, title(rig, 0), "weight=13")
         if disk:
@@ -338,6 +394,7 @@
             await asyncio.gather(*(rig.start(name) for name in rig.names))
             await rig.settled()
         await holds(rig, rig.names, title(rig, 1), "weight=23")
+
     group(tmp_path, act, disk=disk)
 
 
@@ -347,15 +404,18 @@
 
         async def bound() -> bool:
             return all(proxy.steered for proxy in fleet.proxies)
+
         await rig.eventually(bound, 20, "all proxies bound")
         await rig.tell("n2", f"disable server {title(rig, 0)}")
 
         async def drained() -> bool:
             return fleet.unused("s-0")
+
         await rig.eventually(drained, 20, "drained at the proxies of all")
         # A log so long that one who applies it anew must not take it for a flood of commands, and wait.
-        await asyncio.gather(*(rig.tell(rig.names[turn % 3], f"set weight {title(rig, 7)} {turn + 1}")
-                               for turn in range(80)))
+        await asyncio.gather(
+            *(rig.tell(rig.names[turn % 3], f"set weight {title(rig, 7)} {turn + 1}") for turn in range(80))
+        )
         at = rig.now()
         first = await rig.leader()
         await rig.kill(first, wipe=True)
@@ -365,7 +425,9 @@
 
         async def moved() -> bool:
             return all(proxy.steered for proxy in fleet.proxies) and all(
-                len(one.since(at)) > 5 for name, one in fleet.servers.items() if name != "s-0")
+                len(one.since(at)) > 5 for name, one in fleet.servers.items() if name != "s-0"
+            )
+
         await rig.eventually(moved, 20, "flows over all that are in service")
         assert not fleet.servers["s-0"].since(at) and not fleet.let_in("s-0", at)
         await rig.tell("n3", f"enable server {title(rig, 0)}")
@@ -373,5 +435,7 @@
         async def back() -> bool:
             users = [proxy for proxy in fleet.proxies if proxy.zone == fleet.servers["s-0"].zone]
             return all(proxy.uses("s-0") for proxy in users)
+
         await rig.eventually(back, 20, "let in again by all")
+
     group(tmp_path, act)
--- a/tests/test_group_waves.py
+++ b/tests/test_group_waves.py
@@ -54,6 +54,7 @@
 
     async def done() -> bool:
         return set(keeper.drains) >= set(WORK) and not rig.fleet.out()
+
     await rig.eventually(done, 80, "all worked at and back")
     await asyncio.wait_for(work, 1)
     assert not keeper.breaches, keeper.breaches
@@ -65,12 +66,14 @@
 async def begun(rig: Rig, keeper: Keeper, count: int) -> None:
     async def ask() -> bool:
         return len(keeper.drains) >= count
+
     await rig.eventually(ask, 40, f"{count} drains begun")
 
 
 @pytest.mark.parametrize("wipe", [True, False])
 def test_a_wave_goes_on_through_three_changes_of_leader_and_drains_nothing_twice(
-        tmp_path: Path, wipe: bool) -> None:
+    tmp_path: Path, wipe: bool
+) -> None:
     async def act(rig: Rig) -> None:
         async def changes(rig: Rig, keeper: Keeper) -> None:
             for turn in range(3):
@@ -81,20 +84,25 @@
                 await rig.start(leader)
                 await rig.settled()
                 rig.spread()
+
         await waves(rig, changes)
+
     group(tmp_path, act, extra=declared())
 
 
 @pytest.mark.parametrize("leads", [True, False])
 def test_a_member_killed_just_after_it_let_servers_in_does_not_shut_them_out_again(
-        tmp_path: Path, leads: bool) -> None:
+    tmp_path: Path, leads: bool
+) -> None:
     """What it restarts with doesn't tell yet that their permits were given back for good."""
+
     async def act(rig: Rig) -> None:
         async def restart(rig: Rig, keeper: Keeper) -> None:
             await begun(rig, keeper, 1)
 
             async def back() -> bool:
                 return not rig.fleet.out()
+
             await rig.eventually(back, 40, "the first are let in again")
             leader = await rig.leader()
             name = leader if leads else next(one for one in rig.names if one != leader)
@@ -102,7 +110,9 @@
             await rig.start(name)
             await rig.settled()
             rig.spread()
+
         await waves(rig, restart)
+
     group(tmp_path, act, extra=declared())
 
 
@@ -115,7 +125,9 @@
             await asyncio.gather(*(rig.start(name) for name in rig.names))
             await rig.settled()
             rig.spread()
+
         await waves(rig, restarts)
+
     group(tmp_path, act, extra=declared())
 
 
@@ -130,7 +142,9 @@
             await begun(rig, keeper, 2)
             rig.net.heal()
             await rig.settled()
+
         await waves(rig, cuts)
+
     group(tmp_path, act, extra=declared(), ahead=("400ms", "0s", "-300ms"))
 
 
@@ -145,4 +159,5 @@
         await rig.settled()
         await holds(rig, rig.names, title(rig, 7), f"weight={len(rig.names) + 1}")
         assert not keeper.breaches, keeper.breaches
+
     group(tmp_path, act, extra=declared(), ahead=("30s", "0s", "0s"))
--- a/tests/test_groupsim.py
+++ b/tests/test_groupsim.py
@@ -64,6 +64,7 @@
             begin(fault)
             if before <= (len(world.plan.voters) - 1) // 2:
                 most = max(most, len(look()) - (len(world.plan.voters) - 1) // 2)
+
         world.faults.begin = begins  # type: ignore[method-assign]
         world.run()
         assert most <= 0, seed
@@ -81,6 +82,7 @@
 
     def fails(one: Plan) -> bool:
         return any(fault.kind is Trouble.LOSE for fault in one.faults)
+
     least = shrink(next(one for one in map(plan, range(100)) if fails(one) and len(one.faults) > 3), fails)
     assert [fault.kind for fault in least.faults] == [Trouble.LOSE]
     assert (least.weather, least.copies, least.clients, least.tight) == (CALM, (), 1, False)
@@ -92,9 +94,11 @@
 
 def test_a_folder_is_what_was_synced_and_no_gap_passes() -> None:
     folder = Folder()
-    folder.waiting = [Write(1, "g", 1, 0, 0, 0, (entry(1), entry(2), entry(3)), 0, None),
-                      Write(2, "g", 1, 1, 0, 1, (entry(2),), 2, None),
-                      Write(3, "g", 1, 1, 0, 2, (entry(3),), 0, Snapshot(2, 0, b"", ()))]
+    folder.waiting = [
+        Write(1, "g", 1, 0, 0, 0, (entry(1), entry(2), entry(3)), 0, None),
+        Write(2, "g", 1, 1, 0, 1, (entry(2),), 2, None),
+        Write(3, "g", 1, 1, 0, 2, (entry(3),), 0, Snapshot(2, 0, b"", ())),
+    ]
     folder.sync(1)
     assert folder.saved() is not None and [one.number for one in folder.saved().entries] == [1, 2, 3]
     folder.crash(1)
--- a/tests/test_groupsim_history.py
+++ b/tests/test_groupsim_history.py
@@ -14,33 +14,77 @@
     """Such as "a once x 1..5 done t1": client, kind, value, times, outcome, token; `-` for no value."""
     client, kind, value, times, outcome, *token = text.split()
     called, returned = times.split("..")
-    return Operation(client, "k", Kind(kind), None if value == "-" else value, int(called),
-                     int(returned) if returned else None, Outcome(outcome), "".join(token))
-
-
-@pytest.mark.parametrize("good, lines", [
-    (True, ["a write x 1..2 done", "b read x 3..4 done"]),
-    (True, ["a write x 1..5 done", "b read - 2..3 done", "b read x 3..4 done"]),
-    (False, ["a write x 1..2 done", "b read - 3..4 done"]),  # A stale read.
-    (False, ["a write x 1..2 done", "a write y 3..4 done", "b read x 5..6 done"]),
-    (False, ["a write x 1..9 done", "b read x 2..3 done", "c read - 4..5 done"]),  # New, then old.
-    (False, ["a write x 1..2 done", "b read x 3..4 done", "b read - 5..6 done"]),  # Lost.
-    (False, ["b read z 1..2 done"]),  # Out of nothing.
-    (False, ["a write x 1..2 refused", "b read x 3..4 done"]),
-    (True, ["a write x 1.. unknown", "b read - 3..4 done", "b read x 5..6 done"]),  # It comes late,
-    (True, ["a write x 1.. unknown", "b read - 3..4 done"]),  # or never,
-    (False, ["a write x 3.. unknown", "b read x 1..2 done"]),  # but not before it was called,
-    (False, ["a write x 1.. unknown", "a write y 3..4 done", "b read x 5..6 done", "b read y 7..8 done",
-             "b read x 9..10 done"]),  # nor twice.
-    (False, ["a write x 1..9 done", "b write y 1..9 done", "c read x 2..3 done", "c read y 4..5 done",
-             "d read x 6..7 done"]),  # Two orders at once.
-    (True, ["a once x 1..2 done t", "b write y 3..4 done", "a once x 5..6 done t", "b read y 7..8 done"]),
-    (False, ["a once x 1..2 done t", "b write y 3..4 done", "a once x 5..6 done t", "b read x 7..8 done"]),
-    (True, ["a once x 1.. unknown t", "b write y 3..4 done", "a once x 5..6 done t", "b read y 7..8 done"]),
-    (True, ["a once x 1.. unknown t", "b write y 3..4 done", "a once x 5..6 done t", "b read x 7..8 done"]),
-    (False, ["a once x 1.. unknown t", "b read x 2..3 done", "b write y 4..5 done", "a once x 6..7 done t",
-             "b read x 8..9 done"]),
-])
+    return Operation(
+        client,
+        "k",
+        Kind(kind),
+        None if value == "-" else value,
+        int(called),
+        int(returned) if returned else None,
+        Outcome(outcome),
+        "".join(token),
+    )
+
+
+@pytest.mark.parametrize(
+    "good, lines",
+    [
+        (True, ["a write x 1..2 done", "b read x 3..4 done"]),
+        (True, ["a write x 1..5 done", "b read - 2..3 done", "b read x 3..4 done"]),
+        (False, ["a write x 1..2 done", "b read - 3..4 done"]),  # A stale read.
+        (False, ["a write x 1..2 done", "a write y 3..4 done", "b read x 5..6 done"]),
+        (False, ["a write x 1..9 done", "b read x 2..3 done", "c read - 4..5 done"]),  # New, then old.
+        (False, ["a write x 1..2 done", "b read x 3..4 done", "b read - 5..6 done"]),  # Lost.
+        (False, ["b read z 1..2 done"]),  # Out of nothing.
+        (False, ["a write x 1..2 refused", "b read x 3..4 done"]),
+        (True, ["a write x 1.. unknown", "b read - 3..4 done", "b read x 5..6 done"]),  # It comes late,
+        (True, ["a write x 1.. unknown", "b read - 3..4 done"]),  # or never,
+        (False, ["a write x 3.. unknown", "b read x 1..2 done"]),  # but not before it was called,
+        (
+            False,
+            [
+                "a write x 1.. unknown",
+                "a write y 3..4 done",
+                "b read x 5..6 done",
+                "b read y 7..8 done",
+                "b read x 9..10 done",
+            ],
+        ),  # nor twice.
+        (
+            False,
+            [
+                "a write x 1..9 done",
+                "b write y 1..9 done",
+                "c read x 2..3 done",
+                "c read y 4..5 done",
+                "d read x 6..7 done",
+            ],
+        ),  # Two orders at once.
+        (True, ["a once x 1..2 done t", "b write y 3..4 done", "a once x 5..6 done t", "b read y 7..8 done"]),
+        (
+            False,
+            ["a once x 1..2 done t", "b write y 3..4 done", "a once x 5..6 done t", "b read x 7..8 done"],
+        ),
+        (
+            True,
+            ["a once x 1.. unknown t", "b write y 3..4 done", "a once x 5..6 done t", "b read y 7..8 done"],
+        ),
+        (
+            True,
+            ["a once x 1.. unknown t", "b write y 3..4 done", "a once x 5..6 done t", "b read x 7..8 done"],
+        ),
+        (
+            False,
+            [
+                "a once x 1.. unknown t",
+                "b read x 2..3 done",
+                "b write y 4..5 done",
+                "a once x 6..7 done t",
+                "b read x 8..9 done",
+            ],
+        ),
+    ],
+)
 def test_each_kind_of_lie_is_found_and_nothing_else(good: bool, lines: list[str]) -> None:
     found = check([op(one) for one in lines])
     assert (found is None) == good
@@ -64,8 +108,21 @@
         kind = rng.choice(list(Kind))
         outcome = rng.choice([DONE, DONE, DONE, UNKNOWN, REFUSED])
         token = f"t{rng.randrange(many // 3)}" if kind is Kind.ONCE else ""
-        moments.append((at, Operation(f"c{number}", "k", kind, f"v{token or number}",
-                                      at - rng.randrange(1, 30), at + rng.randrange(1, 30), outcome, token)))
+        moments.append(
+            (
+                at,
+                Operation(
+                    f"c{number}",
+                    "k",
+                    kind,
+                    f"v{token or number}",
+                    at - rng.randrange(1, 30),
+                    at + rng.randrange(1, 30),
+                    outcome,
+                    token,
+                ),
+            )
+        )
     history = list[Operation]()
     for _, one in sorted(moments, key=lambda pair: pair[0]):
         if one.kind is Kind.READ:
@@ -84,8 +141,11 @@
     for many in range(len(maybe) + 1):
         for extra in itertools.combinations(maybe, many):
             for order in itertools.permutations([*done, *extra]):
-                if any(late.outcome is DONE and late.returned is not None and late.returned < early.called
-                       for at, early in enumerate(order) for late in order[at + 1:]):
+                if any(
+                    late.outcome is DONE and late.returned is not None and late.returned < early.called
+                    for at, early in enumerate(order)
+                    for late in order[at + 1 :]
+                ):
                     continue
                 register = (None, frozenset[str]())
                 for one in order:
@@ -106,8 +166,9 @@
         reads = [at for at, one in enumerate(small) if one.kind is Kind.READ]
         if reads:
             at = rng.choice(reads)
-            small[at] = small[at]._replace(value=rng.choice([one.value for one in small] + [None]),
-                                           outcome=DONE)
+            small[at] = small[at]._replace(
+                value=rng.choice([one.value for one in small] + [None]), outcome=DONE
+            )
             good = check(small) is None
             assert good == by_hand(small), (seed, small)
             found[good] += 1
--- a/tests/test_heard.py
+++ b/tests/test_heard.py
@@ -43,8 +43,10 @@
     def holds(self, now: int, slack: int) -> tuple[set[object], set[object]]:
         """What must be known, and what may be: words near their end may be gone at one and not at another."""
         rows = {(place, one[:3]): now - one[3] for place, one in self.said.items() if one[2]}
-        return ({row for row, age in rows.items() if age < longest(row[0][1])},
-                {row for row, age in rows.items() if age < longest(row[0][1]) + slack})
+        return (
+            {row for row, age in rows.items() if age < longest(row[0][1])},
+            {row for row, age in rows.items() if age < longest(row[0][1]) + slack},
+        )
 
 
 class World:
@@ -109,8 +111,9 @@
 
 
 @pytest.mark.parametrize("members", [2, 3, 7])
-def test_members_know_the_same_after_losses_repeats_and_disorder(members: int,
-                                                                 monkeypatch: pytest.MonkeyPatch) -> None:
+def test_members_know_the_same_after_losses_repeats_and_disorder(
+    members: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("ambershift.replication.heard.store.Store.delta.__defaults__", (400,))
     for seed in range(24):
         world = World(seed, members)
@@ -183,8 +186,18 @@
     a.put(0, Kind.ILL, "s", b"x")
     late = a.delta(30 * S, {})
     assert [row.key for part in late.parts for row in part.rows] == ["t"] and late.parts[0].upto == 2
-    early = Delta((Part("a", 1, 0, 2, (Row(1, Kind.START, "t", b"y", 0),
-                                       Row(2, Kind.ILL, "s", b"x", longest(Kind.ILL)))),), False)
+    early = Delta(
+        (
+            Part(
+                "a",
+                1,
+                0,
+                2,
+                (Row(1, Kind.START, "t", b"y", 0), Row(2, Kind.ILL, "s", b"x", longest(Kind.ILL))),
+            ),
+        ),
+        False,
+    )
     assert [one.key for one in b.hear(0, early)[1]] == ["t"] and b.count == 1
     assert b.digest().vector[1] == Place("a", 1, 2)
 
@@ -265,8 +278,12 @@
     for data in (junk, bytes([1]) + junk, bytes(spoilt)):
         with suppress(UnreadableError):
             Store("z", 1).hear(0, decode(data))
-    for rows in ((Row(4, 1, "k", b"", 0), Row(4, 1, "k", b"", 0)), (Row(10, 1, "k", b"", 0),),
-                 (Row(1, 1, "k" * 600, b"", 0),), (Row(1, 1, "k", b"", -1),)):
+    for rows in (
+        (Row(4, 1, "k", b"", 0), Row(4, 1, "k", b"", 0)),
+        (Row(10, 1, "k", b"", 0),),
+        (Row(1, 1, "k" * 600, b"", 0),),
+        (Row(1, 1, "k", b"", -1),),
+    ):
         with pytest.raises(UnreadableError):
             decode(encode(Delta((Part("a", 1, 0, 9, rows),), False)))
     with pytest.raises(UnreadableError):
