--- a/Makefile
+++ b/Makefile
@@ -24,8 +24,8 @@
 	$(PYTHON) -m pytest -q
 
 lint: dev
-	$(PYTHON) -m ruff check ambershift tests benchmarks
-	$(PYTHON) -m ruff format --check ambershift/system tests/test_system_*.py tests/system_exchange.py tests/circulated.py tests/enquiring.py
+	$(PYTHON) -m ruff check .
+	$(PYTHON) -m ruff format --check .
 	$(PYTHON) -m mypy
 
 run: build
