--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -14,8 +14,8 @@
 from ambershift.system.consensus.outbox import Held
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import NotDoneError, Verdict
-from ambershift.system.messages import copies
-from ambershift.system.messages.copies import Decision, Member
+from ambershift.system.messages import (replication)
+from ambershift.system.messages.replication import Decision, Member
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.simulation.lists import Appending, split
 from ambershift.system.steps import SECOND, Answer, Heard, Send, Tick, Write, Written
@@ -25,15 +25,15 @@
 LIST = "list"
 # What the drop of time, beats and words of third ones leaves: the register, its voters, and copies.
 CARRIED = (
-    copies.Prepare,
-    copies.Promise,
-    copies.Accept,
-    copies.Agreed,
-    copies.Refused,
-    copies.Lacking,
-    copies.Confirm,
-    copies.Ask,
-    copies.Share,
+    replication.Prepare,
+    replication.Promise,
+    replication.Accept,
+    replication.Agreed,
+    replication.Refused,
+    replication.Lacking,
+    replication.Confirm,
+    replication.Ask,
+    replication.Share,
     Decision,
 )
 Ways = frozenset[tuple[int, int]]
@@ -188,7 +188,7 @@
         wanted = tuple(Member(one.ip, one.zone, one.region, births[one.ip]) for one in decision.members)
         replica._out.now = self.now
         replica._membership._try(decision, wanted)
-        self.does(place, Heard(IPS[place], copies.Beat(0, 0, 0, ())), ways)
+        self.does(place, Heard(IPS[place], replication.Beat(0, 0, 0, ())), ways)
         self.settle()
 
     def done(self, **left: int) -> World:
--- a/ambershift/system/consensus/acceptor.py
+++ b/ambershift/system/consensus/acceptor.py
@@ -10,7 +10,7 @@
 from ambershift.system.consensus.journal import Journal
 from ambershift.system.consensus.outbox import Outbox
 from ambershift.system.contracts import Shape
-from ambershift.system.messages.copies import (
+from ambershift.system.messages.replication import (
     NEVER,
     Accept,
     Agreed,
--- a/ambershift/system/consensus/asking.py
+++ b/ambershift/system/consensus/asking.py
@@ -9,7 +9,7 @@
 from ambershift.system.consensus.outbox import Outbox
 from ambershift.system.consensus.register import Register, Round
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.messages.copies import Accept, Confirm, Prepare
+from ambershift.system.messages.replication import Accept, Confirm, Prepare
 from ambershift.system.steps import MS
 
 HEDGE_LEAST, HEDGE_MOST = 40 * MS, 250 * MS
--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -18,7 +18,7 @@
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.consensus.watching import SILENT, Watching
 from ambershift.system.contracts import Verdict
-from ambershift.system.messages.copies import Decision, Machine, Member
+from ambershift.system.messages.replication import Decision, Machine, Member
 from ambershift.system.steps import MS, SECOND
 
 SETTLE = SECOND  # After the last newcomer, before the first set takes all in.
--- a/ambershift/system/consensus/membership_plan.py
+++ b/ambershift/system/consensus/membership_plan.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from ambershift.system.consensus.quorum import VOTERS_MOST, balanced, majority
-from ambershift.system.messages.copies import Machine, Member
+from ambershift.system.messages.replication import Machine, Member
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -14,7 +14,7 @@
 from ambershift.system.consensus.register import Call, Lease, Register, Round
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.contracts import Change, NotDoneError, NotHeldError, Shape
-from ambershift.system.messages.copies import (
+from ambershift.system.messages.replication import (
     Accept,
     Agreed,
     Confirm,
--- a/ambershift/system/consensus/quorum.py
+++ b/ambershift/system/consensus/quorum.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Sequence
 from hashlib import blake2b
 
-from ambershift.system.messages.copies import Member
+from ambershift.system.messages.replication import Member
 
 ALL_WATCH = 9  # Up to so many machines everyone watches everyone.
 WATCHERS = 5
--- a/ambershift/system/consensus/register.py
+++ b/ambershift/system/consensus/register.py
@@ -8,7 +8,7 @@
 from ambershift.system.consensus.acceptor import EMPTY
 from ambershift.system.consensus.outbox import Held
 from ambershift.system.contracts import Change
-from ambershift.system.messages.copies import NEVER, Accept, Ballot, Confirm, Prepare, Record
+from ambershift.system.messages.replication import NEVER, Accept, Ballot, Confirm, Prepare, Record
 
 
 @dataclass(slots=True)
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -27,7 +27,7 @@
 from ambershift.system.consensus.watching import Watching
 from ambershift.system.consensus.writing import Writing
 from ambershift.system.contracts import Shape
-from ambershift.system.messages.copies import (
+from ambershift.system.messages.replication import (
     Accept,
     Agreed,
     Ask,
--- a/ambershift/system/consensus/syncing.py
+++ b/ambershift/system/consensus/syncing.py
@@ -16,7 +16,7 @@
 from ambershift.system.consensus.store import Store
 from ambershift.system.consensus.voters import Voters, holds
 from ambershift.system.contracts import NotHeldError
-from ambershift.system.messages.copies import Ask, Record, Share
+from ambershift.system.messages.replication import Ask, Record, Share
 from ambershift.system.messages.items import Item
 from ambershift.system.steps import MS
 
--- a/ambershift/system/consensus/voters.py
+++ b/ambershift/system/consensus/voters.py
@@ -6,7 +6,7 @@
 
 from ambershift.system.consensus import quorum
 from ambershift.system.consensus.journal import Journal
-from ambershift.system.messages.copies import Decision, Machine, Member
+from ambershift.system.messages.replication import Decision, Machine, Member
 
 TABLE = "meta"
 _encode = msgspec.msgpack.Encoder().encode
--- a/ambershift/system/consensus/watching.py
+++ b/ambershift/system/consensus/watching.py
@@ -12,8 +12,8 @@
 from ambershift.system.consensus.quorum import ALL_WATCH, watchers
 from ambershift.system.consensus.store import Store
 from ambershift.system.consensus.voters import Voters, holds
-from ambershift.system.messages import copies
-from ambershift.system.messages.copies import Beat, Knock, Known, Machine
+from ambershift.system.messages import (replication)
+from ambershift.system.messages.replication import Beat, Knock, Known, Machine
 from ambershift.system.messages.fronts import Core
 from ambershift.system.steps import MS
 
@@ -121,9 +121,9 @@
     def beat(self, sender: str, beat: Beat) -> str | None:
         """Take a beat. Returns the sender if its items have differed for two beats."""
         self.silent[sender] = beat.silent
-        (self._well.add if beat.state & copies.SETTLED else self._well.discard)(sender)
-        (self.leaving.add if beat.state & copies.LEAVING else self.leaving.discard)(sender)
-        if beat.state & copies.COMPLETE:
+        (self._well.add if beat.state & replication.SETTLED else self._well.discard)(sender)
+        (self.leaving.add if beat.state & replication.LEAVING else self.leaving.discard)(sender)
+        if beat.state & replication.COMPLETE:
             self._complete[sender] = beat.epoch
         if beat.known != self._known:
             self._out.send(sender, self._knocking())
@@ -133,7 +133,7 @@
             self._beat([sender])  # It watches me though I needn't watch it: let it know that I am here.
         if beat.items == self._store.buckets.total:
             self._unequal.pop(sender, None)
-            if beat.epoch == self._voters.epoch and beat.state & copies.COMPLETE:
+            if beat.epoch == self._voters.epoch and beat.state & replication.COMPLETE:
                 self._contact.equal(sender)
             return None
         count = self._unequal[sender] = self._unequal.get(sender, 0) + 1
@@ -159,9 +159,9 @@
 
     def _state(self) -> int:
         return (
-            copies.SETTLED * (self.me.ip in self._well)
-            + copies.COMPLETE * self._voters.voting
-            + copies.LEAVING * (self.me.ip in self.leaving)
+            replication.SETTLED * (self.me.ip in self._well)
+            + replication.COMPLETE * self._voters.voting
+            + replication.LEAVING * (self.me.ip in self.leaving)
         )
 
     def _beat(self, ips: Sequence[str]) -> None:
--- a/ambershift/system/consensus/writing.py
+++ b/ambershift/system/consensus/writing.py
@@ -9,7 +9,7 @@
 from ambershift.system.consensus.store import Store
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.contracts import NotDoneError, NotHeldError
-from ambershift.system.messages.copies import Agreed, Merge
+from ambershift.system.messages.replication import Agreed, Merge
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.steps import MS
 
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -12,7 +12,7 @@
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.coordination.shapes import shape_of
-from ambershift.system.messages import copies
+from ambershift.system.messages import (replication)
 from ambershift.system.settings.local import Local
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
 from ambershift.system.simulation.sockets import Connection
@@ -172,7 +172,7 @@
                 process.store.tick()
                 process.control_api.tick()
             elif isinstance(event, Heard):
-                copied = type(event.message).__module__ == copies.__name__
+                copied = type(event.message).__module__ == replication.__name__
                 (process.store if copied else process.control_api).hear(event.sender, event.message)
             elif isinstance(event, Written):
                 process.bottom.done(event.token, event.fault)
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -12,7 +12,7 @@
 from ambershift.system.control_api import application, applications, evacuations, watches
 from ambershift.system.coordination import groups, locks
 from ambershift.system.coordination.replies import Call, reply
-from ambershift.system.messages.copies import NEVER
+from ambershift.system.messages.replication import NEVER
 from ambershift.system.messages.items import Item
 from ambershift.system.simulation.cluster import Place
 from ambershift.system.steps import MS
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ambershift.system.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
-from ambershift.system.messages.copies import NEVER, Accept, Ask, Record
+from ambershift.system.messages.replication import NEVER, Accept, Ask, Record
 from ambershift.system.messages.items import Item
 
 
--- a/ambershift/system/simulation/scripts_cluster.py
+++ b/ambershift/system/simulation/scripts_cluster.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from ambershift.system.messages.copies import Merge, Share
+from ambershift.system.messages.replication import Merge, Share
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.cluster import Cluster
 from ambershift.system.simulation.judging import Judge
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -8,7 +8,7 @@
 from ambershift.system.consensus.outbox import Held
 from ambershift.system.contracts import NotDoneError, NotHeldError
 from ambershift.system.coordination import locks
-from ambershift.system.messages.copies import Accept, Share
+from ambershift.system.messages.replication import Accept, Share
 from ambershift.system.simulation.lists import Lists
 from ambershift.system.simulation.world import World
 
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -8,7 +8,7 @@
 from ambershift.system.consensus import contact, watching
 from ambershift.system.consensus.contact import NEVER_MS
 from ambershift.system.distribution import controller
-from ambershift.system.messages.copies import Beat
+from ambershift.system.messages.replication import Beat
 from ambershift.system.messages.fronts import Cores
 from ambershift.system.node_selection import choice
 from ambershift.system.simulation.variant import constant, of
--- a/benchmarks/capacity/agreement.py
+++ b/benchmarks/capacity/agreement.py
@@ -21,7 +21,7 @@
 )
 from ambershift.system.configuration.orders import Order, read_order
 from ambershift.system.messages import codec
-from ambershift.system.messages.copies import Accept
+from ambershift.system.messages.replication import Accept
 from ambershift.system.messages.items import Item, Key
 
 SIZES = (77, 770, 7_700)
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -14,7 +14,7 @@
 from ambershift.system.consensus.outbox import News
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import Verdict
-from ambershift.system.messages import codec, copies
+from ambershift.system.messages import (codec, replication)
 from ambershift.system.messages.items import ROUTE
 from ambershift.system.processes import control_node
 from ambershift.system.steps import MS, SECOND, Answer, Heard, Send, Tick, Write, Written
@@ -108,13 +108,13 @@
 
 def play(size: Size) -> Found:
     found: Found = {}
-    call = elsewhere(lambda: [codec.encode(copies.Merge(1, 1, world.items(size)))])
+    call = elsewhere(lambda: [codec.encode(replication.Merge(1, 1, world.items(size)))])
     exchange = Exchange(size)
     before = megabytes()
 
     def all_items(_: int) -> None:
         merge = codec.decode(call.pop())
-        assert isinstance(merge, copies.Merge)
+        assert isinstance(merge, replication.Merge)
         exchange.called(Put(1, merge.items, 20.0))
 
     found["put of all items, all six|ms"] = micros(all_items, 1) / 1e3
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from ambershift.system.messages import codec, copies, forwarding, fronts, rounds
+from ambershift.system.messages import (codec, forwarding, fronts, rounds, replication)
 from ambershift.system.messages.items import INSTANCE, Item
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found
 from benchmarks.capacity.world import CONTROL_NODES, Size
 
-BALLOT: copies.Ballot = (1_700, 3_900_000_001)
+BALLOT: replication.Ballot = (1_700, 3_900_000_001)
 EPOCH, NUMBER = 3, 1_500_000_123
 
 
@@ -41,7 +41,7 @@
     item, core = world.changed(size, 7, 9), world.cores(size)
     ending = Item(INSTANCE, "i-00000007", (1, ""), b'{"Service":"service007","Address":"10.0.0.7:8080"}')
     machines = tuple(
-        copies.Machine(one.ip, one.zone, one.region, 1_234_567_890, 2, False, True) for one in core
+        replication.Machine(one.ip, one.zone, one.region, 1_234_567_890, 2, False, True) for one in core
     )
     members = tuple(machine.member for machine in machines)
     lives = tuple(world.lived(size, at) for at in range(0, size.backends, CONTROL_NODES))
@@ -52,29 +52,29 @@
     )
     value = b"v" * 300
     return {
-        "cm Merge, one route": copies.Merge(EPOCH, NUMBER, (item,)),
-        "cm Merge, an ending": copies.Merge(EPOCH, NUMBER, (ending,)),
-        "cm Merge, all items": copies.Merge(EPOCH, NUMBER, world.items(size)),
-        "cy Agreed": copies.Agreed(EPOCH, NUMBER),
-        "cr Refused": copies.Refused(EPOCH, NUMBER, 1_700),
-        "cb Beat": copies.Beat(EPOCH, 2**63 + 5, 2**31 + 5, ()),
-        "ck Knock": copies.Knock(machines[0], EPOCH, 2**31 + 5),
-        "cn Known": copies.Known(machines),
-        "cv Decision": copies.Decision(EPOCH, members, members),
-        "cp Prepare": copies.Prepare(EPOCH, NUMBER, "l/lock-0007", BALLOT, BALLOT),
-        "cq Promise, 300 bytes": copies.Promise(EPOCH, NUMBER, BALLOT, BALLOT, value),
-        "ca Accept, whole 300": copies.Accept(EPOCH, NUMBER, "l/lock-0007", BALLOT, None, None, value),
-        "ca Accept, difference 40": copies.Accept(
+        "cm Merge, one route": replication.Merge(EPOCH, NUMBER, (item,)),
+        "cm Merge, an ending": replication.Merge(EPOCH, NUMBER, (ending,)),
+        "cm Merge, all items": replication.Merge(EPOCH, NUMBER, world.items(size)),
+        "cy Agreed": replication.Agreed(EPOCH, NUMBER),
+        "cr Refused": replication.Refused(EPOCH, NUMBER, 1_700),
+        "cb Beat": replication.Beat(EPOCH, 2**63 + 5, 2**31 + 5, ()),
+        "ck Knock": replication.Knock(machines[0], EPOCH, 2**31 + 5),
+        "cn Known": replication.Known(machines),
+        "cv Decision": replication.Decision(EPOCH, members, members),
+        "cp Prepare": replication.Prepare(EPOCH, NUMBER, "l/lock-0007", BALLOT, BALLOT),
+        "cq Promise, 300 bytes": replication.Promise(EPOCH, NUMBER, BALLOT, BALLOT, value),
+        "ca Accept, whole 300": replication.Accept(EPOCH, NUMBER, "l/lock-0007", BALLOT, None, None, value),
+        "ca Accept, difference 40": replication.Accept(
             EPOCH, NUMBER, "l/lock-0007", BALLOT, None, BALLOT, value[:40]
         ),
-        "cl Lacking": copies.Lacking(EPOCH, NUMBER),
-        "ce Confirm": copies.Confirm(EPOCH, NUMBER, "l/lock-0007", BALLOT),
-        "cs Ask, short": copies.Ask(EPOCH, NUMBER, b"8" * 8, None),
-        "cs Ask, buckets": copies.Ask(EPOCH, NUMBER, b"8" * 512, None),
-        "cs Ask, 300 registers": copies.Ask(
+        "cl Lacking": replication.Lacking(EPOCH, NUMBER),
+        "ce Confirm": replication.Confirm(EPOCH, NUMBER, "l/lock-0007", BALLOT),
+        "cs Ask, short": replication.Ask(EPOCH, NUMBER, b"8" * 8, None),
+        "cs Ask, buckets": replication.Ask(EPOCH, NUMBER, b"8" * 512, None),
+        "cs Ask, 300 registers": replication.Ask(
             EPOCH, NUMBER, b"8" * 8, {f"l/lock-{at:04}": (BALLOT, BALLOT) for at in range(300)}
         ),
-        "ct Share, equal": copies.Share(EPOCH, NUMBER, 3, 1_234_567_890, 0, 1, False, (), ()),
+        "ct Share, equal": replication.Share(EPOCH, NUMBER, 3, 1_234_567_890, 0, 1, False, (), ()),
         "rp Pulse": rounds.Pulse(NUMBER, 400_000),
         "ra Ask": rounds.Ask(400_000),
         "rd Delta, one life": rounds.Delta(NUMBER, 7, 8, lives[:1], (), (), (), size.proxies),
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -18,7 +18,7 @@
 from ambershift.system.consensus.journal import Journal
 from ambershift.system.consensus.outbox import Held, Outbox
 from ambershift.system.consensus.store import Store
-from ambershift.system.messages.copies import Share
+from ambershift.system.messages.replication import Share
 from ambershift.system.messages.items import AGREED, ROUTE, Item
 from ambershift.system.simulation.world import World
 from ambershift.system.steps import MS, SECOND
--- a/tests/test_system_contact_proof.py
+++ b/tests/test_system_contact_proof.py
@@ -16,7 +16,7 @@
 )
 from ambershift.system.consensus.outbox import Outbox
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.messages.copies import COMPLETE, Ask, Beat, Share
+from ambershift.system.messages.replication import COMPLETE, Ask, Beat, Share
 from ambershift.system.simulation.world import World
 from ambershift.system.steps import MS, SECOND, Heard, Send, Tick
 
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -29,7 +29,7 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages import forgotten
-from ambershift.system.messages.copies import Merge, Share
+from ambershift.system.messages.replication import Merge, Share
 from ambershift.system.messages.forgotten import THE_FORGOTTEN, Forgotten, forgotten_of
 from ambershift.system.messages.fronts import Backends, Items
 from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -13,7 +13,7 @@
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.contracts import Verdict
 from ambershift.system.control_api.open_calls import OpenCalls
-from ambershift.system.messages.copies import Accept, Agreed, Prepare, Promise
+from ambershift.system.messages.replication import Accept, Agreed, Prepare, Promise
 from ambershift.system.messages.forwarding import Outcome
 from ambershift.system.steps import SECOND
 from tests.enquiring import TRIP, World, order, play
--- a/tests/test_system_membership.py
+++ b/tests/test_system_membership.py
@@ -10,7 +10,7 @@
 from ambershift.system.consensus.members import members_of
 from ambershift.system.consensus.membership_plan import FEWEST, VoterView, plan, tolerance
 from ambershift.system.consensus.outbox import Held
-from ambershift.system.messages.copies import Machine, Member
+from ambershift.system.messages.replication import Machine, Member
 from ambershift.system.simulation.lists import Lists
 from ambershift.system.simulation.loss_pairs import LOSSES, MOMENTS, Pair, play_pair
 from ambershift.system.simulation.world import Box
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -23,7 +23,7 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.consensus.sidefile import SideFile
 from ambershift.system.messages import codec
-from ambershift.system.messages.copies import Ask, Knock
+from ambershift.system.messages.replication import Ask, Knock
 from ambershift.system.messages.fronts import Backend, Backends, Cores, Items
 from ambershift.system.messages.items import INSTANCE, Item
 from ambershift.system.node_selection.choice import Choice
