--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -19,7 +19,7 @@
 from ambershift.system.consensus.outbox import Held, News
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import Change, NotDoneError, Shape
-from ambershift.system.messages.fronts import Core
+from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import SECOND, Answer, Heard, Log, Send, Tick, Wake, Write, Written
--- a/ambershift/system/consensus/watching.py
+++ b/ambershift/system/consensus/watching.py
@@ -14,7 +14,7 @@
 from ambershift.system.consensus.voters import Voters, holds
 from ambershift.system.messages import (replication)
 from ambershift.system.messages.replication import Beat, Knock, Known, Machine
-from ambershift.system.messages.fronts import Core
+from ambershift.system.messages.proxy_link import Core
 from ambershift.system.steps import MS
 
 BEAT = 300 * MS
--- a/ambershift/system/contracts.py
+++ b/ambershift/system/contracts.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.system.messages.fronts import Core
+from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key
 
 
--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -18,8 +18,8 @@
 from ambershift import interface as api
 from ambershift.policy import TableManager
 from ambershift.system.distribution.strain import CALM, Strain
-from ambershift.system.messages.fronts import Bind, Line
-from ambershift.system.messages.fronts import Met as Told
+from ambershift.system.messages.proxy_link import Bind, Line
+from ambershift.system.messages.proxy_link import Met as Told
 from ambershift.system.steps import MS
 
 DEALT_ON_LIST, DEALT_WHILE_BUSY, DEALT_AT_REST = 100 * MS, 250 * MS, 1000 * MS
--- a/ambershift/system/distribution/flows.py
+++ b/ambershift/system/distribution/flows.py
@@ -5,7 +5,7 @@
 from collections import defaultdict, deque
 from collections.abc import Collection
 
-from ambershift.system.messages.fronts import tally_parts
+from ambershift.system.messages.proxy_link import tally_parts
 from ambershift.system.messages.rounds import Flow
 from ambershift.system.steps import SECOND
 
--- a/ambershift/system/distribution/pools.py
+++ b/ambershift/system/distribution/pools.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.system.messages.fronts import pool_of
+from ambershift.system.messages.proxy_link import pool_of
 from ambershift.system.messages.items import ROUTE, Item
 
 USUAL_MS = 500
--- a/ambershift/system/node_selection/choice.py
+++ b/ambershift/system/node_selection/choice.py
@@ -25,7 +25,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ambershift.system.messages.fronts import Core, Cores
+from ambershift.system.messages.proxy_link import Core, Cores
 from ambershift.system.settings.local import Bounds
 from ambershift.system.steps import MS, SECOND
 
--- a/ambershift/system/processes/asking.py
+++ b/ambershift/system/processes/asking.py
@@ -8,7 +8,7 @@
 
 from websockets.asyncio.connection import Connection
 
-from ambershift.system.messages.fronts import Cores
+from ambershift.system.messages.proxy_link import Cores
 from ambershift.system.node_selection.choice import BESIDE_S
 
 
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -13,7 +13,7 @@
 from websockets.exceptions import ConnectionClosed
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.fronts import Bind, Cores, Hello, Items, Report
+from ambershift.system.messages.proxy_link import Bind, Cores, Hello, Items, Report
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
 from ambershift.system.node_selection.choice import RESERVE_S, SIGN_S, WIDTH, Choice, current_for
 from ambershift.system.processes.asking import Answered, Asked, let_go
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -14,7 +14,7 @@
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.coordination.shapes import shape_of
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.messages import (forwarding, fronts, rounds, replication)
+from ambershift.system.messages import (forwarding, rounds, replication, proxy_link)
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
 from ambershift.system.processes.logs import Journal
 from ambershift.system.processes.metrics import CONTROL_PORT, PORT_TAKEN, Figure, WithMetrics
@@ -164,7 +164,7 @@
     def dispatch(self, caller: Caller, message: msgspec.Struct) -> None:
         owner = type(message).__module__
         if caller.kind == PROXY:
-            if owner == fronts.__name__:
+            if owner == proxy_link.__name__:
                 self.controller.hear_proxy(caller.name, message)
         elif owner == replication.__name__:
             self.ledger.hear(caller.name, message)
--- a/ambershift/system/processes/places.py
+++ b/ambershift/system/processes/places.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from ambershift.system.messages.fronts import Bind, Report
+from ambershift.system.messages.proxy_link import Bind, Report
 
 REPORTS = 10  # A line in the log for so many reports.
 
--- a/ambershift/system/proxy/backend_view.py
+++ b/ambershift/system/proxy/backend_view.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from itertools import accumulate
 
-from ambershift.system.messages.fronts import Backend, Backends, Bind, Line, pool_parts
+from ambershift.system.messages.proxy_link import Backend, Backends, Bind, Line, pool_parts
 from ambershift.system.proxy.lives import COLD_MORE, DOUBT, Life, life_of
 from ambershift.system.steps import MS, SECOND
 
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -9,7 +9,7 @@
 
 import httpcore
 
-from ambershift.system.messages.fronts import pool_of
+from ambershift.system.messages.proxy_link import pool_of
 from ambershift.system.proxy.backend_view import Pool
 from ambershift.system.proxy.course import Course
 from ambershift.system.proxy.headers import Headers, read_request
--- a/ambershift/system/proxy/lives.py
+++ b/ambershift/system/proxy/lives.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from ambershift.system.messages.fronts import Backend
+from ambershift.system.messages.proxy_link import Backend
 from ambershift.system.steps import MS, SECOND
 
 # A told load counts for so long, ns.
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -17,7 +17,7 @@
     Forgotten,
     forgotten_of,
 )
-from ambershift.system.messages.fronts import tally_of
+from ambershift.system.messages.proxy_link import tally_of
 from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.proxy.limits import Limits, read_limits
 from ambershift.system.steps import MS
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ambershift.system.messages import fronts, items
+from ambershift.system.messages import (items, proxy_link)
 from ambershift.system.proxy.handling import Handling, Receive, Send, answer
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.state import ProxyState
@@ -41,23 +41,23 @@
         """Take in a message from the control node; returns the replies."""
         now = self.steady()
         match message:
-            case fronts.Items():
+            case proxy_link.Items():
                 self._merge(now, message)
-            case fronts.Backends():
+            case proxy_link.Backends():
                 for life in self.backend_view.take(now, message):
                     self.connections.drop(life)
                 self._share_room(self.backend_view.lives[one.id] for one in message.put)
-            case fronts.Line():
+            case proxy_link.Line():
                 self.backend_view.line(message)
-            case fronts.Bind():
+            case proxy_link.Bind():
                 self.backend_view.bind(message)
-            case fronts.Withdraw():
+            case proxy_link.Withdraw():
                 self.backend_view.withdraw(message.id, message.out)
-            case fronts.Cores():
+            case proxy_link.Cores():
                 if message.proxies != self.proxies:
                     self.proxies = max(1, message.proxies)
                     self._share_room(self.backend_view.lives.values())
-            case fronts.Mark():
+            case proxy_link.Mark():
                 return [message]
         return []
 
@@ -68,8 +68,8 @@
     def unlinked(self) -> None:
         """The link was lost: the proxy serves on with what it knows."""
 
-    def hello(self) -> fronts.Hello:
-        return fronts.Hello(
+    def hello(self) -> proxy_link.Hello:
+        return proxy_link.Hello(
             self.settings.name,
             self._life,
             self.settings.zone,
@@ -78,17 +78,17 @@
             self.leaving,
         )
 
-    def report(self, now: int) -> fronts.Report:
+    def report(self, now: int) -> proxy_link.Report:
         """What came and was met since the last call."""
         span, self._reported = (now - self._reported) // MS, now
-        met = list[fronts.Met]()
+        met = list[proxy_link.Met]()
         for life in self.backend_view.lives.values():
             if life.tries:
-                met.append(fronts.Met(life.id, life.tries, life.bad, life.spent // life.tries // MS))
+                met.append(proxy_link.Met(life.id, life.tries, life.bad, life.spent // life.tries // MS))
                 life.tries = life.bad = life.spent = 0
         came, self.came = self.came, {}
         self.connections.sweep()
-        return fronts.Report(span, came, tuple(met))
+        return proxy_link.Report(span, came, tuple(met))
 
     def leave(self) -> None:
         """From now on each answer asks the client to close, and the proxy is not ready."""
@@ -114,7 +114,7 @@
         finally:
             self.admission.flying -= 1
 
-    def _merge(self, now: int, message: fronts.Items) -> None:
+    def _merge(self, now: int, message: proxy_link.Items) -> None:
         for item in self.routing.merge(message.items):
             if item.kind == items.ZONE:
                 if item.body == b"true":
--- a/ambershift/system/registry/events.py
+++ b/ambershift/system/registry/events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ambershift.system.messages.fronts import Hello
+from ambershift.system.messages.proxy_link import Hello
 from ambershift.system.messages.rounds import Flow
 from ambershift.system.registry.beats import Beat
 from ambershift.system.registry.records import Life
--- a/ambershift/system/registry/homes.py
+++ b/ambershift/system/registry/homes.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 from collections.abc import Mapping
 
-from ambershift.system.messages.fronts import tally_parts
+from ambershift.system.messages.proxy_link import tally_parts
 
 # Of a host's requests, the part that homes elsewhere must have before its clients are sent there, and under
 # which they are not any more: a client far from its proxy waits longer for what could be answered near it.
--- a/ambershift/system/registry/proxies.py
+++ b/ambershift/system/registry/proxies.py
@@ -5,7 +5,7 @@
 from collections.abc import Container, Iterable, Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from ambershift.system.messages.fronts import Hello
+from ambershift.system.messages.proxy_link import Hello
 from ambershift.system.registry.records import ProxyRecord
 from ambershift.system.steps import MS
 
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ambershift.system.contracts import Ledger
-from ambershift.system.messages.fronts import Backend, Hello
+from ambershift.system.messages.proxy_link import Backend, Hello
 from ambershift.system.messages.items import CLEARED, INSTANCE, Item, cleared_by
 from ambershift.system.messages.rounds import Ask, Delta, Flow, Pulse
 from ambershift.system.registry.beats import BeatError, check_id, read_beat
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -9,7 +9,7 @@
 from ambershift.system.consensus.contact import NEVER_MS
 from ambershift.system.distribution import controller
 from ambershift.system.messages.replication import Beat
-from ambershift.system.messages.fronts import Cores
+from ambershift.system.messages.proxy_link import Cores
 from ambershift.system.node_selection import choice
 from ambershift.system.simulation.variant import constant, of
 
--- a/ambershift/system/testbed/hollow.py
+++ b/ambershift/system/testbed/hollow.py
@@ -16,7 +16,7 @@
 from websockets.exceptions import ConnectionClosed
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.fronts import Core, Hello, Items, Mark, Met, Report, pool_of
+from ambershift.system.messages.proxy_link import Core, Hello, Items, Mark, Met, Report, pool_of
 from ambershift.system.node_selection.choice import Choice
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import NotMetError, Rig, until
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -13,7 +13,7 @@
 
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import codec
-from ambershift.system.messages.fronts import Backends, Hello, Items, Mark
+from ambershift.system.messages.proxy_link import Backends, Hello, Items, Mark
 from ambershift.system.processes import control_node
 from ambershift.system.steps import SECOND
 from benchmarks.capacity import world
--- a/benchmarks/capacity/links.py
+++ b/benchmarks/capacity/links.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from pathlib import Path
 
-from ambershift.system.messages.fronts import pool_of
+from ambershift.system.messages.proxy_link import pool_of
 from ambershift.system.testbed.hollow import DIALS_AT_ONCE, HollowDesk
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import Rig, until
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ambershift.system.messages import (codec, forwarding, fronts, rounds, replication)
+from ambershift.system.messages import (codec, forwarding, rounds, replication, proxy_link)
 from ambershift.system.messages.items import INSTANCE, Item
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found
@@ -20,19 +20,19 @@
     whole = tuple(world.backend(size, at) for at in range(size.backends))
     return {
         "fh Hello": world.hello(size, 7),
-        "fc Cores": fronts.Cores(world.cores(size), True, size.proxies),
-        "fi Items, whole": fronts.Items(world.items(size), False),
-        "fi Items, one route": fronts.Items((world.changed(size, 7, 9),), False),
-        "fb Backends, whole": fronts.Backends(whole, (), True),
-        "fb Backends, one new": fronts.Backends(whole[:1], (), False),
-        "fb Backends, one gone": fronts.Backends((), (whole[0].id,), False),
-        "fb Backends, a zone new": fronts.Backends(
+        "fc Cores": proxy_link.Cores(world.cores(size), True, size.proxies),
+        "fi Items, whole": proxy_link.Items(world.items(size), False),
+        "fi Items, one route": proxy_link.Items((world.changed(size, 7, 9),), False),
+        "fb Backends, whole": proxy_link.Backends(whole, (), True),
+        "fb Backends, one new": proxy_link.Backends(whole[:1], (), False),
+        "fb Backends, one gone": proxy_link.Backends((), (whole[0].id,), False),
+        "fb Backends, a zone new": proxy_link.Backends(
             tuple(one for one in whole if one.zone == size.names[0]), (), False
         ),
-        "fl Line": fronts.Line("service007", 111, whole[0].id, 6.0),
+        "fl Line": proxy_link.Line("service007", 111, whole[0].id, 6.0),
         "fd Bind": world.bind(size, 1),
-        "fw Withdraw": fronts.Withdraw(whole[0].id, True),
-        "fm Mark": fronts.Mark(NUMBER),
+        "fw Withdraw": proxy_link.Withdraw(whole[0].id, True),
+        "fm Mark": proxy_link.Mark(NUMBER),
         "fr Report, 95 requests": world.report(size),
     }
 
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from ambershift.system.control_api.application import ControlApi
-from ambershift.system.messages import fronts
+from ambershift.system.messages import (proxy_link)
 from ambershift.system.processes.serving import listener, served
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.registry.registry import Registry
@@ -51,13 +51,13 @@
 async def proxy(size: Size, address: str, backend: str) -> None:
     """All items and backends of the size; those of the first service are at one address."""
     made = ProxyServer(world.local(size), time.monotonic_ns, random.Random(1))
-    made.hear(fronts.Cores(world.cores(size), True, 1))
-    made.hear(fronts.Items(world.items(size), True))
+    made.hear(proxy_link.Cores(world.cores(size), True, 1))
+    made.hear(proxy_link.Items(world.items(size), True))
     lives = [world.backend(size, at) for at in range(size.backends)]
     made.hear(
-        fronts.Backends(
+        proxy_link.Backends(
             tuple(
-                fronts.Backend(
+                proxy_link.Backend(
                     one.id,
                     one.service,
                     backend if one.service == world.service(0) else one.address,
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ambershift.system.messages import codec, fronts
+from ambershift.system.messages import (codec, proxy_link)
 from ambershift.system.messages.items import Item
 from ambershift.system.proxy.routing import Routing
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
@@ -29,7 +29,7 @@
 def told(size: Size) -> list[bytes]:
     return [
         codec.encode(
-            fronts.Items(tuple(item(at) for at in range(first, min(first + PART, size.tenants))), False)
+            proxy_link.Items(tuple(item(at) for at in range(first, min(first + PART, size.tenants))), False)
         )
         for first in range(0, size.tenants, PART)
     ]
@@ -43,7 +43,7 @@
 
     def hear(at: int) -> None:
         message = codec.decode(data[at])
-        assert isinstance(message, fronts.Items)
+        assert isinstance(message, proxy_link.Items)
         routing.merge(message.items)
 
     found["as items: hear all|ms"] = micros(hear, len(data)) * len(data) / 1e3
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.configuration.orders import read_order
 from ambershift.system.contracts import Change
-from ambershift.system.messages import fronts, rounds
+from ambershift.system.messages import (rounds, proxy_link)
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.testbed.book import Route, limits_part, routes_part, services_part
@@ -83,8 +83,8 @@
     return read_order(msgspec.json.encode(call)).items[0]
 
 
-def backend(size: Size, at: int, draining: bool = False) -> fronts.Backend:
-    return fronts.Backend(
+def backend(size: Size, at: int, draining: bool = False) -> proxy_link.Backend:
+    return proxy_link.Backend(
         f"i-{at:08x}",
         service(at % size.services),
         f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:8080",
@@ -120,8 +120,8 @@
     return f"front-{at:05}"
 
 
-def hello(size: Size, at: int, ready: bool = True) -> fronts.Hello:
-    return fronts.Hello(
+def hello(size: Size, at: int, ready: bool = True) -> proxy_link.Hello:
+    return proxy_link.Hello(
         proxy_name(at),
         f"{at:016x}",
         size.names[at % size.zones],
@@ -136,29 +136,29 @@
     return rounds.Attached(one.name, one.life, one.zone, one.address, True, False, 5_000_000)
 
 
-def bind(size: Size, at: int) -> fronts.Bind:
+def bind(size: Size, at: int) -> proxy_link.Bind:
     """A service's all-servers table."""
     lines = tuple((backend(size, one).id, 6.0) for one in range(at, size.backends, size.services))
-    return fronts.Bind(service(at), 111, lines)
+    return proxy_link.Bind(service(at), 111, lines)
 
 
-def report(size: Size, requests: int = 95) -> fronts.Report:
+def report(size: Size, requests: int = 95) -> proxy_link.Report:
     """A second of a proxy: so many requests, each to a service and a backend in turn."""
     came = {
         service(at % size.services): 1 + (requests - 1 - at) // size.services
         for at in range(min(requests, size.services))
     }
-    return fronts.Report(
+    return proxy_link.Report(
         1000,
         came,
-        tuple(fronts.Met(backend(size, at).id, 1, 0, 120) for at in range(min(requests, size.backends))),
+        tuple(proxy_link.Met(backend(size, at).id, 1, 0, 120) for at in range(min(requests, size.backends))),
     )
 
 
-def cores(size: Size) -> tuple[fronts.Core, ...]:
+def cores(size: Size) -> tuple[proxy_link.Core, ...]:
     places = size.places
     return tuple(
-        fronts.Core(f"10.128.0.{at + 1}", size.names[at], places[size.names[at]])
+        proxy_link.Core(f"10.128.0.{at + 1}", size.names[at], places[size.names[at]])
         for at in range(CONTROL_NODES)
     )
 
@@ -211,7 +211,7 @@
     async def change(self, register: str, change: Change, within: float) -> Any:
         raise NotImplementedError
 
-    def cores(self) -> Sequence[fronts.Core]:
+    def cores(self) -> Sequence[proxy_link.Core]:
         return self.found
 
     def contact_age_ms(self) -> int:
--- a/benchmarks/configuration_age.py
+++ b/benchmarks/configuration_age.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from ambershift.modelcheck.mutants.words import broken
-from ambershift.system.messages import codec, fronts
+from ambershift.system.messages import (codec, proxy_link)
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.fleet import Fleet
 from ambershift.system.simulation.fleet_history import Judge, Storm
@@ -82,8 +82,8 @@
 
 def signs() -> str:
     """What a sign takes on a link, in bytes without its frame."""
-    cores = tuple(fronts.Core(f"10.{at}.0.20", f"szolnok-{at}", "szolnok") for at in range(NODES))
-    whole, short = (len(codec.encode(fronts.Cores(some, True, 70, 300))) for some in (cores, ()))
+    cores = tuple(proxy_link.Core(f"10.{at}.0.20", f"szolnok-{at}", "szolnok") for at in range(NODES))
+    whole, short = (len(codec.encode(proxy_link.Cores(some, True, 70, 300))) for some in (cores, ()))
     return f"a sign: {short} bytes, with the list of {NODES} control nodes {whole}"
 
 
--- a/tests/circulated.py
+++ b/tests/circulated.py
@@ -12,7 +12,7 @@
 import msgspec
 import uvicorn
 
-from ambershift.system.messages.fronts import Backend, Backends, Cores, Items
+from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
 from ambershift.system.messages.items import ROUTE, SERVICE, Item
 from ambershift.system.proxy.intake import Intake
 from ambershift.system.proxy.server import ProxyServer
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -13,7 +13,7 @@
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.control_api.proposers import rank
 from ambershift.system.messages.codec import decode, encode
-from ambershift.system.messages.fronts import Core
+from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.steps import SECOND
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -12,7 +12,7 @@
 
 from ambershift.system.contracts import NotHeldError
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.messages import codec, fronts
+from ambershift.system.messages import (codec, proxy_link)
 from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by, newest
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Bounds, Local
@@ -64,8 +64,8 @@
     def listen(self, heard: Callable[..., None]) -> None:
         self.hearers.append(heard)
 
-    def cores(self) -> list[fronts.Core]:
-        return [fronts.Core(ip, zone, ZONES[zone]) for ip, zone in self.world.zones.items()]
+    def cores(self) -> list[proxy_link.Core]:
+        return [proxy_link.Core(ip, zone, ZONES[zone]) for ip, zone in self.world.zones.items()]
 
     def settled(self) -> frozenset[str]:
         return frozenset(core.ip for core in self.cores() if self.lately(core.ip))
@@ -181,7 +181,7 @@
     ) -> list[msgspec.Struct]:
         """A proxy says Hello on a link to a control node. Returns what it will have been sent."""
         self.proxies[name] = ip, rates
-        hello = fronts.Hello(name, "x", zone, f"{name}:80", ready, leaving)
+        hello = proxy_link.Hello(name, "x", zone, f"{name}:80", ready, leaving)
         sent = self.nodes[ip].sent.setdefault(name, [])
         self.nodes[ip].controller.hear_proxy(name, hello)
         return sent
@@ -195,11 +195,11 @@
             if ip not in self.down | self.frozen:
                 hear = self.nodes[ip].controller.hear_proxy
                 for one in list(self.nodes[ip].sent.get(name, ())):
-                    if isinstance(one, fronts.Mark):
+                    if isinstance(one, proxy_link.Mark):
                         hear(name, one)
                 if self.now % SECOND == 0:
-                    met = tuple(fronts.Met(id, 20, 0, self.mean_ms) for id in list(self.beating)[:1])
-                    hear(name, fronts.Report(1000, rates, met if self.mean_ms else ()))
+                    met = tuple(proxy_link.Met(id, 20, 0, self.mean_ms) for id in list(self.beating)[:1])
+                    hear(name, proxy_link.Report(1000, rates, met if self.mean_ms else ()))
 
     async def run(self, seconds: float) -> None:
         until = self.now + int(seconds * SECOND)
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -14,7 +14,7 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.consensus.store import row_key
 from ambershift.system.distribution.pushes import Pushes
-from ambershift.system.messages.fronts import Backends
+from ambershift.system.messages.proxy_link import Backends
 from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.registry import clearing, listing, machine
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -31,7 +31,7 @@
 from ambershift.system.messages import forgotten
 from ambershift.system.messages.replication import Merge, Share
 from ambershift.system.messages.forgotten import THE_FORGOTTEN, Forgotten, forgotten_of
-from ambershift.system.messages.fronts import Backends, Items
+from ambershift.system.messages.proxy_link import Backends, Items
 from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
 from ambershift.system.node_selection.choice import Choice
 from ambershift.system.processes.attachment import Attachment
--- a/tests/test_system_limits.py
+++ b/tests/test_system_limits.py
@@ -7,7 +7,7 @@
 import pytest
 from circulated import PLAIN, Rig, answer, run
 
-from ambershift.system.messages.fronts import Items
+from ambershift.system.messages.proxy_link import Items
 from ambershift.system.messages.items import LIMITS, Item
 from ambershift.system.processes.serving import Served
 from ambershift.system.proxy.intake import _unread
--- a/tests/test_system_meter.py
+++ b/tests/test_system_meter.py
@@ -6,7 +6,7 @@
 import contextlib
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.fronts import Items, Mark
+from ambershift.system.messages.proxy_link import Items, Mark
 from ambershift.system.transport.meter import TOLD_EACH, Meter, frame, reach
 from ambershift.system.transport.outbox import Outbox
 
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from ambershift.system.messages.fronts import Cores, Items
+from ambershift.system.messages.proxy_link import Cores, Items
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.node_selection.choice import Choice
 from ambershift.system.processes.attachment import Attachment
--- a/tests/test_system_proxy_endings.py
+++ b/tests/test_system_proxy_endings.py
@@ -9,7 +9,7 @@
 import pytest
 from circulated import SERVICES, Rig, Script, answer, route, run
 
-from ambershift.system.messages.fronts import Items
+from ambershift.system.messages.proxy_link import Items
 
 WANTED = b"read"
 
--- a/tests/test_system_proxy_path.py
+++ b/tests/test_system_proxy_path.py
@@ -8,7 +8,7 @@
 import pytest
 from circulated import SERVICES, Rig, answer, backend, route, run
 
-from ambershift.system.messages.fronts import Backends, Items
+from ambershift.system.messages.proxy_link import Backends, Items
 from ambershift.system.messages.items import INSTANCE, Item
 
 
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -24,7 +24,7 @@
 from ambershift.system.consensus.sidefile import SideFile
 from ambershift.system.messages import codec
 from ambershift.system.messages.replication import Ask, Knock
-from ambershift.system.messages.fronts import Backend, Backends, Cores, Items
+from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
 from ambershift.system.messages.items import INSTANCE, Item
 from ambershift.system.node_selection.choice import Choice
 from ambershift.system.processes import asking, attachment
--- a/tests/test_system_registry.py
+++ b/tests/test_system_registry.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 from system_exchange import SECOND, World
 
-from ambershift.system.messages.fronts import Items
+from ambershift.system.messages.proxy_link import Items
 
 Play = Callable[[World], Coroutine[Any, Any, None]]
 
--- a/tests/test_system_transport.py
+++ b/tests/test_system_transport.py
@@ -13,7 +13,7 @@
 from websockets.exceptions import InvalidStatus
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.fronts import Core, Cores, Hello, Mark
+from ambershift.system.messages.proxy_link import Core, Cores, Hello, Mark
 from ambershift.system.node_selection.choice import (
     NEARER,
     NEWER,
