--- a/ambershift/system/distribution/flows.py
+++ b/ambershift/system/distribution/flows.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection
 
 from ambershift.system.messages.proxy_link import tally_parts
-from ambershift.system.messages.rounds import Flow
+from ambershift.system.messages.registry_sync import Flow
 from ambershift.system.steps import SECOND
 
 WINDOW, TOLD_EACH, MOVED = 15 * SECOND, 2 * SECOND, 0.1
--- a/ambershift/system/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ambershift.system.messages import (forwarding, rounds, replication, proxy_link)
+from ambershift.system.messages import (forwarding, replication, proxy_link, registry_sync)
 
 WIRE = 2  # Told in the path of each link; another number is another program's and refused.
 MESSAGE_MOST = 16 << 20
@@ -35,7 +35,7 @@
     """All tagged structs of the modules of messages, found by their tag so that none is forgotten."""
     return tuple(
         one
-        for module in (replication, forwarding, proxy_link, rounds)
+        for module in (replication, forwarding, proxy_link, registry_sync)
         for one in vars(module).values()
         if isinstance(one, type)
         and issubclass(one, msgspec.Struct)
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -14,7 +14,7 @@
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.coordination.shapes import shape_of
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.messages import (forwarding, rounds, replication, proxy_link)
+from ambershift.system.messages import (forwarding, replication, proxy_link, registry_sync)
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
 from ambershift.system.processes.logs import Journal
 from ambershift.system.processes.metrics import CONTROL_PORT, PORT_TAKEN, Figure, WithMetrics
@@ -170,7 +170,7 @@
             self.ledger.hear(caller.name, message)
         elif owner == forwarding.__name__:
             self.control_api.hear(caller.name, message)
-        elif owner == rounds.__name__:
+        elif owner == registry_sync.__name__:
             self.registry.hear_core(caller.name, message)
             self.controller.hear_core(caller.name, message)
 
--- a/ambershift/system/registry/exchange.py
+++ b/ambershift/system/registry/exchange.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ambershift.system.messages.rounds import Ask, Delta, Pulse
+from ambershift.system.messages.registry_sync import Ask, Delta, Pulse
 from ambershift.system.registry.records import Record, Records, pack, unpack
 from ambershift.system.steps import MS, Send
 
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.messages import codec, rounds
+from ambershift.system.messages import (codec, registry_sync)
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.registry.registry import Registry
@@ -95,7 +95,7 @@
         process = self.processes[box.ip]
         registry, controller = self.controllers[box.ip]
         with process.loop.current():
-            if isinstance(event, Heard) and type(event.message).__module__ == rounds.__name__:
+            if isinstance(event, Heard) and type(event.message).__module__ == registry_sync.__name__:
                 registry.hear_core(event.sender, event.message)
                 controller.hear_core(event.sender, event.message)
                 return
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.distribution.flows import Flows
-from ambershift.system.messages import codec, rounds
+from ambershift.system.messages import (codec, registry_sync)
 from ambershift.system.messages.proxy_link import Report
 from ambershift.system.processes import control_node  # All that a control node's process imports counts.
 from ambershift.system.registry.registry import Registry
@@ -64,14 +64,14 @@
         size, mine = self.size, range(peer, self.size.backends, CONTROL_NODES)
         zones = size.names[peer::CONTROL_NODES] if flows else []
         return codec.encode(
-            rounds.Delta(
+            registry_sync.Delta(
                 9,
                 -1,
                 8,
                 tuple(world.lived(size, at) for at in mine),
                 tuple(world.attached(size, at) for at in range(peer, size.proxies, CONTROL_NODES)),
                 tuple(
-                    rounds.Flow(zone, world.service(at), 12_345)
+                    registry_sync.Flow(zone, world.service(at), 12_345)
                     for zone in zones
                     for at in range(size.services)
                 ),
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.configuration.orders import read_order
 from ambershift.system.contracts import Change
-from ambershift.system.messages import (rounds, proxy_link)
+from ambershift.system.messages import (proxy_link, registry_sync)
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.testbed.book import Route, limits_part, routes_part, services_part
@@ -95,9 +95,9 @@
     )
 
 
-def lived(size: Size, at: int) -> rounds.Lived:
+def lived(size: Size, at: int) -> registry_sync.Lived:
     one = backend(size, at)
-    return rounds.Lived(one.id, one.service, one.address, one.zone, one.slots, 4000, False, 0, 5_000_000)
+    return registry_sync.Lived(one.id, one.service, one.address, one.zone, one.slots, 4000, False, 0, 5_000_000)
 
 
 def beat(size: Size, at: int, sequence: int, state: str = "ready") -> bytes:
@@ -131,9 +131,9 @@
     )
 
 
-def attached(size: Size, at: int) -> rounds.Attached:
+def attached(size: Size, at: int) -> registry_sync.Attached:
     one = hello(size, at)
-    return rounds.Attached(one.name, one.life, one.zone, one.address, True, False, 5_000_000)
+    return registry_sync.Attached(one.name, one.life, one.zone, one.address, True, False, 5_000_000)
 
 
 def bind(size: Size, at: int) -> proxy_link.Bind:
