--- a/ambershift/system/configuration/agreement.py
+++ b/ambershift/system/configuration/agreement.py
@@ -20,7 +20,7 @@
 from ambershift.system.configuration.faults import Fault
 from ambershift.system.configuration.orders import Order, same_content
 from ambershift.system.contracts import Verdict
-from ambershift.system.messages.forgotten import THE_FORGOTTEN, forgotten_of
+from ambershift.system.messages.tombstones import THE_FORGOTTEN, forgotten_of
 from ambershift.system.messages.items import AGREED, Item, Key
 
 REGISTER = "configuration"
@@ -102,7 +102,7 @@
 @dataclass(frozen=True, slots=True)
 class BelowFloor:
     """Not judged, and nothing written: these, or services that they name, may be new or wrong, or dropped so
-    long ago that all have forgotten it (`messages/forgotten.py`). One who asks again, long after it was
+    long ago that all have forgotten it (`messages/tombstones.py`). One who asks again, long after it was
     acknowledged, must not be refused; and what is wrong must not be acknowledged."""
 
     items: tuple[Item, ...]
--- a/ambershift/system/consensus/forgetting.py
+++ b/ambershift/system/consensus/forgetting.py
@@ -24,7 +24,7 @@
 from ambershift.system.consensus.watching import Watching
 from ambershift.system.consensus.writing import Writing
 from ambershift.system.contracts import Verdict
-from ambershift.system.messages.forgotten import NOTHING_FORGOTTEN, Forgotten
+from ambershift.system.messages.tombstones import NOTHING_FORGOTTEN, Forgotten
 from ambershift.system.messages.items import Item
 from ambershift.system.steps import SECOND
 
--- a/ambershift/system/consensus/store.py
+++ b/ambershift/system/consensus/store.py
@@ -9,7 +9,7 @@
 from ambershift.system.consensus.digests import Buckets
 from ambershift.system.consensus.journal import Journal
 from ambershift.system.consensus.outbox import Outbox
-from ambershift.system.messages.forgotten import (
+from ambershift.system.messages.tombstones import (
     CONFIGURATION,
     FORGOTTEN,
     THE_FORGOTTEN,
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -14,7 +14,7 @@
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.distribution.pool_loads import FED_EACH, PoolLoads
 from ambershift.system.distribution.pushes import Pushes
-from ambershift.system.messages.forgotten import FORGOTTEN
+from ambershift.system.messages.tombstones import FORGOTTEN
 from ambershift.system.messages.proxy_link import (
     Backend,
     Backends,
--- a/ambershift/system/messages/replication.py
+++ b/ambershift/system/messages/replication.py
@@ -80,7 +80,7 @@
 
 
 class Merge(msgspec.Struct, frozen=True, array_like=True, tag="cm"):
-    """Merge these, sync, and answer `Agreed`. `batch`: the last one of `messages/forgotten.py` that the
+    """Merge these, sync, and answer `Agreed`. `batch`: the last one of `messages/tombstones.py` that the
     sender knows."""
 
     epoch: int
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.messages import items as kinds
-from ambershift.system.messages.forgotten import (
+from ambershift.system.messages.tombstones import (
     CONFIGURATION,
     FORGOTTEN,
     NOTHING_FORGOTTEN,
--- a/ambershift/system/simulation/forgetting_soon.py
+++ b/ambershift/system/simulation/forgetting_soon.py
@@ -7,7 +7,7 @@
 from unittest.mock import patch
 
 from ambershift.system.consensus import forgetting
-from ambershift.system.messages import forgotten
+from ambershift.system.messages import (tombstones)
 from ambershift.system.steps import MS
 
 
@@ -18,6 +18,6 @@
         patch.object(forgetting, "KEPT", 0),
         patch.object(forgetting, "BATCH", 1),
         patch.object(forgetting, "EVERY", 300 * MS),
-        patch.object(forgotten, "LISTED", 2),
+        patch.object(tombstones, "LISTED", 2),
     ):
         yield
--- a/ambershift/system/simulation/readers.py
+++ b/ambershift/system/simulation/readers.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.system.contracts import NotHeldError
-from ambershift.system.messages.forgotten import CONFIGURATION
+from ambershift.system.messages.tombstones import CONFIGURATION
 from ambershift.system.messages.items import ZONE, Item, Key
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.cluster import ZONES, Process
--- a/ambershift/system/simulation/variants_forgetting.py
+++ b/ambershift/system/simulation/variants_forgetting.py
@@ -7,7 +7,7 @@
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.configuration import orders
 from ambershift.system.consensus import replica, store, syncing, writing
-from ambershift.system.messages import forgotten
+from ambershift.system.messages import (tombstones)
 from ambershift.system.simulation.variant import constant, of
 
 
@@ -27,7 +27,7 @@
 
 
 def never_replaced(real: Any) -> Any:
-    def forget(self: store.Store, by: forgotten.Forgotten) -> None:
+    def forget(self: store.Store, by: tombstones.Forgotten) -> None:
         self.forgotten = by  # As if it had known the batch before.
         real(self, by)
 
@@ -44,7 +44,7 @@
 
 def without_the_batch_before(real: Any) -> Any:
     def put(self: writing.Writing, items: Any, deadline: int, done: Any, on_all: bool = False) -> None:
-        some = [one for one in items if not on_all or one.key != forgotten.THE_FORGOTTEN]
+        some = [one for one in items if not on_all or one.key != tombstones.THE_FORGOTTEN]
         real(self, some, deadline, done, on_all)
 
     return put
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -28,9 +28,9 @@
 from ambershift.system.consensus.outbox import Held
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
-from ambershift.system.messages import forgotten
+from ambershift.system.messages import (tombstones)
 from ambershift.system.messages.replication import Merge, Share
-from ambershift.system.messages.forgotten import THE_FORGOTTEN, Forgotten, forgotten_of
+from ambershift.system.messages.tombstones import THE_FORGOTTEN, Forgotten, forgotten_of
 from ambershift.system.messages.proxy_link import Backends, Items
 from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
 from ambershift.system.node_selection.choice import Choice
@@ -61,7 +61,7 @@
 
 
 def test_batches_are_listed_whole_and_the_last_two_in_any_case(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(forgotten, "LISTED", 3)
+    monkeypatch.setattr(tombstones, "LISTED", 3)
     told = Forgotten()
     assert told.enough == 0 and forgotten_of(None) == told
     for number in range(1, 6):
@@ -78,7 +78,7 @@
     told, all_told = Forgotten(), [Forgotten()]
     drops: list[list[Key]] = [[]]
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(forgotten, "LISTED", listed)
+        patch.setattr(tombstones, "LISTED", listed)
         for number, size in enumerate(sizes, 1):
             some = [drop(f"{number}-{at}", number) for at in range(size)]
             told = told.after(some)
