--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ambershift.system.consensus.acceptor import Acceptor
-from ambershift.system.consensus.contact import Contact
+from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.events import Event, Freshen, Put, Reached
 from ambershift.system.consensus.forgetting import Forgetting
 from ambershift.system.consensus.journal import Journal
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ambershift.system.consensus.contact import NEVER_MS
+from ambershift.system.consensus.contact_lease import NEVER_MS
 from ambershift.system.consensus.disk import Disk, Rows
 from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put, Reached
 from ambershift.system.consensus.members import Members, members_of
--- a/ambershift/system/consensus/syncing.py
+++ b/ambershift/system/consensus/syncing.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ambershift.system.consensus.acceptor import Acceptor
-from ambershift.system.consensus.contact import Contact
+from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.journal import Journal
 from ambershift.system.consensus.outbox import Held, Outbox
 from ambershift.system.consensus.quorum import majority
--- a/ambershift/system/consensus/watching.py
+++ b/ambershift/system/consensus/watching.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ambershift.system.consensus.contact import Contact
+from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.outbox import Outbox
 from ambershift.system.consensus.quorum import ALL_WATCH, watchers
 from ambershift.system.consensus.store import Store
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.consensus import contact, watching
-from ambershift.system.consensus.contact import NEVER_MS
+from ambershift.system.consensus import (watching, contact_lease)
+from ambershift.system.consensus.contact_lease import NEVER_MS
 from ambershift.system.distribution import controller
 from ambershift.system.messages.replication import Beat
 from ambershift.system.messages.proxy_link import Cores
@@ -44,7 +44,7 @@
         "old-beats-are-contact",
         "CONFIG",
         "beats count that waited while the process stood still",
-        contact.Contact,
+        contact_lease.Contact,
         "passed",
         constant(lambda self, since: None),
     ),
--- a/tests/test_system_contact_proof.py
+++ b/tests/test_system_contact_proof.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ambershift.system.consensus.contact import (
+from ambershift.system.consensus.contact_lease import (
     CATCH_UP,
     NEVER_MS,
     READ_AFTER,
