--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -16,7 +16,7 @@
 from ambershift.system.consensus.acceptor import Acceptor
 from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.events import Event, Freshen, Put, Reached
-from ambershift.system.consensus.forgetting import Forgetting
+from ambershift.system.consensus.tombstone_collector import Forgetting
 from ambershift.system.consensus.journal import Journal
 from ambershift.system.consensus.membership import Membership
 from ambershift.system.consensus.outbox import News, Outbox
--- a/ambershift/system/simulation/forgetting_soon.py
+++ b/ambershift/system/simulation/forgetting_soon.py
@@ -6,7 +6,7 @@
 from contextlib import contextmanager
 from unittest.mock import patch
 
-from ambershift.system.consensus import forgetting
+from ambershift.system.consensus import (tombstone_collector)
 from ambershift.system.messages import (tombstones)
 from ambershift.system.steps import MS
 
@@ -15,9 +15,9 @@
 def forgetting_soon() -> Iterator[None]:
     """No drop is kept, each is a batch of its own, and two are listed."""
     with (
-        patch.object(forgetting, "KEPT", 0),
-        patch.object(forgetting, "BATCH", 1),
-        patch.object(forgetting, "EVERY", 300 * MS),
+        patch.object(tombstone_collector, "KEPT", 0),
+        patch.object(tombstone_collector, "BATCH", 1),
+        patch.object(tombstone_collector, "EVERY", 300 * MS),
         patch.object(tombstones, "LISTED", 2),
     ):
         yield
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -24,7 +24,7 @@
 )
 from ambershift.system.configuration.orders import read_order
 from ambershift.system.consensus.events import Freshen, Put
-from ambershift.system.consensus.forgetting import Forgetting
+from ambershift.system.consensus.tombstone_collector import Forgetting
 from ambershift.system.consensus.outbox import Held
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
