--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -17,7 +17,7 @@
 from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.events import Event, Freshen, Put, Reached
 from ambershift.system.consensus.tombstone_collector import Forgetting
-from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.membership import Membership
 from ambershift.system.consensus.outbox import News, Outbox
 from ambershift.system.consensus.proposer import Proposer
--- a/ambershift/system/consensus/store.py
+++ b/ambershift/system/consensus/store.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ambershift.system.consensus.bucket_checksums import Buckets
-from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.outbox import Outbox
 from ambershift.system.messages.tombstones import (
     CONFIGURATION,
--- a/ambershift/system/consensus/voters.py
+++ b/ambershift/system/consensus/voters.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ambershift.system.consensus import quorum
-from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.messages.replication import Decision, Machine, Member
 
 TABLE = "meta"
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from ambershift.system.consensus import acceptor, journal, proposer, replica, store, syncing, voters, writing
+from ambershift.system.consensus import (acceptor, proposer, replica, store, syncing, voters, writing, write_queue)
 from ambershift.system.messages.replication import NEVER, Accept, Ask, Record
 from ambershift.system.messages.items import Item
 
 
 def at_once(real: Any) -> Any:
-    def synced(self: journal.Journal, then: Callable[[], None]) -> None:
+    def synced(self: write_queue.Journal, then: Callable[[], None]) -> None:
         then()
 
     return synced
@@ -132,7 +132,7 @@
 
 
 def faults_unseen(real: Any) -> Any:
-    def written(self: journal.Journal, token: int, fault: str | None) -> None:
+    def written(self: write_queue.Journal, token: int, fault: str | None) -> None:
         real(self, token, None)
 
     return written
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -3,17 +3,7 @@
 from __future__ import annotations
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.consensus import (
-    acceptor,
-    journal,
-    membership_plan,
-    proposer,
-    replica,
-    store,
-    syncing,
-    voters,
-    writing,
-)
+from ambershift.system.consensus import (acceptor, membership_plan, proposer, replica, store, syncing, voters, writing, write_queue)
 from ambershift.system.contracts import NotDoneError
 from ambershift.system.control_api import (
     forwarding,
@@ -66,7 +56,7 @@
         "acknowledged-before-the-sync",
         "LOST",
         "answers don't wait for the disk",
-        journal.Journal,
+        write_queue.Journal,
         "synced",
         mistakes.at_once,
     ),
@@ -74,7 +64,7 @@
         "failed-write-is-done",
         "LOST",
         "a write that the disk refused counts as done",
-        journal.Journal,
+        write_queue.Journal,
         "written",
         mistakes.faults_unseen,
     ),
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from ambershift.system.consensus.events import Put
-from ambershift.system.consensus.journal import Journal
+from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.outbox import Held, Outbox
 from ambershift.system.consensus.store import Store
 from ambershift.system.messages.replication import Share
--- a/tests/test_system_events.py
+++ b/tests/test_system_events.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-from ambershift.system.consensus import journal, replica, replicated_store
+from ambershift.system.consensus import (replica, replicated_store, write_queue)
 from ambershift.system.control_api import events as control_api
 from ambershift.system.events import EVENTS
 
@@ -22,7 +22,7 @@
         for number in re.findall(r"\blog\((\d+),", file.read_text())
     }
     assert written and written <= EVENTS.keys()
-    for module in (journal, replicated_store, replica, control_api):
+    for module in (write_queue, replicated_store, replica, control_api):
         named = {
             value
             for name, value in vars(module).items()
