--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -15,7 +15,7 @@
 from ambershift.system.consensus.contact_lease import NEVER_MS
 from ambershift.system.consensus.disk import Disk, Rows
 from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put, Reached
-from ambershift.system.consensus.members import Members, members_of
+from ambershift.system.consensus.membership_view import Members, members_of
 from ambershift.system.consensus.outbox import Held, News
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import Change, NotDoneError, Shape
--- a/tests/test_system_membership.py
+++ b/tests/test_system_membership.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ambershift.system.consensus import membership
-from ambershift.system.consensus.members import members_of
+from ambershift.system.consensus.membership_view import members_of
 from ambershift.system.consensus.membership_plan import FEWEST, VoterView, plan, tolerance
 from ambershift.system.consensus.outbox import Held
 from ambershift.system.messages.replication import Machine, Member
