--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ambershift.system.consensus.events import ChangeRegister
-from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import NotDoneError, Verdict
 from ambershift.system.messages import (replication)
--- a/ambershift/system/consensus/acceptor.py
+++ b/ambershift/system/consensus/acceptor.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.system.consensus.write_queue import Journal
-from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.contracts import Shape
 from ambershift.system.messages.replication import (
     NEVER,
--- a/ambershift/system/consensus/contact_lease.py
+++ b/ambershift/system/consensus/contact_lease.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.steps import MS
 
--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -13,7 +13,7 @@
 
 from ambershift.system.consensus.acceptor import VOTERS, Acceptor
 from ambershift.system.consensus.membership_plan import Plan, VoterView, plan
-from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.consensus.watching import SILENT, Watching
--- a/ambershift/system/consensus/register.py
+++ b/ambershift/system/consensus/register.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from ambershift.system.consensus.acceptor import EMPTY
-from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.contracts import Change
 from ambershift.system.messages.replication import NEVER, Accept, Ballot, Confirm, Prepare, Record
 
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -19,7 +19,7 @@
 from ambershift.system.consensus.tombstone_collector import Forgetting
 from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.membership import Membership
-from ambershift.system.consensus.outbox import News, Outbox
+from ambershift.system.consensus.effect_buffer import News, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.store import Store
 from ambershift.system.consensus.syncing import Syncing
--- a/ambershift/system/consensus/round_fanout.py
+++ b/ambershift/system/consensus/round_fanout.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.register import Register, Round
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.messages.replication import Accept, Confirm, Prepare
--- a/ambershift/system/consensus/store.py
+++ b/ambershift/system/consensus/store.py
@@ -8,7 +8,7 @@
 
 from ambershift.system.consensus.bucket_checksums import Buckets
 from ambershift.system.consensus.write_queue import Journal
-from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.messages.tombstones import (
     CONFIGURATION,
     FORGOTTEN,
--- a/ambershift/system/consensus/syncing.py
+++ b/ambershift/system/consensus/syncing.py
@@ -11,7 +11,7 @@
 from ambershift.system.consensus.acceptor import Acceptor
 from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.write_queue import Journal
-from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.quorum import majority
 from ambershift.system.consensus.store import Store
 from ambershift.system.consensus.voters import Voters, holds
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.store import Store
 from ambershift.system.consensus.voters import Voters
--- a/ambershift/system/consensus/watching.py
+++ b/ambershift/system/consensus/watching.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.system.consensus.contact_lease import Contact
-from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.quorum import ALL_WATCH, watchers
 from ambershift.system.consensus.store import Store
 from ambershift.system.consensus.voters import Voters, holds
--- a/ambershift/system/consensus/write_queue.py
+++ b/ambershift/system/consensus/write_queue.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.steps import MS, SECOND
 
 AGAIN = 200 * MS  # After a failed write.
--- a/ambershift/system/consensus/writing.py
+++ b/ambershift/system/consensus/writing.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.store import Store
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.contracts import NotDoneError, NotHeldError
--- a/ambershift/system/simulation/histories.py
+++ b/ambershift/system/simulation/histories.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.simulation.callers import GROUPS, Application
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.cluster import Cluster
--- a/ambershift/system/simulation/loss_pairs.py
+++ b/ambershift/system/simulation/loss_pairs.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.simulation.lists import LISTS, Lists, Op
 from ambershift.system.simulation.troubles import heal
 from ambershift.system.steps import MS, SECOND
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ambershift.system.consensus.events import ChangeRegister
-from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.contracts import NotDoneError, NotHeldError
 from ambershift.system.coordination import locks
 from ambershift.system.messages.replication import Accept, Share
--- a/ambershift/system/simulation/scripts_voters.py
+++ b/ambershift/system/simulation/scripts_voters.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.register import Register
 from ambershift.system.simulation.lists import Lists as World
 from ambershift.system.steps import SECOND
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ambershift.system.consensus.outbox import News
+from ambershift.system.consensus.effect_buffer import News
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import Shape
 from ambershift.system.messages import codec
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.consensus.disk import Disk
 from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put
-from ambershift.system.consensus.outbox import News
+from ambershift.system.consensus.effect_buffer import News
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.contracts import Verdict
 from ambershift.system.messages import (codec, replication)
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -16,7 +16,7 @@
 
 from ambershift.system.consensus.events import Put
 from ambershift.system.consensus.write_queue import Journal
-from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.store import Store
 from ambershift.system.messages.replication import Share
 from ambershift.system.messages.items import AGREED, ROUTE, Item
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -10,7 +10,7 @@
 from system_exchange import SECOND, World
 
 from ambershift.system.consensus.events import Put
-from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.consensus.store import row_key
 from ambershift.system.distribution.pushes import Pushes
--- a/tests/test_system_consensus.py
+++ b/tests/test_system_consensus.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.simulation import scripts_voters
 from ambershift.system.simulation.histories import play_lists as play
 from ambershift.system.simulation.lists import Lists as World
--- a/tests/test_system_contact_proof.py
+++ b/tests/test_system_contact_proof.py
@@ -14,7 +14,7 @@
     STOOD_STILL,
     Contact,
 )
-from ambershift.system.consensus.outbox import Outbox
+from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.messages.replication import COMPLETE, Ask, Beat, Share
 from ambershift.system.simulation.world import World
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -25,7 +25,7 @@
 from ambershift.system.configuration.orders import read_order
 from ambershift.system.consensus.events import Freshen, Put
 from ambershift.system.consensus.tombstone_collector import Forgetting
-from ambershift.system.consensus.outbox import Held
+from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages import (tombstones)
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ambershift.system.consensus.acceptor import EMPTY
-from ambershift.system.consensus.outbox import Held, Outbox
+from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.contracts import Verdict
 from ambershift.system.control_api.open_calls import OpenCalls
