--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.consensus.replicated_store import ReplicatedStore
-from ambershift.system.consensus.sidefile import SideFile
+from ambershift.system.consensus.cache_file import SideFile
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.coordination.shapes import shape_of
 from ambershift.system.distribution.controller import Controller
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -48,7 +48,7 @@
 
 
 class Side(Protocol):
-    """Where the list is kept over a restart (`consensus/sidefile.py`)."""
+    """Where the list is kept over a restart (`consensus/cache_file.py`)."""
 
     failed: bool
 
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -18,10 +18,10 @@
 import pytest
 from system_exchange import SECOND, ZONES, Node, World
 
-from ambershift.system.consensus import sidefile
+from ambershift.system.consensus import (cache_file)
 from ambershift.system.consensus.events import Freshen, Reached
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.consensus.sidefile import SideFile
+from ambershift.system.consensus.cache_file import SideFile
 from ambershift.system.messages import codec
 from ambershift.system.messages.replication import Ask, Knock
 from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
@@ -305,7 +305,7 @@
         raise OSError(28, "No space left on device")
 
     with monkeypatch.context() as broken:
-        broken.setattr(sidefile.os, "fsync", full)
+        broken.setattr(cache_file.os, "fsync", full)
         write(side, b"second")
     assert side.failed and side.read() == b"first" and os.listdir(tmp_path) == ["list"]
     write(side, b"third")
