--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -21,7 +21,7 @@
 from ambershift.system.consensus.membership import Membership
 from ambershift.system.consensus.effect_buffer import News, Outbox
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.consensus.store import Store
+from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.syncing import Syncing
 from ambershift.system.consensus.voters import FOUNDER, Voters
 from ambershift.system.consensus.watching import Watching
--- a/ambershift/system/consensus/syncing.py
+++ b/ambershift/system/consensus/syncing.py
@@ -13,7 +13,7 @@
 from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.quorum import majority
-from ambershift.system.consensus.store import Store
+from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.voters import Voters, holds
 from ambershift.system.contracts import NotHeldError
 from ambershift.system.messages.replication import Ask, Record, Share
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -19,7 +19,7 @@
 
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.consensus.store import Store
+from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.consensus.watching import Watching
 from ambershift.system.consensus.writing import Writing
--- a/ambershift/system/consensus/writing.py
+++ b/ambershift/system/consensus/writing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from ambershift.system.consensus.effect_buffer import Held, Outbox
-from ambershift.system.consensus.store import Store
+from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.contracts import NotDoneError, NotHeldError
 from ambershift.system.messages.replication import Agreed, Merge
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.system.consensus import (acceptor, proposer, replica, store, syncing, voters, writing, write_queue)
+from ambershift.system.consensus import (acceptor, proposer, replica, syncing, voters, writing, write_queue, item_store)
 from ambershift.system.messages.replication import NEVER, Accept, Ask, Record
 from ambershift.system.messages.items import Item
 
@@ -139,7 +139,7 @@
 
 
 def tombstones_not_kept(real: Any) -> Any:
-    def init(self: store.Store, out: Any, journal: Any, rows: dict[str, bytes]) -> None:
+    def init(self: item_store.Store, out: Any, journal: Any, rows: dict[str, bytes]) -> None:
         decode = msgspec.msgpack.Decoder(Item).decode
         real(self, out, journal, {key: row for key, row in rows.items() if decode(row).body is not None})
 
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.consensus import (acceptor, membership_plan, proposer, replica, store, syncing, voters, writing, write_queue)
+from ambershift.system.consensus import (acceptor, membership_plan, proposer, replica, syncing, voters, writing, write_queue, item_store)
 from ambershift.system.contracts import NotDoneError
 from ambershift.system.control_api import (
     forwarding,
@@ -176,7 +176,7 @@
         "tombstone-dropped-early",
         "LOST",
         "a start forgets what was dropped",
-        store.Store,
+        item_store.Store,
         "__init__",
         mistakes.tombstones_not_kept,
     ),
@@ -184,7 +184,7 @@
         "last-come-is-newest",
         "LOST",
         "an item that comes later replaces a newer one",
-        store,
+        item_store,
         "newest",
         constant(lambda one, other: other),
     ),
--- a/ambershift/system/simulation/variants_forgetting.py
+++ b/ambershift/system/simulation/variants_forgetting.py
@@ -6,7 +6,7 @@
 
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.configuration import orders
-from ambershift.system.consensus import replica, store, syncing, writing
+from ambershift.system.consensus import (replica, syncing, writing, item_store)
 from ambershift.system.messages import (tombstones)
 from ambershift.system.simulation.variant import constant, of
 
@@ -19,7 +19,7 @@
 
 
 def from_anybody(real: Any) -> Any:
-    def merge(self: store.Store, items: Any, batch: int | None = None) -> bool:
+    def merge(self: item_store.Store, items: Any, batch: int | None = None) -> bool:
         taken: bool = real(self, items)
         return taken
 
@@ -27,7 +27,7 @@
 
 
 def never_replaced(real: Any) -> Any:
-    def forget(self: store.Store, by: tombstones.Forgotten) -> None:
+    def forget(self: item_store.Store, by: tombstones.Forgotten) -> None:
         self.forgotten = by  # As if it had known the batch before.
         real(self, by)
 
@@ -63,7 +63,7 @@
         "old-copies-are-merged",
         "CONFIG",
         "the configuration of a machine that was away for long is merged",
-        store.Store,
+        item_store.Store,
         "merge",
         from_anybody,
     ),
@@ -71,7 +71,7 @@
         "old-configuration-is-kept",
         "CONFIG",
         "a machine that was away for long keeps what it had, whatever was dropped meanwhile",
-        store.Store,
+        item_store.Store,
         "_forget",
         never_replaced,
     ),
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -17,7 +17,7 @@
 from ambershift.system.consensus.events import Put
 from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.effect_buffer import Held, Outbox
-from ambershift.system.consensus.store import Store
+from ambershift.system.consensus.item_store import Store
 from ambershift.system.messages.replication import Share
 from ambershift.system.messages.items import AGREED, ROUTE, Item
 from ambershift.system.simulation.world import World
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -12,7 +12,7 @@
 from ambershift.system.consensus.events import Put
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.consensus.store import row_key
+from ambershift.system.consensus.item_store import row_key
 from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages.proxy_link import Backends
 from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
