--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -22,7 +22,7 @@
 from ambershift.system.consensus.effect_buffer import News, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.item_store import Store
-from ambershift.system.consensus.syncing import Syncing
+from ambershift.system.consensus.anti_entropy import Syncing
 from ambershift.system.consensus.voters import FOUNDER, Voters
 from ambershift.system.consensus.watching import Watching
 from ambershift.system.consensus.writing import Writing
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.system.consensus import (acceptor, proposer, replica, syncing, voters, writing, write_queue, item_store)
+from ambershift.system.consensus import (acceptor, proposer, replica, voters, writing, write_queue, item_store, anti_entropy)
 from ambershift.system.messages.replication import NEVER, Accept, Ask, Record
 from ambershift.system.messages.items import Item
 
@@ -50,7 +50,7 @@
 
 
 def shared_at_once(real: Any) -> Any:
-    def asked(self: syncing.Syncing, sender: str, ask: Ask) -> None:
+    def asked(self: anti_entropy.Syncing, sender: str, ask: Ask) -> None:
         kept, self._journal = self._journal, _AtOnce()  # type: ignore[assignment]
         try:
             real(self, sender, ask)
@@ -114,7 +114,7 @@
 
 
 def copied_while_voting(real: Any) -> Any:
-    def shared(self: syncing.Syncing, sender: str, share: Any) -> None:
+    def shared(self: anti_entropy.Syncing, sender: str, share: Any) -> None:
         self._acceptor.merge(share.registers)
         real(self, sender, share)
 
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.consensus import (acceptor, membership_plan, proposer, replica, syncing, voters, writing, write_queue, item_store)
+from ambershift.system.consensus import (acceptor, membership_plan, proposer, replica, voters, writing, write_queue, item_store, anti_entropy)
 from ambershift.system.contracts import NotDoneError
 from ambershift.system.control_api import (
     forwarding,
@@ -32,7 +32,7 @@
         "complete-from-one",
         "LOST",
         "one copy of the voters before is enough to be complete",
-        syncing,
+        anti_entropy,
         "majority",
         constant(lambda count: 1),
     ),
@@ -96,7 +96,7 @@
         "copy-told-before-the-seal",
         "LOST",
         "what is held is told before the seal is synced",
-        syncing.Syncing,
+        anti_entropy.Syncing,
         "asked",
         mistakes.shared_at_once,
     ),
@@ -104,7 +104,7 @@
         "registers-copied-while-voting",
         "MIXED",
         "a voter takes over registers from others",
-        syncing.Syncing,
+        anti_entropy.Syncing,
         "shared",
         mistakes.copied_while_voting,
     ),
--- a/ambershift/system/simulation/variants_forgetting.py
+++ b/ambershift/system/simulation/variants_forgetting.py
@@ -6,7 +6,7 @@
 
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.configuration import orders
-from ambershift.system.consensus import (replica, syncing, writing, item_store)
+from ambershift.system.consensus import (replica, writing, item_store, anti_entropy)
 from ambershift.system.messages import (tombstones)
 from ambershift.system.simulation.variant import constant, of
 
@@ -79,7 +79,7 @@
         "fetched-parts-outlive-a-replacement",
         "CONFIG",
         "what was fetched before the configuration was thrown away counts as here",
-        syncing.Syncing,
+        anti_entropy.Syncing,
         "restart",
         constant(lambda self: None),
     ),
