--- a/ambershift/system/consensus/membership_view.py
+++ b/ambershift/system/consensus/membership_view.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.consensus.watching import Watching
+from ambershift.system.consensus.failure_detector import Watching
 
 
 class Voter(msgspec.Struct, frozen=True, rename="pascal"):
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.consensus import (watching, contact_lease)
+from ambershift.system.consensus import (contact_lease, failure_detector)
 from ambershift.system.consensus.contact_lease import NEVER_MS
 from ambershift.system.distribution import controller
 from ambershift.system.messages.replication import Beat
@@ -15,7 +15,7 @@
 
 
 def any_beat(real: Any) -> Any:
-    def beat(self: watching.Watching, sender: str, message: Beat) -> str | None:
+    def beat(self: failure_detector.Watching, sender: str, message: Beat) -> str | None:
         self._contact.equal(sender)
         found: str | None = real(self, sender, message)
         return found
@@ -36,7 +36,7 @@
         "a-beat-is-contact",
         "CONFIG",
         "beats of a majority count though their checksums differ",
-        watching.Watching,
+        failure_detector.Watching,
         "beat",
         any_beat,
     ),
