--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.system.consensus import (acceptor, proposer, replica, voters, writing, write_queue, item_store, anti_entropy)
+from ambershift.system.consensus import (acceptor, proposer, replica, voters, write_queue, item_store, anti_entropy, quorum_write)
 from ambershift.system.messages.replication import NEVER, Accept, Ask, Record
 from ambershift.system.messages.items import Item
 
@@ -122,7 +122,7 @@
 
 
 def counted_twice(real: Any) -> Any:
-    def agreed(self: writing.Writing, sender: str, message: Any) -> None:
+    def agreed(self: quorum_write.Writing, sender: str, message: Any) -> None:
         one = self._puts.get(message.number)
         if one is not None and sender in one.yes:
             one.yes.add(f"{sender} again")
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.consensus import (acceptor, membership_plan, proposer, replica, voters, writing, write_queue, item_store, anti_entropy)
+from ambershift.system.consensus import (acceptor, membership_plan, proposer, replica, voters, write_queue, item_store, anti_entropy, quorum_write)
 from ambershift.system.contracts import NotDoneError
 from ambershift.system.control_api import (
     forwarding,
@@ -48,7 +48,7 @@
         "answers-counted-twice",
         "LOST",
         "an answer that is repeated counts as another voter's",
-        writing.Writing,
+        quorum_write.Writing,
         "agreed",
         mistakes.counted_twice,
     ),
--- a/ambershift/system/simulation/variants_forgetting.py
+++ b/ambershift/system/simulation/variants_forgetting.py
@@ -6,13 +6,13 @@
 
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.configuration import orders
-from ambershift.system.consensus import (replica, writing, item_store, anti_entropy)
+from ambershift.system.consensus import (replica, item_store, anti_entropy, quorum_write)
 from ambershift.system.messages import (tombstones)
 from ambershift.system.simulation.variant import constant, of
 
 
 def on_enough(real: Any) -> Any:
-    def put(self: writing.Writing, items: Any, deadline: int, done: Any, on_all: bool = False) -> None:
+    def put(self: quorum_write.Writing, items: Any, deadline: int, done: Any, on_all: bool = False) -> None:
         real(self, items, deadline, done)
 
     return put
@@ -43,7 +43,7 @@
 
 
 def without_the_batch_before(real: Any) -> Any:
-    def put(self: writing.Writing, items: Any, deadline: int, done: Any, on_all: bool = False) -> None:
+    def put(self: quorum_write.Writing, items: Any, deadline: int, done: Any, on_all: bool = False) -> None:
         some = [one for one in items if not on_all or one.key != tombstones.THE_FORGOTTEN]
         real(self, some, deadline, done, on_all)
 
@@ -55,7 +55,7 @@
         "forgotten-by-a-majority",
         "CONFIG",
         "drops are forgotten once a majority holds them, though a voter may have the item still",
-        writing.Writing,
+        quorum_write.Writing,
         "put",
         on_enough,
     ),
@@ -95,7 +95,7 @@
         "batches-not-put-on-all",
         "CONFIG",
         "the next batch is agreed though a voter may miss the one before",
-        writing.Writing,
+        quorum_write.Writing,
         "put",
         without_the_batch_before,
     ),
