--- a/ambershift/system/configuration/check.py
+++ b/ambershift/system/configuration/check.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.system.configuration.faults import Fault, InvalidError
+from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.configuration.orders import read_order
 from ambershift.system.messages.items import SERVICE
 
--- a/ambershift/system/configuration/layout.py
+++ b/ambershift/system/configuration/layout.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ambershift.system.configuration.faults import Fault, InvalidError
+from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE, Item, Key
 
 Fields = dict[str, Any]
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -24,7 +24,7 @@
     Progress,
     Proposal,
 )
-from ambershift.system.configuration.faults import Fault, InvalidError
+from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.configuration.layout import write_back
 from ambershift.system.configuration.orders import Order, read_order
 from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
--- a/ambershift/system/simulation/configuration_mistakes.py
+++ b/ambershift/system/simulation/configuration_mistakes.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ambershift.system.configuration import agreement
-from ambershift.system.configuration.faults import InvalidError
+from ambershift.system.configuration.errors import InvalidError
 from ambershift.system.configuration.orders import read_order
 from ambershift.system.contracts import NotDoneError, NotHeldError
 from ambershift.system.control_api.configuration_calls import PATIENCE, UNCLEAR, ConfigurationCalls
