--- a/ambershift/modelcheck/models/agreement.py
+++ b/ambershift/modelcheck/models/agreement.py
@@ -20,7 +20,7 @@
     Progress,
     Proposal,
 )
-from ambershift.system.configuration.orders import Order, read_order
+from ambershift.system.configuration.change_request import Order, read_order
 from ambershift.system.messages.items import SERVICE, Item, newest
 
 KEY = (SERVICE, "s")
--- a/ambershift/system/configuration/agreement.py
+++ b/ambershift/system/configuration/agreement.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from ambershift.system.configuration.errors import Fault
-from ambershift.system.configuration.orders import Order, same_content
+from ambershift.system.configuration.change_request import Order, same_content
 from ambershift.system.contracts import Verdict
 from ambershift.system.messages.tombstones import THE_FORGOTTEN, forgotten_of
 from ambershift.system.messages.items import AGREED, Item, Key
--- a/ambershift/system/configuration/check.py
+++ b/ambershift/system/configuration/check.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ambershift.system.configuration.errors import Fault, InvalidError
-from ambershift.system.configuration.orders import read_order
+from ambershift.system.configuration.change_request import read_order
 from ambershift.system.messages.items import SERVICE
 
 
--- a/ambershift/system/simulation/variants_forgetting.py
+++ b/ambershift/system/simulation/variants_forgetting.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.configuration import orders
+from ambershift.system.configuration import (change_request)
 from ambershift.system.consensus import (replica, item_store, anti_entropy, quorum_write)
 from ambershift.system.messages import (tombstones)
 from ambershift.system.simulation.variant import constant, of
@@ -103,7 +103,7 @@
         "late-calls-judged-without-the-floor",
         "CONFIG",
         "a call of before forgotten drops is judged as if nothing had been dropped",
-        orders.Order,
+        change_request.Order,
         "unclear",
         constant(lambda self, held, floor, known: ()),
     ),
--- a/benchmarks/capacity/agreement.py
+++ b/benchmarks/capacity/agreement.py
@@ -19,7 +19,7 @@
     decide,
     digest_of,
 )
-from ambershift.system.configuration.orders import Order, read_order
+from ambershift.system.configuration.change_request import Order, read_order
 from ambershift.system.messages import codec
 from ambershift.system.messages.replication import Accept
 from ambershift.system.messages.items import Item, Key
--- a/tests/test_system_agreement.py
+++ b/tests/test_system_agreement.py
@@ -21,7 +21,7 @@
     decide,
     read_agreement,
 )
-from ambershift.system.configuration.orders import Order, read_order
+from ambershift.system.configuration.change_request import Order, read_order
 from ambershift.system.messages.items import AGREED, Item, Key
 
 START = Agreement(0, ())
--- a/tests/test_system_configuration.py
+++ b/tests/test_system_configuration.py
@@ -12,7 +12,7 @@
 
 from ambershift.system.configuration.check import check_document
 from ambershift.system.configuration.layout import rows, write_back
-from ambershift.system.configuration.orders import read_order
+from ambershift.system.configuration.change_request import read_order
 from ambershift.system.messages.items import Item, Key, newest
 
 ROUTE = {
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -22,7 +22,7 @@
     Progress,
     decide,
 )
-from ambershift.system.configuration.orders import read_order
+from ambershift.system.configuration.change_request import read_order
 from ambershift.system.consensus.events import Freshen, Put
 from ambershift.system.consensus.tombstone_collector import Forgetting
 from ambershift.system.consensus.effect_buffer import Held
