--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.contracts import Ledger
 from ambershift.system.control_api import events, wire
-from ambershift.system.control_api.applications import Applications
+from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.configuration_calls import MODIFY, ConfigurationCalls
 from ambershift.system.control_api.evacuations import Evacuations
 from ambershift.system.control_api.forwarding import REFUSED, Forwarding
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.system.contracts import Ledger
-from ambershift.system.control_api.applications import Applications
+from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.forwarding import REFUSED
 from ambershift.system.control_api.open_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposers import Proposers
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.consensus import acceptor
 from ambershift.system.contracts import Verdict
-from ambershift.system.control_api import application, applications, evacuations, watches
+from ambershift.system.control_api import (application, evacuations, watches, coordination_calls)
 from ambershift.system.coordination import groups, locks
 from ambershift.system.coordination.replies import Call, reply
 from ambershift.system.messages.replication import NEVER
@@ -139,7 +139,7 @@
 
 
 def told_before_held(real: Any) -> Any:
-    async def propose(self: applications.Applications, call: Any, until: int) -> Any:
+    async def propose(self: coordination_calls.Applications, call: Any, until: int) -> Any:
         def change(value: bytes | None, since: int, now: int) -> Verdict:
             verdict: Verdict = call.change(value, since, now)
             if verdict.result.group is not None:
--- a/ambershift/system/simulation/variants_coordination.py
+++ b/ambershift/system/simulation/variants_coordination.py
@@ -6,15 +6,7 @@
 from ambershift.system.consensus import (
     acceptor,
 )
-from ambershift.system.control_api import (
-    application,
-    applications,
-    configuration_calls,
-    evacuations,
-    pause_detector,
-    watches,
-    wire,
-)
+from ambershift.system.control_api import (application, configuration_calls, evacuations, pause_detector, watches, wire, coordination_calls)
 from ambershift.system.coordination import cells, groups, locks
 from ambershift.system.simulation import coordination_mistakes
 from ambershift.system.simulation.variant import constant, of
@@ -105,7 +97,7 @@
         "watch-told-before-held",
         "MIXED",
         "a watch tells what is proposed",
-        applications.Applications,
+        coordination_calls.Applications,
         "propose",
         coordination_mistakes.told_before_held,
     ),
