--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -15,7 +15,7 @@
 from ambershift.system.control_api.configuration_calls import MODIFY, ConfigurationCalls
 from ambershift.system.control_api.evacuations import Evacuations
 from ambershift.system.control_api.forwarding import REFUSED, Forwarding
-from ambershift.system.control_api.open_calls import OpenCalls, Sender
+from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.pause_detector import PauseDetector
 from ambershift.system.control_api.proposers import Proposers
 from ambershift.system.control_api.registry import Registry
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -30,7 +30,7 @@
 from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
 from ambershift.system.control_api import events
 from ambershift.system.control_api.forwarding import Asked, Forwarding
-from ambershift.system.control_api.open_calls import OpenCalls, Sender
+from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.messages import forwarding as messages
 from ambershift.system.messages.items import Item
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -13,7 +13,7 @@
 from ambershift.system.contracts import Change, Ledger, NotDoneError, NotHeldError, Verdict
 from ambershift.system.control_api.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED
 from ambershift.system.control_api.forwarding import REFUSED, UNCLEAR, Asked, Forwarding
-from ambershift.system.control_api.open_calls import OpenCalls, Sender
+from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposers import Proposers
 from ambershift.system.coordination.ages import Ages
 from ambershift.system.coordination.calls import PUT, read_call
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -13,7 +13,7 @@
 
 from ambershift.system.contracts import Ledger
 from ambershift.system.control_api.events import OWNER_SILENT
-from ambershift.system.control_api.open_calls import OpenCalls
+from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.control_api.proposers import Proposers
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.steps import MS, SECOND
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -10,7 +10,7 @@
 from ambershift.system.contracts import Ledger
 from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.forwarding import REFUSED
-from ambershift.system.control_api.open_calls import OpenCalls, Sender
+from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposers import Proposers
 from ambershift.system.control_api.subscriptions import Subscriptions
 from ambershift.system.coordination.ages import Ages
--- a/ambershift/system/simulation/variants_configuration.py
+++ b/ambershift/system/simulation/variants_configuration.py
@@ -4,10 +4,7 @@
 
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.configuration import agreement
-from ambershift.system.control_api import (
-    configuration_calls,
-    open_calls,
-)
+from ambershift.system.control_api import (configuration_calls, pending_calls)
 from ambershift.system.simulation import configuration_mistakes, mistakes
 from ambershift.system.simulation.variant import constant, of
 
@@ -88,7 +85,7 @@
         "call-numbers-of-the-life-before",
         "ONE",
         "calls that are forwarded are numbered anew at each start",
-        open_calls.OpenCalls,
+        pending_calls.OpenCalls,
         "__init__",
         mistakes.numbered_anew,
     ),
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -12,7 +12,7 @@
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.contracts import Verdict
-from ambershift.system.control_api.open_calls import OpenCalls
+from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.messages.replication import Accept, Agreed, Prepare, Promise
 from ambershift.system.messages.forwarding import Outcome
 from ambershift.system.steps import SECOND
