--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -17,7 +17,7 @@
 from ambershift.system.control_api.forwarding import REFUSED, Forwarding
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.pause_detector import PauseDetector
-from ambershift.system.control_api.proposers import Proposers
+from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.control_api.registry import Registry
 from ambershift.system.control_api.watches import WATCH, Watches
 from ambershift.system.coordination.ages import Ages
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -14,7 +14,7 @@
 from ambershift.system.control_api.events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED
 from ambershift.system.control_api.forwarding import REFUSED, UNCLEAR, Asked, Forwarding
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
-from ambershift.system.control_api.proposers import Proposers
+from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.coordination.ages import Ages
 from ambershift.system.coordination.calls import PUT, read_call
 from ambershift.system.coordination.groups import Group
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -14,7 +14,7 @@
 from ambershift.system.contracts import Ledger
 from ambershift.system.control_api.events import OWNER_SILENT
 from ambershift.system.control_api.pending_calls import OpenCalls
-from ambershift.system.control_api.proposers import Proposers
+from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.steps import MS, SECOND
 
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -11,7 +11,7 @@
 from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.forwarding import REFUSED
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
-from ambershift.system.control_api.proposers import Proposers
+from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.control_api.subscriptions import Subscriptions
 from ambershift.system.coordination.ages import Ages
 from ambershift.system.coordination.calls import PRESENT, read_call
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.contracts import Change, NotDoneError, NotHeldError
 from ambershift.system.control_api.application import ControlApi
-from ambershift.system.control_api.proposers import rank
+from ambershift.system.control_api.proposer_selection import rank
 from ambershift.system.messages.codec import decode, encode
 from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key, newest
