--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -18,7 +18,7 @@
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.pause_detector import PauseDetector
 from ambershift.system.control_api.proposer_selection import Proposers
-from ambershift.system.control_api.registry import Registry
+from ambershift.system.control_api.registry_interface import Registry
 from ambershift.system.control_api.watches import WATCH, Watches
 from ambershift.system.coordination.ages import Ages
 from ambershift.system.coordination.calls import BODY_MOST, CALLS, PRESENT
