--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.contracts import Ledger
-from ambershift.system.control_api import events, wire
+from ambershift.system.control_api import (events, asgi)
 from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.configuration_calls import MODIFY, ConfigurationCalls
 from ambershift.system.control_api.evacuations import Evacuations
@@ -106,28 +106,28 @@
         if not task.cancelled() and (why := task.exception()) is not None:
             self._log(events.FAILED, {"on": "forwarded call", "error": repr(why)[:200]})
 
-    async def __call__(self, scope: wire.Scope, receive: wire.Receive, send: wire.Send) -> None:
+    async def __call__(self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send) -> None:
         if scope["type"] != "http":
             return  # The shell asks uvicorn for neither lifespan nor websockets.
         try:
             found = await self._route(scope, receive)
-        except wire.TooLargeError:
+        except asgi.TooLargeError:
             found = reply(413, Cause="the body is too large")
         except ImproperError as why:
             found = reply(400, Cause=f"{why.field}: {why.reason}")
-        except wire.GoneError:
+        except asgi.GoneError:
             return
         except Exception as why:  # The caller must hear something; 500 promises nothing.
             self._log(events.FAILED, {"on": scope["path"][:80], "error": repr(why)[:200]})
             found = reply(500, Cause="failed")
-        await wire.answer(send, found)
+        await asgi.answer(send, found)
 
-    async def _route(self, scope: wire.Scope, receive: wire.Receive) -> Reply:
+    async def _route(self, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
         path, method = scope["path"], scope["method"]
         if path == RPC:
             if method != "POST":
                 return reply(405)
-            asked = wire.query(scope)
+            asked = asgi.query(scope)
             return await self._rpc(asked.get("call", ""), asked.get("of", ""), scope, receive)
         if path.startswith(NUMBERS):
             if method != "POST":
@@ -138,14 +138,14 @@
         if path == MEMBERS:
             return reply(405) if method != "GET" else self._members()
         if path == RESOLUTION:
-            return reply(405) if method != "GET" else self._resolution(wire.query(scope))
+            return reply(405) if method != "GET" else self._resolution(asgi.query(scope))
         return reply(404)
 
-    async def _rpc(self, name: str, of: str, scope: wire.Scope, receive: wire.Receive) -> Reply:
+    async def _rpc(self, name: str, of: str, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
         if name in CALLS and name not in (PRESENT, "numbers"):
             return await self._ask(name, of, scope, receive)
         most = CONFIGURATION_MOST if name == MODIFY else BODY_MOST
-        body = await wire.read_whole(scope, receive, most)
+        body = await asgi.read_whole(scope, receive, most)
         if name == "instances.heartbeat":
             status, fields = await self._registry.beat(of, read_body(body))
             return reply(status, **fields)
@@ -158,20 +158,20 @@
             return await self._configuration.retrieve()
         if name in ("evacuation.initiate", "evacuation.terminate"):
             # A late one would undo what was ordered since, and no version tells that it is late.
-            await wire.still_there(receive)
+            await asgi.still_there(receive)
             if self._pauses.stale(self._steady()):
                 return REFUSED
             return await self._evacuations.evacuate(of, name == "evacuation.initiate")
         return reply(404)
 
-    async def _ask(self, name: str, of: str, scope: wire.Scope, receive: wire.Receive) -> Reply:
-        body = await wire.read_whole(scope, receive, BODY_MOST)
+    async def _ask(self, name: str, of: str, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
+        body = await asgi.read_whole(scope, receive, BODY_MOST)
         if self._pauses.stale(self._steady()):
             return REFUSED
         return await self._applications.ask(name, of, body)
 
-    async def _watch(self, scope: wire.Scope, name: str) -> Reply:
-        asked = wire.query(scope)
+    async def _watch(self, scope: asgi.Scope, name: str) -> Reply:
+        asked = asgi.query(scope)
         try:
             after, wait = int(asked.get("after", "0")), int(asked.get("WaitMs", "0"))
         except ValueError:
--- a/ambershift/system/simulation/variants_coordination.py
+++ b/ambershift/system/simulation/variants_coordination.py
@@ -6,7 +6,7 @@
 from ambershift.system.consensus import (
     acceptor,
 )
-from ambershift.system.control_api import (application, configuration_calls, evacuations, pause_detector, watches, wire, coordination_calls)
+from ambershift.system.control_api import (application, configuration_calls, evacuations, pause_detector, watches, coordination_calls, asgi)
 from ambershift.system.coordination import cells, groups, locks
 from ambershift.system.simulation import coordination_mistakes
 from ambershift.system.simulation.variant import constant, of
@@ -145,7 +145,7 @@
         "order-of-one-who-left",
         "LOST",
         "an order is done though its caller has gone",
-        wire,
+        asgi,
         "still_there",
         constant(coordination_mistakes.nobody_left),
     ),
