--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.contracts import Ledger
-from ambershift.system.control_api import (events, asgi)
+from ambershift.system.control_api import (asgi, log_events)
 from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.configuration_calls import MODIFY, ConfigurationCalls
 from ambershift.system.control_api.evacuations import Evacuations
@@ -74,7 +74,7 @@
         """Notices when the process was stopped, and looks after watches."""
         stopped = self._pauses.beat(self._steady())
         if stopped:
-            self._log(events.WOKEN, {"stopped_ms": stopped // MS})
+            self._log(log_events.WOKEN, {"stopped_ms": stopped // MS})
         self._watches.tick()
 
     def close(self) -> None:
@@ -104,7 +104,7 @@
     def _ended(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (why := task.exception()) is not None:
-            self._log(events.FAILED, {"on": "forwarded call", "error": repr(why)[:200]})
+            self._log(log_events.FAILED, {"on": "forwarded call", "error": repr(why)[:200]})
 
     async def __call__(self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send) -> None:
         if scope["type"] != "http":
@@ -118,7 +118,7 @@
         except asgi.GoneError:
             return
         except Exception as why:  # The caller must hear something; 500 promises nothing.
-            self._log(events.FAILED, {"on": scope["path"][:80], "error": repr(why)[:200]})
+            self._log(log_events.FAILED, {"on": scope["path"][:80], "error": repr(why)[:200]})
             found = reply(500, Cause="failed")
         await asgi.answer(send, found)
 
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -28,7 +28,7 @@
 from ambershift.system.configuration.layout import write_back
 from ambershift.system.configuration.change_request import Order, read_order
 from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
-from ambershift.system.control_api import events
+from ambershift.system.control_api import (log_events)
 from ambershift.system.control_api.forwarding import Asked, Forwarding
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.coordination.replies import Reply, reply
@@ -91,7 +91,7 @@
         except NotDoneError as why:
             if proposal.tried:
                 return self._unclear(why.reason, len(order.items))
-            self._log(events.CONFIGURATION_UNCLEAR, {"reason": why.reason, "items": 0})
+            self._log(log_events.CONFIGURATION_UNCLEAR, {"reason": why.reason, "items": 0})
             return NOT_DONE
         if isinstance(outcome, Conflict):
             return self._conflict(outcome)
@@ -103,7 +103,7 @@
             await self._stored(outcome, until)
         except (NotHeldError, NotDoneError) as why:
             return self._unclear(why.reason, len(order.items))
-        self._log(events.CONFIGURATION_TAKEN, {"items": len(order.items)})
+        self._log(log_events.CONFIGURATION_TAKEN, {"items": len(order.items)})
         return reply(200)
 
     async def _agreed(self, proposal: Proposal, until: int) -> Accepted | Conflict | Invalid | BelowFloor:
@@ -132,12 +132,12 @@
 
     def _invalid(self, faults: tuple[Fault, ...]) -> Reply:
         reason = "; ".join(map(str, faults[:NAMED_MOST]))
-        self._log(events.CONFIGURATION_INVALID, {"reason": reason})
+        self._log(log_events.CONFIGURATION_INVALID, {"reason": reason})
         return reply(400, Cause=reason)
 
     def _conflict(self, conflict: Conflict) -> Reply:
         reason = "; ".join(map(_conflicting, conflict.items[:NAMED_MOST])) or str(REFUSED_BEFORE)
-        self._log(events.CONFIGURATION_CONFLICT, {"reason": reason})
+        self._log(log_events.CONFIGURATION_CONFLICT, {"reason": reason})
         return reply(409, Cause=reason)
 
     def _below_floor(self, outcome: BelowFloor) -> Reply:
@@ -145,11 +145,11 @@
         reason = (
             f"{names}: not held; drops up to r{outcome.floor} are forgotten: send it under a higher version"
         )
-        self._log(events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": len(outcome.items)})
+        self._log(log_events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": len(outcome.items)})
         return reply(503, Cause=reason)
 
     def _unclear(self, reason: str, items: int) -> Reply:
-        self._log(events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": items})
+        self._log(log_events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": items})
         return UNCLEAR
 
     async def retrieve(self) -> Reply:
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
-from ambershift.system.control_api import events
+from ambershift.system.control_api import (log_events)
 from ambershift.system.control_api.configuration_calls import NOT_DONE, PATIENCE, UNCLEAR
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.messages.items import ZONE, Item
@@ -43,11 +43,11 @@
         try:
             await self._ledger.put([item], (begun + PATIENCE - self._steady()) / SECOND)
         except NotHeldError as why:
-            self._log(events.EVACUATION_UNCLEAR, {"zone": zone, "out": out, "reason": why.reason})
+            self._log(log_events.EVACUATION_UNCLEAR, {"zone": zone, "out": out, "reason": why.reason})
             return UNCLEAR
         except NotDoneError:
             return NOT_DONE
-        self._log(events.EVACUATION_TAKEN, {"zone": zone, "out": out})
+        self._log(log_events.EVACUATION_TAKEN, {"zone": zone, "out": out})
         return reply(200)
 
     def _evacuation(self, zone: str, out: bool) -> Item:
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from ambershift.system.contracts import Ledger
-from ambershift.system.control_api.events import OWNER_SILENT
+from ambershift.system.control_api.log_events import OWNER_SILENT
 from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.coordination.replies import Reply, reply
