--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -20,7 +20,7 @@
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.control_api.registry_interface import Registry
 from ambershift.system.control_api.watches import WATCH, Watches
-from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.calls import BODY_MOST, CALLS, PRESENT
 from ambershift.system.coordination.replies import ImproperError, Reply, read_body, reply
 from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -15,7 +15,7 @@
 from ambershift.system.control_api.forwarding import REFUSED, UNCLEAR, Asked, Forwarding
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposer_selection import Proposers
-from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.calls import PUT, read_call
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Call, ImproperError, Reply, reply
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -13,7 +13,7 @@
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.control_api.subscriptions import Subscriptions
-from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.calls import PRESENT, read_call
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Reply, reply
--- a/ambershift/system/coordination/calls.py
+++ b/ambershift/system/coordination/calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from ambershift.system.coordination import cells, locks, numbers
-from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.groups import group_of
 from ambershift.system.coordination.replies import Call, ImproperError, read_body, text, whole
 
--- a/tests/test_system_watches.py
+++ b/tests/test_system_watches.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ambershift.system.coordination.ages import Ages
+from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.calls import read_call
 from tests.enquiring import World, order, play
 
