--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -12,7 +12,7 @@
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.consensus.cache_file import SideFile
 from ambershift.system.control_api.application import ControlApi
-from ambershift.system.coordination.shapes import shape_of
+from ambershift.system.coordination.value_deltas import shape_of
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import (forwarding, replication, proxy_link, registry_sync)
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
