--- a/ambershift/system/processes/asking.py
+++ b/ambershift/system/processes/asking.py
@@ -9,7 +9,7 @@
 from websockets.asyncio.connection import Connection
 
 from ambershift.system.messages.proxy_link import Cores
-from ambershift.system.node_selection.choice import BESIDE_S
+from ambershift.system.node_selection.selector import BESIDE_S
 
 
 @dataclass(frozen=True, slots=True, eq=False)
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -10,7 +10,7 @@
 from ambershift.system.distribution import controller
 from ambershift.system.messages.replication import Beat
 from ambershift.system.messages.proxy_link import Cores
-from ambershift.system.node_selection import choice
+from ambershift.system.node_selection import (selector)
 from ambershift.system.simulation.variant import constant, of
 
 
@@ -60,7 +60,7 @@
         "never-searches",
         "CONFIG",
         "a proxy stays with its node however old its proof is",
-        choice.Choice,
+        selector.Choice,
         "search",
         constant(lambda self, now: False),
     ),
@@ -68,7 +68,7 @@
         "any-other-node",
         "CONFIG",
         "a proxy goes to whoever answers first",
-        choice.Choice,
+        selector.Choice,
         "newer",
         constant(lambda self, now, sign: True),
     ),
--- a/ambershift/system/testbed/hollow.py
+++ b/ambershift/system/testbed/hollow.py
@@ -17,7 +17,7 @@
 
 from ambershift.system.messages import codec
 from ambershift.system.messages.proxy_link import Core, Hello, Items, Mark, Met, Report, pool_of
-from ambershift.system.node_selection.choice import Choice
+from ambershift.system.node_selection.selector import Choice
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import NotMetError, Rig, until
 from ambershift.system.testbed.settings import CONTROL_NODE, Site
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -33,7 +33,7 @@
 from ambershift.system.messages.tombstones import THE_FORGOTTEN, Forgotten, forgotten_of
 from ambershift.system.messages.proxy_link import Backends, Items
 from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
-from ambershift.system.node_selection.choice import Choice
+from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.simulation.calling import Streets
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -15,7 +15,7 @@
 
 from ambershift.system.messages.proxy_link import Cores, Items
 from ambershift.system.messages.items import ROUTE, Item
-from ambershift.system.node_selection.choice import Choice
+from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.processes.control_node import ControlNode
 from ambershift.system.processes.metrics import (
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -26,7 +26,7 @@
 from ambershift.system.messages.replication import Ask, Knock
 from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
 from ambershift.system.messages.items import INSTANCE, Item
-from ambershift.system.node_selection.choice import Choice
+from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes import asking, attachment
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy import awaited, handling
--- a/tests/test_system_transport.py
+++ b/tests/test_system_transport.py
@@ -14,7 +14,7 @@
 
 from ambershift.system.messages import codec
 from ambershift.system.messages.proxy_link import Core, Cores, Hello, Mark
-from ambershift.system.node_selection.choice import (
+from ambershift.system.node_selection.selector import (
     NEARER,
     NEWER,
     PENALTY,
@@ -248,7 +248,7 @@
 
 @pytest.mark.parametrize("apply", [2.0, 2.5, 3.0, 5.0])
 def test_the_whole_way_to_another_node_is_within_the_bound_on_changes(apply: float) -> None:
-    """The budget of `node_selection/choice.py`, summed; what the parts take is what a slow network takes."""
+    """The budget of `node_selection/selector.py`, summed; what the parts take is what a slow network takes."""
     look, dial, told, items = 0.1, 4 * 0.05, 2 * 0.05, 0.4
     bounds = Bounds(config_apply=apply, drain=9, evacuation=9)
     spread = {current_for(f"front-{at}", bounds) for at in range(99)}
