--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -25,7 +25,7 @@
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.meter import Meter, Place
-from ambershift.system.transport.words import CONTROL_NODE, PROXY, Caller
+from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
 
 LIST = "backends.list"  # The file beside the store that the list is recalled from.
 BEAT_S, IDLE_S, FINISH_S = 0.05, 120, 1.0
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -23,7 +23,7 @@
 from ambershift.system.transport.meter import Meter
 from ambershift.system.transport.outbox import Outbox
 from ambershift.system.transport.sockets import harden
-from ambershift.system.transport.words import CONTROL_NODE, Caller, PathError, caller_of, path_of
+from ambershift.system.transport.link_path import CONTROL_NODE, Caller, PathError, caller_of, path_of
 
 YOUNG = 0.15  # Seconds; a dial that has not lasted for so long may well be about to succeed.
 DIAL_LIMIT, PAUSE_LEAST, PAUSE_MOST = 1.0, 0.1, 0.8  # Seconds.
--- a/tests/test_system_processes_unit.py
+++ b/tests/test_system_processes_unit.py
@@ -10,7 +10,7 @@
 
 from ambershift.system.processes.control_node import ControlNode
 from ambershift.system.processes.serving import TAKES_ON, last_answers_s, served
-from ambershift.system.transport.words import CONTROL_NODE, PROXY, Caller
+from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
 
 PARTS = ("ledger", "registry", "controller", "control_api")
 
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -37,7 +37,7 @@
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.steps import MS, Send, Written
 from ambershift.system.transport import links
-from ambershift.system.transport.words import CONTROL_NODE, Caller
+from ambershift.system.transport.link_path import CONTROL_NODE, Caller
 
 NOW = 1000 * SECOND
 ONE = Life("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * SECOND)
--- a/tests/test_system_transport.py
+++ b/tests/test_system_transport.py
@@ -31,7 +31,7 @@
 from ambershift.system.transport import outbox as outboxes
 from ambershift.system.transport.links import Links, receive
 from ambershift.system.transport.outbox import Outbox
-from ambershift.system.transport.words import CONTROL_NODE, PROXY, Caller, PathError, caller_of, path_of
+from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller, PathError, caller_of, path_of
 
 pytestmark = pytest.mark.timeout(30)
 BLOCKS = itertools.count(os.getpid() % 200 * 200)
