--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -22,7 +22,7 @@
 from ambershift.system.messages import codec
 from ambershift.system.transport.meter import Meter
 from ambershift.system.transport.outbox import Outbox
-from ambershift.system.transport.sockets import harden
+from ambershift.system.transport.socket_options import harden
 from ambershift.system.transport.link_path import CONTROL_NODE, Caller, PathError, caller_of, path_of
 
 YOUNG = 0.15  # Seconds; a dial that has not lasted for so long may well be about to succeed.
