--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -24,7 +24,7 @@
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.links import Links
-from ambershift.system.transport.meter import Meter, Place
+from ambershift.system.transport.traffic_meter import Meter, Place
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
 
 LIST = "backends.list"  # The file beside the store that the list is recalled from.
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -25,7 +25,7 @@
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.links import Links
-from ambershift.system.transport.meter import Meter, Place
+from ambershift.system.transport.traffic_meter import Meter, Place
 
 REPORT_S, IDLE_S = 1.0, 60
 
