--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -23,7 +23,7 @@
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import MS
 from ambershift.system.transport.links import receive
-from ambershift.system.transport.outbox import Outbox
+from ambershift.system.transport.send_queue import Outbox
 from ambershift.system.transport.link_path import PROXY, Caller
 
 LOOK_S = 0.1
--- a/ambershift/system/simulation/fleet_links.py
+++ b/ambershift/system/simulation/fleet_links.py
@@ -13,7 +13,7 @@
 from ambershift.system.messages import codec
 from ambershift.system.steps import MS, SECOND
 from ambershift.system.transport.links import DIAL_LIMIT
-from ambershift.system.transport.outbox import Outbox
+from ambershift.system.transport.send_queue import Outbox
 
 if TYPE_CHECKING:
     from ambershift.system.simulation.fleet import Fleet
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -21,7 +21,7 @@
 
 from ambershift.system.messages import codec
 from ambershift.system.transport.traffic_meter import Meter
-from ambershift.system.transport.outbox import Outbox
+from ambershift.system.transport.send_queue import Outbox
 from ambershift.system.transport.socket_options import harden
 from ambershift.system.transport.link_path import CONTROL_NODE, Caller, PathError, caller_of, path_of
 
--- a/tests/test_system_meter.py
+++ b/tests/test_system_meter.py
@@ -8,7 +8,7 @@
 from ambershift.system.messages import codec
 from ambershift.system.messages.proxy_link import Items, Mark
 from ambershift.system.transport.traffic_meter import TOLD_EACH, Meter, frame, reach
-from ambershift.system.transport.outbox import Outbox
+from ambershift.system.transport.send_queue import Outbox
 
 
 def test_frames_and_reach() -> None:
--- a/tests/test_system_transport.py
+++ b/tests/test_system_transport.py
@@ -28,9 +28,9 @@
 from ambershift.system.steps import MS, SECOND
 from ambershift.system.testbed.rig import until
 from ambershift.system.testbed.settings import free_ports
-from ambershift.system.transport import outbox as outboxes
+from ambershift.system.transport import (send_queue as outboxes)
 from ambershift.system.transport.links import Links, receive
-from ambershift.system.transport.outbox import Outbox
+from ambershift.system.transport.send_queue import Outbox
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller, PathError, caller_of, path_of
 
 pytestmark = pytest.mark.timeout(30)
