--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -27,7 +27,7 @@
 from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
 from ambershift.system.messages.items import INSTANCE, Item
 from ambershift.system.node_selection.selector import Choice
-from ambershift.system.processes import asking, attachment
+from ambershift.system.processes import (attachment, candidate_probe)
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy import awaited, handling
 from ambershift.system.proxy.backend_view import BackendView
@@ -368,7 +368,7 @@
 
 
 def test_a_proxy_dials_the_next_beside_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(asking, "BESIDE_S", 0.0)
+    monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
 
     async def run() -> None:
         silent, there = (Dialled(Cores((), True, 1, 0)) for _ in range(2))
@@ -383,7 +383,7 @@
 
 
 def test_without_a_link_one_that_is_current_is_waited_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(asking, "BESIDE_S", 0.0)
+    monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
     old, late = Dialled(Cores((), False, 1, 60_000)), Dialled(Cores((), True, 1, 0))
     old.up.set()
 
@@ -399,7 +399,7 @@
 
     assert asyncio.run(run(False)) == "a" and not old.transport.abort.called
     monkeypatch.undo()
-    monkeypatch.setattr(asking, "BESIDE_S", 0.0)
+    monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
     assert asyncio.run(run(True)) == "b" and old.transport.abort.called
 
 
@@ -414,11 +414,11 @@
 
 
 def test_one_that_answers_too_late_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(asking, "BESIDE_S", 0.0)
+    monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
 
     async def run() -> None:
         one, other = (Dialled(Cores((), True, 1, 0)) for _ in range(2))
-        asked = asking.Asked(dialling_proxy({"a": one, "b": other}).ask, ["a", "b"], 2)
+        asked = candidate_probe.Asked(dialling_proxy({"a": one, "b": other}).ask, ["a", "b"], 2)
         one.up.set()
         chosen = await asked.next()
         other.up.set()
