--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -18,7 +18,7 @@
 from ambershift.system.node_selection.selector import RESERVE_S, SIGN_S, WIDTH, Choice, current_for
 from ambershift.system.processes.candidate_probe import Answered, Asked, let_go
 from ambershift.system.processes.metrics import Figure
-from ambershift.system.processes.places import Places
+from ambershift.system.processes.locality import Places
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import MS
