--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -10,8 +10,8 @@
 from ambershift.system.processes.attachment import LOOK_S, Attachment, caller_of
 from ambershift.system.processes.logs import Journal
 from ambershift.system.processes.metrics import PORT_TAKEN, PROXY_PORT, Figure, WithMetrics
-from ambershift.system.processes.rereading import LOOK_S as FILE_S
-from ambershift.system.processes.rereading import Watched
+from ambershift.system.processes.settings_watch import LOOK_S as FILE_S
+from ambershift.system.processes.settings_watch import Watched
 from ambershift.system.processes.serving import (
     TAKES_ON,
     Served,
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ambershift.system.__main__ import main
-from ambershift.system.processes.rereading import Watched
+from ambershift.system.processes.settings_watch import Watched
 from ambershift.system.settings.local import SettingsError, read_local
 from ambershift.system.testbed.settings import CONTROL_NODE, PROXY, Machine, Site, toml
 
