--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -20,7 +20,7 @@
 from ambershift.system.processes.metrics import CONTROL_PORT, PORT_TAKEN, Figure, WithMetrics
 from ambershift.system.processes.settings_watch import LOOK_S as FILE_S
 from ambershift.system.processes.settings_watch import Watched
-from ambershift.system.processes.serving import hear_signals, listener_or_none, listeners, served
+from ambershift.system.processes.http_server import hear_signals, listener_or_none, listeners, served
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.links import Links
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -12,7 +12,7 @@
 from ambershift.system.processes.metrics import PORT_TAKEN, PROXY_PORT, Figure, WithMetrics
 from ambershift.system.processes.settings_watch import LOOK_S as FILE_S
 from ambershift.system.processes.settings_watch import Watched
-from ambershift.system.processes.serving import (
+from ambershift.system.processes.http_server import (
     TAKES_ON,
     Served,
     hear_signals,
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.messages import (proxy_link)
-from ambershift.system.processes.serving import listener, served
+from ambershift.system.processes.http_server import listener, served
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.registry.registry import Registry
 from benchmarks.capacity import world
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -26,7 +26,7 @@
     WithMetrics,
     rendered,
 )
-from ambershift.system.processes.serving import listener, listener_or_none
+from ambershift.system.processes.http_server import listener, listener_or_none
 from ambershift.system.steps import SECOND
 
 DEPLOY = Path(__file__).parent.parent / "deploy" / "system.toml"
--- a/tests/test_system_processes_unit.py
+++ b/tests/test_system_processes_unit.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ambershift.system.processes.control_node import ControlNode
-from ambershift.system.processes.serving import TAKES_ON, last_answers_s, served
+from ambershift.system.processes.http_server import TAKES_ON, last_answers_s, served
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
 
 PARTS = ("ledger", "registry", "controller", "control_api")
