--- a/ambershift/system/registry/events.py
+++ b/ambershift/system/registry/events.py
@@ -6,7 +6,7 @@
 
 from ambershift.system.messages.proxy_link import Hello
 from ambershift.system.messages.registry_sync import Flow
-from ambershift.system.registry.beats import Beat
+from ambershift.system.registry.heartbeats import Beat
 from ambershift.system.registry.records import Life
 from ambershift.system.steps import Heard, Log, Send
 
--- a/ambershift/system/registry/keeping.py
+++ b/ambershift/system/registry/keeping.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Container
 
-from ambershift.system.registry.beats import Beat
+from ambershift.system.registry.heartbeats import Beat
 from ambershift.system.registry.records import Life
 from ambershift.system.steps import MS
 
--- a/ambershift/system/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from ambershift.system.messages.registry_sync import Ask, Delta, Pulse
-from ambershift.system.registry.beats import Beat
+from ambershift.system.registry.heartbeats import Beat
 from ambershift.system.registry.clearing import STALE, Clearing
 from ambershift.system.registry.events import (
     Cleared,
