--- a/ambershift/system/registry/ends.py
+++ b/ambershift/system/registry/ends.py
@@ -10,7 +10,7 @@
 
 from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
 from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by
-from ambershift.system.registry.clearing import REFUSED
+from ambershift.system.registry.tombstone_expiry import REFUSED
 
 PUT_LIMIT_S = 0.8  # A backend waits a second for its acknowledgement.
 HELD_MOST = 20_000  # Of these lives we remember that their end is held; others are just put again.
--- a/ambershift/system/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -6,7 +6,7 @@
 
 from ambershift.system.messages.registry_sync import Ask, Delta, Pulse
 from ambershift.system.registry.heartbeats import Beat
-from ambershift.system.registry.clearing import STALE, Clearing
+from ambershift.system.registry.tombstone_expiry import STALE, Clearing
 from ambershift.system.registry.events import (
     Cleared,
     Effect,
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -17,8 +17,8 @@
 from ambershift.system.messages.proxy_link import Backends
 from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
 from ambershift.system.proxy.routing import Routing
-from ambershift.system.registry import clearing, listing, machine
-from ambershift.system.registry.clearing import EVERY, KEPT, PORTION, REFUSED, Clearing
+from ambershift.system.registry import (listing, machine, tombstone_expiry)
+from ambershift.system.registry.tombstone_expiry import EVERY, KEPT, PORTION, REFUSED, Clearing
 from ambershift.system.simulation.world import World as Copies
 
 MINUTE = 60 * SECOND
@@ -75,8 +75,8 @@
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """All times a hundredth of what they are, but for those of a heartbeat."""
     for where, name, value in (
-        (clearing, "KEPT", 18),
-        (clearing, "EVERY", 1),
+        (tombstone_expiry, "KEPT", 18),
+        (tombstone_expiry, "EVERY", 1),
         (machine, "STALE", 9),
         (listing, "KEPT", 6),
     ):
