--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -15,7 +15,7 @@
 from ambershift.system.messages.items import CLEARED, INSTANCE, Item, cleared_by
 from ambershift.system.messages.registry_sync import Ask, Delta, Flow, Pulse
 from ambershift.system.registry.heartbeats import BeatError, check_id, read_beat
-from ambershift.system.registry.ends import Answered, Ends
+from ambershift.system.registry.tombstones import Answered, Ends
 from ambershift.system.registry.events import (
     Cleared,
     Ended,
