--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -29,7 +29,7 @@
     Shown,
     Spoke,
 )
-from ambershift.system.registry.homes import Homes
+from ambershift.system.registry.home_regions import Homes
 from ambershift.system.registry.kept import Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.registry.listing import DRAINING, GONE
 from ambershift.system.registry.machine import RegistryMachine
