--- a/ambershift/system/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -22,7 +22,7 @@
     Spoke,
 )
 from ambershift.system.registry.exchange import Exchange
-from ambershift.system.registry.keeping import MISSED, Keeping
+from ambershift.system.registry.liveness import MISSED, Keeping
 from ambershift.system.registry.listing import Listing
 from ambershift.system.registry.proxies import Proxies, merge
 from ambershift.system.registry.records import Life, ProxyRecord, Records, flow_key
