--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -30,7 +30,7 @@
     Spoke,
 )
 from ambershift.system.registry.home_regions import Homes
-from ambershift.system.registry.kept import Keep, SheetError, read_sheet, write_sheet
+from ambershift.system.registry.snapshot import Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.registry.listing import DRAINING, GONE
 from ambershift.system.registry.machine import RegistryMachine
 from ambershift.system.registry.proxies import ADDRESSES_MOST, nearest
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -31,7 +31,7 @@
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy import awaited, handling
 from ambershift.system.proxy.backend_view import BackendView
-from ambershift.system.registry.kept import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
+from ambershift.system.registry.snapshot import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.registry.records import Life
 from ambershift.system.registry.registry import UNSURE_PROXIES
 from ambershift.system.settings.local import Bounds, Local
