--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -31,7 +31,7 @@
 )
 from ambershift.system.registry.home_regions import Homes
 from ambershift.system.registry.snapshot import Keep, SheetError, read_sheet, write_sheet
-from ambershift.system.registry.listing import DRAINING, GONE
+from ambershift.system.registry.endpoint_list import DRAINING, GONE
 from ambershift.system.registry.machine import RegistryMachine
 from ambershift.system.registry.proxies import ADDRESSES_MOST, nearest
 from ambershift.system.registry.records import Life, ProxyRecord
--- a/ambershift/system/registry/snapshot.py
+++ b/ambershift/system/registry/snapshot.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ambershift.system.messages.registry_sync import Lived
-from ambershift.system.registry.listing import KEPT
+from ambershift.system.registry.endpoint_list import KEPT
 from ambershift.system.registry.records import Life, lived, to_life
 from ambershift.system.steps import MS, SECOND
 
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -17,7 +17,7 @@
 from ambershift.system.messages.proxy_link import Backends
 from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
 from ambershift.system.proxy.routing import Routing
-from ambershift.system.registry import (listing, machine, tombstone_expiry)
+from ambershift.system.registry import (machine, tombstone_expiry, endpoint_list)
 from ambershift.system.registry.tombstone_expiry import EVERY, KEPT, PORTION, REFUSED, Clearing
 from ambershift.system.simulation.world import World as Copies
 
@@ -78,7 +78,7 @@
         (tombstone_expiry, "KEPT", 18),
         (tombstone_expiry, "EVERY", 1),
         (machine, "STALE", 9),
-        (listing, "KEPT", 6),
+        (endpoint_list, "KEPT", 6),
     ):
         monkeypatch.setattr(where, name, value * SECOND)
 
