--- a/ambershift/system/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -24,7 +24,7 @@
 from ambershift.system.registry.exchange import Exchange
 from ambershift.system.registry.liveness import MISSED, Keeping
 from ambershift.system.registry.endpoint_list import Listing
-from ambershift.system.registry.proxies import Proxies, merge
+from ambershift.system.registry.proxy_directory import Proxies, merge
 from ambershift.system.registry.records import Life, ProxyRecord, Records, flow_key
 from ambershift.system.steps import MS, SECOND, Heard, Log
 
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -33,7 +33,7 @@
 from ambershift.system.registry.snapshot import Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.registry.endpoint_list import DRAINING, GONE
 from ambershift.system.registry.machine import RegistryMachine
-from ambershift.system.registry.proxies import ADDRESSES_MOST, nearest
+from ambershift.system.registry.proxy_directory import ADDRESSES_MOST, nearest
 from ambershift.system.registry.records import Life, ProxyRecord
 from ambershift.system.settings.local import Local
 from ambershift.system.steps import MS, SECOND, Heard, Log, Send
