--- a/ambershift/modelcheck/models/consensus.py
+++ b/ambershift/modelcheck/models/consensus.py
@@ -12,7 +12,7 @@
 
 from ambershift.modelcheck.model import Base, Property, Step
 from ambershift.modelcheck.models.consensus_table import ALL, IPS, PLACES, Table, Ways, World
-from ambershift.system.steps import Heard, Tick
+from ambershift.system.state_machine import Heard, Tick
 
 
 def broken(name: str, sentence: str) -> Property:
--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -18,7 +18,7 @@
 from ambershift.system.messages.replication import Decision, Member
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.simulation.lists import Appending, split
-from ambershift.system.steps import SECOND, Answer, Heard, Send, Tick, Write, Written
+from ambershift.system.state_machine import SECOND, Answer, Heard, Send, Tick, Write, Written
 
 IPS = ("n1", "n2", "n3")
 PLACES = range(len(IPS))
--- a/ambershift/system/consensus/anti_entropy.py
+++ b/ambershift/system/consensus/anti_entropy.py
@@ -18,7 +18,7 @@
 from ambershift.system.contracts import NotHeldError
 from ambershift.system.messages.replication import Ask, Record, Share
 from ambershift.system.messages.items import Item
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 AGAIN = 250 * MS
 SOON = 60 * MS  # Before a machine that isn't complete itself is asked again, while it alone is asked.
--- a/ambershift/system/consensus/contact_lease.py
+++ b/ambershift/system/consensus/contact_lease.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 READ_AFTER = 450 * MS  # A proof of this age is renewed by a reading: beats, 300 ms apart, have not done so.
 READ_AFTER_AS_LEARNER = 700 * MS  # Voters beat to those that don't vote half as often.
--- a/ambershift/system/consensus/disk.py
+++ b/ambershift/system/consensus/disk.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ambershift.system.steps import Write
+from ambershift.system.state_machine import Write
 
 FORMAT = 1
 FILE, ASIDE = "archive.db", "aside"
--- a/ambershift/system/consensus/effect_buffer.py
+++ b/ambershift/system/consensus/effect_buffer.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.messages.items import Item
-from ambershift.system.steps import Answer, Effect, Log, Send, Wake, Write
+from ambershift.system.state_machine import Answer, Effect, Log, Send, Wake, Write
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/system/consensus/events.py
+++ b/ambershift/system/consensus/events.py
@@ -7,7 +7,7 @@
 
 from ambershift.system.contracts import Change
 from ambershift.system.messages.items import Item
-from ambershift.system.steps import Heard, Tick, Written
+from ambershift.system.state_machine import Heard, Tick, Written
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/system/consensus/failure_detector.py
+++ b/ambershift/system/consensus/failure_detector.py
@@ -15,7 +15,7 @@
 from ambershift.system.messages import (replication)
 from ambershift.system.messages.replication import Beat, Knock, Known, Machine
 from ambershift.system.messages.proxy_link import Core
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 BEAT = 300 * MS
 SILENT = 1500 * MS
--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -19,7 +19,7 @@
 from ambershift.system.consensus.failure_detector import SILENT, Watching
 from ambershift.system.contracts import Verdict
 from ambershift.system.messages.replication import Decision, Machine, Member
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 SETTLE = SECOND  # After the last newcomer, before the first set takes all in.
 RANK = 300 * MS  # Between the tries of one voter and the next, so that they seldom meet.
--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -23,7 +23,7 @@
     Promise,
     Refused,
 )
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 TOGETHER = 64  # Calls judged in one round at the most.
 AGAIN = 250 * MS
--- a/ambershift/system/consensus/quorum_write.py
+++ b/ambershift/system/consensus/quorum_write.py
@@ -11,7 +11,7 @@
 from ambershift.system.contracts import NotDoneError, NotHeldError
 from ambershift.system.messages.replication import Agreed, Merge
 from ambershift.system.messages.items import Item, Key
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 AGAIN = 250 * MS
 BYTE = 4000  # ns that a byte may take on a slow link, before the items are sent again.
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -45,7 +45,7 @@
     Share,
 )
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import SECOND, Effect, Heard, Tick, Written
+from ambershift.system.state_machine import SECOND, Effect, Heard, Tick, Written
 
 PREFETCH = SECOND
 HELD_BACK = 2000  # Messages kept for when this machine votes.
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -22,7 +22,7 @@
 from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import SECOND, Answer, Heard, Log, Send, Tick, Wake, Write, Written
+from ambershift.system.state_machine import SECOND, Answer, Heard, Log, Send, Tick, Wake, Write, Written
 
 EVENT_LISTENER, EVENT_ASIDE, EVENT_NO_DISK = 6, 206, 207
 REOPEN = 0.3  # Seconds between tries to open the folder.
--- a/ambershift/system/consensus/round_fanout.py
+++ b/ambershift/system/consensus/round_fanout.py
@@ -10,7 +10,7 @@
 from ambershift.system.consensus.register import Register, Round
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.messages.replication import Accept, Confirm, Prepare
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 HEDGE_LEAST, HEDGE_MOST = 40 * MS, 250 * MS
 FIRST = 100 * MS  # Taken for twice a round's time before there was any.
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -26,7 +26,7 @@
 from ambershift.system.contracts import Verdict
 from ambershift.system.messages.tombstones import NOTHING_FORGOTTEN, Forgotten
 from ambershift.system.messages.items import Item
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 REGISTER = "forgotten"
 KEPT = 1024  # Drops that are kept: a call of before them that comes late is told what became of it.
--- a/ambershift/system/consensus/write_queue.py
+++ b/ambershift/system/consensus/write_queue.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from ambershift.system.consensus.effect_buffer import Outbox
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 AGAIN = 200 * MS  # After a failed write.
 STALLED = SECOND  # A write that takes longer is a disk in trouble.
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -25,7 +25,7 @@
 from ambershift.system.coordination.replies import ImproperError, Reply, read_body, reply
 from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 RPC, NUMBERS, WATCHES = "/ambershift/rpc", "/ambershift/numbers/", "/ambershift/watch/"
 RESOLUTION = "/ambershift/resolution"
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -34,7 +34,7 @@
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.messages import forwarding as messages
 from ambershift.system.messages.items import Item
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 MODIFY = "configuration.modify"  # The protocol's name of a change, and that of its forwarded call.
 PATIENCE = 850 * MS  # A caller gives up after one second of silence.
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -20,7 +20,7 @@
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Call, ImproperError, Reply, reply
 from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 PATIENCE = 900 * MS  # A caller gives up after a second of silence, and time is looked at each 50 ms.
 
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -12,7 +12,7 @@
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.messages.items import ZONE, Item
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 
 class Evacuations:
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -16,7 +16,7 @@
 from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.coordination.replies import Reply, reply
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 PROPOSER_PATIENCE = 350 * MS  # Two trips between regions and a turn that has to be waited for.
 LOOK = 50 * MS  # How often it is asked after that whether the proposer is still there.
--- a/ambershift/system/control_api/pause_detector.py
+++ b/ambershift/system/control_api/pause_detector.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 GAP = 800 * MS
 AFTERWARDS = 150 * MS
--- a/ambershift/system/control_api/proposer_selection.py
+++ b/ambershift/system/control_api/proposer_selection.py
@@ -9,7 +9,7 @@
 from hashlib import blake2b
 
 from ambershift.system.contracts import Ledger
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 DOUBT = SECOND  # How long a machine is passed over after it left a call without an outcome.
 KNOWN_MOST = 10_000
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -18,7 +18,7 @@
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 WATCH = "watch"  # The name of a forwarded call that is one.
 CHECK = 500 * MS  # How often a watch looks whether it waits at the right machine still.
--- a/ambershift/system/coordination/locks.py
+++ b/ambershift/system/coordination/locks.py
@@ -14,7 +14,7 @@
 
 from ambershift.system.contracts import Change, Verdict
 from ambershift.system.coordination.replies import Reply, reply
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 MARGIN = 50 * MS  # Against steady clocks that don't run quite alike.
 HOLD_MOST = 86_400_000
--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -20,7 +20,7 @@
 from ambershift.system.distribution.strain import CALM, Strain
 from ambershift.system.messages.proxy_link import Bind, Line
 from ambershift.system.messages.proxy_link import Met as Told
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 DEALT_ON_LIST, DEALT_WHILE_BUSY, DEALT_AT_REST = 100 * MS, 250 * MS, 1000 * MS
 
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -29,7 +29,7 @@
 from ambershift.system.registry.records import Life
 from ambershift.system.registry.registry import Registry, backend
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import MS, Send
+from ambershift.system.state_machine import MS, Send
 
 SIGN_EACH, PROXIES_EACH = 400 * MS, 250 * MS
 LIST_FOR = 250 * MS  # How old a list a new link may be told: cold backends stay cold there for longer.
--- a/ambershift/system/distribution/flows.py
+++ b/ambershift/system/distribution/flows.py
@@ -7,7 +7,7 @@
 
 from ambershift.system.messages.proxy_link import tally_parts
 from ambershift.system.messages.registry_sync import Flow
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 WINDOW, TOLD_EACH, MOVED = 15 * SECOND, 2 * SECOND, 0.1
 SMALL = 20  # Requests per 100 s: less than this is no move.
--- a/ambershift/system/distribution/pool_loads.py
+++ b/ambershift/system/distribution/pool_loads.py
@@ -17,7 +17,7 @@
 from ambershift.system.messages.proxy_link import Report
 from ambershift.system.messages.items import ZONE, Item
 from ambershift.system.registry.records import Life, ProxyRecord
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 FED_EACH = SECOND
 
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -8,7 +8,7 @@
 from ambershift.system.messages.tombstones import FORGOTTEN
 from ambershift.system.messages.proxy_link import Backend, Backends, Items
 from ambershift.system.messages.items import CLEARED, INSTANCE, Item, Key, cleared_by
-from ambershift.system.steps import Send
+from ambershift.system.state_machine import Send
 
 
 @dataclass(slots=True)
--- a/ambershift/system/distribution/strain.py
+++ b/ambershift/system/distribution/strain.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 FULL = 0.8  # Of its slots: past this, queues grow.
 LEAST, MOST = 0.95, 3.0  # At the least, a zone may live on one of the two backends it is due.
--- a/ambershift/system/distribution/terms.py
+++ b/ambershift/system/distribution/terms.py
@@ -6,7 +6,7 @@
 
 from ambershift import interface as api
 from ambershift.system.distribution.pools import Pool
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 # A service has about two backends a zone, and answers from other regions are the dearest price: a zone may
 # live on one backend, and on one of its two while the other is replaced. A proxy whose table is full goes on
--- a/ambershift/system/node_selection/selector.py
+++ b/ambershift/system/node_selection/selector.py
@@ -27,7 +27,7 @@
 
 from ambershift.system.messages.proxy_link import Core, Cores
 from ambershift.system.settings.local import Bounds
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 SILENT = 1600 * MS  # A sign of life comes each 0.4 s.
 PENALTY = 4 * SECOND  # How long one that failed us is tried after all others.
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -21,7 +21,7 @@
 from ambershift.system.processes.locality import Places
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 from ambershift.system.transport.links import receive
 from ambershift.system.transport.send_queue import Outbox
 from ambershift.system.transport.link_path import PROXY, Caller
--- a/ambershift/system/proxy/attempt.py
+++ b/ambershift/system/proxy/attempt.py
@@ -9,7 +9,7 @@
 from enum import Enum, IntEnum
 
 from ambershift.attempt.machine import Evidence
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 
 class Stage(IntEnum):
--- a/ambershift/system/proxy/backend_view.py
+++ b/ambershift/system/proxy/backend_view.py
@@ -7,7 +7,7 @@
 
 from ambershift.system.messages.proxy_link import Backend, Backends, Bind, Line, pool_parts
 from ambershift.system.proxy.lives import COLD_MORE, DOUBT, Life, life_of
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 # What a list says of coldness this long after a zone was taken back, it knew after that, ns.
 SURELY_NEWER = 2 * SECOND
--- a/ambershift/system/proxy/cold.py
+++ b/ambershift/system/proxy/cold.py
@@ -5,7 +5,7 @@
 from hashlib import blake2b
 
 from ambershift.system.proxy.lives import Life
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 # Two sends of one proxy this far apart are never sent within one second.
 APART = SECOND + SECOND // 20
--- a/ambershift/system/proxy/connections.py
+++ b/ambershift/system/proxy/connections.py
@@ -12,7 +12,7 @@
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.stream import Rest, dial
 from ambershift.system.proxy.wire import HOLD_MOST, KEEP, Headers, TryError, Wire
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 # An idle connection is not used in the last part of the time that the backend keeps it: the close may be
 # under way. A request that may run only once is kept further from it.
--- a/ambershift/system/proxy/course.py
+++ b/ambershift/system/proxy/course.py
@@ -14,7 +14,7 @@
 from ambershift.system.proxy.state import ProxyState
 from ambershift.system.proxy.trying import Came, Try
 from ambershift.system.proxy.wire import Wire
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 Make = Callable[[Wire, Life, int], httpcore.Request]
 Racing = asyncio.Task[Came]
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -18,7 +18,7 @@
 from ambershift.system.proxy.state import ProxyState
 from ambershift.system.proxy.trying import Came
 from ambershift.system.proxy.wire import Reply, TryError, UnsendableError, Wire
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 Receive = Callable[[], Awaitable[Any]]
 Send = Callable[[Any], Awaitable[None]]
--- a/ambershift/system/proxy/headers.py
+++ b/ambershift/system/proxy/headers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ambershift.system.proxy.attempt import Told
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/ambershift/system/proxy/intake.py
+++ b/ambershift/system/proxy/intake.py
@@ -10,7 +10,7 @@
 from uvicorn.protocols.http.httptools_impl import STATUS_LINE, HttpToolsProtocol
 
 from ambershift.system.proxy.limits import Limits, Waiting
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 # What comes after a refusal is still read for so long, s, and dropped: to close on unread bytes resets the
 # connection, and the client may lose the answer by it.
--- a/ambershift/system/proxy/isolation.py
+++ b/ambershift/system/proxy/isolation.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from ambershift.system.proxy.lives import Life
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 SILENT = 300 * MS
 # Backends that keep requests waiting for longer than is usual with them, in more than one zone.
--- a/ambershift/system/proxy/limits.py
+++ b/ambershift/system/proxy/limits.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 CLIENTS_FIRST = SECOND  # Clients are told to end idle connections so much before we do.
 
--- a/ambershift/system/proxy/lives.py
+++ b/ambershift/system/proxy/lives.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ambershift.system.messages.proxy_link import Backend
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 # A told load counts for so long, ns.
 LOAD_FOR = SECOND
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -20,7 +20,7 @@
 from ambershift.system.messages.proxy_link import tally_of
 from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.proxy.limits import Limits, read_limits
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -15,7 +15,7 @@
 from ambershift.system.proxy.state import ProxyState
 from ambershift.system.proxy.wire import HOLD_LEAST, HOLD_MOST
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 READINESS = b"/ambershift/readiness"
 ROOM_SHARE, ROOM_LEAST = 0.9, 2
--- a/ambershift/system/proxy/state.py
+++ b/ambershift/system/proxy/state.py
@@ -18,7 +18,7 @@
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.proxy.trying import Came
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 
 class ProxyState:
--- a/ambershift/system/proxy/trying.py
+++ b/ambershift/system/proxy/trying.py
@@ -13,7 +13,7 @@
 from ambershift.system.proxy.headers import Headers, load_of, read_answer
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.wire import Reply, TryError, Wire, exchange
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 
 @dataclass(slots=True)
--- a/ambershift/system/proxy/wire.py
+++ b/ambershift/system/proxy/wire.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.proxy.attempt import Ending, Stage
 from ambershift.system.proxy.stream import GivenUpError, Rest, Stream
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 Headers = Sequence[tuple[bytes, bytes]]
 
--- a/ambershift/system/registry/events.py
+++ b/ambershift/system/registry/events.py
@@ -8,7 +8,7 @@
 from ambershift.system.messages.registry_sync import Flow
 from ambershift.system.registry.heartbeats import Beat
 from ambershift.system.registry.records import Life
-from ambershift.system.steps import Heard, Log, Send
+from ambershift.system.state_machine import Heard, Log, Send
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/system/registry/exchange.py
+++ b/ambershift/system/registry/exchange.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.messages.registry_sync import Ask, Delta, Pulse
 from ambershift.system.registry.records import Record, Records, pack, unpack
-from ambershift.system.steps import MS, Send
+from ambershift.system.state_machine import MS, Send
 
 ASK_GAP = 500 * MS  # Against asking again while the answer is on its way.
 
--- a/ambershift/system/registry/liveness.py
+++ b/ambershift/system/registry/liveness.py
@@ -6,7 +6,7 @@
 
 from ambershift.system.registry.heartbeats import Beat
 from ambershift.system.registry.records import Life
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 MISSED, WARY_MISSED, SUSPECT = 3.5, 5.5, 2.3  # Heartbeats without a word.
 MASS_LEAST = 3  # Fewer than these that fall silent together may well be their own fault.
--- a/ambershift/system/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -26,7 +26,7 @@
 from ambershift.system.registry.endpoint_list import Listing
 from ambershift.system.registry.proxy_directory import Proxies, merge
 from ambershift.system.registry.records import Life, ProxyRecord, Records, flow_key
-from ambershift.system.steps import MS, SECOND, Heard, Log
+from ambershift.system.state_machine import MS, SECOND, Heard, Log
 
 BATCH, PULSE, LISTEN = 100 * MS, SECOND, 250 * MS
 GAP = 600 * MS  # Ticks further apart than this: the process stood still, and heard nobody.
--- a/ambershift/system/registry/proxy_directory.py
+++ b/ambershift/system/registry/proxy_directory.py
@@ -7,7 +7,7 @@
 
 from ambershift.system.messages.proxy_link import Hello
 from ambershift.system.registry.records import ProxyRecord
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 PARTED = 1000 * MS  # A proxy dials anew within this, or is taken for lost.
 SILENT = 2500 * MS  # A proxy reports each second.
--- a/ambershift/system/registry/records.py
+++ b/ambershift/system/registry/records.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ambershift.system.messages.registry_sync import Attached, Delta, Flow, Lived
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 COLD_SLACK = 300 * MS  # By so much a cold span may be told otherwise without being another.
 
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -36,7 +36,7 @@
 from ambershift.system.registry.proxy_directory import ADDRESSES_MOST, nearest
 from ambershift.system.registry.records import Life, ProxyRecord
 from ambershift.system.settings.local import Local
-from ambershift.system.steps import MS, SECOND, Heard, Log, Send
+from ambershift.system.state_machine import MS, SECOND, Heard, Log, Send
 
 UNSURE_PROXIES = (
     256  # Told while proxies may not have been heard yet: too few would let too much to cold ones.
--- a/ambershift/system/registry/snapshot.py
+++ b/ambershift/system/registry/snapshot.py
@@ -15,7 +15,7 @@
 from ambershift.system.messages.registry_sync import Lived
 from ambershift.system.registry.endpoint_list import KEPT
 from ambershift.system.registry.records import Life, lived, to_life
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 FORMAT = 1
 SUM = 16  # Bytes of the digest in front: a write may be torn.
--- a/ambershift/system/registry/tombstone_expiry.py
+++ b/ambershift/system/registry/tombstone_expiry.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 # No beat of before the end comes so much later: on its way TCP gives it up within 15 minutes, and who stood
 # still for longer than `STALE` takes none that waited for it.
--- a/ambershift/system/simulation/calling.py
+++ b/ambershift/system/simulation/calling.py
@@ -13,7 +13,7 @@
 from ambershift.system.simulation.cluster import Cluster
 from ambershift.system.simulation.loop import simulated_loop
 from ambershift.system.simulation.sockets import BrokenOffError, Connection, NotReachedError
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 SILENCE, PATIENCE = 1.0, 5.0
 LOST_ANSWERS = 0.005
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -17,7 +17,7 @@
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
 from ambershift.system.simulation.sockets import Connection
 from ambershift.system.simulation.world import Box, World
-from ambershift.system.steps import MS, SECOND, Heard, Tick, Write, Written
+from ambershift.system.state_machine import MS, SECOND, Heard, Tick, Write, Written
 
 EPOCH = 1_700_000_000 * SECOND
 ZONES = {"z0": "r0", "z1": "r1", "z2": "r2", "z3": "r0", "z4": "r1", "z5": "r2"}
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -15,7 +15,7 @@
 from ambershift.system.messages.replication import NEVER
 from ambershift.system.messages.items import Item
 from ambershift.system.simulation.cluster import Place
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 _lock = msgspec.msgpack.Decoder(locks.Lock).decode
 _encode = msgspec.msgpack.Encoder().encode
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -19,7 +19,7 @@
 from ambershift.system.simulation.fleet_links import Accepted, FromProxy, HungUp, ProxyLink, ProxyLinks
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
 from ambershift.system.simulation.world import Box
-from ambershift.system.steps import MS, Heard, Tick
+from ambershift.system.state_machine import MS, Heard, Tick
 
 GREET_S, REPORT_S = 0.25, 1.0
 
--- a/ambershift/system/simulation/fleet_history.py
+++ b/ambershift/system/simulation/fleet_history.py
@@ -16,7 +16,7 @@
 from ambershift.system.messages.items import ROUTE, SERVICE, Item, Key
 from ambershift.system.simulation.calling import Found, Streets
 from ambershift.system.simulation.fleet import Fleet
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 LOOK = 20 * MS
 ON_THE_WAY = 100 * MS  # Messages are under way for less, where nothing befalls the links.
--- a/ambershift/system/simulation/fleet_links.py
+++ b/ambershift/system/simulation/fleet_links.py
@@ -11,7 +11,7 @@
 from websockets.exceptions import ConnectionClosedError
 
 from ambershift.system.messages import codec
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 from ambershift.system.transport.links import DIAL_LIMIT
 from ambershift.system.transport.send_queue import Outbox
 
--- a/ambershift/system/simulation/fleet_troubles.py
+++ b/ambershift/system/simulation/fleet_troubles.py
@@ -9,7 +9,7 @@
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.fleet import Fleet
 from ambershift.system.simulation.fleet_history import Judge, Storm
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 BEGIN_S, CALM_S = 4.0, 8.0
 TROUBLES_MOST = 3
--- a/ambershift/system/simulation/forgetting_soon.py
+++ b/ambershift/system/simulation/forgetting_soon.py
@@ -8,7 +8,7 @@
 
 from ambershift.system.consensus import (tombstone_collector)
 from ambershift.system.messages import (tombstones)
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 
 @contextmanager
--- a/ambershift/system/simulation/histories.py
+++ b/ambershift/system/simulation/histories.py
@@ -17,7 +17,7 @@
 from ambershift.system.simulation.operators import Numbers, Operator
 from ambershift.system.simulation.readers import Reader
 from ambershift.system.simulation.troubles import LEAVING, MIXED, MOVING, Troubles, heal
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 KINDS = (MIXED, MOVING, LEAVING, MOVING)
 
--- a/ambershift/system/simulation/lists.py
+++ b/ambershift/system/simulation/lists.py
@@ -11,7 +11,7 @@
 from ambershift.system.contracts import NotDoneError, Verdict
 from ambershift.system.messages.items import Item
 from ambershift.system.simulation.world import World
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 LISTS = 6  # Registers that are judged.
 
--- a/ambershift/system/simulation/loop.py
+++ b/ambershift/system/simulation/loop.py
@@ -11,7 +11,7 @@
 from contextvars import Context
 from typing import Any
 
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 
 def simulated_loop(now: Callable[[], int], post: Callable[[int, asyncio.Handle], None]) -> SimulatedLoop:
--- a/ambershift/system/simulation/loss_pairs.py
+++ b/ambershift/system/simulation/loss_pairs.py
@@ -12,7 +12,7 @@
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.simulation.lists import LISTS, Lists, Op
 from ambershift.system.simulation.troubles import heal
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 FOUNDED_S = 2.5
 REPAIR_S = 3.0  # What a loss takes at the most until copies are complete again.
--- a/ambershift/system/simulation/scripts_cluster.py
+++ b/ambershift/system/simulation/scripts_cluster.py
@@ -13,7 +13,7 @@
 from ambershift.system.simulation.operator_history import OperatorHistory, Order
 from ambershift.system.simulation.operators import Operator
 from ambershift.system.simulation.readers import Reader
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 from ambershift.system.testbed.histories import Hold
 
 FAST = 1.009  # By 45 ms in the hold below, within the margin.
--- a/ambershift/system/simulation/scripts_configuration.py
+++ b/ambershift/system/simulation/scripts_configuration.py
@@ -8,7 +8,7 @@
 from ambershift.system.simulation.calling import Found, Streets
 from ambershift.system.simulation.cluster import Cluster
 from ambershift.system.simulation.scripts_cluster import _until_done
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 MODIFY = "configuration.modify"
 AWAY_S = 6.0
--- a/ambershift/system/simulation/scripts_voters.py
+++ b/ambershift/system/simulation/scripts_voters.py
@@ -8,7 +8,7 @@
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.register import Register
 from ambershift.system.simulation.lists import Lists as World
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 
 def accepted_alone(first: bool) -> list[str]:
--- a/ambershift/system/simulation/troubles.py
+++ b/ambershift/system/simulation/troubles.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection
 
 from ambershift.system.simulation.world import Box, World
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 
 def whole(box: Box) -> bool:
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -20,7 +20,7 @@
 from ambershift.system.contracts import Shape
 from ambershift.system.messages import codec
 from ambershift.system.settings.local import Bounds, Local
-from ambershift.system.steps import MS, SECOND, Answer, Heard, Send, Tick, Wake, Write, Written
+from ambershift.system.state_machine import MS, SECOND, Answer, Heard, Send, Tick, Wake, Write, Written
 
 SEEDS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
--- a/ambershift/system/transport/traffic_meter.py
+++ b/ambershift/system/transport/traffic_meter.py
@@ -8,7 +8,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Mapping
 
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 TOLD_EACH = 10 * SECOND
 ZONE, REGION, ABROAD, UNKNOWN = "zone", "region", "abroad", "unknown"
--- a/benchmarks/capacity/assigner.py
+++ b/benchmarks/capacity/assigner.py
@@ -12,7 +12,7 @@
 from ambershift.system.distribution.terms import terms_for, zones_of
 from ambershift.system.messages import codec
 from ambershift.system.messages.proxy_link import Bind, Met
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
 from benchmarks.capacity.world import CONTROL_NODES, Size
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -15,7 +15,7 @@
 from ambershift.system.messages import codec
 from ambershift.system.messages.proxy_link import Backends, Hello, Items, Mark
 from ambershift.system.processes import control_node
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
 from benchmarks.capacity.registry import Scene, ended
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -17,7 +17,7 @@
 from ambershift.system.messages import (codec, replication)
 from ambershift.system.messages.items import ROUTE
 from ambershift.system.processes import control_node
-from ambershift.system.steps import MS, SECOND, Answer, Heard, Send, Tick, Write, Written
+from ambershift.system.state_machine import MS, SECOND, Answer, Heard, Send, Tick, Write, Written
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
 from benchmarks.capacity.world import CONTROL_NODES, Size
--- a/benchmarks/capacity/proxy.py
+++ b/benchmarks/capacity/proxy.py
@@ -9,7 +9,7 @@
 from ambershift.system.messages import (codec, proxy_link)
 from ambershift.system.processes import proxy  # All that a proxy's process imports counts in its memory.
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros, peak_megabytes
 from benchmarks.capacity.world import Size
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -13,7 +13,7 @@
 from ambershift.system.messages.proxy_link import Report
 from ambershift.system.processes import control_node  # All that a control node's process imports counts.
 from ambershift.system.registry.registry import Registry
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
 from benchmarks.capacity.world import CONTROL_NODES, Held, Size
--- a/benchmarks/configuration_age.py
+++ b/benchmarks/configuration_age.py
@@ -20,7 +20,7 @@
 from ambershift.system.simulation.fleet import Fleet
 from ambershift.system.simulation.fleet_history import Judge, Storm
 from ambershift.system.simulation.variants_fleet import BY_NAME
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 NODES, GAP_S, SETTLE_S, SPAN_S, CUT_S = 9, 0.27, 8.0, 8.0, 6.0
 APART = ("10.0.0.1", "10.0.0.4")  # Two of one region, each alone.
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -21,7 +21,7 @@
 from ambershift.system.messages.replication import Share
 from ambershift.system.messages.items import AGREED, ROUTE, Item
 from ambershift.system.simulation.world import World
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 A_CALL = 400
 AWAY, AT = "10.0.0.5", "10.0.0.1"
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -16,7 +16,7 @@
 from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.settings.local import Bounds, Local
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 TRIP = 0.035  # Seconds, one way.
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -16,7 +16,7 @@
 from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by, newest
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Bounds, Local
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 BEAT = 1500 * MS
--- a/tests/test_system_consensus.py
+++ b/tests/test_system_consensus.py
@@ -8,7 +8,7 @@
 from ambershift.system.simulation import scripts_voters
 from ambershift.system.simulation.histories import play_lists as play
 from ambershift.system.simulation.lists import Lists as World
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 
 @pytest.mark.parametrize("seed", range(24))
--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -22,7 +22,7 @@
 from ambershift.system.contracts import Verdict
 from ambershift.system.messages.items import Item
 from ambershift.system.settings.local import Bounds, Local
-from ambershift.system.steps import SECOND, Write
+from ambershift.system.state_machine import SECOND, Write
 
 IP = "10.0.0.1"
 
--- a/tests/test_system_contact_proof.py
+++ b/tests/test_system_contact_proof.py
@@ -18,7 +18,7 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.messages.replication import COMPLETE, Ask, Beat, Share
 from ambershift.system.simulation.world import World
-from ambershift.system.steps import MS, SECOND, Heard, Send, Tick
+from ambershift.system.state_machine import MS, SECOND, Heard, Send, Tick
 
 NODES = [f"10.0.0.{at}" for at in range(1, 6)]
 
--- a/tests/test_system_coordination.py
+++ b/tests/test_system_coordination.py
@@ -15,7 +15,7 @@
 from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.groups import EVENTS_LEAST, group_of, read_group
 from ambershift.system.coordination.value_deltas import SHAPE
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 MACHINES = st.sampled_from((0, 1))
 CALLERS = st.sampled_from(("a", "b"))
--- a/tests/test_system_fleet.py
+++ b/tests/test_system_fleet.py
@@ -9,7 +9,7 @@
 from ambershift.system.simulation.fleet_history import Acknowledged, Judge, Storm
 from ambershift.system.simulation.fleet_troubles import play, storm_while_cut
 from ambershift.system.simulation.variants_fleet import BY_NAME
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 # A region and one more; one or two of each region; two of a zone and another, each alone. The last is the
 # incident: two of a region, each alone.
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -43,7 +43,7 @@
 from ambershift.system.simulation.histories import play_cluster
 from ambershift.system.simulation.variants_forgetting import BY_NAME
 from ambershift.system.simulation.world import World
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 AWAY = "10.0.0.6"
 
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -15,7 +15,7 @@
 from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.messages.replication import Accept, Agreed, Prepare, Promise
 from ambershift.system.messages.forwarding import Outcome
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 from tests.enquiring import TRIP, World, order, play
 
 
--- a/tests/test_system_homes.py
+++ b/tests/test_system_homes.py
@@ -12,7 +12,7 @@
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.registry.home_regions import LEAST, MOST, SEEN, Homes
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 ALL, BOUND = tally_of("h.example", ()), tally_of("h.example", ("b", "a"))
 
--- a/tests/test_system_limits.py
+++ b/tests/test_system_limits.py
@@ -12,7 +12,7 @@
 from ambershift.system.processes.http_server import Served
 from ambershift.system.proxy.intake import _unread
 from ambershift.system.proxy.limits import Limits, Waiting, read_limits
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 HEAD = b"GET /read/a HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a1\r\nX-Deadline-Remaining: 1500\r\n"
 MOST = 400
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -27,7 +27,7 @@
     rendered,
 )
 from ambershift.system.processes.http_server import listener, listener_or_none
-from ambershift.system.steps import SECOND
+from ambershift.system.state_machine import SECOND
 
 DEPLOY = Path(__file__).parent.parent / "deploy" / "system.toml"
 
--- a/tests/test_system_proxy_attempt.py
+++ b/tests/test_system_proxy_attempt.py
@@ -10,7 +10,7 @@
 from ambershift.attempt.machine import Evidence
 from ambershift.system.proxy.attempt import TIMER_EARLY, Ending, Outcome, Stage, Told, Tries, outcome
 from ambershift.system.proxy.budget import Budget
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 STATUSES = (200, 204, 302, 400, 404, 408, 421, 429, 500, 502, 503, 504, 700)
 
--- a/tests/test_system_proxy_pick.py
+++ b/tests/test_system_proxy_pick.py
@@ -11,7 +11,7 @@
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 PLACES = ("north", "north", "north", "hill", "hill", "south", "south", "south")
 
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -35,7 +35,7 @@
 from ambershift.system.registry.records import Life
 from ambershift.system.registry.registry import UNSURE_PROXIES
 from ambershift.system.settings.local import Bounds, Local
-from ambershift.system.steps import MS, Send, Written
+from ambershift.system.state_machine import MS, Send, Written
 from ambershift.system.transport import links
 from ambershift.system.transport.link_path import CONTROL_NODE, Caller
 
--- a/tests/test_system_rivals.py
+++ b/tests/test_system_rivals.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ambershift.system.simulation.scripts_configuration import offered_on_return, rivals
-from ambershift.system.steps import MS
+from ambershift.system.state_machine import MS
 
 
 @pytest.mark.parametrize("apart", [0, 5, 50, 500])
--- a/tests/test_system_strain.py
+++ b/tests/test_system_strain.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ambershift.system.distribution.strain import LEAST, MOST, Strain
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 
 
 def strained(rate: int, slots: int = 72) -> float:
--- a/tests/test_system_transport.py
+++ b/tests/test_system_transport.py
@@ -25,7 +25,7 @@
     current_for,
 )
 from ambershift.system.settings.local import Bounds
-from ambershift.system.steps import MS, SECOND
+from ambershift.system.state_machine import MS, SECOND
 from ambershift.system.testbed.rig import until
 from ambershift.system.testbed.settings import free_ports
 from ambershift.system.transport import (send_queue as outboxes)
