--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -13,7 +13,7 @@
 from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.contracts import NotDoneError, Verdict
+from ambershift.system.interfaces import NotDoneError, Verdict
 from ambershift.system.messages import (replication)
 from ambershift.system.messages.replication import Decision, Member
 from ambershift.system.settings.local import Bounds, Local
--- a/ambershift/system/configuration/agreement.py
+++ b/ambershift/system/configuration/agreement.py
@@ -19,7 +19,7 @@
 
 from ambershift.system.configuration.errors import Fault
 from ambershift.system.configuration.change_request import Order, same_content
-from ambershift.system.contracts import Verdict
+from ambershift.system.interfaces import Verdict
 from ambershift.system.messages.tombstones import THE_FORGOTTEN, forgotten_of
 from ambershift.system.messages.items import AGREED, Item, Key
 
--- a/ambershift/system/consensus/acceptor.py
+++ b/ambershift/system/consensus/acceptor.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.effect_buffer import Outbox
-from ambershift.system.contracts import Shape
+from ambershift.system.interfaces import Shape
 from ambershift.system.messages.replication import (
     NEVER,
     Accept,
--- a/ambershift/system/consensus/anti_entropy.py
+++ b/ambershift/system/consensus/anti_entropy.py
@@ -15,7 +15,7 @@
 from ambershift.system.consensus.quorum import majority
 from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.voters import Voters, holds
-from ambershift.system.contracts import NotHeldError
+from ambershift.system.interfaces import NotHeldError
 from ambershift.system.messages.replication import Ask, Record, Share
 from ambershift.system.messages.items import Item
 from ambershift.system.state_machine import MS
--- a/ambershift/system/consensus/events.py
+++ b/ambershift/system/consensus/events.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ambershift.system.contracts import Change
+from ambershift.system.interfaces import Change
 from ambershift.system.messages.items import Item
 from ambershift.system.state_machine import Heard, Tick, Written
 
--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -17,7 +17,7 @@
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.consensus.failure_detector import SILENT, Watching
-from ambershift.system.contracts import Verdict
+from ambershift.system.interfaces import Verdict
 from ambershift.system.messages.replication import Decision, Machine, Member
 from ambershift.system.state_machine import MS, SECOND
 
--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -13,7 +13,7 @@
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.register import Call, Lease, Register, Round
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.contracts import Change, NotDoneError, NotHeldError, Shape
+from ambershift.system.interfaces import Change, NotDoneError, NotHeldError, Shape
 from ambershift.system.messages.replication import (
     Accept,
     Agreed,
--- a/ambershift/system/consensus/register.py
+++ b/ambershift/system/consensus/register.py
@@ -7,7 +7,7 @@
 
 from ambershift.system.consensus.acceptor import EMPTY
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.contracts import Change
+from ambershift.system.interfaces import Change
 from ambershift.system.messages.replication import NEVER, Accept, Ballot, Confirm, Prepare, Record
 
 
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -26,7 +26,7 @@
 from ambershift.system.consensus.voters import FOUNDER, Voters
 from ambershift.system.consensus.failure_detector import Watching
 from ambershift.system.consensus.quorum_write import Writing
-from ambershift.system.contracts import Shape
+from ambershift.system.interfaces import Shape
 from ambershift.system.messages.replication import (
     Accept,
     Agreed,
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -18,7 +18,7 @@
 from ambershift.system.consensus.membership_view import Members, members_of
 from ambershift.system.consensus.effect_buffer import Held, News
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.contracts import Change, NotDoneError, Shape
+from ambershift.system.interfaces import Change, NotDoneError, Shape
 from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.settings.local import Local
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -23,7 +23,7 @@
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.consensus.failure_detector import Watching
 from ambershift.system.consensus.quorum_write import Writing
-from ambershift.system.contracts import Verdict
+from ambershift.system.interfaces import Verdict
 from ambershift.system.messages.tombstones import NOTHING_FORGOTTEN, Forgotten
 from ambershift.system.messages.items import Item
 from ambershift.system.state_machine import SECOND
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Ledger
+from ambershift.system.interfaces import Ledger
 from ambershift.system.control_api import (asgi, log_events)
 from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.configuration_calls import MODIFY, ConfigurationCalls
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -27,7 +27,7 @@
 from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.configuration.layout import write_back
 from ambershift.system.configuration.change_request import Order, read_order
-from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
 from ambershift.system.control_api import (log_events)
 from ambershift.system.control_api.forwarding import Asked, Forwarding
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ambershift.system.contracts import Change, Ledger, NotDoneError, NotHeldError, Verdict
+from ambershift.system.interfaces import Change, Ledger, NotDoneError, NotHeldError, Verdict
 from ambershift.system.control_api.log_events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED
 from ambershift.system.control_api.forwarding import REFUSED, UNCLEAR, Asked, Forwarding
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
 from ambershift.system.control_api import (log_events)
 from ambershift.system.control_api.configuration_calls import NOT_DONE, PATIENCE, UNCLEAR
 from ambershift.system.coordination.replies import Reply, reply
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.system.contracts import Ledger
+from ambershift.system.interfaces import Ledger
 from ambershift.system.control_api.log_events import OWNER_SILENT
 from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.control_api.proposer_selection import Proposers
--- a/ambershift/system/control_api/proposer_selection.py
+++ b/ambershift/system/control_api/proposer_selection.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from hashlib import blake2b
 
-from ambershift.system.contracts import Ledger
+from ambershift.system.interfaces import Ledger
 from ambershift.system.state_machine import SECOND
 
 DOUBT = SECOND  # How long a machine is passed over after it left a call without an outcome.
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Ledger
+from ambershift.system.interfaces import Ledger
 from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.forwarding import REFUSED
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
--- a/ambershift/system/coordination/locks.py
+++ b/ambershift/system/coordination/locks.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Change, Verdict
+from ambershift.system.interfaces import Change, Verdict
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.state_machine import MS
 
--- a/ambershift/system/coordination/numbers.py
+++ b/ambershift/system/coordination/numbers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Verdict
+from ambershift.system.interfaces import Verdict
 from ambershift.system.coordination.replies import reply
 
 
--- a/ambershift/system/coordination/replies.py
+++ b/ambershift/system/coordination/replies.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Change
+from ambershift.system.interfaces import Change
 from ambershift.system.coordination.groups import Group
 
 
--- a/ambershift/system/coordination/value_deltas.py
+++ b/ambershift/system/coordination/value_deltas.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Shape
+from ambershift.system.interfaces import Shape
 from ambershift.system.coordination.groups import Event, Group, read_group, write_group
 
 
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
 from ambershift.system.distribution.assigner import Assigned
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.distribution.pool_loads import FED_EACH, PoolLoads
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Ledger
+from ambershift.system.interfaces import Ledger
 from ambershift.system.messages.proxy_link import Backend, Hello
 from ambershift.system.messages.items import CLEARED, INSTANCE, Item, cleared_by
 from ambershift.system.messages.registry_sync import Ask, Delta, Flow, Pulse
--- a/ambershift/system/registry/tombstones.py
+++ b/ambershift/system/registry/tombstones.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Ledger, NotDoneError, NotHeldError
+from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
 from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by
 from ambershift.system.registry.tombstone_expiry import REFUSED
 
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.system.consensus import acceptor
-from ambershift.system.contracts import Verdict
+from ambershift.system.interfaces import Verdict
 from ambershift.system.control_api import (application, evacuations, watches, coordination_calls)
 from ambershift.system.coordination import groups, locks
 from ambershift.system.coordination.replies import Call, reply
--- a/ambershift/system/simulation/lists.py
+++ b/ambershift/system/simulation/lists.py
@@ -8,7 +8,7 @@
 
 from ambershift.system.consensus.events import ChangeRegister, Freshen, Put
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.contracts import NotDoneError, Verdict
+from ambershift.system.interfaces import NotDoneError, Verdict
 from ambershift.system.messages.items import Item
 from ambershift.system.simulation.world import World
 from ambershift.system.state_machine import SECOND
--- a/ambershift/system/simulation/readers.py
+++ b/ambershift/system/simulation/readers.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import NotHeldError
+from ambershift.system.interfaces import NotHeldError
 from ambershift.system.messages.tombstones import CONFIGURATION
 from ambershift.system.messages.items import ZONE, Item, Key
 from ambershift.system.simulation.calling import Streets
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -6,7 +6,7 @@
 
 from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.contracts import NotDoneError, NotHeldError
+from ambershift.system.interfaces import NotDoneError, NotHeldError
 from ambershift.system.coordination import locks
 from ambershift.system.messages.replication import Accept, Share
 from ambershift.system.simulation.lists import Lists
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -4,7 +4,7 @@
 
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.consensus import (acceptor, membership_plan, proposer, replica, voters, write_queue, item_store, anti_entropy, quorum_write)
-from ambershift.system.contracts import NotDoneError
+from ambershift.system.interfaces import NotDoneError
 from ambershift.system.control_api import (
     forwarding,
 )
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -17,7 +17,7 @@
 
 from ambershift.system.consensus.effect_buffer import News
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.contracts import Shape
+from ambershift.system.interfaces import Shape
 from ambershift.system.messages import codec
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import MS, SECOND, Answer, Heard, Send, Tick, Wake, Write, Written
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.configuration.change_request import read_order
-from ambershift.system.contracts import Change
+from ambershift.system.interfaces import Change
 from ambershift.system.messages import (proxy_link, registry_sync)
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.settings.local import Bounds, Local
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import Change, NotDoneError, NotHeldError
+from ambershift.system.interfaces import Change, NotDoneError, NotHeldError
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.control_api.proposer_selection import rank
 from ambershift.system.messages.codec import decode, encode
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ambershift.system.contracts import NotHeldError
+from ambershift.system.interfaces import NotHeldError
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import (codec, proxy_link)
 from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by, newest
--- a/tests/test_system_coordination.py
+++ b/tests/test_system_coordination.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from ambershift.system.contracts import Change
+from ambershift.system.interfaces import Change
 from ambershift.system.coordination import cells, locks, numbers
 from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.groups import EVENTS_LEAST, group_of, read_group
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -11,7 +11,7 @@
 from ambershift.system.consensus.acceptor import EMPTY
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.contracts import Verdict
+from ambershift.system.interfaces import Verdict
 from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.messages.replication import Accept, Agreed, Prepare, Promise
 from ambershift.system.messages.forwarding import Outcome
