--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import NotDoneError, Verdict
-from ambershift.system.messages import (replication)
+from ambershift.system.messages import replication
 from ambershift.system.messages.replication import Decision, Member
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.simulation.lists import Appending, split
--- a/ambershift/system/configuration/agreement.py
+++ b/ambershift/system/configuration/agreement.py
@@ -17,11 +17,11 @@
 
 import msgspec
 
-from ambershift.system.configuration.errors import Fault
 from ambershift.system.configuration.change_request import Order, same_content
+from ambershift.system.configuration.errors import Fault
 from ambershift.system.interfaces import Verdict
-from ambershift.system.messages.tombstones import THE_FORGOTTEN, forgotten_of
 from ambershift.system.messages.items import AGREED, Item, Key
+from ambershift.system.messages.tombstones import THE_FORGOTTEN, forgotten_of
 
 REGISTER = "configuration"
 NOTHING_READ = -1  # Below every count of settled items.
--- a/ambershift/system/configuration/change_request.py
+++ b/ambershift/system/configuration/change_request.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.system.configuration import (field_validation as checks)
+from ambershift.system.configuration import field_validation as checks
 from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.configuration.layout import LISTS, Fields, rows, unreadable, without_null
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE, Item, Key, newest
--- a/ambershift/system/configuration/check.py
+++ b/ambershift/system/configuration/check.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.configuration.change_request import read_order
+from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.messages.items import SERVICE
 
 
--- a/ambershift/system/consensus/acceptor.py
+++ b/ambershift/system/consensus/acceptor.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.effect_buffer import Outbox
+from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.interfaces import Shape
 from ambershift.system.messages.replication import (
     NEVER,
--- a/ambershift/system/consensus/anti_entropy.py
+++ b/ambershift/system/consensus/anti_entropy.py
@@ -10,14 +10,14 @@
 
 from ambershift.system.consensus.acceptor import Acceptor
 from ambershift.system.consensus.contact_lease import Contact
-from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.effect_buffer import Held, Outbox
-from ambershift.system.consensus.quorum import majority
 from ambershift.system.consensus.item_store import Store
+from ambershift.system.consensus.quorum import majority
 from ambershift.system.consensus.voters import Voters, holds
+from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.interfaces import NotHeldError
-from ambershift.system.messages.replication import Ask, Record, Share
 from ambershift.system.messages.items import Item
+from ambershift.system.messages.replication import Ask, Record, Share
 from ambershift.system.state_machine import MS
 
 AGAIN = 250 * MS
--- a/ambershift/system/consensus/failure_detector.py
+++ b/ambershift/system/consensus/failure_detector.py
@@ -9,12 +9,12 @@
 
 from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.effect_buffer import Outbox
-from ambershift.system.consensus.quorum import ALL_WATCH, watchers
 from ambershift.system.consensus.item_store import Store
+from ambershift.system.consensus.quorum import ALL_WATCH, watchers
 from ambershift.system.consensus.voters import Voters, holds
-from ambershift.system.messages import (replication)
-from ambershift.system.messages.replication import Beat, Knock, Known, Machine
+from ambershift.system.messages import replication
 from ambershift.system.messages.proxy_link import Core
+from ambershift.system.messages.replication import Beat, Knock, Known, Machine
 from ambershift.system.state_machine import MS
 
 BEAT = 300 * MS
--- a/ambershift/system/consensus/item_store.py
+++ b/ambershift/system/consensus/item_store.py
@@ -7,8 +7,9 @@
 import msgspec
 
 from ambershift.system.consensus.bucket_checksums import Buckets
-from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.effect_buffer import Outbox
+from ambershift.system.consensus.write_queue import Journal
+from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, Key, cleared_by, newest
 from ambershift.system.messages.tombstones import (
     CONFIGURATION,
     FORGOTTEN,
@@ -16,7 +17,6 @@
     Forgotten,
     forgotten_of,
 )
-from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, Key, cleared_by, newest
 
 TABLE = "items"
 EVENT_REPLACED = 212
--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from ambershift.system.consensus.acceptor import VOTERS, Acceptor
-from ambershift.system.consensus.membership_plan import Plan, VoterView, plan
 from ambershift.system.consensus.effect_buffer import Held, Outbox
+from ambershift.system.consensus.failure_detector import SILENT, Watching
+from ambershift.system.consensus.membership_plan import Plan, VoterView, plan
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.consensus.failure_detector import SILENT, Watching
 from ambershift.system.interfaces import Verdict
 from ambershift.system.messages.replication import Decision, Machine, Member
 from ambershift.system.state_machine import MS, SECOND
--- a/ambershift/system/consensus/membership_view.py
+++ b/ambershift/system/consensus/membership_view.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ambershift.system.consensus.voters import Voters
 from ambershift.system.consensus.failure_detector import Watching
+from ambershift.system.consensus.voters import Voters
 
 
 class Voter(msgspec.Struct, frozen=True, rename="pascal"):
--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 
 from ambershift.system.consensus.acceptor import Acceptor
-from ambershift.system.consensus.round_fanout import Asking, transfer
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.register import Call, Lease, Register, Round
+from ambershift.system.consensus.round_fanout import Asking, transfer
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.interfaces import Change, NotDoneError, NotHeldError, Shape
 from ambershift.system.messages.replication import (
--- a/ambershift/system/consensus/quorum_write.py
+++ b/ambershift/system/consensus/quorum_write.py
@@ -9,8 +9,8 @@
 from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.interfaces import NotDoneError, NotHeldError
-from ambershift.system.messages.replication import Agreed, Merge
 from ambershift.system.messages.items import Item, Key
+from ambershift.system.messages.replication import Agreed, Merge
 from ambershift.system.state_machine import MS
 
 AGAIN = 250 * MS
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -14,18 +14,18 @@
 import msgspec
 
 from ambershift.system.consensus.acceptor import Acceptor
+from ambershift.system.consensus.anti_entropy import Syncing
 from ambershift.system.consensus.contact_lease import Contact
+from ambershift.system.consensus.effect_buffer import News, Outbox
 from ambershift.system.consensus.events import Event, Freshen, Put, Reached
-from ambershift.system.consensus.tombstone_collector import Forgetting
-from ambershift.system.consensus.write_queue import Journal
+from ambershift.system.consensus.failure_detector import Watching
+from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.membership import Membership
-from ambershift.system.consensus.effect_buffer import News, Outbox
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.consensus.item_store import Store
-from ambershift.system.consensus.anti_entropy import Syncing
-from ambershift.system.consensus.voters import FOUNDER, Voters
-from ambershift.system.consensus.failure_detector import Watching
 from ambershift.system.consensus.quorum_write import Writing
+from ambershift.system.consensus.tombstone_collector import Forgetting
+from ambershift.system.consensus.voters import FOUNDER, Voters
+from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.interfaces import Shape
 from ambershift.system.messages.replication import (
     Accept,
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -14,13 +14,13 @@
 
 from ambershift.system.consensus.contact_lease import NEVER_MS
 from ambershift.system.consensus.disk import Disk, Rows
+from ambershift.system.consensus.effect_buffer import Held, News
 from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put, Reached
 from ambershift.system.consensus.membership_view import Members, members_of
-from ambershift.system.consensus.effect_buffer import Held, News
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import Change, NotDoneError, Shape
-from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key
+from ambershift.system.messages.proxy_link import Core
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import SECOND, Answer, Heard, Log, Send, Tick, Wake, Write, Written
 
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -18,14 +18,14 @@
 import msgspec
 
 from ambershift.system.consensus.effect_buffer import Held, Outbox
-from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.consensus.item_store import Store
-from ambershift.system.consensus.voters import Voters
 from ambershift.system.consensus.failure_detector import Watching
+from ambershift.system.consensus.item_store import Store
+from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.quorum_write import Writing
+from ambershift.system.consensus.voters import Voters
 from ambershift.system.interfaces import Verdict
-from ambershift.system.messages.tombstones import NOTHING_FORGOTTEN, Forgotten
 from ambershift.system.messages.items import Item
+from ambershift.system.messages.tombstones import NOTHING_FORGOTTEN, Forgotten
 from ambershift.system.state_machine import SECOND
 
 REGISTER = "forgotten"
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -9,20 +9,20 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Ledger
-from ambershift.system.control_api import (asgi, log_events)
-from ambershift.system.control_api.coordination_calls import Applications
+from ambershift.system.control_api import asgi, log_events
 from ambershift.system.control_api.configuration_calls import MODIFY, ConfigurationCalls
+from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.evacuations import Evacuations
 from ambershift.system.control_api.forwarding import REFUSED, Forwarding
-from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.pause_detector import PauseDetector
+from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.control_api.registry_interface import Registry
 from ambershift.system.control_api.watches import WATCH, Watches
-from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.calls import BODY_MOST, CALLS, PRESENT
 from ambershift.system.coordination.replies import ImproperError, Reply, read_body, reply
+from ambershift.system.coordination.revision_ages import Ages
+from ambershift.system.interfaces import Ledger
 from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import MS, SECOND
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -24,14 +24,14 @@
     Progress,
     Proposal,
 )
+from ambershift.system.configuration.change_request import Order, read_order
 from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.configuration.layout import write_back
-from ambershift.system.configuration.change_request import Order, read_order
-from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
-from ambershift.system.control_api import (log_events)
+from ambershift.system.control_api import log_events
 from ambershift.system.control_api.forwarding import Asked, Forwarding
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
 from ambershift.system.messages import forwarding as messages
 from ambershift.system.messages.items import Item
 from ambershift.system.state_machine import MS, SECOND
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ambershift.system.interfaces import Change, Ledger, NotDoneError, NotHeldError, Verdict
-from ambershift.system.control_api.log_events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED
 from ambershift.system.control_api.forwarding import REFUSED, UNCLEAR, Asked, Forwarding
+from ambershift.system.control_api.log_events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposer_selection import Proposers
-from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.calls import PUT, read_call
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Call, ImproperError, Reply, reply
+from ambershift.system.coordination.revision_ages import Ages
+from ambershift.system.interfaces import Change, Ledger, NotDoneError, NotHeldError, Verdict
 from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
 from ambershift.system.state_machine import MS, SECOND
 
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
-from ambershift.system.control_api import (log_events)
+from ambershift.system.control_api import log_events
 from ambershift.system.control_api.configuration_calls import NOT_DONE, PATIENCE, UNCLEAR
 from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
 from ambershift.system.messages.items import ZONE, Item
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import SECOND
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.system.interfaces import Ledger
 from ambershift.system.control_api.log_events import OWNER_SILENT
 from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.interfaces import Ledger
 from ambershift.system.state_machine import MS, SECOND
 
 PROPOSER_PATIENCE = 350 * MS  # Two trips between regions and a turn that has to be waited for.
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Ledger
 from ambershift.system.control_api.coordination_calls import Applications
 from ambershift.system.control_api.forwarding import REFUSED
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.control_api.subscriptions import Subscriptions
-from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.calls import PRESENT, read_call
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.coordination.revision_ages import Ages
+from ambershift.system.interfaces import Ledger
 from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
 from ambershift.system.state_machine import MS, SECOND
 
--- a/ambershift/system/coordination/calls.py
+++ b/ambershift/system/coordination/calls.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Mapping
 
 from ambershift.system.coordination import cells, locks, numbers
-from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.groups import group_of
 from ambershift.system.coordination.replies import Call, ImproperError, read_body, text, whole
+from ambershift.system.coordination.revision_ages import Ages
 
 BODY_MOST = 1 << 20
 NAME_MOST = 512
--- a/ambershift/system/coordination/cells.py
+++ b/ambershift/system/coordination/cells.py
@@ -5,10 +5,10 @@
 from dataclasses import replace as with_fields
 from typing import Any
 
-from ambershift.system.interfaces import Change, Verdict
-from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.groups import Group, group_of, read_group, write_group
 from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.coordination.revision_ages import Ages
+from ambershift.system.interfaces import Change, Verdict
 
 
 def _verdict(value: bytes | None, answer: Reply, group: Group) -> Verdict:
--- a/ambershift/system/coordination/locks.py
+++ b/ambershift/system/coordination/locks.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Change, Verdict
 from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.interfaces import Change, Verdict
 from ambershift.system.state_machine import MS
 
 MARGIN = 50 * MS  # Against steady clocks that don't run quite alike.
--- a/ambershift/system/coordination/numbers.py
+++ b/ambershift/system/coordination/numbers.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Verdict
 from ambershift.system.coordination.replies import reply
+from ambershift.system.interfaces import Verdict
 
 
 def following(value: bytes | None, known_since: int, now: int) -> Verdict:
--- a/ambershift/system/coordination/replies.py
+++ b/ambershift/system/coordination/replies.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Change
 from ambershift.system.coordination.groups import Group
+from ambershift.system.interfaces import Change
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/system/coordination/value_deltas.py
+++ b/ambershift/system/coordination/value_deltas.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Shape
 from ambershift.system.coordination.groups import Event, Group, read_group, write_group
+from ambershift.system.interfaces import Shape
 
 
 class Added(msgspec.Struct, frozen=True, array_like=True):
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
 from ambershift.system.distribution.assigner import Assigned
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.distribution.pool_loads import FED_EACH, PoolLoads
 from ambershift.system.distribution.pushes import Pushes
-from ambershift.system.messages.tombstones import FORGOTTEN
+from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
+from ambershift.system.messages.items import ROUTE, ZONE, Item
 from ambershift.system.messages.proxy_link import (
     Backend,
     Backends,
@@ -25,7 +25,7 @@
     Report,
     Withdraw,
 )
-from ambershift.system.messages.items import ROUTE, ZONE, Item
+from ambershift.system.messages.tombstones import FORGOTTEN
 from ambershift.system.registry.records import Life
 from ambershift.system.registry.registry import Registry, backend
 from ambershift.system.settings.local import Local
--- a/ambershift/system/distribution/pool_loads.py
+++ b/ambershift/system/distribution/pool_loads.py
@@ -14,8 +14,8 @@
 from ambershift.system.distribution.assigner import Assigned, Assigner, Seat
 from ambershift.system.distribution.pools import Pool, pools
 from ambershift.system.distribution.terms import terms_for, zones_of
-from ambershift.system.messages.proxy_link import Report
 from ambershift.system.messages.items import ZONE, Item
+from ambershift.system.messages.proxy_link import Report
 from ambershift.system.registry.records import Life, ProxyRecord
 from ambershift.system.state_machine import MS, SECOND
 
--- a/ambershift/system/distribution/pools.py
+++ b/ambershift/system/distribution/pools.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from ambershift.system.messages.proxy_link import pool_of
 from ambershift.system.messages.items import ROUTE, Item
+from ambershift.system.messages.proxy_link import pool_of
 
 USUAL_MS = 500
 
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from ambershift.system.messages.tombstones import FORGOTTEN
-from ambershift.system.messages.proxy_link import Backend, Backends, Items
 from ambershift.system.messages.items import CLEARED, INSTANCE, Item, Key, cleared_by
+from ambershift.system.messages.proxy_link import Backend, Backends, Items
+from ambershift.system.messages.tombstones import FORGOTTEN
 from ambershift.system.state_machine import Send
 
 
--- a/ambershift/system/interfaces.py
+++ b/ambershift/system/interfaces.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key
+from ambershift.system.messages.proxy_link import Core
 
 
 @dataclass(eq=False)
@@ -74,7 +74,7 @@
         """All control nodes known and not known to be gone for good, this one too."""
 
     def members(self) -> msgspec.Struct | None:
-        """The voters as this machine sees them, to be shown (`consensus/membership_view.py`); None before it runs."""
+        """The voters as this machine sees them (`consensus/membership_view.py`); None before it runs."""
 
     def in_touch(self) -> bool:
         """Whether enough of the others were heard within the last second and a half."""
--- a/ambershift/system/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ambershift.system.messages import (forwarding, replication, proxy_link, registry_sync)
+from ambershift.system.messages import forwarding, proxy_link, registry_sync, replication
 
 WIRE = 2  # Told in the path of each link; another number is another program's and refused.
 MESSAGE_MOST = 16 << 20
--- a/ambershift/system/messages/proxy_link.py
+++ b/ambershift/system/messages/proxy_link.py
@@ -36,7 +36,8 @@
     `cores`: who serves control; empty where that is as it was told before. `in_touch`: whether this node has
     heard a majority lately. `proxies`: how many proxies there may be at the most. `age_ms`: how long before
     the sending the moment was up to which all that was acknowledged has been told on this link, once the
-    proxy has said Hello (`consensus/contact_lease.py`). Nodes of the version before told none, and no sign before a
+    proxy has said Hello (`consensus/contact_lease.py`). Nodes of the version before told none, and no sign
+    before a
     Hello: a proxy doesn't link to them.
     """
 
--- a/ambershift/system/messages/tombstones.py
+++ b/ambershift/system/messages/tombstones.py
@@ -1,7 +1,8 @@
 """Which of the operator's dropped items all have forgotten: the content of one item, `THE_FORGOTTEN`.
 
 A dropped item is kept as a version without content, so that no copy brings it back. The oldest are forgotten
-in numbered batches (`consensus/tombstone_collector.py`). A copy that knows the batch before `drops` begin learns from
+in numbered batches (`consensus/tombstone_collector.py`). A copy that knows the batch before `drops`
+begin learns from
 them all that it may still have; one of longer ago can't tell what of it was dropped, and is replaced by what
 others hold.
 """
--- a/ambershift/system/node_selection/selector.py
+++ b/ambershift/system/node_selection/selector.py
@@ -1,7 +1,8 @@
 """Decides, without I/O, which control node a proxy is linked to, and when it looks for another one.
 
 What a proxy serves by is as old as the last moment of which its control node could prove that it had all that
-was acknowledged (`consensus/contact_lease.py`). Each sign of life tells the age of that proof, so the proxy knows
+was acknowledged (`consensus/contact_lease.py`). Each sign of life tells the age of that proof, so the
+proxy knows
 how old its configuration is at the most, whatever is wrong: node, link, or what lies behind the node. The
 whole way from there to another node is one budget, a part of the shortest bound on acknowledged changes:
 
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -13,18 +13,18 @@
 from websockets.exceptions import ConnectionClosed
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.proxy_link import Bind, Cores, Hello, Items, Report
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
+from ambershift.system.messages.proxy_link import Bind, Cores, Hello, Items, Report
 from ambershift.system.node_selection.selector import RESERVE_S, SIGN_S, WIDTH, Choice, current_for
 from ambershift.system.processes.candidate_probe import Answered, Asked, let_go
-from ambershift.system.processes.metrics import Figure
 from ambershift.system.processes.locality import Places
+from ambershift.system.processes.metrics import Figure
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import MS
+from ambershift.system.transport.link_path import PROXY, Caller
 from ambershift.system.transport.links import receive
 from ambershift.system.transport.send_queue import Outbox
-from ambershift.system.transport.link_path import PROXY, Caller
 
 LOOK_S = 0.1
 
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -9,23 +9,23 @@
 
 import msgspec
 
-from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.consensus.cache_file import SideFile
+from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.coordination.value_deltas import shape_of
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.messages import (forwarding, replication, proxy_link, registry_sync)
+from ambershift.system.messages import forwarding, proxy_link, registry_sync, replication
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
+from ambershift.system.processes.http_server import hear_signals, listener_or_none, listeners, served
 from ambershift.system.processes.logs import Journal
 from ambershift.system.processes.metrics import CONTROL_PORT, PORT_TAKEN, Figure, WithMetrics
 from ambershift.system.processes.settings_watch import LOOK_S as FILE_S
 from ambershift.system.processes.settings_watch import Watched
-from ambershift.system.processes.http_server import hear_signals, listener_or_none, listeners, served
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Local, SettingsError, read_local
+from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.traffic_meter import Meter, Place
-from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
 
 LIST = "backends.list"  # The file beside the store that the list is recalled from.
 BEAT_S, IDLE_S, FINISH_S = 0.05, 120, 1.0
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -8,10 +8,6 @@
 from functools import partial
 
 from ambershift.system.processes.attachment import LOOK_S, Attachment, caller_of
-from ambershift.system.processes.logs import Journal
-from ambershift.system.processes.metrics import PORT_TAKEN, PROXY_PORT, Figure, WithMetrics
-from ambershift.system.processes.settings_watch import LOOK_S as FILE_S
-from ambershift.system.processes.settings_watch import Watched
 from ambershift.system.processes.http_server import (
     TAKES_ON,
     Served,
@@ -21,6 +17,10 @@
     listeners,
     served,
 )
+from ambershift.system.processes.logs import Journal
+from ambershift.system.processes.metrics import PORT_TAKEN, PROXY_PORT, Figure, WithMetrics
+from ambershift.system.processes.settings_watch import LOOK_S as FILE_S
+from ambershift.system.processes.settings_watch import Watched
 from ambershift.system.proxy.intake import Intake
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local, SettingsError, read_local
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -10,6 +10,8 @@
 import msgspec
 
 from ambershift.system.messages import items as kinds
+from ambershift.system.messages.items import Item, Key, newest
+from ambershift.system.messages.proxy_link import tally_of
 from ambershift.system.messages.tombstones import (
     CONFIGURATION,
     FORGOTTEN,
@@ -17,8 +19,6 @@
     Forgotten,
     forgotten_of,
 )
-from ambershift.system.messages.proxy_link import tally_of
-from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.proxy.limits import Limits, read_limits
 from ambershift.system.state_machine import MS
 
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ambershift.system.messages import (items, proxy_link)
+from ambershift.system.messages import items, proxy_link
 from ambershift.system.proxy.handling import Handling, Receive, Send, answer
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.state import ProxyState
--- a/ambershift/system/registry/machine.py
+++ b/ambershift/system/registry/machine.py
@@ -5,8 +5,7 @@
 from collections import Counter
 
 from ambershift.system.messages.registry_sync import Ask, Delta, Pulse
-from ambershift.system.registry.heartbeats import Beat
-from ambershift.system.registry.tombstone_expiry import STALE, Clearing
+from ambershift.system.registry.endpoint_list import Listing
 from ambershift.system.registry.events import (
     Cleared,
     Effect,
@@ -22,10 +21,11 @@
     Spoke,
 )
 from ambershift.system.registry.exchange import Exchange
+from ambershift.system.registry.heartbeats import Beat
 from ambershift.system.registry.liveness import MISSED, Keeping
-from ambershift.system.registry.endpoint_list import Listing
 from ambershift.system.registry.proxy_directory import Proxies, merge
 from ambershift.system.registry.records import Life, ProxyRecord, Records, flow_key
+from ambershift.system.registry.tombstone_expiry import STALE, Clearing
 from ambershift.system.state_machine import MS, SECOND, Heard, Log
 
 BATCH, PULSE, LISTEN = 100 * MS, SECOND, 250 * MS
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -11,11 +11,10 @@
 import msgspec
 
 from ambershift.system.interfaces import Ledger
-from ambershift.system.messages.proxy_link import Backend, Hello
 from ambershift.system.messages.items import CLEARED, INSTANCE, Item, cleared_by
+from ambershift.system.messages.proxy_link import Backend, Hello
 from ambershift.system.messages.registry_sync import Ask, Delta, Flow, Pulse
-from ambershift.system.registry.heartbeats import BeatError, check_id, read_beat
-from ambershift.system.registry.tombstones import Answered, Ends
+from ambershift.system.registry.endpoint_list import DRAINING, GONE
 from ambershift.system.registry.events import (
     Cleared,
     Ended,
@@ -29,12 +28,13 @@
     Shown,
     Spoke,
 )
+from ambershift.system.registry.heartbeats import BeatError, check_id, read_beat
 from ambershift.system.registry.home_regions import Homes
-from ambershift.system.registry.snapshot import Keep, SheetError, read_sheet, write_sheet
-from ambershift.system.registry.endpoint_list import DRAINING, GONE
 from ambershift.system.registry.machine import RegistryMachine
 from ambershift.system.registry.proxy_directory import ADDRESSES_MOST, nearest
 from ambershift.system.registry.records import Life, ProxyRecord
+from ambershift.system.registry.snapshot import Keep, SheetError, read_sheet, write_sheet
+from ambershift.system.registry.tombstones import Answered, Ends
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import MS, SECOND, Heard, Log, Send
 
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -12,7 +12,7 @@
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.coordination.value_deltas import shape_of
-from ambershift.system.messages import (replication)
+from ambershift.system.messages import replication
 from ambershift.system.settings.local import Local
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
 from ambershift.system.simulation.sockets import Connection
--- a/ambershift/system/simulation/configuration_mistakes.py
+++ b/ambershift/system/simulation/configuration_mistakes.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 from ambershift.system.configuration import agreement
-from ambershift.system.configuration.errors import InvalidError
 from ambershift.system.configuration.change_request import read_order
-from ambershift.system.interfaces import NotDoneError, NotHeldError
+from ambershift.system.configuration.errors import InvalidError
 from ambershift.system.control_api.configuration_calls import PATIENCE, UNCLEAR, ConfigurationCalls
 from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.interfaces import NotDoneError, NotHeldError
 
 ALL_READ = 1 << 60
 
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from ambershift.system.consensus import acceptor
-from ambershift.system.interfaces import Verdict
-from ambershift.system.control_api import (application, evacuations, watches, coordination_calls)
+from ambershift.system.control_api import application, coordination_calls, evacuations, watches
 from ambershift.system.coordination import groups, locks
 from ambershift.system.coordination.replies import Call, reply
-from ambershift.system.messages.replication import NEVER
+from ambershift.system.interfaces import Verdict
 from ambershift.system.messages.items import Item
+from ambershift.system.messages.replication import NEVER
 from ambershift.system.simulation.cluster import Place
 from ambershift.system.state_machine import MS
 
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.messages import (codec, registry_sync)
+from ambershift.system.messages import codec, registry_sync
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.registry.registry import Registry
--- a/ambershift/system/simulation/forgetting_soon.py
+++ b/ambershift/system/simulation/forgetting_soon.py
@@ -6,8 +6,8 @@
 from contextlib import contextmanager
 from unittest.mock import patch
 
-from ambershift.system.consensus import (tombstone_collector)
-from ambershift.system.messages import (tombstones)
+from ambershift.system.consensus import tombstone_collector
+from ambershift.system.messages import tombstones
 from ambershift.system.state_machine import MS
 
 
--- a/ambershift/system/simulation/lists.py
+++ b/ambershift/system/simulation/lists.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.system.consensus.events import ChangeRegister, Freshen, Put
 from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.events import ChangeRegister, Freshen, Put
 from ambershift.system.interfaces import NotDoneError, Verdict
 from ambershift.system.messages.items import Item
 from ambershift.system.simulation.world import World
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -8,9 +8,18 @@
 
 import msgspec
 
-from ambershift.system.consensus import (acceptor, proposer, replica, voters, write_queue, item_store, anti_entropy, quorum_write)
-from ambershift.system.messages.replication import NEVER, Accept, Ask, Record
+from ambershift.system.consensus import (
+    acceptor,
+    anti_entropy,
+    item_store,
+    proposer,
+    quorum_write,
+    replica,
+    voters,
+    write_queue,
+)
 from ambershift.system.messages.items import Item
+from ambershift.system.messages.replication import NEVER, Accept, Ask, Record
 
 
 def at_once(real: Any) -> Any:
--- a/ambershift/system/simulation/readers.py
+++ b/ambershift/system/simulation/readers.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from ambershift.system.interfaces import NotHeldError
-from ambershift.system.messages.tombstones import CONFIGURATION
 from ambershift.system.messages.items import ZONE, Item, Key
+from ambershift.system.messages.tombstones import CONFIGURATION
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.cluster import ZONES, Process
 from ambershift.system.simulation.operator_history import OperatorHistory, Sight
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.interfaces import NotDoneError, NotHeldError
+from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.coordination import locks
+from ambershift.system.interfaces import NotDoneError, NotHeldError
 from ambershift.system.messages.replication import Accept, Share
 from ambershift.system.simulation.lists import Lists
 from ambershift.system.simulation.world import World
--- a/ambershift/system/simulation/variants_configuration.py
+++ b/ambershift/system/simulation/variants_configuration.py
@@ -4,7 +4,7 @@
 
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.configuration import agreement
-from ambershift.system.control_api import (configuration_calls, pending_calls)
+from ambershift.system.control_api import configuration_calls, pending_calls
 from ambershift.system.simulation import configuration_mistakes, mistakes
 from ambershift.system.simulation.variant import constant, of
 
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -3,11 +3,21 @@
 from __future__ import annotations
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.consensus import (acceptor, membership_plan, proposer, replica, voters, write_queue, item_store, anti_entropy, quorum_write)
-from ambershift.system.interfaces import NotDoneError
+from ambershift.system.consensus import (
+    acceptor,
+    anti_entropy,
+    item_store,
+    membership_plan,
+    proposer,
+    quorum_write,
+    replica,
+    voters,
+    write_queue,
+)
 from ambershift.system.control_api import (
     forwarding,
 )
+from ambershift.system.interfaces import NotDoneError
 from ambershift.system.simulation import mistakes
 from ambershift.system.simulation.variant import constant, of
 
--- a/ambershift/system/simulation/variants_coordination.py
+++ b/ambershift/system/simulation/variants_coordination.py
@@ -6,7 +6,15 @@
 from ambershift.system.consensus import (
     acceptor,
 )
-from ambershift.system.control_api import (application, configuration_calls, evacuations, pause_detector, watches, coordination_calls, asgi)
+from ambershift.system.control_api import (
+    application,
+    asgi,
+    configuration_calls,
+    coordination_calls,
+    evacuations,
+    pause_detector,
+    watches,
+)
 from ambershift.system.coordination import cells, groups, locks
 from ambershift.system.simulation import coordination_mistakes
 from ambershift.system.simulation.variant import constant, of
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.consensus import (contact_lease, failure_detector)
+from ambershift.system.consensus import contact_lease, failure_detector
 from ambershift.system.consensus.contact_lease import NEVER_MS
 from ambershift.system.distribution import controller
-from ambershift.system.messages.replication import Beat
 from ambershift.system.messages.proxy_link import Cores
-from ambershift.system.node_selection import (selector)
+from ambershift.system.messages.replication import Beat
+from ambershift.system.node_selection import selector
 from ambershift.system.simulation.variant import constant, of
 
 
--- a/ambershift/system/simulation/variants_forgetting.py
+++ b/ambershift/system/simulation/variants_forgetting.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.configuration import (change_request)
-from ambershift.system.consensus import (replica, item_store, anti_entropy, quorum_write)
-from ambershift.system.messages import (tombstones)
+from ambershift.system.configuration import change_request
+from ambershift.system.consensus import anti_entropy, item_store, quorum_write, replica
+from ambershift.system.messages import tombstones
 from ambershift.system.simulation.variant import constant, of
 
 
--- a/ambershift/system/testbed/hollow.py
+++ b/ambershift/system/testbed/hollow.py
@@ -21,9 +21,9 @@
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import NotMetError, Rig, until
 from ambershift.system.testbed.settings import CONTROL_NODE, Site
+from ambershift.system.transport.link_path import PROXY, Caller
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.send_queue import Outbox
-from ambershift.system.transport.link_path import PROXY, Caller
 
 REPORT_S, DIALS_AT_ONCE, SETTLE_S, UP_S = 1.0, 32, 6.0, 120.0
 CAME_MEAN = 20  # Requests a second that each hollow proxy reports, spread over the pools.
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -20,10 +20,10 @@
 from websockets.http11 import Request, Response
 
 from ambershift.system.messages import codec
-from ambershift.system.transport.traffic_meter import Meter
+from ambershift.system.transport.link_path import CONTROL_NODE, Caller, PathError, caller_of, path_of
 from ambershift.system.transport.send_queue import Outbox
 from ambershift.system.transport.socket_options import harden
-from ambershift.system.transport.link_path import CONTROL_NODE, Caller, PathError, caller_of, path_of
+from ambershift.system.transport.traffic_meter import Meter
 
 YOUNG = 0.15  # Seconds; a dial that has not lasted for so long may well be about to succeed.
 DIAL_LIMIT, PAUSE_LEAST, PAUSE_MOST = 1.0, 0.1, 0.8  # Seconds.
--- a/benchmarks/capacity/agreement.py
+++ b/benchmarks/capacity/agreement.py
@@ -21,8 +21,8 @@
 )
 from ambershift.system.configuration.change_request import Order, read_order
 from ambershift.system.messages import codec
-from ambershift.system.messages.replication import Accept
 from ambershift.system.messages.items import Item, Key
+from ambershift.system.messages.replication import Accept
 
 SIZES = (77, 770, 7_700)
 SERVICES_A_ROUTE = 10  # One service for so many routes.
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from ambershift.system.consensus.disk import Disk
-from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put
 from ambershift.system.consensus.effect_buffer import News
+from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import Verdict
-from ambershift.system.messages import (codec, replication)
+from ambershift.system.messages import codec, replication
 from ambershift.system.messages.items import ROUTE
 from ambershift.system.processes import control_node
 from ambershift.system.state_machine import MS, SECOND, Answer, Heard, Send, Tick, Write, Written
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ambershift.system.messages import (codec, forwarding, replication, proxy_link, registry_sync)
+from ambershift.system.messages import codec, forwarding, proxy_link, registry_sync, replication
 from ambershift.system.messages.items import INSTANCE, Item
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found
@@ -79,11 +79,15 @@
         "ra Ask": registry_sync.Ask(400_000),
         "rd Delta, one life": registry_sync.Delta(NUMBER, 7, 8, lives[:1], (), (), (), size.proxies),
         "rd Delta, one proxy": registry_sync.Delta(NUMBER, 7, 8, (), proxies[:1], (), (), size.proxies),
-        "rd Delta, lives of one control node": registry_sync.Delta(NUMBER, -1, 8, lives, (), (), (), size.proxies),
+        "rd Delta, lives of one control node": registry_sync.Delta(
+            NUMBER, -1, 8, lives, (), (), (), size.proxies
+        ),
         "rd Delta, proxies of one control node": registry_sync.Delta(
             NUMBER, -1, 8, (), proxies, (), (), size.proxies
         ),
-        "rd Delta, flows of one control node": registry_sync.Delta(NUMBER, -1, 8, (), (), flows, (), size.proxies),
+        "rd Delta, flows of one control node": registry_sync.Delta(
+            NUMBER, -1, 8, (), (), flows, (), size.proxies
+        ),
         "eo ForwardedCall": forwarding.ForwardedCall(
             NUMBER, "locks.heartbeat", "lock-0007", b'{"Holder":"a0.77aa","fence":1700,"HoldMs":3000}', 400
         ),
--- a/benchmarks/capacity/proxy.py
+++ b/benchmarks/capacity/proxy.py
@@ -6,7 +6,7 @@
 import time
 from functools import partial
 
-from ambershift.system.messages import (codec, proxy_link)
+from ambershift.system.messages import codec, proxy_link
 from ambershift.system.processes import proxy  # All that a proxy's process imports counts in its memory.
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.state_machine import SECOND
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.distribution.flows import Flows
-from ambershift.system.messages import (codec, registry_sync)
+from ambershift.system.messages import codec, registry_sync
 from ambershift.system.messages.proxy_link import Report
 from ambershift.system.processes import control_node  # All that a control node's process imports counts.
 from ambershift.system.registry.registry import Registry
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from ambershift.system.control_api.application import ControlApi
-from ambershift.system.messages import (proxy_link)
+from ambershift.system.messages import proxy_link
 from ambershift.system.processes.http_server import listener, served
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.registry.registry import Registry
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ambershift.system.messages import (codec, proxy_link)
+from ambershift.system.messages import codec, proxy_link
 from ambershift.system.messages.items import Item
 from ambershift.system.proxy.routing import Routing
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.configuration.change_request import read_order
 from ambershift.system.interfaces import Change
-from ambershift.system.messages import (proxy_link, registry_sync)
+from ambershift.system.messages import proxy_link, registry_sync
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.testbed.book import Route, limits_part, routes_part, services_part
@@ -97,7 +97,9 @@
 
 def lived(size: Size, at: int) -> registry_sync.Lived:
     one = backend(size, at)
-    return registry_sync.Lived(one.id, one.service, one.address, one.zone, one.slots, 4000, False, 0, 5_000_000)
+    return registry_sync.Lived(
+        one.id, one.service, one.address, one.zone, one.slots, 4000, False, 0, 5_000_000
+    )
 
 
 def beat(size: Size, at: int, sequence: int, state: str = "ready") -> bytes:
--- a/benchmarks/configuration_age.py
+++ b/benchmarks/configuration_age.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from ambershift.modelcheck.mutants.words import broken
-from ambershift.system.messages import (codec, proxy_link)
+from ambershift.system.messages import codec, proxy_link
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.fleet import Fleet
 from ambershift.system.simulation.fleet_history import Judge, Storm
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -14,12 +14,12 @@
 import time
 from dataclasses import dataclass
 
-from ambershift.system.consensus.events import Put
-from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.effect_buffer import Held, Outbox
+from ambershift.system.consensus.events import Put
 from ambershift.system.consensus.item_store import Store
-from ambershift.system.messages.replication import Share
+from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.messages.items import AGREED, ROUTE, Item
+from ambershift.system.messages.replication import Share
 from ambershift.system.simulation.world import World
 from ambershift.system.state_machine import MS, SECOND
 
--- a/tests/circulated.py
+++ b/tests/circulated.py
@@ -12,8 +12,8 @@
 import msgspec
 import uvicorn
 
-from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
 from ambershift.system.messages.items import ROUTE, SERVICE, Item
+from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
 from ambershift.system.proxy.intake import Intake
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Bounds, Local
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Change, NotDoneError, NotHeldError
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.control_api.proposer_selection import rank
+from ambershift.system.interfaces import Change, NotDoneError, NotHeldError
 from ambershift.system.messages.codec import decode, encode
-from ambershift.system.messages.proxy_link import Core
 from ambershift.system.messages.items import Item, Key, newest
+from ambershift.system.messages.proxy_link import Core
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import SECOND
 
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ambershift.system.interfaces import NotHeldError
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.messages import (codec, proxy_link)
+from ambershift.system.interfaces import NotHeldError
+from ambershift.system.messages import codec, proxy_link
 from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by, newest
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Bounds, Local
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -9,15 +9,15 @@
 import pytest
 from system_exchange import SECOND, World
 
-from ambershift.system.consensus.events import Put
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.consensus.replica import Replica
+from ambershift.system.consensus.events import Put
 from ambershift.system.consensus.item_store import row_key
+from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
-from ambershift.system.messages.proxy_link import Backends
 from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
+from ambershift.system.messages.proxy_link import Backends
 from ambershift.system.proxy.routing import Routing
-from ambershift.system.registry import (machine, tombstone_expiry, endpoint_list)
+from ambershift.system.registry import endpoint_list, machine, tombstone_expiry
 from ambershift.system.registry.tombstone_expiry import EVERY, KEPT, PORTION, REFUSED, Clearing
 from ambershift.system.simulation.world import World as Copies
 
--- a/tests/test_system_codec.py
+++ b/tests/test_system_codec.py
@@ -11,8 +11,8 @@
 
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import ForwardedCall, Outcome
-from ambershift.system.messages.proxy_link import Items, Mark
 from ambershift.system.messages.items import ROUTE, Item
+from ambershift.system.messages.proxy_link import Items, Mark
 
 
 def routes(count: int) -> Items:
--- a/tests/test_system_configuration.py
+++ b/tests/test_system_configuration.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from ambershift.system.configuration.change_request import read_order
 from ambershift.system.configuration.check import check_document
 from ambershift.system.configuration.layout import rows, write_back
-from ambershift.system.configuration.change_request import read_order
 from ambershift.system.messages.items import Item, Key, newest
 
 ROUTE = {
--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -16,9 +16,9 @@
 
 from ambershift.system.consensus import disk
 from ambershift.system.consensus.disk import ASIDE, FILE, Disk, Rows
-from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.replicated_store import ReplicatedStore
+from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.interfaces import Verdict
 from ambershift.system.messages.items import Item
 from ambershift.system.settings.local import Bounds, Local
--- a/tests/test_system_coordination.py
+++ b/tests/test_system_coordination.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from ambershift.system.interfaces import Change
 from ambershift.system.coordination import cells, locks, numbers
-from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.groups import EVENTS_LEAST, group_of, read_group
+from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.value_deltas import SHAPE
+from ambershift.system.interfaces import Change
 from ambershift.system.state_machine import MS, SECOND
 
 MACHINES = st.sampled_from((0, 1))
--- a/tests/test_system_distribution.py
+++ b/tests/test_system_distribution.py
@@ -15,8 +15,8 @@
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.distribution.pools import Pool
 from ambershift.system.distribution.terms import terms_for
-from ambershift.system.messages.proxy_link import Backends, Bind, Cores, Items, Line, Mark, Withdraw
 from ambershift.system.messages.items import ROUTE, ZONE, Item
+from ambershift.system.messages.proxy_link import Backends, Bind, Cores, Items, Line, Mark, Withdraw
 
 KEEPERS = {"a": "1", "b": "2", "c": "3"}
 Play = Callable[[World], Coroutine[Any, Any, None]]
--- a/tests/test_system_events.py
+++ b/tests/test_system_events.py
@@ -5,8 +5,8 @@
 import re
 from pathlib import Path
 
-from ambershift.system.consensus import (replica, replicated_store, write_queue)
-from ambershift.system.control_api import (log_events as control_api)
+from ambershift.system.consensus import replica, replicated_store, write_queue
+from ambershift.system.control_api import log_events as control_api
 from ambershift.system.events import EVENTS
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -23,16 +23,16 @@
     decide,
 )
 from ambershift.system.configuration.change_request import read_order
-from ambershift.system.consensus.events import Freshen, Put
-from ambershift.system.consensus.tombstone_collector import Forgetting
 from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.events import Freshen, Put
 from ambershift.system.consensus.replica import Replica
+from ambershift.system.consensus.tombstone_collector import Forgetting
 from ambershift.system.distribution.pushes import Pushes
-from ambershift.system.messages import (tombstones)
+from ambershift.system.messages import tombstones
+from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
+from ambershift.system.messages.proxy_link import Backends, Items
 from ambershift.system.messages.replication import Merge, Share
 from ambershift.system.messages.tombstones import THE_FORGOTTEN, Forgotten, forgotten_of
-from ambershift.system.messages.proxy_link import Backends, Items
-from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy.routing import Routing
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -11,10 +11,10 @@
 from ambershift.system.consensus.acceptor import EMPTY
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.interfaces import Verdict
 from ambershift.system.control_api.pending_calls import OpenCalls
-from ambershift.system.messages.replication import Accept, Agreed, Prepare, Promise
+from ambershift.system.interfaces import Verdict
 from ambershift.system.messages.forwarding import Outcome
+from ambershift.system.messages.replication import Accept, Agreed, Prepare, Promise
 from ambershift.system.state_machine import SECOND
 from tests.enquiring import TRIP, World, order, play
 
--- a/tests/test_system_homes.py
+++ b/tests/test_system_homes.py
@@ -8,8 +8,8 @@
 from system_exchange import World
 
 from ambershift.system.distribution.flows import Flows
-from ambershift.system.messages.proxy_link import tally_of, tally_parts
 from ambershift.system.messages.items import ROUTE, Item
+from ambershift.system.messages.proxy_link import tally_of, tally_parts
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.registry.home_regions import LEAST, MOST, SEEN, Homes
 from ambershift.system.state_machine import SECOND
--- a/tests/test_system_limits.py
+++ b/tests/test_system_limits.py
@@ -7,8 +7,8 @@
 import pytest
 from circulated import PLAIN, Rig, answer, run
 
-from ambershift.system.messages.proxy_link import Items
 from ambershift.system.messages.items import LIMITS, Item
+from ambershift.system.messages.proxy_link import Items
 from ambershift.system.processes.http_server import Served
 from ambershift.system.proxy.intake import _unread
 from ambershift.system.proxy.limits import Limits, Waiting, read_limits
--- a/tests/test_system_membership.py
+++ b/tests/test_system_membership.py
@@ -7,9 +7,9 @@
 import pytest
 
 from ambershift.system.consensus import membership
-from ambershift.system.consensus.membership_view import members_of
-from ambershift.system.consensus.membership_plan import FEWEST, VoterView, plan, tolerance
 from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.membership_plan import FEWEST, VoterView, plan, tolerance
+from ambershift.system.consensus.membership_view import members_of
 from ambershift.system.messages.replication import Machine, Member
 from ambershift.system.simulation.lists import Lists
 from ambershift.system.simulation.loss_pairs import LOSSES, MOMENTS, Pair, play_pair
--- a/tests/test_system_meter.py
+++ b/tests/test_system_meter.py
@@ -7,8 +7,8 @@
 
 from ambershift.system.messages import codec
 from ambershift.system.messages.proxy_link import Items, Mark
-from ambershift.system.transport.traffic_meter import TOLD_EACH, Meter, frame, reach
 from ambershift.system.transport.send_queue import Outbox
+from ambershift.system.transport.traffic_meter import TOLD_EACH, Meter, frame, reach
 
 
 def test_frames_and_reach() -> None:
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -13,11 +13,12 @@
 
 import pytest
 
-from ambershift.system.messages.proxy_link import Cores, Items
 from ambershift.system.messages.items import ROUTE, Item
+from ambershift.system.messages.proxy_link import Cores, Items
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.processes.control_node import ControlNode
+from ambershift.system.processes.http_server import listener, listener_or_none
 from ambershift.system.processes.metrics import (
     CONTROL_PORT,
     PATH,
@@ -26,7 +27,6 @@
     WithMetrics,
     rendered,
 )
-from ambershift.system.processes.http_server import listener, listener_or_none
 from ambershift.system.state_machine import SECOND
 
 DEPLOY = Path(__file__).parent.parent / "deploy" / "system.toml"
--- a/tests/test_system_proxy_path.py
+++ b/tests/test_system_proxy_path.py
@@ -8,8 +8,8 @@
 import pytest
 from circulated import SERVICES, Rig, answer, backend, route, run
 
-from ambershift.system.messages.proxy_link import Backends, Items
 from ambershift.system.messages.items import INSTANCE, Item
+from ambershift.system.messages.proxy_link import Backends, Items
 
 
 async def good(head, body, writer):
--- a/tests/test_system_proxy_pick.py
+++ b/tests/test_system_proxy_pick.py
@@ -5,8 +5,8 @@
 import pytest
 from circulated import PLAIN, SERVICES, ZONES, backend, route, settings
 
-from ambershift.system.messages.proxy_link import Backends, Bind, Cores, Items, Line, Mark, Withdraw
 from ambershift.system.messages.items import INSTANCE, ROUTE, ZONE, Item
+from ambershift.system.messages.proxy_link import Backends, Bind, Cores, Items, Line, Mark, Withdraw
 from ambershift.system.proxy.cold import ColdGate
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.routing import Routing
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -18,22 +18,22 @@
 import pytest
 from system_exchange import SECOND, ZONES, Node, World
 
-from ambershift.system.consensus import (cache_file)
+from ambershift.system.consensus import cache_file
+from ambershift.system.consensus.cache_file import SideFile
 from ambershift.system.consensus.events import Freshen, Reached
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.consensus.cache_file import SideFile
 from ambershift.system.messages import codec
-from ambershift.system.messages.replication import Ask, Knock
-from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
 from ambershift.system.messages.items import INSTANCE, Item
+from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
+from ambershift.system.messages.replication import Ask, Knock
 from ambershift.system.node_selection.selector import Choice
-from ambershift.system.processes import (attachment, candidate_probe)
+from ambershift.system.processes import attachment, candidate_probe
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy import awaited, handling
 from ambershift.system.proxy.backend_view import BackendView
-from ambershift.system.registry.snapshot import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.registry.records import Life
 from ambershift.system.registry.registry import UNSURE_PROXIES
+from ambershift.system.registry.snapshot import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import MS, Send, Written
 from ambershift.system.transport import links
--- a/tests/test_system_simulation.py
+++ b/tests/test_system_simulation.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ambershift.modelcheck.mutants.words import broken
-from ambershift.system.consensus import (anti_entropy)
+from ambershift.system.consensus import anti_entropy
 from ambershift.system.simulation.histories import Played, play, play_cluster
 from ambershift.system.simulation.judging import Judge, Told
 from ambershift.system.simulation.operator_history import Change, OperatorHistory, Order, Sight
--- a/tests/test_system_transport.py
+++ b/tests/test_system_transport.py
@@ -28,10 +28,10 @@
 from ambershift.system.state_machine import MS, SECOND
 from ambershift.system.testbed.rig import until
 from ambershift.system.testbed.settings import free_ports
-from ambershift.system.transport import (send_queue as outboxes)
+from ambershift.system.transport import send_queue as outboxes
+from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller, PathError, caller_of, path_of
 from ambershift.system.transport.links import Links, receive
 from ambershift.system.transport.send_queue import Outbox
-from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller, PathError, caller_of, path_of
 
 pytestmark = pytest.mark.timeout(30)
 BLOCKS = itertools.count(os.getpid() % 200 * 200)
@@ -248,7 +248,7 @@
 
 @pytest.mark.parametrize("apply", [2.0, 2.5, 3.0, 5.0])
 def test_the_whole_way_to_another_node_is_within_the_bound_on_changes(apply: float) -> None:
-    """The budget of `node_selection/selector.py`, summed; what the parts take is what a slow network takes."""
+    """The budget of `node_selection/selector.py`, summed; what the parts take is the slow network takes."""
     look, dial, told, items = 0.1, 4 * 0.05, 2 * 0.05, 0.4
     bounds = Bounds(config_apply=apply, drain=9, evacuation=9)
     spread = {current_for(f"front-{at}", bounds) for at in range(99)}
--- a/tests/test_system_watches.py
+++ b/tests/test_system_watches.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.calls import read_call
+from ambershift.system.coordination.revision_ages import Ages
 from tests.enquiring import World, order, play
 
 
