--- /dev/null
+++ b/tests/encoded_forms.py
@@ -0,0 +1,87 @@
+"""What travels between machines or lies on disk, by the names of `tests/fixtures/`; shared with the maker.
+
+The names on the left are the fixtures' own and stay when a class is renamed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import reduce
+from operator import or_
+from typing import Any
+
+import msgspec
+
+from ambershift.group import evidence, gossip
+from ambershift.group.links import wire as links
+from ambershift.interference import records as interference
+from ambershift.interference.words import Sample
+from ambershift.promises import answers
+from ambershift.promises.state import Packed
+from ambershift.promises.words import Command
+from ambershift.replication import messages as replication
+from ambershift.replication import records
+from ambershift.replication.heard import messages as heard
+from ambershift.system.configuration.agreement import Agreement
+from ambershift.system.consensus.members import Members
+from ambershift.system.coordination.groups import Group
+from ambershift.system.coordination.locks import Lock
+from ambershift.system.coordination.shapes import Added
+from ambershift.system.messages import codec, copies
+from ambershift.system.messages.forgotten import Forgotten
+from ambershift.system.messages.items import Item
+from ambershift.system.registry.kept import Sheet
+
+
+@dataclass(frozen=True)
+class Form:
+    """`kind` is a struct, a union of tagged ones, or a list of structs."""
+
+    kind: Any
+    encode: Callable[[Any], bytes]
+    decode: Callable[[bytes], Any]
+
+
+def plain(kind: Any) -> Form:
+    """Of what is msgpack without any more."""
+    return Form(kind, msgspec.msgpack.encode, msgspec.msgpack.Decoder(kind).decode)
+
+
+def json(kind: Any) -> Form:
+    return Form(kind, msgspec.json.encode, msgspec.json.Decoder(kind).decode)
+
+
+SYSTEM = {
+    "system": Form(reduce(or_, codec.kinds()), codec.encode, codec.decode),
+    "difference of a group of cells": plain(Added),
+    "GET /ambershift/members": json(Members),
+}
+GROUP = {
+    "replica": Form(replication.Message, replication.encode, replication.decode),
+    "heard": Form(heard.Message, heard.encode, heard.decode),
+    "link hello": Form(links.Hello, links.encode, links.read_hello),
+    "link reply": Form(links.Welcome | links.Refused, links.encode, links.read_reply),
+    "samples": plain(list[Sample]),
+    "heard body ill": plain(tuple[evidence.Row, ...]),
+    "heard body steers": plain(gossip.Steers),
+    "heard body met": Form(interference.Evidence, msgspec.msgpack.encode, interference.READ_EVIDENCE.decode),
+    "heard body baseline": Form(
+        interference.Baseline, msgspec.msgpack.encode, interference.READ_BASELINE.decode
+    ),
+}
+STORED = {
+    "archive.db items": plain(Item),
+    "archive.db registers": plain(copies.Record),
+    "archive.db meta decision": plain(copies.Decision),
+    "register configuration": plain(Agreement),
+    "register of a group of cells": plain(Group),
+    "register of a lock": plain(Lock),
+    "body of the forgotten item": json(Forgotten),
+    "backends.list": plain(Sheet),
+    "log head": plain(records.Head),
+    "log line": plain(records.Line),
+    "log command": Form(Command, answers.encode, answers.decode),
+    "log outcome": Form(answers.Outcome, answers.encode_answer, answers.read_answer),
+    "log snapshot state": plain(Packed),
+}
