--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -15,6 +15,7 @@
 from ambershift.system.messages import copies
 from ambershift.system.settings.local import Local
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
+from ambershift.system.simulation.observing import observe
 from ambershift.system.simulation.sockets import Connection
 from ambershift.system.simulation.world import Box, World
 from ambershift.system.steps import MS, SECOND, Heard, Tick, Write, Written
@@ -153,6 +154,7 @@
 
     def log(self, number: int, fields: dict[str, Any]) -> None:
         """Nobody reads it, but what fails within must not pass unseen."""
+        observe("log", self.now, number)
         if "error" in fields:
             self.failed.append(f"event {number}: {fields}")
 
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -18,6 +18,7 @@
 from ambershift.system.simulation.cluster import ZONES, Cluster
 from ambershift.system.simulation.fleet_links import Accepted, FromProxy, HungUp, ProxyLink, ProxyLinks
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
+from ambershift.system.simulation.observing import observe
 from ambershift.system.simulation.world import Box
 from ambershift.system.steps import MS, Heard, Tick
 
@@ -151,6 +152,7 @@
         )
 
         def log(number: int, fields: dict[str, Any]) -> None:
+            observe("log", self.now, name, number)
             self.logged.append((self.now, name, number, fields))
 
         def steady() -> int:
--- a/ambershift/system/simulation/fleet_links.py
+++ b/ambershift/system/simulation/fleet_links.py
@@ -11,6 +11,7 @@
 from websockets.exceptions import ConnectionClosedError
 
 from ambershift.system.messages import codec
+from ambershift.system.simulation.observing import observe
 from ambershift.system.steps import MS, SECOND
 from ambershift.system.transport.links import DIAL_LIMIT
 from ambershift.system.transport.outbox import Outbox
@@ -65,6 +66,7 @@
     # The network.
 
     def carry(self, to_node: bool, data: bytes) -> None:
+        observe("send", self.fleet.now, self.proxy, self.ip, to_node, data)
         queue = self._under_way[to_node]
         when = self.fleet.now + self.fleet.way_to(self) + (0 if to_node else len(data) * BYTE)
         when = max(when, queue[-1][0] if queue else 0)
--- a/ambershift/system/simulation/sockets.py
+++ b/ambershift/system/simulation/sockets.py
@@ -8,6 +8,8 @@
 from typing import Any
 
 from ambershift.system.simulation.loop import SimulatedLoop
+from ambershift.system.simulation.observing import observe
+from ambershift.system.steps import SECOND
 
 
 @dataclass(eq=False)
@@ -89,6 +91,8 @@
         return {"type": "http.disconnect"}
 
     async def _send(self, message: dict[str, Any]) -> None:
+        assert self._loop is not None
+        observe("answer", int(self._loop.time() * SECOND), self.number, *message.items())
         if message["type"] == "http.response.start":
             self._status = message["status"]
         else:
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -20,6 +20,7 @@
 from ambershift.system.contracts import Shape
 from ambershift.system.messages import codec
 from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.simulation.observing import observe
 from ambershift.system.steps import MS, SECOND, Answer, Heard, Send, Tick, Wake, Write, Written
 
 SEEDS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -185,6 +186,7 @@
             elif isinstance(effect, Write):
                 self.write(box, effect)
             elif isinstance(effect, Answer):
+                observe("answer", self.now, ip, effect.call, effect.outcome)
                 done = self._calls.pop((ip, life, effect.call), None)
                 if done is not None:
                     done(effect.outcome)
@@ -197,6 +199,7 @@
 
     def send(self, sender: str, to: str, message: msgspec.Struct) -> None:
         data = codec.encode(message)
+        observe("send", self.now, sender, to, data)
         self.sent.setdefault(type(message).__name__, []).append(len(data))
         if self.late(sender, to, message):
             self.caught.append((sender, to, message))
@@ -237,6 +240,7 @@
 
     def write(self, box: Box, write: Write) -> None:
         assert box.out is None
+        observe("write", self.now, box.ip, write.rows)
         box.out, life = write, box.life
 
         def done() -> None:
