--- a/ambershift/system/testbed/__main__.py
+++ b/ambershift/system/testbed/__main__.py
@@ -13,6 +13,7 @@
 from pathlib import Path
 
 from ambershift.system.testbed.faults import Faults, plan
+from ambershift.system.testbed.processes import ROOT, is_checkout
 from ambershift.system.testbed.report import table
 from ambershift.system.testbed.rig import NotMetError, Rig
 from ambershift.system.testbed.settings import Site
@@ -50,6 +51,12 @@
         metavar="DIR",
         help="keep settings, disks and logs there (otherwise they are removed)",
     )
+    made.add_argument(
+        "--other-checkout",
+        type=Path,
+        metavar="DIR",
+        help="start every second control node and every second proxy from this source tree (another version)",
+    )
     made.add_argument(
         "--hollow",
         type=int,
@@ -120,7 +127,18 @@
 
         return await measure(site, asked, told)
     try:
-        async with Rig(site, asked.backends, asked.rate, told, asked.services, asked.routes) as rig:
+        async with Rig(
+            site,
+            asked.backends,
+            asked.rate,
+            told,
+            asked.services,
+            asked.routes,
+            other_checkout=asked.other_checkout,
+        ) as rig:
+            if asked.other_checkout:
+                others = [name for name, child in rig.children.items() if child.checkout != ROOT]
+                told(f"from {asked.other_checkout}: {', '.join(others)}")
             return 0 if await rehearse(rig, asked.seconds, asked.lose, asked.empty_disk) else 1
     except asyncio.CancelledError:
         told("stopped; everything started here has been ended")
@@ -145,6 +163,15 @@
     if asked.folder and asked.folder.exists() and any(asked.folder.iterdir()):
         print(f"nothing started: {asked.folder} is not empty; name a new folder", file=sys.stderr)
         return 2
+    if asked.other_checkout:
+        asked.other_checkout = asked.other_checkout.resolve()
+        if asked.hollow or not is_checkout(asked.other_checkout):
+            print(
+                "nothing started: --other-checkout must name the root of a source tree of this program, and "
+                "goes without --hollow",
+                file=sys.stderr,
+            )
+            return 2
     import uvloop
 
     with contextlib.ExitStack() as stack:
--- a/ambershift/system/testbed/processes.py
+++ b/ambershift/system/testbed/processes.py
@@ -10,7 +10,8 @@
 import signal
 import sys
 import time
-from collections.abc import Iterator
+from collections import Counter
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -47,11 +48,31 @@
     return Cost((int(fields[11]) + int(fields[12])) / TICKS, sizes["VmRSS"], sizes["VmHWM"])
 
 
+def is_checkout(path: Path) -> bool:
+    """Whether the program can be started from this folder."""
+    return (path / "ambershift" / "system" / "__main__.py").is_file()
+
+
+def checkouts(machines: Iterable[Machine], other: Path | None) -> dict[str, Path]:
+    """The checkout that each machine's process is started from, by the machine's name.
+
+    With `other`, every second machine of each kind runs from there; the rest run from this checkout.
+    """
+    found, numbers = dict[str, Path](), Counter[str]()
+    for machine in machines:
+        numbers[machine.kind] += 1
+        found[machine.name] = other if other and numbers[machine.kind] % 2 == 0 else ROOT
+    return found
+
+
 class Child:
-    """The process of one machine, over all its lives. `log` has what it wrote, one file for all lives."""
+    """The process of one machine, over all its lives. `log` has what it wrote, one file for all lives.
+
+    `checkout` is the root of the source tree that each of its lives runs.
+    """
 
-    def __init__(self, site: Site, machine: Machine) -> None:
-        self.site, self.machine = site, machine
+    def __init__(self, site: Site, machine: Machine, checkout: Path = ROOT) -> None:
+        self.site, self.machine, self.checkout = site, machine, checkout
         self.process: asyncio.subprocess.Process | None = None
         self.starts, self.since = 0, 0.0  # Of the last start, steady seconds.
         self.log = site.folder / "logs" / f"{machine.name}.log"
@@ -89,7 +110,7 @@
                 role,
                 "--settings",
                 str(path),
-                cwd=ROOT,
+                cwd=self.checkout,  # `-m` imports from there before all else.
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=out,
                 stderr=out,
--- a/ambershift/system/testbed/rig.py
+++ b/ambershift/system/testbed/rig.py
@@ -8,6 +8,7 @@
 import time
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
+from pathlib import Path
 from typing import Any
 
 from ambershift.system.testbed.backends import COLD_RATE, WORK_S, Backend
@@ -17,7 +18,7 @@
 from ambershift.system.testbed.histories import History
 from ambershift.system.testbed.judge import Judge
 from ambershift.system.testbed.operator import Operator
-from ambershift.system.testbed.processes import Child, end_all
+from ambershift.system.testbed.processes import Child, checkouts, end_all
 from ambershift.system.testbed.settings import CONTROL_NODE, PROXY, Machine, Site
 from ambershift.system.testbed.speech import BrokenOffError, LateError, NotReachedError, once
 
@@ -64,6 +65,7 @@
         routes: int = 12,
         callers: int = 6,
         work_s: float = WORK_S,
+        other_checkout: Path | None = None,
     ) -> None:
         self.site, self.say, self.rate, self.work_s = site, say, rate, work_s
         self.chance = random.Random(site.seed)
@@ -73,7 +75,11 @@
         )
         self.history = History()
         self.book = Book(self.chance, list(dict.fromkeys(site.zones.values())), services, routes)
-        self.children = {one.name: Child(site, one) for one in site.machines.values()}
+        machines = site.machines
+        self.children = {
+            name: Child(site, machines[name], checkout)
+            for name, checkout in checkouts(machines.values(), other_checkout).items()
+        }
         self.cold_bound = COLD_RATE * bounds["ColdOverrun"] + bounds["ColdSlack"]
         self.backends = list[Backend]()
         zones = list(site.zones)
