--- a/tests/encoded_forms.py
+++ b/tests/encoded_forms.py
@@ -24,14 +24,14 @@
 from ambershift.replication import records
 from ambershift.replication.heard import messages as heard
 from ambershift.system.configuration.agreement import Agreement
-from ambershift.system.consensus.members import Members
+from ambershift.system.consensus.membership_view import Members
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.locks import Lock
-from ambershift.system.coordination.shapes import Added
+from ambershift.system.coordination.value_deltas import Added
 from ambershift.system.messages import codec, copies
-from ambershift.system.messages.forgotten import Forgotten
 from ambershift.system.messages.items import Item
-from ambershift.system.registry.kept import Sheet
+from ambershift.system.messages.tombstones import Forgotten
+from ambershift.system.registry.snapshot import Sheet
 
 
 @dataclass(frozen=True)
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -19,7 +19,7 @@
 from ambershift.replication.heard.words import Kind as HeardKind
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import WORDS
-from ambershift.system.transport.words import CONTROL_NODE, PROXY, Caller, caller_of, path_of
+from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller, caller_of, path_of
 from tests.encoded_forms import GROUP, SYSTEM, Form
 from tests.struct_layout import differences, layout, tags
 
