--- a/tests/control_process.py
+++ b/tests/control_process.py
@@ -63,13 +63,22 @@
                 command, cwd=ROOT, stdin=subprocess.DEVNULL, stdout=out, stderr=out
             )
 
-    def call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+    def exchange(self, method: str, path: str, body: Any = None) -> dict[str, Any]:
+        """Status, names of headers in their order, content type and body (a text) of the answer."""
         connection = http.client.HTTPConnection(IP, self.port, timeout=10)
         with contextlib.closing(connection):
             connection.request(method, path, json.dumps(body) if body is not None else None)
             answer = connection.getresponse()
-            text = answer.read()
-            return answer.status, json.loads(text) if text else None
+            return {
+                "status": answer.status,
+                "headers": [name for name, _ in answer.getheaders()],
+                "type": answer.getheader("content-type"),
+                "body": answer.read().decode(),
+            }
+
+    def call(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+        found = self.exchange(method, path, body)
+        return found["status"], json.loads(found["body"]) if found["body"] else None
 
     def rpc(self, name: str, of: str = "", body: Any = None) -> tuple[int, Any]:
         return self.call("POST", f"/ambershift/rpc?call={name}&of={of}", body or {})
