--- a/tests/encoded_forms.py
+++ b/tests/encoded_forms.py
@@ -20,7 +20,7 @@
 from ambershift.promises import answers
 from ambershift.promises.state import Packed
 from ambershift.promises.words import Command
-from ambershift.replication import messages as replication
+from ambershift.replication import messages as group_messages
 from ambershift.replication import records
 from ambershift.replication.heard import messages as heard
 from ambershift.system.configuration.agreement import Agreement
@@ -28,7 +28,7 @@
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.locks import Lock
 from ambershift.system.coordination.value_deltas import Added
-from ambershift.system.messages import codec, copies
+from ambershift.system.messages import codec, replication
 from ambershift.system.messages.items import Item
 from ambershift.system.messages.tombstones import Forgotten
 from ambershift.system.registry.snapshot import Sheet
@@ -58,7 +58,7 @@
     "GET /ambershift/members": json(Members),
 }
 GROUP = {
-    "replica": Form(replication.Message, replication.encode, replication.decode),
+    "replica": Form(group_messages.Message, group_messages.encode, group_messages.decode),
     "heard": Form(heard.Message, heard.encode, heard.decode),
     "link hello": Form(links.Hello, links.encode, links.read_hello),
     "link reply": Form(links.Welcome | links.Refused, links.encode, links.read_reply),
@@ -72,8 +72,8 @@
 }
 STORED = {
     "archive.db items": plain(Item),
-    "archive.db registers": plain(copies.Record),
-    "archive.db meta decision": plain(copies.Decision),
+    "archive.db registers": plain(replication.Record),
+    "archive.db meta decision": plain(replication.Decision),
     "register configuration": plain(Agreement),
     "register of a group of cells": plain(Group),
     "register of a lock": plain(Lock),
