--- a/ambershift/system/consensus/failure_detector.py
+++ b/ambershift/system/consensus/failure_detector.py
@@ -13,7 +13,7 @@
 from ambershift.system.consensus.quorum import ALL_WATCH, watchers
 from ambershift.system.consensus.voters import Voters, holds
 from ambershift.system.messages import replication
-from ambershift.system.messages.proxy_link import Core
+from ambershift.system.messages.proxy_link import ControlNodeAddress
 from ambershift.system.messages.replication import Beat, Knock, Known, Machine
 from ambershift.system.state_machine import NS_PER_MS
 
@@ -294,11 +294,15 @@
             if ip not in self._voters.ips and self.alive(ip) and ip != self.me.ip
         ]
 
-    def cores(self) -> tuple[Core, ...]:
+    def cores(self) -> tuple[ControlNodeAddress, ...]:
         decision = self._voters.decision
-        found = {one.ip: Core(one.ip, one.zone, one.region) for one in decision.members} if decision else {}
+        found = (
+            {one.ip: ControlNodeAddress(one.ip, one.zone, one.region) for one in decision.members}
+            if decision
+            else {}
+        )
         hears_all = self._voters.voting or len(self.machines) <= ALL_WATCH
         for one in self.machines.values():
             if one.ip in found or not hears_all or self.alive(one.ip, GONE):
-                found[one.ip] = Core(one.ip, one.zone, one.region)
+                found[one.ip] = ControlNodeAddress(one.ip, one.zone, one.region)
         return tuple(found[ip] for ip in sorted(found))
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -20,7 +20,7 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import Change, NotDoneError, Shape
 from ambershift.system.messages.items import Item, Key
-from ambershift.system.messages.proxy_link import Core
+from ambershift.system.messages.proxy_link import ControlNodeAddress
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import (
     NS_PER_SECOND,
@@ -214,7 +214,7 @@
     def listen(self, heard: Callable[[Sequence[Item]], None]) -> None:
         self._listeners.append(heard)
 
-    def cores(self) -> Sequence[Core]:
+    def cores(self) -> Sequence[ControlNodeAddress]:
         return () if self._replica is None else self._replica.watching.cores()
 
     def members(self) -> Members | None:
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -23,7 +23,7 @@
 from ambershift.system.coordination.replies import ImproperError, Reply, read_body, reply
 from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.interfaces import Ledger
-from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
+from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -84,10 +84,10 @@
     def hear(self, sender: str, message: msgspec.Struct) -> None:
         """A message of `messages.forwarding` from another control node."""
         if isinstance(message, ForwardedCall):
-            self._spawn(self._bearer(message.name).carry_out(sender, message))
-        elif isinstance(message, Outcome):
+            self._spawn(self._bearer(message.operation).carry_out(sender, message))
+        elif isinstance(message, ForwardedResponse):
             self._open_calls.settle(sender, message)
-        elif isinstance(message, Stirred):
+        elif isinstance(message, GroupChanged):
             self._spawn(self._watches.stirred(sender, message))
 
     def _bearer(self, name: str) -> Watches | ConfigurationCalls | Applications:
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -73,13 +73,13 @@
 
     async def carry_out(self, sender: str, forwarded: messages.ForwardedCall) -> None:
         """A change that another machine was asked for; its outcome goes back whatever it is."""
-        until = self._steady() + forwarded.left * NS_PER_MS
+        until = self._steady() + forwarded.remaining_ms * NS_PER_MS
         try:
             order = read_order(forwarded.body)
             answer = await self._propose(order, until) if await self._forwarding.in_touch() else NOT_DONE
         except InvalidError as why:
             answer = self._invalid(why.faults)
-        self._send(sender, messages.Outcome(forwarded.number, answer.status, answer.body))
+        self._send(sender, messages.ForwardedResponse(forwarded.number, answer.status, answer.body))
 
     async def _propose(self, order: Order, until: int) -> Reply:
         """Have the change agreed and stored through this machine."""
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -19,7 +19,7 @@
 from ambershift.system.coordination.replies import Call, ImproperError, Reply, reply
 from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.interfaces import Change, Ledger, NotDoneError, NotHeldError, Verdict
-from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
+from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 PATIENCE = 900 * NS_PER_MS  # A caller gives up after a second of silence, and time is looked at each 50 ms.
@@ -94,13 +94,15 @@
 
     async def carry_out(self, sender: str, forwarded: ForwardedCall) -> None:
         """A forwarded call of another machine; its outcome goes back whatever it is."""
-        until = self._steady() + forwarded.left * NS_PER_MS
+        until = self._steady() + forwarded.remaining_ms * NS_PER_MS
         try:
-            call = self._read(forwarded.name, forwarded.of, forwarded.body, sender, forwarded.number)
+            call = self._read(
+                forwarded.operation, forwarded.subject_id, forwarded.body, sender, forwarded.number
+            )
             answer = await self.propose(call, until) if await self._forwarding.in_touch() else REFUSED
         except ImproperError as why:
             answer = reply(400, Cause=f"{why.field}: {why.reason}")
-        self._send(sender, Outcome(forwarded.number, answer.status, answer.body))
+        self._send(sender, ForwardedResponse(forwarded.number, answer.status, answer.body))
 
     def _read(self, name: str, of: str, body: bytes, sender: str, number: int) -> Call:
         return read_call(name, of, body, f"{sender}/{number:x}", self._ages)
@@ -113,7 +115,7 @@
         if changed and not self._proposers.first(register):
             self._news.note(name, group)
             for ip in self._proposers.others():
-                self._send(ip, Stirred(name, group.revision))
+                self._send(ip, GroupChanged(name, group.revision))
 
 
 class _Noted:
--- a/ambershift/system/control_api/pending_calls.py
+++ b/ambershift/system/control_api/pending_calls.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.system.coordination.replies import Reply
-from ambershift.system.messages.forwarding import ForwardedCall, Outcome
+from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse
 
 Sender = Callable[[str, msgspec.Struct], None]
 
@@ -37,7 +37,7 @@
         if self._open.get(number, ("", None))[1] is future:
             del self._open[number]
 
-    def settle(self, sender: str, outcome: Outcome) -> None:
+    def settle(self, sender: str, outcome: ForwardedResponse) -> None:
         to, future = self._open.get(outcome.number, ("", None))
         if future is not None and to == sender and not future.done():
             future.set_result(Reply(outcome.status, outcome.body))
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -17,7 +17,7 @@
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.interfaces import Ledger
-from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
+from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 WATCH = "watch"  # The name of a forwarded call that is one.
@@ -142,14 +142,14 @@
         """Another machine's watch. It is answered only if there is something to tell: without an answer that
         machine ends the wait itself."""
         after = int(msgspec.json.decode(forwarded.body)["after"])
-        waiting = self._here(self._open_calls.number(), forwarded.of, after)
-        await asyncio.wait([waiting], timeout=forwarded.left / 1000)
+        waiting = self._here(self._open_calls.number(), forwarded.subject_id, after)
+        await asyncio.wait([waiting], timeout=forwarded.remaining_ms / 1000)
         if waiting.done():
             answer = waiting.result()
-            self._send(sender, Outcome(forwarded.number, answer.status, answer.body))
+            self._send(sender, ForwardedResponse(forwarded.number, answer.status, answer.body))
         waiting.cancel()
 
-    async def stirred(self, sender: str, word: Stirred) -> None:
+    async def stirred(self, sender: str, word: GroupChanged) -> None:
         """Ask the machine that put: it knows. A look of this one's own would take the register from it, and
         each machine where somebody watches would take it from the next."""
         after = self._subscriptions.stirred(word.group, word.revision)
--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -18,8 +18,8 @@
 from ambershift import interface as api
 from ambershift.policy import TableManager
 from ambershift.system.distribution.strain import CALM, Strain
-from ambershift.system.messages.proxy_link import Bind, Line
-from ambershift.system.messages.proxy_link import Met as Told
+from ambershift.system.messages.proxy_link import BackendLoad as Told
+from ambershift.system.messages.proxy_link import BindTable, TableEntry
 from ambershift.system.state_machine import NS_PER_MS
 
 DEALT_ON_LIST, DEALT_WHILE_BUSY, DEALT_AT_REST = 100 * NS_PER_MS, 250 * NS_PER_MS, 1000 * NS_PER_MS
@@ -99,10 +99,14 @@
 
     def meet(self, zone: int, met: Told) -> None:
         """What a proxy of a zone met at a backend; told in sums, one a zone and backend and step."""
-        if met.id in self.seats:
-            tries, bad, took = self.met.get((zone, met.id), (0, 0, 0))
-            good = met.tries - met.bad
-            self.met[zone, met.id] = tries + met.tries, bad + met.bad, took + met.mean_ms * NS_PER_MS * good
+        if met.backend_id in self.seats:
+            tries, bad, took = self.met.get((zone, met.backend_id), (0, 0, 0))
+            good = met.attempts - met.failures
+            self.met[zone, met.backend_id] = (
+                tries + met.attempts,
+                bad + met.failures,
+                took + met.mean_latency_ms * NS_PER_MS * good,
+            )
 
     def applied(self, mark: int, proxy: str, took: int) -> None:
         self.events.append(api.Applied(mark, took, index_of(proxy)))
@@ -169,7 +173,7 @@
         else:
             table.pop(order.server, None)
         users = {proxy for proxy, bound in self.bound.items() if bound == order.table}
-        line = Line(self.pool, order.table, self.names[order.server], order.weight)
+        line = TableEntry(self.pool, order.table, self.names[order.server], order.weight)
         dealt.sends += [(proxy, line) for proxy in sorted(users)]
         return users
 
@@ -179,5 +183,5 @@
             return set()
         self.bound[proxy] = order.table
         lines = tuple((self.names[index], weight) for index, weight in sorted(table.items()))
-        dealt.sends.append((proxy, Bind(self.pool, order.table, lines)))
+        dealt.sends.append((proxy, BindTable(self.pool, order.table, lines)))
         return {proxy}
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -17,13 +17,13 @@
 from ambershift.system.messages.items import ROUTE, ZONE, Item
 from ambershift.system.messages.proxy_link import (
     Backend,
-    Backends,
-    Core,
-    Cores,
+    BackendUpdate,
+    Barrier,
+    ControlNodeAddress,
+    ControlNodeHeartbeat,
+    EjectBackend,
     Hello,
-    Mark,
-    Report,
-    Withdraw,
+    LoadReport,
 )
 from ambershift.system.messages.tombstones import FORGOTTEN
 from ambershift.system.registry.records import Life
@@ -62,8 +62,8 @@
         self.marks = defaultdict[str, deque[tuple[int, int, list[tuple[str, int]]]]](deque)
         self.mark = self.signed_at = self.proxies_at = 0
         self.settled = self.read = self.routed = False
-        self.cores: tuple[Core, ...] = ()  # As all linked proxies have been told.
-        self.list: Backends | None = None
+        self.cores: tuple[ControlNodeAddress, ...] = ()  # As all linked proxies have been told.
+        self.list: BackendUpdate | None = None
         self.list_at = 0
         self.freshening: asyncio.Task[None] | None = None
         ledger.listen(self._items)
@@ -83,13 +83,13 @@
         self.registry.spoke(name)
         if name not in self.hellos:
             return
-        if isinstance(message, Report) and message.span > 0:
+        if isinstance(message, LoadReport) and message.interval_ms > 0:
             self.flows.report(
-                self.steady(), name, self.hellos[name].zone, message.span * NS_PER_MS, message.came
+                self.steady(), name, self.hellos[name].zone, message.interval_ms * NS_PER_MS, message.requests
             )
             self.pool_loads.report(name, message)
-        elif isinstance(message, Mark):
-            self._applied(name, message.mark)
+        elif isinstance(message, Barrier):
+            self._applied(name, message.number)
 
     def proxy_lost(self, name: str) -> None:
         if name in self.hellos:  # Many only ask for a sign.
@@ -107,17 +107,17 @@
     def _greet(self, hello: Hello) -> None:
         known = self.hellos.get(hello.name)
         self.registry.greet(hello)
-        if known and known.life == hello.life and known != hello:
+        if known and known.incarnation == hello.incarnation and known != hello:
             self.hellos[hello.name] = hello
             return  # The link goes on; only what it says of itself has changed.
-        self.log(PROXY_LINKED, {"proxy": hello.name, "life": hello.life, "ready": hello.ready})
+        self.log(PROXY_LINKED, {"proxy": hello.name, "life": hello.incarnation, "ready": hello.ready})
         self._unlink(hello.name)
         self.hellos[hello.name] = hello
         self.settled = self.settled or self.registry.settled()
         self._send(self.pushes.greet(hello.name, self.ledger.items().values(), self._list()))
         # Behind the items: from here on the sign's age is that of what the proxy has.
         self.send_proxy(hello.name, self._sign(self.ledger.cores()))
-        self.pool_loads.join(hello.name, hello.zone, "", hello.life)
+        self.pool_loads.join(hello.name, hello.zone, "", hello.incarnation)
         if self.freshening is None:
             self.freshening = asyncio.ensure_future(self._freshen())
 
@@ -160,12 +160,12 @@
         self.pool_loads.listed(self.steady(), put, gone)
         self.withdrawn.difference_update(gone)
 
-    def _list(self) -> Backends:
+    def _list(self) -> BackendUpdate:
         """The list in one message. Hundreds link at once where a control node was lost: all get the same."""
         now = self.steady()
-        if self.list is None or self.list.whole != self.settled or now > self.list_at + LIST_FOR:
+        if self.list is None or self.list.complete != self.settled or now > self.list_at + LIST_FOR:
             lives = self._backends(self.registry.lives().values())
-            self.list, self.list_at = Backends(tuple(lives), (), self.settled), now
+            self.list, self.list_at = BackendUpdate(tuple(lives), (), self.settled), now
         return self.list
 
     def _backends(self, lives: Iterable[Life]) -> list[Backend]:
@@ -207,7 +207,7 @@
         for id in {id for _, dealt in turns for id in dealt.shut} - self.withdrawn:
             self.withdrawn.add(id)
             for name in self.hellos:
-                self.send_proxy(name, Withdraw(id, True))
+                self.send_proxy(name, EjectBackend(id, True))
         marked = defaultdict[str, list[tuple[str, int]]](list)
         for pool, dealt in turns:
             for name, message in dealt.sends:
@@ -218,7 +218,7 @@
         for name, parts in marked.items():
             self.mark += 1
             self.marks[name].append((self.mark, now, parts))
-            self.send_proxy(name, Mark(self.mark))
+            self.send_proxy(name, Barrier(self.mark))
 
     def _send_signs(self) -> None:
         cores = tuple(self.ledger.cores())
@@ -227,9 +227,11 @@
         for name in self.hellos:
             self.send_proxy(name, sign)
 
-    def _sign(self, cores: Sequence[Core]) -> Cores:
+    def _sign(self, cores: Sequence[ControlNodeAddress]) -> ControlNodeHeartbeat:
         ledger = self.ledger
-        return Cores(tuple(cores), ledger.in_touch(), self.registry.proxies_most(), ledger.contact_age_ms())
+        return ControlNodeHeartbeat(
+            tuple(cores), ledger.in_touch(), self.registry.proxies_most(), ledger.contact_age_ms()
+        )
 
     def _send(self, sends: Sequence[Send]) -> None:
         for one in sends:
--- a/ambershift/system/distribution/flows.py
+++ b/ambershift/system/distribution/flows.py
@@ -5,7 +5,7 @@
 from collections import defaultdict, deque
 from collections.abc import Collection
 
-from ambershift.system.messages.proxy_link import tally_parts
+from ambershift.system.messages.proxy_link import parse_host_counter_name
 from ambershift.system.messages.registry_sync import Flow
 from ambershift.system.state_machine import NS_PER_SECOND
 
@@ -41,7 +41,7 @@
             for reports in self.came.values()
             for *_, came in reports
             for name in came
-            if tally_parts(name)
+            if parse_host_counter_name(name)
         }
         names = *pools, *sorted(tallies)
         rates = dict.fromkeys(((zone, name) for zone in self.zones.values() for name in names), 0.0)
--- a/ambershift/system/distribution/pool_loads.py
+++ b/ambershift/system/distribution/pool_loads.py
@@ -15,7 +15,7 @@
 from ambershift.system.distribution.pools import Pool, pools
 from ambershift.system.distribution.terms import terms_for, zones_of
 from ambershift.system.messages.items import ZONE, Item
-from ambershift.system.messages.proxy_link import Report
+from ambershift.system.messages.proxy_link import LoadReport
 from ambershift.system.registry.records import Life, ProxyRecord
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -96,13 +96,13 @@
         for name, (keeper, proxy) in elsewhere.items():
             self.join(name, proxy.zone, keeper, proxy.life)
 
-    def report(self, name: str, report: Report) -> None:
+    def report(self, name: str, report: LoadReport) -> None:
         """What came to a proxy linked here, none where a pool isn't named, and what it met."""
         zone = self.zones.get(self.proxies[name][0], -1)
         for pool, assigner in self.assigners.items():
-            assigner.came(name, report.came.get(pool, 0), report.span * NS_PER_MS)
-        for met in report.met:
-            life = self.lives.get(met.id)
+            assigner.came(name, report.requests.get(pool, 0), report.interval_ms * NS_PER_MS)
+        for met in report.backends:
+            life = self.lives.get(met.backend_id)
             for assigner in self.serving.get(life.service, ()) if life else ():
                 assigner.meet(zone, met)
 
--- a/ambershift/system/distribution/pools.py
+++ b/ambershift/system/distribution/pools.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ambershift.system.messages.items import ROUTE, Item
-from ambershift.system.messages.proxy_link import pool_of
+from ambershift.system.messages.proxy_link import pool_name
 
 USUAL_MS = 500
 
@@ -34,7 +34,7 @@
         homes = tuple(sorted(body.get("ServingRegions") or ()))
         target = int(body.get("TargetMs") or USUAL_MS)
         for service in _services(body):
-            name = pool_of(service, homes)
+            name = pool_name(service, homes)
             known = found.get(name)
             found[name] = Pool(name, service, homes, min(target, known.target_ms) if known else target)
     return found
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ambershift.system.messages.items import CLEARED, INSTANCE, Item, Key, cleared_by
-from ambershift.system.messages.proxy_link import Backend, Backends, Items
+from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ItemUpdate
 from ambershift.system.messages.tombstones import FORGOTTEN
 from ambershift.system.state_machine import Send
 
@@ -24,21 +24,21 @@
     def __init__(self) -> None:
         self.told: dict[Key, Item] = {}  # What every proxy that has said Hello has been sent.
         self._forgot = False  # Whether `told` may have what all have forgotten since.
-        self._all: Items | None = None  # The same in one message, for all that link before it changes.
+        self._all: ItemUpdate | None = None  # The same in one message, for all that link before it changes.
         self.proxies: dict[str, Pushed] = {}
         self.links = 0
         self.put: dict[str, Backend] = {}
         self.gone: set[str] = set()
 
-    def greet(self, name: str, items: Iterable[Item], backends: Backends) -> list[Send]:
+    def greet(self, name: str, items: Iterable[Item], backends: BackendUpdate) -> list[Send]:
         """A new link: all items, then the list. Where we may not have heard all yet it takes nothing away."""
         items = list(items)
         newer = self.items(items)
         if self._forgot:
             self.told, self._all, self._forgot = {one.key: one for one in items}, None, False
         self.links += 1
-        self.proxies[name] = Pushed(self.links, whole=backends.whole)
-        self._all = self._all or Items(tuple(self.told.values()), False)
+        self.proxies[name] = Pushed(self.links, whole=backends.complete)
+        self._all = self._all or ItemUpdate(tuple(self.told.values()), False)
         return [*newer, Send(name, self._all), Send(name, backends)]
 
     def lose(self, name: str) -> None:
@@ -57,7 +57,7 @@
         for id in (id for one in newer if one.kind == CLEARED for id in cleared_by(one)):
             self.told.pop((INSTANCE, id), None)
         self._forgot = self._forgot or any(one.kind == FORGOTTEN for one in newer)
-        self._all, change = None, Items(tuple(newer), False)
+        self._all, change = None, ItemUpdate(tuple(newer), False)
         return [Send(name, change) for name in self.proxies]
 
     def wanting(self) -> dict[str, int]:
@@ -70,7 +70,7 @@
         for name, link in asked.items():
             if (one := self.proxies.get(name)) and one.link == link:
                 one.complete = True
-                sends.append(Send(name, Items((), True)))
+                sends.append(Send(name, ItemUpdate((), True)))
         return sends
 
     def listed(self, put: Iterable[Backend], gone: Iterable[str]) -> None:
@@ -85,7 +85,7 @@
         """Changes of the list since the last time, in one message."""
         if not self.put and not self.gone:
             return []
-        change = Backends(tuple(self.put.values()), tuple(sorted(self.gone)), False)
+        change = BackendUpdate(tuple(self.put.values()), tuple(sorted(self.gone)), False)
         self.put, self.gone = {}, set()
         return [Send(name, change) for name in self.proxies]
 
@@ -94,5 +94,5 @@
         owed = [name for name, one in self.proxies.items() if not one.whole]
         for name in owed:
             self.proxies[name].whole = True
-        whole = Backends(tuple(backends), (), True)
+        whole = BackendUpdate(tuple(backends), (), True)
         return [Send(name, whole) for name in owed]
--- a/ambershift/system/interfaces.py
+++ b/ambershift/system/interfaces.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ambershift.system.messages.items import Item, Key
-from ambershift.system.messages.proxy_link import Core
+from ambershift.system.messages.proxy_link import ControlNodeAddress
 
 
 @dataclass(eq=False)
@@ -70,7 +70,7 @@
 
         Raises `NotHeldError` (it may hold) or `NotDoneError` (it never will)."""
 
-    def cores(self) -> Sequence[Core]:
+    def cores(self) -> Sequence[ControlNodeAddress]:
         """All control nodes known and not known to be gone for good, this one too."""
 
     def members(self) -> msgspec.Struct | None:
--- a/ambershift/system/messages/forwarding.py
+++ b/ambershift/system/messages/forwarding.py
@@ -21,13 +21,13 @@
     """
 
     number: int
-    name: str
-    of: str
+    operation: str
+    subject_id: str
     body: bytes
-    left: int
+    remaining_ms: int
 
 
-class Outcome(msgspec.Struct, frozen=True, array_like=True, tag="ed"):
+class ForwardedResponse(msgspec.Struct, frozen=True, array_like=True, tag="ed"):
     """`status` is HTTP's; `body` JSON. `number` is the forwarded call's."""
 
     number: int
@@ -35,7 +35,7 @@
     body: bytes
 
 
-class Stirred(msgspec.Struct, frozen=True, array_like=True, tag="es"):
+class GroupChanged(msgspec.Struct, frozen=True, array_like=True, tag="es"):
     """A group got puts through a machine that others would not look for them at."""
 
     group: str
--- a/ambershift/system/messages/proxy_link.py
+++ b/ambershift/system/messages/proxy_link.py
@@ -15,14 +15,14 @@
     """
 
     name: str
-    life: str
+    incarnation: str
     zone: str
     address: str
     ready: bool
-    leaving: bool
+    draining: bool
 
 
-class Core(msgspec.Struct, frozen=True, array_like=True):
+class ControlNodeAddress(msgspec.Struct, frozen=True, array_like=True):
     """A machine that serves control, reached by others at its `ip` on the internal port."""
 
     ip: str
@@ -30,7 +30,7 @@
     region: str
 
 
-class Cores(msgspec.Struct, frozen=True, array_like=True, tag="fc"):
+class ControlNodeHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="fc"):
     """Control node to proxy: the sign of life, first on each link and then each 0.4 s.
 
     `cores`: who serves control; empty where that is as it was told before. `in_touch`: whether this node has
@@ -41,13 +41,13 @@
     Hello: a proxy doesn't link to them.
     """
 
-    cores: tuple[Core, ...]
-    in_touch: bool
-    proxies: int
-    age_ms: int
+    control_nodes: tuple[ControlNodeAddress, ...]
+    has_quorum_contact: bool
+    max_proxies: int
+    staleness_ms: int
 
 
-class Items(msgspec.Struct, frozen=True, array_like=True, tag="fi"):
+class ItemUpdate(msgspec.Struct, frozen=True, array_like=True, tag="fi"):
     """Control node to proxy: items, merged by the proxy one by one. `complete` with the last of all that a
     majority held after the proxy's Hello: from then on the proxy knows whatever was acknowledged before."""
 
@@ -66,89 +66,89 @@
     zone: str
     slots: int
     draining: bool
-    cold: int
-    unsure: bool = False
+    warm_up_ms: int
+    unconfirmed: bool = False
 
 
-class Backends(msgspec.Struct, frozen=True, array_like=True, tag="fb"):
+class BackendUpdate(msgspec.Struct, frozen=True, array_like=True, tag="fb"):
     """Control node to proxy: lives that are new or changed, and ids of those that are gone.
 
     `whole` where what is not named is gone too (the first of a link).
     """
 
-    put: tuple[Backend, ...]
-    gone: tuple[str, ...]
-    whole: bool
+    updated: tuple[Backend, ...]
+    removed_ids: tuple[str, ...]
+    complete: bool
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True, tag="fl"):
+class TableEntry(msgspec.Struct, frozen=True, array_like=True, tag="fl"):
     """Control node to proxy: one line of a table; weight 0 takes it out."""
 
     pool: str
     table: int
-    id: str
+    backend_id: str
     weight: float
 
 
-class Bind(msgspec.Struct, frozen=True, array_like=True, tag="fd"):
+class BindTable(msgspec.Struct, frozen=True, array_like=True, tag="fd"):
     """Control node to proxy: use this table for the pool from now on; `lines` are all of it."""
 
     pool: str
     table: int
-    lines: tuple[tuple[str, float], ...]
+    entries: tuple[tuple[str, float], ...]
 
 
-class Withdraw(msgspec.Struct, frozen=True, array_like=True, tag="fw"):
+class EjectBackend(msgspec.Struct, frozen=True, array_like=True, tag="fw"):
     """Control node to proxy: nothing more to this backend, whatever table has it (or let it in again)."""
 
-    id: str
-    out: bool
+    backend_id: str
+    ejected: bool
 
 
-class Mark(msgspec.Struct, frozen=True, array_like=True, tag="fm"):
+class Barrier(msgspec.Struct, frozen=True, array_like=True, tag="fm"):
     """Control node to proxy, and back: all that was sent on this link before has been taken in."""
 
-    mark: int
+    number: int
 
 
-class Met(msgspec.Struct, frozen=True, array_like=True):
+class BackendLoad(msgspec.Struct, frozen=True, array_like=True):
     """What one proxy met at one backend over the report's span."""
 
-    id: str
-    tries: int
-    bad: int
-    mean_ms: int
+    backend_id: str
+    attempts: int
+    failures: int
+    mean_latency_ms: int
 
 
-class Report(msgspec.Struct, frozen=True, array_like=True, tag="fr"):
+class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag="fr"):
     """Proxy to node, once a second: what came for each pool over the last `span` ms, and what was met."""
 
-    span: int
-    came: dict[str, int]
-    met: tuple[Met, ...]
+    interval_ms: int
+    requests: dict[str, int]
+    backends: tuple[BackendLoad, ...]
 
 
-ToProxy = Cores | Items | Backends | Line | Bind | Withdraw | Mark
-ToControlNode = Hello | Report | Mark
+ToProxy = ControlNodeHeartbeat | ItemUpdate | BackendUpdate | TableEntry | BindTable | EjectBackend | Barrier
+ToControlNode = Hello | LoadReport | Barrier
 
 
-def pool_of(service: str, homes: tuple[str, ...]) -> str:
+def pool_name(service: str, home_regions: tuple[str, ...]) -> str:
     """The name of a pool: a service's backends within the homes of a route (none: all regions)."""
-    return "|".join((service, *sorted(homes)))
+    return "|".join((service, *sorted(home_regions)))
 
 
-def pool_parts(pool: str) -> tuple[str, tuple[str, ...]]:
+def parse_pool_name(pool: str) -> tuple[str, tuple[str, ...]]:
     service, *homes = pool.split("|")
     return service, tuple(homes)
 
 
-def tally_of(host: str, homes: tuple[str, ...]) -> str:
+def host_counter_name(host: str, home_regions: tuple[str, ...]) -> str:
     """The name of a sum beside the pools': all requests to a host that has routes with homes (none named), or
     those on its routes with just these homes. No service's name begins so."""
-    return "|".join(("@" + host, *sorted(homes)))
+    return "|".join(("@" + host, *sorted(home_regions)))
 
 
-def tally_parts(name: str) -> tuple[str, tuple[str, ...]] | None:
+def parse_host_counter_name(name: str) -> tuple[str, tuple[str, ...]] | None:
     """None for a pool's name."""
     if not name.startswith("@"):
         return None
--- a/ambershift/system/node_selection/selector.py
+++ b/ambershift/system/node_selection/selector.py
@@ -26,7 +26,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ambershift.system.messages.proxy_link import Core, Cores
+from ambershift.system.messages.proxy_link import ControlNodeAddress, ControlNodeHeartbeat
 from ambershift.system.settings.local import Bounds
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -67,7 +67,7 @@
     region: str
     seeds: tuple[str, ...]
     current_for: int = 3 * NS_PER_SECOND // 2
-    cores: tuple[Core, ...] = ()
+    cores: tuple[ControlNodeAddress, ...] = ()
     failed: dict[str, int] = field(default_factory=dict)
     linked: str | None = None
     since: int = 0
@@ -101,10 +101,10 @@
         if self.linked == ip:
             self.linked = None
 
-    def hear(self, now: int, sign: Cores) -> None:
+    def hear(self, now: int, sign: ControlNodeHeartbeat) -> None:
         """A sign of the node in use, behind all items it had."""
         self.heard = now
-        self.cores = sign.cores or self.cores
+        self.cores = sign.control_nodes or self.cores
         moment = self.moment(now, sign)
         self.proved = moment if self.proved is None else max(self.proved, moment)
         if not self.stale(now):
@@ -113,15 +113,15 @@
     def alive(self, now: int) -> None:
         self.heard = now
 
-    def moment(self, now: int, sign: Cores) -> int:
+    def moment(self, now: int, sign: ControlNodeHeartbeat) -> int:
         """Up to when the node that gave this sign has all that was acknowledged."""
-        return now - sign.age_ms * NS_PER_MS
+        return now - sign.staleness_ms * NS_PER_MS
 
-    def current(self, sign: Cores) -> bool:
+    def current(self, sign: ControlNodeHeartbeat) -> bool:
         """Whether the node that gave this sign may look after us."""
-        return sign.age_ms * NS_PER_MS <= self.current_for
+        return sign.staleness_ms * NS_PER_MS <= self.current_for
 
-    def newer(self, now: int, sign: Cores) -> bool:
+    def newer(self, now: int, sign: ControlNodeHeartbeat) -> bool:
         """Whether a change to the node that gave this sign makes what we serve by newer."""
         return self.proved is None or self.moment(now, sign) > self.proved + NEWER
 
@@ -154,5 +154,5 @@
         """The settings file has changed."""
         self.seeds = tuple(seeds)
 
-    def _distance(self, core: Core) -> int:
+    def _distance(self, core: ControlNodeAddress) -> int:
         return (core.zone != self.zone) + (core.region != self.region)
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -14,7 +14,13 @@
 
 from ambershift.system.messages import codec
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
-from ambershift.system.messages.proxy_link import Bind, Cores, Hello, Items, Report
+from ambershift.system.messages.proxy_link import (
+    BindTable,
+    ControlNodeHeartbeat,
+    Hello,
+    ItemUpdate,
+    LoadReport,
+)
 from ambershift.system.node_selection.selector import RESERVE_S, SIGN_S, WIDTH, Choice, current_for
 from ambershift.system.processes.candidate_probe import Answered, Asked, let_go
 from ambershift.system.processes.locality import Places
@@ -203,7 +209,7 @@
         except asyncio.CancelledError:
             connection.transport.abort()
             raise
-        if isinstance(sign, Cores):
+        if isinstance(sign, ControlNodeHeartbeat):
             return Answered(ip, connection, sign)
         connection.transport.abort()
         self.choice.fail(self.steady(), ip)
@@ -236,13 +242,13 @@
         if outbox is not self.outbox:
             return
         now = self.steady()
-        if isinstance(message, Cores):
+        if isinstance(message, ControlNodeHeartbeat):
             self.choice.hear(now, message)
         else:
             self.choice.alive(now)
         for reply in self.server.hear(message):
             outbox.put(reply)
-        if isinstance(message, Bind):
+        if isinstance(message, BindTable):
             self.log(
                 115,
                 {
@@ -251,7 +257,7 @@
                     **self.places.lines(message, self.server.backend_view.lives),
                 },
             )
-        if isinstance(message, Items):
+        if isinstance(message, ItemUpdate):
             if self.server.routing.unusable:
                 self._leave("outdated")
                 self._end(outbox)
@@ -259,7 +265,7 @@
             self._tell_items(message)
             self.greet()
 
-    def _tell_items(self, message: Items) -> None:
+    def _tell_items(self, message: ItemUpdate) -> None:
         """The log says when a version came into force here, and by whom."""
         versions = [one.version[0] for one in message.items if one.kind in (ROUTE, SERVICE, LIMITS)]
         if versions:
@@ -286,7 +292,7 @@
             Figure("links_left", "links given up since the start", label="why", values=self.left),
         ]
 
-    def report(self, report: Report) -> None:
+    def report(self, report: LoadReport) -> None:
         """Tell the control node, and now and then the log, what came and was met."""
         if self.outbox:
             self.outbox.put(report)
--- a/ambershift/system/processes/candidate_probe.py
+++ b/ambershift/system/processes/candidate_probe.py
@@ -8,7 +8,7 @@
 
 from websockets.asyncio.connection import Connection
 
-from ambershift.system.messages.proxy_link import Cores
+from ambershift.system.messages.proxy_link import ControlNodeHeartbeat
 from ambershift.system.node_selection.selector import BESIDE_S
 
 
@@ -18,7 +18,7 @@
 
     ip: str
     connection: Connection
-    sign: Cores
+    sign: ControlNodeHeartbeat
 
 
 class Asked:
--- a/ambershift/system/processes/locality.py
+++ b/ambershift/system/processes/locality.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from ambershift.system.messages.proxy_link import Bind, Report
+from ambershift.system.messages.proxy_link import BindTable, LoadReport
 
 REPORTS = 10  # A line in the log for so many reports.
 
@@ -22,23 +22,23 @@
         self.zone, self.region = zone, region
         self.reports = self.tries = self.bad = self.own_zone = self.own_region = 0
 
-    def count(self, report: Report, lives: Mapping[str, Placed]) -> None:
+    def count(self, report: LoadReport, lives: Mapping[str, Placed]) -> None:
         self.reports += 1
-        for met in report.met:
-            life = lives.get(met.id)
+        for met in report.backends:
+            life = lives.get(met.backend_id)
             if life is None:
                 continue  # Gone since: where it was is not worth keeping.
-            self.tries += met.tries
-            self.bad += met.bad
-            self.own_zone += met.tries * (life.zone == self.zone)
-            self.own_region += met.tries * (life.region == self.region)
+            self.tries += met.attempts
+            self.bad += met.failures
+            self.own_zone += met.attempts * (life.zone == self.zone)
+            self.own_region += met.attempts * (life.region == self.region)
 
-    def lines(self, bind: Bind, lives: Mapping[str, Placed]) -> dict[str, object]:
+    def lines(self, bind: BindTable, lives: Mapping[str, Placed]) -> dict[str, object]:
         """A table's lines by place."""
-        found = [lives[id] for id, _ in bind.lines if id in lives]
+        found = [lives[id] for id, _ in bind.entries if id in lives]
         region = sum(life.region == self.region for life in found)
         own = sum(life.zone == self.zone for life in found)
-        return {"own_zone": own, "own_region": region - own, "abroad": len(bind.lines) - region}
+        return {"own_zone": own, "own_region": region - own, "abroad": len(bind.entries) - region}
 
     def due(self) -> bool:
         return self.reports >= REPORTS
--- a/ambershift/system/proxy/backend_view.py
+++ b/ambershift/system/proxy/backend_view.py
@@ -5,7 +5,13 @@
 from collections.abc import Callable, Iterable, Mapping
 from itertools import accumulate
 
-from ambershift.system.messages.proxy_link import Backend, Backends, Bind, Line, pool_parts
+from ambershift.system.messages.proxy_link import (
+    Backend,
+    BackendUpdate,
+    BindTable,
+    TableEntry,
+    parse_pool_name,
+)
 from ambershift.system.proxy.lives import COLD_MORE, DOUBT, Life, life_of
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -30,7 +36,7 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.service, self.homes = pool_parts(name)
+        self.service, self.homes = parse_pool_name(name)
         self.table: int | None = None
         self.lines: dict[str, float] = {}
         self.stale = True
@@ -70,34 +76,34 @@
     def serving(self, service: str) -> Iterable[Life]:
         return self._services.get(service, {}).values()
 
-    def take(self, now: int, backends: Backends) -> list[Life]:
+    def take(self, now: int, backends: BackendUpdate) -> list[Life]:
         """Merge a list; returns lives that are gone (connections to them can be dropped)."""
-        if backends.whole:
-            named = {one.id for one in backends.put}
+        if backends.complete:
+            named = {one.id for one in backends.updated}
             for life in self.lives.values():
                 if life.named and life.id not in named:
                     life.named, life.doubt_until = False, now + DOUBT
                     self._doubted[life.id] = life
-        gone = [self.lives[one] for one in backends.gone if one in self.lives]
+        gone = [self.lives[one] for one in backends.removed_ids if one in self.lives]
         gone += [life for life in self._doubted.values() if now >= life.doubt_until]
         for life in gone:
             self._drop(life)
-        for backend in backends.put:
+        for backend in backends.updated:
             self._put(now, backend)
         return gone
 
-    def bind(self, bind: Bind) -> None:
+    def bind(self, bind: BindTable) -> None:
         pool = self.pool(bind.pool)
-        pool.table, pool.lines, pool.stale = bind.table, dict(bind.lines), True
+        pool.table, pool.lines, pool.stale = bind.table, dict(bind.entries), True
 
-    def line(self, line: Line) -> None:
+    def line(self, line: TableEntry) -> None:
         pool = self.pool(line.pool)
         if pool.table != line.table:
             return  # Its bind, which has all lines, is still to come.
         if line.weight > 0:
-            pool.lines[line.id] = line.weight
+            pool.lines[line.backend_id] = line.weight
         else:
-            pool.lines.pop(line.id, None)
+            pool.lines.pop(line.backend_id, None)
         pool.stale = True
 
     def withdraw(self, id: str, out: bool) -> None:
@@ -136,7 +142,7 @@
 
     def _put(self, now: int, backend: Backend) -> None:
         life = self.lives.get(backend.id)
-        if backend.unsure and life is not None:
+        if backend.unconfirmed and life is not None:
             return  # What we know of it we were told by somebody who had heard it.
         if life is not None and (life.service, life.address) != (backend.service, backend.address):
             self._drop(life)
@@ -151,9 +157,9 @@
             life.evacuated = life.zone in self._emptied
         self._doubted.pop(life.id, None)
         life.named, life.slots, life.draining = True, max(1, backend.slots), backend.draining
-        life.cold_until = now + backend.cold * NS_PER_MS + COLD_MORE if backend.cold > 0 else 0
+        life.cold_until = now + backend.warm_up_ms * NS_PER_MS + COLD_MORE if backend.warm_up_ms > 0 else 0
         back = self._back.get(life.zone)
-        if back is not None and (backend.unsure or now < back + SURELY_NEWER or backend.cold > 0):
+        if back is not None and (backend.unconfirmed or now < back + SURELY_NEWER or backend.warm_up_ms > 0):
             self._chill(life)
 
     def _chill(self, life: Life) -> None:
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -9,7 +9,7 @@
 
 import httpcore
 
-from ambershift.system.messages.proxy_link import pool_of
+from ambershift.system.messages.proxy_link import pool_name
 from ambershift.system.proxy.backend_view import Pool
 from ambershift.system.proxy.course import Course
 from ambershift.system.proxy.headers import Headers, read_request
@@ -126,7 +126,7 @@
 
     def choose(self, route: Route, now: int) -> Pool:
         """The pool of the route's service; of several drawn by weight, one that has a backend if any has."""
-        pools = [self.proxy.backend_view.pool(pool_of(name, route.homes)) for name, _ in route.shares]
+        pools = [self.proxy.backend_view.pool(pool_name(name, route.homes)) for name, _ in route.shares]
         if len(pools) == 1:
             return pools[0]
         weights = [max(weight, 0.0) for _, weight in route.shares]
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.messages import items as kinds
 from ambershift.system.messages.items import Item, Key, newest
-from ambershift.system.messages.proxy_link import tally_of
+from ambershift.system.messages.proxy_link import host_counter_name
 from ambershift.system.messages.tombstones import (
     CONFIGURATION,
     FORGOTTEN,
@@ -195,7 +195,7 @@
         if not self._hosts[route.host].homed:
             return []
         host = route.host.decode("latin-1")
-        return [tally_of(host, ()), *([tally_of(host, route.homes)] if route.homes else [])]
+        return [host_counter_name(host, ()), *([host_counter_name(host, route.homes)] if route.homes else [])]
 
     def _place(self, item: Item) -> None:
         self._take_out(item.name)
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -41,23 +41,23 @@
         """Take in a message from the control node; returns the replies."""
         now = self.steady()
         match message:
-            case proxy_link.Items():
+            case proxy_link.ItemUpdate():
                 self._merge(now, message)
-            case proxy_link.Backends():
+            case proxy_link.BackendUpdate():
                 for life in self.backend_view.take(now, message):
                     self.connections.drop(life)
-                self._share_room(self.backend_view.lives[one.id] for one in message.put)
-            case proxy_link.Line():
+                self._share_room(self.backend_view.lives[one.id] for one in message.updated)
+            case proxy_link.TableEntry():
                 self.backend_view.line(message)
-            case proxy_link.Bind():
+            case proxy_link.BindTable():
                 self.backend_view.bind(message)
-            case proxy_link.Withdraw():
-                self.backend_view.withdraw(message.id, message.out)
-            case proxy_link.Cores():
-                if message.proxies != self.proxies:
-                    self.proxies = max(1, message.proxies)
+            case proxy_link.EjectBackend():
+                self.backend_view.withdraw(message.backend_id, message.ejected)
+            case proxy_link.ControlNodeHeartbeat():
+                if message.max_proxies != self.proxies:
+                    self.proxies = max(1, message.max_proxies)
                     self._share_room(self.backend_view.lives.values())
-            case proxy_link.Mark():
+            case proxy_link.Barrier():
                 return [message]
         return []
 
@@ -78,19 +78,21 @@
             self.leaving,
         )
 
-    def report(self, now: int) -> proxy_link.Report:
+    def report(self, now: int) -> proxy_link.LoadReport:
         """What came and was met since the last call."""
         span, self._reported = (now - self._reported) // NS_PER_MS, now
-        met = list[proxy_link.Met]()
+        met = list[proxy_link.BackendLoad]()
         for life in self.backend_view.lives.values():
             if life.tries:
                 met.append(
-                    proxy_link.Met(life.id, life.tries, life.bad, life.spent // life.tries // NS_PER_MS)
+                    proxy_link.BackendLoad(
+                        life.id, life.tries, life.bad, life.spent // life.tries // NS_PER_MS
+                    )
                 )
                 life.tries = life.bad = life.spent = 0
         came, self.came = self.came, {}
         self.connections.sweep()
-        return proxy_link.Report(span, came, tuple(met))
+        return proxy_link.LoadReport(span, came, tuple(met))
 
     def leave(self) -> None:
         """From now on each answer asks the client to close, and the proxy is not ready."""
@@ -116,7 +118,7 @@
         finally:
             self.admission.flying -= 1
 
-    def _merge(self, now: int, message: proxy_link.Items) -> None:
+    def _merge(self, now: int, message: proxy_link.ItemUpdate) -> None:
         for item in self.routing.merge(message.items):
             if item.kind == items.ZONE:
                 if item.body == b"true":
--- a/ambershift/system/registry/home_regions.py
+++ b/ambershift/system/registry/home_regions.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 from collections.abc import Mapping
 
-from ambershift.system.messages.proxy_link import tally_parts
+from ambershift.system.messages.proxy_link import parse_host_counter_name
 
 # Of a host's requests, the part that homes elsewhere must have before its clients are sent there, and under
 # which they are not any more: a client far from its proxy waits longer for what could be answered near it.
@@ -30,7 +30,7 @@
         """What comes to all proxies now, by name of the sum."""
         totals, bound = dict[str, int](), defaultdict[str, dict[frozenset[str], int]](dict)
         for name, rate in rates.items():
-            if parts := tally_parts(name):
+            if parts := parse_host_counter_name(name):
                 host, homes = parts
                 if homes:
                     bound[host][frozenset(homes)] = rate
--- a/ambershift/system/registry/proxy_directory.py
+++ b/ambershift/system/registry/proxy_directory.py
@@ -29,7 +29,7 @@
 
     def greet(self, now: int, hello: Hello) -> ProxyRecord:
         proxy = ProxyRecord(
-            hello.name, hello.life, hello.zone, hello.address, hello.ready, hello.leaving, now
+            hello.name, hello.incarnation, hello.zone, hello.address, hello.ready, hello.draining, now
         )
         known = self.linked.get(hello.name)
         if known and known.proxy.life == proxy.life and known.proxy.leaving:
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -8,7 +8,7 @@
 from ambershift.system.consensus import contact_lease, failure_detector
 from ambershift.system.consensus.contact_lease import NEVER_MS
 from ambershift.system.distribution import controller
-from ambershift.system.messages.proxy_link import Cores
+from ambershift.system.messages.proxy_link import ControlNodeHeartbeat
 from ambershift.system.messages.replication import Beat
 from ambershift.system.node_selection import selector
 from ambershift.system.simulation.variant import constant, of
@@ -24,9 +24,14 @@
 
 
 def by_its_word(real: Any) -> Any:
-    def sign(self: controller.Controller, cores: Any) -> Cores:
-        made: Cores = real(self, cores)
-        return Cores(made.cores, made.in_touch, made.proxies, 0 if made.in_touch else NEVER_MS)
+    def sign(self: controller.Controller, cores: Any) -> ControlNodeHeartbeat:
+        made: ControlNodeHeartbeat = real(self, cores)
+        return ControlNodeHeartbeat(
+            made.control_nodes,
+            made.has_quorum_contact,
+            made.max_proxies,
+            0 if made.has_quorum_contact else NEVER_MS,
+        )
 
     return sign
 
--- a/ambershift/system/testbed/hollow.py
+++ b/ambershift/system/testbed/hollow.py
@@ -16,7 +16,15 @@
 from websockets.exceptions import ConnectionClosed
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.proxy_link import Core, Hello, Items, Mark, Met, Report, pool_of
+from ambershift.system.messages.proxy_link import (
+    BackendLoad,
+    Barrier,
+    ControlNodeAddress,
+    Hello,
+    ItemUpdate,
+    LoadReport,
+    pool_name,
+)
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import NotMetError, Rig, until
@@ -37,7 +45,9 @@
         self.site, self.pools = site, pools
         self.life = secrets.token_hex(4)
         choice = Choice(self.name, zone, site.zones[zone], ())
-        choice.cores = tuple(Core(one.ip, one.zone, one.region) for one in site.of(CONTROL_NODE))
+        choice.cores = tuple(
+            ControlNodeAddress(one.ip, one.zone, one.region) for one in site.of(CONTROL_NODE)
+        )
         self.ip = choice.candidates(0)[0]
         self.address = f"127.{site.block}.{200 + number // 250 % 50}.{1 + number % 250}:{site.ports.front}"
         self.got = Counter[str]()
@@ -79,9 +89,9 @@
     def hear(self, outbox: Outbox, data: bytes) -> None:
         message = codec.decode(data)
         self.got[type(message).__name__] += len(data)
-        if isinstance(message, Mark):
+        if isinstance(message, Barrier):
             outbox.put(message)
-        elif isinstance(message, Items) and message.complete and not self.complete:
+        elif isinstance(message, ItemUpdate) and message.complete and not self.complete:
             self.complete = True
             self.greet(outbox)
 
@@ -89,7 +99,7 @@
         await asyncio.sleep(self.chance.uniform(0, REPORT_S))
         while True:
             came = dict(Counter(self.chance.choices(self.pools, k=self.chance.randrange(2 * CAME_MEAN))))
-            outbox.put(Report(round(REPORT_S * 1000), came, tuple[Met, ...]()))
+            outbox.put(LoadReport(round(REPORT_S * 1000), came, tuple[BackendLoad, ...]()))
             await asyncio.sleep(REPORT_S)
 
 
@@ -111,7 +121,7 @@
         zones = list(site.zones)
         pools = sorted(
             {
-                pool_of(service, route.homes)
+                pool_name(service, route.homes)
                 for route in rig.book.routes.values()
                 for service in route.services
             }
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -27,7 +27,7 @@
 
 YOUNG = 0.15  # Seconds; a dial that has not lasted for so long may well be about to succeed.
 DIAL_LIMIT, PAUSE_LEAST, PAUSE_MOST = 1.0, 0.1, 0.8  # Seconds.
-FARE = {"compression": None, "ping_interval": None, "close_timeout": 0.2, "max_size": codec.MESSAGE_MOST}
+FARE = {"compression": None, "ping_interval": None, "close_timeout": 0.2, "max_size": codec.MAX_MESSAGE_BYTES}
 
 Heard = Callable[[Caller, msgspec.Struct], None]
 Turned = Callable[[Caller], None]
--- a/benchmarks/capacity/assigner.py
+++ b/benchmarks/capacity/assigner.py
@@ -11,7 +11,7 @@
 from ambershift.system.distribution.pools import Pool
 from ambershift.system.distribution.terms import terms_for, zones_of
 from ambershift.system.messages import codec
-from ambershift.system.messages.proxy_link import Bind, Met
+from ambershift.system.messages.proxy_link import BackendLoad, BindTable
 from ambershift.system.state_machine import NS_PER_SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, elsewhere, megabytes, micros
@@ -44,7 +44,7 @@
             dealt = assigner.step(self.now)
             for name, message in dealt.sends if dealt else ():
                 self.sent += len(codec.encode(message))
-                if isinstance(message, Bind):
+                if isinstance(message, BindTable):
                     self.tables.add(message.table)
                 assert name
             for mark, names in dealt.marks if dealt else ():
@@ -61,7 +61,7 @@
             for name in self.names:
                 assigner.came(name, 7, NS_PER_SECOND)
             for one in range(0, min(self.count, SEATS)):
-                assigner.meet(self.zoned[one], Met(f"i-{pool}-{one}", 4, 0, 90))
+                assigner.meet(self.zoned[one], BackendLoad(f"i-{pool}-{one}", 4, 0, 90))
         self.due(at)
 
 
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -13,7 +13,7 @@
 
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import codec
-from ambershift.system.messages.proxy_link import Backends, Hello, Items, Mark
+from ambershift.system.messages.proxy_link import BackendUpdate, Barrier, Hello, ItemUpdate
 from ambershift.system.processes import control_node
 from ambershift.system.state_machine import NS_PER_SECOND
 from benchmarks.capacity import world
@@ -33,7 +33,7 @@
 
     def __init__(self, size: Size) -> None:
         super().__init__(size)
-        self.bytes, self.marks = Counter[str](), list[tuple[str, Mark]]()
+        self.bytes, self.marks = Counter[str](), list[tuple[str, Barrier]]()
         self.messages, self.report = Counter[str](), world.report(size)
         self.controller = Controller(
             world.local(size),
@@ -50,7 +50,7 @@
         kind = type(message).__name__
         self.bytes[kind] += len(codec.encode(message))
         self.messages[kind] += 1
-        if isinstance(message, Mark):
+        if isinstance(message, Barrier):
             self.marks.append((name, message))
 
     def step(self) -> None:
@@ -84,7 +84,7 @@
     before = megabytes()
     hellos = [world.hello(size, at) for at in scene.proxies]
     found["greet a proxy|µs"] = micros(lambda at: greet(scene, hellos[at]), len(hellos))
-    first = sum(scene.bytes[one.__name__] for one in (Items, Backends)) / len(hellos)
+    first = sum(scene.bytes[one.__name__] for one in (ItemUpdate, BackendUpdate)) / len(hellos)
     found["told to a new link at once|B"] = first
     await asyncio.sleep(0)
     for _ in range(6):
@@ -94,7 +94,7 @@
     scene.bytes.clear()
     scene.messages.clear()
     found["a second of quiet|ms"] = micros(lambda _: scene.quiet_second(), 3) / 1e3
-    for kind in ("Cores", "Line", "Bind", "Mark"):
+    for kind in ("ControlNodeHeartbeat", "TableEntry", "BindTable", "Barrier"):
         found[f"{kind} in a quiet second a link|B"] = scene.bytes[kind] / 3 / len(hellos)
     report = scene.report
     found["hear a report|µs"] = micros(
@@ -107,7 +107,9 @@
     scene.registry.ends._held[id] = 1  # noqa: SLF001
     ended(scene.registry.beat(id, drained))
     found["the second after a drain|ms"] = micros(lambda _: scene.quiet_second(), 1) / 1e3
-    found["told of a drain a link|B"] = (sum(scene.bytes.values()) - scene.bytes["Cores"]) / len(hellos)
+    found["told of a drain a link|B"] = (
+        sum(scene.bytes.values()) - scene.bytes["ControlNodeHeartbeat"]
+    ) / len(hellos)
     return found
 
 
--- a/benchmarks/capacity/links.py
+++ b/benchmarks/capacity/links.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from pathlib import Path
 
-from ambershift.system.messages.proxy_link import pool_of
+from ambershift.system.messages.proxy_link import pool_name
 from ambershift.system.testbed.hollow import DIALS_AT_ONCE, HollowDesk
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import Rig, until
@@ -32,7 +32,7 @@
         before = cost_of(child.pid)
         pools = sorted(
             {
-                pool_of(service, route.homes)
+                pool_name(service, route.homes)
                 for route in rig.book.routes.values()
                 for service in route.services
             }
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -20,19 +20,19 @@
     whole = tuple(world.backend(size, at) for at in range(size.backends))
     return {
         "fh Hello": world.hello(size, 7),
-        "fc Cores": proxy_link.Cores(world.cores(size), True, size.proxies),
-        "fi Items, whole": proxy_link.Items(world.items(size), False),
-        "fi Items, one route": proxy_link.Items((world.changed(size, 7, 9),), False),
-        "fb Backends, whole": proxy_link.Backends(whole, (), True),
-        "fb Backends, one new": proxy_link.Backends(whole[:1], (), False),
-        "fb Backends, one gone": proxy_link.Backends((), (whole[0].id,), False),
-        "fb Backends, a zone new": proxy_link.Backends(
+        "fc Cores": proxy_link.ControlNodeHeartbeat(world.cores(size), True, size.proxies),
+        "fi Items, whole": proxy_link.ItemUpdate(world.items(size), False),
+        "fi Items, one route": proxy_link.ItemUpdate((world.changed(size, 7, 9),), False),
+        "fb Backends, whole": proxy_link.BackendUpdate(whole, (), True),
+        "fb Backends, one new": proxy_link.BackendUpdate(whole[:1], (), False),
+        "fb Backends, one gone": proxy_link.BackendUpdate((), (whole[0].id,), False),
+        "fb Backends, a zone new": proxy_link.BackendUpdate(
             tuple(one for one in whole if one.zone == size.names[0]), (), False
         ),
-        "fl Line": proxy_link.Line("service007", 111, whole[0].id, 6.0),
+        "fl Line": proxy_link.TableEntry("service007", 111, whole[0].id, 6.0),
         "fd Bind": world.bind(size, 1),
-        "fw Withdraw": proxy_link.Withdraw(whole[0].id, True),
-        "fm Mark": proxy_link.Mark(NUMBER),
+        "fw Withdraw": proxy_link.EjectBackend(whole[0].id, True),
+        "fm Mark": proxy_link.Barrier(NUMBER),
         "fr Report, 95 requests": world.report(size),
     }
 
@@ -91,8 +91,8 @@
         "eo ForwardedCall": forwarding.ForwardedCall(
             NUMBER, "locks.heartbeat", "lock-0007", b'{"Holder":"a0.77aa","fence":1700,"HoldMs":3000}', 400
         ),
-        "ed Outcome": forwarding.Outcome(NUMBER, 200, b'{"fence":1700}'),
-        "es Stirred": forwarding.Stirred("g7.", 1_700),
+        "ed Outcome": forwarding.ForwardedResponse(NUMBER, 200, b'{"fence":1700}'),
+        "es Stirred": forwarding.GroupChanged("g7.", 1_700),
     }
 
 
--- a/benchmarks/capacity/proxy.py
+++ b/benchmarks/capacity/proxy.py
@@ -26,8 +26,8 @@
 def told(size: Size) -> list[bytes]:
     lives = tuple(world.backend(size, at) for at in range(size.backends))
     messages = (
-        proxy_link.Items(world.items(size), True),
-        proxy_link.Backends(lives, (), True),
+        proxy_link.ItemUpdate(world.items(size), True),
+        proxy_link.BackendUpdate(lives, (), True),
         *(world.bind(size, at) for at in range(size.services)),
     )
     return [codec.encode(one) for one in messages]
@@ -66,26 +66,28 @@
 
 
 def changes(size: Size, proxy: ProxyServer, found: Found) -> None:
-    routes = [codec.encode(proxy_link.Items((world.changed(size, at, 9 + at),), False)) for at in range(60)]
+    routes = [
+        codec.encode(proxy_link.ItemUpdate((world.changed(size, at, 9 + at),), False)) for at in range(60)
+    ]
     found["hear one route|µs"] = micros(lambda at: heard(proxy, routes[at]), len(routes))
     new = [
-        codec.encode(proxy_link.Backends((world.backend(size, size.backends + at),), (), False))
+        codec.encode(proxy_link.BackendUpdate((world.backend(size, size.backends + at),), (), False))
         for at in range(60)
     ]
     found["hear one new backend|µs"] = micros(lambda at: heard(proxy, new[at]), len(new))
     gone = [
-        codec.encode(proxy_link.Backends((), (world.backend(size, size.backends + at).id,), False))
+        codec.encode(proxy_link.BackendUpdate((), (world.backend(size, size.backends + at).id,), False))
         for at in range(60)
     ]
     found["hear one backend gone|µs"] = micros(lambda at: heard(proxy, gone[at]), len(gone))
-    line = codec.encode(proxy_link.Line(world.service(1), 111, world.backend(size, 1).id, 5.0))
+    line = codec.encode(proxy_link.TableEntry(world.service(1), 111, world.backend(size, 1).id, 5.0))
 
     def edited(_: int) -> None:
         heard(proxy, line)
         proxy.backend_view.pool(world.service(1))
 
     found["hear a line, and lay the pool out|µs"] = micros(edited, 500)
-    cores = codec.encode(proxy_link.Cores(world.cores(size), True, size.proxies))
+    cores = codec.encode(proxy_link.ControlNodeHeartbeat(world.cores(size), True, size.proxies))
     heard(proxy, cores)  # The first tells how many proxies there are.
     found["hear a sign of life|µs"] = micros(lambda _: heard(proxy, cores), 500)
 
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -10,7 +10,7 @@
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.messages import codec, registry_sync
-from ambershift.system.messages.proxy_link import Report
+from ambershift.system.messages.proxy_link import LoadReport
 from ambershift.system.processes import control_node  # All that a control node's process imports counts.
 from ambershift.system.registry.registry import Registry
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
@@ -96,8 +96,8 @@
     before = megabytes()
     for at in range(15 * count):
         report = codec.decode(data)
-        assert isinstance(report, Report)
-        flows.report(at, world.proxy_name(at % count), size.names[0], NS_PER_SECOND, report.came)
+        assert isinstance(report, LoadReport)
+        flows.report(at, world.proxy_name(at % count), size.names[0], NS_PER_SECOND, report.requests)
     return (megabytes() - before) * 1e3 / count
 
 
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -51,11 +51,11 @@
 async def proxy(size: Size, address: str, backend: str) -> None:
     """All items and backends of the size; those of the first service are at one address."""
     made = ProxyServer(world.local(size), time.monotonic_ns, random.Random(1))
-    made.hear(proxy_link.Cores(world.cores(size), True, 1))
-    made.hear(proxy_link.Items(world.items(size), True))
+    made.hear(proxy_link.ControlNodeHeartbeat(world.cores(size), True, 1))
+    made.hear(proxy_link.ItemUpdate(world.items(size), True))
     lives = [world.backend(size, at) for at in range(size.backends)]
     made.hear(
-        proxy_link.Backends(
+        proxy_link.BackendUpdate(
             tuple(
                 proxy_link.Backend(
                     one.id,
--- a/benchmarks/capacity/tenants.py
+++ b/benchmarks/capacity/tenants.py
@@ -29,7 +29,9 @@
 def told(size: Size) -> list[bytes]:
     return [
         codec.encode(
-            proxy_link.Items(tuple(item(at) for at in range(first, min(first + PART, size.tenants))), False)
+            proxy_link.ItemUpdate(
+                tuple(item(at) for at in range(first, min(first + PART, size.tenants))), False
+            )
         )
         for first in range(0, size.tenants, PART)
     ]
@@ -43,7 +45,7 @@
 
     def hear(at: int) -> None:
         message = codec.decode(data[at])
-        assert isinstance(message, proxy_link.Items)
+        assert isinstance(message, proxy_link.ItemUpdate)
         routing.merge(message.items)
 
     found["as items: hear all|ms"] = micros(hear, len(data)) * len(data) / 1e3
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -135,32 +135,35 @@
 
 def attached(size: Size, at: int) -> registry_sync.Attached:
     one = hello(size, at)
-    return registry_sync.Attached(one.name, one.life, one.zone, one.address, True, False, 5_000_000)
+    return registry_sync.Attached(one.name, one.incarnation, one.zone, one.address, True, False, 5_000_000)
 
 
-def bind(size: Size, at: int) -> proxy_link.Bind:
+def bind(size: Size, at: int) -> proxy_link.BindTable:
     """A service's all-servers table."""
     lines = tuple((backend(size, one).id, 6.0) for one in range(at, size.backends, size.services))
-    return proxy_link.Bind(service(at), 111, lines)
+    return proxy_link.BindTable(service(at), 111, lines)
 
 
-def report(size: Size, requests: int = 95) -> proxy_link.Report:
+def report(size: Size, requests: int = 95) -> proxy_link.LoadReport:
     """A second of a proxy: so many requests, each to a service and a backend in turn."""
     came = {
         service(at % size.services): 1 + (requests - 1 - at) // size.services
         for at in range(min(requests, size.services))
     }
-    return proxy_link.Report(
+    return proxy_link.LoadReport(
         1000,
         came,
-        tuple(proxy_link.Met(backend(size, at).id, 1, 0, 120) for at in range(min(requests, size.backends))),
+        tuple(
+            proxy_link.BackendLoad(backend(size, at).id, 1, 0, 120)
+            for at in range(min(requests, size.backends))
+        ),
     )
 
 
-def cores(size: Size) -> tuple[proxy_link.Core, ...]:
+def cores(size: Size) -> tuple[proxy_link.ControlNodeAddress, ...]:
     places = size.places
     return tuple(
-        proxy_link.Core(f"10.128.0.{at + 1}", size.names[at], places[size.names[at]])
+        proxy_link.ControlNodeAddress(f"10.128.0.{at + 1}", size.names[at], places[size.names[at]])
         for at in range(CONTROL_NODES)
     )
 
@@ -213,7 +216,7 @@
     async def change(self, register: str, change: Change, within: float) -> Any:
         raise NotImplementedError
 
-    def cores(self) -> Sequence[proxy_link.Core]:
+    def cores(self) -> Sequence[proxy_link.ControlNodeAddress]:
         return self.found
 
     def contact_age_ms(self) -> int:
--- a/benchmarks/configuration_age.py
+++ b/benchmarks/configuration_age.py
@@ -82,8 +82,12 @@
 
 def signs() -> str:
     """What a sign takes on a link, in bytes without its frame."""
-    cores = tuple(proxy_link.Core(f"10.{at}.0.20", f"szolnok-{at}", "szolnok") for at in range(NODES))
-    whole, short = (len(codec.encode(proxy_link.Cores(some, True, 70, 300))) for some in (cores, ()))
+    cores = tuple(
+        proxy_link.ControlNodeAddress(f"10.{at}.0.20", f"szolnok-{at}", "szolnok") for at in range(NODES)
+    )
+    whole, short = (
+        len(codec.encode(proxy_link.ControlNodeHeartbeat(some, True, 70, 300))) for some in (cores, ())
+    )
     return f"a sign: {short} bytes, with the list of {NODES} control nodes {whole}"
 
 
--- a/tests/circulated.py
+++ b/tests/circulated.py
@@ -13,7 +13,7 @@
 import uvicorn
 
 from ambershift.system.messages.items import ROUTE, SERVICE, Item
-from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
+from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ControlNodeHeartbeat, ItemUpdate
 from ambershift.system.proxy.intake import Intake
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Bounds, Local
@@ -70,7 +70,7 @@
     )
     for name in ("loans", "maps")
 )
-PLAIN = Items((route("r1", "/read/"), route("w1", "/write/", "non_idempotent"), *SERVICES), True)
+PLAIN = ItemUpdate((route("r1", "/read/"), route("w1", "/write/", "non_idempotent"), *SERVICES), True)
 
 
 def backend(
@@ -134,7 +134,7 @@
 class Rig:
     """`async with Rig(scripts) as rig`: a proxy that knows one backend a script, all in the proxy's zone."""
 
-    def __init__(self, *scripts: Script, items: Items = PLAIN) -> None:
+    def __init__(self, *scripts: Script, items: ItemUpdate = PLAIN) -> None:
         self.proxy = ProxyServer(settings(), time.monotonic_ns, Random(1))
         self.shelves = [Shelf(script) for script in scripts]
         self.items = items
@@ -142,12 +142,12 @@
         self.armed: dict[Any, int] = {}  # And was when these timers were first seen.
 
     async def __aenter__(self) -> Rig:
-        self.proxy.hear(Cores((), True, 1, 0))
+        self.proxy.hear(ControlNodeHeartbeat((), True, 1, 0))
         self.proxy.hear(self.items)
         put = tuple(
             [backend(f"i-{number}", await shelf.start()) for number, shelf in enumerate(self.shelves)]
         )
-        self.proxy.hear(Backends(put, (), True))
+        self.proxy.hear(BackendUpdate(put, (), True))
         speaks = partial(Intake, lambda: self.proxy.routing.limits, lambda: time.monotonic_ns() + self.late)
         config = uvicorn.Config(
             self.proxy,
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -14,7 +14,7 @@
 from ambershift.system.interfaces import Change, NotDoneError, NotHeldError
 from ambershift.system.messages.codec import decode, encode
 from ambershift.system.messages.items import Item, Key, newest
-from ambershift.system.messages.proxy_link import Core
+from ambershift.system.messages.proxy_link import ControlNodeAddress
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_SECOND
 
@@ -222,8 +222,8 @@
     def listen(self, heard: Callable[[Sequence[Item]], None]) -> None:
         raise NotImplementedError
 
-    def cores(self) -> Sequence[Core]:
-        return [Core(ip, f"zone-{ip}", "riga") for ip in IPS]
+    def cores(self) -> Sequence[ControlNodeAddress]:
+        return [ControlNodeAddress(ip, f"zone-{ip}", "riga") for ip in IPS]
 
     def members(self) -> msgspec.Struct | None:
         return None
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -64,8 +64,8 @@
     def listen(self, heard: Callable[..., None]) -> None:
         self.hearers.append(heard)
 
-    def cores(self) -> list[proxy_link.Core]:
-        return [proxy_link.Core(ip, zone, ZONES[zone]) for ip, zone in self.world.zones.items()]
+    def cores(self) -> list[proxy_link.ControlNodeAddress]:
+        return [proxy_link.ControlNodeAddress(ip, zone, ZONES[zone]) for ip, zone in self.world.zones.items()]
 
     def settled(self) -> frozenset[str]:
         return frozenset(core.ip for core in self.cores() if self.lately(core.ip))
@@ -195,11 +195,13 @@
             if ip not in self.down | self.frozen:
                 hear = self.nodes[ip].controller.hear_proxy
                 for one in list(self.nodes[ip].sent.get(name, ())):
-                    if isinstance(one, proxy_link.Mark):
+                    if isinstance(one, proxy_link.Barrier):
                         hear(name, one)
                 if self.now % NS_PER_SECOND == 0:
-                    met = tuple(proxy_link.Met(id, 20, 0, self.mean_ms) for id in list(self.beating)[:1])
-                    hear(name, proxy_link.Report(1000, rates, met if self.mean_ms else ()))
+                    met = tuple(
+                        proxy_link.BackendLoad(id, 20, 0, self.mean_ms) for id in list(self.beating)[:1]
+                    )
+                    hear(name, proxy_link.LoadReport(1000, rates, met if self.mean_ms else ()))
 
     async def run(self, seconds: float) -> None:
         until = self.now + int(seconds * NS_PER_SECOND)
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -15,7 +15,7 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
-from ambershift.system.messages.proxy_link import Backends
+from ambershift.system.messages.proxy_link import BackendUpdate
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.registry import endpoint_list, machine, tombstone_expiry
 from ambershift.system.registry.tombstone_expiry import EVERY, KEPT, PORTION, REFUSED, Clearing
@@ -214,7 +214,7 @@
 
 def test_proxies_and_their_controllers_forget_the_same() -> None:
     pushes = Pushes()
-    sent = pushes.greet("proxy", [ended("a"), ended("b")], Backends((), (), True))
+    sent = pushes.greet("proxy", [ended("a"), ended("b")], BackendUpdate((), (), True))
     sent += pushes.items([cleared(1, "a"), ended("c")])
     assert {id for kind, id in pushes.told if kind == INSTANCE} == {"b", "c"}
     routing = Routing()
--- a/tests/test_system_codec.py
+++ b/tests/test_system_codec.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.forwarding import ForwardedCall, Outcome
+from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse
 from ambershift.system.messages.items import ROUTE, Item
-from ambershift.system.messages.proxy_link import Items, Mark
+from ambershift.system.messages.proxy_link import Barrier, ItemUpdate
 
 
-def routes(count: int) -> Items:
+def routes(count: int) -> ItemUpdate:
     body = b'{"Host":"books.example","PathPrefix":"/%d/","RouteType":"idempotent","TimeoutMs":1500}'
-    return Items(tuple(Item(ROUTE, f"r-{at}", (at, ""), body % at) for at in range(count)), True)
+    return ItemUpdate(tuple(Item(ROUTE, f"r-{at}", (at, ""), body % at) for at in range(count)), True)
 
 
 @given(st.integers(0, 300))
@@ -25,9 +25,9 @@
     message = routes(count)
     data = codec.encode(message)
     assert codec.decode(data) == message and codec.encode(message) == data
-    assert data[0] == codec.DEFLATED or len(data) < codec.LONG
+    assert data[0] == codec.ZLIB_FIRST_BYTE or len(data) < codec.DEFLATE_MIN_BYTES
     assert count < 50 or len(data) < 25 * count
-    assert codec.encode(Mark(count))[0] != codec.DEFLATED
+    assert codec.encode(Barrier(count))[0] != codec.ZLIB_FIRST_BYTE
 
 
 @given(
@@ -40,18 +40,18 @@
 def test_forwarded_calls_come_back_and_are_never_longer(
     number: int, name: str, of: str, body: bytes, left: int
 ) -> None:
-    for message in (ForwardedCall(number, name, of, body, left), Outcome(number, 200, body)):
+    for message in (ForwardedCall(number, name, of, body, left), ForwardedResponse(number, 200, body)):
         data = codec.encode(message)
         assert codec.decode(data) == message and len(data) <= len(msgspec.msgpack.encode(message))
     told = b'{"Events":[{"Name":"g1.2d","Value":"5c0e7a21d94b36f8","Revision":931}],"Revision":934}'
-    assert len(codec.encode(Outcome(number, 200, told))) < 60
+    assert len(codec.encode(ForwardedResponse(number, 200, told))) < 60
 
 
 def test_what_does_not_inflate_to_a_message_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     data = codec.encode(routes(100))
     flipped = bytes([*data[:40], data[40] ^ 0x55, *data[41:]])
-    short = codec.encode(Outcome(1, 200, b'{"Events":[],"Revision":934}'))
-    assert short[0] == codec.KNOWN
+    short = codec.encode(ForwardedResponse(1, 200, b'{"Events":[],"Revision":934}'))
+    assert short[0] == codec.DICTIONARY_FIRST_BYTE
     for bad in (
         short[:-3],
         short[:1],
@@ -64,6 +64,6 @@
     ):
         with pytest.raises(codec.UnreadableError):
             codec.decode(bad)
-    monkeypatch.setattr(codec, "MESSAGE_MOST", 4000)
+    monkeypatch.setattr(codec, "MAX_MESSAGE_BYTES", 4000)
     with pytest.raises(codec.UnreadableError, match="too large"):
         codec.decode(data)
--- a/tests/test_system_distribution.py
+++ b/tests/test_system_distribution.py
@@ -16,7 +16,15 @@
 from ambershift.system.distribution.pools import Pool
 from ambershift.system.distribution.terms import terms_for
 from ambershift.system.messages.items import ROUTE, ZONE, Item
-from ambershift.system.messages.proxy_link import Backends, Bind, Cores, Items, Line, Mark, Withdraw
+from ambershift.system.messages.proxy_link import (
+    BackendUpdate,
+    Barrier,
+    BindTable,
+    ControlNodeHeartbeat,
+    EjectBackend,
+    ItemUpdate,
+    TableEntry,
+)
 
 KEEPERS = {"a": "1", "b": "2", "c": "3"}
 Play = Callable[[World], Coroutine[Any, Any, None]]
@@ -63,10 +71,10 @@
             number, lines = -1, set[str]()
             for one in messages:
                 match one:
-                    case Bind():
-                        number, lines = one.table, {id for id, _ in one.lines}
-                    case Line() if one.table == number:
-                        (lines.add if one.weight else lines.discard)(one.id)
+                    case BindTable():
+                        number, lines = one.table, {id for id, _ in one.entries}
+                    case TableEntry() if one.table == number:
+                        (lines.add if one.weight else lines.discard)(one.backend_id)
             found[proxy.removeprefix("proxy ")] = lines
     return found
 
@@ -96,8 +104,8 @@
         for node in world.nodes.values()
         for sent in node.sent.values()
         for one in sent
-        if isinstance(one, Bind)
-        for line in one.lines
+        if isinstance(one, BindTable)
+        for line in one.entries
     ]
     assert {weight for _, weight in weights} == {4.0}  # As listed.
 
@@ -147,7 +155,7 @@
         await world.run(2)
         shut = not any(id.startswith("a1") for ids in tables(world).values() for id in ids)
         assert shut == (body == b"true")
-    assert not any(isinstance(one, Withdraw) for sent in world.nodes["1"].sent.values() for one in sent)
+    assert not any(isinstance(one, EjectBackend) for sent in world.nodes["1"].sent.values() for one in sent)
 
 
 @play
@@ -159,22 +167,22 @@
     world.nodes["1"].controller.proxy_linked("new")
     sent = world.proxy("new", "1", "a1", ready=False, s=20)
     await world.run(1)
-    kinds = [type(one) for one in sent if not isinstance(one, Cores)]
-    assert kinds[:4] == [Items, Backends, Bind, Mark]
+    kinds = [type(one) for one in sent if not isinstance(one, ControlNodeHeartbeat)]
+    assert kinds[:4] == [ItemUpdate, BackendUpdate, BindTable, Barrier]
     assert sent[2].whole and len(sent[2].put) == 12
-    assert not any(one.complete for one in sent if isinstance(one, Items))
+    assert not any(one.complete for one in sent if isinstance(one, ItemUpdate))
     await route(world, "t", name="later")
     ledger.gate.set()
     await world.run(0.1)
-    told = [one for one in sent if isinstance(one, Items)]
+    told = [one for one in sent if isinstance(one, ItemUpdate)]
     assert [[item.name for item in one.items] for one in told] == [["r"], ["later"], []] and told[-1].complete
     world.proxy("new", "1", "a1", ready=True, s=20)  # The same link.
-    assert sum(isinstance(one, Backends) for one in sent) == 1
+    assert sum(isinstance(one, BackendUpdate) for one in sent) == 1
     world.proxy("new", "1", "a1", ready=True, s=20)  # Another one, since it says nothing new.
     world.nodes["1"].controller.proxy_linked("new")
     world.proxy("new", "1", "a1", ready=False, s=20)
     await world.run(0.5)
-    assert sum(isinstance(one, Backends) for one in sent) == 3
+    assert sum(isinstance(one, BackendUpdate) for one in sent) == 3
 
 
 @play
@@ -187,7 +195,7 @@
         sent = world.proxy("new", "1", "a1")
         await world.run(0.1)
     ledger.gate.set()
-    while not any(isinstance(one, Items) and one.complete for one in sent):
+    while not any(isinstance(one, ItemUpdate) and one.complete for one in sent):
         await asyncio.sleep(0)
     assert ledger.freshened == 2
 
@@ -197,10 +205,10 @@
     world.nodes["1"].ledger.holds = False
     sent = world.proxy("new", "1", "a1", ready=False)
     await world.run(0.1)
-    assert not any(isinstance(one, Items) and one.complete for one in sent)
+    assert not any(isinstance(one, ItemUpdate) and one.complete for one in sent)
     world.nodes["1"].ledger.holds = True
     await asyncio.sleep(0.25)  # The pause before the next try.
-    assert any(isinstance(one, Items) and one.complete for one in sent)
+    assert any(isinstance(one, ItemUpdate) and one.complete for one in sent)
 
 
 @play
@@ -211,13 +219,13 @@
     await world.run(8)
     sent = world.nodes["1"].sent["proxy a1"]
     before = len(sent)
-    assert "a2.0" in [id for one in sent if isinstance(one, Backends) for id in one.gone]
-    assert not any(isinstance(one, Withdraw) for one in sent)
+    assert "a2.0" in [id for one in sent if isinstance(one, BackendUpdate) for id in one.removed_ids]
+    assert not any(isinstance(one, EjectBackend) for one in sent)
     assert await world.beat("a1.0", State="draining") == (200, {})
     await world.run(1.5)
-    told = [one for one in sent[before:] if isinstance(one, Withdraw | Line | Mark)]
-    assert told[0] == Withdraw("a1.0", True) and sum(isinstance(one, Withdraw) for one in told) == 1
-    assert Line("s", 0, "a1.0", 0.0) in told and isinstance(told[-1], Mark)
+    told = [one for one in sent[before:] if isinstance(one, EjectBackend | TableEntry | Barrier)]
+    assert told[0] == EjectBackend("a1.0", True) and sum(isinstance(one, EjectBackend) for one in told) == 1
+    assert TableEntry("s", 0, "a1.0", 0.0) in told and isinstance(told[-1], Barrier)
 
 
 @play
@@ -227,12 +235,12 @@
         world.start(ip)
     sent = [world.proxy(f"proxy {zone}", KEEPERS[ZONES[zone]], zone, s=20) for zone in ZONES][0]
     await world.run(2)
-    assert not any(one.whole for one in sent if isinstance(one, Backends))
-    assert not any(isinstance(one, Bind) for one in sent)
-    assert [one.proxies for one in sent if isinstance(one, Cores)][-1] == 256
+    assert not any(one.complete for one in sent if isinstance(one, BackendUpdate))
+    assert not any(isinstance(one, BindTable) for one in sent)
+    assert [one.max_proxies for one in sent if isinstance(one, ControlNodeHeartbeat)][-1] == 256
     await world.run(2.5)
-    whole = [one for one in sent if isinstance(one, Backends) and one.whole]
-    assert len(whole) == 1 and {one.id for one in whole[0].put} == set(world.beating)
+    whole = [one for one in sent if isinstance(one, BackendUpdate) and one.complete]
+    assert len(whole) == 1 and {one.id for one in whole[0].updated} == set(world.beating)
     assert tables(world)["a1"] == {"a1.0", "a1.1"}
 
 
@@ -242,7 +250,7 @@
     world.part("proxy a1")
     sent = world.proxy("proxy a1", "2", "a1", s=20)
     await world.run(3)
-    assert [one.table for one in sent if isinstance(one, Bind)] == [0]
+    assert [one.table for one in sent if isinstance(one, BindTable)] == [0]
     floors = [node.controller.pool_loads for node in world.nodes.values()]
     assert all(set(floor.proxies) == set(world.proxies) for floor in floors)
     assert [floor.proxies["proxy a1"][1] for floor in floors] == ["2", "", "2"]
@@ -259,7 +267,7 @@
         assigner.join(f"there {number}", number % 2, False)
     assigner.join("here", 0, True)
     sends = [one for at in range(8) if (dealt := assigner.step(at * 250 * NS_PER_MS)) for one in dealt.sends]
-    assert any(isinstance(message, Bind) for _, message in sends)
+    assert any(isinstance(message, BindTable) for _, message in sends)
 
 
 def test_flows_are_told_when_they_have_moved_by_a_tenth() -> None:
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -30,7 +30,7 @@
 from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages import tombstones
 from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
-from ambershift.system.messages.proxy_link import Backends, Items
+from ambershift.system.messages.proxy_link import BackendUpdate, ItemUpdate
 from ambershift.system.messages.replication import Merge, Share
 from ambershift.system.messages.tombstones import THE_FORGOTTEN, Forgotten, forgotten_of
 from ambershift.system.node_selection.selector import Choice
@@ -346,19 +346,19 @@
     told = Forgotten().after([drop("r1", 11)])
     routing.begin_link()
     items = {one.key: one for one in (route("r1", 1), route("r2", 2))}
-    for one in pushes.greet("proxy", items.values(), Backends((), (), True)):
+    for one in pushes.greet("proxy", items.values(), BackendUpdate((), (), True)):
         routing.merge(getattr(one.message, "items", ()))
     routing.complete_link()
     for one in pushes.items([drop("r1", 11)]) + pushes.items([told.item]):
-        assert isinstance(one.message, Items)
+        assert isinstance(one.message, ItemUpdate)
         routing.merge(one.message.items)
     assert routing.items.keys() == {(ROUTE, "r2"), THE_FORGOTTEN} and routing.routes == 1
     routing.merge([route("r1", 1)])
     assert routing.find(b"h", b"/r1") is None and not routing.unusable
     # A new link is told of nothing that all have forgotten.
     held = [route("r2", 2), told.item]
-    sent = pushes.greet("other", held, Backends((), (), True))
-    assert [list(one.message.items) for one in sent if isinstance(one.message, Items)] == [held]
+    sent = pushes.greet("other", held, BackendUpdate((), (), True))
+    assert [list(one.message.items) for one in sent if isinstance(one.message, ItemUpdate)] == [held]
 
 
 def many(first: int = 1) -> Forgotten:
@@ -448,7 +448,7 @@
     made.outbox = outbox = Mock()
     made.choice.up(7 * NS_PER_SECOND, "a")
     for _ in range(2):  # What is on the way still is void.
-        made.hear(outbox, Items((route("r1", 1),), False))
+        made.hear(outbox, ItemUpdate((route("r1", 1),), False))
     assert made.left == {"outdated": 1} and made.version == 0 and made.outbox is None
     assert [call.args[0] for call in made.log.call_args_list] == [112]
     assert (
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -13,7 +13,7 @@
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.interfaces import Verdict
-from ambershift.system.messages.forwarding import Outcome
+from ambershift.system.messages.forwarding import ForwardedResponse
 from ambershift.system.messages.replication import Accept, Agreed, Prepare, Promise
 from ambershift.system.state_machine import NS_PER_SECOND
 from tests.enquiring import TRIP, World, order, play
@@ -68,9 +68,11 @@
         open_calls.hand("a", at, "numbers", "n", b"", 100).cancel()
         await asyncio.sleep(0)
         second = open_calls.hand("b", at, "numbers", "n", b"", 100)
-        open_calls.settle("a", Outcome(at, 503, b""))  # Late: the forwarded call is with the other now.
+        open_calls.settle(
+            "a", ForwardedResponse(at, 503, b"")
+        )  # Late: the forwarded call is with the other now.
         assert not second.done()
-        open_calls.settle("b", Outcome(at, 200, b"{}"))
+        open_calls.settle("b", ForwardedResponse(at, 200, b"{}"))
         assert (await second).status == 200
 
     asyncio.run(story())
--- a/tests/test_system_homes.py
+++ b/tests/test_system_homes.py
@@ -9,12 +9,12 @@
 
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.messages.items import ROUTE, Item
-from ambershift.system.messages.proxy_link import tally_of, tally_parts
+from ambershift.system.messages.proxy_link import host_counter_name, parse_host_counter_name
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.registry.home_regions import LEAST, MOST, SEEN, Homes
 from ambershift.system.state_machine import NS_PER_SECOND
 
-ALL, BOUND = tally_of("h.example", ()), tally_of("h.example", ("b", "a"))
+ALL, BOUND = host_counter_name("h.example", ()), host_counter_name("h.example", ("b", "a"))
 
 
 def rates(total: float, bound: float) -> dict[str, int]:
@@ -23,7 +23,10 @@
 
 def test_clients_follow_the_part_of_their_requests_that_is_answered_elsewhere() -> None:
     homes = Homes()
-    assert tally_parts(BOUND) == ("h.example", ("a", "b")) and tally_parts("service|a|b") is None
+    assert (
+        parse_host_counter_name(BOUND) == ("h.example", ("a", "b"))
+        and parse_host_counter_name("service|a|b") is None
+    )
     homes.take(rates(1000, 1000 * MOST - 1))
     assert not homes.of("h.example", "c")
     homes.take(rates(1000, 1000 * MOST))
@@ -44,10 +47,10 @@
 
 
 def test_only_regions_that_may_answer_all_are_named() -> None:
-    homes, other = Homes(), tally_of("h.example", ("b", "c"))
+    homes, other = Homes(), host_counter_name("h.example", ("b", "c"))
     homes.take({ALL: 1000, BOUND: 500, other: 500})
     assert homes.of("h.example", "d") == {"b"} and not homes.of("h.example", "c")
-    homes.take({ALL: 1000, tally_of("h.example", ("a",)): 500, other: 500})
+    homes.take({ALL: 1000, host_counter_name("h.example", ("a",)): 500, other: 500})
     assert not homes.of("h.example", "d")
 
 
@@ -58,9 +61,9 @@
     routing.merge([free])
     assert (found := routing.find(host, b"/free/x")) and routing.tallies(found) == []
     routing.merge([bound])
-    assert routing.tallies(found) == [tally_of(name, ())]
+    assert routing.tallies(found) == [host_counter_name(name, ())]
     assert (late := routing.find(host, b"/bound/x"))
-    assert routing.tallies(late) == [tally_of(name, ()), tally_of(name, ("a", "b"))]
+    assert routing.tallies(late) == [host_counter_name(name, ()), host_counter_name(name, ("a", "b"))]
     routing.merge([Item(ROUTE, "bound", (9, ""), None)])
     assert routing.tallies(found) == []
 
--- a/tests/test_system_limits.py
+++ b/tests/test_system_limits.py
@@ -8,7 +8,7 @@
 from circulated import PLAIN, Rig, answer, run
 
 from ambershift.system.messages.items import LIMITS, Item
-from ambershift.system.messages.proxy_link import Items
+from ambershift.system.messages.proxy_link import ItemUpdate
 from ambershift.system.processes.http_server import Served
 from ambershift.system.proxy.intake import _unread
 from ambershift.system.proxy.limits import Limits, Waiting, read_limits
@@ -23,7 +23,7 @@
     return Item(LIMITS, "limits", (version, ""), msgspec.json.encode({**fields, **changed}))
 
 
-BOUND = Items((*PLAIN.items, limits()), True)
+BOUND = ItemUpdate((*PLAIN.items, limits()), True)
 
 
 def head(size, more=b""):
@@ -283,12 +283,12 @@
     async def playing():
         async with Rig(good, items=BOUND) as rig:
             assert await (client := Client(rig).say(head(MOST))).answered() == 200
-            rig.proxy.hear(Items((limits(2, HeaderBytes=300, IdleTimeoutMs=4000),), False))
+            rig.proxy.hear(ItemUpdate((limits(2, HeaderBytes=300, IdleTimeoutMs=4000),), False))
             assert await client.say(head(300)).answered() == 200
             later(rig, 4.1)
             assert await client.hear() == b""
             assert (await Client(rig).say(head(301)).hear()).startswith(b"HTTP/1.1 431 ")
-            rig.proxy.hear(Items((limits(3, HeaderBytes=5000, IdleTimeoutMs=9000),), False))
+            rig.proxy.hear(ItemUpdate((limits(3, HeaderBytes=5000, IdleTimeoutMs=9000),), False))
             assert await (client := Client(rig).say(head(5000))).answered() == 200
             later(rig, 8)
             assert await client.say(head(300)).answered() == 200
@@ -298,7 +298,7 @@
 
 def test_a_body_dripped_to_a_refused_request_is_not_waited_for():
     async def playing():
-        async with Rig(good, items=Items((*PLAIN.items, limits(HeaderTimeoutMs=30)), True)) as rig:
+        async with Rig(good, items=ItemUpdate((*PLAIN.items, limits(HeaderTimeoutMs=30)), True)) as rig:
             said = HEAD.replace(b"/read", b"/none") + b"Content-Length: 900\r\n\r\nx"
             heard = await Client(rig).say(said).hear()
             assert heard.startswith(b"HTTP/1.1 404 ") and b"connection: close" in heard
--- a/tests/test_system_meter.py
+++ b/tests/test_system_meter.py
@@ -6,7 +6,7 @@
 import contextlib
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.proxy_link import Items, Mark
+from ambershift.system.messages.proxy_link import Barrier, ItemUpdate
 from ambershift.system.transport.send_queue import Outbox
 from ambershift.system.transport.traffic_meter import TOLD_EACH, Meter, frame, reach
 
@@ -47,10 +47,10 @@
     async def act() -> None:
         counted, connection = list[tuple[str, int]](), Broken()
         outbox = Outbox(connection, lambda *one: counted.append(one))  # type: ignore[arg-type]
-        outbox.put(Mark(1))
-        outbox.put(Items((), True))
+        outbox.put(Barrier(1))
+        outbox.put(ItemUpdate((), True))
         with contextlib.suppress(ConnectionResetError):
             await outbox.run()
-        assert counted == [("fm", len(codec.encode(Mark(1))))] and len(connection.sent) == 1
+        assert counted == [("fm", len(codec.encode(Barrier(1))))] and len(connection.sent) == 1
 
     asyncio.run(act())
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ambershift.system.messages.items import ROUTE, Item
-from ambershift.system.messages.proxy_link import Cores, Items
+from ambershift.system.messages.proxy_link import ControlNodeHeartbeat, ItemUpdate
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.processes.control_node import ControlNode
@@ -95,8 +95,10 @@
     made.choice, made.steady, made.log = Choice("p", "z", "r", ()), lambda: 7 * NS_PER_SECOND, Mock()
     made.server, made.outbox, made.said, made.version, made.left = Mock(), None, None, 0, Mock()
     assert values(made.figures())["configuration_age_seconds"] == -1.0
-    made.choice.hear(6 * NS_PER_SECOND, Cores((), True, 1, 500))
-    made._tell_items(Items((Item(ROUTE, "r", (12, "agreed"), b"{}"), Item("zone", "z", (99, "a"))), False))
+    made.choice.hear(6 * NS_PER_SECOND, ControlNodeHeartbeat((), True, 1, 500))
+    made._tell_items(
+        ItemUpdate((Item(ROUTE, "r", (12, "agreed"), b"{}"), Item("zone", "z", (99, "a"))), False)
+    )
     found = values(made.figures())
     assert found["configuration_version"] == 12 and found["configuration_age_seconds"] == 1.5
 
--- a/tests/test_system_proxy_endings.py
+++ b/tests/test_system_proxy_endings.py
@@ -9,7 +9,7 @@
 import pytest
 from circulated import SERVICES, Rig, Script, answer, route, run
 
-from ambershift.system.messages.proxy_link import Items
+from ambershift.system.messages.proxy_link import ItemUpdate
 
 WANTED = b"read"
 
@@ -114,7 +114,7 @@
     no_answer: 502,
 }
 THREE = {"MaxAttempts": 3}
-ITEMS = Items(
+ITEMS = ItemUpdate(
     (route("r1", "/read/", **THREE), route("w1", "/write/", "non_idempotent", **THREE), *SERVICES), True
 )
 
--- a/tests/test_system_proxy_path.py
+++ b/tests/test_system_proxy_path.py
@@ -9,7 +9,7 @@
 from circulated import SERVICES, Rig, answer, backend, route, run
 
 from ambershift.system.messages.items import INSTANCE, Item
-from ambershift.system.messages.proxy_link import Backends, Items
+from ambershift.system.messages.proxy_link import BackendUpdate, ItemUpdate
 
 
 async def good(head, body, writer):
@@ -36,7 +36,7 @@
             assert (await rig.ask("/read/", "DELETE", body=b"xyz"))[2] == b"read:xyz"
             assert rig.shelves[0].connections == 1
             assert [(await rig.ask(path))[0] for path in ("/read", "/other/", "/write/x")] == [404, 404, 200]
-            assert rig.proxy.idle() and rig.proxy.report(1 << 62).came == {"loans": 4}
+            assert rig.proxy.idle() and rig.proxy.report(1 << 62).requests == {"loans": 4}
 
     run(playing)
 
@@ -307,14 +307,14 @@
 
 def test_a_distribution_goes_by_weight_and_past_a_service_that_has_nobody():
     shares = [{"Service": "loans", "Weight": 1}, {"Service": "maps", "Weight": 99}]
-    items = Items((route("r", "/read/", Service=None, Distribution=shares), *SERVICES), True)
+    items = ItemUpdate((route("r", "/read/", Service=None, Distribution=shares), *SERVICES), True)
 
     async def playing():
         async with Rig(good, items=items) as rig:
             assert {(await rig.ask())[0] for _ in range(5)} == {200}
-            rig.proxy.hear(Backends((backend("m", service="maps"),), (), False))
+            rig.proxy.hear(BackendUpdate((backend("m", service="maps"),), (), False))
             assert {(await rig.ask())[0] for _ in range(5)} == {503}  # Nobody is at that address.
-            assert rig.proxy.report(1 << 62).came == {"loans": 5, "maps": 5}
+            assert rig.proxy.report(1 << 62).requests == {"loans": 5, "maps": 5}
 
     run(playing)
 
@@ -388,7 +388,7 @@
 
             async def slowly(life, within):
                 wire = await opening(life, within)
-                rig.proxy.hear(Items((Item(INSTANCE, "i-0", (1, ""), b"{}"),), False))
+                rig.proxy.hear(ItemUpdate((Item(INSTANCE, "i-0", (1, ""), b"{}"),), False))
                 return wire
 
             rig.proxy.connections.open = slowly
--- a/tests/test_system_proxy_pick.py
+++ b/tests/test_system_proxy_pick.py
@@ -6,7 +6,15 @@
 from circulated import PLAIN, SERVICES, ZONES, backend, route, settings
 
 from ambershift.system.messages.items import INSTANCE, ROUTE, ZONE, Item
-from ambershift.system.messages.proxy_link import Backends, Bind, Cores, Items, Line, Mark, Withdraw
+from ambershift.system.messages.proxy_link import (
+    BackendUpdate,
+    Barrier,
+    BindTable,
+    ControlNodeHeartbeat,
+    EjectBackend,
+    ItemUpdate,
+    TableEntry,
+)
 from ambershift.system.proxy.cold import ColdGate
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.routing import Routing
@@ -22,13 +30,13 @@
     def __init__(self):
         self.now = 1000 * NS_PER_SECOND
         self.server = ProxyServer(settings(), lambda: self.now, Random(7))
-        self.server.hear(Cores((), True, 3, 0))
+        self.server.hear(ControlNodeHeartbeat((), True, 3, 0))
         self.server.hear(PLAIN)
         self.tell(*(backend(f"i-{at}", zone=zone) for at, zone in enumerate(PLACES)), whole=True)
-        self.server.hear(Bind("loans", 4, (("i-0", 1.0), ("i-1", 1.0), ("i-2", 2.0))))
+        self.server.hear(BindTable("loans", 4, (("i-0", 1.0), ("i-1", 1.0), ("i-2", 2.0))))
 
     def tell(self, *put, gone=(), whole=False):
-        self.server.hear(Backends(put, gone, whole))
+        self.server.hear(BackendUpdate(put, gone, whole))
 
     def life(self, at):
         return self.server.backend_view.lives[f"i-{at}"]
@@ -57,11 +65,11 @@
     assert 900 < counts[0] < 1100 and 900 < counts[1] < 1100
     hall.life(2).flying = 3
     assert sum(hall.pick() == 2 for _ in range(1000)) < 350  # Half of the draws meet another one.
-    hall.server.hear(Line("loans", 4, "i-2", 0.0))
-    hall.server.hear(Line("loans", 4, "i-3", 1.0))
-    hall.server.hear(Line("loans", 5, "i-5", 1.0))  # A table that is not bound yet.
+    hall.server.hear(TableEntry("loans", 4, "i-2", 0.0))
+    hall.server.hear(TableEntry("loans", 4, "i-3", 1.0))
+    hall.server.hear(TableEntry("loans", 5, "i-5", 1.0))  # A table that is not bound yet.
     assert hall.picks() == {0, 1, 3}
-    assert hall.server.hear(Mark(9)) == [Mark(9)]
+    assert hall.server.hear(Barrier(9)) == [Barrier(9)]
 
 
 def test_what_is_full_spills_to_the_region_then_to_short_queues_then_abroad(hall):
@@ -98,15 +106,15 @@
 @pytest.mark.parametrize(
     "leave",
     [
-        lambda hall: hall.server.hear(Items((Item(INSTANCE, "i-1", (1, ""), b"{}"),), False)),
+        lambda hall: hall.server.hear(ItemUpdate((Item(INSTANCE, "i-1", (1, ""), b"{}"),), False)),
         lambda hall: hall.tell(backend("i-1", draining=True)),
         lambda hall: hall.tell(gone=("i-1",)),
-        lambda hall: hall.server.hear(Withdraw("i-1", True)),
-        lambda hall: hall.server.hear(Items((Item(ZONE, "north", (3, "m"), b"true"),), False)),
+        lambda hall: hall.server.hear(EjectBackend("i-1", True)),
+        lambda hall: hall.server.hear(ItemUpdate((Item(ZONE, "north", (3, "m"), b"true"),), False)),
     ],
 )
 def test_nothing_goes_to_what_leaves_though_the_table_has_it_alone(hall, leave):
-    hall.server.hear(Bind("loans", 5, (("i-1", 1.0),)))
+    hall.server.hear(BindTable("loans", 5, (("i-1", 1.0),)))
     assert hall.picks() == {1}
     hall.fill(0, 2, 3, 4, 5, 6, 7, flying=7)
     leave(hall)
@@ -115,10 +123,10 @@
 
 
 def test_a_drained_life_stays_out_when_an_older_word_comes_again(hall):
-    hall.server.hear(Items((Item(INSTANCE, "i-1", (2, ""), None),), False))
+    hall.server.hear(ItemUpdate((Item(INSTANCE, "i-1", (2, ""), None),), False))
     hall.tell(backend("i-1"), whole=True)
     hall.server.hear(
-        Items(
+        ItemUpdate(
             (
                 Item(INSTANCE, "i-1", (1, ""), b"{}"),
                 Item(INSTANCE, "i-9", (1, ""), b"{}"),
@@ -182,7 +190,7 @@
 
 def test_a_zone_taken_back_counts_as_cold_until_a_newer_list_says_otherwise(hall):
     for body in (b"true", b"false"):
-        hall.server.hear(Items((Item(ZONE, "north", (len(body), "m"), body),), False))
+        hall.server.hear(ItemUpdate((Item(ZONE, "north", (len(body), "m"), body),), False))
     hall.now += 1900 * NS_PER_MS
     hall.tell(backend("i-0"))  # May have been said before it was taken back.
     assert hall.picks() == {3, 4}
@@ -250,9 +258,9 @@
 def test_ready_only_after_a_complete_merge_with_a_route():
     server = ProxyServer(settings(), lambda: 0)
     assert ZONES and not server.ready
-    server.hear(Items((route("r", "/"), *SERVICES), False))
+    server.hear(ItemUpdate((route("r", "/"), *SERVICES), False))
     assert not server.hello().ready
-    server.hear(Items((), True))
-    assert server.hello().ready and not server.hello().leaving
+    server.hear(ItemUpdate((), True))
+    assert server.hello().ready and not server.hello().draining
     server.leave()
-    assert server.hello().leaving
+    assert server.hello().draining
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -24,7 +24,7 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.messages import codec
 from ambershift.system.messages.items import INSTANCE, Item
-from ambershift.system.messages.proxy_link import Backend, Backends, Cores, Items
+from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ControlNodeHeartbeat, ItemUpdate
 from ambershift.system.messages.replication import Ask, Knock
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes import attachment, candidate_probe
@@ -77,12 +77,18 @@
         again(world, sheets)
         told = world.proxy("proxy", "2", "b1")
         await world.run(0.5)
-        first = next(one for one in told if isinstance(one, Backends))
-        assert {one.id for one in first.put} == here and not first.whole
-        assert all(one.unsure for one in first.put)
+        first = next(one for one in told if isinstance(one, BackendUpdate))
+        assert {one.id for one in first.updated} == here and not first.complete
+        assert all(one.unconfirmed for one in first.updated)
         world.beating = beating
         await world.run(1.5)  # A beat makes sure of those that beat, and proxies are told.
-        sure = {one.id for list in told if isinstance(list, Backends) for one in list.put if not one.unsure}
+        sure = {
+            one.id
+            for list in told
+            if isinstance(list, BackendUpdate)
+            for one in list.updated
+            if not one.unconfirmed
+        }
         assert sure == set(world.beating)
         assert all(node.shown() == here for node in world.nodes.values())
         await world.run(5)
@@ -261,18 +267,18 @@
 def test_a_proxy_believes_what_was_heard_before_what_is_recalled() -> None:
     view = BackendView("a", ZONES, lambda service: 3 * NS_PER_SECOND)
     told = Backend("one", "s", "x:1", "a1", 4, False, 2000)
-    view.take(NOW, Backends((told,), (), True))
+    view.take(NOW, BackendUpdate((told,), (), True))
     until = view.lives["one"].cold_until
     other = Backend("two", "s", "x:2", "b1", 4, False, 0, True)
     view.evacuate("b1")
     view.take_back(NOW, "b1")
-    view.take(NOW + 3 * NS_PER_SECOND, Backends((replace_cold(told), other), (), False))
+    view.take(NOW + 3 * NS_PER_SECOND, BackendUpdate((replace_cold(told), other), (), False))
     assert view.lives["one"].cold_until == until
     assert view.lives["two"].cold_until == NOW + 4 * NS_PER_SECOND  # It may be from before.
 
 
 def replace_cold(told: Backend) -> Backend:
-    return msgspec.structs.replace(told, cold=0, unsure=True)
+    return msgspec.structs.replace(told, warm_up_ms=0, unconfirmed=True)
 
 
 @pytest.fixture
@@ -346,7 +352,7 @@
 class Dialled:
     """What is taken for a connection: it comes up once `up` is set, and then brings `sign`."""
 
-    def __init__(self, sign: Cores) -> None:
+    def __init__(self, sign: ControlNodeHeartbeat) -> None:
         self.up, self.transport, self.sign = asyncio.Event(), Mock(), sign
 
     async def recv(self) -> bytes:
@@ -373,7 +379,7 @@
     monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
 
     async def run() -> None:
-        silent, there = (Dialled(Cores((), True, 1, 0)) for _ in range(2))
+        silent, there = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
         there.up.set()
         made = dialling_proxy({"a": OSError(), "b": silent, "c": there})
         found = await asyncio.wait_for(made._first(["a", "b", "c"]), 10)
@@ -386,7 +392,10 @@
 
 def test_without_a_link_one_that_is_current_is_waited_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
-    old, late = Dialled(Cores((), False, 1, 60_000)), Dialled(Cores((), True, 1, 0))
+    old, late = (
+        Dialled(ControlNodeHeartbeat((), False, 1, 60_000)),
+        Dialled(ControlNodeHeartbeat((), True, 1, 0)),
+    )
     old.up.set()
 
     async def run(up: bool) -> str:
@@ -407,7 +416,7 @@
 
 @pytest.mark.parametrize(("age_ms", "taken"), [(0, True), (60_000, False)])
 def test_a_nearer_one_is_taken_only_where_it_is_current(age_ms: int, taken: bool) -> None:
-    there = Dialled(Cores((), True, 1, age_ms))
+    there = Dialled(ControlNodeHeartbeat((), True, 1, age_ms))
     there.up.set()
     made = dialling_proxy({"a": there})
     found = asyncio.run(made._ask_nearer("a"))
@@ -419,7 +428,7 @@
     monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
 
     async def run() -> None:
-        one, other = (Dialled(Cores((), True, 1, 0)) for _ in range(2))
+        one, other = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
         asked = candidate_probe.Asked(dialling_proxy({"a": one, "b": other}).ask, ["a", "b"], 2)
         one.up.set()
         chosen = await asked.next()
@@ -471,14 +480,14 @@
         async def well(head: bytes, body: bytes, writer: Any) -> bytes:
             return circulated.answer(head)
 
-        async with circulated.Rig(well, items=Items(circulated.PLAIN.items, False)) as rig:
+        async with circulated.Rig(well, items=ItemUpdate(circulated.PLAIN.items, False)) as rig:
             heads = rig.shelves[0].heads
             asked = asyncio.ensure_future(rig.ask())
             if most:
                 while not rig.proxy.admission.flying:
                     await asyncio.sleep(0)
                 assert not heads
-                rig.proxy.hear(Items((), True))
+                rig.proxy.hear(ItemUpdate((), True))
             status, head, _ = await asked
             assert (status, b"retry-after" in head) == ((200, False) if most else (503, True))
             if not most:
--- a/tests/test_system_registry.py
+++ b/tests/test_system_registry.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 from system_exchange import NS_PER_SECOND, World
 
-from ambershift.system.messages.proxy_link import Items
+from ambershift.system.messages.proxy_link import ItemUpdate
 
 Play = Callable[[World], Coroutine[Any, Any, None]]
 
@@ -53,7 +53,7 @@
     ledger.gate.set()
     assert [await first, await again] == [(200, {}), (200, {})]
     assert [one.key for one in ledger.puts] == [("instance", "a1-0")]
-    assert any(isinstance(one, Items) and one.items and one.items[0].version == (1, "") for one in sent)
+    assert any(isinstance(one, ItemUpdate) and one.items and one.items[0].version == (1, "") for one in sent)
     # It stays so for its life, and its later beats are no more puts; another control node puts for itself.
     await world.run(3)
     assert listed(world, "a1-0") == [False] * 3 and len(ledger.puts) == 1
--- a/tests/test_system_transport.py
+++ b/tests/test_system_transport.py
@@ -13,7 +13,7 @@
 from websockets.exceptions import InvalidStatus
 
 from ambershift.system.messages import codec
-from ambershift.system.messages.proxy_link import Core, Cores, Hello, Mark
+from ambershift.system.messages.proxy_link import Barrier, ControlNodeAddress, ControlNodeHeartbeat, Hello
 from ambershift.system.node_selection.selector import (
     NEARER,
     NEWER,
@@ -73,19 +73,19 @@
 
 def test_messages_come_in_order_and_a_broken_link_is_dialled_again() -> None:
     async def act(near: End, far: End, one: str, other: str) -> None:
-        near.links.send(other, Mark(0))  # No link yet: lost without a word.
+        near.links.send(other, Barrier(0))  # No link yet: lost without a word.
         near.links.want([one, other])  # Itself is not dialled.
         await until("a link", lambda: other in near.links.dialled and bool(far.ups), 5)
         for number in range(1, 500):
-            near.links.send(other, Mark(number))
+            near.links.send(other, Barrier(number))
         await until("all heard", lambda: len(far.heard) == 499, 5)
-        assert far.heard == [(one, Mark(number)) for number in range(1, 500)]
+        assert far.heard == [(one, Barrier(number)) for number in range(1, 500)]
         assert list(near.links.dialling) == [other] and not near.heard
         far.links.accepted[CONTROL_NODE, one].break_off()
         await until("a link again", lambda: len(far.ups) == 2 and other in near.links.dialled, 5)
         assert far.downs == [Caller(CONTROL_NODE, one, "1")] and near.logged[:3] == [101, 102, 101]
-        near.links.send(other, Mark(500))
-        await until("heard again", lambda: far.heard[-1] == (one, Mark(500)), 5)
+        near.links.send(other, Barrier(500))
+        await until("heard again", lambda: far.heard[-1] == (one, Barrier(500)), 5)
         near.links.want([])
         await until("no link left", lambda: not far.links.accepted, 5)
         assert len(far.downs) == 2
@@ -101,10 +101,10 @@
         second = await again.links.dial(other)
         await until("the second link", lambda: len(far.ups) == 2, 5)
         await first.wait_closed()
-        far.links.reply(CONTROL_NODE, one, Mark(7))
+        far.links.reply(CONTROL_NODE, one, Barrier(7))
         received = list[msgspec.Struct]()
         reading = asyncio.ensure_future(receive(second, received.append, lambda *_: None))
-        await until("an answer on the new link", lambda: received == [Mark(7)], 5)
+        await until("an answer on the new link", lambda: received == [Barrier(7)], 5)
         assert not far.downs and (CONTROL_NODE, one) in far.links.accepted
         reading.cancel()
         second.transport.abort()
@@ -166,15 +166,22 @@
 
 
 # The choice of a control node, without sockets.
-CORES = (Core("c1", "z1", "r1"), Core("c2", "z2", "r1"), Core("c3", "z3", "r2"), Core("c4", "z4", "r2"))
+CORES = (
+    ControlNodeAddress("c1", "z1", "r1"),
+    ControlNodeAddress("c2", "z2", "r1"),
+    ControlNodeAddress("c3", "z3", "r2"),
+    ControlNodeAddress("c4", "z4", "r2"),
+)
 
 
 def choice(name: str = "proxy", seeds: tuple[str, ...] = ("c3",)) -> Choice:
     return Choice(name, "z1", "r1", seeds)
 
 
-def sign(age_ms: int = 0, cores: tuple[Core, ...] = CORES, in_touch: bool = True) -> Cores:
-    return Cores(cores, in_touch, 1, age_ms)
+def sign(
+    age_ms: int = 0, cores: tuple[ControlNodeAddress, ...] = CORES, in_touch: bool = True
+) -> ControlNodeHeartbeat:
+    return ControlNodeHeartbeat(cores, in_touch, 1, age_ms)
 
 
 def test_the_nearest_is_first_and_equally_near_ones_are_spread() -> None:
@@ -238,13 +245,15 @@
     earlier = msgspec.msgpack.encode(["fc", [], True, 1])
     with pytest.raises(codec.UnreadableError):
         codec.decode(earlier)
-    assert codec.decode(msgspec.msgpack.encode(["fc", [], True, 1, 0])) == Cores((), True, 1, 0)
+    assert codec.decode(msgspec.msgpack.encode(["fc", [], True, 1, 0])) == ControlNodeHeartbeat(
+        (), True, 1, 0
+    )
 
 
 def test_others_are_asked_from_the_own_region_and_abroad_in_turn() -> None:
     one = choice(seeds=("c9",))
     one.up(0, "c1")
-    one.hear(0, sign(cores=(*CORES, Core("c5", "z5", "r1"))))
+    one.hear(0, sign(cores=(*CORES, ControlNodeAddress("c5", "z5", "r1"))))
     order = one.search_order(0)
     assert sorted(order) == ["c2", "c3", "c4", "c5", "c9"]
     assert [ip in ("c2", "c5") for ip in order] == [True, False, True, False, False]
