--- a/ambershift/system/consensus/failure_detector.py
+++ b/ambershift/system/consensus/failure_detector.py
@@ -13,17 +13,19 @@
 from ambershift.system.consensus.quorum import ALL_WATCH, watchers
 from ambershift.system.consensus.voters import Voters, holds
 from ambershift.system.messages import replication
-from ambershift.system.messages.proxy_link import Core
+from ambershift.system.messages.proxy_link import ControlNodeAddress
 from ambershift.system.messages.replication import Beat, Knock, Known, Machine
-from ambershift.system.state_machine import MS
-
-BEAT = 300 * MS
-SILENT = 1500 * MS
-LATELY = 800 * MS  # Asked first if heard within this.
-QUIET = 550 * MS  # Not heard for so long, it gets no calls: a beat and most of another are missing.
-DISTANT = 1000 * MS  # The same for those that hear voters less often, as they are none.
-SETTLED = 2000 * MS  # Links to a machine that was away are there, and it votes again, when this is over.
-GONE = 5000 * MS
+from ambershift.system.state_machine import NS_PER_MS
+
+BEAT = 300 * NS_PER_MS
+SILENT = 1500 * NS_PER_MS
+LATELY = 800 * NS_PER_MS  # Asked first if heard within this.
+QUIET = 550 * NS_PER_MS  # Not heard for so long, it gets no calls: a beat and most of another are missing.
+DISTANT = 1000 * NS_PER_MS  # The same for those that hear voters less often, as they are none.
+SETTLED = (
+    2000 * NS_PER_MS
+)  # Links to a machine that was away are there, and it votes again, when this is over.
+GONE = 5000 * NS_PER_MS
 EVENT_CONTACT = 210
 NONE_KNOWN = -1  # Unlike every checksum: whoever is told this tells of all it knows, itself too.
 _encode = msgspec.msgpack.Encoder().encode
@@ -292,11 +294,15 @@
             if ip not in self._voters.ips and self.alive(ip) and ip != self.me.ip
         ]
 
-    def cores(self) -> tuple[Core, ...]:
+    def cores(self) -> tuple[ControlNodeAddress, ...]:
         decision = self._voters.decision
-        found = {one.ip: Core(one.ip, one.zone, one.region) for one in decision.members} if decision else {}
+        found = (
+            {one.ip: ControlNodeAddress(one.ip, one.zone, one.region) for one in decision.members}
+            if decision
+            else {}
+        )
         hears_all = self._voters.voting or len(self.machines) <= ALL_WATCH
         for one in self.machines.values():
             if one.ip in found or not hears_all or self.alive(one.ip, GONE):
-                found[one.ip] = Core(one.ip, one.zone, one.region)
+                found[one.ip] = ControlNodeAddress(one.ip, one.zone, one.region)
         return tuple(found[ip] for ip in sorted(found))
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -23,9 +23,9 @@
 from ambershift.system.coordination.replies import ImproperError, Reply, read_body, reply
 from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.interfaces import Ledger
-from ambershift.system.messages.forwarding import ForwardedCall, Outcome, Stirred
+from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
 from ambershift.system.settings.local import Local
-from ambershift.system.state_machine import MS, SECOND
+from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 RPC, NUMBERS, WATCHES = "/ambershift/rpc", "/ambershift/numbers/", "/ambershift/watch/"
 RESOLUTION = "/ambershift/resolution"
@@ -58,7 +58,7 @@
         self._steady, self._log = steady, log
         open_calls = OpenCalls(send, secrets.randbits(62) if begin is None else begin)
         proposers = Proposers(ledger, settings.ip, steady)
-        ages = Ages(int((settings.bounds.history + HISTORY_MARGIN) * SECOND))
+        ages = Ages(int((settings.bounds.history + HISTORY_MARGIN) * NS_PER_SECOND))
         self._open_calls, self._pauses = open_calls, PauseDetector()
         forwarding = Forwarding(ledger, settings.ip, steady, open_calls, proposers, log)
         self._configuration = ConfigurationCalls(ledger, steady, send, open_calls, forwarding, log)
@@ -74,7 +74,7 @@
         """Notices when the process was stopped, and looks after watches."""
         stopped = self._pauses.beat(self._steady())
         if stopped:
-            self._log(log_events.WOKEN, {"stopped_ms": stopped // MS})
+            self._log(log_events.WOKEN, {"stopped_ms": stopped // NS_PER_MS})
         self._watches.tick()
 
     def close(self) -> None:
@@ -84,10 +84,10 @@
     def hear(self, sender: str, message: msgspec.Struct) -> None:
         """A message of `messages.forwarding` from another control node."""
         if isinstance(message, ForwardedCall):
-            self._spawn(self._bearer(message.name).carry_out(sender, message))
-        elif isinstance(message, Outcome):
+            self._spawn(self._bearer(message.operation).carry_out(sender, message))
+        elif isinstance(message, ForwardedResponse):
             self._open_calls.settle(sender, message)
-        elif isinstance(message, Stirred):
+        elif isinstance(message, GroupChanged):
             self._spawn(self._watches.stirred(sender, message))
 
     def _bearer(self, name: str) -> Watches | ConfigurationCalls | Applications:
@@ -178,7 +178,7 @@
             return reply(400, Cause="after or WaitMs: is not a whole number")
         if not name or after < 0:
             return reply(400, Cause="after: is below 0, or the group has no name")
-        return await self._watches.watch(name, after, min(max(wait, 0), WAIT_MOST) * MS)
+        return await self._watches.watch(name, after, min(max(wait, 0), WAIT_MOST) * NS_PER_MS)
 
     def _members(self) -> Reply:
         """For operators: who votes, and how many copies are complete, as this machine sees it."""
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -9,7 +9,7 @@
 
 import httpcore
 
-from ambershift.system.messages.proxy_link import pool_of
+from ambershift.system.messages.proxy_link import pool_name
 from ambershift.system.proxy.backend_view import Pool
 from ambershift.system.proxy.course import Course
 from ambershift.system.proxy.headers import Headers, read_request
@@ -18,14 +18,14 @@
 from ambershift.system.proxy.state import ProxyState
 from ambershift.system.proxy.trying import Came
 from ambershift.system.proxy.wire import Reply, TryError, UnsendableError, Wire
-from ambershift.system.state_machine import MS, SECOND
+from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 Receive = Callable[[], Awaitable[Any]]
 Send = Callable[[Any], Awaitable[None]]
 
 CLOSE = (b"connection", b"close")
 # What is taken off the time handed to a backend, for the way and our own work, ns.
-WAY = 4 * MS
+WAY = 4 * NS_PER_MS
 # How long a request waits for a proxy that has just started, s: a moment later it may well be served.
 WAIT = 0.12
 # Seconds after which a client had better come back: elsewhere it may find a backend soon; or not at once.
@@ -82,7 +82,7 @@
         try:
             if asked.chunked or asked.length:
                 try:
-                    async with asyncio.timeout(left / SECOND):
+                    async with asyncio.timeout(left / NS_PER_SECOND):
                         status = await self.read_body()
                 except TimeoutError:
                     return await answer(proxy, self.send, 408, close=True)
@@ -109,7 +109,7 @@
         more = self.asked.chunked or bool(self.asked.length)
         if more and (self.asked.length or 0) <= DISCARD_MOST:
             with contextlib.suppress(TimeoutError):  # Who drips a body is not waited for.
-                async with asyncio.timeout(self.proxy.routing.limits.head_for / SECOND):
+                async with asyncio.timeout(self.proxy.routing.limits.head_for / NS_PER_SECOND):
                     more = await self.discard()
         await answer(self.proxy, self.send, status, again, close=more)
 
@@ -126,7 +126,7 @@
 
     def choose(self, route: Route, now: int) -> Pool:
         """The pool of the route's service; of several drawn by weight, one that has a backend if any has."""
-        pools = [self.proxy.backend_view.pool(pool_of(name, route.homes)) for name, _ in route.shares]
+        pools = [self.proxy.backend_view.pool(pool_name(name, route.homes)) for name, _ in route.shares]
         if len(pools) == 1:
             return pools[0]
         weights = [max(weight, 0.0) for _, weight in route.shares]
@@ -182,7 +182,7 @@
         headers = [
             *asked.passed,
             (b"X-Target-Instance", life.mark),
-            (b"X-Deadline-Remaining", b"%d" % max(1, (left - WAY) // MS)),
+            (b"X-Deadline-Remaining", b"%d" % max(1, (left - WAY) // NS_PER_MS)),
         ]
         if asked.chunked or asked.length is not None:
             headers.append((b"Content-Length", b"%d" % len(self.body)))
--- a/ambershift/system/simulation/sockets.py
+++ b/ambershift/system/simulation/sockets.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.simulation.loop import SimulatedLoop
 from ambershift.system.simulation.observing import observe
-from ambershift.system.state_machine import SECOND
+from ambershift.system.state_machine import NS_PER_SECOND
 
 
 @dataclass(eq=False)
@@ -92,7 +92,7 @@
 
     async def _send(self, message: dict[str, Any]) -> None:
         assert self._loop is not None
-        observe("answer", int(self._loop.time() * SECOND), self.number, *message.items())
+        observe("answer", int(self._loop.time() * NS_PER_SECOND), self.number, *message.items())
         if message["type"] == "http.response.start":
             self._status = message["status"]
         else:
--- a/tests/encoded_forms.py
+++ b/tests/encoded_forms.py
@@ -53,7 +53,7 @@
 
 
 SYSTEM = {
-    "system": Form(reduce(or_, codec.kinds()), codec.encode, codec.decode),
+    "system": Form(reduce(or_, codec.message_types()), codec.encode, codec.decode),
     "difference of a group of cells": plain(Added),
     "GET /ambershift/members": json(Members),
 }
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from system_exchange import SECOND, World
+from system_exchange import NS_PER_SECOND, World
 
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.events import Put
@@ -15,13 +15,13 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
-from ambershift.system.messages.proxy_link import Backends
+from ambershift.system.messages.proxy_link import BackendUpdate
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.registry import endpoint_list, machine, tombstone_expiry
 from ambershift.system.registry.tombstone_expiry import EVERY, KEPT, PORTION, REFUSED, Clearing
 from ambershift.system.simulation.world import World as Copies
 
-MINUTE = 60 * SECOND
+MINUTE = 60 * NS_PER_SECOND
 
 
 def ended(id: str, version: int = 2) -> Item:
@@ -35,10 +35,10 @@
 def test_what_is_kept_stays_bounded_at_ten_times_the_restarts() -> None:
     """54,000 restarts a day, for two days, each life signed off after it said that it drains."""
     ends, now, most, told = Clearing(), 0, 0, Counter[str]()
-    gap = 86_400 * SECOND // 54_000
+    gap = 86_400 * NS_PER_SECOND // 54_000
     for number in range(2 * 54_000):
         now += gap
-        ends.ended(now - 8 * SECOND, f"i-{number}")
+        ends.ended(now - 8 * NS_PER_SECOND, f"i-{number}")
         ends.ended(now, f"i-{number}")
         out = ends.due(now, lambda id: False)
         assert len(out) <= PORTION
@@ -80,7 +80,7 @@
         (machine, "STALE", 9),
         (endpoint_list, "KEPT", 6),
     ):
-        monkeypatch.setattr(where, name, value * SECOND)
+        monkeypatch.setattr(where, name, value * NS_PER_SECOND)
 
 
 def held(world: World) -> list[set[str]]:
@@ -214,7 +214,7 @@
 
 def test_proxies_and_their_controllers_forget_the_same() -> None:
     pushes = Pushes()
-    sent = pushes.greet("proxy", [ended("a"), ended("b")], Backends((), (), True))
+    sent = pushes.greet("proxy", [ended("a"), ended("b")], BackendUpdate((), (), True))
     sent += pushes.items([cleared(1, "a"), ended("c")])
     assert {id for kind, id in pushes.told if kind == INSTANCE} == {"b", "c"}
     routing = Routing()
--- a/tests/test_system_limits.py
+++ b/tests/test_system_limits.py
@@ -8,11 +8,11 @@
 from circulated import PLAIN, Rig, answer, run
 
 from ambershift.system.messages.items import LIMITS, Item
-from ambershift.system.messages.proxy_link import Items
+from ambershift.system.messages.proxy_link import ItemUpdate
 from ambershift.system.processes.http_server import Served
 from ambershift.system.proxy.intake import _unread
 from ambershift.system.proxy.limits import Limits, Waiting, read_limits
-from ambershift.system.state_machine import MS, SECOND
+from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 HEAD = b"GET /read/a HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a1\r\nX-Deadline-Remaining: 1500\r\n"
 MOST = 400
@@ -23,7 +23,7 @@
     return Item(LIMITS, "limits", (version, ""), msgspec.json.encode({**fields, **changed}))
 
 
-BOUND = Items((*PLAIN.items, limits()), True)
+BOUND = ItemUpdate((*PLAIN.items, limits()), True)
 
 
 def head(size, more=b""):
@@ -93,11 +93,11 @@
     for one in connections(rig):
         if one.timeout_keep_alive_task is not None:
             rig.armed.setdefault(one.timeout_keep_alive_task, rig.late)
-    rig.late += int(seconds * SECOND)
+    rig.late += int(seconds * NS_PER_SECOND)
     now = asyncio.get_running_loop().time()
     for one in connections(rig):
         timer = one.timeout_keep_alive_task
-        if timer is not None and (timer.when() - now) * SECOND <= rig.late - rig.armed[timer]:
+        if timer is not None and (timer.when() - now) * NS_PER_SECOND <= rig.late - rig.armed[timer]:
             one.timeout_keep_alive_handler()
 
 
@@ -283,12 +283,12 @@
     async def playing():
         async with Rig(good, items=BOUND) as rig:
             assert await (client := Client(rig).say(head(MOST))).answered() == 200
-            rig.proxy.hear(Items((limits(2, HeaderBytes=300, IdleTimeoutMs=4000),), False))
+            rig.proxy.hear(ItemUpdate((limits(2, HeaderBytes=300, IdleTimeoutMs=4000),), False))
             assert await client.say(head(300)).answered() == 200
             later(rig, 4.1)
             assert await client.hear() == b""
             assert (await Client(rig).say(head(301)).hear()).startswith(b"HTTP/1.1 431 ")
-            rig.proxy.hear(Items((limits(3, HeaderBytes=5000, IdleTimeoutMs=9000),), False))
+            rig.proxy.hear(ItemUpdate((limits(3, HeaderBytes=5000, IdleTimeoutMs=9000),), False))
             assert await (client := Client(rig).say(head(5000))).answered() == 200
             later(rig, 8)
             assert await client.say(head(300)).answered() == 200
@@ -298,7 +298,7 @@
 
 def test_a_body_dripped_to_a_refused_request_is_not_waited_for():
     async def playing():
-        async with Rig(good, items=Items((*PLAIN.items, limits(HeaderTimeoutMs=30)), True)) as rig:
+        async with Rig(good, items=ItemUpdate((*PLAIN.items, limits(HeaderTimeoutMs=30)), True)) as rig:
             said = HEAD.replace(b"/read", b"/none") + b"Content-Length: 900\r\n\r\nx"
             heard = await Client(rig).say(said).hear()
             assert heard.startswith(b"HTTP/1.1 404 ") and b"connection: close" in heard
@@ -313,7 +313,7 @@
         ({"HeaderBytes": 0, "IdleTimeoutMs": None, "HeaderTimeoutMs": "x"}, Limits()),
         (
             {"HeaderBytes": 9, "BodyBytes": 8, "HeaderTimeoutMs": 7.5, "IdleTimeoutMs": 6},
-            Limits(8, 9, 7_500_000, 6 * MS),
+            Limits(8, 9, 7_500_000, 6 * NS_PER_MS),
         ),
     ],
 )
@@ -322,7 +322,7 @@
 
 
 def test_clients_are_told_to_end_idle_connections_before_we_do():
-    told = [Limits(idle_for=ms * MS).told for ms in (900, 1000, 1999, 2000, 15_500)]
+    told = [Limits(idle_for=ms * NS_PER_MS).told for ms in (900, 1000, 1999, 2000, 15_500)]
     assert told == [None, None, None, 1, 14]
 
     async def playing():
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -81,7 +81,7 @@
 def test_preset_dictionary_and_versions_are_those_of_2429538() -> None:
     assert hashlib.sha256(WORDS).hexdigest() == WORDS_SHA256
     assert codec.WIRE == 2
-    assert (codec.LONG, codec.MESSAGE_MOST) == (1024, 16 << 20)
+    assert (codec.DEFLATE_MIN_BYTES, codec.MAX_MESSAGE_BYTES) == (1024, 16 << 20)
 
 
 @pytest.mark.parametrize(
