--- a/ambershift/modelcheck/models/agreement.py
+++ b/ambershift/modelcheck/models/agreement.py
@@ -133,7 +133,7 @@
         if isinstance(outcome, Behind):
             return  # It reads first: see `reads`.
         after = world._replace(
-            register=verdict.value if verdict.value is not None else world.register,
+            register=verdict.new_value if verdict.new_value is not None else world.register,
             sends=_put(world.sends, call, world.sends[call] - 1),
         )
         name = f"node {node} has call {call} judged"
--- a/ambershift/modelcheck/models/consensus.py
+++ b/ambershift/modelcheck/models/consensus.py
@@ -153,8 +153,8 @@
             record = replica._acceptor.record("list")
             told.append(
                 f"{IPS[place]}: epoch {replica.voters.epoch}, whole {replica.voters.whole}, "
-                f"votes {replica.voters.voting}, promised {record.promised[0]}, accepted "
-                f"{record.accepted[0]}, {record.value!r}"
+                f"votes {replica.voters.voting}, promised {record.promised_ballot[0]}, accepted "
+                f"{record.accepted_ballot[0]}, {record.value!r}"
             )
         return [*told, f"told: {world.told}; refused: {world.refused}"]
 
--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -13,7 +13,7 @@
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.interfaces import NotDoneError, Verdict
+from ambershift.system.interfaces import ChangeOutcome, NotAppliedError
 from ambershift.system.messages import replication
 from ambershift.system.messages.replication import Decision, Member
 from ambershift.system.settings.local import Bounds, Local
@@ -36,12 +36,12 @@
     replication.Prepare,
     replication.Promise,
     replication.Accept,
-    replication.Agreed,
-    replication.Refused,
-    replication.Lacking,
-    replication.Confirm,
-    replication.Ask,
-    replication.Share,
+    replication.Acknowledgement,
+    replication.Rejected,
+    replication.MissingBase,
+    replication.ConfirmBallot,
+    replication.SyncRequest,
+    replication.SyncResponse,
     Decision,
 )
 Ways = frozenset[tuple[int, int]]
@@ -99,11 +99,11 @@
     def __init__(self, add: bytes) -> None:
         self.add = add
 
-    def __call__(self, value: bytes | None, since: int, now: int) -> Verdict:
+    def __call__(self, value: bytes | None, since: int, now: int) -> ChangeOutcome:
         ids = split(value)
         if not self.add or self.add in ids:
-            return Verdict(None, ids)
-        return Verdict((value or b"") + self.add, [*ids, self.add])
+            return ChangeOutcome(None, ids)
+        return ChangeOutcome((value or b"") + self.add, [*ids, self.add])
 
 
 class Table:
@@ -181,7 +181,7 @@
             elif add and add not in ids:
                 self.wrong = "one-order", f"{add!r} isn't in {ids}"
             self.told = ids
-        elif isinstance(outcome, NotDoneError) and add:
+        elif isinstance(outcome, NotAppliedError) and add:
             self.refused.add(add)
 
     def settle(self) -> None:
--- a/ambershift/system/configuration/agreement.py
+++ b/ambershift/system/configuration/agreement.py
@@ -19,9 +19,9 @@
 
 from ambershift.system.configuration.change_request import Order, same_content
 from ambershift.system.configuration.errors import Fault
-from ambershift.system.interfaces import Verdict
+from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import AGREED, Item, Key
-from ambershift.system.messages.tombstones import THE_FORGOTTEN, forgotten_of
+from ambershift.system.messages.tombstones import COLLECTED_TOMBSTONES_KEY, collected_tombstones_of
 
 REGISTER = "configuration"
 NOTHING_READ = -1  # Below every count of settled items.
@@ -155,15 +155,15 @@
         self._order, self._progress, self._held = order, progress, held
         self.tried = False
 
-    def __call__(self, value: bytes | None, known_since: int, now: int) -> Verdict:
+    def __call__(self, value: bytes | None, known_since: int, now: int) -> ChangeOutcome:
         agreement = read_agreement(value)
         if agreement.settled > self._progress.read:
-            return Verdict(None, Behind(agreement.settled))
+            return ChangeOutcome(None, Behind(agreement.settled))
         after, outcome = decide(self._order, agreement, self._progress, self._held)
         if after == agreement:
-            return Verdict(None, outcome)
+            return ChangeOutcome(None, outcome)
         self.tried = True
-        return Verdict(_encode(after), outcome)
+        return ChangeOutcome(_encode(after), outcome)
 
 
 def decide(
@@ -174,7 +174,7 @@
     refused = next((one for one in agreement.refused if one.digest == digest), None)
     standing = {**held, **_by_key(agreement.recent, held)}
     overtaken = {(one.kind, one.name, one.version): one.digest for one in agreement.superseded}
-    forgotten = forgotten_of(held.get(THE_FORGOTTEN))
+    forgotten = collected_tombstones_of(held.get(COLLECTED_TOMBSTONES_KEY))
     fresh: list[Item] = []
     superseded: list[Superseded] = []
     conflicts: list[Item] = []
@@ -195,8 +195,8 @@
         return after, Conflict(tuple(conflicts))
     if refused is not None:
         return agreement, Invalid((REFUSED_BEFORE,))
-    if forgotten.batch and (unclear := order.unclear(standing, forgotten.floor, overtaken)):
-        return agreement, BelowFloor(unclear, forgotten.floor)
+    if forgotten.batch and (unclear := order.unclear(standing, forgotten.highest_version, overtaken)):
+        return agreement, BelowFloor(unclear, forgotten.highest_version)
     if found := order.unknown(standing):
         return _refusing(agreement, Refusal(digest, False)), Invalid(found)
     if not fresh and not superseded:
--- a/ambershift/system/consensus/anti_entropy.py
+++ b/ambershift/system/consensus/anti_entropy.py
@@ -15,9 +15,9 @@
 from ambershift.system.consensus.quorum import majority
 from ambershift.system.consensus.voters import Voters, holds
 from ambershift.system.consensus.write_queue import Journal
-from ambershift.system.interfaces import NotHeldError
+from ambershift.system.interfaces import OutcomeUnknownError
 from ambershift.system.messages.items import Item
-from ambershift.system.messages.replication import Ask, Record, Share
+from ambershift.system.messages.replication import AcceptorState, SyncRequest, SyncResponse
 from ambershift.system.state_machine import NS_PER_MS
 
 AGAIN = 250 * NS_PER_MS
@@ -132,37 +132,37 @@
         items = self._store.buckets.long() if long else self._store.buckets.short()
         number = self._numbers()
         one.parts[number] = ip, set()
-        self._out.send(ip, Ask(one.epoch, number, items, registers))
+        self._out.send(ip, SyncRequest(one.epoch, number, items, registers))
 
-    def shared(self, sender: str, share: Share) -> None:
+    def shared(self, sender: str, share: SyncResponse) -> None:
         replaced = self._store.replaced
-        taken = self._store.merge(share.items, share.batch)
+        taken = self._store.merge(share.items, share.tombstone_batch)
         if not self._voters.voting:
             self._acceptor.merge(share.registers)
         if self._store.replaced != replaced:
             self.restart()
             return
-        one = next((one for one in self._sessions if share.number in one.parts), None)
-        if one is None or share.epoch != one.epoch or one.parts[share.number][0] != sender:
+        one = next((one for one in self._sessions if share.request_id in one.parts), None)
+        if one is None or share.epoch != one.epoch or one.parts[share.request_id][0] != sender:
             return
-        if share.unequal:
+        if share.wants_bucket_digests:
             one.long.add(sender)
-            del one.parts[share.number]
+            del one.parts[share.request_id]
             self._ask(one, sender)
             return
-        parts = one.parts[share.number][1]
-        parts.add(share.part)
-        if len(parts) < share.parts:
+        parts = one.parts[share.request_id][1]
+        parts.add(share.part_index)
+        if len(parts) < share.part_count:
             return
-        del one.parts[share.number]
+        del one.parts[share.request_id]
         if one.kind == QUIET:
             self._sessions.remove(one)
         elif not taken:
             return
         elif one.kind in READINGS:
-            if share.whole >= one.epoch and sender in self._voters.ips:
+            if share.complete_epoch >= one.epoch and sender in self._voters.ips:
                 one.yes.add(sender)
-        elif share.whole >= one.epoch:
+        elif share.complete_epoch >= one.epoch:
             self._finish(one)  # It has all that was held before this epoch, so one copy is enough.
             return
         elif self._counts(sender, share):
@@ -172,13 +172,13 @@
                 one.again = self._out.now + SOON
         self._check(one)
 
-    def _counts(self, sender: str, share: Share) -> bool:
+    def _counts(self, sender: str, share: SyncResponse) -> bool:
         """Whether that is a voter of the epoch before, complete then, that counts for it no more."""
         decision = self._voters.decision
         return (
             decision is not None
-            and share.whole >= decision.epoch - 1
-            and holds(decision.before, sender, share.birth)
+            and share.complete_epoch >= decision.epoch - 1
+            and holds(decision.before, sender, share.disk_id)
         )
 
     def _check(self, one: Session) -> None:
@@ -209,18 +209,18 @@
 
     # Telling.
 
-    def asked(self, sender: str, ask: Ask) -> None:
+    def asked(self, sender: str, ask: SyncRequest) -> None:
         """Tell what differs. Only after the disk has it all: that this machine has left the epoch before,
         above everything."""
-        names = self._store.buckets.unequal(ask.items)
-        head = partial(Share, ask.epoch, ask.number, self._voters.whole, self._voters.me.birth)
+        names = self._store.buckets.unequal(ask.item_digests)
+        head = partial(SyncResponse, ask.epoch, ask.request_id, self._voters.whole, self._voters.me.birth)
         if names is None:
-            self._out.send(sender, head(0, 1, True, (), (), batch=self._store.forgotten.batch))
+            self._out.send(sender, head(0, 1, True, (), (), tombstone_batch=self._store.forgotten.batch))
             return
-        records = [] if ask.registers is None else self._acceptor.newer(ask.registers)
+        records = [] if ask.register_ballots is None else self._acceptor.newer(ask.register_ballots)
         parts = list(_parts(self._store.named(names), records))
         shares = [
-            head(index, len(parts), False, items, registers, batch=self._store.forgotten.batch)
+            head(index, len(parts), False, items, registers, tombstone_batch=self._store.forgotten.batch)
             for index, (items, registers) in enumerate(parts)
         ]
         for share in shares:
@@ -233,7 +233,7 @@
             if self._out.now >= one.deadline:
                 self._sessions.remove(one)
                 if one.kind == CALL:
-                    self._out.answer(one.call, NotHeldError("too few voters answered in time"))
+                    self._out.answer(one.call, OutcomeUnknownError("too few voters answered in time"))
             elif one.epoch == 0:
                 self._start(one)
             elif one.alone_till and self._out.now >= one.alone_till:
@@ -255,11 +255,11 @@
 
 
 def _parts(
-    items: Iterable[Item], records: Iterable[tuple[str, Record]]
-) -> Iterable[tuple[tuple[Item, ...], tuple[tuple[str, Record], ...]]]:
+    items: Iterable[Item], records: Iterable[tuple[str, AcceptorState]]
+) -> Iterable[tuple[tuple[Item, ...], tuple[tuple[str, AcceptorState], ...]]]:
     """All entries in order, cut into parts of a bounded size; at least one part."""
     some: list[Item] = []
-    others: list[tuple[str, Record]] = []
+    others: list[tuple[str, AcceptorState]] = []
     size = 0
     for item in items:
         some.append(item)
--- a/ambershift/system/consensus/events.py
+++ b/ambershift/system/consensus/events.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ambershift.system.interfaces import Change
+from ambershift.system.interfaces import ChangeFunction
 from ambershift.system.messages.items import Item
 from ambershift.system.state_machine import MessageReceived, Tick, WriteCompleted
 
@@ -27,7 +27,7 @@
 class ChangeRegister:
     call: int
     register: str
-    change: Change
+    change: ChangeFunction
     within: float
 
 
--- a/ambershift/system/consensus/item_store.py
+++ b/ambershift/system/consensus/item_store.py
@@ -9,13 +9,21 @@
 from ambershift.system.consensus.bucket_checksums import Buckets
 from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.write_queue import Journal
-from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item, Key, cleared_by, newest
+from ambershift.system.messages.items import (
+    CLEARED,
+    CLEARED_INSTANCES_KEY,
+    INSTANCE,
+    Item,
+    Key,
+    cleared_instances,
+    newest,
+)
 from ambershift.system.messages.tombstones import (
-    CONFIGURATION,
-    FORGOTTEN,
-    THE_FORGOTTEN,
-    Forgotten,
-    forgotten_of,
+    COLLECTED_TOMBSTONES_KEY,
+    COLLECTED_TOMBSTONES_KIND,
+    CONFIGURATION_KINDS,
+    CollectedTombstones,
+    collected_tombstones_of,
 )
 
 TABLE = "items"
@@ -38,17 +46,17 @@
         for data in rows.values():
             self._keep(_decode(data))
         self._cleared = frozenset[Key]()
-        if (held := self.items.get(THE_CLEARED)) is not None:
+        if (held := self.items.get(CLEARED_INSTANCES_KEY)) is not None:
             self._clear(held)
-        self.forgotten = forgotten_of(self.items.get(THE_FORGOTTEN))
-        self._gone = self.forgotten.versions()
+        self.forgotten = collected_tombstones_of(self.items.get(COLLECTED_TOMBSTONES_KEY))
+        self._gone = self.forgotten.versions_by_key()
         self.replaced = 0  # How often the configuration was thrown away, as being of before the drops listed.
 
     def _keep(self, item: Item) -> None:
         name = row_key(item.key)
         self.items[item.key] = self._named[name] = item
         self.buckets.put(name, _encode(item.rank))
-        if item.kind in CONFIGURATION and item.body is None:
+        if item.kind in CONFIGURATION_KINDS and item.body is None:
             self.drops[item.key] = item
         else:
             self.drops.pop(item.key, None)
@@ -58,11 +66,11 @@
 
         `batch`: the last one that the machine knows whose copy they are of. False where it misses so many
         that its configuration may hold what was dropped and forgotten: then none of that is taken."""
-        outdated = batch is not None and batch < self.forgotten.enough
+        outdated = batch is not None and batch < self.forgotten.required_batch
         left_out = False
         fresh = []
         for item in items:
-            if outdated and item.kind in CONFIGURATION:
+            if outdated and item.kind in CONFIGURATION_KINDS:
                 left_out = True
                 continue
             if item.key in self._cleared or item.version[0] <= self._gone.get(item.key, -1):
@@ -75,15 +83,15 @@
             fresh.append(item)
             if item.kind == CLEARED:
                 self._clear(item)
-            elif item.kind == FORGOTTEN:
-                self._forget(forgotten_of(item))
+            elif item.kind == COLLECTED_TOMBSTONES_KIND:
+                self._forget(collected_tombstones_of(item))
         if fresh:
             self._out.news(fresh)
         return not left_out
 
     def _clear(self, by: Item) -> None:
         """Drop what it names. That everybody does so on merging one item keeps all copies alike."""
-        self._cleared = frozenset((INSTANCE, id) for id in cleared_by(by))
+        self._cleared = frozenset((INSTANCE, id) for id in cleared_instances(by))
         for key in self._cleared:
             self._drop(key)
 
@@ -95,23 +103,23 @@
             self.drops.pop(key, None)
             self._journal.put(TABLE, name, None)
 
-    def _forget(self, by: Forgotten) -> None:
+    def _forget(self, by: CollectedTombstones) -> None:
         """Drop what it lists. Where this copy may have more that was dropped, all that is as old goes: what
         stands of it comes back from others."""
-        known, self.forgotten, self._gone = self.forgotten.batch, by, by.versions()
+        known, self.forgotten, self._gone = self.forgotten.batch, by, by.versions_by_key()
         for key, version in self._gone.items():
             if (held := self.items.get(key)) is not None and held.version[0] <= version:
                 self._drop(key)
-        if known < by.enough:
+        if known < by.required_batch:
             old = [
                 key
                 for key, one in self.items.items()
-                if key[0] in CONFIGURATION and one.version[0] <= by.floor
+                if key[0] in CONFIGURATION_KINDS and one.version[0] <= by.highest_version
             ]
             for key in old:
                 self._drop(key)
             self.replaced += 1
-            self._out.log(EVENT_REPLACED, known=known, needed=by.enough, items=len(old))
+            self._out.log(EVENT_REPLACED, known=known, needed=by.required_batch, items=len(old))
 
     def held(self, keys: Iterable[Key]) -> tuple[Item, ...]:
         """Of these, what is held: what was cleared isn't."""
--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -17,7 +17,7 @@
 from ambershift.system.consensus.membership_plan import Plan, VoterView, plan
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.interfaces import Verdict
+from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.replication import Decision, Machine, Member
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -166,10 +166,10 @@
         self._busy = self._out.now + WITHIN
         after = _encode(Decision(decision.epoch + 1, wanted, decision.members))
 
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
+        def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
             if value is None and wanted:
-                return Verdict(after, after)
-            return Verdict(None, value)
+                return ChangeOutcome(after, after)
+            return ChangeOutcome(None, value)
 
         def done(outcome: Held | Exception) -> None:
             self._busy = 0
--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -13,15 +13,15 @@
 from ambershift.system.consensus.register import Call, Lease, Register, Round
 from ambershift.system.consensus.round_fanout import Asking, transfer
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.interfaces import Change, NotDoneError, NotHeldError, Shape
+from ambershift.system.interfaces import ChangeFunction, DeltaCodec, NotAppliedError, OutcomeUnknownError
 from ambershift.system.messages.replication import (
     Accept,
-    Agreed,
-    Confirm,
-    Lacking,
+    Acknowledgement,
+    ConfirmBallot,
+    MissingBase,
     Prepare,
     Promise,
-    Refused,
+    Rejected,
 )
 from ambershift.system.state_machine import NS_PER_MS
 
@@ -30,7 +30,7 @@
 ABOVE = 1000  # A proposer that takes a register over goes so far above what it knows of it.
 PAUSE_MOST = 600 * NS_PER_MS  # Before the next try of a round that was refused.
 
-Reply = Agreed | Promise | Refused | Lacking
+Reply = Acknowledgement | Promise | Rejected | MissingBase
 
 
 class Proposer:
@@ -39,7 +39,7 @@
         out: Outbox,
         voters: Voters,
         acceptor: Acceptor,
-        shapes: Callable[[str], Shape | None],
+        shapes: Callable[[str], DeltaCodec | None],
         life: int,
         chance: random.Random,
         numbers: Callable[[], int],
@@ -53,7 +53,7 @@
         self._rounds: dict[int, Register] = {}
 
     def call(
-        self, name: str, change: Change, deadline: int, done: Callable[[Held | Exception], None]
+        self, name: str, change: ChangeFunction, deadline: int, done: Callable[[Held | Exception], None]
     ) -> None:
         register = self._registers.get(name)
         if register is None:
@@ -66,24 +66,24 @@
 
     def reply(self, sender: str, message: Reply) -> bool:
         """Take an answer; False where no round of this proposer is meant."""
-        register = self._rounds.get(message.number)
+        register = self._rounds.get(message.request_id)
         round_ = None if register is None else register.round
-        if register is None or round_ is None or round_.number != message.number:
+        if register is None or round_ is None or round_.number != message.request_id:
             return False
         if message.epoch != round_.epoch or sender not in self._voters.ips:
             return True
-        if isinstance(message, Refused):
-            register.counter = max(register.counter, message.counter)
+        if isinstance(message, Rejected):
+            register.counter = max(register.counter, message.promised_counter)
             if sender in round_.yes:
                 return True
             ballot = round_.message.ballot
             preparing = isinstance(round_.message, Prepare)
-            if not register.leapt and (preparing or message.counter > ballot[0] + 1):
+            if not register.leapt and (preparing or message.promised_counter > ballot[0] + 1):
                 # Most likely nobody is at it just now: this machine's copy or lease is of long ago.
                 register.leapt = True
                 self._give_way(register, paused=False)
                 return True
-            if isinstance(round_.message, Confirm) and message.counter < ballot[0]:
+            if isinstance(round_.message, ConfirmBallot) and message.promised_counter < ballot[0]:
                 self._asking.renew(sender, register, round_)
                 return True
             round_.no.add(sender)
@@ -92,20 +92,28 @@
             else:  # The others may suffice, but if one of them is away, two proposers would wait for it.
                 self._asking.widen(register, round_)
                 round_.again = min(round_.again, self._out.now + self._asking.patience())
-        elif isinstance(message, Lacking):
+        elif isinstance(message, MissingBase):
             register.held.pop(sender, None)
             self._asking.tell(sender, register, round_)
         else:
             round_.no.discard(sender)
             round_.yes.add(sender)
             if isinstance(message, Promise):
-                register.held[sender] = message.accepted
-                if isinstance(round_.message, Confirm) and message.accepted > round_.best:
+                register.held[sender] = message.accepted_ballot
+                if isinstance(round_.message, ConfirmBallot) and message.accepted_ballot > round_.best:
                     self._give_way(register)
                     return True
-            if isinstance(message, Promise) and message.accepted >= round_.best:
-                value = register.own.value if message.accepted == register.own.accepted else message.value
-                round_.best, round_.origin, round_.value = message.accepted, message.origin, value
+            if isinstance(message, Promise) and message.accepted_ballot >= round_.best:
+                value = (
+                    register.own.value
+                    if message.accepted_ballot == register.own.accepted_ballot
+                    else message.value
+                )
+                round_.best, round_.origin, round_.value = (
+                    message.accepted_ballot,
+                    message.origin_ballot,
+                    value,
+                )
             if len(round_.yes) >= self._voters.enough:
                 self._complete(register, round_)
         return True
@@ -144,10 +152,14 @@
             return
         register.own = self._acceptor.record(register.name)
         # This copy may be behind by the writes of a while, and to be refused costs a trip and a pause.
-        register.counter = max(register.counter, register.own.promised[0]) + ABOVE
+        register.counter = max(register.counter, register.own.promised_ballot[0]) + ABOVE
         number = self._numbers()
         prepare = Prepare(
-            self._voters.epoch, number, register.name, (register.counter, self._life), register.own.accepted
+            self._voters.epoch,
+            number,
+            register.name,
+            (register.counter, self._life),
+            register.own.accepted_ballot,
         )
         self._start(register, Round(number, self._voters.epoch, prepare, self._out.now))
 
@@ -173,8 +185,8 @@
             except Exception as why:  # The change's own failure is its caller's, and changes nothing.
                 results.append((call, why))
                 continue
-            if verdict.value is not None:
-                value, since, changed = verdict.value, now, True
+            if verdict.new_value is not None:
+                value, since, changed = verdict.new_value, now, True
             results.append((call, Held(verdict.result)))
         if changed or fresh:
             self._accept(register, lease, value, results, changed)
@@ -215,7 +227,10 @@
     ) -> None:
         number = self._numbers()
         round_ = Round(
-            number, lease.epoch, Confirm(lease.epoch, number, register.name, lease.ballot), self._out.now
+            number,
+            lease.epoch,
+            ConfirmBallot(lease.epoch, number, register.name, lease.ballot),
+            self._out.now,
         )
         round_.best, round_.results = lease.accepted, results
         self._start(register, round_)
@@ -280,9 +295,9 @@
             round_.results = [one for one in round_.results if now < one[0].deadline]
         for call in late:
             call.done(
-                NotHeldError("too few voters answered in time")
+                OutcomeUnknownError("too few voters answered in time")
                 if call.sent
-                else NotDoneError("too few voters answered in time")
+                else NotAppliedError("too few voters answered in time")
             )
         if late and round_ is not None and not round_.results and not register.queue:
             self._end(register)
--- a/ambershift/system/consensus/quorum_write.py
+++ b/ambershift/system/consensus/quorum_write.py
@@ -8,9 +8,9 @@
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.interfaces import NotDoneError, NotHeldError
+from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError
 from ambershift.system.messages.items import Item, Key
-from ambershift.system.messages.replication import Agreed, Merge
+from ambershift.system.messages.replication import Acknowledgement, MergeItems
 from ambershift.system.state_machine import NS_PER_MS
 
 AGAIN = 250 * NS_PER_MS
@@ -67,19 +67,19 @@
         self._store.merge(one.items)
         self._send(one, self._voters.near)
         if first:  # What learners miss they find out by checksums.
-            message = Merge(one.epoch, 0, self._store.held(one.keys), self._store.forgotten.batch)
+            message = MergeItems(one.epoch, 0, self._store.held(one.keys), self._store.forgotten.batch)
             for ip in self._learners():
                 self._out.send(ip, message)
 
     def _send(self, one: Put, ips: Sequence[str]) -> None:
-        message = Merge(one.epoch, one.number, self._store.held(one.keys), self._store.forgotten.batch)
+        message = MergeItems(one.epoch, one.number, self._store.held(one.keys), self._store.forgotten.batch)
         size = sum(len(item.body or b"") + 64 for item in message.items)
         one.again = self._out.now + AGAIN + size * BYTE
         for ip in ips:
             self._out.send(ip, message)
 
-    def agreed(self, sender: str, message: Agreed) -> None:
-        one = self._puts.get(message.number)
+    def agreed(self, sender: str, message: Acknowledgement) -> None:
+        one = self._puts.get(message.request_id)
         if one is None or message.epoch != one.epoch or sender not in self._voters.ips:
             return
         one.yes.add(sender)
@@ -92,9 +92,9 @@
             if self._out.now >= one.deadline:
                 del self._puts[one.number]
                 one.done(
-                    NotDoneError("no voters are known yet")
+                    NotAppliedError("no voters are known yet")
                     if one.epoch == 0
-                    else NotHeldError("too few voters answered in time")
+                    else OutcomeUnknownError("too few voters answered in time")
                 )
             elif one.epoch == 0:
                 self._start(one)
--- a/ambershift/system/consensus/register.py
+++ b/ambershift/system/consensus/register.py
@@ -7,13 +7,20 @@
 
 from ambershift.system.consensus.acceptor import EMPTY
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.interfaces import Change
-from ambershift.system.messages.replication import NEVER, Accept, Ballot, Confirm, Prepare, Record
+from ambershift.system.interfaces import ChangeFunction
+from ambershift.system.messages.replication import (
+    ZERO_BALLOT,
+    Accept,
+    AcceptorState,
+    Ballot,
+    ConfirmBallot,
+    Prepare,
+)
 
 
 @dataclass(slots=True)
 class Call:
-    change: Change
+    change: ChangeFunction
     deadline: int
     done: Callable[[Held | Exception], None]
     sent: bool = False  # Whether a write with its effect went out, so that it may hold.
@@ -34,15 +41,15 @@
 class Round:
     number: int
     epoch: int
-    message: Prepare | Accept | Confirm
+    message: Prepare | Accept | ConfirmBallot
     started: int
     again: int = 0
     asked: set[str] = field(default_factory=set)
     yes: set[str] = field(default_factory=set)
     no: set[str] = field(default_factory=set)
     # Of a prepare: the newest accepted value found. Of an accept: what it writes.
-    best: Ballot = NEVER
-    origin: Ballot = NEVER
+    best: Ballot = ZERO_BALLOT
+    origin: Ballot = ZERO_BALLOT
     value: bytes | None = None
     results: list[tuple[Call, Held | Exception]] = field(default_factory=list)
 
@@ -54,7 +61,7 @@
     lease: Lease | None = None
     round: Round | None = None
     counter: int = 0  # The highest counter used or met.
-    own: Record = EMPTY  # What the acceptor here held when the prepare went out.
+    own: AcceptorState = EMPTY  # What the acceptor here held when the prepare went out.
     held: dict[str, Ballot] = field(default_factory=dict)  # What each voter should have accepted last.
     tries: int = 0
     leapt: bool = False  # Whether a prepare was refused and sent again, higher, since the last success.
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -26,23 +26,23 @@
 from ambershift.system.consensus.tombstone_collector import Forgetting
 from ambershift.system.consensus.voters import FOUNDER, Voters
 from ambershift.system.consensus.write_queue import Journal
-from ambershift.system.interfaces import Shape
+from ambershift.system.interfaces import DeltaCodec
 from ambershift.system.messages.replication import (
     Accept,
-    Agreed,
-    Ask,
+    Acknowledgement,
     Beat,
-    Confirm,
+    ConfirmBallot,
     Decision,
     Knock,
     Known,
-    Lacking,
     Machine,
-    Merge,
+    MergeItems,
+    MissingBase,
     Prepare,
     Promise,
-    Refused,
-    Share,
+    Rejected,
+    SyncRequest,
+    SyncResponse,
 )
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_SECOND, Effect, MessageReceived, Tick, WriteCompleted
@@ -53,12 +53,12 @@
 Rows = Mapping[str, dict[str, bytes]]
 
 
-_WANTED = (Prepare, Accept, Confirm, Ask)
+_WANTED = (Prepare, Accept, ConfirmBallot, SyncRequest)
 
 
 class Replica:
     def __init__(
-        self, settings: Local, seed: int, shapes: Callable[[str], Shape | None], rows: Rows, now: int
+        self, settings: Local, seed: int, shapes: Callable[[str], DeltaCodec | None], rows: Rows, now: int
     ) -> None:
         chance = random.Random(seed)
         out = self._out = Outbox(settings.ip)
@@ -179,16 +179,16 @@
         self._forgetting.tick()
 
     def _take(self, sender: str, message: msgspec.Struct) -> None:
-        if isinstance(message, (Agreed, Promise, Refused, Lacking)):
-            if not self._proposer.reply(sender, message) and isinstance(message, Agreed):
+        if isinstance(message, (Acknowledgement, Promise, Rejected, MissingBase)):
+            if not self._proposer.reply(sender, message) and isinstance(message, Acknowledgement):
                 self._writing.agreed(sender, message)
-        elif isinstance(message, Merge):
+        elif isinstance(message, MergeItems):
             taken = self._merge(message)  # Newer is newer, whoever votes.
-            if message.number and taken:
+            if message.request_id and taken:
                 self._vote(sender, message, message.epoch)
         elif isinstance(message, _WANTED):
             self._vote(sender, message, message.epoch)
-        elif isinstance(message, Share):
+        elif isinstance(message, SyncResponse):
             self._syncing.shared(sender, message)
         elif isinstance(message, Beat):
             differing = self._watching.beat(sender, message)
@@ -201,9 +201,9 @@
         elif isinstance(message, Decision):
             self._adopt(message)
 
-    def _merge(self, message: Merge) -> bool:
+    def _merge(self, message: MergeItems) -> bool:
         replaced = self._store.replaced
-        taken = self._store.merge(message.items, message.batch)
+        taken = self._store.merge(message.items, message.tombstone_batch)
         if self._store.replaced != replaced:
             self._syncing.restart()
         return taken
@@ -216,17 +216,19 @@
         elif decision is None or epoch > decision.epoch:
             self._watching.unknowing(sender)
             self._hold(sender, message)
-        elif isinstance(message, Ask):
+        elif isinstance(message, SyncRequest):
             self._syncing.asked(sender, message)
         elif self._voters.voting:
             if isinstance(message, Prepare):
                 self._acceptor.prepare(sender, message)
             elif isinstance(message, Accept):
                 self._acceptor.accept(sender, message)
-            elif isinstance(message, Confirm):
+            elif isinstance(message, ConfirmBallot):
                 self._acceptor.confirm(sender, message)
-            elif isinstance(message, Merge):
-                self._journal.synced(partial(self._out.send, sender, Agreed(epoch, message.number)))
+            elif isinstance(message, MergeItems):
+                self._journal.synced(
+                    partial(self._out.send, sender, Acknowledgement(epoch, message.request_id))
+                )
         elif self._voters.member:
             self._hold(sender, message)
 
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -1,4 +1,4 @@
-"""The shell of the replica: its disk, its callers' futures, its messages; implements `contracts.Ledger`."""
+"""The shell of the replica: its disk, its callers' futures, its messages. Implements `ReplicatedState`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put, Reached
 from ambershift.system.consensus.membership_view import Members, members_of
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.interfaces import Change, NotDoneError, Shape
+from ambershift.system.interfaces import ChangeFunction, DeltaCodec, NotAppliedError
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.messages.proxy_link import ControlNodeAddress
 from ambershift.system.settings.local import Local
@@ -60,7 +60,7 @@
         send: Callable[[str, msgspec.Struct], None],
         steady: Callable[[], int],
         seed: int,
-        shapes: Callable[[str], Shape | None],
+        shapes: Callable[[str], DeltaCodec | None],
         log: Callable[[int, dict[str, Any]], None],
         bottom: Callable[[str, str, Callable[[int, str | None], None]], StorageBackend] = Disk,
     ) -> None:
@@ -187,7 +187,7 @@
 
     async def _call(self, event: Callable[[int], Event]) -> Any:
         if self._replica is None or self._loop is None:
-            raise NotDoneError("not started, or closed")
+            raise NotAppliedError("not started, or closed")
         number = next(self._number)
         future: asyncio.Future[Any] = self._loop.create_future()
         self._calls[number] = future
@@ -205,7 +205,7 @@
     async def freshen(self, within: float) -> None:
         await self._call(lambda call: Freshen(call, within))
 
-    async def change(self, register: str, change: Change, within: float) -> Any:
+    async def change(self, register: str, change: ChangeFunction, within: float) -> Any:
         return await self._call(lambda call: ChangeRegister(call, register, change, within))
 
     def items(self) -> Mapping[Key, Item]:
--- a/ambershift/system/consensus/round_fanout.py
+++ b/ambershift/system/consensus/round_fanout.py
@@ -9,7 +9,7 @@
 from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.register import Register, Round
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.messages.replication import Accept, Confirm, Prepare
+from ambershift.system.messages.replication import Accept, ConfirmBallot, Prepare
 from ambershift.system.state_machine import NS_PER_MS
 
 HEDGE_LEAST, HEDGE_MOST = 40 * NS_PER_MS, 250 * NS_PER_MS
@@ -21,7 +21,7 @@
 def transfer(round_: Round) -> int:
     """How long (ns) the value of a round may take on its way."""
     message = round_.message
-    return BYTE * len(message.body or b"") if isinstance(message, Accept) else 0
+    return BYTE * len(message.value_or_delta or b"") if isinstance(message, Accept) else 0
 
 
 class Asking:
@@ -60,8 +60,11 @@
         another trip; one that should hold it but doesn't says so."""
         message = round_.message
         if isinstance(message, Accept):
-            if message.base is not None and register.held.get(ip) not in (message.base, message.ballot):
-                message = msgspec.structs.replace(message, base=None, body=round_.value)
+            if message.base_ballot is not None and register.held.get(ip) not in (
+                message.base_ballot,
+                message.ballot,
+            ):
+                message = msgspec.structs.replace(message, base_ballot=None, value_or_delta=round_.value)
             register.held[ip] = message.ballot
         self._out.send(ip, message)
 
@@ -76,7 +79,7 @@
         for ip in self._voters.near:
             if ip not in round_.asked:
                 round_.asked.add(ip)
-                if isinstance(round_.message, Confirm):
+                if isinstance(round_.message, ConfirmBallot):
                     self.renew(ip, register, round_)
                 else:
                     self.tell(ip, register, round_)
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -23,9 +23,9 @@
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.quorum_write import Writing
 from ambershift.system.consensus.voters import Voters
-from ambershift.system.interfaces import Verdict
+from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
-from ambershift.system.messages.tombstones import NOTHING_FORGOTTEN, Forgotten
+from ambershift.system.messages.tombstones import NO_COLLECTED_TOMBSTONES, CollectedTombstones
 from ambershift.system.state_machine import NS_PER_SECOND
 
 REGISTER = "forgotten"
@@ -35,7 +35,7 @@
 WITHIN = 5 * NS_PER_SECOND
 EVENT_FORGOTTEN = 211
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Forgotten).decode
+_decode = msgspec.msgpack.Decoder(CollectedTombstones).decode
 
 
 class Forgetting:
@@ -72,17 +72,19 @@
 
         def done(outcome: Held | Exception) -> None:
             if isinstance(outcome, Held):
-                self._agree(before, before.after(oldest))
+                self._agree(before, before.with_batch(oldest))
 
-        known = [] if before is NOTHING_FORGOTTEN else [before.item]
+        known = [] if before is NO_COLLECTED_TOMBSTONES else [before.as_item]
         self._writing.put([*oldest, *known], self._out.now + WITHIN, done, on_all=True)
 
-    def _agree(self, before: Forgotten, after: Forgotten) -> None:
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
-            standing = NOTHING_FORGOTTEN if value is None else _decode(value)
+    def _agree(self, before: CollectedTombstones, after: CollectedTombstones) -> None:
+        def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
+            standing = NO_COLLECTED_TOMBSTONES if value is None else _decode(value)
             if standing.batch != before.batch:
-                return Verdict(None, standing)  # Agreed already, but its put may not have come to its end.
-            return Verdict(_encode(after), after)
+                return ChangeOutcome(
+                    None, standing
+                )  # Agreed already, but its put may not have come to its end.
+            return ChangeOutcome(_encode(after), after)
 
         def done(outcome: Held | Exception) -> None:
             if isinstance(outcome, Held):
@@ -90,6 +92,6 @@
 
         self._proposer.call(REGISTER, change, self._out.now + WITHIN, done)
 
-    def _put(self, agreed: Forgotten) -> None:
-        self._out.log(EVENT_FORGOTTEN, batch=agreed.batch, floor=agreed.floor)
-        self._writing.put([agreed.item], self._out.now + WITHIN, lambda outcome: None)
+    def _put(self, agreed: CollectedTombstones) -> None:
+        self._out.log(EVENT_FORGOTTEN, batch=agreed.batch, floor=agreed.highest_version)
+        self._writing.put([agreed.as_item], self._out.now + WITHIN, lambda outcome: None)
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -22,7 +22,7 @@
 from ambershift.system.coordination.calls import BODY_MOST, CALLS, PRESENT
 from ambershift.system.coordination.replies import ImproperError, Reply, read_body, reply
 from ambershift.system.coordination.revision_ages import Ages
-from ambershift.system.interfaces import Ledger
+from ambershift.system.interfaces import ReplicatedState
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
@@ -47,7 +47,7 @@
     def __init__(
         self,
         settings: Local,
-        ledger: Ledger,
+        ledger: ReplicatedState,
         registry: Registry,
         steady: Callable[[], int],
         send: Sender,
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -31,7 +31,7 @@
 from ambershift.system.control_api.forwarding import Asked, Forwarding
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.coordination.replies import Reply, reply
-from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
+from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
 from ambershift.system.messages import forwarding as messages
 from ambershift.system.messages.items import Item
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
@@ -49,7 +49,7 @@
 class ConfigurationCalls:
     def __init__(
         self,
-        ledger: Ledger,
+        ledger: ReplicatedState,
         steady: Callable[[], int],
         send: Sender,
         open_calls: OpenCalls,
@@ -86,9 +86,9 @@
         proposal = Proposal(order, self._progress, self._ledger.items())
         try:
             outcome = await self._agreed(proposal, until)
-        except NotHeldError as why:
+        except OutcomeUnknownError as why:
             return self._unclear(why.reason, len(order.items))
-        except NotDoneError as why:
+        except NotAppliedError as why:
             if proposal.tried:
                 return self._unclear(why.reason, len(order.items))
             self._log(log_events.CONFIGURATION_UNCLEAR, {"reason": why.reason, "items": 0})
@@ -101,21 +101,21 @@
             return self._below_floor(outcome)
         try:
             await self._stored(outcome, until)
-        except (NotHeldError, NotDoneError) as why:
+        except (OutcomeUnknownError, NotAppliedError) as why:
             return self._unclear(why.reason, len(order.items))
         self._log(log_events.CONFIGURATION_TAKEN, {"items": len(order.items)})
         return reply(200)
 
     async def _agreed(self, proposal: Proposal, until: int) -> Accepted | Conflict | Invalid | BelowFloor:
-        """Raises `NotHeldError`, or `NotDoneError` where the last try did nothing."""
+        """Raises `OutcomeUnknownError`, or `NotAppliedError` where the last try did nothing."""
         while True:
             outcome: Outcome = await self._ledger.change(REGISTER, proposal, self._left(until))
             if not isinstance(outcome, Behind):
                 return outcome
             try:
                 await self._ledger.freshen(self._left(until))
-            except NotHeldError as why:
-                raise NotDoneError(why.reason) from why
+            except OutcomeUnknownError as why:
+                raise NotAppliedError(why.reason) from why
             self._progress.has_read(outcome.settled)
 
     async def _stored(self, outcome: Accepted, until: int) -> None:
@@ -124,10 +124,10 @@
         self._progress.has_stored(outcome.end)
 
     def _left(self, until: int) -> float:
-        """Seconds. Raises `NotDoneError` where none are left."""
+        """Seconds. Raises `NotAppliedError` where none are left."""
         left = until - self._steady()
         if left <= 0:
-            raise NotDoneError("no time is left")
+            raise NotAppliedError("no time is left")
         return left / NS_PER_SECOND
 
     def _invalid(self, faults: tuple[Fault, ...]) -> Reply:
@@ -158,7 +158,7 @@
             return NOT_DONE
         try:
             await self._ledger.freshen(PATIENCE / NS_PER_SECOND)
-        except NotHeldError:
+        except OutcomeUnknownError:
             return NOT_DONE
         return Reply(200, msgspec.json.encode(write_back(self._ledger.items())))
 
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -18,7 +18,13 @@
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Call, ImproperError, Reply, reply
 from ambershift.system.coordination.revision_ages import Ages
-from ambershift.system.interfaces import Change, Ledger, NotDoneError, NotHeldError, Verdict
+from ambershift.system.interfaces import (
+    ChangeFunction,
+    ChangeOutcome,
+    NotAppliedError,
+    OutcomeUnknownError,
+    ReplicatedState,
+)
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -37,7 +43,7 @@
 class Applications:
     def __init__(
         self,
-        ledger: Ledger,
+        ledger: ReplicatedState,
         own: str,
         steady: Callable[[], int],
         send: Sender,
@@ -79,10 +85,10 @@
         noted = _Noted(call.change)
         try:
             answer: Reply = await self._ledger.change(call.register, noted, within)
-        except NotDoneError as why:
+        except NotAppliedError as why:
             self._log(CALL_REFUSED, {"register": call.register, "reason": why.reason})
             return REFUSED
-        except NotHeldError as why:
+        except OutcomeUnknownError as why:
             self._log(CALL_UNCLEAR, {"register": call.register, "reason": why.reason})
             return UNCLEAR
         except Exception as why:  # Whatever it was, the caller must hear that it is unclear.
@@ -121,11 +127,11 @@
 class _Noted:
     """A change that remembers whether its last run, the one that counts, was to change the value."""
 
-    def __init__(self, change: Change) -> None:
+    def __init__(self, change: ChangeFunction) -> None:
         self._change = change
         self.changed = False
 
-    def __call__(self, value: bytes | None, known_since: int, now: int) -> Verdict:
+    def __call__(self, value: bytes | None, known_since: int, now: int) -> ChangeOutcome:
         verdict = self._change(value, known_since, now)
-        self.changed = verdict.value is not None
+        self.changed = verdict.new_value is not None
         return verdict
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -9,7 +9,7 @@
 from ambershift.system.control_api import log_events
 from ambershift.system.control_api.configuration_calls import NOT_DONE, PATIENCE, UNCLEAR
 from ambershift.system.coordination.replies import Reply, reply
-from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
+from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
 from ambershift.system.messages.items import ZONE, Item
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_SECOND
@@ -19,7 +19,7 @@
     def __init__(
         self,
         settings: Local,
-        ledger: Ledger,
+        ledger: ReplicatedState,
         steady: Callable[[], int],
         log: Callable[[int, dict[str, Any]], None],
     ) -> None:
@@ -38,14 +38,14 @@
             async with asyncio.timeout(PATIENCE / NS_PER_SECOND), self._evacuating:
                 await self._ledger.freshen((begun + PATIENCE - self._steady()) / NS_PER_SECOND)
                 item = self._evacuation(zone, out)
-        except (TimeoutError, NotHeldError):
+        except (TimeoutError, OutcomeUnknownError):
             return NOT_DONE
         try:
             await self._ledger.put([item], (begun + PATIENCE - self._steady()) / NS_PER_SECOND)
-        except NotHeldError as why:
+        except OutcomeUnknownError as why:
             self._log(log_events.EVACUATION_UNCLEAR, {"zone": zone, "out": out, "reason": why.reason})
             return UNCLEAR
-        except NotDoneError:
+        except NotAppliedError:
             return NOT_DONE
         self._log(log_events.EVACUATION_TAKEN, {"zone": zone, "out": out})
         return reply(200)
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -15,7 +15,7 @@
 from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.coordination.replies import Reply, reply
-from ambershift.system.interfaces import Ledger
+from ambershift.system.interfaces import ReplicatedState
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 PROPOSER_PATIENCE = 350 * NS_PER_MS  # Two trips between regions and a turn that has to be waited for.
@@ -47,7 +47,7 @@
 class Forwarding:
     def __init__(
         self,
-        ledger: Ledger,
+        ledger: ReplicatedState,
         own: str,
         steady: Callable[[], int],
         open_calls: OpenCalls,
--- a/ambershift/system/control_api/proposer_selection.py
+++ b/ambershift/system/control_api/proposer_selection.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from hashlib import blake2b
 
-from ambershift.system.interfaces import Ledger
+from ambershift.system.interfaces import ReplicatedState
 from ambershift.system.state_machine import NS_PER_SECOND
 
 DOUBT = NS_PER_SECOND  # How long a machine is passed over after it left a call without an outcome.
@@ -20,7 +20,7 @@
 
 
 class Proposers:
-    def __init__(self, ledger: Ledger, own: str, steady: Callable[[], int]) -> None:
+    def __init__(self, ledger: ReplicatedState, own: str, steady: Callable[[], int]) -> None:
         self._ledger, self._own, self._steady = ledger, own, steady
         self._cores: tuple[str, ...] = ()
         self._orders: dict[str, tuple[str, ...]] = {}
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -16,7 +16,7 @@
 from ambershift.system.coordination.groups import Group
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.coordination.revision_ages import Ages
-from ambershift.system.interfaces import Ledger
+from ambershift.system.interfaces import ReplicatedState
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -35,7 +35,7 @@
 class Watches:
     def __init__(
         self,
-        ledger: Ledger,
+        ledger: ReplicatedState,
         own: str,
         steady: Callable[[], int],
         send: Sender,
--- a/ambershift/system/coordination/cells.py
+++ b/ambershift/system/coordination/cells.py
@@ -8,19 +8,19 @@
 from ambershift.system.coordination.groups import Group, group_of, read_group, write_group
 from ambershift.system.coordination.replies import Reply, reply
 from ambershift.system.coordination.revision_ages import Ages
-from ambershift.system.interfaces import Change, Verdict
+from ambershift.system.interfaces import ChangeFunction, ChangeOutcome
 
 
-def _verdict(value: bytes | None, answer: Reply, group: Group) -> Verdict:
-    return Verdict(value, with_fields(answer, group=group))
+def _verdict(value: bytes | None, answer: Reply, group: Group) -> ChangeOutcome:
+    return ChangeOutcome(value, with_fields(answer, group=group))
 
 
-def replace(key: str, value: Any, applies_to: int | None, ages: Ages) -> Change:
+def replace(key: str, value: Any, applies_to: int | None, ages: Ages) -> ChangeFunction:
     """Put a value. One that is there already (the call has arrived again) gets its first revision, whatever
     it was to apply to: else a put that took effect would be told that it had not."""
     name = group_of(key)
 
-    def change(held: bytes | None, known_since: int, now: int) -> Verdict:
+    def change(held: bytes | None, known_since: int, now: int) -> ChangeOutcome:
         group = read_group(held)
         first = group.known(key, value)
         if first is not None:
@@ -34,8 +34,8 @@
     return change
 
 
-def retrieve(key: str) -> Change:
-    def change(held: bytes | None, known_since: int, now: int) -> Verdict:
+def retrieve(key: str) -> ChangeFunction:
+    def change(held: bytes | None, known_since: int, now: int) -> ChangeOutcome:
         group = read_group(held)
         found = group.cells.get(key)
         answer = Reply(404, b"") if found is None else reply(200, Value=found[0], Revision=found[1])
@@ -44,7 +44,7 @@
     return change
 
 
-def present(held: bytes | None, known_since: int, now: int) -> Verdict:
+def present(held: bytes | None, known_since: int, now: int) -> ChangeOutcome:
     """A `Change` that changes nothing: the group as it stands, and its revision."""
     group = read_group(held)
     return _verdict(None, reply(200, Events=[], Revision=group.revision), group)
--- a/ambershift/system/coordination/locks.py
+++ b/ambershift/system/coordination/locks.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ambershift.system.coordination.replies import Reply, reply
-from ambershift.system.interfaces import Change, Verdict
+from ambershift.system.interfaces import ChangeFunction, ChangeOutcome
 from ambershift.system.state_machine import NS_PER_MS
 
 MARGIN = 50 * NS_PER_MS  # Against steady clocks that don't run quite alike.
@@ -48,15 +48,15 @@
 Judge = Callable[[Lock, int, int], tuple[Lock | None, Reply]]
 
 
-def _change(judge: Judge) -> Change:
-    def change(value: bytes | None, known_since: int, now: int) -> Verdict:
+def _change(judge: Judge) -> ChangeFunction:
+    def change(value: bytes | None, known_since: int, now: int) -> ChangeOutcome:
         lock, answer = judge(UNTOUCHED if value is None else _decode(value), known_since, now)
-        return Verdict(None if lock is None else _encode(lock), answer)
+        return ChangeOutcome(None if lock is None else _encode(lock), answer)
 
     return change
 
 
-def initiate(holder: str, hold: int, call: str) -> Change:
+def initiate(holder: str, hold: int, call: str) -> ChangeFunction:
     """Take the lock, or keep it. `call` is this call's own, the same in each of its runs."""
 
     def judge(lock: Lock, known_since: int, now: int) -> tuple[Lock | None, Reply]:
@@ -75,7 +75,7 @@
     return _change(judge)
 
 
-def heartbeat(holder: str, fence: int, hold: int) -> Change:
+def heartbeat(holder: str, fence: int, hold: int) -> ChangeFunction:
     """More time for the holder. Once its time is over it is refused, even if nobody has taken the lock: its
     own clock has ended the hold before ours."""
 
@@ -88,7 +88,7 @@
     return _change(judge)
 
 
-def terminate(holder: str, fence: int) -> Change:
+def terminate(holder: str, fence: int) -> ChangeFunction:
     """Give the lock back. Where its holder has asked for it anew under the same fence (`kept`), this may be
     an older call that was under way all the time; then the lock is left to run out."""
 
--- a/ambershift/system/coordination/numbers.py
+++ b/ambershift/system/coordination/numbers.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from ambershift.system.coordination.replies import reply
-from ambershift.system.interfaces import Verdict
+from ambershift.system.interfaces import ChangeOutcome
 
 
-def following(value: bytes | None, known_since: int, now: int) -> Verdict:
+def following(value: bytes | None, known_since: int, now: int) -> ChangeOutcome:
     """A `Change`."""
     number = (0 if value is None else int(msgspec.msgpack.decode(value))) + 1
-    return Verdict(msgspec.msgpack.encode(number), reply(200, Value=number))
+    return ChangeOutcome(msgspec.msgpack.encode(number), reply(200, Value=number))
--- a/ambershift/system/coordination/replies.py
+++ b/ambershift/system/coordination/replies.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.system.coordination.groups import Group
-from ambershift.system.interfaces import Change
+from ambershift.system.interfaces import ChangeFunction
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     """A call that was read and found proper: the register it is about, and what it makes of its value."""
 
     register: str
-    change: Change
+    change: ChangeFunction
 
 
 @dataclass(eq=False)
--- a/ambershift/system/coordination/value_deltas.py
+++ b/ambershift/system/coordination/value_deltas.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ambershift.system.coordination.groups import Event, Group, read_group, write_group
-from ambershift.system.interfaces import Shape
+from ambershift.system.interfaces import DeltaCodec
 
 
 class Added(msgspec.Struct, frozen=True, array_like=True):
@@ -48,6 +48,6 @@
 SHAPE = GroupShape()
 
 
-def shape_of(register: str) -> Shape:
+def shape_of(register: str) -> DeltaCodec:
     """The shape of a register's values; any other than a group's are small and told whole."""
     return SHAPE
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -13,7 +13,7 @@
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.distribution.pool_loads import FED_EACH, PoolLoads
 from ambershift.system.distribution.pushes import Pushes
-from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
+from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
 from ambershift.system.messages.items import ROUTE, ZONE, Item
 from ambershift.system.messages.proxy_link import (
     Backend,
@@ -25,7 +25,7 @@
     Hello,
     LoadReport,
 )
-from ambershift.system.messages.tombstones import FORGOTTEN
+from ambershift.system.messages.tombstones import COLLECTED_TOMBSTONES_KIND
 from ambershift.system.registry.records import Life
 from ambershift.system.registry.registry import Registry, backend
 from ambershift.system.settings.local import Local
@@ -45,7 +45,7 @@
     def __init__(
         self,
         settings: Local,
-        ledger: Ledger,
+        ledger: ReplicatedState,
         registry: Registry,
         send_proxy: Sending,
         send_core: Sending,
@@ -127,7 +127,7 @@
             while asked := self.pushes.wanting():
                 try:
                     await self.ledger.freshen(FRESHEN_LIMIT_S)
-                except (NotHeldError, NotDoneError):
+                except (OutcomeUnknownError, NotAppliedError):
                     await asyncio.sleep(FRESHEN_PAUSE_S)
                     continue
                 self._send(self.pushes.complete(asked, self.ledger.items().values()))
@@ -152,7 +152,7 @@
     # What changes.
     def _items(self, items: Sequence[Item]) -> None:
         self._send(self.pushes.items(items))
-        self.routed &= not any(one.kind in (ROUTE, ZONE, FORGOTTEN) for one in items)
+        self.routed &= not any(one.kind in (ROUTE, ZONE, COLLECTED_TOMBSTONES_KIND) for one in items)
 
     def _listed(self, put: Sequence[Life], gone: Sequence[str]) -> None:
         self.list = None
--- a/ambershift/system/interfaces.py
+++ b/ambershift/system/interfaces.py
@@ -13,33 +13,33 @@
 
 
 @dataclass(eq=False)
-class NotHeldError(Exception):
+class OutcomeUnknownError(Exception):
     """Not enough copies answered in time. A write may or may not hold: nothing is promised."""
 
     reason: str
 
 
 @dataclass(eq=False)
-class NotDoneError(Exception):
+class NotAppliedError(Exception):
     """Nothing was done, and it never will be (nothing was sent, or the disk refused before)."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class ChangeOutcome:
     """What a change makes of a register: `value` None leaves it as it is. `result` goes to the caller, once
     it is certain that the value judged was the newest and (where changed) that enough copies hold the new."""
 
-    value: bytes | None
+    new_value: bytes | None
     result: Any
 
 
 # Takes the value (None: never written), since when (ns, steady) this machine knows exactly this value, now.
-Change = Callable[[bytes | None, int, int], Verdict]
+ChangeFunction = Callable[[bytes | None, int, int], ChangeOutcome]
 
 
-class Shape(Protocol):
+class DeltaCodec(Protocol):
     """How a register's values are told in differences, so that a large value need not travel whole."""
 
     def diff(self, old: bytes, new: bytes) -> bytes | None:
@@ -48,16 +48,18 @@
     def patch(self, old: bytes, difference: bytes) -> bytes: ...
 
 
-class Ledger(Protocol):
+class ReplicatedState(Protocol):
     """`consensus/`: items merged one by one, and agreed registers, each synced on enough copies."""
 
     async def put(self, items: Sequence[Item], within: float) -> None:
         """Merge, and return once these or newer are synced on enough copies.
 
-        Raises `NotHeldError`, `NotDoneError`."""
+        Raises `OutcomeUnknownError`, `NotAppliedError`."""
 
     async def freshen(self, within: float) -> None:
-        """Merge what enough copies hold, so that `items()` has all acknowledged. Raises `NotHeldError`."""
+        """Merge what enough copies hold: `items()` then has all acknowledged.
+
+        Raises `OutcomeUnknownError`."""
 
     def items(self) -> Mapping[Key, Item]:
         """All items merged here, tombstones too."""
@@ -65,10 +67,10 @@
     def listen(self, heard: Callable[[Sequence[Item]], None]) -> None:
         """Call `heard` with each batch of items that has just become newer here."""
 
-    async def change(self, register: str, change: Change, within: float) -> Any:
+    async def change(self, register: str, change: ChangeFunction, within: float) -> Any:
         """Run a change on a register, through this machine as proposer. Returns the verdict's result.
 
-        Raises `NotHeldError` (it may hold) or `NotDoneError` (it never will)."""
+        Raises `OutcomeUnknownError` (it may hold) or `NotAppliedError` (it never will)."""
 
     def cores(self) -> Sequence[ControlNodeAddress]:
         """All control nodes known and not known to be gone for good, this one too."""
--- a/ambershift/system/messages/items.py
+++ b/ambershift/system/messages/items.py
@@ -12,7 +12,7 @@
 
 ROUTE, SERVICE, LIMITS, ZONE, INSTANCE = "route", "service", "limits", "zone", "instance"
 CLEARED = "cleared"
-THE_CLEARED: Key = (CLEARED, "instances")
+CLEARED_INSTANCES_KEY: Key = (CLEARED, "instances")
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
@@ -39,10 +39,10 @@
         return self.version, self.body is None, self.body or b""
 
 
-def cleared_by(item: Item) -> list[str]:
+def cleared_instances(item: Item) -> list[str]:
     """The lives that a CLEARED item names, in the order of their clearing."""
     return msgspec.json.decode(item.body or b"[]", type=list[str])
 
 
-def newest(one: Item, other: Item) -> Item:
-    return other if other.rank > one.rank else one
+def newest(first: Item, second: Item) -> Item:
+    return second if second.rank > first.rank else first
--- a/ambershift/system/messages/replication.py
+++ b/ambershift/system/messages/replication.py
@@ -12,7 +12,7 @@
 
 # Counter, and the life of the proposing process: no process uses a ballot that another life has used.
 Ballot = tuple[int, int]
-NEVER: Ballot = (0, 0)
+ZERO_BALLOT: Ballot = (0, 0)
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
@@ -79,48 +79,48 @@
     state: int = 0
 
 
-class Merge(msgspec.Struct, frozen=True, array_like=True, tag="cm"):
-    """Merge these, sync, and answer `Agreed`. `batch`: the last one of `messages/tombstones.py` that the
-    sender knows."""
+class MergeItems(msgspec.Struct, frozen=True, array_like=True, tag="cm"):
+    """Merge these, sync, and answer `Acknowledgement`. `tombstone_batch`: the last one of
+    `messages/tombstones.py` that the sender knows."""
 
     epoch: int
-    number: int
+    request_id: int
     items: tuple[Item, ...]
-    batch: int = 0
+    tombstone_batch: int = 0
 
 
-class Agreed(msgspec.Struct, frozen=True, array_like=True, tag="cy"):
+class Acknowledgement(msgspec.Struct, frozen=True, array_like=True, tag="cy"):
     """Yes to a merge or accept (it is synced), or to a confirm."""
 
     epoch: int
-    number: int
+    request_id: int
 
 
-class Refused(msgspec.Struct, frozen=True, array_like=True, tag="cr"):
+class Rejected(msgspec.Struct, frozen=True, array_like=True, tag="cr"):
     """No: a ballot of this counter was promised."""
 
     epoch: int
-    number: int
-    counter: int
+    request_id: int
+    promised_counter: int
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="cp"):
     """`have` is the accepted ballot whose value the proposer holds: it need not be told."""
 
     epoch: int
-    number: int
-    name: str
+    request_id: int
+    register: str
     ballot: Ballot
-    have: Ballot
+    known_accepted: Ballot
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag="cq"):
     """Nothing below the ballot is accepted any more (synced). `value` is None where it need not be told."""
 
     epoch: int
-    number: int
-    accepted: Ballot
-    origin: Ballot
+    request_id: int
+    accepted_ballot: Ballot
+    origin_ballot: Ballot
     value: bytes | None
 
 
@@ -132,62 +132,62 @@
     """
 
     epoch: int
-    number: int
-    name: str
+    request_id: int
+    register: str
     ballot: Ballot
-    origin: Ballot | None
-    base: Ballot | None
-    body: bytes | None
+    origin_ballot: Ballot | None
+    base_ballot: Ballot | None
+    value_or_delta: bytes | None
 
 
-class Lacking(msgspec.Struct, frozen=True, array_like=True, tag="cl"):
+class MissingBase(msgspec.Struct, frozen=True, array_like=True, tag="cl"):
     """The base isn't held here: tell the whole value."""
 
     epoch: int
-    number: int
+    request_id: int
 
 
-class Confirm(msgspec.Struct, frozen=True, array_like=True, tag="ce"):
+class ConfirmBallot(msgspec.Struct, frozen=True, array_like=True, tag="ce"):
     """Is this still the highest ballot promised?"""
 
     epoch: int
-    number: int
-    name: str
+    request_id: int
+    register: str
     ballot: Ballot
 
 
-class Record(msgspec.Struct, frozen=True, array_like=True):
+class AcceptorState(msgspec.Struct, frozen=True, array_like=True):
     """What an acceptor holds of a register. `origin` is the ballot of the change that made the value."""
 
-    promised: Ballot
-    accepted: Ballot
-    origin: Ballot
+    promised_ballot: Ballot
+    accepted_ballot: Ballot
+    origin_ballot: Ballot
     value: bytes | None
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="cs"):
+class SyncRequest(msgspec.Struct, frozen=True, array_like=True, tag="cs"):
     """Tell what you hold that differs. `items`: a digest of 8 bytes over all, or of 8 for each bucket.
     `registers`: the ballots promised and accepted here; None where registers aren't wanted."""
 
     epoch: int
-    number: int
-    items: bytes
-    registers: dict[str, tuple[Ballot, Ballot]] | None
+    request_id: int
+    item_digests: bytes
+    register_ballots: dict[str, tuple[Ballot, Ballot]] | None
 
 
-class Share(msgspec.Struct, frozen=True, array_like=True, tag="ct"):
+class SyncResponse(msgspec.Struct, frozen=True, array_like=True, tag="ct"):
     """Items of the buckets that differ and all registers promised or accepted higher, in `parts` messages.
 
     Where only a digest over all was told and differs, `unequal` asks for those of the buckets. `whole`: what
-    was held before that epoch is all here. `batch`: as of a `Merge`."""
+    was held before that epoch is all here. `batch`: as of a `MergeItems`."""
 
     epoch: int
-    number: int
-    whole: int
-    birth: int
-    part: int
-    parts: int
-    unequal: bool
+    request_id: int
+    complete_epoch: int
+    disk_id: int
+    part_index: int
+    part_count: int
+    wants_bucket_digests: bool
     items: tuple[Item, ...]
-    registers: tuple[tuple[str, Record], ...]
-    batch: int = 0
+    registers: tuple[tuple[str, AcceptorState], ...]
+    tombstone_batch: int = 0
--- a/ambershift/system/messages/tombstones.py
+++ b/ambershift/system/messages/tombstones.py
@@ -1,4 +1,6 @@
-"""Which of the operator's dropped items all have forgotten: the content of one item, `THE_FORGOTTEN`.
+"""Which of the operator's dropped items all have forgotten: the content of one item.
+
+That item's key is `COLLECTED_TOMBSTONES_KEY`.
 
 A dropped item is kept as a version without content, so that no copy brings it back. The oldest are forgotten
 in numbered batches (`consensus/tombstone_collector.py`). A copy that knows the batch before `drops`
@@ -16,14 +18,14 @@
 
 from ambershift.system.messages.items import AGREED, LIMITS, ROUTE, SERVICE, Item, Key
 
-FORGOTTEN = "forgotten"
-THE_FORGOTTEN: Key = (FORGOTTEN, "configuration")
-CONFIGURATION = frozenset((ROUTE, SERVICE, LIMITS))  # The kinds that an operator sets and drops.
-LISTED = 1024  # Drops that are listed; the last two batches are in any case.
-BATCHES_LEAST = 2
+COLLECTED_TOMBSTONES_KIND = "forgotten"
+COLLECTED_TOMBSTONES_KEY: Key = (COLLECTED_TOMBSTONES_KIND, "configuration")
+CONFIGURATION_KINDS = frozenset((ROUTE, SERVICE, LIMITS))  # The kinds that an operator sets and drops.
+LISTED_TOMBSTONES_MAX = 1024  # Drops that are listed; the last two batches are in any case.
+LISTED_BATCHES_MIN = 2
 
 
-class Drop(msgspec.Struct, frozen=True, array_like=True):
+class CollectedTombstone(msgspec.Struct, frozen=True, array_like=True):
     """An item that was dropped under `version`, and the number of the batch with which it was forgotten."""
 
     kind: str
@@ -36,48 +38,54 @@
         return self.kind, self.name
 
 
-class Forgotten(msgspec.Struct, frozen=True, array_like=True):
+class CollectedTombstones(msgspec.Struct, frozen=True, array_like=True):
     """`batch`: how many batches there were. `floor`: the highest version forgotten. `drops`, oldest first,
     are those of the last batches, each batch whole."""
 
     batch: int = 0
-    floor: int = 0
-    drops: tuple[Drop, ...] = ()
+    highest_version: int = 0
+    tombstones: tuple[CollectedTombstone, ...] = ()
 
     @property
-    def enough(self) -> int:
+    def required_batch(self) -> int:
         """The batch that a copy must know, to learn from `drops` all that it may still have."""
-        return self.drops[0].batch - 1 if self.drops else 0
+        return self.tombstones[0].batch - 1 if self.tombstones else 0
 
     @property
-    def item(self) -> Item:
-        return Item(*THE_FORGOTTEN, (self.batch, AGREED), msgspec.json.encode(self))
+    def as_item(self) -> Item:
+        return Item(*COLLECTED_TOMBSTONES_KEY, (self.batch, AGREED), msgspec.json.encode(self))
 
-    def versions(self) -> Mapping[Key, int]:
+    def versions_by_key(self) -> Mapping[Key, int]:
         """Up to which version each listed item is gone."""
-        found: dict[Key, int] = {}
-        for drop in self.drops:
-            found[drop.key] = max(drop.version, found.get(drop.key, drop.version))
-        return found
+        versions: dict[Key, int] = {}
+        for drop in self.tombstones:
+            versions[drop.key] = max(drop.version, versions.get(drop.key, drop.version))
+        return versions
 
-    def after(self, dropped: Iterable[Item]) -> Forgotten:
+    def with_batch(self, tombstones: Iterable[Item]) -> CollectedTombstones:
         """With one more batch."""
         batch = self.batch + 1
-        fresh = tuple(Drop(one.kind, one.name, one.version[0], batch) for one in dropped)
-        drops = (*self.drops, *fresh)
-        while len(drops) > LISTED and drops[0].batch <= batch - BATCHES_LEAST:
+        collected = tuple(CollectedTombstone(one.kind, one.name, one.version[0], batch) for one in tombstones)
+        drops = (*self.tombstones, *collected)
+        while len(drops) > LISTED_TOMBSTONES_MAX and drops[0].batch <= batch - LISTED_BATCHES_MIN:
             drops = tuple(one for one in drops if one.batch > drops[0].batch)
-        return Forgotten(batch, max(self.floor, *(one.version for one in fresh)), drops)
+        return CollectedTombstones(
+            batch, max(self.highest_version, *(one.version for one in collected)), drops
+        )
 
 
-NOTHING_FORGOTTEN = Forgotten()
+NO_COLLECTED_TOMBSTONES = CollectedTombstones()
 
 
-def forgotten_of(item: Item | None) -> Forgotten:
-    """What the item tells; `NOTHING_FORGOTTEN` where there is none."""
-    return NOTHING_FORGOTTEN if item is None or item.body is None else read_forgotten(item.body)
+def collected_tombstones_of(item: Item | None) -> CollectedTombstones:
+    """What the item tells; `NO_COLLECTED_TOMBSTONES` where there is none."""
+    return (
+        NO_COLLECTED_TOMBSTONES
+        if item is None or item.body is None
+        else decode_collected_tombstones(item.body)
+    )
 
 
 @lru_cache(maxsize=4)
-def read_forgotten(body: bytes) -> Forgotten:
-    return msgspec.json.decode(body, type=Forgotten)
+def decode_collected_tombstones(body: bytes) -> CollectedTombstones:
+    return msgspec.json.decode(body, type=CollectedTombstones)
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -13,11 +13,11 @@
 from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.messages.proxy_link import host_counter_name
 from ambershift.system.messages.tombstones import (
-    CONFIGURATION,
-    FORGOTTEN,
-    NOTHING_FORGOTTEN,
-    Forgotten,
-    forgotten_of,
+    COLLECTED_TOMBSTONES_KIND,
+    CONFIGURATION_KINDS,
+    NO_COLLECTED_TOMBSTONES,
+    CollectedTombstones,
+    collected_tombstones_of,
 )
 from ambershift.system.proxy.limits import Limits, read_limits
 from ambershift.system.state_machine import NS_PER_MS
@@ -102,7 +102,7 @@
         self.complete = False
         self.limits = Limits()
         self._cleared = frozenset[Key]()
-        self._forgotten = NOTHING_FORGOTTEN
+        self._forgotten = NO_COLLECTED_TOMBSTONES
         self._gone: Mapping[Key, int] = {}
         self._outdated = False  # Whether there may be what was dropped and forgotten since.
         self._first = False  # Whether the next items are the first of a link: all that its node has.
@@ -121,8 +121,8 @@
         """Those that were newer than what stood here."""
         first, self._first = self._first, False
         if first:
-            told = next((item for item in items if item.kind == FORGOTTEN), None)
-            self.unusable = forgotten_of(told).batch < self._forgotten.enough
+            told = next((item for item in items if item.kind == COLLECTED_TOMBSTONES_KIND), None)
+            self.unusable = collected_tombstones_of(told).batch < self._forgotten.required_batch
         if self.unusable:
             return []
         fresh = []
@@ -143,11 +143,11 @@
             elif item.kind == kinds.LIMITS:
                 self.limits = read_limits(_read(item))
             elif item.kind == kinds.CLEARED:
-                self._cleared = frozenset((kinds.INSTANCE, id) for id in kinds.cleared_by(item))
+                self._cleared = frozenset((kinds.INSTANCE, id) for id in kinds.cleared_instances(item))
                 for key in self._cleared:
                     self.items.pop(key, None)
-            elif item.kind == FORGOTTEN:
-                self._forget(forgotten_of(item), first)
+            elif item.kind == COLLECTED_TOMBSTONES_KIND:
+                self._forget(collected_tombstones_of(item), first)
         self.routes = len(self._routes)
         return fresh
 
@@ -155,20 +155,20 @@
         """All that stands has been told on this link. What is as old as forgotten drops and wasn't told was
         dropped while this proxy was away."""
         if self._outdated and self._told is not None and not self.unusable:
-            old = [one for one in self.items.values() if one.kind in CONFIGURATION]
+            old = [one for one in self.items.values() if one.kind in CONFIGURATION_KINDS]
             for item in old:
-                if item.version[0] <= self._forgotten.floor and item.key not in self._told:
+                if item.version[0] <= self._forgotten.highest_version and item.key not in self._told:
                     self._drop(item.key)
             self.routes = len(self._routes)
             self._outdated = False
         self._told = None
         self.complete = self.complete or not self.unusable
 
-    def _forget(self, by: Forgotten, first: bool) -> None:
-        if self._forgotten.batch < by.enough:
+    def _forget(self, by: CollectedTombstones, first: bool) -> None:
+        if self._forgotten.batch < by.required_batch:
             self._outdated = True
             self.unusable = not first  # The node itself was outdated until now: what it told before is void.
-        self._forgotten, self._gone = by, by.versions()
+        self._forgotten, self._gone = by, by.versions_by_key()
         for key, version in self._gone.items():
             if (held := self.items.get(key)) is not None and held.version[0] <= version:
                 self._drop(key)
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -128,7 +128,7 @@
             elif item.kind == items.INSTANCE and item.version[0] >= 1:
                 self.backend_view.is_over(item.name)
             elif item.kind == items.CLEARED:
-                self.backend_view.forget(items.cleared_by(item))
+                self.backend_view.forget(items.cleared_instances(item))
             elif item.kind == items.SERVICE:
                 self._share_room(self.backend_view.serving(item.name))
         if message.complete:
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Ledger
-from ambershift.system.messages.items import CLEARED, INSTANCE, Item, cleared_by
+from ambershift.system.interfaces import ReplicatedState
+from ambershift.system.messages.items import CLEARED, INSTANCE, Item, cleared_instances
 from ambershift.system.messages.proxy_link import Backend, Hello
 from ambershift.system.messages.registry_sync import Ask, Delta, Flow, Pulse
 from ambershift.system.registry.endpoint_list import DRAINING, GONE
@@ -63,7 +63,7 @@
     def __init__(
         self,
         settings: Local,
-        ledger: Ledger,
+        ledger: ReplicatedState,
         send: Sending,
         steady: Callable[[], int],
         seed: int,
@@ -240,7 +240,7 @@
             self._step(Ended(ended))
         for one in items:
             if one.kind == CLEARED:
-                self._step(Cleared(tuple(cleared_by(one))))
+                self._step(Cleared(tuple(cleared_instances(one))))
 
     def _target(self, id: str, zone: str) -> str:
         """The nearest control node's address for later beats; empty if none is nearer than this one."""
--- a/ambershift/system/registry/tombstones.py
+++ b/ambershift/system/registry/tombstones.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from ambershift.system.interfaces import Ledger, NotDoneError, NotHeldError
-from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by
+from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
+from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances
 from ambershift.system.registry.tombstone_expiry import REFUSED
 
 PUT_LIMIT_S = 0.8  # A backend waits a second for its acknowledgement.
@@ -21,7 +21,7 @@
 class Ends:
     """`ip` is this control node's."""
 
-    def __init__(self, ledger: Ledger, ip: str) -> None:
+    def __init__(self, ledger: ReplicatedState, ip: str) -> None:
         self._ledger, self._ip = ledger, ip
         self._held = dict[str, int]()
         self._holding = dict[tuple[str, int], asyncio.Task[None]]()
@@ -39,7 +39,7 @@
                 task.add_done_callback(lambda done: self._put(key, done))
             try:
                 await asyncio.shield(self._holding[key])
-            except (NotHeldError, NotDoneError) as why:
+            except (OutcomeUnknownError, NotAppliedError) as why:
                 return 503, {"Error": why.reason}
         return 200, {}
 
@@ -55,8 +55,10 @@
         what the one has told last is held, and the rest comes again."""
         if not ids:
             return
-        last = self._ledger.items().get(THE_CLEARED)
-        told = [*(cleared_by(last) if last else ()), *ids][-REFUSED:]
-        item = Item(*THE_CLEARED, (last.version[0] + 1 if last else 1, self._ip), msgspec.json.encode(told))
+        last = self._ledger.items().get(CLEARED_INSTANCES_KEY)
+        told = [*(cleared_instances(last) if last else ()), *ids][-REFUSED:]
+        item = Item(
+            *CLEARED_INSTANCES_KEY, (last.version[0] + 1 if last else 1, self._ip), msgspec.json.encode(told)
+        )
         self._clearing = asyncio.ensure_future(self._ledger.put([item], PUT_LIMIT_S))
         self._clearing.add_done_callback(lambda done: done.cancelled() or done.exception())
--- a/ambershift/system/simulation/configuration_mistakes.py
+++ b/ambershift/system/simulation/configuration_mistakes.py
@@ -10,7 +10,7 @@
 from ambershift.system.configuration.errors import InvalidError
 from ambershift.system.control_api.configuration_calls import PATIENCE, UNCLEAR, ConfigurationCalls
 from ambershift.system.coordination.replies import Reply, reply
-from ambershift.system.interfaces import NotDoneError, NotHeldError
+from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError
 
 ALL_READ = 1 << 60
 
@@ -28,7 +28,7 @@
             if isinstance(outcome, agreement.Accepted):
                 await self._stored(outcome, until)
                 return reply(200)
-        except (NotHeldError, NotDoneError):
+        except (OutcomeUnknownError, NotAppliedError):
             return UNCLEAR
         except InvalidError as why:
             return self._invalid(why.faults)
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -11,9 +11,9 @@
 from ambershift.system.control_api import application, coordination_calls, evacuations, watches
 from ambershift.system.coordination import groups, locks
 from ambershift.system.coordination.replies import Call, reply
-from ambershift.system.interfaces import Verdict
+from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
-from ambershift.system.messages.replication import NEVER
+from ambershift.system.messages.replication import ZERO_BALLOT
 from ambershift.system.simulation.cluster import Place
 from ambershift.system.state_machine import NS_PER_MS
 
@@ -24,7 +24,7 @@
 def known_since_the_first(real: Any) -> Any:
     def since(self: acceptor.Acceptor, name: str, origin: Any) -> int:
         known = self._since.get(name)
-        if known is None or origin == NEVER:
+        if known is None or origin == ZERO_BALLOT:
             known = self._since[name] = origin, self._out.now
         return known[1]
 
@@ -35,13 +35,13 @@
     def initiate(holder: str, hold: int, call: str) -> Any:
         judged = real(holder, hold, call)
 
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
-            verdict: Verdict = judged(value, since, now)
+        def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
+            verdict: ChangeOutcome = judged(value, since, now)
             before = 1 if value is None else max(1, _lock(value).fence)
-            if verdict.value is None:
+            if verdict.new_value is None:
                 return verdict
-            after = msgspec.structs.replace(_lock(verdict.value), fence=before)
-            return Verdict(_encode(after), reply(200, fence=before))
+            after = msgspec.structs.replace(_lock(verdict.new_value), fence=before)
+            return ChangeOutcome(_encode(after), reply(200, fence=before))
 
         return change
 
@@ -52,11 +52,13 @@
     def terminate(holder: str, fence: int) -> Any:
         judged = real(holder, fence)
 
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
-            verdict: Verdict = judged(value, since, now)
-            if verdict.value is None:
+        def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
+            verdict: ChangeOutcome = judged(value, since, now)
+            if verdict.new_value is None:
                 return verdict
-            return Verdict(_encode(msgspec.structs.replace(_lock(verdict.value), fence=0)), verdict.result)
+            return ChangeOutcome(
+                _encode(msgspec.structs.replace(_lock(verdict.new_value), fence=0)), verdict.result
+            )
 
         return change
 
@@ -72,9 +74,9 @@
 
 def kept_is_given_back(real: Any) -> Any:
     def terminate(holder: str, fence: int) -> Any:
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
+        def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
             plain = value and _encode(msgspec.structs.replace(_lock(value), kept=False))
-            verdict: Verdict = real(holder, fence)(plain, since, now)
+            verdict: ChangeOutcome = real(holder, fence)(plain, since, now)
             return verdict
 
         return change
@@ -140,8 +142,8 @@
 
 def told_before_held(real: Any) -> Any:
     async def propose(self: coordination_calls.Applications, call: Any, until: int) -> Any:
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
-            verdict: Verdict = call.change(value, since, now)
+        def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
+            verdict: ChangeOutcome = call.change(value, since, now)
             if verdict.result.group is not None:
                 self._news.learn(call.register.removeprefix("g/"), verdict.result.group)
             return verdict
--- a/ambershift/system/simulation/forgetting_soon.py
+++ b/ambershift/system/simulation/forgetting_soon.py
@@ -18,6 +18,6 @@
         patch.object(tombstone_collector, "KEPT", 0),
         patch.object(tombstone_collector, "BATCH", 1),
         patch.object(tombstone_collector, "EVERY", 300 * NS_PER_MS),
-        patch.object(tombstones, "LISTED", 2),
+        patch.object(tombstones, "LISTED_TOMBSTONES_MAX", 2),
     ):
         yield
--- a/ambershift/system/simulation/lists.py
+++ b/ambershift/system/simulation/lists.py
@@ -8,7 +8,7 @@
 
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.events import ChangeRegister, Freshen, Put
-from ambershift.system.interfaces import NotDoneError, Verdict
+from ambershift.system.interfaces import ChangeOutcome, NotAppliedError
 from ambershift.system.messages.items import Item
 from ambershift.system.simulation.world import World
 from ambershift.system.state_machine import NS_PER_SECOND
@@ -71,14 +71,14 @@
         op = self._op(kind)
         op.register = register or op.register
 
-        def change(value: bytes | None, since: int, now: int) -> Verdict:
+        def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
             ids = split(value)
             op.judged = ids, since
             if kind == "touch":
-                return Verdict(value, ids)
+                return ChangeOutcome(value, ids)
             if kind == "read" or op.id in ids:  # Its own earlier write.
-                return Verdict(None, ids)
-            return Verdict((value or b"") + op.id, [*ids, op.id])
+                return ChangeOutcome(None, ids)
+            return ChangeOutcome((value or b"") + op.id, [*ids, op.id])
 
         self.call(ip, lambda call: ChangeRegister(call, op.register, change, within), self._end(op))
         return op
@@ -153,7 +153,7 @@
         broken += [
             f"{op.id!r} came in though refused"
             for op in ops
-            if isinstance(op.told, NotDoneError) and op.id in order
+            if isinstance(op.told, NotAppliedError) and op.id in order
         ]
         broken += [
             "an append was told a list without it"
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -19,7 +19,7 @@
     write_queue,
 )
 from ambershift.system.messages.items import Item
-from ambershift.system.messages.replication import NEVER, Accept, Ask, Record
+from ambershift.system.messages.replication import ZERO_BALLOT, Accept, AcceptorState, SyncRequest
 
 
 def at_once(real: Any) -> Any:
@@ -59,7 +59,7 @@
 
 
 def shared_at_once(real: Any) -> Any:
-    def asked(self: anti_entropy.Syncing, sender: str, ask: Ask) -> None:
+    def asked(self: anti_entropy.Syncing, sender: str, ask: SyncRequest) -> None:
         kept, self._journal = self._journal, _AtOnce()  # type: ignore[assignment]
         try:
             real(self, sender, ask)
@@ -71,9 +71,11 @@
 
 def accepted_below_promise(real: Any) -> Any:
     def accept(self: acceptor.Acceptor, sender: str, asked: Accept) -> None:
-        held = self.record(asked.name)
-        if asked.ballot < held.promised and held.accepted != asked.ballot:
-            self.records[asked.name] = Record(asked.ballot, held.accepted, held.origin, held.value)
+        held = self.record(asked.register)
+        if asked.ballot < held.promised_ballot and held.accepted_ballot != asked.ballot:
+            self.records[asked.register] = AcceptorState(
+                asked.ballot, held.accepted_ballot, held.origin_ballot, held.value
+            )
         real(self, sender, asked)
 
     return accept
@@ -91,16 +93,16 @@
 
 def promises_not_handed_on(real: Any) -> Any:
     def newer(self: acceptor.Acceptor, told: Any) -> Any:
-        return [(name, record) for name, record in real(self, told) if record.accepted != NEVER]
+        return [(name, record) for name, record in real(self, told) if record.accepted_ballot != ZERO_BALLOT]
 
     return newer
 
 
 def patched_on_any_base(real: Any) -> Any:
     def accept(self: acceptor.Acceptor, sender: str, asked: Accept) -> None:
-        held = self.record(asked.name)
-        if asked.base is not None and held.value is not None:
-            asked = msgspec.structs.replace(asked, base=held.accepted)
+        held = self.record(asked.register)
+        if asked.base_ballot is not None and held.value is not None:
+            asked = msgspec.structs.replace(asked, base_ballot=held.accepted_ballot)
         real(self, sender, asked)
 
     return accept
@@ -132,7 +134,7 @@
 
 def counted_twice(real: Any) -> Any:
     def agreed(self: quorum_write.Writing, sender: str, message: Any) -> None:
-        one = self._puts.get(message.number)
+        one = self._puts.get(message.request_id)
         if one is not None and sender in one.yes:
             one.yes.add(f"{sender} again")
         real(self, sender, message)
--- a/ambershift/system/simulation/readers.py
+++ b/ambershift/system/simulation/readers.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from ambershift.system.interfaces import NotHeldError
+from ambershift.system.interfaces import OutcomeUnknownError
 from ambershift.system.messages.items import ZONE, Item, Key
-from ambershift.system.messages.tombstones import CONFIGURATION
+from ambershift.system.messages.tombstones import CONFIGURATION_KINDS
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.cluster import ZONES, Process
 from ambershift.system.simulation.operator_history import OperatorHistory, Sight
@@ -33,7 +33,7 @@
         async def merge(process: Process) -> None:
             try:
                 await process.store.freshen(1.0)
-            except NotHeldError:
+            except OutcomeUnknownError:
                 return
             items = dict(process.store.items())
 
@@ -55,7 +55,7 @@
         standing = {
             key: (item.version[0], msgspec.json.decode(item.body))
             for key, item in items.items()
-            if key[0] in CONFIGURATION and item.body is not None
+            if key[0] in CONFIGURATION_KINDS and item.body is not None
         }
         zones = {
             zone: (item := items.get((ZONE, zone))) is not None and item.body == b"true" for zone in ZONES
--- a/ambershift/system/simulation/scripts_cluster.py
+++ b/ambershift/system/simulation/scripts_cluster.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from ambershift.system.messages.replication import Merge, Share
+from ambershift.system.messages.replication import MergeItems, SyncResponse
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.cluster import Cluster
 from ambershift.system.simulation.judging import Judge
@@ -75,7 +75,9 @@
     operator, reader = Operator(streets, history), Reader(streets, history)
     first, behind, _ = sorted(cluster.boxes)
     streets.addresses = lambda: [first]  # type: ignore[method-assign]
-    cluster.late = lambda sender, to, message: to == behind and isinstance(message, (Merge, Share))
+    cluster.late = lambda sender, to, message: (
+        to == behind and isinstance(message, (MergeItems, SyncResponse))
+    )
     for _ in range(2):
         _until_done(cluster, streets, operator.evacuate("z1"))
     cluster.caught.clear()
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -7,8 +7,8 @@
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.coordination import locks
-from ambershift.system.interfaces import NotDoneError, NotHeldError
-from ambershift.system.messages.replication import Accept, Share
+from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError
+from ambershift.system.messages.replication import Accept, SyncResponse
 from ambershift.system.simulation.lists import Lists
 from ambershift.system.simulation.world import World
 
@@ -47,7 +47,7 @@
     world.change("append", first, name)
     world.run(0.5)
     world.wipe(fresh)
-    world.late = lambda sender, to, message: isinstance(message, Share) and to == fresh
+    world.late = lambda sender, to, message: isinstance(message, SyncResponse) and to == fresh
     world.start(fresh)
     world.run(0.7)
     boxes = world.boxes
@@ -56,14 +56,14 @@
     world.change("append", first, name)
     world.run(0.4)
     world.late = lambda sender, to, message: (
-        (isinstance(message, Share) and to == fresh) or (isinstance(message, Accept))
+        (isinstance(message, SyncResponse) and to == fresh) or (isinstance(message, Accept))
     )
     alone = world.change("append", first, name)
     world.run(0.01)
-    world.caught = [caught for caught in world.caught if not isinstance(caught[2], Share)]
+    world.caught = [caught for caught in world.caught if not isinstance(caught[2], SyncResponse)]
     world.run(0.5)
-    assert one._acceptor.record(name).promised[0] > 0 and alone.told is None
-    world.let_go(lambda sender, to, message: isinstance(message, Share) and sender == other)
+    assert one._acceptor.record(name).promised_ballot[0] > 0 and alone.told is None
+    world.let_go(lambda sender, to, message: isinstance(message, SyncResponse) and sender == other)
     world.run(0.05)
     assert learner.voters.voting
     kept, world.caught = world.caught, []
@@ -72,7 +72,7 @@
     while not any(isinstance(message, Accept) and sender == other for sender, _, message in world.caught):
         world.run(0.001)
     higher, world.caught = world.caught, kept
-    world.let_go(lambda sender, to, message: isinstance(message, Share) and sender == first)
+    world.let_go(lambda sender, to, message: isinstance(message, SyncResponse) and sender == first)
     world.let_go(lambda sender, to, message: isinstance(message, Accept) and to == fresh and sender == first)
     world.run(0.1)
     world.caught = higher
@@ -97,7 +97,7 @@
         told: list[Any] = []
         world.call(ip, lambda call: ChangeRegister(call, "k/l", change, 1.5), told.append)
         world.run(1)
-        if not told or isinstance(told[0], (NotHeldError, NotDoneError)):
+        if not told or isinstance(told[0], (OutcomeUnknownError, NotAppliedError)):
             return None
         return told[0].result
 
--- a/ambershift/system/simulation/scripts_voters.py
+++ b/ambershift/system/simulation/scripts_voters.py
@@ -36,11 +36,11 @@
     asked = [
         ip
         for ip, box in world.boxes.items()
-        if box.replica and box.replica._acceptor.record(name).promised[0] > high
+        if box.replica and box.replica._acceptor.record(name).promised_ballot[0] > high
     ]
     writer = next(ip for ip in sorted(world.boxes) if ip not in asked)
     world.run(0.5)
-    assert len(asked) == 3 and replica._acceptor.record(name).accepted[0] > high
+    assert len(asked) == 3 and replica._acceptor.record(name).accepted_ballot[0] > high
     world.cut |= {(ip, alone) for ip in world.boxes}
     # One by one the others that promised lose their disks, and are taken in again.
     for ip in asked:
@@ -111,7 +111,7 @@
     world.change("append", mine, "list/0")
     third = world.boxes[other].replica
     assert third is not None
-    while third._acceptor.record("list/0").promised[0] == 0 and world.now < 4 * NS_PER_SECOND:
+    while third._acceptor.record("list/0").promised_ballot[0] == 0 and world.now < 4 * NS_PER_SECOND:
         world.run(0.001)
     world.cut.add((mine, other))  # The write reaches one machine alone.
     world.run(1)
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -17,7 +17,7 @@
 from ambershift.system.control_api import (
     forwarding,
 )
-from ambershift.system.interfaces import NotDoneError
+from ambershift.system.interfaces import NotAppliedError
 from ambershift.system.simulation import mistakes
 from ambershift.system.simulation.variant import constant, of
 
@@ -171,8 +171,8 @@
         "REFUSED",
         "a change that may hold is told as never done",
         proposer,
-        "NotHeldError",
-        constant(NotDoneError),
+        "OutcomeUnknownError",
+        constant(NotAppliedError),
     ),
     of(
         "silence-is-refusal",
--- a/ambershift/system/simulation/variants_forgetting.py
+++ b/ambershift/system/simulation/variants_forgetting.py
@@ -27,7 +27,7 @@
 
 
 def never_replaced(real: Any) -> Any:
-    def forget(self: item_store.Store, by: tombstones.Forgotten) -> None:
+    def forget(self: item_store.Store, by: tombstones.CollectedTombstones) -> None:
         self.forgotten = by  # As if it had known the batch before.
         real(self, by)
 
@@ -44,7 +44,7 @@
 
 def without_the_batch_before(real: Any) -> Any:
     def put(self: quorum_write.Writing, items: Any, deadline: int, done: Any, on_all: bool = False) -> None:
-        some = [one for one in items if not on_all or one.key != tombstones.THE_FORGOTTEN]
+        some = [one for one in items if not on_all or one.key != tombstones.COLLECTED_TOMBSTONES_KEY]
         real(self, some, deadline, done, on_all)
 
     return put
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -17,7 +17,7 @@
 
 from ambershift.system.consensus.effect_buffer import News
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.interfaces import Shape
+from ambershift.system.interfaces import DeltaCodec
 from ambershift.system.messages import codec
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import (
@@ -125,7 +125,7 @@
         """A process starts on this machine with what its disk holds."""
         box.replica = Replica(self.settings(box), self.chance.getrandbits(62), self.shape, rows, self.now)
 
-    def shape(self, register: str) -> Shape | None:
+    def shape(self, register: str) -> DeltaCodec | None:
         return None
 
     def kill(self, ip: str) -> None:
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -13,7 +13,7 @@
 from ambershift.system.consensus.effect_buffer import News
 from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.interfaces import Verdict
+from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages import codec, replication
 from ambershift.system.messages.items import ROUTE
 from ambershift.system.processes import control_node
@@ -99,8 +99,8 @@
     for told, length in (("100", 100), ("1,000", 1_000), ("10,000", 10_000)):
         register = f"l/{told}"
 
-        def change(value: bytes | None, since: int, now: int, length: int = length) -> Verdict:
-            return Verdict(bytes(length), None)
+        def change(value: bytes | None, since: int, now: int, length: int = length) -> ChangeOutcome:
+            return ChangeOutcome(bytes(length), None)
 
         exchange.called(ChangeRegister(7, register, change, 2.0))
         exchange.bytes.clear()
@@ -117,13 +117,13 @@
 
 def play(size: Size) -> Found:
     found: Found = {}
-    call = elsewhere(lambda: [codec.encode(replication.Merge(1, 1, world.items(size)))])
+    call = elsewhere(lambda: [codec.encode(replication.MergeItems(1, 1, world.items(size)))])
     exchange = Exchange(size)
     before = megabytes()
 
     def all_items(_: int) -> None:
         merge = codec.decode(call.pop())
-        assert isinstance(merge, replication.Merge)
+        assert isinstance(merge, replication.MergeItems)
         exchange.called(Put(1, merge.items, 20.0))
 
     found["put of all items, all six|ms"] = micros(all_items, 1) / 1e3
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -52,11 +52,11 @@
     )
     value = b"v" * 300
     return {
-        "cm Merge, one route": replication.Merge(EPOCH, NUMBER, (item,)),
-        "cm Merge, an ending": replication.Merge(EPOCH, NUMBER, (ending,)),
-        "cm Merge, all items": replication.Merge(EPOCH, NUMBER, world.items(size)),
-        "cy Agreed": replication.Agreed(EPOCH, NUMBER),
-        "cr Refused": replication.Refused(EPOCH, NUMBER, 1_700),
+        "cm Merge, one route": replication.MergeItems(EPOCH, NUMBER, (item,)),
+        "cm Merge, an ending": replication.MergeItems(EPOCH, NUMBER, (ending,)),
+        "cm Merge, all items": replication.MergeItems(EPOCH, NUMBER, world.items(size)),
+        "cy Agreed": replication.Acknowledgement(EPOCH, NUMBER),
+        "cr Refused": replication.Rejected(EPOCH, NUMBER, 1_700),
         "cb Beat": replication.Beat(EPOCH, 2**63 + 5, 2**31 + 5, ()),
         "ck Knock": replication.Knock(machines[0], EPOCH, 2**31 + 5),
         "cn Known": replication.Known(machines),
@@ -67,14 +67,14 @@
         "ca Accept, difference 40": replication.Accept(
             EPOCH, NUMBER, "l/lock-0007", BALLOT, None, BALLOT, value[:40]
         ),
-        "cl Lacking": replication.Lacking(EPOCH, NUMBER),
-        "ce Confirm": replication.Confirm(EPOCH, NUMBER, "l/lock-0007", BALLOT),
-        "cs Ask, short": replication.Ask(EPOCH, NUMBER, b"8" * 8, None),
-        "cs Ask, buckets": replication.Ask(EPOCH, NUMBER, b"8" * 512, None),
-        "cs Ask, 300 registers": replication.Ask(
+        "cl Lacking": replication.MissingBase(EPOCH, NUMBER),
+        "ce Confirm": replication.ConfirmBallot(EPOCH, NUMBER, "l/lock-0007", BALLOT),
+        "cs Ask, short": replication.SyncRequest(EPOCH, NUMBER, b"8" * 8, None),
+        "cs Ask, buckets": replication.SyncRequest(EPOCH, NUMBER, b"8" * 512, None),
+        "cs Ask, 300 registers": replication.SyncRequest(
             EPOCH, NUMBER, b"8" * 8, {f"l/lock-{at:04}": (BALLOT, BALLOT) for at in range(300)}
         ),
-        "ct Share, equal": replication.Share(EPOCH, NUMBER, 3, 1_234_567_890, 0, 1, False, (), ()),
+        "ct Share, equal": replication.SyncResponse(EPOCH, NUMBER, 3, 1_234_567_890, 0, 1, False, (), ()),
         "rp Pulse": registry_sync.Pulse(NUMBER, 400_000),
         "ra Ask": registry_sync.Ask(400_000),
         "rd Delta, one life": registry_sync.Delta(NUMBER, 7, 8, lives[:1], (), (), (), size.proxies),
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.configuration.change_request import read_order
-from ambershift.system.interfaces import Change
+from ambershift.system.interfaces import ChangeFunction
 from ambershift.system.messages import proxy_link, registry_sync
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.settings.local import Bounds, Local
@@ -213,7 +213,7 @@
     def listen(self, heard: Callable[[Sequence[Item]], None]) -> None:
         self.hearers.append(heard)
 
-    async def change(self, register: str, change: Change, within: float) -> Any:
+    async def change(self, register: str, change: ChangeFunction, within: float) -> Any:
         raise NotImplementedError
 
     def cores(self) -> Sequence[proxy_link.ControlNodeAddress]:
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -19,7 +19,7 @@
 from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.messages.items import AGREED, ROUTE, Item
-from ambershift.system.messages.replication import Share
+from ambershift.system.messages.replication import SyncResponse
 from ambershift.system.simulation.world import World
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -72,7 +72,7 @@
 
 def fetched(world: World, kill: bool) -> Figures:
     """From now until all copies are equal."""
-    sizes = world.sent.setdefault(Share.__name__, [])
+    sizes = world.sent.setdefault(SyncResponse.__name__, [])
     before, began, worked = len(sizes), world.now, time.process_time()
     killed = not kill
     while not equal(world) and world.now - began < BOUND_S * NS_PER_SECOND:
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.control_api.proposer_selection import rank
-from ambershift.system.interfaces import Change, NotDoneError, NotHeldError
+from ambershift.system.interfaces import ChangeFunction, NotAppliedError, OutcomeUnknownError
 from ambershift.system.messages.codec import decode, encode
 from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.messages.proxy_link import ControlNodeAddress
@@ -173,47 +173,47 @@
         self.rounds = 0
         self.since: dict[str, tuple[bytes | None, int]] = {}
 
-    async def change(self, register: str, change: Change, within: float) -> Any:
+    async def change(self, register: str, change: ChangeFunction, within: float) -> Any:
         assert within > 0
         self.rounds += 1
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "refused":
-            raise NotDoneError("refused")
+            raise NotAppliedError("refused")
         lost = fault in ("hangs", "lost") or self.ip in self.world.lost
         await asyncio.sleep(TRIP if fault == "lost" or not lost else within)
         if lost:
-            raise NotHeldError("lost")
+            raise OutcomeUnknownError("lost")
         for _ in range(2 if fault == "again" else 1):
             value = self.world.registers.get(register)
             now = self.world.steady()
             if register not in self.since or self.since[register][0] != value:
                 self.since[register] = value, now
             verdict = change(value, self.since[register][1], now)
-            if verdict.value is not None:
-                assert verdict.value != value
-                self.world.registers[register] = verdict.value
-                self.since[register] = verdict.value, now
+            if verdict.new_value is not None:
+                assert verdict.new_value != value
+                self.world.registers[register] = verdict.new_value
+                self.since[register] = verdict.new_value, now
         await asyncio.sleep(TRIP)
         if fault == "unclear":
-            raise NotHeldError("unclear")
+            raise OutcomeUnknownError("unclear")
         return verdict.result
 
     async def put(self, items: Sequence[Item], within: float) -> None:
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "refused":
-            raise NotDoneError("refused")
+            raise NotAppliedError("refused")
         for item in items if fault != "lost" else ():
             for held in (self.held, self.world.items):
                 held[item.key] = newest(item, held.get(item.key, item))
         await asyncio.sleep(TRIP)
         if fault:
-            raise NotHeldError(fault)
+            raise OutcomeUnknownError(fault)
 
     async def freshen(self, within: float) -> None:
         await asyncio.sleep(2 * TRIP)
         fault = self.faults.pop(0) if self.faults else ""
         if fault:
-            raise NotHeldError(fault)
+            raise OutcomeUnknownError(fault)
         self.held = dict(self.world.items)
 
     def items(self) -> dict[Key, Item]:
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.interfaces import NotHeldError
+from ambershift.system.interfaces import OutcomeUnknownError
 from ambershift.system.messages import codec, proxy_link
-from ambershift.system.messages.items import INSTANCE, THE_CLEARED, Item, cleared_by, newest
+from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances, newest
 from ambershift.system.registry.registry import Registry
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
@@ -37,8 +37,8 @@
             one for one in items if (old := self.held.get(one.key)) is None or newest(old, one) is not old
         ]
         self.held |= {one.key: one for one in newer}
-        cleared = self.held.get(THE_CLEARED)
-        for id in cleared_by(cleared) if cleared else ():
+        cleared = self.held.get(CLEARED_INSTANCES_KEY)
+        for id in cleared_instances(cleared) if cleared else ():
             self.held.pop((INSTANCE, id), None)
         for heard in self.hearers if newer else ():
             heard(newer)
@@ -46,7 +46,7 @@
     async def put(self, items: Sequence[Item], within: float) -> None:
         await self.gate.wait()
         if not self.holds:
-            raise NotHeldError("too few")
+            raise OutcomeUnknownError("too few")
         self.puts += items
         for ip in self.world.nodes:
             if ip == self.ip or (ip, self.ip) not in self.world.cut:
@@ -56,7 +56,7 @@
         await self.gate.wait()
         self.freshened += 1
         if not self.holds:
-            raise NotHeldError("too few")
+            raise OutcomeUnknownError("too few")
 
     def items(self) -> dict[Any, Item]:
         return self.held
--- a/tests/test_system_agreement.py
+++ b/tests/test_system_agreement.py
@@ -77,7 +77,7 @@
     assert change(None, 0, 0).result == Behind(0)  # What stores held before the first agreement counts, too.
     assert change(value, 0, 0).result == Behind(3)
     progress.has_read(2)
-    assert change(value, 0, 0).result == Behind(3) and change(value, 0, 0).value is None
+    assert change(value, 0, 0).result == Behind(3) and change(value, 0, 0).new_value is None
     assert not change.tried
     progress.has_read(3)
     assert isinstance(change(value, 0, 0).result, Accepted)
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -14,7 +14,7 @@
 from ambershift.system.consensus.item_store import row_key
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
-from ambershift.system.messages.items import CLEARED, INSTANCE, THE_CLEARED, Item
+from ambershift.system.messages.items import CLEARED, CLEARED_INSTANCES_KEY, INSTANCE, Item
 from ambershift.system.messages.proxy_link import BackendUpdate
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.registry import endpoint_list, machine, tombstone_expiry
@@ -199,7 +199,7 @@
     put(ended("old"))  # Acknowledged, and nothing is held of it.
     world.cut.clear()
     world.run(4)
-    assert [set(one.store.items) for one in replicas()] == [{THE_CLEARED, (INSTANCE, "new")}] * 5
+    assert [set(one.store.items) for one in replicas()] == [{CLEARED_INSTANCES_KEY, (INSTANCE, "new")}] * 5
     assert len({one.store.buckets.total for one in replicas()}) == 1
     # A later list need not name them any more: whoever still has them gives them back, which does no harm.
     world.kill(away)
@@ -207,9 +207,9 @@
     world.run(0.5)
     world.start(away)
     world.run(4)
-    assert [set(one.store.items) for one in replicas()] == [{THE_CLEARED}] * 5
+    assert [set(one.store.items) for one in replicas()] == [{CLEARED_INSTANCES_KEY}] * 5
     world.run(1)
-    assert [list(box.disk["items"]) for box in world.boxes.values()] == [[row_key(THE_CLEARED)]] * 5
+    assert [list(box.disk["items"]) for box in world.boxes.values()] == [[row_key(CLEARED_INSTANCES_KEY)]] * 5
 
 
 def test_proxies_and_their_controllers_forget_the_same() -> None:
--- a/tests/test_system_consensus.py
+++ b/tests/test_system_consensus.py
@@ -101,11 +101,11 @@
     short = max(world.sent["Accept"][-3:])
     held = {ip: box.replica._acceptor.record("list/0") for ip, box in world.boxes.items() if box.replica}
     behind = next(ip for ip, record in held.items() if len(record.value or b"") < 30 * 8)
-    lacking = len(world.sent.get("Lacking", ()))
+    lacking = len(world.sent.get("MissingBase", ()))
     op = world.change("append", behind, "list/0")
     world.run(0.5)
     assert isinstance(op.told, Held) and op.ended is not None and op.ended - op.begun < 120 * NS_PER_MS
-    assert lacking == len(world.sent.get("Lacking", ()))
+    assert lacking == len(world.sent.get("MissingBase", ()))
     assert max(world.sent["Accept"][-4:]) > 30 * 8
     world.change("append", behind, "list/0")
     world.run(0.2)
--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -19,7 +19,7 @@
 from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.consensus.write_queue import Journal
-from ambershift.system.interfaces import Verdict
+from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_SECOND, Write
@@ -144,9 +144,9 @@
 
 
 def test_a_shelf_keeps_what_it_acknowledged(tmp_path: Path) -> None:
-    def add(value: bytes | None, since: int, now: int) -> Verdict:
+    def add(value: bytes | None, since: int, now: int) -> ChangeOutcome:
         count = int(value or b"0") + 1
-        return Verdict(str(count).encode(), count)
+        return ChangeOutcome(str(count).encode(), count)
 
     async def life(initial: bool, work: Callable[[ReplicatedStore], Any]) -> Any:
         shelf = ReplicatedStore(
--- a/tests/test_system_contact_proof.py
+++ b/tests/test_system_contact_proof.py
@@ -16,7 +16,7 @@
 )
 from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.messages.replication import COMPLETE, Ask, Beat, Share
+from ambershift.system.messages.replication import COMPLETE, Beat, SyncRequest, SyncResponse
 from ambershift.system.simulation.world import World
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND, MessageReceived, Send, Tick
 
@@ -113,13 +113,15 @@
     world, replica = settled()
     begun = world.now + READ_AFTER + 200 * NS_PER_MS
     asked = [
-        one for one in replica.step(begun, Tick()) if isinstance(one, Send) and isinstance(one.message, Ask)
+        one
+        for one in replica.step(begun, Tick())
+        if isinstance(one, Send) and isinstance(one.message, SyncRequest)
     ]
     assert {one.recipient for one in asked} == {"10.0.0.2", "10.0.0.3"}
     before = replica.contact.proved()
-    number = next(one.message.number for one in asked if one.recipient == "10.0.0.3")  # type: ignore[union-attr]
+    number = next(one.message.request_id for one in asked if one.recipient == "10.0.0.3")  # type: ignore[union-attr]
     epoch = replica.voters.epoch
-    share = Share(epoch, number, epoch, 0, 0, 1, False, (), ())
+    share = SyncResponse(epoch, number, epoch, 0, 0, 1, False, (), ())
     replica.step(begun + 90 * NS_PER_MS, MessageReceived("10.0.0.2", share))  # Another one's answer.
     assert replica.contact.proved() == before
     replica.step(begun + 100 * NS_PER_MS, MessageReceived("10.0.0.3", share))
--- a/tests/test_system_coordination.py
+++ b/tests/test_system_coordination.py
@@ -14,7 +14,7 @@
 from ambershift.system.coordination.groups import EVENTS_LEAST, group_of, read_group
 from ambershift.system.coordination.revision_ages import Ages
 from ambershift.system.coordination.value_deltas import SHAPE
-from ambershift.system.interfaces import Change
+from ambershift.system.interfaces import ChangeFunction
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 MACHINES = st.sampled_from((0, 1))
@@ -30,7 +30,7 @@
     kind: str
     at: int
     hold: int
-    change: Change
+    change: ChangeFunction
     fences: dict[str, int]  # What others had got when it was sent.
     results: list[Any] = field(default_factory=list)
 
@@ -89,9 +89,9 @@
     def run_call(self, call: Sent, machine: int) -> None:
         self.learn(machine)
         verdict = call.change(self.value, self.since[machine][1], self.now)
-        if verdict.value is not None:
-            assert verdict.value != self.value
-            self.value = verdict.value
+        if verdict.new_value is not None:
+            assert verdict.new_value != self.value
+            self.value = verdict.new_value
             self.learn(machine)
         call.results.append(verdict.result)
 
@@ -126,10 +126,10 @@
 TestLocksAnyhow.settings = settings(max_examples=200, stateful_step_count=20, deadline=None, derandomize=True)
 
 
-def run(value: bytes | None, change: Change, now: int = 0) -> tuple[bytes | None, int, Any]:
+def run(value: bytes | None, change: ChangeFunction, now: int = 0) -> tuple[bytes | None, int, Any]:
     verdict = change(value, 0, now)
     body = verdict.result.body
-    return verdict.value or value, verdict.result.status, msgspec.json.decode(body) if body else None
+    return verdict.new_value or value, verdict.result.status, msgspec.json.decode(body) if body else None
 
 
 def test_a_lock_goes_on_when_it_ought_to() -> None:
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -31,8 +31,12 @@
 from ambershift.system.messages import tombstones
 from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
 from ambershift.system.messages.proxy_link import BackendUpdate, ItemUpdate
-from ambershift.system.messages.replication import Merge, Share
-from ambershift.system.messages.tombstones import THE_FORGOTTEN, Forgotten, forgotten_of
+from ambershift.system.messages.replication import MergeItems, SyncResponse
+from ambershift.system.messages.tombstones import (
+    COLLECTED_TOMBSTONES_KEY,
+    CollectedTombstones,
+    collected_tombstones_of,
+)
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy.routing import Routing
@@ -61,32 +65,32 @@
 
 
 def test_batches_are_listed_whole_and_the_last_two_in_any_case(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tombstones, "LISTED", 3)
-    told = Forgotten()
-    assert told.enough == 0 and forgotten_of(None) == told
+    monkeypatch.setattr(tombstones, "LISTED_TOMBSTONES_MAX", 3)
+    told = CollectedTombstones()
+    assert told.required_batch == 0 and collected_tombstones_of(None) == told
     for number in range(1, 6):
-        told = told.after([drop(f"a{number}", 10 * number), drop(f"b{number}", 10 * number - 1)])
-        assert forgotten_of(told.item) == told and told.floor == 10 * number
-        assert {one.batch for one in told.drops} == {number, number - 1} - {0}
-        assert told.enough == max(0, number - 2)
-    again = told.after([drop("a5", 70)])
-    assert again.versions() == {(ROUTE, "a5"): 70, (ROUTE, "b5"): 49} and again.enough == 4
+        told = told.with_batch([drop(f"a{number}", 10 * number), drop(f"b{number}", 10 * number - 1)])
+        assert collected_tombstones_of(told.as_item) == told and told.highest_version == 10 * number
+        assert {one.batch for one in told.tombstones} == {number, number - 1} - {0}
+        assert told.required_batch == max(0, number - 2)
+    again = told.with_batch([drop("a5", 70)])
+    assert again.versions_by_key() == {(ROUTE, "a5"): 70, (ROUTE, "b5"): 49} and again.required_batch == 4
 
 
 @given(st.lists(st.integers(1, 5), max_size=12), st.integers(1, 8))
 def test_a_copy_that_knows_enough_learns_of_all_it_may_have(sizes: list[int], listed: int) -> None:
-    told, all_told = Forgotten(), [Forgotten()]
+    told, all_told = CollectedTombstones(), [CollectedTombstones()]
     drops: list[list[Key]] = [[]]
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(tombstones, "LISTED", listed)
+        patch.setattr(tombstones, "LISTED_TOMBSTONES_MAX", listed)
         for number, size in enumerate(sizes, 1):
             some = [drop(f"{number}-{at}", number) for at in range(size)]
-            told = told.after(some)
+            told = told.with_batch(some)
             all_told.append(told)
             drops.append([one.key for one in some])
-    for known in range(told.enough, told.batch + 1):
+    for known in range(told.required_batch, told.batch + 1):
         missed = {key for some in drops[known + 1 :] for key in some}
-        assert missed <= told.versions().keys()
+        assert missed <= told.versions_by_key().keys()
 
 
 # Control nodes.
@@ -127,12 +131,14 @@
     world.run(6)
     left = {(ROUTE, f"r{at}") for at in (6, 7, 8)}
     for ip, one in replicas(world).items():
-        assert one.store.items.keys() == left | {THE_FORGOTTEN} and not one.store.drops
-        assert one.store.forgotten.batch == 5 and one.store.forgotten.floor == 15
+        assert one.store.items.keys() == left | {COLLECTED_TOMBSTONES_KEY} and not one.store.drops
+        assert one.store.forgotten.batch == 5 and one.store.forgotten.highest_version == 15
         assert world.boxes[ip].disk["items"].keys() == {f"{kind}\x1f{name}" for kind, name in one.store.items}
     put(world, drop("r5", 15), route("r4", 4))  # What comes late, from a copy of before, is not taken.
     world.run(1)
-    assert all(one.store.items.keys() == left | {THE_FORGOTTEN} for one in replicas(world).values())
+    assert all(
+        one.store.items.keys() == left | {COLLECTED_TOMBSTONES_KEY} for one in replicas(world).values()
+    )
     put(world, route("r5", 16))
     world.run(1)
     assert all((ROUTE, "r5") in one.store.items for one in replicas(world).values())
@@ -159,7 +165,7 @@
 def test_one_that_was_away_for_long_brings_nothing_back_and_loses_nothing(soon: None) -> None:
     world = started()
     away_while_all_forget(world)
-    standing = {(ROUTE, "r6"), (ROUTE, "r7"), (ROUTE, "r8"), THE_FORGOTTEN}
+    standing = {(ROUTE, "r6"), (ROUTE, "r7"), (ROUTE, "r8"), COLLECTED_TOMBSTONES_KEY}
     assert [one.store.items.keys() for one in replicas(world).values()] == [standing] * 6
     assert {ip for ip, one in replicas(world).items() if one.store.replaced} == {AWAY}
     told: list[object] = []
@@ -235,9 +241,9 @@
     deaf = "10.0.0.5"
 
     def late(sender: str, to: str, message: msgspec.Struct) -> bool:
-        if to != deaf or not isinstance(message, Merge | Share):
+        if to != deaf or not isinstance(message, MergeItems | SyncResponse):
             return False
-        return [one.key for one in message.items] == [THE_FORGOTTEN]
+        return [one.key for one in message.items] == [COLLECTED_TOMBSTONES_KEY]
 
     put(world, *(route(f"r{at}", at) for at in range(1, 9)))
     world.late = late
@@ -256,12 +262,12 @@
 
 
 def test_two_that_propose_a_batch_at_once_agree_on_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    agreed: list[Forgotten] = []
+    agreed: list[CollectedTombstones] = []
     monkeypatch.setattr(Forgetting, "_put", lambda self, one: agreed.append(one))
     world = started()
     for number, ip in enumerate(("10.0.0.1", "10.0.0.4", "10.0.0.1")):
-        after = Forgotten().after([drop(f"r{number}", 10)])
-        replicas(world)[ip]._forgetting._agree(Forgotten(), after)
+        after = CollectedTombstones().with_batch([drop(f"r{number}", 10)])
+        replicas(world)[ip]._forgetting._agree(CollectedTombstones(), after)
     world.run(3)
     assert len(agreed) == 3 and len(set(agreed)) == 1 and agreed[0].batch == 1
 
@@ -285,8 +291,10 @@
         put(world, *(drop(f"r{at}", 1 + at) for at in range(first, first + 400)))
     world.run(500)
     for one in replicas(world).values():
-        assert len(one.store.drops) < 1024 + 256 and one.store.forgotten.floor >= 12_800 - 1024 - 256
-        assert len(one.store.forgotten.drops) <= 1024 + 256 and len(one.store.items) < 1300
+        assert (
+            len(one.store.drops) < 1024 + 256 and one.store.forgotten.highest_version >= 12_800 - 1024 - 256
+        )
+        assert len(one.store.forgotten.tombstones) <= 1024 + 256 and len(one.store.items) < 1300
 
 
 @pytest.mark.parametrize("seed", [1, 29, 78, 187, 242])
@@ -311,7 +319,7 @@
     remove = [{"Name": one.name, "ConfigVersion": f"r{one.version[0]}"} for one in items if one.body is None]
     document = {"Upsert": {"Routes": upsert}, "Remove": {"Routes": remove}}
     order = read_order(msgspec.json.encode(document))
-    told = Forgotten().after([drop("gone", 50)]).item
+    told = CollectedTombstones().with_batch([drop("gone", 50)]).as_item
     store = {one.key: one for one in [*held, told]}
     return decide(order, Agreement(0, ()), Progress(0), store)[1]
 
@@ -343,30 +351,30 @@
 
 def test_a_proxy_forgets_with_its_node() -> None:
     pushes, routing = Pushes(), Routing()
-    told = Forgotten().after([drop("r1", 11)])
+    told = CollectedTombstones().with_batch([drop("r1", 11)])
     routing.begin_link()
     items = {one.key: one for one in (route("r1", 1), route("r2", 2))}
     for one in pushes.greet("proxy", items.values(), BackendUpdate((), (), True)):
         routing.merge(getattr(one.message, "items", ()))
     routing.complete_link()
-    for one in pushes.items([drop("r1", 11)]) + pushes.items([told.item]):
+    for one in pushes.items([drop("r1", 11)]) + pushes.items([told.as_item]):
         assert isinstance(one.message, ItemUpdate)
         routing.merge(one.message.items)
-    assert routing.items.keys() == {(ROUTE, "r2"), THE_FORGOTTEN} and routing.routes == 1
+    assert routing.items.keys() == {(ROUTE, "r2"), COLLECTED_TOMBSTONES_KEY} and routing.routes == 1
     routing.merge([route("r1", 1)])
     assert routing.find(b"h", b"/r1") is None and not routing.unusable
     # A new link is told of nothing that all have forgotten.
-    held = [route("r2", 2), told.item]
+    held = [route("r2", 2), told.as_item]
     sent = pushes.greet("other", held, BackendUpdate((), (), True))
     assert [list(one.message.items) for one in sent if isinstance(one.message, ItemUpdate)] == [held]
 
 
-def many(first: int = 1) -> Forgotten:
+def many(first: int = 1) -> CollectedTombstones:
     """So many batches that a copy of before the first must be replaced; of routes `r1` and on."""
     with forgetting_soon():
-        told = Forgotten()
+        told = CollectedTombstones()
         for at in range(first, first + 5):
-            told = told.after([drop(f"r{at}", 10 + at)])
+            told = told.with_batch([drop(f"r{at}", 10 + at)])
         return told
 
 
@@ -376,24 +384,27 @@
     routing.merge([route("r1", 1), route("r9", 9), route("late", 99)])
     routing.complete_link()
     routing.begin_link()
-    routing.merge([told.item, route("r9", 9)])
+    routing.merge([told.as_item, route("r9", 9)])
     assert routing.find(b"h", b"/r1") is not None  # It serves on until all has been told.
     routing.complete_link()
-    assert routing.items.keys() == {(ROUTE, "r9"), (ROUTE, "late"), THE_FORGOTTEN} and not routing.unusable
+    assert (
+        routing.items.keys() == {(ROUTE, "r9"), (ROUTE, "late"), COLLECTED_TOMBSTONES_KEY}
+        and not routing.unusable
+    )
     assert routing.find(b"h", b"/r1") is None and routing.routes == 2
 
 
 def test_a_node_that_was_away_for_longer_than_the_proxy_is_left() -> None:
     routing = Routing()
     routing.begin_link()
-    routing.merge([many().item, route("r9", 9)])
+    routing.merge([many().as_item, route("r9", 9)])
     routing.complete_link()
     routing.begin_link()
     routing.merge([route("r1", 1), route("r9", 10)])
     assert routing.unusable and not routing.merge([route("r2", 2)])
-    assert routing.items.keys() == {(ROUTE, "r9"), THE_FORGOTTEN}
+    assert routing.items.keys() == {(ROUTE, "r9"), COLLECTED_TOMBSTONES_KEY}
     routing.begin_link()  # Another one.
-    routing.merge([many().item, route("r9", 10)])
+    routing.merge([many().as_item, route("r9", 10)])
     assert not routing.unusable and routing.items[ROUTE, "r9"].version[0] == 10
 
 
@@ -401,14 +412,14 @@
     routing = Routing()
     routing.begin_link()
     routing.merge([route("r1", 1), route("r9", 9)])
-    routing.merge([many().item])  # It has just heard of it.
+    routing.merge([many().as_item])  # It has just heard of it.
     assert routing.unusable
     routing.complete_link()
     assert not routing.complete
     routing.begin_link()
-    routing.merge([many().item, route("r9", 9)])
+    routing.merge([many().as_item, route("r9", 9)])
     routing.complete_link()
-    assert routing.complete and routing.items.keys() == {(ROUTE, "r9"), THE_FORGOTTEN}
+    assert routing.complete and routing.items.keys() == {(ROUTE, "r9"), COLLECTED_TOMBSTONES_KEY}
 
 
 def test_a_proxy_comes_back_to_nodes_that_have_forgotten(soon: None) -> None:
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -12,9 +12,9 @@
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.control_api.pending_calls import OpenCalls
-from ambershift.system.interfaces import Verdict
+from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.forwarding import ForwardedResponse
-from ambershift.system.messages.replication import Accept, Agreed, Prepare, Promise
+from ambershift.system.messages.replication import Accept, Acknowledgement, Prepare, Promise
 from ambershift.system.state_machine import NS_PER_SECOND
 from tests.enquiring import TRIP, World, order, play
 
@@ -113,7 +113,7 @@
     def call(self, value: bytes) -> Any:
         """The message that the call makes the proposer send."""
         self.proposer.call(
-            "r", lambda old, since, now: Verdict(value, value), 9 * NS_PER_SECOND, self.told.append
+            "r", lambda old, since, now: ChangeOutcome(value, value), 9 * NS_PER_SECOND, self.told.append
         )
         return self.sent()
 
@@ -123,7 +123,9 @@
         return found[-1] if found else None
 
     def vote(self, ip: str, prepare: Any, epoch: int) -> None:
-        self.proposer.reply(ip, Promise(epoch, prepare.number, EMPTY.accepted, EMPTY.origin, None))
+        self.proposer.reply(
+            ip, Promise(epoch, prepare.request_id, EMPTY.accepted_ballot, EMPTY.origin_ballot, None)
+        )
 
     def promise(self, prepare: Any) -> Any:
         for ip in "ab":
@@ -132,7 +134,7 @@
 
     def agree(self, accept: Any, epoch: int | None = None) -> None:
         for ip in "ab":
-            self.proposer.reply(ip, Agreed(epoch or accept.epoch, accept.number))
+            self.proposer.reply(ip, Acknowledgement(epoch or accept.epoch, accept.request_id))
 
 
 def test_a_lease_of_an_epoch_before_writes_nothing() -> None:
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -25,7 +25,7 @@
 from ambershift.system.messages import codec
 from ambershift.system.messages.items import INSTANCE, Item
 from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ControlNodeHeartbeat, ItemUpdate
-from ambershift.system.messages.replication import Ask, Knock
+from ambershift.system.messages.replication import Knock, SyncRequest
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes import attachment, candidate_probe
 from ambershift.system.processes.attachment import Attachment
@@ -341,12 +341,12 @@
     replica = Replica(settings, 7, lambda name: None, {}, NOW)
     replica.step(NOW, WriteCompleted(1))
     asked = replica.step(NOW, Freshen(1, 1.0))
-    assert {one.recipient for one in asked if isinstance(one, Send) and isinstance(one.message, Ask)} == set(
-        ips[1:]
-    )
+    assert {
+        one.recipient for one in asked if isinstance(one, Send) and isinstance(one.message, SyncRequest)
+    } == set(ips[1:])
     again = [one for one in replica.step(NOW + NS_PER_MS, Reached(ips[2])) if isinstance(one, Send)]
     assert {one.recipient for one in again} == {ips[2]}
-    assert [type(one.message) for one in again] == [Knock, Ask]
+    assert [type(one.message) for one in again] == [Knock, SyncRequest]
 
 
 class Dialled:
