--- a/tests/test_system_distribution.py
+++ b/tests/test_system_distribution.py
@@ -169,7 +169,7 @@
     await world.run(1)
     kinds = [type(one) for one in sent if not isinstance(one, ControlNodeHeartbeat)]
     assert kinds[:4] == [ItemUpdate, BackendUpdate, BindTable, Barrier]
-    assert sent[2].whole and len(sent[2].put) == 12
+    assert sent[2].complete and len(sent[2].updated) == 12
     assert not any(one.complete for one in sent if isinstance(one, ItemUpdate))
     await route(world, "t", name="later")
     ledger.gate.set()
