--- a/tests/encoded_forms.py
+++ b/tests/encoded_forms.py
@@ -30,7 +30,7 @@
 from ambershift.system.coordination.value_deltas import Added
 from ambershift.system.messages import codec, replication
 from ambershift.system.messages.items import Item
-from ambershift.system.messages.tombstones import Forgotten
+from ambershift.system.messages.tombstones import CollectedTombstones
 from ambershift.system.registry.snapshot import Sheet
 
 
@@ -72,12 +72,12 @@
 }
 STORED = {
     "archive.db items": plain(Item),
-    "archive.db registers": plain(replication.Record),
+    "archive.db registers": plain(replication.AcceptorState),
     "archive.db meta decision": plain(replication.Decision),
     "register configuration": plain(Agreement),
     "register of a group of cells": plain(Group),
     "register of a lock": plain(Lock),
-    "body of the forgotten item": json(Forgotten),
+    "body of the forgotten item": json(CollectedTombstones),
     "backends.list": plain(Sheet),
     "log head": plain(records.Head),
     "log line": plain(records.Line),
