--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -19,9 +19,9 @@
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.control_api.registry_interface import Registry
 from ambershift.system.control_api.watches import WATCH, Watches
-from ambershift.system.coordination.calls import BODY_MOST, CALLS, PRESENT
-from ambershift.system.coordination.replies import ImproperError, Reply, read_body, reply
-from ambershift.system.coordination.revision_ages import Ages
+from ambershift.system.coordination.calls import MAX_BODY_BYTES, PARSERS, SNAPSHOT_GROUP
+from ambershift.system.coordination.replies import InvalidCallError, Reply, json_reply, parse_body
+from ambershift.system.coordination.revision_ages import RevisionAges
 from ambershift.system.interfaces import ReplicatedState
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
 from ambershift.system.settings.local import Local
@@ -58,7 +58,7 @@
         self._steady, self._log = steady, log
         open_calls = OpenCalls(send, secrets.randbits(62) if begin is None else begin)
         proposers = Proposers(ledger, settings.ip, steady)
-        ages = Ages(int((settings.bounds.history + HISTORY_MARGIN) * NS_PER_SECOND))
+        ages = RevisionAges(int((settings.bounds.history + HISTORY_MARGIN) * NS_PER_SECOND))
         self._open_calls, self._pauses = open_calls, PauseDetector()
         forwarding = Forwarding(ledger, settings.ip, steady, open_calls, proposers, log)
         self._configuration = ConfigurationCalls(ledger, steady, send, open_calls, forwarding, log)
@@ -112,46 +112,48 @@
         try:
             found = await self._route(scope, receive)
         except asgi.TooLargeError:
-            found = reply(413, Cause="the body is too large")
-        except ImproperError as why:
-            found = reply(400, Cause=f"{why.field}: {why.reason}")
+            found = json_reply(413, Cause="the body is too large")
+        except InvalidCallError as why:
+            found = json_reply(400, Cause=f"{why.field}: {why.reason}")
         except asgi.GoneError:
             return
         except Exception as why:  # The caller must hear something; 500 promises nothing.
             self._log(log_events.FAILED, {"on": scope["path"][:80], "error": repr(why)[:200]})
-            found = reply(500, Cause="failed")
+            found = json_reply(500, Cause="failed")
         await asgi.answer(send, found)
 
     async def _route(self, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
         path, method = scope["path"], scope["method"]
         if path == RPC:
             if method != "POST":
-                return reply(405)
+                return json_reply(405)
             asked = asgi.query(scope)
             return await self._rpc(asked.get("call", ""), asked.get("of", ""), scope, receive)
         if path.startswith(NUMBERS):
             if method != "POST":
-                return reply(405)
+                return json_reply(405)
             return await self._ask("numbers", path.removeprefix(NUMBERS), scope, receive)
         if path.startswith(WATCHES):
-            return reply(405) if method != "GET" else await self._watch(scope, path.removeprefix(WATCHES))
+            return (
+                json_reply(405) if method != "GET" else await self._watch(scope, path.removeprefix(WATCHES))
+            )
         if path == MEMBERS:
-            return reply(405) if method != "GET" else self._members()
+            return json_reply(405) if method != "GET" else self._members()
         if path == RESOLUTION:
-            return reply(405) if method != "GET" else self._resolution(asgi.query(scope))
-        return reply(404)
+            return json_reply(405) if method != "GET" else self._resolution(asgi.query(scope))
+        return json_reply(404)
 
     async def _rpc(self, name: str, of: str, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
-        if name in CALLS and name not in (PRESENT, "numbers"):
+        if name in PARSERS and name not in (SNAPSHOT_GROUP, "numbers"):
             return await self._ask(name, of, scope, receive)
-        most = CONFIGURATION_MOST if name == MODIFY else BODY_MOST
+        most = CONFIGURATION_MOST if name == MODIFY else MAX_BODY_BYTES
         body = await asgi.read_whole(scope, receive, most)
         if name == "instances.heartbeat":
-            status, fields = await self._registry.beat(of, read_body(body))
-            return reply(status, **fields)
+            status, fields = await self._registry.beat(of, parse_body(body))
+            return json_reply(status, **fields)
         if name == "instances.deregister":
             status, fields = await self._registry.leave(of)
-            return reply(status, **fields)
+            return json_reply(status, **fields)
         if name == MODIFY:
             return await self._configuration.modify(body)
         if name == "configuration.retrieve":
@@ -162,10 +164,10 @@
             if self._pauses.stale(self._steady()):
                 return REFUSED
             return await self._evacuations.evacuate(of, name == "evacuation.initiate")
-        return reply(404)
+        return json_reply(404)
 
     async def _ask(self, name: str, of: str, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
-        body = await asgi.read_whole(scope, receive, BODY_MOST)
+        body = await asgi.read_whole(scope, receive, MAX_BODY_BYTES)
         if self._pauses.stale(self._steady()):
             return REFUSED
         return await self._applications.ask(name, of, body)
@@ -175,20 +177,24 @@
         try:
             after, wait = int(asked.get("after", "0")), int(asked.get("WaitMs", "0"))
         except ValueError:
-            return reply(400, Cause="after or WaitMs: is not a whole number")
+            return json_reply(400, Cause="after or WaitMs: is not a whole number")
         if not name or after < 0:
-            return reply(400, Cause="after: is below 0, or the group has no name")
+            return json_reply(400, Cause="after: is below 0, or the group has no name")
         return await self._watches.watch(name, after, min(max(wait, 0), WAIT_MOST) * NS_PER_MS)
 
     def _members(self) -> Reply:
         """For operators: who votes, and how many copies are complete, as this machine sees it."""
         found = self._ledger.members()
-        return reply(503, Cause="not started") if found is None else Reply(200, msgspec.json.encode(found))
+        return (
+            json_reply(503, Cause="not started") if found is None else Reply(200, msgspec.json.encode(found))
+        )
 
     def _resolution(self, asked: dict[str, str]) -> Reply:
         addresses = list(
             self._registry.addresses(asked.get("Region", ""), asked.get("Zone", ""), asked.get("Name", ""))
         )
         if not addresses:
-            return reply(503, Cause="no proxy is known yet")
-        return reply(200, Addresses=addresses[:FRONTS_MOST], TtlS=min(TTL, self._settings.bounds.ttl_most))
+            return json_reply(503, Cause="no proxy is known yet")
+        return json_reply(
+            200, Addresses=addresses[:FRONTS_MOST], TtlS=min(TTL, self._settings.bounds.ttl_most)
+        )
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -30,7 +30,7 @@
 from ambershift.system.control_api import log_events
 from ambershift.system.control_api.forwarding import Asked, Forwarding
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
-from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
 from ambershift.system.messages import forwarding as messages
 from ambershift.system.messages.items import Item
@@ -42,8 +42,8 @@
 PATIENCE_ITEM = 2 * NS_PER_MS  # Callers wait longer for large bodies.
 NAMED_MOST = 20  # Faults and items that an answer names.
 
-UNCLEAR = reply(504, Cause="may have been taken or not; send it again")
-NOT_DONE = reply(503, Cause="not done; send it again")
+UNCLEAR = json_reply(504, Cause="may have been taken or not; send it again")
+NOT_DONE = json_reply(503, Cause="not done; send it again")
 
 
 class ConfigurationCalls:
@@ -104,7 +104,7 @@
         except (OutcomeUnknownError, NotAppliedError) as why:
             return self._unclear(why.reason, len(order.items))
         self._log(log_events.CONFIGURATION_TAKEN, {"items": len(order.items)})
-        return reply(200)
+        return json_reply(200)
 
     async def _agreed(self, proposal: Proposal, until: int) -> Accepted | Conflict | Invalid | BelowFloor:
         """Raises `OutcomeUnknownError`, or `NotAppliedError` where the last try did nothing."""
@@ -133,12 +133,12 @@
     def _invalid(self, faults: tuple[Fault, ...]) -> Reply:
         reason = "; ".join(map(str, faults[:NAMED_MOST]))
         self._log(log_events.CONFIGURATION_INVALID, {"reason": reason})
-        return reply(400, Cause=reason)
+        return json_reply(400, Cause=reason)
 
     def _conflict(self, conflict: Conflict) -> Reply:
         reason = "; ".join(map(_conflicting, conflict.items[:NAMED_MOST])) or str(REFUSED_BEFORE)
         self._log(log_events.CONFIGURATION_CONFLICT, {"reason": reason})
-        return reply(409, Cause=reason)
+        return json_reply(409, Cause=reason)
 
     def _below_floor(self, outcome: BelowFloor) -> Reply:
         names = ", ".join(f"{one.kind} {one.name}" for one in outcome.items[:NAMED_MOST])
@@ -146,7 +146,7 @@
             f"{names}: not held; drops up to r{outcome.floor} are forgotten: send it under a higher version"
         )
         self._log(log_events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": len(outcome.items)})
-        return reply(503, Cause=reason)
+        return json_reply(503, Cause=reason)
 
     def _unclear(self, reason: str, items: int) -> Reply:
         self._log(log_events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": items})
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -14,10 +14,10 @@
 from ambershift.system.control_api.log_events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposer_selection import Proposers
-from ambershift.system.coordination.calls import PUT, read_call
+from ambershift.system.coordination.calls import REPLACE_CELL, parse_call
 from ambershift.system.coordination.groups import Group
-from ambershift.system.coordination.replies import Call, ImproperError, Reply, reply
-from ambershift.system.coordination.revision_ages import Ages
+from ambershift.system.coordination.replies import InvalidCallError, RegisterCall, Reply, json_reply
+from ambershift.system.coordination.revision_ages import RevisionAges
 from ambershift.system.interfaces import (
     ChangeFunction,
     ChangeOutcome,
@@ -50,7 +50,7 @@
         open_calls: OpenCalls,
         proposers: Proposers,
         forwarding: Forwarding,
-        ages: Ages,
+        ages: RevisionAges,
         log: Callable[[int, dict[str, Any]], None],
         news: News,
     ) -> None:
@@ -65,19 +65,19 @@
         alone: that nothing was done now is no promise that its value never shows up.
         """
         answer = await self._ask(name, of, body)
-        return UNCLEAR if answer.status == 503 and name == PUT else answer
+        return UNCLEAR if answer.status == 503 and name == REPLACE_CELL else answer
 
     async def _ask(self, name: str, of: str, body: bytes) -> Reply:
         until = self._steady() + PATIENCE
         number = self._open_calls.number()
         try:
             call = self._read(name, of, body, self._own, number)
-        except ImproperError as why:
-            return reply(400, Cause=f"{why.field}: {why.reason}")
+        except InvalidCallError as why:
+            return json_reply(400, Cause=f"{why.field}: {why.reason}")
         asked = Asked(call.register, number, name, of, body)
         return await self._forwarding.ask(asked, until, lambda until: self.propose(call, until))
 
-    async def propose(self, call: Call, until: int) -> Reply:
+    async def propose(self, call: RegisterCall, until: int) -> Reply:
         """Through this machine, by `until`."""
         within = (until - self._steady()) / NS_PER_SECOND
         if within <= 0:
@@ -106,17 +106,17 @@
                 forwarded.operation, forwarded.subject_id, forwarded.body, sender, forwarded.number
             )
             answer = await self.propose(call, until) if await self._forwarding.in_touch() else REFUSED
-        except ImproperError as why:
-            answer = reply(400, Cause=f"{why.field}: {why.reason}")
+        except InvalidCallError as why:
+            answer = json_reply(400, Cause=f"{why.field}: {why.reason}")
         self._send(sender, ForwardedResponse(forwarded.number, answer.status, answer.body))
 
-    def _read(self, name: str, of: str, body: bytes, sender: str, number: int) -> Call:
-        return read_call(name, of, body, f"{sender}/{number:x}", self._ages)
+    def _read(self, name: str, of: str, body: bytes, sender: str, number: int) -> RegisterCall:
+        return parse_call(name, of, body, f"{sender}/{number:x}", self._ages)
 
     def _put_about(self, register: str, group: Group, changed: bool) -> None:
         """A round has come through: those that watch the group may know of it now."""
         name = register.removeprefix("g/")
-        self._ages.note(name, group.revision, self._steady())
+        self._ages.record(name, group.revision, self._steady())
         self._news.learn(name, group)
         if changed and not self._proposers.first(register):
             self._news.note(name, group)
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -8,7 +8,7 @@
 
 from ambershift.system.control_api import log_events
 from ambershift.system.control_api.configuration_calls import NOT_DONE, PATIENCE, UNCLEAR
-from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
 from ambershift.system.messages.items import ZONE, Item
 from ambershift.system.settings.local import Local
@@ -30,7 +30,7 @@
     async def evacuate(self, zone: str, out: bool) -> Reply:
         """Send nothing more to a zone's backends, or (`out` False) send there again."""
         if zone not in self._settings.zones:
-            return reply(404, Cause="no such zone")
+            return json_reply(404, Cause="no such zone")
         if not self._ledger.in_touch():
             return NOT_DONE
         begun = self._steady()
@@ -48,7 +48,7 @@
         except NotAppliedError:
             return NOT_DONE
         self._log(log_events.EVACUATION_TAKEN, {"zone": zone, "out": out})
-        return reply(200)
+        return json_reply(200)
 
     def _evacuation(self, zone: str, out: bool) -> Item:
         """Above all that was acknowledged, and above all that this machine has ever made."""
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -14,7 +14,7 @@
 from ambershift.system.control_api.log_events import OWNER_SILENT
 from ambershift.system.control_api.pending_calls import OpenCalls
 from ambershift.system.control_api.proposer_selection import Proposers
-from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.interfaces import ReplicatedState
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -24,8 +24,8 @@
 CATCH_UP = 150 * NS_PER_MS  # A voter's copy is complete again within this, once it has heard of new voters.
 WORTH_TRYING = 60 * NS_PER_MS  # With less left, nothing new is begun.
 
-REFUSED = reply(503, Cause="not in touch with enough machines")
-UNCLEAR = reply(504, Cause="no clear outcome in time")
+REFUSED = json_reply(503, Cause="not in touch with enough machines")
+UNCLEAR = json_reply(504, Cause="no clear outcome in time")
 DECISIVE = frozenset({200, 400, 404, 409, 412})
 
 # Carries the call out through this machine, by a time (ns, steady).
--- a/ambershift/system/control_api/subscriptions.py
+++ b/ambershift/system/control_api/subscriptions.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from ambershift.system.coordination.cells import since
-from ambershift.system.coordination.groups import Event, Group
+from ambershift.system.coordination.cells import events_since
+from ambershift.system.coordination.groups import Group, PutEvent
 from ambershift.system.coordination.replies import Reply
 from ambershift.system.state_machine import NS_PER_SECOND
 
@@ -36,7 +36,7 @@
         """
         watched = self._watched.setdefault(name, _Watched())
         watched.asked_at = now
-        answer = None if watched.group is None else since(watched.group, after)
+        answer = None if watched.group is None else events_since(watched.group, after)
         if answer is None:
             watched.waiting[token] = after, here
         return answer
@@ -60,7 +60,7 @@
         watched.group, watched.known_at, watched.asked_at = group, now, now
 
     def told(
-        self, name: str, after: int, revision: int, events: tuple[Event, ...]
+        self, name: str, after: int, revision: int, events: tuple[PutEvent, ...]
     ) -> list[tuple[int, Reply]]:
         """Another machine knows of all these puts above `after`; whom to answer what. This is not kept, as
         what lies further back isn't known here."""
@@ -72,7 +72,7 @@
         answers = [
             (token, answer)
             for token, (after, _) in watched.waiting.items()
-            if after >= least and (answer := since(group, after)) is not None
+            if after >= least and (answer := events_since(group, after)) is not None
         ]
         for token, _ in answers:
             del watched.waiting[token]
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -12,10 +12,10 @@
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.control_api.subscriptions import Subscriptions
-from ambershift.system.coordination.calls import PRESENT, read_call
+from ambershift.system.coordination.calls import SNAPSHOT_GROUP, parse_call
 from ambershift.system.coordination.groups import Group
-from ambershift.system.coordination.replies import Reply, reply
-from ambershift.system.coordination.revision_ages import Ages
+from ambershift.system.coordination.replies import Reply, json_reply
+from ambershift.system.coordination.revision_ages import RevisionAges
 from ambershift.system.interfaces import ReplicatedState
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
@@ -29,7 +29,7 @@
 
 def nothing(after: int) -> Reply:
     """No put is told, so that the span told of is empty."""
-    return reply(200, Events=[], Revision=after)
+    return json_reply(200, Events=[], Revision=after)
 
 
 class Watches:
@@ -41,7 +41,7 @@
         send: Sender,
         open_calls: OpenCalls,
         proposers: Proposers,
-        ages: Ages,
+        ages: RevisionAges,
     ) -> None:
         self._ledger, self._own, self._steady, self._send = ledger, own, steady, send
         self._open_calls, self._proposers, self._ages = open_calls, proposers, ages
@@ -71,7 +71,7 @@
     async def watch(self, name: str, after: int, wait: int) -> Reply:
         """All puts above `after` as soon as there is one; `wait` in ns."""
         if after == 0:
-            return await self._applications.ask(PRESENT, name, b"")
+            return await self._applications.ask(SNAPSHOT_GROUP, name, b"")
         until = self._steady() + wait
         while (now := self._steady()) < until and not self._closed:
             if not self._ledger.in_touch():
@@ -85,7 +85,7 @@
     async def _nothing(self, name: str, after: int) -> Reply:
         """That there is no put above `after` is told only once enough copies have said so: a put may have
         gone through a machine that could not reach the one where this watch waited."""
-        present = await self._applications.ask(PRESENT, name, b"")
+        present = await self._applications.ask(SNAPSHOT_GROUP, name, b"")
         if present.status != 200:
             return REFUSED
         if msgspec.json.decode(present.body)["Revision"] <= after:
@@ -180,7 +180,7 @@
 
     async def _read(self, name: str) -> None:
         """What is found comes back by `learn`."""
-        call = read_call(PRESENT, name, b"", "", self._ages)
+        call = parse_call(SNAPSHOT_GROUP, name, b"", "", self._ages)
         await self._applications.propose(call, self._steady() + LOOK_PATIENCE)
 
     def close(self) -> None:
--- a/ambershift/system/coordination/calls.py
+++ b/ambershift/system/coordination/calls.py
@@ -5,74 +5,85 @@
 from collections.abc import Callable, Mapping
 
 from ambershift.system.coordination import cells, locks, numbers
-from ambershift.system.coordination.groups import group_of
-from ambershift.system.coordination.replies import Call, ImproperError, read_body, text, whole
-from ambershift.system.coordination.revision_ages import Ages
+from ambershift.system.coordination.groups import group_name
+from ambershift.system.coordination.replies import (
+    InvalidCallError,
+    RegisterCall,
+    integer_field,
+    name_field,
+    parse_body,
+)
+from ambershift.system.coordination.revision_ages import RevisionAges
 
-BODY_MOST = 1 << 20
-NAME_MOST = 512
-COUNT_MOST = 1 << 62
+MAX_BODY_BYTES = 1 << 20
+MAX_ID_LENGTH = 512
+MAX_COUNT = 1 << 62
 
-Reader = Callable[[str, bytes, str, Ages], Call]
+CallParser = Callable[[str, bytes, str, RevisionAges], RegisterCall]
 
 
-def read_call(name: str, of: str, body: bytes, call: str, ages: Ages) -> Call:
+def parse_call(name: str, of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
     """`name` as in the protocol, `of` the id, `call` this call's own name. Raises `ImproperError`."""
-    if not of or len(of) > NAME_MOST:
-        raise ImproperError("of", "is empty or too long")
-    reader = CALLS.get(name)
+    if not of or len(of) > MAX_ID_LENGTH:
+        raise InvalidCallError("of", "is empty or too long")
+    reader = PARSERS.get(name)
     if reader is None:
-        raise ImproperError("call", "is not known")
+        raise InvalidCallError("call", "is not known")
     return reader(of, body, call, ages)
 
 
-def _initiate(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    fields = read_body(body)
-    hold = whole(fields, "HoldMs", 1, locks.HOLD_MOST)
-    return Call("l/" + of, locks.initiate(text(fields, "Holder"), hold, call))
+def _parse_acquire(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+    fields = parse_body(body)
+    hold = integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS)
+    return RegisterCall("l/" + of, locks.acquire(name_field(fields, "Holder"), hold, call))
 
 
-def _heartbeat(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    fields = read_body(body)
-    hold, fence = whole(fields, "HoldMs", 1, locks.HOLD_MOST), whole(fields, "fence", 0, COUNT_MOST)
-    return Call("l/" + of, locks.heartbeat(text(fields, "Holder"), fence, hold))
+def _parse_renew(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+    fields = parse_body(body)
+    hold, fence = (
+        integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS),
+        integer_field(fields, "fence", 0, MAX_COUNT),
+    )
+    return RegisterCall("l/" + of, locks.renew(name_field(fields, "Holder"), fence, hold))
 
 
-def _terminate(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    fields = read_body(body)
-    return Call("l/" + of, locks.terminate(text(fields, "Holder"), whole(fields, "fence", 0, COUNT_MOST)))
+def _parse_release(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+    fields = parse_body(body)
+    return RegisterCall(
+        "l/" + of, locks.release(name_field(fields, "Holder"), integer_field(fields, "fence", 0, MAX_COUNT))
+    )
 
 
-def _number(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    return Call("n/" + of, numbers.following)
+def _parse_next_number(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+    return RegisterCall("n/" + of, numbers.next_number)
 
 
-def _replace(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    fields = read_body(body)
+def _parse_compare_and_set(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+    fields = parse_body(body)
     if fields.get("Value") is None:
-        raise ImproperError("Value", "is missing")
+        raise InvalidCallError("Value", "is missing")
     applies_to = None
     if fields.get("AppliesTo") is not None:
-        applies_to = whole(fields, "AppliesTo", 0, COUNT_MOST)
-    return Call("g/" + group_of(of), cells.replace(of, fields["Value"], applies_to, ages))
+        applies_to = integer_field(fields, "AppliesTo", 0, MAX_COUNT)
+    return RegisterCall("g/" + group_name(of), cells.compare_and_set(of, fields["Value"], applies_to, ages))
 
 
-def _retrieve(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    return Call("g/" + group_of(of), cells.retrieve(of))
+def _parse_read(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+    return RegisterCall("g/" + group_name(of), cells.read(of))
 
 
-def _present(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    return Call("g/" + of, cells.present)
+def _parse_snapshot(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+    return RegisterCall("g/" + of, cells.snapshot)
 
 
-PUT = "cells.replace"
-PRESENT = "cells.present"  # Ours: a watch with `after` 0, and a look at a group that is watched.
-CALLS: Mapping[str, Reader] = {
-    "locks.initiate": _initiate,
-    "locks.heartbeat": _heartbeat,
-    "locks.terminate": _terminate,
-    "numbers": _number,
-    PUT: _replace,
-    "cells.retrieve": _retrieve,
-    PRESENT: _present,
+REPLACE_CELL = "cells.replace"
+SNAPSHOT_GROUP = "cells.present"  # Ours: a watch with `after` 0, and a look at a group that is watched.
+PARSERS: Mapping[str, CallParser] = {
+    "locks.initiate": _parse_acquire,
+    "locks.heartbeat": _parse_renew,
+    "locks.terminate": _parse_release,
+    "numbers": _parse_next_number,
+    REPLACE_CELL: _parse_compare_and_set,
+    "cells.retrieve": _parse_read,
+    SNAPSHOT_GROUP: _parse_snapshot,
 }
--- a/ambershift/system/coordination/groups.py
+++ b/ambershift/system/coordination/groups.py
@@ -6,21 +6,21 @@
 
 import msgspec
 
-EVENTS_LEAST = 64
-EVENTS_MOST = 2_000
+MIN_RETAINED_EVENTS = 64
+MAX_RETAINED_EVENTS = 2_000
 
-Event = tuple[str, Any, int]  # Key, value, revision.
+PutEvent = tuple[str, Any, int]  # Key, value, revision.
 
 
 class Group(msgspec.Struct, frozen=True, array_like=True, tag="g"):
     """`cells` has each key's value and revision; `events` are all puts above `pruned`, in order."""
 
     revision: int
-    pruned: int
+    pruned_up_to: int
     cells: dict[str, tuple[Any, int]]
-    events: tuple[Event, ...]
+    events: tuple[PutEvent, ...]
 
-    def known(self, key: str, value: Any) -> int | None:
+    def first_revision_of(self, key: str, value: Any) -> int | None:
         """The first revision of this value under this key."""
         for name, put, revision in reversed(self.events):
             if name == key and put == value:
@@ -28,32 +28,38 @@
         found = self.cells.get(key)
         return found[1] if found is not None and found[0] == value else None
 
-    def above(self, revision: int) -> tuple[Event, ...]:
+    def events_after(self, revision: int) -> tuple[PutEvent, ...]:
         """The events above a revision that is not below `pruned`."""
         return self.events[max(0, len(self.events) - (self.revision - revision)) :]
 
-    def put(self, key: str, value: Any, prune: int) -> Group:
+    def put(self, key: str, value: Any, prune_up_to: int) -> Group:
         """The group after a put; events up to `prune` are forgotten, but the last ones stay."""
         revision = self.revision + 1
         events = (*self.events, (key, value, revision))
-        pruned = max(self.pruned, min(prune, revision - EVENTS_LEAST), revision - EVENTS_MOST)
-        return Group(revision, pruned, {**self.cells, key: (value, revision)}, events[pruned - self.pruned :])
+        pruned = max(
+            self.pruned_up_to,
+            min(prune_up_to, revision - MIN_RETAINED_EVENTS),
+            revision - MAX_RETAINED_EVENTS,
+        )
+        return Group(
+            revision, pruned, {**self.cells, key: (value, revision)}, events[pruned - self.pruned_up_to :]
+        )
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Group).decode
-EMPTY = Group(0, 0, {}, ())
+EMPTY_GROUP = Group(0, 0, {}, ())
 
 
-def read_group(value: bytes | None) -> Group:
-    return EMPTY if value is None else _decode(value)
+def decode_group(value: bytes | None) -> Group:
+    return EMPTY_GROUP if value is None else _decode(value)
 
 
-def write_group(group: Group) -> bytes:
+def encode_group(group: Group) -> bytes:
     return _encode(group)
 
 
-def group_of(key: str) -> str:
+def group_name(key: str) -> str:
     """Keys that begin alike up to their first dot, dot included; a key without a dot is its own group."""
     head, dot, _ = key.partition(".")
     return head + dot
--- a/ambershift/system/coordination/numbers.py
+++ b/ambershift/system/coordination/numbers.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from ambershift.system.coordination.replies import reply
+from ambershift.system.coordination.replies import json_reply
 from ambershift.system.interfaces import ChangeOutcome
 
 
-def following(value: bytes | None, known_since: int, now: int) -> ChangeOutcome:
-    """A `Change`."""
+def next_number(value: bytes | None, known_since: int, now: int) -> ChangeOutcome:
+    """A `ChangeFunction`."""
     number = (0 if value is None else int(msgspec.msgpack.decode(value))) + 1
-    return ChangeOutcome(msgspec.msgpack.encode(number), reply(200, Value=number))
+    return ChangeOutcome(msgspec.msgpack.encode(number), json_reply(200, Value=number))
--- a/ambershift/system/coordination/replies.py
+++ b/ambershift/system/coordination/replies.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class RegisterCall:
     """A call that was read and found proper: the register it is about, and what it makes of its value."""
 
     register: str
@@ -29,40 +29,40 @@
 
 
 @dataclass(eq=False)
-class ImproperError(Exception):
+class InvalidCallError(Exception):
     """A call that can't be carried out as it stands: which field, and why."""
 
     field: str
     reason: str
 
 
-def reply(status: int, **fields: Any) -> Reply:
+def json_reply(status: int, **fields: Any) -> Reply:
     return Reply(status, msgspec.json.encode(fields))
 
 
-def read_body(body: bytes) -> dict[str, Any]:
+def parse_body(body: bytes) -> dict[str, Any]:
     """Raises `ImproperError`. No body at all counts as an empty object."""
     try:
         found = msgspec.json.decode(body) if body.strip() else {}
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as why:
-        raise ImproperError("", f"can't be read: {why}") from why
+        raise InvalidCallError("", f"can't be read: {why}") from why
     if not isinstance(found, dict):
-        raise ImproperError("", "is not an object")
+        raise InvalidCallError("", "is not an object")
     return found
 
 
-def whole(fields: dict[str, Any], name: str, least: int, most: int) -> int:
+def integer_field(fields: dict[str, Any], name: str, least: int, most: int) -> int:
     """A whole number within bounds (a float without a fraction too); raises `ImproperError`."""
     value = fields.get(name)
     if isinstance(value, float) and value.is_integer():
         value = int(value)
     if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
-        raise ImproperError(name, f"is not a whole number from {least} to {most}")
+        raise InvalidCallError(name, f"is not a whole number from {least} to {most}")
     return value
 
 
-def text(fields: dict[str, Any], name: str) -> str:
+def name_field(fields: dict[str, Any], name: str) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise ImproperError(name, "is not a name")
+        raise InvalidCallError(name, "is not a name")
     return value
--- a/ambershift/system/coordination/revision_ages.py
+++ b/ambershift/system/coordination/revision_ages.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 
-class Ages:
+class RevisionAges:
     """`keep` is how long (ns) an event must stay after this process first knew of it.
 
     A process that starts anew counts from then on, so that an event is kept too long rather than too short.
@@ -15,13 +15,13 @@
         self._keep = keep
         self._marks: dict[str, deque[tuple[int, int]]] = {}
 
-    def note(self, group: str, revision: int, now: int) -> None:
+    def record(self, group: str, revision: int, now: int) -> None:
         """The group is known to have reached this revision (for certain, not just proposed)."""
         marks = self._marks.setdefault(group, deque())
         if not marks or revision > marks[-1][0]:
             marks.append((revision, now))
 
-    def old(self, group: str, now: int) -> int:
+    def prunable_revision(self, group: str, now: int) -> int:
         """The highest revision that was known long enough ago; 0 if none."""
         marks = self._marks.get(group)
         found = 0
--- a/ambershift/system/simulation/configuration_mistakes.py
+++ b/ambershift/system/simulation/configuration_mistakes.py
@@ -9,7 +9,7 @@
 from ambershift.system.configuration.change_request import read_order
 from ambershift.system.configuration.errors import InvalidError
 from ambershift.system.control_api.configuration_calls import PATIENCE, UNCLEAR, ConfigurationCalls
-from ambershift.system.coordination.replies import Reply, reply
+from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError
 
 ALL_READ = 1 << 60
@@ -27,12 +27,12 @@
             _, outcome = agreement.decide(order, start, progress, self._ledger.items())
             if isinstance(outcome, agreement.Accepted):
                 await self._stored(outcome, until)
-                return reply(200)
+                return json_reply(200)
         except (OutcomeUnknownError, NotAppliedError):
             return UNCLEAR
         except InvalidError as why:
             return self._invalid(why.faults)
-        return reply(409 if isinstance(outcome, agreement.Conflict) else 400)
+        return json_reply(409 if isinstance(outcome, agreement.Conflict) else 400)
 
     return modify
 
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -10,14 +10,14 @@
 from ambershift.system.consensus import acceptor
 from ambershift.system.control_api import application, coordination_calls, evacuations, watches
 from ambershift.system.coordination import groups, locks
-from ambershift.system.coordination.replies import Call, reply
+from ambershift.system.coordination.replies import RegisterCall, json_reply
 from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
 from ambershift.system.messages.replication import ZERO_BALLOT
 from ambershift.system.simulation.cluster import Place
 from ambershift.system.state_machine import NS_PER_MS
 
-_lock = msgspec.msgpack.Decoder(locks.Lock).decode
+_lock = msgspec.msgpack.Decoder(locks.Lease).decode
 _encode = msgspec.msgpack.Encoder().encode
 
 
@@ -37,11 +37,11 @@
 
         def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
             verdict: ChangeOutcome = judged(value, since, now)
-            before = 1 if value is None else max(1, _lock(value).fence)
+            before = 1 if value is None else max(1, _lock(value).fencing_token)
             if verdict.new_value is None:
                 return verdict
-            after = msgspec.structs.replace(_lock(verdict.new_value), fence=before)
-            return ChangeOutcome(_encode(after), reply(200, fence=before))
+            after = msgspec.structs.replace(_lock(verdict.new_value), fencing_token=before)
+            return ChangeOutcome(_encode(after), json_reply(200, fence=before))
 
         return change
 
@@ -57,7 +57,7 @@
             if verdict.new_value is None:
                 return verdict
             return ChangeOutcome(
-                _encode(msgspec.structs.replace(_lock(verdict.new_value), fence=0)), verdict.result
+                _encode(msgspec.structs.replace(_lock(verdict.new_value), fencing_token=0)), verdict.result
             )
 
         return change
@@ -75,7 +75,7 @@
 def kept_is_given_back(real: Any) -> Any:
     def terminate(holder: str, fence: int) -> Any:
         def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
-            plain = value and _encode(msgspec.structs.replace(_lock(value), kept=False))
+            plain = value and _encode(msgspec.structs.replace(_lock(value), reacquired=False))
             verdict: ChangeOutcome = real(holder, fence)(plain, since, now)
             return verdict
 
@@ -148,7 +148,7 @@
                 self._news.learn(call.register.removeprefix("g/"), verdict.result.group)
             return verdict
 
-        return await real(self, Call(call.register, change), until)
+        return await real(self, RegisterCall(call.register, change), until)
 
     return propose
 
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -101,9 +101,9 @@
             return None
         return told[0].result
 
-    ask(one, locks.initiate("a", 60_000, "c1"))
-    ask(one, locks.terminate("a", 1))
-    ask(other, locks.initiate("a", 60_000, "c1"))  # Nobody waits for this answer.
-    last = ask(one, locks.initiate("b", 1000, "c2"))
+    ask(one, locks.acquire("a", 60_000, "c1"))
+    ask(one, locks.release("a", 1))
+    ask(other, locks.acquire("a", 60_000, "c1"))  # Nobody waits for this answer.
+    last = ask(one, locks.acquire("b", 1000, "c2"))
     assert last is not None
     return [] if last.status == 200 else ["a lock that was given back is kept from others"]
--- a/ambershift/system/simulation/variants_coordination.py
+++ b/ambershift/system/simulation/variants_coordination.py
@@ -28,13 +28,20 @@
         "since",
         coordination_mistakes.known_since_the_first,
     ),
-    of("hold-without-margin", "ONE", "clocks are taken to run alike", locks, "MARGIN", constant(0)),
+    of(
+        "hold-without-margin",
+        "ONE",
+        "clocks are taken to run alike",
+        locks,
+        "CLOCK_DRIFT_MARGIN_NS",
+        constant(0),
+    ),
     of(
         "shorter-renewal-cuts-short",
         "ONE",
         "a renewal for less ends what was promised for longer",
-        locks.Lock,
-        "left",
+        locks.Lease,
+        "remaining_ms",
         coordination_mistakes.shorter_cuts_short,
     ),
     of(
@@ -42,7 +49,7 @@
         "ONE",
         "the next holder gets the fence of the last",
         locks,
-        "initiate",
+        "acquire",
         coordination_mistakes.fence_of_before,
     ),
     of(
@@ -50,7 +57,7 @@
         "ONE",
         "a lock given back begins its fences anew",
         locks,
-        "terminate",
+        "release",
         coordination_mistakes.fence_forgotten,
     ),
     of(
@@ -58,7 +65,7 @@
         "WORTH",
         "a late run of a call takes a lock that it had before",
         locks,
-        "initiate",
+        "acquire",
         coordination_mistakes.each_run_a_new_call,
     ),
     of(
@@ -66,7 +73,7 @@
         "ONE",
         "an old giving back ends what was asked for anew",
         locks,
-        "terminate",
+        "release",
         coordination_mistakes.kept_is_given_back,
     ),
     of(
@@ -74,7 +81,7 @@
         "ORDER",
         "AppliesTo is not looked at",
         cells,
-        "replace",
+        "compare_and_set",
         coordination_mistakes.put_unchecked,
     ),
     of(
@@ -82,7 +89,7 @@
         "MIXED",
         "a put that comes again is another one",
         groups.Group,
-        "known",
+        "first_revision_of",
         coordination_mistakes.never_known,
     ),
     of(
--- a/tests/test_system_control_api_faults.py
+++ b/tests/test_system_control_api_faults.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ambershift.system.control_api.subscriptions import FRESH, Subscriptions
-from ambershift.system.coordination.groups import Group, read_group
+from ambershift.system.coordination.groups import Group, decode_group
 from tests.enquiring import IPS, TRIP, World, order, play
 
 PUT = {"Value": "v", "AppliesTo": 0}
@@ -125,7 +125,7 @@
 
         async def watch() -> None:
             after = 0
-            while not over or after < read_group(world.registers["g/g."]).revision:
+            while not over or after < decode_group(world.registers["g/g."]).revision:
                 path = f"/ambershift/watch/g.?after={after}&WaitMs=700"
                 status, found = await world.call(luck.choice(IPS), "GET", path)
                 if after == 0 and status == 200 and found["Revision"]:
@@ -143,7 +143,7 @@
         await asyncio.gather(write("x"), write("y"))
         over = True
         await asyncio.gather(*others)
-        events = read_group(world.registers["g/g."]).events
+        events = decode_group(world.registers["g/g."]).events
         assert heard == list(events[1:])
         revisions = {value: revision for _, value, revision in events}
         assert len(revisions) == len(events)
--- a/tests/test_system_coordination.py
+++ b/tests/test_system_coordination.py
@@ -11,9 +11,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from ambershift.system.coordination import cells, locks, numbers
-from ambershift.system.coordination.groups import EVENTS_LEAST, group_of, read_group
-from ambershift.system.coordination.revision_ages import Ages
-from ambershift.system.coordination.value_deltas import SHAPE
+from ambershift.system.coordination.groups import MIN_RETAINED_EVENTS, decode_group, group_name
+from ambershift.system.coordination.revision_ages import RevisionAges
+from ambershift.system.coordination.value_deltas import GROUP_DELTAS
 from ambershift.system.interfaces import ChangeFunction
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -70,11 +70,11 @@
         self.count += 1
         fence, until = self.claims.get(caller, (0, 0))
         if until <= self.now:
-            kind, change = "initiate", locks.initiate(caller, hold, str(self.count))
+            kind, change = "initiate", locks.acquire(caller, hold, str(self.count))
         elif renew:
-            kind, change = "heartbeat", locks.heartbeat(caller, fence, hold)
+            kind, change = "heartbeat", locks.renew(caller, fence, hold)
         else:
-            kind, change = "terminate", locks.terminate(caller, fence)
+            kind, change = "terminate", locks.release(caller, fence)
             del self.claims[caller]
         others = {name: got for name, got in self.got.items() if name != caller}
         self.waits[caller] = Sent(caller, kind, self.now, hold, change, others)
@@ -134,32 +134,32 @@
 
 def test_a_lock_goes_on_when_it_ought_to() -> None:
     """Safety alone would be had by never giving it to anybody."""
-    value, status, _ = run(None, locks.initiate("a", 1000, "1"))
-    late = 1000 * NS_PER_MS + locks.MARGIN
-    assert run(value, locks.initiate("b", 1000, "2"), late - 1)[1] == 409
-    assert run(value, locks.initiate("b", 1000, "2"), late)[1:] == (200, {"fence": 2})
-    assert run(value, locks.heartbeat("a", 1, 1000), late)[1] == 409
-    assert run(value, locks.initiate("a", 1000, "3"))[1:] == (200, {"fence": 1})
-    assert run(value, locks.heartbeat("a", 2, 1000))[1] == run(value, locks.heartbeat("b", 1, 9))[1] == 409
-    given_back, status, _ = run(value, locks.terminate("a", 1))
-    assert status == run(value, locks.terminate("b", 1))[1] == 200
-    assert run(given_back, locks.initiate("b", 1000, "2"))[1:] == (200, {"fence": 2})
-    assert run(given_back, locks.initiate("a", 1000, "1"))[1] == 409  # A late run of what was given back.
+    value, status, _ = run(None, locks.acquire("a", 1000, "1"))
+    late = 1000 * NS_PER_MS + locks.CLOCK_DRIFT_MARGIN_NS
+    assert run(value, locks.acquire("b", 1000, "2"), late - 1)[1] == 409
+    assert run(value, locks.acquire("b", 1000, "2"), late)[1:] == (200, {"fence": 2})
+    assert run(value, locks.renew("a", 1, 1000), late)[1] == 409
+    assert run(value, locks.acquire("a", 1000, "3"))[1:] == (200, {"fence": 1})
+    assert run(value, locks.renew("a", 2, 1000))[1] == run(value, locks.renew("b", 1, 9))[1] == 409
+    given_back, status, _ = run(value, locks.release("a", 1))
+    assert status == run(value, locks.release("b", 1))[1] == 200
+    assert run(given_back, locks.acquire("b", 1000, "2"))[1:] == (200, {"fence": 2})
+    assert run(given_back, locks.acquire("a", 1000, "1"))[1] == 409  # A late run of what was given back.
 
 
 def test_what_is_under_way_still_cuts_no_hold_short() -> None:
-    value, _, _ = run(None, locks.initiate("a", 2000, "1"))
-    for unheard in (locks.heartbeat("a", 1, 300), locks.initiate("a", 300, "2")):
+    value, _, _ = run(None, locks.acquire("a", 2000, "1"))
+    for unheard in (locks.renew("a", 1, 300), locks.acquire("a", 300, "2")):
         shorter, _, _ = run(value, unheard, 100 * NS_PER_MS)
-        assert locks.initiate("b", 300, "3")(shorter, 100 * NS_PER_MS, 1999 * NS_PER_MS).result.status == 409
-    asked_anew, _, _ = run(value, locks.initiate("a", 2000, "2"))
-    given_back, _, _ = run(asked_anew, locks.terminate("a", 1))  # Sent before it asked anew, run after.
-    assert run(given_back, locks.initiate("b", 300, "3"))[1] == 409
+        assert locks.acquire("b", 300, "3")(shorter, 100 * NS_PER_MS, 1999 * NS_PER_MS).result.status == 409
+    asked_anew, _, _ = run(value, locks.acquire("a", 2000, "2"))
+    given_back, _, _ = run(asked_anew, locks.release("a", 1))  # Sent before it asked anew, run after.
+    assert run(given_back, locks.acquire("b", 300, "3"))[1] == 409
 
 
 def test_numbers_rise() -> None:
-    value, _, first = run(None, numbers.following)
-    assert run(value, numbers.following)[2]["Value"] > first["Value"]
+    value, _, first = run(None, numbers.next_number)
+    assert run(value, numbers.next_number)[2]["Value"] > first["Value"]
 
 
 class GroupsAnyhow(RuleBasedStateMachine):
@@ -167,7 +167,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.ages = Ages(30 * NS_PER_SECOND)
+        self.ages = RevisionAges(30 * NS_PER_SECOND)
         self.now = 0
         self.value: bytes | None = None
         self.puts: list[tuple[str, str, int]] = []
@@ -193,7 +193,9 @@
     def one_put(self, key: str, value: str, off: int | None) -> None:
         before, present = self.value, self.present(key)
         applies_to = None if off is None else present + off
-        self.value, status, answer = run(before, cells.replace(key, value, applies_to, self.ages), self.now)
+        self.value, status, answer = run(
+            before, cells.compare_and_set(key, value, applies_to, self.ages), self.now
+        )
         if off:
             assert (status, answer) == (412, {"Revision": present}) and self.value == before
             self.turned_away.add(value)
@@ -201,28 +203,28 @@
         assert (status, answer) == (200, {"Revision": len(self.puts) + 1}) and self.value is not None
         self.puts.append((key, value, len(self.puts) + 1))
         self.put_at.append(self.now)
-        self.ages.note(group_of(key), len(self.puts), self.now)
-        difference = None if before is None else SHAPE.diff(before, self.value)
+        self.ages.record(group_name(key), len(self.puts), self.now)
+        difference = None if before is None else GROUP_DELTAS.diff(before, self.value)
         if before is not None and difference is not None:
-            assert SHAPE.patch(before, difference) == self.value and len(difference) < 100
+            assert GROUP_DELTAS.patch(before, difference) == self.value and len(difference) < 100
         assert difference is not None or len(self.puts) < 4
 
     @precondition(lambda self: self.puts)
     @rule(data=st.data())
     def send_again(self, data: Any) -> None:
-        key, value, revision = data.draw(st.sampled_from(self.puts[-EVENTS_LEAST:]))
+        key, value, revision = data.draw(st.sampled_from(self.puts[-MIN_RETAINED_EVENTS:]))
         for applies_to in (None, 0, revision):
-            again = run(self.value, cells.replace(key, value, applies_to, self.ages), self.now)
+            again = run(self.value, cells.compare_and_set(key, value, applies_to, self.ages), self.now)
             assert again == (self.value, 200, {"Revision": revision})
 
     @invariant()
     def told_right(self) -> None:
-        group = read_group(self.value)
+        group = decode_group(self.value)
         for after in range(len(self.puts) + 1):
-            told = cells.since(group, after)
+            told = cells.events_since(group, after)
             if told is not None and told.status == 410:
                 assert (
-                    after < len(self.puts) - EVENTS_LEAST
+                    after < len(self.puts) - MIN_RETAINED_EVENTS
                     and self.now - self.put_at[after] >= 30 * NS_PER_SECOND
                 )
             elif told is not None:
@@ -232,7 +234,7 @@
             else:
                 assert after == len(self.puts)
         for key in ("g.a", "g.b", "g.c"):
-            _, status, found = run(self.value, cells.retrieve(key), self.now)
+            _, status, found = run(self.value, cells.read(key), self.now)
             if (present := self.present(key)) == 0:
                 assert (status, found) == (404, None)
             else:
@@ -245,22 +247,24 @@
 
 def test_events_are_forgotten_in_time() -> None:
     """Else a group would grow with the day."""
-    ages, value = Ages(30 * NS_PER_SECOND), None
+    ages, value = RevisionAges(30 * NS_PER_SECOND), None
     for number in range(1, 1001):
-        value, _, _ = run(value, cells.replace("g.a", str(number), None, ages), number * NS_PER_SECOND)
-        ages.note("g.", number, number * NS_PER_SECOND)
-    assert len(read_group(value).events) == EVENTS_LEAST
+        value, _, _ = run(
+            value, cells.compare_and_set("g.a", str(number), None, ages), number * NS_PER_SECOND
+        )
+        ages.record("g.", number, number * NS_PER_SECOND)
+    assert len(decode_group(value).events) == MIN_RETAINED_EVENTS
 
 
 def test_differences_tell_values_apart() -> None:
     """Of two proposals one may be given up, and the next be made from the other."""
-    ages = Ages(NS_PER_SECOND)
-    both = [run(None, cells.replace("g.a", value, None, ages))[0] for value in ("kept", "given up")]
-    after = run(both[0], cells.replace("g.b", "next", None, ages))[0]
+    ages = RevisionAges(NS_PER_SECOND)
+    both = [run(None, cells.compare_and_set("g.a", value, None, ages))[0] for value in ("kept", "given up")]
+    after = run(both[0], cells.compare_and_set("g.b", "next", None, ages))[0]
     assert all(both) and after is not None
-    assert SHAPE.diff(both[0] or b"", after) and SHAPE.diff(both[1] or b"", after) is None
-    assert SHAPE.diff(msgspec.msgpack.encode(1), msgspec.msgpack.encode(2)) is None
+    assert GROUP_DELTAS.diff(both[0] or b"", after) and GROUP_DELTAS.diff(both[1] or b"", after) is None
+    assert GROUP_DELTAS.diff(msgspec.msgpack.encode(1), msgspec.msgpack.encode(2)) is None
 
 
 def test_groups_end_at_the_first_dot() -> None:
-    assert [group_of(key) for key in ("g1.2d", "g1.a.b", "alone", ".x")] == ["g1.", "g1.", "alone", "."]
+    assert [group_name(key) for key in ("g1.2d", "g1.a.b", "alone", ".x")] == ["g1.", "g1.", "alone", "."]
--- a/tests/test_system_watches.py
+++ b/tests/test_system_watches.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from ambershift.system.coordination.calls import read_call
-from ambershift.system.coordination.revision_ages import Ages
+from ambershift.system.coordination.calls import parse_call
+from ambershift.system.coordination.revision_ages import RevisionAges
 from tests.enquiring import World, order, play
 
 
@@ -16,7 +16,7 @@
         assert await world.rpc(owner, "cells.replace", "g1.a", put) == (200, {"Revision": 1})
         # A put that went through a machine none of whose words reached the one where watches wait.
         body = msgspec.json.encode({"Value": "v2", "AppliesTo": 1})
-        call = read_call("cells.replace", "g1.a", body, "x/1", Ages(20_000_000_000))
+        call = parse_call("cells.replace", "g1.a", body, "x/1", RevisionAges(20_000_000_000))
         for waits in (owner, third):
             status, told = await world.call(waits, "GET", "/ambershift/watch/g1.?after=1&WaitMs=300")
             assert (status, told) == (200, {"Events": [], "Revision": 1})
