--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -20,7 +20,8 @@
 from ambershift.system.control_api.registry_interface import Registry
 from ambershift.system.control_api.watches import WATCH, Watches
 from ambershift.system.coordination.calls import MAX_BODY_BYTES, PARSERS, SNAPSHOT_GROUP
-from ambershift.system.coordination.replies import InvalidCallError, Reply, json_reply, parse_body
+from ambershift.system.coordination.replies import Reply, json_reply
+from ambershift.system.coordination.request_fields import InvalidCallError, parse_body
 from ambershift.system.coordination.revision_ages import RevisionAges
 from ambershift.system.interfaces import ReplicatedState
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -14,9 +14,10 @@
 from ambershift.system.control_api.log_events import CALL_REFUSED, CALL_UNCLEAR, CHANGE_FAILED
 from ambershift.system.control_api.pending_calls import OpenCalls, Sender
 from ambershift.system.control_api.proposer_selection import Proposers
-from ambershift.system.coordination.calls import REPLACE_CELL, parse_call
+from ambershift.system.coordination.calls import REPLACE_CELL, RegisterCall, parse_call
 from ambershift.system.coordination.groups import Group
-from ambershift.system.coordination.replies import InvalidCallError, RegisterCall, Reply, json_reply
+from ambershift.system.coordination.replies import Reply, json_reply
+from ambershift.system.coordination.request_fields import InvalidCallError
 from ambershift.system.coordination.revision_ages import RevisionAges
 from ambershift.system.interfaces import (
     ChangeFunction,
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -13,7 +13,7 @@
 from ambershift.system.control_api.proposer_selection import Proposers
 from ambershift.system.control_api.subscriptions import Subscriptions
 from ambershift.system.coordination.calls import SNAPSHOT_GROUP, parse_call
-from ambershift.system.coordination.groups import Group
+from ambershift.system.coordination.groups import Group, PutEvent
 from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.coordination.revision_ages import RevisionAges
 from ambershift.system.interfaces import ReplicatedState
@@ -165,7 +165,9 @@
             self._look(word.group)
             return
         found = msgspec.json.decode(asked.result().body)
-        events = tuple((one["Name"], one["Value"], one["Revision"]) for one in found["Events"])
+        events = tuple(
+            PutEvent(event["Name"], event["Value"], event["Revision"]) for event in found["Events"]
+        )
         self._settle(self._subscriptions.told(word.group, after, found["Revision"], events))
 
     def tick(self) -> None:
--- a/ambershift/system/coordination/calls.py
+++ b/ambershift/system/coordination/calls.py
@@ -1,89 +1,134 @@
-"""Reads the applications' calls: which register each is about, and what it makes of its value."""
+"""Parses the applications' calls: the register of each, and the change that it makes to the register's value.
+
+The names of calls and fields are the HTTP protocol's (PROTOCOL.md). A register's name starts with the kind of
+its value: `l/` for locks, `n/` for numbers, `g/` for groups of cells.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 
 from ambershift.system.coordination import cells, locks, numbers
 from ambershift.system.coordination.groups import group_name
-from ambershift.system.coordination.replies import (
+from ambershift.system.coordination.request_fields import (
     InvalidCallError,
-    RegisterCall,
     integer_field,
     name_field,
     parse_body,
 )
 from ambershift.system.coordination.revision_ages import RevisionAges
+from ambershift.system.interfaces import ChangeFunction
 
 MAX_BODY_BYTES = 1 << 20
 MAX_ID_LENGTH = 512
 MAX_COUNT = 1 << 62
 
+ACQUIRE_LOCK = "locks.initiate"
+RENEW_LOCK = "locks.heartbeat"
+RELEASE_LOCK = "locks.terminate"
+NEXT_NUMBER = "numbers"
+REPLACE_CELL = "cells.replace"
+RETRIEVE_CELL = "cells.retrieve"
+SNAPSHOT_GROUP = "cells.present"  # Internal: a watch with `after` 0, and a read of a group that is watched.
+
+LOCK_PREFIX = "l/"
+NUMBER_PREFIX = "n/"
+GROUP_PREFIX = "g/"
+
+
+@dataclass(frozen=True, slots=True)
+class RegisterCall:
+    """A call that was parsed and is valid.
+
+    Attributes:
+        register: The name of the register that the call is about.
+        change: What the call makes of the register's value.
+    """
+
+    register: str
+    change: ChangeFunction
+
+
+# Takes the id that the call is about, its body, the call's own id, and the ages of revisions.
 CallParser = Callable[[str, bytes, str, RevisionAges], RegisterCall]
 
 
-def parse_call(name: str, of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
-    """`name` as in the protocol, `of` the id, `call` this call's own name. Raises `ImproperError`."""
-    if not of or len(of) > MAX_ID_LENGTH:
+def parse_call(
+    name: str, resource_id: str, body: bytes, call_id: str, revision_ages: RevisionAges
+) -> RegisterCall:
+    """Parse a call.
+
+    Args:
+        name: The call's name in the protocol.
+        resource_id: The id of the lock, number, cell or group that it is about.
+        body: JSON.
+        call_id: The id of this call among all calls; the same each time that this call is run.
+        revision_ages: Tells which events a put may forget.
+
+    Raises:
+        InvalidCallError: The name is unknown, the id improper, or a field of the body is.
+    """
+    if not resource_id or len(resource_id) > MAX_ID_LENGTH:
         raise InvalidCallError("of", "is empty or too long")
-    reader = PARSERS.get(name)
-    if reader is None:
+    parser = PARSERS.get(name)
+    if parser is None:
         raise InvalidCallError("call", "is not known")
-    return reader(of, body, call, ages)
+    return parser(resource_id, body, call_id, revision_ages)
 
 
-def _parse_acquire(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+def _parse_acquire(resource_id: str, body: bytes, call_id: str, _ages: RevisionAges) -> RegisterCall:
     fields = parse_body(body)
-    hold = integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS)
-    return RegisterCall("l/" + of, locks.acquire(name_field(fields, "Holder"), hold, call))
+    duration_ms = integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS)
+    holder = name_field(fields, "Holder")
+    return RegisterCall(LOCK_PREFIX + resource_id, locks.acquire(holder, duration_ms, call_id))
 
 
-def _parse_renew(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+def _parse_renew(resource_id: str, body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
     fields = parse_body(body)
-    hold, fence = (
-        integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS),
-        integer_field(fields, "fence", 0, MAX_COUNT),
-    )
-    return RegisterCall("l/" + of, locks.renew(name_field(fields, "Holder"), fence, hold))
+    duration_ms = integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS)
+    fencing_token = integer_field(fields, "fence", 0, MAX_COUNT)
+    holder = name_field(fields, "Holder")
+    return RegisterCall(LOCK_PREFIX + resource_id, locks.renew(holder, fencing_token, duration_ms))
 
 
-def _parse_release(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+def _parse_release(resource_id: str, body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
     fields = parse_body(body)
-    return RegisterCall(
-        "l/" + of, locks.release(name_field(fields, "Holder"), integer_field(fields, "fence", 0, MAX_COUNT))
-    )
+    holder = name_field(fields, "Holder")
+    fencing_token = integer_field(fields, "fence", 0, MAX_COUNT)
+    return RegisterCall(LOCK_PREFIX + resource_id, locks.release(holder, fencing_token))
 
 
-def _parse_next_number(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
-    return RegisterCall("n/" + of, numbers.next_number)
+def _parse_next_number(resource_id: str, _body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+    return RegisterCall(NUMBER_PREFIX + resource_id, numbers.next_number)
 
 
-def _parse_compare_and_set(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
+def _parse_replace(key: str, body: bytes, _call_id: str, revision_ages: RevisionAges) -> RegisterCall:
     fields = parse_body(body)
-    if fields.get("Value") is None:
+    value = fields.get("Value")
+    if value is None:
         raise InvalidCallError("Value", "is missing")
-    applies_to = None
+    expected_revision = None
     if fields.get("AppliesTo") is not None:
-        applies_to = integer_field(fields, "AppliesTo", 0, MAX_COUNT)
-    return RegisterCall("g/" + group_name(of), cells.compare_and_set(of, fields["Value"], applies_to, ages))
+        expected_revision = integer_field(fields, "AppliesTo", 0, MAX_COUNT)
+    change = cells.compare_and_set(key, value, expected_revision, revision_ages)
+    return RegisterCall(GROUP_PREFIX + group_name(key), change)
 
 
-def _parse_read(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
-    return RegisterCall("g/" + group_name(of), cells.read(of))
+def _parse_retrieve(key: str, _body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+    return RegisterCall(GROUP_PREFIX + group_name(key), cells.read(key))
 
 
-def _parse_snapshot(of: str, body: bytes, call: str, ages: RevisionAges) -> RegisterCall:
-    return RegisterCall("g/" + of, cells.snapshot)
+def _parse_snapshot(group: str, _body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+    return RegisterCall(GROUP_PREFIX + group, cells.snapshot)
 
 
-REPLACE_CELL = "cells.replace"
-SNAPSHOT_GROUP = "cells.present"  # Ours: a watch with `after` 0, and a look at a group that is watched.
 PARSERS: Mapping[str, CallParser] = {
-    "locks.initiate": _parse_acquire,
-    "locks.heartbeat": _parse_renew,
-    "locks.terminate": _parse_release,
-    "numbers": _parse_next_number,
-    REPLACE_CELL: _parse_compare_and_set,
-    "cells.retrieve": _parse_read,
+    ACQUIRE_LOCK: _parse_acquire,
+    RENEW_LOCK: _parse_renew,
+    RELEASE_LOCK: _parse_release,
+    NEXT_NUMBER: _parse_next_number,
+    REPLACE_CELL: _parse_replace,
+    RETRIEVE_CELL: _parse_retrieve,
     SNAPSHOT_GROUP: _parse_snapshot,
 }
--- a/ambershift/system/coordination/cells.py
+++ b/ambershift/system/coordination/cells.py
@@ -1,8 +1,9 @@
-"""What the calls on cells make of their group, and what a watch is told of it."""
+"""The calls on cells (keys) as changes of their group, and the events that a watch receives."""
 
 from __future__ import annotations
 
 from dataclasses import replace as with_fields
+from http import HTTPStatus
 from typing import Any
 
 from ambershift.system.coordination.groups import Group, decode_group, encode_group, group_name
@@ -11,53 +12,65 @@
 from ambershift.system.interfaces import ChangeFunction, ChangeOutcome
 
 
-def _verdict(value: bytes | None, answer: Reply, group: Group) -> ChangeOutcome:
-    return ChangeOutcome(value, with_fields(answer, group=group))
+def _verdict(value: bytes | None, reply: Reply, group: Group) -> ChangeOutcome:
+    return ChangeOutcome(value, with_fields(reply, group=group))
 
 
-def compare_and_set(key: str, value: Any, applies_to: int | None, ages: RevisionAges) -> ChangeFunction:
-    """Put a value. One that is there already (the call has arrived again) gets its first revision, whatever
-    it was to apply to: else a put that took effect would be told that it had not."""
+def compare_and_set(
+    key: str, value: Any, expected_revision: int | None, revision_ages: RevisionAges
+) -> ChangeFunction:
+    """Put a value if the key is at the expected revision (0: never put); None puts it at any revision.
+
+    A value that the key has or recently had is answered with its first revision, at whatever revision it was
+    expected: the call may be a retry of a put that took effect, and must not be answered that it failed.
+    """
     name = group_name(key)
 
-    def change(held: bytes | None, known_since: int, now: int) -> ChangeOutcome:
-        group = decode_group(held)
-        first = group.first_revision_of(key, value)
-        if first is not None:
-            return _verdict(None, json_reply(200, Revision=first), group)
-        present = group.cells.get(key, (None, 0))[1]
-        if applies_to is not None and applies_to != present:
-            return _verdict(None, json_reply(412, Revision=present), group)
-        after = group.put(key, value, ages.prunable_revision(name, now))
-        return _verdict(encode_group(after), json_reply(200, Revision=after.revision), after)
+    def change(stored: bytes | None, known_since: int, now: int) -> ChangeOutcome:
+        group = decode_group(stored)
+        first_revision = group.first_revision_of(key, value)
+        if first_revision is not None:
+            return _verdict(None, json_reply(HTTPStatus.OK, Revision=first_revision), group)
+        cell = group.cells.get(key)
+        revision = 0 if cell is None else cell.revision
+        if expected_revision is not None and expected_revision != revision:
+            return _verdict(None, json_reply(HTTPStatus.PRECONDITION_FAILED, Revision=revision), group)
+        after = group.put(key, value, revision_ages.prunable_revision(name, now))
+        return _verdict(encode_group(after), json_reply(HTTPStatus.OK, Revision=after.revision), after)
 
     return change
 
 
 def read(key: str) -> ChangeFunction:
-    def change(held: bytes | None, known_since: int, now: int) -> ChangeOutcome:
-        group = decode_group(held)
-        found = group.cells.get(key)
-        answer = Reply(404, b"") if found is None else json_reply(200, Value=found[0], Revision=found[1])
-        return _verdict(None, answer, group)
+    """Read a key's value and revision; changes nothing."""
+
+    def change(stored: bytes | None, known_since: int, now: int) -> ChangeOutcome:
+        group = decode_group(stored)
+        cell = group.cells.get(key)
+        if cell is None:
+            return _verdict(None, Reply(HTTPStatus.NOT_FOUND, b""), group)
+        return _verdict(None, json_reply(HTTPStatus.OK, Value=cell.value, Revision=cell.revision), group)
 
     return change
 
 
-def snapshot(held: bytes | None, known_since: int, now: int) -> ChangeOutcome:
-    """A `ChangeFunction` that changes nothing: the group as it stands, and its revision."""
-    group = decode_group(held)
-    return _verdict(None, json_reply(200, Events=[], Revision=group.revision), group)
+def snapshot(stored: bytes | None, known_since: int, now: int) -> ChangeOutcome:
+    """A `ChangeFunction` that changes nothing: the group's revision, and the group itself for its watches."""
+    group = decode_group(stored)
+    return _verdict(None, json_reply(HTTPStatus.OK, Events=[], Revision=group.revision), group)
 
 
 def events_since(group: Group, after: int) -> Reply | None:
-    """What a watch is told: all events above `after`, 410 if some are forgotten, None if there are none."""
+    """The answer to a watch: all events after a revision, or 410 if some of them are pruned.
+
+    None if there are no such events yet.
+    """
     if after < group.pruned_up_to:
-        return json_reply(410)
+        return json_reply(HTTPStatus.GONE)
     if after >= group.revision:
         return None
     events = [
-        {"Name": name, "Value": value, "Revision": revision}
-        for name, value, revision in group.events_after(after)
+        {"Name": event.key, "Value": event.value, "Revision": event.revision}
+        for event in group.events_after(after)
     ]
-    return json_reply(200, Events=events, Revision=group.revision)
+    return json_reply(HTTPStatus.OK, Events=events, Revision=group.revision)
--- a/ambershift/system/coordination/locks.py
+++ b/ambershift/system/coordination/locks.py
@@ -1,14 +1,19 @@
-"""Locks: who holds one, under which fence, and how long others have to wait.
+"""Locks: leases with fencing tokens.
 
-A value tells how long it holds and not until when, as steady clocks are a machine's own. Each value is unlike
-all before it (`turn` rises), so a machine knows since when it has known exactly this one, and counts from
-there. A holder counts from when it sent its call, which was before any machine knew the value: whenever a
-machine finds a hold to be over, its holder has found so already.
+A lease's value says for how long it is granted and not until when, as a monotonic clock has a meaning on its
+own machine only. No two values of a register are alike (`sequence` rises), so that a machine knows since when
+it has known exactly this value, and counts from there. A holder counts from when it sent its call, which was
+before any machine knew the value: when a machine finds that a lease has expired, its holder has found so
+already.
+
+Fencing tokens: M. Kleppmann, "How to do distributed locking" (2016); the sequencers of Chubby (Burrows,
+2006).
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 
@@ -16,14 +21,20 @@
 from ambershift.system.interfaces import ChangeFunction, ChangeOutcome
 from ambershift.system.state_machine import NS_PER_MS
 
-CLOCK_DRIFT_MARGIN_NS = 50 * NS_PER_MS  # Against steady clocks that don't run quite alike.
+CLOCK_DRIFT_MARGIN_NS = 50 * NS_PER_MS  # Monotonic clocks of two machines run at slightly different rates.
 MAX_LEASE_MS = 86_400_000
 
 
 class Lease(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """`holder` is empty while it is free; `hold` in ms; `call` is the `initiate` that took or kept it last.
-
-    `kept` after a holder asked for what it had: see `terminate`.
+    """The value of a lock's register.
+
+    Attributes:
+        holder: Who has the lock; empty while it is free.
+        fencing_token: Rises by one with each new holder.
+        duration_ms: For how long the lease is granted, from when this value is known.
+        sequence: Rises with each value.
+        call_id: The call that acquired the lock last.
+        reacquired: Whether the holder asked for the lock again while it had it; see `release`.
     """
 
     holder: str
@@ -34,73 +45,92 @@
     reacquired: bool
 
     def is_expired(self, known_since: int, now: int) -> bool:
+        """Whether the lease is over for its holder too. Times in ns, of this machine's monotonic clock."""
         return now - known_since >= self.duration_ms * NS_PER_MS + CLOCK_DRIFT_MARGIN_NS
 
+    def is_held(self, known_since: int, now: int) -> bool:
+        """Whether somebody has the lock. Times as for `is_expired`."""
+        return bool(self.holder) and not self.is_expired(known_since, now)
+
+    def extended_ms(self, duration_ms: int, known_since: int, now: int) -> int:
+        """The duration of a renewed lease: never less than what remains of the one that was granted."""
+        return max(duration_ms, self.remaining_ms(known_since, now))
+
     def remaining_ms(self, known_since: int, now: int) -> int:
-        """At least what is left of the hold, in ms: a shorter one must not cut short what was promised."""
+        """What remains of the lease, rounded up."""
         return self.duration_ms - (now - known_since) // NS_PER_MS
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Lease).decode
-NEVER_LEASED = Lease("", 0, 0, 0, "", False)
+NEVER_LEASED = Lease(holder="", fencing_token=0, duration_ms=0, sequence=0, call_id="", reacquired=False)
 
+# Takes the lease, since when (ns) this value is known, and now (ns). Returns the new lease, None to leave it.
 Transition = Callable[[Lease, int, int], tuple[Lease | None, Reply]]
 
 
-def _change(judge: Transition) -> ChangeFunction:
+def _change(transition: Transition) -> ChangeFunction:
     def change(value: bytes | None, known_since: int, now: int) -> ChangeOutcome:
-        lock, answer = judge(NEVER_LEASED if value is None else _decode(value), known_since, now)
-        return ChangeOutcome(None if lock is None else _encode(lock), answer)
+        stored = NEVER_LEASED if value is None else _decode(value)
+        lease, reply = transition(stored, known_since, now)
+        return ChangeOutcome(None if lease is None else _encode(lease), reply)
 
     return change
 
 
-def acquire(holder: str, hold: int, call: str) -> ChangeFunction:
-    """Take the lock, or keep it. `call` is this call's own, the same in each of its runs."""
+def acquire(holder: str, duration_ms: int, call_id: str) -> ChangeFunction:
+    """Acquire the lock, or extend the holder's lease; 409 while another one has it.
+
+    `call_id` is the same in each run of this call.
+    """
+
+    def transition(lease: Lease, known_since: int, now: int) -> tuple[Lease | None, Reply]:
+        is_held = lease.is_held(known_since, now)
+        if lease.call_id == call_id:
+            # An earlier run of this call acquired the lock. If it was released since, a late run must not
+            # acquire it again: nobody waits for the answer, and the lock would be held for nothing.
+            if is_held and lease.holder == holder:
+                return None, json_reply(HTTPStatus.OK, fence=lease.fencing_token)
+            return None, json_reply(HTTPStatus.CONFLICT)
+        if is_held and lease.holder != holder:
+            return None, json_reply(HTTPStatus.CONFLICT)
+        fencing_token = lease.fencing_token if is_held else lease.fencing_token + 1
+        granted_ms = lease.extended_ms(duration_ms, known_since, now) if is_held else duration_ms
+        granted = Lease(holder, fencing_token, granted_ms, lease.sequence + 1, call_id, reacquired=is_held)
+        return granted, json_reply(HTTPStatus.OK, fence=fencing_token)
 
-    def judge(lock: Lease, known_since: int, now: int) -> tuple[Lease | None, Reply]:
-        held = bool(lock.holder) and not lock.is_expired(known_since, now)
-        if lock.call_id == call:
-            # An earlier run of this call took it; if it has gone since, a late run must not take it again.
-            return None, json_reply(
-                200, fence=lock.fencing_token
-            ) if held and lock.holder == holder else json_reply(409)
-        if held and lock.holder != holder:
-            return None, json_reply(409)
-        if held:
-            hold_on = max(hold, lock.remaining_ms(known_since, now))
-            return Lease(holder, lock.fencing_token, hold_on, lock.sequence + 1, call, True), json_reply(
-                200, fence=lock.fencing_token
-            )
-        fence = lock.fencing_token + 1
-        return Lease(holder, fence, hold, lock.sequence + 1, call, False), json_reply(200, fence=fence)
+    return _change(transition)
 
-    return _change(judge)
 
+def renew(holder: str, fencing_token: int, duration_ms: int) -> ChangeFunction:
+    """Extend the holder's lease; 409 if it has expired, even where nobody has acquired the lock since.
 
-def renew(holder: str, fence: int, hold: int) -> ChangeFunction:
-    """More time for the holder. Once its time is over it is refused, even if nobody has taken the lock: its
-    own clock has ended the hold before ours."""
+    The holder's own clock has ended the lease before ours.
+    """
 
-    def judge(lock: Lease, known_since: int, now: int) -> tuple[Lease | None, Reply]:
-        if (lock.holder, lock.fencing_token) != (holder, fence) or lock.is_expired(known_since, now):
-            return None, json_reply(409)
-        hold_on = max(hold, lock.remaining_ms(known_since, now))
-        return Lease(holder, fence, hold_on, lock.sequence + 1, lock.call_id, lock.reacquired), json_reply(
-            200
-        )
+    def transition(lease: Lease, known_since: int, now: int) -> tuple[Lease | None, Reply]:
+        is_holder = (lease.holder, lease.fencing_token) == (holder, fencing_token)
+        if not is_holder or lease.is_expired(known_since, now):
+            return None, json_reply(HTTPStatus.CONFLICT)
+        granted_ms = lease.extended_ms(duration_ms, known_since, now)
+        renewed = msgspec.structs.replace(lease, duration_ms=granted_ms, sequence=lease.sequence + 1)
+        return renewed, json_reply(HTTPStatus.OK)
 
-    return _change(judge)
+    return _change(transition)
 
 
-def release(holder: str, fence: int) -> ChangeFunction:
-    """Give the lock back. Where its holder has asked for it anew under the same fence (`kept`), this may be
-    an older call that was under way all the time; then the lock is left to run out."""
+def release(holder: str, fencing_token: int) -> ChangeFunction:
+    """Release the lock; 200 also where the holder doesn't have it.
+
+    Where the holder has acquired it again under the same fencing token (`reacquired`), this may be an older
+    call that was delayed; then the lease is left to expire.
+    """
 
-    def judge(lock: Lease, known_since: int, now: int) -> tuple[Lease | None, Reply]:
-        if (lock.holder, lock.fencing_token) != (holder, fence) or lock.reacquired:
-            return None, json_reply(200)
-        return Lease("", fence, 0, lock.sequence + 1, lock.call_id, False), json_reply(200)
+    def transition(lease: Lease, known_since: int, now: int) -> tuple[Lease | None, Reply]:
+        is_holder = (lease.holder, lease.fencing_token) == (holder, fencing_token)
+        if not is_holder or lease.reacquired:
+            return None, json_reply(HTTPStatus.OK)
+        released = Lease("", fencing_token, 0, lease.sequence + 1, lease.call_id, reacquired=False)
+        return released, json_reply(HTTPStatus.OK)
 
-    return _change(judge)
+    return _change(transition)
--- a/ambershift/system/coordination/revision_ages.py
+++ b/ambershift/system/coordination/revision_ages.py
@@ -1,33 +1,44 @@
-"""How long ago this process first knew of a group's revisions, to tell which events may be forgotten."""
+"""For how long this process has known each group's revisions, to tell which events may be pruned."""
 
 from __future__ import annotations
 
 from collections import deque
+from typing import NamedTuple
+
+
+class _FirstSeen(NamedTuple):
+    revision: int
+    seen_at_ns: int
 
 
 class RevisionAges:
-    """`keep` is how long (ns) an event must stay after this process first knew of it.
+    """When this process first learned of each group's revisions.
 
-    A process that starts anew counts from then on, so that an event is kept too long rather than too short.
+    A process that restarts counts from then on, so that an event is retained too long rather than too short.
     """
 
-    def __init__(self, keep: int) -> None:
-        self._keep = keep
-        self._marks: dict[str, deque[tuple[int, int]]] = {}
+    def __init__(self, retention_ns: int) -> None:
+        """Create one without revisions.
+
+        Args:
+            retention_ns: For how long an event must be retained after this process learned of it.
+        """
+        self._retention_ns = retention_ns
+        self._first_seen: dict[str, deque[_FirstSeen]] = {}
 
     def record(self, group: str, revision: int, now: int) -> None:
-        """The group is known to have reached this revision (for certain, not just proposed)."""
-        marks = self._marks.setdefault(group, deque())
-        if not marks or revision > marks[-1][0]:
-            marks.append((revision, now))
+        """The group has reached this revision for certain: it isn't just proposed. `now` in ns."""
+        first_seen = self._first_seen.setdefault(group, deque())
+        if not first_seen or revision > first_seen[-1].revision:
+            first_seen.append(_FirstSeen(revision, now))
 
     def prunable_revision(self, group: str, now: int) -> int:
-        """The highest revision that was known long enough ago; 0 if none."""
-        marks = self._marks.get(group)
-        found = 0
-        while marks and now - marks[0][1] >= self._keep:
-            found = marks[0][0]
-            if len(marks) == 1:
-                break  # Else the same revision would be noted anew.
-            marks.popleft()
-        return found
+        """The highest revision that is older than the retention time; 0 if none. `now` in ns."""
+        first_seen = self._first_seen.get(group)
+        prunable = 0
+        while first_seen and now - first_seen[0].seen_at_ns >= self._retention_ns:
+            prunable = first_seen[0].revision
+            if len(first_seen) == 1:
+                break  # Removed, the same revision would be recorded again, with a later time.
+            first_seen.popleft()
+        return prunable
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -12,7 +12,7 @@
 from ambershift.system.consensus.cache_file import SideFile
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.control_api.application import ControlApi
-from ambershift.system.coordination.value_deltas import value_shape
+from ambershift.system.coordination.value_deltas import value_delta_codec
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import forwarding, proxy_link, registry_sync, replication
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
@@ -43,7 +43,9 @@
             me, settings.internal[0], self.hear, self.linked, self.lost, self.log, self.meter, self.reached
         )
         send = self.links.send
-        self.ledger = ReplicatedStore(settings, send, steady, secrets.randbits(62), value_shape, self.log)
+        self.ledger = ReplicatedStore(
+            settings, send, steady, secrets.randbits(62), value_delta_codec, self.log
+        )
         self.side = SideFile(settings.folder, LIST) if settings.folder is not None else None
         self.registry = Registry(
             settings, self.ledger, send, steady, secrets.randbits(62), self.log, self.side
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.control_api.application import ControlApi
-from ambershift.system.coordination.value_deltas import value_shape
+from ambershift.system.coordination.value_deltas import value_delta_codec
 from ambershift.system.messages import replication
 from ambershift.system.settings.local import Local
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
@@ -142,7 +142,7 @@
 
         settings = self.settings(box)
         store = ReplicatedStore(
-            settings, send, steady, self.chance.getrandbits(62), value_shape, self.log, bottom
+            settings, send, steady, self.chance.getrandbits(62), value_delta_codec, self.log, bottom
         )
         with loop.current():
             control_api = ControlApi(
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -10,7 +10,8 @@
 from ambershift.system.consensus import acceptor
 from ambershift.system.control_api import application, coordination_calls, evacuations, watches
 from ambershift.system.coordination import groups, locks
-from ambershift.system.coordination.replies import RegisterCall, json_reply
+from ambershift.system.coordination.calls import RegisterCall
+from ambershift.system.coordination.replies import json_reply
 from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
 from ambershift.system.messages.replication import ZERO_BALLOT
