--- a/ambershift/system/coordination/calls.py
+++ b/ambershift/system/coordination/calls.py
@@ -1,78 +1,134 @@
-"""Reads the applications' calls: which register each is about, and what it makes of its value."""
+"""Parses the applications' calls: the register of each, and the change that it makes to the register's value.
+
+The names of calls and fields are the HTTP protocol's (PROTOCOL.md). A register's name starts with the kind of
+its value: `l/` for locks, `n/` for numbers, `g/` for groups of cells.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 
 from ambershift.system.coordination import cells, locks, numbers
-from ambershift.system.coordination.groups import group_of
-from ambershift.system.coordination.replies import Call, ImproperError, read_body, text, whole
-from ambershift.system.coordination.revision_ages import Ages
-
-BODY_MOST = 1 << 20
-NAME_MOST = 512
-COUNT_MOST = 1 << 62
-
-Reader = Callable[[str, bytes, str, Ages], Call]
-
-
-def read_call(name: str, of: str, body: bytes, call: str, ages: Ages) -> Call:
-    """`name` as in the protocol, `of` the id, `call` this call's own name. Raises `ImproperError`."""
-    if not of or len(of) > NAME_MOST:
-        raise ImproperError("of", "is empty or too long")
-    reader = CALLS.get(name)
-    if reader is None:
-        raise ImproperError("call", "is not known")
-    return reader(of, body, call, ages)
-
-
-def _initiate(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    fields = read_body(body)
-    hold = whole(fields, "HoldMs", 1, locks.HOLD_MOST)
-    return Call("l/" + of, locks.initiate(text(fields, "Holder"), hold, call))
-
-
-def _heartbeat(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    fields = read_body(body)
-    hold, fence = whole(fields, "HoldMs", 1, locks.HOLD_MOST), whole(fields, "fence", 0, COUNT_MOST)
-    return Call("l/" + of, locks.heartbeat(text(fields, "Holder"), fence, hold))
-
-
-def _terminate(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    fields = read_body(body)
-    return Call("l/" + of, locks.terminate(text(fields, "Holder"), whole(fields, "fence", 0, COUNT_MOST)))
-
-
-def _number(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    return Call("n/" + of, numbers.following)
-
-
-def _replace(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    fields = read_body(body)
-    if fields.get("Value") is None:
-        raise ImproperError("Value", "is missing")
-    applies_to = None
+from ambershift.system.coordination.groups import group_name
+from ambershift.system.coordination.request_fields import (
+    InvalidCallError,
+    integer_field,
+    name_field,
+    parse_body,
+)
+from ambershift.system.coordination.revision_ages import RevisionAges
+from ambershift.system.interfaces import ChangeFunction
+
+MAX_BODY_BYTES = 1 << 20
+MAX_ID_LENGTH = 512
+MAX_COUNT = 1 << 62
+
+ACQUIRE_LOCK = "locks.initiate"
+RENEW_LOCK = "locks.heartbeat"
+RELEASE_LOCK = "locks.terminate"
+NEXT_NUMBER = "numbers"
+REPLACE_CELL = "cells.replace"
+RETRIEVE_CELL = "cells.retrieve"
+SNAPSHOT_GROUP = "cells.present"  # Internal: a watch with `after` 0, and a read of a group that is watched.
+
+LOCK_PREFIX = "l/"
+NUMBER_PREFIX = "n/"
+GROUP_PREFIX = "g/"
+
+
+@dataclass(frozen=True, slots=True)
+class RegisterCall:
+    """A call that was parsed and is valid.
+
+    Attributes:
+        register: The name of the register that the call is about.
+        change: What the call makes of the register's value.
+    """
+
+    register: str
+    change: ChangeFunction
+
+
+# Takes the id that the call is about, its body, the call's own id, and the ages of revisions.
+CallParser = Callable[[str, bytes, str, RevisionAges], RegisterCall]
+
+
+def parse_call(
+    name: str, resource_id: str, body: bytes, call_id: str, revision_ages: RevisionAges
+) -> RegisterCall:
+    """Parse a call.
+
+    Args:
+        name: The call's name in the protocol.
+        resource_id: The id of the lock, number, cell or group that it is about.
+        body: JSON.
+        call_id: The id of this call among all calls; the same each time that this call is run.
+        revision_ages: Tells which events a put may forget.
+
+    Raises:
+        InvalidCallError: The name is unknown, the id improper, or a field of the body is.
+    """
+    if not resource_id or len(resource_id) > MAX_ID_LENGTH:
+        raise InvalidCallError("of", "is empty or too long")
+    parser = PARSERS.get(name)
+    if parser is None:
+        raise InvalidCallError("call", "is not known")
+    return parser(resource_id, body, call_id, revision_ages)
+
+
+def _parse_acquire(resource_id: str, body: bytes, call_id: str, _ages: RevisionAges) -> RegisterCall:
+    fields = parse_body(body)
+    duration_ms = integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS)
+    holder = name_field(fields, "Holder")
+    return RegisterCall(LOCK_PREFIX + resource_id, locks.acquire(holder, duration_ms, call_id))
+
+
+def _parse_renew(resource_id: str, body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+    fields = parse_body(body)
+    duration_ms = integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS)
+    fencing_token = integer_field(fields, "fence", 0, MAX_COUNT)
+    holder = name_field(fields, "Holder")
+    return RegisterCall(LOCK_PREFIX + resource_id, locks.renew(holder, fencing_token, duration_ms))
+
+
+def _parse_release(resource_id: str, body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+    fields = parse_body(body)
+    holder = name_field(fields, "Holder")
+    fencing_token = integer_field(fields, "fence", 0, MAX_COUNT)
+    return RegisterCall(LOCK_PREFIX + resource_id, locks.release(holder, fencing_token))
+
+
+def _parse_next_number(resource_id: str, _body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+    return RegisterCall(NUMBER_PREFIX + resource_id, numbers.next_number)
+
+
+def _parse_replace(key: str, body: bytes, _call_id: str, revision_ages: RevisionAges) -> RegisterCall:
+    fields = parse_body(body)
+    value = fields.get("Value")
+    if value is None:
+        raise InvalidCallError("Value", "is missing")
+    expected_revision = None
     if fields.get("AppliesTo") is not None:
-        applies_to = whole(fields, "AppliesTo", 0, COUNT_MOST)
-    return Call("g/" + group_of(of), cells.replace(of, fields["Value"], applies_to, ages))
+        expected_revision = integer_field(fields, "AppliesTo", 0, MAX_COUNT)
+    change = cells.compare_and_set(key, value, expected_revision, revision_ages)
+    return RegisterCall(GROUP_PREFIX + group_name(key), change)
 
 
-def _retrieve(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    return Call("g/" + group_of(of), cells.retrieve(of))
+def _parse_retrieve(key: str, _body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+    return RegisterCall(GROUP_PREFIX + group_name(key), cells.read(key))
 
 
-def _present(of: str, body: bytes, call: str, ages: Ages) -> Call:
-    return Call("g/" + of, cells.present)
+def _parse_snapshot(group: str, _body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+    return RegisterCall(GROUP_PREFIX + group, cells.snapshot)
 
 
-PUT = "cells.replace"
-PRESENT = "cells.present"  # Ours: a watch with `after` 0, and a look at a group that is watched.
-CALLS: Mapping[str, Reader] = {
-    "locks.initiate": _initiate,
-    "locks.heartbeat": _heartbeat,
-    "locks.terminate": _terminate,
-    "numbers": _number,
-    PUT: _replace,
-    "cells.retrieve": _retrieve,
-    PRESENT: _present,
+PARSERS: Mapping[str, CallParser] = {
+    ACQUIRE_LOCK: _parse_acquire,
+    RENEW_LOCK: _parse_renew,
+    RELEASE_LOCK: _parse_release,
+    NEXT_NUMBER: _parse_next_number,
+    REPLACE_CELL: _parse_replace,
+    RETRIEVE_CELL: _parse_retrieve,
+    SNAPSHOT_GROUP: _parse_snapshot,
 }
--- a/ambershift/system/coordination/value_deltas.py
+++ b/ambershift/system/coordination/value_deltas.py
@@ -1,53 +1,71 @@
-"""Tells a group's new value by what was put since the old one, so that a put costs little however large."""
+"""Encodes a group's new value as the puts since the old one, so that a put to a large group costs little."""
 
 from __future__ import annotations
 
 import msgspec
 
-from ambershift.system.coordination.groups import Event, Group, read_group, write_group
+from ambershift.system.coordination.groups import (
+    EMPTY_GROUP,
+    Cell,
+    Group,
+    PutEvent,
+    decode_group,
+    encode_group,
+)
 from ambershift.system.interfaces import DeltaCodec
 
 
-class Added(msgspec.Struct, frozen=True, array_like=True):
-    """The events that were added, and up to which revision events are forgotten."""
+class GroupDelta(msgspec.Struct, frozen=True, array_like=True):
+    """The difference between two values of a group.
 
-    pruned: int
-    events: tuple[Event, ...]
+    Attributes:
+        pruned_up_to: The newer value's.
+        events: The puts that the newer value has in addition.
+    """
 
+    pruned_up_to: int
+    events: tuple[PutEvent, ...]
 
-_decode = msgspec.msgpack.Decoder(Added).decode
-_BEGINS = write_group(Group(0, 0, {}, ()))[:3]  # The array's head and its tag.
 
+_decode = msgspec.msgpack.Decoder(GroupDelta).decode
+_ENCODED_GROUP_START = encode_group(EMPTY_GROUP)[:3]  # The array's header and its tag.
 
-class GroupShape:
-    """A `contracts.Shape` for any register: what is no group is told whole."""
+
+class GroupDeltaCodec:
+    """The `DeltaCodec` of the values of all registers; those that aren't groups have no differences."""
 
     def diff(self, old: bytes, new: bytes) -> bytes | None:
-        if not (old.startswith(_BEGINS) and new.startswith(_BEGINS)):
+        """The encoded `GroupDelta` that `patch` applies; None where the complete value must be sent."""
+        if not (old.startswith(_ENCODED_GROUP_START) and new.startswith(_ENCODED_GROUP_START)):
+            return None
+        before = decode_group(old)
+        after = decode_group(new)
+        if after.pruned_up_to < before.pruned_up_to:
             return None
-        before, after = read_group(old), read_group(new)
-        if not after.pruned <= before.revision <= after.revision or after.pruned < before.pruned:
+        if not after.pruned_up_to <= before.revision <= after.revision:
             return None
-        added = Added(after.pruned, after.above(before.revision))
-        difference = msgspec.msgpack.encode(added)
-        # The two may stem from unlike proposals, of which one was given up.
-        return difference if len(difference) < len(new) and _add(before, added) == new else None
+        delta = GroupDelta(after.pruned_up_to, after.events_after(before.revision))
+        encoded = msgspec.msgpack.encode(delta)
+        # The two may come from concurrent proposals of which one was abandoned: then the delta yields another
+        # value than `new`.
+        return encoded if len(encoded) < len(new) and _apply(before, delta) == new else None
 
     def patch(self, old: bytes, difference: bytes) -> bytes:
-        return _add(read_group(old), _decode(difference))
+        """The new value, from the old one and what `diff` returned."""
+        return _apply(decode_group(old), _decode(difference))
 
 
-def _add(before: Group, added: Added) -> bytes:
+def _apply(before: Group, delta: GroupDelta) -> bytes:
     cells = dict(before.cells)
-    for name, value, revision in added.events:
-        cells[name] = (value, revision)
-    events = (*before.events, *added.events)[added.pruned - before.pruned :]
-    return write_group(Group(before.revision + len(added.events), added.pruned, cells, events))
+    for event in delta.events:
+        cells[event.key] = Cell(event.value, event.revision)
+    events = (*before.events, *delta.events)[delta.pruned_up_to - before.pruned_up_to :]
+    return encode_group(Group(before.revision + len(delta.events), delta.pruned_up_to, cells, events))
 
 
-SHAPE = GroupShape()
+GROUP_DELTAS = GroupDeltaCodec()
 
 
-def shape_of(register: str) -> DeltaCodec:
-    """The shape of a register's values; any other than a group's are small and told whole."""
-    return SHAPE
+def value_delta_codec(register: str) -> DeltaCodec:
+    """The codec for differences of a register's values; one serves for all registers."""
+    return GROUP_DELTAS
