--- a/ambershift/modelcheck/models/consensus.py
+++ b/ambershift/modelcheck/models/consensus.py
@@ -105,7 +105,7 @@
             key=lambda one: one.epoch if one else 0,
         )
         births = {ip: table.replica(at).voters.me.birth for at, ip in enumerate(IPS)}
-        return newest is not None and any(births[one.ip] != one.birth for one in newest.members)
+        return newest is not None and any(births[one.ip] != one.birth for one in newest.voters)
 
     def catches_up(self, world: World, place: int) -> Iterator[Step[World]]:
         """It hears of newer voters, or gathers what it lacks before it votes."""
--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -15,7 +15,7 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import ChangeOutcome, NotAppliedError
 from ambershift.system.messages import replication
-from ambershift.system.messages.replication import Decision, Member
+from ambershift.system.messages.replication import Voter, VoterConfiguration
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.simulation.lists import Appending, split
 from ambershift.system.state_machine import (
@@ -42,7 +42,7 @@
     replication.ConfirmBallot,
     replication.SyncRequest,
     replication.SyncResponse,
-    Decision,
+    VoterConfiguration,
 )
 Ways = frozenset[tuple[int, int]]
 ALL: Ways = frozenset((one, other) for one in PLACES for other in PLACES if one != other)
@@ -197,10 +197,10 @@
         decision = replica.voters.decision
         assert decision is not None
         births = {ip: self.replica(at).voters.me.birth for at, ip in enumerate(IPS)}
-        wanted = tuple(Member(one.ip, one.zone, one.region, births[one.ip]) for one in decision.members)
+        wanted = tuple(Voter(one.ip, one.zone, one.region, births[one.ip]) for one in decision.voters)
         replica._out.now = self.now
         replica._membership._try(decision, wanted)
-        self.does(place, MessageReceived(IPS[place], replication.Beat(0, 0, 0, ())), ways)
+        self.does(place, MessageReceived(IPS[place], replication.Heartbeat(0, 0, 0, ())), ways)
         self.settle()
 
     def done(self, **left: int) -> World:
@@ -258,4 +258,4 @@
     )
 
 
-__all__ = ["ALL", "IPS", "PLACES", "Decision", "Table", "Ways", "World", "partial"]
+__all__ = ["ALL", "IPS", "PLACES", "VoterConfiguration", "Table", "Ways", "World", "partial"]
--- a/ambershift/system/consensus/anti_entropy.py
+++ b/ambershift/system/consensus/anti_entropy.py
@@ -111,8 +111,8 @@
                 one.yes.add(me.ip)
         elif one.kind == COMPLETE:
             others = [ip for ip in self._voters.near if ip != me.ip]
-            one.asked = {*others, *(member.ip for member in decision.before)} - {me.ip}
-            if holds(decision.before, me.ip, me.birth) and self._voters.whole >= decision.epoch - 1:
+            one.asked = {*others, *(member.ip for member in decision.previous_voters)} - {me.ip}
+            if holds(decision.previous_voters, me.ip, me.birth) and self._voters.whole >= decision.epoch - 1:
                 one.yes.add(me.ip)
             else:
                 one.alone_till = self._out.now + ALONE
@@ -178,7 +178,7 @@
         return (
             decision is not None
             and share.complete_epoch >= decision.epoch - 1
-            and holds(decision.before, sender, share.disk_id)
+            and holds(decision.previous_voters, sender, share.disk_id)
         )
 
     def _check(self, one: Session) -> None:
@@ -188,7 +188,11 @@
             self._contact.read(one.begun)
             if one.kind == CALL:
                 self._out.answer(one.call, Held(None))
-        elif one.kind == COMPLETE and decision is not None and len(one.yes) >= majority(len(decision.before)):
+        elif (
+            one.kind == COMPLETE
+            and decision is not None
+            and len(one.yes) >= majority(len(decision.previous_voters))
+        ):
             self._finish(one)
 
     def _finish(self, one: Session) -> None:
@@ -240,7 +244,7 @@
                 one.alone_till = 0
                 one.asked = set(self._voters.ips) - {self._voters.me.ip}
                 if self._voters.decision is not None:
-                    one.asked |= {member.ip for member in self._voters.decision.before}
+                    one.asked |= {member.ip for member in self._voters.decision.previous_voters}
                 self._send(one)
             elif self._out.now >= one.again:
                 self._send(one)
--- a/ambershift/system/consensus/failure_detector.py
+++ b/ambershift/system/consensus/failure_detector.py
@@ -14,7 +14,7 @@
 from ambershift.system.consensus.voters import Voters, holds
 from ambershift.system.messages import replication
 from ambershift.system.messages.proxy_link import ControlNodeAddress
-from ambershift.system.messages.replication import Beat, Knock, Known, Machine
+from ambershift.system.messages.replication import Announcement, Heartbeat, NodeRecord, PeerList
 from ambershift.system.state_machine import NS_PER_MS
 
 BEAT = 300 * NS_PER_MS
@@ -31,278 +31,289 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class Watching:
+class FailureDetector:
     def __init__(
         self, out: Outbox, voters: Voters, store: Store, seeds: Sequence[str], contact: Contact
     ) -> None:
         self._out, self._voters, self._store, self._contact = out, voters, store, contact
         self._seeds = tuple(seeds)
-        self.machines: dict[str, Machine] = {voters.me.ip: voters.me}
+        self.nodes: dict[str, NodeRecord] = {voters.me.ip: voters.me}
         # Births that machines have told themselves since the voters changed. What was known before may be of
         # a disk that this very change replaced: chosen again, it would name a voter that isn't there.
-        self.own: dict[str, int] = {}
-        self.heard: dict[str, int] = {}
-        self._back: dict[str, int] = {}  # Since when each has been heard without a pause.
-        self._ticked = self._awake = out.now
-        self._well: set[str] = set()  # Who says of itself that it is settled; this machine, too.
+        self.self_reported_disks: dict[str, int] = {}
+        self.last_contact: dict[str, int] = {}
+        self._contact_since: dict[str, int] = {}  # Since when each has been heard without a pause.
+        self._last_tick = self._running_since = out.now
+        self._settled_nodes: set[str] = set()  # Who says of itself that it is settled; this machine, too.
         self.leaving: set[str] = set()  # Who tells that it is about to end; this machine, too.
-        self._complete: dict[str, int] = {}  # The epoch for which each voter was last told to be complete.
-        self.silent: dict[str, tuple[str, ...]] = {}  # Whom each other doesn't hear.
-        self.newcomer = out.now  # When a machine was last heard of for the first time.
-        self._unequal: dict[str, int] = {}
-        self._touched = False
-        self._sent: dict[str, int] = {}
-        self._due = out.now
-        self._known = 0
+        self._complete_epochs: dict[
+            str, int
+        ] = {}  # The epoch for which each voter was last told to be complete.
+        self.suspected_by: dict[str, tuple[str, ...]] = {}  # Whom each other doesn't hear.
+        self.last_newcomer_at = out.now  # When a machine was last heard of for the first time.
+        self._divergent_heartbeats: dict[str, int] = {}
+        self._was_in_contact = False
+        self._last_heartbeat_sent: dict[str, int] = {}
+        self._next_heartbeat_at = out.now
+        self._checksum = 0
         self._sum()
 
     def _sum(self) -> None:
-        self._known = crc32(_encode([self.machines[ip] for ip in sorted(self.machines)]))
+        self._checksum = crc32(_encode([self.nodes[ip] for ip in sorted(self.nodes)]))
 
     @property
-    def me(self) -> Machine:
+    def local_node(self) -> NodeRecord:
         return self._voters.me
 
     # What is told.
 
-    def hear(self, sender: str) -> None:
+    def record_contact(self, sender: str) -> None:
         now = self._out.now
-        if now - self.heard.get(sender, -GONE) > DISTANT:
-            self._back[sender] = now
-        self.heard[sender] = now
-
-    def knock(self, sender: str, knock: Knock) -> None:
-        if knock.machine.ip == sender:
-            self.own[sender] = knock.machine.birth
-            self._learn(knock.machine, direct=True)
-        if knock.known != self._known:
-            self._out.send(sender, Known(tuple(self.machines.values())))
+        if now - self.last_contact.get(sender, -GONE) > DISTANT:
+            self._contact_since[sender] = now
+        self.last_contact[sender] = now
+
+    def handle_announcement(self, sender: str, knock: Announcement) -> None:
+        if knock.node.ip == sender:
+            self.self_reported_disks[sender] = knock.node.birth
+            self._merge(knock.node, direct=True)
+        if knock.known != self._checksum:
+            self._out.send(sender, PeerList(tuple(self.nodes.values())))
         if self._voters.decision is not None and knock.epoch < self._voters.epoch:
             self._out.send(sender, self._voters.decision)
 
-    def known(self, sender: str, message: Known) -> None:
-        for machine in message.machines:
+    def handle_peer_list(self, sender: str, message: PeerList) -> None:
+        for machine in message.nodes:
             if machine.ip == sender:
-                self.own[sender] = machine.birth
-            self._learn(machine, direct=False)
-
-    def _learn(self, machine: Machine, direct: bool) -> None:
-        mine = self.machines.get(machine.ip)
-        if machine.ip == self.me.ip:
-            if machine != self.me and machine.version >= self.me.version:
-                self.introduce(msgspec.structs.replace(self.me, version=machine.version + 1))
+                self.self_reported_disks[sender] = machine.birth
+            self._merge(machine, direct=False)
+
+    def _merge(self, machine: NodeRecord, direct: bool) -> None:
+        mine = self.nodes.get(machine.ip)
+        if machine.ip == self.local_node.ip:
+            if machine != self.local_node and machine.version >= self.local_node.version:
+                self.update_local_node(msgspec.structs.replace(self.local_node, version=machine.version + 1))
         elif (
             mine is None
             or machine.version > mine.version
             or (direct and machine.version == mine.version and machine != mine)
         ):
             if mine is None or mine.birth != machine.birth:
-                self.newcomer = self._out.now
-            self.machines[machine.ip] = machine
+                self.last_newcomer_at = self._out.now
+            self.nodes[machine.ip] = machine
             self._sum()
 
     def voters_changed(self) -> None:
-        self.own.clear()
+        self.self_reported_disks.clear()
 
-    def _doubtful(self) -> list[str]:
+    def _unconfirmed_replacements(self) -> list[str]:
         """Voters that are known with another disk, but not by their own word."""
         decision = self._voters.decision
         return [
             one.ip
-            for one in (decision.members if decision else ())
-            if one.ip in self.machines and self.machines[one.ip].birth != one.birth and one.ip not in self.own
+            for one in (decision.voters if decision else ())
+            if one.ip in self.nodes
+            and self.nodes[one.ip].birth != one.birth
+            and one.ip not in self.self_reported_disks
         ]
 
-    def introduce(self, me: Machine) -> None:
+    def update_local_node(self, me: NodeRecord) -> None:
         """Something about this machine has changed: tell all."""
         self._voters.me = me
-        self.machines[me.ip] = me
+        self.nodes[me.ip] = me
         self._sum()
-        self._knock(self.others())
+        self._announce(self.peers())
 
-    def beat(self, sender: str, beat: Beat) -> str | None:
+    def handle_heartbeat(self, sender: str, beat: Heartbeat) -> str | None:
         """Take a beat. Returns the sender if its items have differed for two beats."""
-        self.silent[sender] = beat.silent
-        (self._well.add if beat.state & replication.SETTLED else self._well.discard)(sender)
-        (self.leaving.add if beat.state & replication.LEAVING else self.leaving.discard)(sender)
-        if beat.state & replication.COMPLETE:
-            self._complete[sender] = beat.epoch
-        if beat.known != self._known:
-            self._out.send(sender, self._knocking())
+        self.suspected_by[sender] = beat.suspected
+        (self._settled_nodes.add if beat.flags & replication.SETTLED else self._settled_nodes.discard)(sender)
+        (self.leaving.add if beat.flags & replication.LEAVING else self.leaving.discard)(sender)
+        if beat.flags & replication.COMPLETE:
+            self._complete_epochs[sender] = beat.epoch
+        if beat.known != self._checksum:
+            self._out.send(sender, self._announcement())
         if self._voters.decision is not None and beat.epoch < self._voters.epoch:
             self._out.send(sender, self._voters.decision)
-        if self._out.now - self._sent.get(sender, 0) > 2 * BEAT:
-            self._beat([sender])  # It watches me though I needn't watch it: let it know that I am here.
+        if self._out.now - self._last_heartbeat_sent.get(sender, 0) > 2 * BEAT:
+            self._send_heartbeat(
+                [sender]
+            )  # It watches me though I needn't watch it: let it know that I am here.
         if beat.items == self._store.buckets.total:
-            self._unequal.pop(sender, None)
-            if beat.epoch == self._voters.epoch and beat.state & replication.COMPLETE:
+            self._divergent_heartbeats.pop(sender, None)
+            if beat.epoch == self._voters.epoch and beat.flags & replication.COMPLETE:
                 self._contact.equal(sender)
             return None
-        count = self._unequal[sender] = self._unequal.get(sender, 0) + 1
+        count = self._divergent_heartbeats[sender] = self._divergent_heartbeats.get(sender, 0) + 1
         return sender if count >= 2 else None
 
-    def unknowing(self, sender: str) -> None:
+    def request_configuration(self, sender: str) -> None:
         """That machine knows newer voters than this one: show it, so that it tells."""
-        self._knock([sender])
+        self._announce([sender])
 
     # What is sent.
 
-    def others(self) -> list[str]:
+    def peers(self) -> list[str]:
         """All that may be there: machines known, voters, seeds."""
-        return sorted({*self.machines, *self._voters.ips, *self._seeds} - {self.me.ip})
+        return sorted({*self.nodes, *self._voters.ips, *self._seeds} - {self.local_node.ip})
 
-    def _knocking(self) -> Knock:
-        return Knock(self.me, self._voters.epoch, self._known)
+    def _announcement(self) -> Announcement:
+        return Announcement(self.local_node, self._voters.epoch, self._checksum)
 
-    def _knock(self, ips: Sequence[str]) -> None:
-        message = self._knocking()
+    def _announce(self, ips: Sequence[str]) -> None:
+        message = self._announcement()
         for ip in ips:
             self._out.send(ip, message)
 
-    def _state(self) -> int:
+    def _flags(self) -> int:
         return (
-            replication.SETTLED * (self.me.ip in self._well)
+            replication.SETTLED * (self.local_node.ip in self._settled_nodes)
             + replication.COMPLETE * self._voters.voting
-            + replication.LEAVING * (self.me.ip in self.leaving)
+            + replication.LEAVING * (self.local_node.ip in self.leaving)
         )
 
-    def _beat(self, ips: Sequence[str]) -> None:
-        message = Beat(
+    def _send_heartbeat(self, ips: Sequence[str]) -> None:
+        message = Heartbeat(
             self._voters.epoch,
             self._store.buckets.total,
-            self._known,
-            self.unheard(),
-            self._state(),
+            self._checksum,
+            self.suspected_voters(),
+            self._flags(),
         )
         for ip in ips:
-            self._sent[ip] = self._out.now
+            self._last_heartbeat_sent[ip] = self._out.now
             self._out.send(ip, message)
 
-    def reached(self, ip: str) -> None:
+    def handle_connected(self, ip: str) -> None:
         """Show it at once that this machine is there."""
-        if ip in self.machines and self._voters.decision is not None:
-            self._beat([ip])
+        if ip in self.nodes and self._voters.decision is not None:
+            self._send_heartbeat([ip])
         else:
-            self._knock([ip])
+            self._announce([ip])
 
     def tick(self) -> None:
-        if self._out.now - self._ticked > LATELY:
-            self._awake = self._out.now
-        self._ticked = self._out.now
-        if self.in_touch() != self._touched:
-            self._touched = not self._touched
-            self._out.log(EVENT_CONTACT, in_touch=self._touched, unheard=list(self.unheard()))
+        if self._out.now - self._last_tick > LATELY:
+            self._running_since = self._out.now
+        self._last_tick = self._out.now
+        if self.has_quorum_contact() != self._was_in_contact:
+            self._was_in_contact = not self._was_in_contact
+            self._out.log(EVENT_CONTACT, in_touch=self._was_in_contact, unheard=list(self.suspected_voters()))
         settled = (
-            self.me.ip not in self.leaving
-            and self.in_touch()
+            self.local_node.ip not in self.leaving
+            and self.has_quorum_contact()
             and self._voters.voting
-            and self._out.now - self._awake >= SETTLED
+            and self._out.now - self._running_since >= SETTLED
         )
-        if settled != (self.me.ip in self._well):
-            (self._well.add if settled else self._well.discard)(self.me.ip)
-            self._due = self._out.now  # All should know at once, or two propose for one register.
-        if self._out.now < self._due:
+        if settled != (self.local_node.ip in self._settled_nodes):
+            (self._settled_nodes.add if settled else self._settled_nodes.discard)(self.local_node.ip)
+            self._next_heartbeat_at = (
+                self._out.now
+            )  # All should know at once, or two propose for one register.
+        if self._out.now < self._next_heartbeat_at:
             return
-        self._due = self._out.now + BEAT
-        others = self.others()
-        watching = {*watchers(self.me.ip, others), *self._voters.ips} - {self.me.ip}
+        self._next_heartbeat_at = self._out.now + BEAT
+        others = self.peers()
+        watching = {*watchers(self.local_node.ip, others), *self._voters.ips} - {self.local_node.ip}
         # Whoever isn't known is told who this machine is; what others lack they show by their beats.
-        strange = [ip for ip in others if ip not in self.machines or self._voters.decision is None]
-        self._knock(strange)
-        for ip in self._doubtful():
-            self._out.send(ip, Knock(self.me, self._voters.epoch, NONE_KNOWN))
-        self._beat(sorted(watching - set(strange)))
+        strange = [ip for ip in others if ip not in self.nodes or self._voters.decision is None]
+        self._announce(strange)
+        for ip in self._unconfirmed_replacements():
+            self._out.send(ip, Announcement(self.local_node, self._voters.epoch, NONE_KNOWN))
+        self._send_heartbeat(sorted(watching - set(strange)))
 
     # What follows.
 
-    def alive(self, ip: str, within: int = SILENT) -> bool:
-        return ip == self.me.ip or self._out.now - self.heard.get(ip, -GONE) <= within
+    def is_alive(self, ip: str, within: int = SILENT) -> bool:
+        return ip == self.local_node.ip or self._out.now - self.last_contact.get(ip, -GONE) <= within
 
-    def complete(self, ip: str) -> bool:
+    def is_complete(self, ip: str) -> bool:
         """Whether that voter is known to have all that was held before this epoch."""
-        if ip == self.me.ip:
+        if ip == self.local_node.ip:
             return self._voters.voting
-        return self._complete.get(ip, 0) >= max(1, self._voters.epoch)
+        return self._complete_epochs.get(ip, 0) >= max(1, self._voters.epoch)
 
-    def leave(self) -> None:
+    def start_leaving(self) -> None:
         """This process is about to end: others propose from now on, and take its seat or leave it out."""
-        self.leaving.add(self.me.ip)
-        self._due = self._out.now
+        self.leaving.add(self.local_node.ip)
+        self._next_heartbeat_at = self._out.now
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         """Whether this machine may end: it is no voter any more, and the voters are complete without it."""
         decision = self._voters.decision
-        if decision is None or self.me.ip in self._voters.ips:
+        if decision is None or self.local_node.ip in self._voters.ips:
             return decision is None
-        return sum(self.complete(ip) for ip in self._voters.ips) >= self._voters.enough
+        return sum(self.is_complete(ip) for ip in self._voters.ips) >= self._voters.enough
 
-    def lately(self, ip: str) -> bool:
-        return self.alive(ip, LATELY)
+    def was_heard_recently(self, ip: str) -> bool:
+        return self.is_alive(ip, LATELY)
 
-    def ready(self, ip: str) -> bool:
+    def is_ready(self, ip: str) -> bool:
         """Whether that voter was heard lately, and not as a machine that has lost the disk it votes with."""
-        decision, machine = self._voters.decision, self.machines.get(ip)
+        decision, machine = self._voters.decision, self.nodes.get(ip)
         return (
-            self.lately(ip)
-            and self._hears_me(ip)
-            and (decision is None or machine is None or holds(decision.members, ip, machine.birth))
+            self.was_heard_recently(ip)
+            and self._has_contact_with_local(ip)
+            and (decision is None or machine is None or holds(decision.voters, ip, machine.birth))
         )
 
-    def settled(self) -> frozenset[str]:
+    def settled_voters(self) -> frozenset[str]:
         """The voters that have been there without a pause for a while: none, where most have not.
 
         Each judges itself, from its start or since it stood still, and tells the others in the same moment,
         as views that differ make two propose for one register.
         """
-        found = frozenset(ip for ip in self._voters.ips if self._settled(ip))
+        found = frozenset(ip for ip in self._voters.ips if self._is_settled(ip))
         return found if len(found) >= self._voters.enough else frozenset()
 
-    def _settled(self, ip: str) -> bool:
-        return ip in self._well and self.well(ip) and self._hears_me(ip)
+    def _is_settled(self, ip: str) -> bool:
+        return ip in self._settled_nodes and self.is_responsive(ip) and self._has_contact_with_local(ip)
 
-    def well(self, ip: str) -> bool:
+    def is_responsive(self, ip: str) -> bool:
         """Whether calls may be handed to it, by when it was heard last."""
-        return self.alive(ip, QUIET if self._voters.member else DISTANT)
+        return self.is_alive(ip, QUIET if self._voters.member else DISTANT)
 
-    def proven(self, ip: str) -> bool:
+    def has_stable_contact(self, ip: str) -> bool:
         """Whether that voter's answer to a round may be counted on."""
-        return self.ready(ip) and (ip == self.me.ip or self._out.now - self._back.get(ip, 0) >= SETTLED)
+        return self.is_ready(ip) and (
+            ip == self.local_node.ip or self._out.now - self._contact_since.get(ip, 0) >= SETTLED
+        )
 
-    def _hears_me(self, ip: str) -> bool:
+    def _has_contact_with_local(self, ip: str) -> bool:
         """False while that one tells that it doesn't: links may be cut one way."""
-        return self.me.ip not in self.silent.get(ip, ())
+        return self.local_node.ip not in self.suspected_by.get(ip, ())
 
-    def unheard(self) -> tuple[str, ...]:
+    def suspected_voters(self) -> tuple[str, ...]:
         """Voters not heard for a while."""
-        return tuple(sorted(ip for ip in self._voters.ips if not self.alive(ip)))
+        return tuple(sorted(ip for ip in self._voters.ips if not self.is_alive(ip)))
 
-    def in_touch(self) -> bool:
+    def has_quorum_contact(self) -> bool:
         return (
             self._voters.decision is not None
             and (self._voters.voting or not self._voters.member)
-            and sum(self.alive(ip) and self._hears_me(ip) for ip in self._voters.ips) >= self._voters.enough
+            and sum(self.is_alive(ip) and self._has_contact_with_local(ip) for ip in self._voters.ips)
+            >= self._voters.enough
         )
 
-    def nearest(self) -> str | None:
+    def nearest_voter(self) -> str | None:
         """The nearest voter that is there."""
-        return next((ip for ip in self._voters.near if ip != self.me.ip and self.ready(ip)), None)
+        return next((ip for ip in self._voters.near if ip != self.local_node.ip and self.is_ready(ip)), None)
 
     def learners(self) -> list[str]:
         return [
             ip
-            for ip in sorted(self.machines)
-            if ip not in self._voters.ips and self.alive(ip) and ip != self.me.ip
+            for ip in sorted(self.nodes)
+            if ip not in self._voters.ips and self.is_alive(ip) and ip != self.local_node.ip
         ]
 
-    def cores(self) -> tuple[ControlNodeAddress, ...]:
+    def control_nodes(self) -> tuple[ControlNodeAddress, ...]:
         decision = self._voters.decision
         found = (
-            {one.ip: ControlNodeAddress(one.ip, one.zone, one.region) for one in decision.members}
+            {one.ip: ControlNodeAddress(one.ip, one.zone, one.region) for one in decision.voters}
             if decision
             else {}
         )
-        hears_all = self._voters.voting or len(self.machines) <= ALL_WATCH
-        for one in self.machines.values():
-            if one.ip in found or not hears_all or self.alive(one.ip, GONE):
+        hears_all = self._voters.voting or len(self.nodes) <= ALL_WATCH
+        for one in self.nodes.values():
+            if one.ip in found or not hears_all or self.is_alive(one.ip, GONE):
                 found[one.ip] = ControlNodeAddress(one.ip, one.zone, one.region)
         return tuple(found[ip] for ip in sorted(found))
--- a/ambershift/system/consensus/membership_plan.py
+++ b/ambershift/system/consensus/membership_plan.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from ambershift.system.consensus.quorum import VOTERS_MOST, balanced, majority
-from ambershift.system.messages.replication import Machine, Member
+from ambershift.system.messages.replication import NodeRecord, Voter
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     on, and its seat isn't taken.
     """
 
-    member: Member
+    member: Voter
     heard: bool = True
     lost: bool = False
     gone: bool = False
@@ -42,7 +42,7 @@
     """The voters that there should be. `grows`: learners are taken in beside those that there are;
     `founding`: the first set takes in those that were started with it."""
 
-    members: tuple[Member, ...]
+    members: tuple[Voter, ...]
     grows: bool = False
     founding: bool = False
 
@@ -55,12 +55,14 @@
     return present - majority(size)
 
 
-def plan(voters: Sequence[VoterView], learners: Iterable[Machine], tolerated: tuple[int, int, int]) -> Plan:
+def plan(
+    voters: Sequence[VoterView], learners: Iterable[NodeRecord], tolerated: tuple[int, int, int]
+) -> Plan:
     """`learners` are well and may vote. `tolerated`: machines, zones and regions that may be lost at once."""
     spare = list(learners)
     seats = _replaced(voters, spare)
     unchanged = tuple(seat.member for seat in seats)
-    founders = [one.member for one in spare if one.initial]
+    founders = [one.voter for one in spare if one.initial]
     # The first set takes in all that were started with it, but for those that would spoil its balance.
     founding = balanced((*unchanged, *founders), *tolerated)
     if founders and set(founding) != set(unchanged):
@@ -68,13 +70,13 @@
     kept = _without_leaving(_without_gone(seats))
     if len(kept) < len(seats):
         return Plan(tuple(seat.member for seat in kept))
-    members = (*unchanged, *(one.member for one in _taken_in(seats, spare)))
+    members = (*unchanged, *(one.voter for one in _taken_in(seats, spare)))
     if len(balanced(members, *tolerated)) < len(members):
         return Plan(unchanged)  # The loss of one zone or region would be the loss of the majority.
     return Plan(members, grows=len(members) > len(unchanged))
 
 
-def _replaced(voters: Sequence[VoterView], spare: list[Machine]) -> list[VoterView]:
+def _replaced(voters: Sequence[VoterView], spare: list[NodeRecord]) -> list[VoterView]:
     """Seats of voters that are lost, then of those that leave, go to the nearest learners, which are then no
     longer spare.
 
@@ -94,7 +96,7 @@
             staying -= _counted_on(seat)
         chosen = _nearest(seat.member, spare)
         spare.remove(chosen)
-        seats[at] = VoterView(chosen.member)
+        seats[at] = VoterView(chosen.voter)
     return seats
 
 
@@ -102,7 +104,7 @@
     return seat.heard and seat.complete and not seat.lost
 
 
-def _nearest(old: Member, spare: Sequence[Machine]) -> Machine:
+def _nearest(old: Voter, spare: Sequence[NodeRecord]) -> NodeRecord:
     return min(spare, key=lambda one: (one.zone != old.zone, one.region != old.region, one.ip))
 
 
@@ -131,13 +133,13 @@
     return [seat for seat in seats if seat not in out[:best]]
 
 
-def _taken_in(seats: Sequence[VoterView], spare: Sequence[Machine]) -> list[Machine]:
+def _taken_in(seats: Sequence[VoterView], spare: Sequence[NodeRecord]) -> list[NodeRecord]:
     """As few learners as make the set tolerate most, of the regions with the fewest voters first."""
     present = sum(seat.present for seat in seats)
     most = max(0, min(len(spare), VOTERS_MOST - len(seats)))
     count = max(range(most + 1), key=lambda some: (tolerance(present + some, len(seats) + some), -some))
     regions = Counter(seat.member.region for seat in seats)
-    taken: list[Machine] = []
+    taken: list[NodeRecord] = []
     for _ in range(count):
         left = [one for one in spare if one not in taken]
         chosen = min(left, key=lambda one: (regions[one.region], one.ip))
--- a/ambershift/system/consensus/quorum.py
+++ b/ambershift/system/consensus/quorum.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Sequence
 from hashlib import blake2b
 
-from ambershift.system.messages.replication import Member
+from ambershift.system.messages.replication import Voter
 
 ALL_WATCH = 9  # Up to so many machines everyone watches everyone.
 WATCHERS = 5
@@ -31,7 +31,7 @@
     return tuple(sorted(known, key=lambda one: weight(ip, one))[-WATCHERS:])
 
 
-def nearest(ip: str, zone: str, region: str, members: Sequence[Member]) -> tuple[Member, ...]:
+def nearest(ip: str, zone: str, region: str, members: Sequence[Voter]) -> tuple[Voter, ...]:
     """Members by nearness: itself, its zone, its region, the rest in an order of its own."""
     return tuple(
         sorted(
@@ -45,7 +45,7 @@
     return sum(count for _, count in Counter(groups).most_common(lost))
 
 
-def balanced(members: Sequence[Member], machines: int, zones: int, regions: int) -> tuple[Member, ...]:
+def balanced(members: Sequence[Voter], machines: int, zones: int, regions: int) -> tuple[Voter, ...]:
     """The members without those that would make the loss of so many zones or regions the loss of a majority,
     and without the surplus over what bears the loss of so many machines well.
 
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -18,7 +18,7 @@
 from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.effect_buffer import News, Outbox
 from ambershift.system.consensus.events import Event, Freshen, Put, Reached
-from ambershift.system.consensus.failure_detector import Watching
+from ambershift.system.consensus.failure_detector import FailureDetector
 from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.membership import Membership
 from ambershift.system.consensus.proposer import Proposer
@@ -30,19 +30,19 @@
 from ambershift.system.messages.replication import (
     Accept,
     Acknowledgement,
-    Beat,
+    Announcement,
     ConfirmBallot,
-    Decision,
-    Knock,
-    Known,
-    Machine,
+    Heartbeat,
     MergeItems,
     MissingBase,
+    NodeRecord,
+    PeerList,
     Prepare,
     Promise,
     Rejected,
     SyncRequest,
     SyncResponse,
+    VoterConfiguration,
 )
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_SECOND, Effect, MessageReceived, Tick, WriteCompleted
@@ -71,7 +71,7 @@
             if "birth" in meta
             else (FOUNDER if founding else chance.randrange(1, 1 << 32))
         )
-        me = Machine(
+        me = NodeRecord(
             settings.ip, settings.zone, settings.region, birth, 0, settings.initial, settings.counted
         )
         numbers = itertools.count(chance.randrange(1 << 31)).__next__
@@ -79,7 +79,9 @@
         self._voters = Voters(journal, me, meta)
         self._acceptor = Acceptor(out, journal, shapes, rows.get("registers", {}))
         self._contact = Contact(out, self._voters)
-        self._watching = Watching(out, self._voters, self._store, settings.seed_ips, self._contact)
+        self._failure_detector = FailureDetector(
+            out, self._voters, self._store, settings.seed_ips, self._contact
+        )
         self._proposer = Proposer(
             out,
             self._voters,
@@ -88,9 +90,9 @@
             chance.randrange(1, 1 << 32),
             chance,
             numbers,
-            self._watching.proven,
+            self._failure_detector.has_stable_contact,
         )
-        self._writing = Writing(out, self._voters, self._store, numbers, self._watching.learners)
+        self._writing = Writing(out, self._voters, self._store, numbers, self._failure_detector.learners)
         self._syncing = Syncing(
             out,
             self._voters,
@@ -98,22 +100,22 @@
             self._acceptor,
             journal,
             numbers,
-            self._watching.ready,
+            self._failure_detector.is_ready,
             self._completed,
             self._contact,
         )
-        self._decisions: list[Decision] = []
+        self._decisions: list[VoterConfiguration] = []
         self._membership = Membership(
             out,
             self._voters,
-            self._watching,
+            self._failure_detector,
             self._acceptor,
             self._proposer,
             settings.tolerated,
             self._decisions.append,
         )
         self._forgetting = Forgetting(
-            out, self._voters, self._watching, self._store, self._proposer, self._writing
+            out, self._voters, self._failure_detector, self._store, self._proposer, self._writing
         )
         self._prefetch = 0
         self._held: list[tuple[str, msgspec.Struct]] = []
@@ -134,10 +136,10 @@
         since, out.now = now - out.now, now
         self._contact.passed(since)
         if isinstance(event, MessageReceived):
-            self._watching.hear(event.sender)
+            self._failure_detector.record_contact(event.sender)
             self._take(event.sender, event.message)
         elif isinstance(event, Reached):
-            self._watching.reached(event.ip)
+            self._failure_detector.handle_connected(event.ip)
             self._syncing.reached(event.ip)
         elif isinstance(event, Tick):
             self._tick()
@@ -164,14 +166,14 @@
         return out.taken()
 
     def _tick(self) -> None:
-        self._watching.tick()
+        self._failure_detector.tick()
         self._writing.tick()
         if not self._voters.voting and self._out.now >= self._prefetch:
             # Whoever may be made a voter should then lack little.
             self._prefetch = self._out.now + PREFETCH
-            if not self._voters.member and (near := self._watching.nearest()) is not None:
+            if not self._voters.member and (near := self._failure_detector.nearest_voter()) is not None:
                 self._syncing.quiet(near)
-        if self._contact.wants_reading() and self._watching.in_touch():
+        if self._contact.wants_reading() and self._failure_detector.has_quorum_contact():
             self._syncing.prove()
         self._syncing.tick()
         self._proposer.tick()
@@ -190,15 +192,15 @@
             self._vote(sender, message, message.epoch)
         elif isinstance(message, SyncResponse):
             self._syncing.shared(sender, message)
-        elif isinstance(message, Beat):
-            differing = self._watching.beat(sender, message)
+        elif isinstance(message, Heartbeat):
+            differing = self._failure_detector.handle_heartbeat(sender, message)
             if differing is not None:
                 self._syncing.quiet(differing)
-        elif isinstance(message, Knock):
-            self._watching.knock(sender, message)
-        elif isinstance(message, Known):
-            self._watching.known(sender, message)
-        elif isinstance(message, Decision):
+        elif isinstance(message, Announcement):
+            self._failure_detector.handle_announcement(sender, message)
+        elif isinstance(message, PeerList):
+            self._failure_detector.handle_peer_list(sender, message)
+        elif isinstance(message, VoterConfiguration):
             self._adopt(message)
 
     def _merge(self, message: MergeItems) -> bool:
@@ -214,7 +216,7 @@
         if decision is not None and epoch < decision.epoch:
             self._out.send(sender, decision)
         elif decision is None or epoch > decision.epoch:
-            self._watching.unknowing(sender)
+            self._failure_detector.request_configuration(sender)
             self._hold(sender, message)
         elif isinstance(message, SyncRequest):
             self._syncing.asked(sender, message)
@@ -244,19 +246,19 @@
 
     # Voters.
 
-    def _decided(self, decision: Decision) -> None:
+    def _decided(self, decision: VoterConfiguration) -> None:
         """This machine has found out what the voters decided: tell all, then count by it."""
         if decision.epoch > self._voters.epoch:
-            for ip in self._watching.others():
+            for ip in self._failure_detector.peers():
                 self._out.send(ip, decision)
         self._adopt(decision)
 
-    def _adopt(self, decision: Decision) -> None:
+    def _adopt(self, decision: VoterConfiguration) -> None:
         if not self._voters.adopt(decision):
             return
-        self._out.log(EVENT_VOTERS, epoch=decision.epoch, voters=[one.ip for one in decision.members])
+        self._out.log(EVENT_VOTERS, epoch=decision.epoch, voters=[one.ip for one in decision.voters])
         self._acceptor.forget_voters(f"@{decision.epoch}")
-        self._watching.voters_changed()
+        self._failure_detector.voters_changed()
         self._contact.voters_changed()
         self._voted()
         self._syncing.epoch_changed()
@@ -267,7 +269,9 @@
     def _voted(self) -> None:
         me = self._voters.me
         if me.initial and self._voters.member:
-            self._watching.introduce(msgspec.structs.replace(me, initial=False, version=me.version + 1))
+            self._failure_detector.update_local_node(
+                msgspec.structs.replace(me, initial=False, version=me.version + 1)
+            )
 
     def _completed(self) -> None:
         self._out.log(EVENT_WHOLE, epoch=self._voters.epoch)
@@ -284,8 +288,8 @@
         return self._voters
 
     @property
-    def watching(self) -> Watching:
-        return self._watching
+    def failure_detector(self) -> FailureDetector:
+        return self._failure_detector
 
     @property
     def contact(self) -> Contact:
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -16,7 +16,7 @@
 from ambershift.system.consensus.disk import Disk, Rows
 from ambershift.system.consensus.effect_buffer import Held, News
 from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put, Reached
-from ambershift.system.consensus.membership_view import Members, members_of
+from ambershift.system.consensus.membership_view import MembershipStatus, membership_status
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import ChangeFunction, DeltaCodec, NotAppliedError
 from ambershift.system.messages.items import Item, Key
@@ -115,7 +115,7 @@
     def retire(self) -> None:
         """The process is about to end: others are told at once to propose for themselves."""
         if self._replica is not None:
-            self._replica.watching.leave()
+            self._replica.failure_detector.start_leaving()
             self.tick()
 
     async def left(self, within: float) -> bool:
@@ -124,7 +124,7 @@
         False where that was not to be had, as the voters would be worse off without its seat."""
         end = self._steady() + int(within * NS_PER_SECOND)
         while self._replica is not None and self._steady() < end:
-            if self._replica.watching.left():
+            if self._replica.failure_detector.has_left():
                 return True
             if not self._replica.leaves_soon():
                 return False
@@ -215,22 +215,26 @@
         self._listeners.append(heard)
 
     def cores(self) -> Sequence[ControlNodeAddress]:
-        return () if self._replica is None else self._replica.watching.cores()
+        return () if self._replica is None else self._replica.failure_detector.control_nodes()
 
-    def members(self) -> Members | None:
-        return None if self._replica is None else members_of(self._replica.voters, self._replica.watching)
+    def members(self) -> MembershipStatus | None:
+        return (
+            None
+            if self._replica is None
+            else membership_status(self._replica.voters, self._replica.failure_detector)
+        )
 
     def in_touch(self) -> bool:
-        return self._replica is not None and self._replica.watching.in_touch()
+        return self._replica is not None and self._replica.failure_detector.has_quorum_contact()
 
     def contact_age_ms(self) -> int:
         return NEVER_MS if self._replica is None else self._replica.contact.age_ms()
 
     def alive(self, ip: str) -> bool:
-        return self._replica is not None and self._replica.watching.alive(ip)
+        return self._replica is not None and self._replica.failure_detector.is_alive(ip)
 
     def settled(self) -> frozenset[str]:
-        return frozenset() if self._replica is None else self._replica.watching.settled()
+        return frozenset() if self._replica is None else self._replica.failure_detector.settled_voters()
 
     def lately(self, ip: str) -> bool:
-        return self._replica is not None and self._replica.watching.well(ip)
+        return self._replica is not None and self._replica.failure_detector.is_responsive(ip)
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from ambershift.system.consensus.effect_buffer import Held, Outbox
-from ambershift.system.consensus.failure_detector import Watching
+from ambershift.system.consensus.failure_detector import FailureDetector
 from ambershift.system.consensus.item_store import Store
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.quorum_write import Writing
@@ -43,7 +43,7 @@
         self,
         out: Outbox,
         voters: Voters,
-        watching: Watching,
+        watching: FailureDetector,
         store: Store,
         proposer: Proposer,
         writing: Writing,
@@ -57,14 +57,14 @@
         if now < self._next:
             return
         self._next = now + EVERY
-        if len(self._store.drops) >= KEPT + BATCH and self._first() and self._watching.in_touch():
+        if len(self._store.drops) >= KEPT + BATCH and self._first() and self._watching.has_quorum_contact():
             many = min(BATCH, len(self._store.drops) - KEPT)
             oldest = nsmallest(many, self._store.drops.values(), key=lambda one: (one.version, one.key))
             self._put_everywhere(oldest)
 
     def _first(self) -> bool:
         """Whether it is this machine's turn: two at once do no harm, but cost."""
-        there = [ip for ip in self._voters.ips if self._watching.alive(ip)]
+        there = [ip for ip in self._voters.ips if self._watching.is_alive(ip)]
         return self._voters.voting and min(there) == self._voters.me.ip
 
     def _put_everywhere(self, oldest: list[Item]) -> None:
--- a/ambershift/system/consensus/voters.py
+++ b/ambershift/system/consensus/voters.py
@@ -6,25 +6,25 @@
 
 from ambershift.system.consensus import quorum
 from ambershift.system.consensus.write_queue import Journal
-from ambershift.system.messages.replication import Decision, Machine, Member
+from ambershift.system.messages.replication import NodeRecord, Voter, VoterConfiguration
 
 TABLE = "meta"
 _encode = msgspec.msgpack.Encoder().encode
-_decision = msgspec.msgpack.Decoder(Decision).decode
+_decision = msgspec.msgpack.Decoder(VoterConfiguration).decode
 FOUNDER = 0  # The birth of the disks of those that the first settings name: they know each other's.
 
 
-def holds(members: tuple[Member, ...], ip: str, birth: int) -> bool:
+def holds(members: tuple[Voter, ...], ip: str, birth: int) -> bool:
     return any(one.ip == ip and one.birth == birth for one in members)
 
 
 class Voters:
     """`whole` is the highest epoch before which nothing was held that isn't held here."""
 
-    def __init__(self, journal: Journal, me: Machine, rows: dict[str, bytes]) -> None:
+    def __init__(self, journal: Journal, me: NodeRecord, rows: dict[str, bytes]) -> None:
         self._journal = journal
         self.me = me
-        self.decision: Decision | None = None
+        self.decision: VoterConfiguration | None = None
         self.whole = int(rows.get("whole", b"0"))
         self._near: tuple[str, ...] = ()
         self._ips: frozenset[str] = frozenset()
@@ -32,19 +32,19 @@
         if "decision" in rows:
             self._take(_decision(rows["decision"]))
 
-    def _take(self, decision: Decision) -> None:
+    def _take(self, decision: VoterConfiguration) -> None:
         self.decision = decision
         self._near = tuple(
-            one.ip for one in quorum.nearest(self.me.ip, self.me.zone, self.me.region, decision.members)
+            one.ip for one in quorum.nearest(self.me.ip, self.me.zone, self.me.region, decision.voters)
         )
         self._ips = frozenset(self._near)
-        self.member = holds(decision.members, self.me.ip, self.me.birth)
+        self.member = holds(decision.voters, self.me.ip, self.me.birth)
 
     def found(self, ips: tuple[str, ...]) -> None:
         """The first set: those that the first settings name (their zones aren't known yet). Nothing was held
         before, so all are whole."""
-        members = tuple(Member(ip, "", "", FOUNDER) for ip in sorted(set(ips)))
-        self.adopt(Decision(1, members, ()))
+        members = tuple(Voter(ip, "", "", FOUNDER) for ip in sorted(set(ips)))
+        self.adopt(VoterConfiguration(1, members, ()))
         self.complete()
 
     @property
@@ -68,7 +68,7 @@
     def voting(self) -> bool:
         return self.member and self.whole >= self.epoch
 
-    def adopt(self, decision: Decision) -> bool:
+    def adopt(self, decision: VoterConfiguration) -> bool:
         """Take a newer decision: what belongs to an earlier epoch is refused from here on (sealed)."""
         if decision.epoch <= self.epoch:
             return False
--- a/ambershift/system/messages/replication.py
+++ b/ambershift/system/messages/replication.py
@@ -15,7 +15,7 @@
 ZERO_BALLOT: Ballot = (0, 0)
 
 
-class Member(msgspec.Struct, frozen=True, array_like=True):
+class Voter(msgspec.Struct, frozen=True, array_like=True):
     """A voter. `birth` is its disk's: with an empty disk it comes back as another member."""
 
     ip: str
@@ -24,15 +24,15 @@
     birth: int
 
 
-class Decision(msgspec.Struct, frozen=True, array_like=True, tag="cv"):
+class VoterConfiguration(msgspec.Struct, frozen=True, array_like=True, tag="cv"):
     """Who votes in `epoch`, as agreed by the voters before, `before`."""
 
     epoch: int
-    members: tuple[Member, ...]
-    before: tuple[Member, ...]
+    voters: tuple[Voter, ...]
+    previous_voters: tuple[Voter, ...]
 
 
-class Machine(msgspec.Struct, frozen=True, array_like=True):
+class NodeRecord(msgspec.Struct, frozen=True, array_like=True):
     """A control node of itself. `version` rises when it finds another word of itself among others.
 
     `initial` until it has voted: it belongs to the first set and is taken in without replacing another.
@@ -47,20 +47,20 @@
     counted: bool
 
     @property
-    def member(self) -> Member:
-        return Member(self.ip, self.zone, self.region, self.birth)
+    def voter(self) -> Voter:
+        return Voter(self.ip, self.zone, self.region, self.birth)
 
 
-class Knock(msgspec.Struct, frozen=True, array_like=True, tag="ck"):
+class Announcement(msgspec.Struct, frozen=True, array_like=True, tag="ck"):
     """Here I am; `known` is a checksum of all machines that I know."""
 
-    machine: Machine
+    node: NodeRecord
     epoch: int
     known: int
 
 
-class Known(msgspec.Struct, frozen=True, array_like=True, tag="cn"):
-    machines: tuple[Machine, ...]
+class PeerList(msgspec.Struct, frozen=True, array_like=True, tag="cn"):
+    nodes: tuple[NodeRecord, ...]
 
 
 SETTLED = 1  # A voter that has been well for a while.
@@ -68,15 +68,15 @@
 LEAVING = 4  # The process is about to end.
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True, tag="cb"):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="cb"):
     """Sign of life. `items` and `known` are checksums; `silent` are the voters not heard for a while;
     `state` is the sum of the flags below."""
 
     epoch: int
     items: int
     known: int
-    silent: tuple[str, ...]
-    state: int = 0
+    suspected: tuple[str, ...]
+    flags: int = 0
 
 
 class MergeItems(msgspec.Struct, frozen=True, array_like=True, tag="cm"):
--- a/ambershift/system/simulation/loss_pairs.py
+++ b/ambershift/system/simulation/loss_pairs.py
@@ -147,7 +147,7 @@
         (box.replica.voters for box in world.boxes.values() if box.replica is not None),
         key=lambda one: one.epoch,
     )
-    return voters.epoch, [one.ip for one in voters.decision.members] if voters.decision else []
+    return voters.epoch, [one.ip for one in voters.decision.voters] if voters.decision else []
 
 
 def _disks_left(world: Lists, without: str = "") -> int:
@@ -158,7 +158,7 @@
         for box in world.boxes.values()
         if box.replica is not None and (decision := box.replica.voters.decision) is not None
         if decision.epoch == epoch
-        for one in decision.members
+        for one in decision.voters
     }
     metas = {ip: world.boxes[ip].disk.get("meta", {}) for ip in members if not world.boxes[ip].gone}
     return sum(
--- a/ambershift/system/simulation/troubles.py
+++ b/ambershift/system/simulation/troubles.py
@@ -30,7 +30,7 @@
         return False
     left = [
         one
-        for one in newest.decision.members
+        for one in newest.decision.voters
         if one.ip != ip
         and not world.boxes[one.ip].gone
         and world.boxes[one.ip].disk.get("meta", {}).get("birth") == str(one.birth).encode()
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -9,13 +9,13 @@
 from ambershift.system.consensus.contact_lease import NEVER_MS
 from ambershift.system.distribution import controller
 from ambershift.system.messages.proxy_link import ControlNodeHeartbeat
-from ambershift.system.messages.replication import Beat
+from ambershift.system.messages.replication import Heartbeat
 from ambershift.system.node_selection import selector
 from ambershift.system.simulation.variant import constant, of
 
 
 def any_beat(real: Any) -> Any:
-    def beat(self: failure_detector.Watching, sender: str, message: Beat) -> str | None:
+    def beat(self: failure_detector.FailureDetector, sender: str, message: Heartbeat) -> str | None:
         self._contact.equal(sender)
         found: str | None = real(self, sender, message)
         return found
@@ -41,8 +41,8 @@
         "a-beat-is-contact",
         "CONFIG",
         "beats of a majority count though their checksums differ",
-        failure_detector.Watching,
-        "beat",
+        failure_detector.FailureDetector,
+        "handle_heartbeat",
         any_beat,
     ),
     of(
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -151,7 +151,7 @@
         """Its process is told to end, and goes on for a while."""
         box = self.boxes[ip]
         if box.replica is not None and box.frozen is None:
-            box.replica.watching.leave()
+            box.replica.failure_detector.start_leaving()
 
     def remove(self, ip: str) -> None:
         """Take a machine out for good, with nobody in its place."""
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -41,9 +41,9 @@
     item, core = world.changed(size, 7, 9), world.cores(size)
     ending = Item(INSTANCE, "i-00000007", (1, ""), b'{"Service":"service007","Address":"10.0.0.7:8080"}')
     machines = tuple(
-        replication.Machine(one.ip, one.zone, one.region, 1_234_567_890, 2, False, True) for one in core
+        replication.NodeRecord(one.ip, one.zone, one.region, 1_234_567_890, 2, False, True) for one in core
     )
-    members = tuple(machine.member for machine in machines)
+    members = tuple(machine.voter for machine in machines)
     lives = tuple(world.lived(size, at) for at in range(0, size.backends, CONTROL_NODES))
     proxies = tuple(world.attached(size, at) for at in range(0, size.proxies, CONTROL_NODES))
     zones = size.names[::CONTROL_NODES]
@@ -57,10 +57,10 @@
         "cm Merge, all items": replication.MergeItems(EPOCH, NUMBER, world.items(size)),
         "cy Agreed": replication.Acknowledgement(EPOCH, NUMBER),
         "cr Refused": replication.Rejected(EPOCH, NUMBER, 1_700),
-        "cb Beat": replication.Beat(EPOCH, 2**63 + 5, 2**31 + 5, ()),
-        "ck Knock": replication.Knock(machines[0], EPOCH, 2**31 + 5),
-        "cn Known": replication.Known(machines),
-        "cv Decision": replication.Decision(EPOCH, members, members),
+        "cb Beat": replication.Heartbeat(EPOCH, 2**63 + 5, 2**31 + 5, ()),
+        "ck Knock": replication.Announcement(machines[0], EPOCH, 2**31 + 5),
+        "cn Known": replication.PeerList(machines),
+        "cv Decision": replication.VoterConfiguration(EPOCH, members, members),
         "cp Prepare": replication.Prepare(EPOCH, NUMBER, "l/lock-0007", BALLOT, BALLOT),
         "cq Promise, 300 bytes": replication.Promise(EPOCH, NUMBER, BALLOT, BALLOT, value),
         "ca Accept, whole 300": replication.Accept(EPOCH, NUMBER, "l/lock-0007", BALLOT, None, None, value),
--- a/tests/test_system_consensus.py
+++ b/tests/test_system_consensus.py
@@ -38,7 +38,7 @@
     stale, lost, _ = sorted(world.boxes)
     behind = world.boxes[stale].replica
     assert behind is not None
-    known = behind.watching.machines[lost]
+    known = behind.failure_detector.nodes[lost]
     world.wipe(lost)
     world.cut.add((lost, stale))
     world.start(lost)
@@ -46,7 +46,7 @@
     while behind.voters.epoch == epoch and world.now < 6 * NS_PER_SECOND:
         world.run(0.001)
     assert behind.voters.epoch == epoch + 1
-    behind.watching.machines[lost] = known  # As if no other had told of it either.
+    behind.failure_detector.nodes[lost] = known  # As if no other had told of it either.
     world.cut.clear()
     epochs = []
     for _ in range(100):
@@ -64,7 +64,7 @@
     def settled(ip: str) -> frozenset[str]:
         replica = world.boxes[ip].replica
         assert replica is not None
-        return replica.watching.settled()
+        return replica.failure_detector.settled_voters()
 
     world.run(1.5)
     assert settled(one) == frozenset()  # Nobody is: all are.
@@ -87,7 +87,7 @@
     assert settled(one) == settled(two) == frozenset(world.boxes)
     replica = world.boxes[two].replica
     assert replica is not None
-    replica.watching.leave()  # About to end.
+    replica.failure_detector.start_leaving()  # About to end.
     world.run(0.1)
     assert two not in settled(one) and two not in settled(two)
 
--- a/tests/test_system_contact_proof.py
+++ b/tests/test_system_contact_proof.py
@@ -16,7 +16,7 @@
 )
 from ambershift.system.consensus.effect_buffer import Outbox
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.messages.replication import COMPLETE, Beat, SyncRequest, SyncResponse
+from ambershift.system.messages.replication import COMPLETE, Heartbeat, SyncRequest, SyncResponse
 from ambershift.system.simulation.world import World
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND, MessageReceived, Send, Tick
 
@@ -104,7 +104,7 @@
 ) -> None:
     world, replica = settled()
     now, total = world.now + 200 * NS_PER_MS, replica.store.buckets.total
-    beat = Beat(replica.voters.epoch + ahead, total + differs, 0, (), state)
+    beat = Heartbeat(replica.voters.epoch + ahead, total + differs, 0, (), state)
     replica.step(now, MessageReceived("10.0.0.2", beat))
     assert (replica.contact.proved() == now) == counts
 
--- a/tests/test_system_membership.py
+++ b/tests/test_system_membership.py
@@ -9,8 +9,8 @@
 from ambershift.system.consensus import membership
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.consensus.membership_plan import FEWEST, VoterView, plan, tolerance
-from ambershift.system.consensus.membership_view import members_of
-from ambershift.system.messages.replication import Machine, Member
+from ambershift.system.consensus.membership_view import membership_status
+from ambershift.system.messages.replication import NodeRecord, Voter
 from ambershift.system.simulation.lists import Lists
 from ambershift.system.simulation.loss_pairs import LOSSES, MOMENTS, Pair, play_pair
 from ambershift.system.simulation.world import Box
@@ -18,13 +18,13 @@
 TOLERATED = (1, 1, 1)
 
 
-def member(number: int) -> Member:
-    return Member(f"10.0.0.{number}", f"z{number}", f"r{number % 3}", number)
+def member(number: int) -> Voter:
+    return Voter(f"10.0.0.{number}", f"z{number}", f"r{number % 3}", number)
 
 
-def learner(number: int) -> Machine:
+def learner(number: int) -> NodeRecord:
     one = member(number)
-    return Machine(one.ip, one.zone, one.region, one.birth, 0, False, True)
+    return NodeRecord(one.ip, one.zone, one.region, one.birth, 0, False, True)
 
 
 def planned(states: str, *learners: int) -> str:
@@ -110,14 +110,14 @@
             box = world.boxes[ip]
             assert box.replica is not None
             # A set of five or four bears no more without one of its seats.
-            assert box.replica.watching.left() or not box.replica.leaves_soon()
+            assert box.replica.failure_detector.has_left() or not box.replica.leaves_soon()
         world.remove(ip)
         world.run(10)
         left = [one for one, box in world.boxes.items() if not box.gone]
         assert written(world, left)
     found = world.boxes["10.0.0.6"].replica
     assert found is not None
-    seen = members_of(found.voters, found.watching)
+    seen = membership_status(found.voters, found.failure_detector)
     assert [one.ip for one in seen.voters if one.heard and one.complete] == [
         "10.0.0.4",
         "10.0.0.5",
@@ -166,11 +166,11 @@
     world.run(2.5)
     replica = world.boxes["10.0.0.1"].replica
     assert replica is not None
-    watching, members = replica.watching, replica._membership
+    watching, members = replica.failure_detector, replica._membership
     assert not members._completing()
-    watching._complete["10.0.0.2"] = 0
+    watching._complete_epochs["10.0.0.2"] = 0
     assert members._completing()  # Five of six are complete, and four are enough.
-    watching._complete["10.0.0.3"] = 0
+    watching._complete_epochs["10.0.0.3"] = 0
     assert not members._completing()  # One more lost would leave no majority of complete ones: change now.
 
 
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -25,7 +25,7 @@
 from ambershift.system.messages import codec
 from ambershift.system.messages.items import INSTANCE, Item
 from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ControlNodeHeartbeat, ItemUpdate
-from ambershift.system.messages.replication import Knock, SyncRequest
+from ambershift.system.messages.replication import Announcement, SyncRequest
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes import attachment, candidate_probe
 from ambershift.system.processes.attachment import Attachment
@@ -346,7 +346,7 @@
     } == set(ips[1:])
     again = [one for one in replica.step(NOW + NS_PER_MS, Reached(ips[2])) if isinstance(one, Send)]
     assert {one.recipient for one in again} == {ips[2]}
-    assert [type(one.message) for one in again] == [Knock, SyncRequest]
+    assert [type(one.message) for one in again] == [Announcement, SyncRequest]
 
 
 class Dialled:
