--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -22,9 +22,9 @@
     LoadReport,
 )
 from ambershift.system.node_selection.selector import RESERVE_S, SIGN_S, WIDTH, Choice, current_for
-from ambershift.system.processes.candidate_probe import Answered, Asked, let_go
-from ambershift.system.processes.locality import Places
-from ambershift.system.processes.metrics import Figure
+from ambershift.system.processes.candidate_probe import CandidateProbe, ProbeReply, abort_unused
+from ambershift.system.processes.locality import LocalityCounter
+from ambershift.system.processes.metrics import Metric
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_MS
@@ -32,10 +32,10 @@
 from ambershift.system.transport.links import receive
 from ambershift.system.transport.send_queue import Outbox
 
-LOOK_S = 0.1
+LINK_CHECK_INTERVAL_S = 0.1
 
 
-class Dialler(Protocol):
+class LinkDialer(Protocol):
     """What an attachment needs of `transport.links.Links`, or of simulated ones."""
 
     async def dial(self, ip: str) -> Connection:
@@ -45,7 +45,7 @@
         """What waits to be sent on a connection."""
 
 
-def caller_of(settings: Local) -> Caller:
+def proxy_identity(settings: Local) -> Caller:
     """As what this process dials."""
     return Caller(PROXY, settings.name, secrets.token_hex(4))
 
@@ -57,106 +57,113 @@
         self,
         settings: Local,
         server: ProxyServer,
-        links: Dialler,
+        links: LinkDialer,
         steady: Callable[[], int],
         log: Callable[[int, dict[str, Any]], None],
     ) -> None:
         self.server, self.links, self.steady, self.log = server, links, steady, log
-        self.choice = Choice(
+        self.selector = Choice(
             settings.name,
             settings.zone,
             settings.region,
             settings.seed_ips,
             current_for(settings.name, settings.bounds),
         )
-        self.places = Places(settings.zone, settings.region)
+        self.locality = LocalityCounter(settings.zone, settings.region)
         self.outbox: Outbox | None = None  # Of the link in use.
-        self.said: Hello | None = None
-        self.version = 0  # The highest of the operator's that has come.
-        self.left = Counter[str]()  # Links given up, by why.
+        self.last_hello: Hello | None = None
+        self.configuration_version = 0  # The highest of the operator's that has come.
+        self.abandoned_links = Counter[str]()  # Links given up, by why.
         self._link: asyncio.Task[None] | None = None
-        self._searching: asyncio.Task[Answered | None] | None = None
-        self._asking_nearer: asyncio.Task[Answered | None] | None = None
+        self._fresher_search: asyncio.Task[ProbeReply | None] | None = None
+        self._nearer_probe: asyncio.Task[ProbeReply | None] | None = None
 
     async def run(self) -> None:
         """Hold a link to the control node chosen; while it stands others may be asked beside it."""
         try:
             while True:
-                await self._look()
-                await self._pause()
+                await self._maintain_link()
+                await self._wait()
         finally:
-            self._stop_asking()
+            self._cancel_background_probes()
 
-    async def _look(self) -> None:
+    async def _maintain_link(self) -> None:
         now = self.steady()
-        if self._link is not None and self.choice.silent(now):
-            self._leave("silent")
-            self._drop()
-        found = self._answer_beside()
+        if self._link is not None and self.selector.silent(now):
+            self._log_abandoned("silent")
+            self._close_link()
+        found = self._take_background_reply()
         if found is None and (self._link is None or self._link.done()):
-            self._stop_asking()
-            found = await self._first(self.choice.candidates(now))
+            self._cancel_background_probes()
+            found = await self._find_current(self.selector.candidates(now))
         if found is not None:
-            self._stop_asking()
-            self._drop()
-            self._link = asyncio.ensure_future(self.converse(found.ip, found.connection))
+            self._cancel_background_probes()
+            self._close_link()
+            self._link = asyncio.ensure_future(self.run_link(found.ip, found.connection))
         else:
-            self._ask_beside(now)
+            self._start_background_probes(now)
 
-    async def _pause(self) -> None:
+    async def _wait(self) -> None:
         """Until the next look, which comes at once with an answer of those asked beside the link."""
-        asking = {task for task in (self._searching, self._asking_nearer) if task is not None}
+        asking = {task for task in (self._fresher_search, self._nearer_probe) if task is not None}
         if asking:
-            await asyncio.wait(asking, timeout=LOOK_S, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(asking, timeout=LINK_CHECK_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED)
         else:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(LINK_CHECK_INTERVAL_S)
 
-    def _ask_beside(self, now: int) -> None:
+    def _start_background_probes(self, now: int) -> None:
         """Neither waits for the other: a nearer node that hangs must not keep a stale proxy from a search."""
-        if self._searching is None and self.choice.search(now):
-            self._searching = asyncio.ensure_future(self._search(self.choice.search_order(now)))
-        if self._asking_nearer is None and (nearer := self.choice.nearer(now)) is not None:
-            self._asking_nearer = asyncio.ensure_future(self._ask_nearer(nearer))
+        if self._fresher_search is None and self.selector.search(now):
+            self._fresher_search = asyncio.ensure_future(self._find_fresher(self.selector.search_order(now)))
+        if self._nearer_probe is None and (nearer := self.selector.nearer(now)) is not None:
+            self._nearer_probe = asyncio.ensure_future(self._probe_nearer(nearer))
 
-    def _answer_beside(self) -> Answered | None:
+    def _take_background_reply(self) -> ProbeReply | None:
         """A node asked beside the link that is to be gone to."""
         found = None
-        if self._searching is not None and self._searching.done():
-            found, self._searching = self._searching.result(), None
-        elif self._asking_nearer is not None and self._asking_nearer.done():
-            found, self._asking_nearer = self._asking_nearer.result(), None
+        if self._fresher_search is not None and self._fresher_search.done():
+            found, self._fresher_search = self._fresher_search.result(), None
+        elif self._nearer_probe is not None and self._nearer_probe.done():
+            found, self._nearer_probe = self._nearer_probe.result(), None
         return found
 
-    def _stop_asking(self) -> None:
+    def _cancel_background_probes(self) -> None:
         """Who answers from now on is let go."""
-        for task in (self._searching, self._asking_nearer):
+        for task in (self._fresher_search, self._nearer_probe):
             if task is not None:
                 task.cancel()
-                task.add_done_callback(let_go)
-        self._searching = self._asking_nearer = None
-
-    def _leave(self, why: str) -> None:
-        self.left[why] += 1
-        self.log(112, {"peer": self.choice.linked, "why": why, "age_ms": self._age_ms(self.steady())})
+                task.add_done_callback(abort_unused)
+        self._fresher_search = self._nearer_probe = None
+
+    def _log_abandoned(self, reason: str) -> None:
+        self.abandoned_links[reason] += 1
+        self.log(
+            112,
+            {
+                "peer": self.selector.linked,
+                "why": reason,
+                "age_ms": self._configuration_age_ms(self.steady()),
+            },
+        )
 
-    def _drop(self) -> None:
+    def _close_link(self) -> None:
         """Give the link up, where there is one."""
         if self._link is None:
             return
         self._link.cancel()
         self._link = None
-        if self.choice.linked is not None:
-            self.choice.fail(self.steady(), self.choice.linked)
+        if self.selector.linked is not None:
+            self.selector.fail(self.steady(), self.selector.linked)
 
-    async def _first(self, candidates: list[str]) -> Answered | None:
+    async def _find_current(self, candidates: list[str]) -> ProbeReply | None:
         """Without a link: the first that answers and is current; where none is, any that answers."""
-        asked, chosen = Asked(self.ask, candidates, 1), None
+        asked, chosen = CandidateProbe(self.probe, candidates, 1), None
         try:
-            while (one := await asked.next()) is not None:
+            while (one := await asked.next_reply()) is not None:
                 if chosen is None:
                     chosen = one
-                    asked.give_up_after(RESERVE_S)
-                if self.choice.current(one.sign):
+                    asked.limit_wait(RESERVE_S)
+                if self.selector.current(one.heartbeat):
                     chosen = one
                     break
         finally:
@@ -165,40 +172,40 @@
             self.log(113, {"tried": len(candidates)})
         return chosen
 
-    async def _search(self, candidates: list[str]) -> Answered | None:
+    async def _find_fresher(self, candidates: list[str]) -> ProbeReply | None:
         """Beside a link on which nothing proves how old our configuration is: the first that knows newer."""
-        asked, chosen = Asked(self.ask, candidates, WIDTH), None
+        asked, chosen = CandidateProbe(self.probe, candidates, WIDTH), None
         try:
-            while (one := await asked.next()) is not None and self.choice.stale(self.steady()):
-                if self.choice.newer(self.steady(), one.sign):
+            while (one := await asked.next_reply()) is not None and self.selector.stale(self.steady()):
+                if self.selector.newer(self.steady(), one.heartbeat):
                     chosen = one
                     break
         finally:
             asked.close(chosen)
         if chosen is not None:
-            self._leave("stale")
-        elif self.choice.stale(self.steady()):
-            self.log(118, {"asked": len(candidates), "age_ms": self._age_ms(self.steady())})
+            self._log_abandoned("stale")
+        elif self.selector.stale(self.steady()):
+            self.log(118, {"asked": len(candidates), "age_ms": self._configuration_age_ms(self.steady())})
         return chosen
 
-    async def _ask_nearer(self, ip: str) -> Answered | None:
-        one = await self.ask(ip)
-        if one is not None and not self.choice.current(one.sign):
+    async def _probe_nearer(self, ip: str) -> ProbeReply | None:
+        one = await self.probe(ip)
+        if one is not None and not self.selector.current(one.heartbeat):
             one.connection.transport.abort()
-            self.choice.fail(self.steady(), ip)
+            self.selector.fail(self.steady(), ip)
             return None
         return one
 
-    def _age_ms(self, now: int) -> int | None:
+    def _configuration_age_ms(self, now: int) -> int | None:
         """How old what is served here may be; None where nobody has told."""
-        return None if self.choice.proved is None else (now - self.choice.proved) // NS_PER_MS
+        return None if self.selector.proved is None else (now - self.selector.proved) // NS_PER_MS
 
-    async def ask(self, ip: str) -> Answered | None:
+    async def probe(self, ip: str) -> ProbeReply | None:
         """Dial one, and hear its first sign. None where it doesn't answer, or answers something else."""
         try:
             connection = await self.links.dial(ip)
         except OSError:
-            self.choice.fail(self.steady(), ip)
+            self.selector.fail(self.steady(), ip)
             return None
         try:
             async with asyncio.timeout(SIGN_S):
@@ -210,42 +217,42 @@
             connection.transport.abort()
             raise
         if isinstance(sign, ControlNodeHeartbeat):
-            return Answered(ip, connection, sign)
+            return ProbeReply(ip, connection, sign)
         connection.transport.abort()
-        self.choice.fail(self.steady(), ip)
+        self.selector.fail(self.steady(), ip)
         return None
 
-    async def converse(self, ip: str, connection: Connection) -> None:
+    async def run_link(self, ip: str, connection: Connection) -> None:
         outbox = self.links.outbox(connection, ip, True)
-        self.outbox, self.said = outbox, None
-        self.choice.up(self.steady(), ip)
+        self.outbox, self.last_hello = outbox, None
+        self.selector.up(self.steady(), ip)
         writer = asyncio.ensure_future(outbox.run())
         self.log(111, {"peer": ip})
         self.server.linked()
-        self.greet()
+        self.send_hello()
         try:
-            await receive(connection, lambda message: self.hear(outbox, message), self.log)
+            await receive(connection, lambda message: self.receive(outbox, message), self.log)
         finally:
             writer.cancel()
-            self._end(outbox)
+            self._detach(outbox)
 
-    def _end(self, outbox: Outbox) -> None:
+    def _detach(self, outbox: Outbox) -> None:
         """What still comes on this link is void."""
         outbox.break_off()
         if self.outbox is outbox:
             self.outbox = None
             self.server.unlinked()
-            if self.choice.linked is not None:
-                self.choice.fail(self.steady(), self.choice.linked)
+            if self.selector.linked is not None:
+                self.selector.fail(self.steady(), self.selector.linked)
 
-    def hear(self, outbox: Outbox, message: msgspec.Struct) -> None:
+    def receive(self, outbox: Outbox, message: msgspec.Struct) -> None:
         if outbox is not self.outbox:
             return
         now = self.steady()
         if isinstance(message, ControlNodeHeartbeat):
-            self.choice.hear(now, message)
+            self.selector.hear(now, message)
         else:
-            self.choice.alive(now)
+            self.selector.alive(now)
         for reply in self.server.hear(message):
             outbox.put(reply)
         if isinstance(message, BindTable):
@@ -254,48 +261,52 @@
                 {
                     "pool": message.pool,
                     "table": message.table,
-                    **self.places.lines(message, self.server.backend_view.lives),
+                    **self.locality.table_fields(message, self.server.backend_view.lives),
                 },
             )
         if isinstance(message, ItemUpdate):
             if self.server.routing.unusable:
-                self._leave("outdated")
-                self._end(outbox)
+                self._log_abandoned("outdated")
+                self._detach(outbox)
                 return
-            self._tell_items(message)
-            self.greet()
+            self._log_configuration(message)
+            self.send_hello()
 
-    def _tell_items(self, message: ItemUpdate) -> None:
+    def _log_configuration(self, message: ItemUpdate) -> None:
         """The log says when a version came into force here, and by whom."""
         versions = [one.version[0] for one in message.items if one.kind in (ROUTE, SERVICE, LIMITS)]
         if versions:
-            self.version = max(self.version, *versions)
-            self.log(117, {"peer": self.choice.linked, "items": len(versions), "version": max(versions)})
+            self.configuration_version = max(self.configuration_version, *versions)
+            self.log(117, {"peer": self.selector.linked, "items": len(versions), "version": max(versions)})
 
-    def greet(self) -> None:
+    def send_hello(self) -> None:
         """Say what we are, first on a link and whenever it has changed."""
         hello = self.server.hello()
-        if self.outbox and hello != self.said:
-            if hello.ready and not (self.said and self.said.ready):
+        if self.outbox and hello != self.last_hello:
+            if hello.ready and not (self.last_hello and self.last_hello.ready):
                 self.log(114, {})
             self.outbox.put(hello)
-            self.said = hello
+            self.last_hello = hello
 
-    def figures(self) -> list[Figure]:
+    def metrics(self) -> list[Metric]:
         """What metrics tell of the link."""
-        age_ms = self._age_ms(self.steady())
+        age_ms = self._configuration_age_ms(self.steady())
         age_s = -1.0 if age_ms is None else age_ms / 1000
         return [
-            Figure("configuration_version", "highest version of the operator in force", self.version),
-            Figure("configuration_age_seconds", "how old it may be (-1: nobody has told)", age_s),
-            Figure("linked", "whether a control node is linked", float(self.outbox is not None)),
-            Figure("links_left", "links given up since the start", label="why", values=self.left),
+            Metric(
+                "configuration_version",
+                "highest version of the operator in force",
+                self.configuration_version,
+            ),
+            Metric("configuration_age_seconds", "how old it may be (-1: nobody has told)", age_s),
+            Metric("linked", "whether a control node is linked", float(self.outbox is not None)),
+            Metric("links_left", "links given up since the start", label="why", values=self.abandoned_links),
         ]
 
     def report(self, report: LoadReport) -> None:
         """Tell the control node, and now and then the log, what came and was met."""
         if self.outbox:
             self.outbox.put(report)
-        self.places.count(report, self.server.backend_view.lives)
-        if self.places.due():
-            self.log(116, self.places.told())
+        self.locality.count(report, self.server.backend_view.lives)
+        if self.locality.is_due():
+            self.log(116, self.locality.take_fields())
--- a/ambershift/system/processes/logs.py
+++ b/ambershift/system/processes/logs.py
@@ -11,10 +11,12 @@
 
 from ambershift.system.events import EVENTS, WARNING
 
-MOST_A_SECOND = 20  # Of a number: a storm of the same tells nothing more, and each line costs processor time.
+MAX_LINES_PER_SECOND = (
+    20  # Of a number: a storm of the same tells nothing more, and each line costs processor time.
+)
 
 
-class Journal:
+class EventLog:
     """`log(number, fields)`; a number that isn't in the catalogue is a fault of the program."""
 
     def __init__(self, name: str, steady: Callable[[], int]) -> None:
@@ -33,7 +35,7 @@
             self.second = now // 1_000_000_000
             self.counts.clear()
         self.counts[number] += 1
-        if self.counts[number] > MOST_A_SECOND:
+        if self.counts[number] > MAX_LINES_PER_SECOND:
             return
         level, text = EVENTS.get(number, (WARNING, f"event {number}"))
         getattr(self.logger, level)(text, n=number, at=round(now / 1e9, 3), **fields)
--- a/ambershift/system/processes/metrics.py
+++ b/ambershift/system/processes/metrics.py
@@ -18,24 +18,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class Metric:
     """A gauge: its name without the program's, what it tells and in which unit, and a value for each set of
     labels (or one without)."""
 
     name: str
-    text: str
+    help_text: str
     value: float = 0.0
     label: str = ""
     values: Mapping[str, float] = field(default_factory=dict)
 
 
-def rendered(figures: Iterable[Figure]) -> bytes:
+def render(metrics: Iterable[Metric]) -> bytes:
     """In Prometheus' text format."""
     from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
     registry = CollectorRegistry()
-    for one in figures:
-        gauge = Gauge(f"ambershift_{one.name}", one.text, [one.label] if one.label else [], registry=registry)
+    for one in metrics:
+        gauge = Gauge(
+            f"ambershift_{one.name}", one.help_text, [one.label] if one.label else [], registry=registry
+        )
         if not one.label:
             gauge.set(one.value)
         for label, value in one.values.items():
@@ -44,18 +46,18 @@
     return found
 
 
-class WithMetrics:
+class MetricsMiddleware:
     """An ASGI application, and beside it the figures on their own port."""
 
-    def __init__(self, application: Application, port: int, figures: Callable[[], Sequence[Figure]]) -> None:
-        self._application, self._port, self._figures = application, port, figures
+    def __init__(self, application: Application, port: int, collect: Callable[[], Sequence[Metric]]) -> None:
+        self._application, self._port, self._collect = application, port, collect
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         if scope["type"] != "http" or scope["server"][1] != self._port:
             await self._application(scope, receive, send)
             return
         known = scope["path"] == PATH and scope["method"] == "GET"
-        body = rendered(self._figures()) if known else b""
+        body = render(self._collect()) if known else b""
         headers = [
             (b"content-type", b"text/plain; version=0.0.4"),
             (b"content-length", b"%d" % len(body)),
--- a/ambershift/system/processes/settings_watch.py
+++ b/ambershift/system/processes/settings_watch.py
@@ -4,23 +4,23 @@
 
 import os
 
-LOOK_S = 2.0
+POLL_INTERVAL_S = 2.0
 
 
-class Watched:
+class SettingsFileWatch:
     """A file as it was when last looked at."""
 
     def __init__(self, file: str) -> None:
         self.file = file
-        self.seen = self._state()
+        self._last_state = self._read_state()
 
-    def changed(self) -> bool:
+    def has_changed(self) -> bool:
         """Whether it is another than at the last look; one that is away counts as unchanged."""
-        before, now = self.seen, self._state()
-        self.seen = now or before
+        before, now = self._last_state, self._read_state()
+        self._last_state = now or before
         return now is not None and now != before
 
-    def _state(self) -> tuple[int, int, int] | None:
+    def _read_state(self) -> tuple[int, int, int] | None:
         try:
             found = os.stat(self.file)
         except OSError:
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -169,7 +169,7 @@
 
     async def _greet(self, attachment: Attachment) -> None:
         while True:
-            attachment.greet()
+            attachment.send_hello()
             await asyncio.sleep(GREET_S)
 
     async def _report(self, server: ProxyServer, attachment: Attachment, steady: Any) -> None:
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.messages import proxy_link
-from ambershift.system.processes.http_server import listener, served
+from ambershift.system.processes.http_server import bind_listener, create_server
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.registry.registry import Registry
 from benchmarks.capacity import world
@@ -91,8 +91,8 @@
 
 
 async def serve(application: object, address: str) -> None:
-    server = served(application, 60, 1.0)
-    bound = listener(address)
+    server = create_server(application, 60, 1.0)
+    bound = bind_listener(address)
     task = asyncio.ensure_future(server.serve(sockets=[bound]))
     while not server.started:
         await asyncio.sleep(0.01)
--- a/tests/test_system_fleet.py
+++ b/tests/test_system_fleet.py
@@ -84,7 +84,7 @@
     fleet.run(4)
     for number in (1, 4, 7):
         fleet.freeze(f"10.0.0.{number}")
-    choice, name = fleet.fronts["front-1"].attachment.choice, "front-1"
+    choice, name = fleet.fronts["front-1"].attachment.selector, "front-1"
     ahead = NS_PER_SECOND // 2
     while choice.linked in (None, "10.0.0.1", "10.0.0.4", "10.0.0.7") or not choice.nearer(
         fleet.steady(name) + ahead
@@ -109,7 +109,7 @@
     fleet.run(4)
     front, ip = fleet.fronts["front-1"], "10.0.0.2"
     with front.loop.current():
-        asked = front.loop.create_task(front.attachment.ask(ip))
+        asked = front.loop.create_task(front.attachment.probe(ip))
     fleet.run(0.09)  # It has accepted; its sign is on the way.
     fleet.cut.add((ip, "front-1"))
     fleet.run(1.7)
@@ -117,7 +117,7 @@
     fleet.cut.clear()
     fleet.run(0.3)
     found = asked.result()
-    assert found is not None and front.attachment.choice.current(found.sign)
+    assert found is not None and front.attachment.selector.current(found.heartbeat)
 
 
 def test_a_link_that_ends_is_replaced_though_a_node_that_hangs_is_being_asked() -> None:
@@ -125,7 +125,7 @@
     fleet.run(4)
     for number in (1, 4, 7):
         fleet.freeze(f"10.0.0.{number}")
-    choice = fleet.fronts[name].attachment.choice
+    choice = fleet.fronts[name].attachment.selector
     while choice.linked in (None, "10.0.0.1", "10.0.0.4", "10.0.0.7") or not choice.nearer(
         fleet.steady(name)
     ):
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -452,18 +452,22 @@
 
 def test_a_link_that_cannot_tell_what_stands_is_left_and_its_items_are_not_told_as_in_force() -> None:
     made = object.__new__(Attachment)
-    made.choice, made.steady, made.log = Choice("p", "z", "r", ("a", "b")), lambda: 7 * NS_PER_SECOND, Mock()
-    made.server, made.left, made.version = Mock(), Counter[str](), 0
+    made.selector, made.steady, made.log = (
+        Choice("p", "z", "r", ("a", "b")),
+        lambda: 7 * NS_PER_SECOND,
+        Mock(),
+    )
+    made.server, made.abandoned_links, made.configuration_version = Mock(), Counter[str](), 0
     made.server.hear.return_value = []
     made.server.routing.unusable = True
     made.outbox = outbox = Mock()
-    made.choice.up(7 * NS_PER_SECOND, "a")
+    made.selector.up(7 * NS_PER_SECOND, "a")
     for _ in range(2):  # What is on the way still is void.
-        made.hear(outbox, ItemUpdate((route("r1", 1),), False))
-    assert made.left == {"outdated": 1} and made.version == 0 and made.outbox is None
+        made.receive(outbox, ItemUpdate((route("r1", 1),), False))
+    assert made.abandoned_links == {"outdated": 1} and made.configuration_version == 0 and made.outbox is None
     assert [call.args[0] for call in made.log.call_args_list] == [112]
     assert (
         outbox.break_off.called
-        and made.choice.linked is None
-        and made.choice.candidates(7 * NS_PER_SECOND)[0] == "b"
+        and made.selector.linked is None
+        and made.selector.candidates(7 * NS_PER_SECOND)[0] == "b"
     )
--- a/tests/test_system_limits.py
+++ b/tests/test_system_limits.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.messages.items import LIMITS, Item
 from ambershift.system.messages.proxy_link import ItemUpdate
-from ambershift.system.processes.http_server import Served
+from ambershift.system.processes.http_server import HttpServer
 from ambershift.system.proxy.intake import _unread
 from ambershift.system.proxy.limits import Limits, Waiting, read_limits
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
@@ -327,11 +327,11 @@
 
     async def playing():
         async with Rig(good, items=BOUND) as rig:
-            rig.server.__class__ = Served
-            rig.server.tell_keep(rig.proxy.routing.limits.told)
+            rig.server.__class__ = HttpServer
+            rig.server.advertise_keep_alive(rig.proxy.routing.limits.told)
             await rig.server.on_tick(0)
             assert b"\r\nkeep-alive: timeout=14\r\n" in (await rig.ask())[1]
-            rig.server.tell_keep(None)
+            rig.server.advertise_keep_alive(None)
             await rig.server.on_tick(0)
             assert b"keep-alive" not in (await rig.ask())[1]
 
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -18,14 +18,14 @@
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.processes.control_node import ControlNode
-from ambershift.system.processes.http_server import listener, listener_or_none
+from ambershift.system.processes.http_server import bind_listener, try_bind_listener
 from ambershift.system.processes.metrics import (
     CONTROL_PORT,
     PATH,
     PROXY_PORT,
-    Figure,
-    WithMetrics,
-    rendered,
+    Metric,
+    MetricsMiddleware,
+    render,
 )
 from ambershift.system.state_machine import NS_PER_SECOND
 
@@ -42,7 +42,7 @@
     async def send(message: Any) -> None:
         sent.append(message)
 
-    made = WithMetrics(application, 9000, lambda: [Figure("items", "items held", 3)])
+    made = MetricsMiddleware(application, 9000, lambda: [Metric("items", "items held", 3)])
     scope = {"type": "http", "server": ("127.0.0.1", port), "path": path, "method": method}
     asyncio.run(made(scope, None, send))
     return (sent[0]["status"], sent[1]["body"], behind) if sent else (0, b"", behind)
@@ -59,7 +59,7 @@
 
 
 def test_a_figure_may_have_a_value_for_each_label() -> None:
-    body = rendered([Figure("links_left", "left", label="why", values={"stale": 2, "silent": 1})])
+    body = render([Metric("links_left", "left", label="why", values={"stale": 2, "silent": 1})])
     assert b'ambershift_links_left{why="stale"} 2.0' in body and b'{why="silent"} 1.0' in body
 
 
@@ -78,42 +78,48 @@
 
 
 def test_a_port_that_is_taken_is_done_without() -> None:
-    with listener("127.0.0.1:0") as first:
+    with bind_listener("127.0.0.1:0") as first:
         first.listen()
         port = first.getsockname()[1]
-        assert listener_or_none(f"127.0.0.1:{port}") is None
+        assert try_bind_listener(f"127.0.0.1:{port}") is None
         with pytest.raises(OSError):
-            listener(f"127.0.0.1:{port}")
+            bind_listener(f"127.0.0.1:{port}")
 
 
-def values(figures: list[Figure]) -> dict[str, float]:
+def values(figures: list[Metric]) -> dict[str, float]:
     return {one.name: one.value for one in figures}
 
 
 def test_a_proxy_tells_its_version_and_how_old_it_may_be() -> None:
     made = object.__new__(Attachment)
-    made.choice, made.steady, made.log = Choice("p", "z", "r", ()), lambda: 7 * NS_PER_SECOND, Mock()
-    made.server, made.outbox, made.said, made.version, made.left = Mock(), None, None, 0, Mock()
-    assert values(made.figures())["configuration_age_seconds"] == -1.0
-    made.choice.hear(6 * NS_PER_SECOND, ControlNodeHeartbeat((), True, 1, 500))
-    made._tell_items(
+    made.selector, made.steady, made.log = Choice("p", "z", "r", ()), lambda: 7 * NS_PER_SECOND, Mock()
+    made.server, made.outbox, made.last_hello, made.configuration_version, made.abandoned_links = (
+        Mock(),
+        None,
+        None,
+        0,
+        Mock(),
+    )
+    assert values(made.metrics())["configuration_age_seconds"] == -1.0
+    made.selector.hear(6 * NS_PER_SECOND, ControlNodeHeartbeat((), True, 1, 500))
+    made._log_configuration(
         ItemUpdate((Item(ROUTE, "r", (12, "agreed"), b"{}"), Item("zone", "z", (99, "a"))), False)
     )
-    found = values(made.figures())
+    found = values(made.metrics())
     assert found["configuration_version"] == 12 and found["configuration_age_seconds"] == 1.5
 
 
 def test_a_control_node_tells_its_contact_and_copies() -> None:
     made: Any = object.__new__(ControlNode)
-    made.ledger, made.registry, made.controller = Mock(), Mock(), SimpleNamespace(hellos={"p": 1})
-    made.ledger.items.return_value = {1: Item(ROUTE, "r", (12, "agreed"), b"{}")}
-    made.ledger.contact_age_ms.return_value, made.ledger.in_touch.return_value = 250, True
-    made.ledger.members.return_value = SimpleNamespace(epoch=4, voters=(1, 2, 3), complete=2)
+    made.store, made.registry, made.controller = Mock(), Mock(), SimpleNamespace(hellos={"p": 1})
+    made.store.items.return_value = {1: Item(ROUTE, "r", (12, "agreed"), b"{}")}
+    made.store.contact_age_ms.return_value, made.store.in_touch.return_value = 250, True
+    made.store.members.return_value = SimpleNamespace(epoch=4, voters=(1, 2, 3), complete=2)
     made.registry.lives.return_value = {}
     made.links = SimpleNamespace(
         dialled={"a": SimpleNamespace(size=5)}, accepted={"b": SimpleNamespace(size=7)}
     )
-    found = values(made.figures())
+    found = values(made.metrics())
     assert found["contact_age_seconds"] == 0.25 and found["in_touch"] == 1 and found["epoch"] == 4
     assert found["copies_complete"] == 2 and found["links_waiting_bytes"] == 12
     assert found["proxies_linked"] == 1 and found["configuration_version"] == 12
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -371,7 +371,7 @@
 
     made = object.__new__(Attachment)
     made.links = SimpleNamespace(dial=dial)  # type: ignore[assignment]
-    made.choice, made.steady, made.log = Choice("p", "z", "r", ()), lambda: NOW, Mock()
+    made.selector, made.steady, made.log = Choice("p", "z", "r", ()), lambda: NOW, Mock()
     return made
 
 
@@ -382,10 +382,10 @@
         silent, there = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
         there.up.set()
         made = dialling_proxy({"a": OSError(), "b": silent, "c": there})
-        found = await asyncio.wait_for(made._first(["a", "b", "c"]), 10)
+        found = await asyncio.wait_for(made._find_current(["a", "b", "c"]), 10)
         assert found is not None and found.ip == "c" and not there.transport.abort.called
-        assert list(made.choice.failed) == ["a"]
-        assert await dialling_proxy({"a": OSError()})._first(["a"]) is None
+        assert list(made.selector.failed) == ["a"]
+        assert await dialling_proxy({"a": OSError()})._find_current(["a"]) is None
 
     asyncio.run(run())
 
@@ -404,7 +404,7 @@
             asyncio.get_running_loop().call_soon(late.up.set)
         else:
             monkeypatch.setattr(attachment, "RESERVE_S", 0.0)
-        found = await asyncio.wait_for(made._first(["a", "b"]), 10)
+        found = await asyncio.wait_for(made._find_current(["a", "b"]), 10)
         assert found is not None
         return found.ip
 
@@ -419,9 +419,9 @@
     there = Dialled(ControlNodeHeartbeat((), True, 1, age_ms))
     there.up.set()
     made = dialling_proxy({"a": there})
-    found = asyncio.run(made._ask_nearer("a"))
+    found = asyncio.run(made._probe_nearer("a"))
     assert (found is not None) == taken and there.transport.abort.called == (not taken)
-    assert ("a" in made.choice.failed) == (not taken)
+    assert ("a" in made.selector.failed) == (not taken)
 
 
 def test_one_that_answers_too_late_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -429,9 +429,9 @@
 
     async def run() -> None:
         one, other = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
-        asked = candidate_probe.Asked(dialling_proxy({"a": one, "b": other}).ask, ["a", "b"], 2)
+        asked = candidate_probe.CandidateProbe(dialling_proxy({"a": one, "b": other}).probe, ["a", "b"], 2)
         one.up.set()
-        chosen = await asked.next()
+        chosen = await asked.next_reply()
         other.up.set()
         await asyncio.sleep(0)  # It has come up, but is not told any more.
         asked.close(chosen)
--- a/tests/test_system_settings.py
+++ b/tests/test_system_settings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ambershift.system.__main__ import main
-from ambershift.system.processes.settings_watch import Watched
+from ambershift.system.processes.settings_watch import SettingsFileWatch
 from ambershift.system.settings.local import SettingsError, read_local
 from ambershift.system.testbed.settings import CONTROL_NODE, PROXY, Machine, Site, toml
 
@@ -103,11 +103,11 @@
 def test_a_file_that_changes_without_a_signal_is_noticed_once(tmp_path: Path) -> None:
     file = tmp_path / "local.toml"
     file.write_text("a = 1")
-    watched = Watched(str(file))
-    assert not watched.changed()
+    watched = SettingsFileWatch(str(file))
+    assert not watched.has_changed()
     other = tmp_path / "new.toml"
     other.write_text("a = 23")
     other.replace(file)
-    assert watched.changed() and not watched.changed()
+    assert watched.has_changed() and not watched.has_changed()
     file.unlink()
-    assert not watched.changed()
+    assert not watched.has_changed()
