--- a/ambershift/modelcheck/models/consensus.py
+++ b/ambershift/modelcheck/models/consensus.py
@@ -150,7 +150,7 @@
         told = []
         for place in PLACES:
             replica = table.replica(place)
-            record = replica._acceptor.record("list")
+            record = replica._acceptor.state("list")
             told.append(
                 f"{IPS[place]}: epoch {replica.voters.epoch}, whole {replica.voters.whole}, "
                 f"votes {replica.voters.voting}, promised {record.promised_ballot[0]}, accepted "
--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -235,25 +235,28 @@
             voters.decision,
             voters.whole,
             voters.me.birth,
-            replica._proposer._life,
-            sorted(replica._acceptor.records.items()),
+            replica._proposer._incarnation,
+            sorted(replica._acceptor.states.items()),
             [
                 (
                     name,
-                    one.counter,
-                    one.lease
+                    one.highest_counter,
+                    one.prepared
                     and (
-                        one.lease.epoch,
-                        one.lease.ballot,
-                        one.lease.accepted,
-                        one.lease.origin,
-                        one.lease.value,
+                        one.prepared.epoch,
+                        one.prepared.ballot,
+                        one.prepared.accepted_ballot,
+                        one.prepared.origin_ballot,
+                        one.prepared.value,
                     ),
                 )
                 for name, one in sorted(registers.items())
             ],
-            [repr(one) for one in replica._held],
-            [(one.kind, sorted(one.asked), sorted(one.yes)) for one in replica._syncing._sessions],
+            [repr(one) for one in replica._deferred],
+            [
+                (one.kind, sorted(one.contacted), sorted(one.completed))
+                for one in replica._anti_entropy._sessions
+            ],
         ]
     )
 
--- a/ambershift/system/consensus/anti_entropy.py
+++ b/ambershift/system/consensus/anti_entropy.py
@@ -11,7 +11,7 @@
 from ambershift.system.consensus.acceptor import Acceptor
 from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.effect_buffer import Held, Outbox
-from ambershift.system.consensus.item_store import Store
+from ambershift.system.consensus.item_store import ItemStore
 from ambershift.system.consensus.quorum import majority
 from ambershift.system.consensus.voters import Voters, holds
 from ambershift.system.consensus.write_queue import Journal
@@ -20,39 +20,41 @@
 from ambershift.system.messages.replication import AcceptorState, SyncRequest, SyncResponse
 from ambershift.system.state_machine import NS_PER_MS
 
-AGAIN = 250 * NS_PER_MS
-SOON = 60 * NS_PER_MS  # Before a machine that isn't complete itself is asked again, while it alone is asked.
-ALONE = 400 * NS_PER_MS  # For so long.
-PART = 64 << 10  # Bytes of one part, so that a large copy doesn't hold up what else is on the link.
-CALL, COMPLETE, QUIET = "call", "complete", "quiet"
-PROOF = "proof"  # As a call, but nobody waits for it: it renews the proof of contact.
-READINGS = (CALL, PROOF)
-QUIET_FOR, PROOF_FOR = 2000 * NS_PER_MS, 1000 * NS_PER_MS
+RETRY_INTERVAL_NS = 250 * NS_PER_MS
+SINGLE_SOURCE_RETRY_INTERVAL_NS = (
+    60 * NS_PER_MS
+)  # Before a machine that isn't complete itself is asked again, while it alone is asked.
+SINGLE_SOURCE_PERIOD_NS = 400 * NS_PER_MS  # For so long.
+PART_BYTES_MAX = 64 << 10  # Bytes of one part, so that a large copy doesn't hold up what else is on the link.
+READ, CATCH_UP, REPAIR = "call", "complete", "quiet"
+CONTACT_PROOF = "proof"  # As a call, but nobody waits for it: it renews the proof of contact.
+QUORUM_READS = (READ, CONTACT_PROOF)
+REPAIR_TIMEOUT_NS, CONTACT_PROOF_TIMEOUT_NS = 2000 * NS_PER_MS, 1000 * NS_PER_MS
 
 
 @dataclass(slots=True)
-class Session:
+class SyncSession:
     kind: str
-    deadline: int
+    deadline_ns: int
     call: int = 0
     epoch: int = 0  # 0 while no voters are known.
-    begun: int = 0  # When those asked were asked first.
-    asked: set[str] = field(default_factory=set)
-    yes: set[str] = field(default_factory=set)
+    started_ns: int = 0  # When those asked were asked first.
+    contacted: set[str] = field(default_factory=set)
+    completed: set[str] = field(default_factory=set)
     # By the number of each asking: whom, and the parts of its answer that are here. Parts of two answers
     # must not make up one: between them lies what neither brought.
     parts: dict[int, tuple[str, set[int]]] = field(default_factory=dict)
-    long: set[str] = field(default_factory=set)  # Whom the digests of all buckets were told.
-    again: int = 0
-    alone_till: int = 0  # Till then only the nearest is asked: who lacks much fetches it once.
+    wants_bucket_digests: set[str] = field(default_factory=set)  # Whom the digests of all buckets were told.
+    retry_at_ns: int = 0
+    single_source_until_ns: int = 0  # Till then only the nearest is asked: who lacks much fetches it once.
 
 
-class Syncing:
+class AntiEntropy:
     def __init__(
         self,
         out: Outbox,
         voters: Voters,
-        store: Store,
+        store: ItemStore,
         acceptor: Acceptor,
         journal: Journal,
         numbers: Callable[[], int],
@@ -63,140 +65,144 @@
         self._out, self._voters, self._store, self._acceptor = out, voters, store, acceptor
         self._contact = contact
         self._journal, self._numbers, self._ready, self._completed = journal, numbers, ready, completed
-        self._sessions: list[Session] = []
+        self._sessions: list[SyncSession] = []
 
     # Asking.
 
-    def freshen(self, call: int, deadline: int) -> None:
-        self._open(Session(CALL, deadline, call))
+    def read(self, call: int, deadline: int) -> None:
+        self._open(SyncSession(READ, deadline, call))
 
-    def prove(self) -> None:
+    def prove_contact(self) -> None:
         """Read what a majority holds, unless that is under way."""
-        if not any(one.kind == PROOF for one in self._sessions):
-            self._open(Session(PROOF, self._out.now + PROOF_FOR))
+        if not any(one.kind == CONTACT_PROOF for one in self._sessions):
+            self._open(SyncSession(CONTACT_PROOF, self._out.now + CONTACT_PROOF_TIMEOUT_NS))
 
-    def complete(self) -> None:
+    def catch_up(self) -> None:
         """Begin to gather all that was held under the voters before, so that this machine may vote."""
-        self._sessions = [one for one in self._sessions if one.kind != COMPLETE]
+        self._sessions = [one for one in self._sessions if one.kind != CATCH_UP]
         if self._voters.member and not self._voters.voting:
-            self._open(Session(COMPLETE, 1 << 62))
+            self._open(SyncSession(CATCH_UP, 1 << 62))
 
-    def quiet(self, ip: str) -> None:
+    def repair_from(self, ip: str) -> None:
         """Fetch what differs from that machine, unless something is being fetched already: from one that is
         gone nothing comes, and others may have it."""
-        under_way = [one for one in self._sessions if one.kind == QUIET]
-        if any(self._ready(asked) for one in under_way for asked in one.asked):
+        under_way = [one for one in self._sessions if one.kind == REPAIR]
+        if any(self._ready(asked) for one in under_way for asked in one.contacted):
             return
-        self._sessions = [one for one in self._sessions if one.kind != QUIET]
-        session = Session(QUIET, self._out.now + QUIET_FOR)
-        session.asked.add(ip)
+        self._sessions = [one for one in self._sessions if one.kind != REPAIR]
+        session = SyncSession(REPAIR, self._out.now + REPAIR_TIMEOUT_NS)
+        session.contacted.add(ip)
         self._open(session)
 
-    def _open(self, one: Session) -> None:
-        self._sessions.append(one)
-        self._start(one)
+    def _open(self, session: SyncSession) -> None:
+        self._sessions.append(session)
+        self._start(session)
 
-    def _start(self, one: Session) -> None:
+    def _start(self, session: SyncSession) -> None:
         decision = self._voters.decision
         if decision is None:
             return
-        one.epoch, one.begun = decision.epoch, self._out.now
-        one.yes.clear()
-        one.parts.clear()
-        one.long.clear()
+        session.epoch, session.started_ns = decision.epoch, self._out.now
+        session.completed.clear()
+        session.parts.clear()
+        session.wants_bucket_digests.clear()
         me = self._voters.me
-        if one.kind in READINGS:
-            one.asked = set(self._voters.ips) - {me.ip}
+        if session.kind in QUORUM_READS:
+            session.contacted = set(self._voters.ips) - {me.ip}
             if self._voters.voting:
-                one.yes.add(me.ip)
-        elif one.kind == COMPLETE:
+                session.completed.add(me.ip)
+        elif session.kind == CATCH_UP:
             others = [ip for ip in self._voters.near if ip != me.ip]
-            one.asked = {*others, *(member.ip for member in decision.previous_voters)} - {me.ip}
+            session.contacted = {*others, *(member.ip for member in decision.previous_voters)} - {me.ip}
             if holds(decision.previous_voters, me.ip, me.birth) and self._voters.whole >= decision.epoch - 1:
-                one.yes.add(me.ip)
+                session.completed.add(me.ip)
             else:
-                one.alone_till = self._out.now + ALONE
-                one.asked = set([ip for ip in others if self._ready(ip)][:1]) or one.asked
-        self._send(one)
-        self._check(one)
+                session.single_source_until_ns = self._out.now + SINGLE_SOURCE_PERIOD_NS
+                session.contacted = set([ip for ip in others if self._ready(ip)][:1]) or session.contacted
+        self._send(session)
+        self._check(session)
 
-    def _send(self, one: Session) -> None:
-        one.again = self._out.now + AGAIN
-        for ip in sorted(one.asked - one.yes):
-            self._ask(one, ip)
+    def _send(self, session: SyncSession) -> None:
+        session.retry_at_ns = self._out.now + RETRY_INTERVAL_NS
+        for ip in sorted(session.contacted - session.completed):
+            self._ask(session, ip)
 
-    def _ask(self, one: Session, ip: str) -> None:
-        long = one.kind == COMPLETE or ip in one.long
-        wanted = one.kind not in READINGS and not self._voters.voting
+    def _ask(self, session: SyncSession, ip: str) -> None:
+        long = session.kind == CATCH_UP or ip in session.wants_bucket_digests
+        wanted = session.kind not in QUORUM_READS and not self._voters.voting
         registers = self._acceptor.ballots() if wanted else None
         items = self._store.buckets.long() if long else self._store.buckets.short()
         number = self._numbers()
-        one.parts[number] = ip, set()
-        self._out.send(ip, SyncRequest(one.epoch, number, items, registers))
+        session.parts[number] = ip, set()
+        self._out.send(ip, SyncRequest(session.epoch, number, items, registers))
 
-    def shared(self, sender: str, share: SyncResponse) -> None:
-        replaced = self._store.replaced
-        taken = self._store.merge(share.items, share.tombstone_batch)
+    def receive_response(self, sender: str, response: SyncResponse) -> None:
+        replaced = self._store.resets
+        taken = self._store.merge(response.items, response.tombstone_batch)
         if not self._voters.voting:
-            self._acceptor.merge(share.registers)
-        if self._store.replaced != replaced:
+            self._acceptor.merge(response.registers)
+        if self._store.resets != replaced:
             self.restart()
             return
-        one = next((one for one in self._sessions if share.request_id in one.parts), None)
-        if one is None or share.epoch != one.epoch or one.parts[share.request_id][0] != sender:
+        session = next((one for one in self._sessions if response.request_id in one.parts), None)
+        if (
+            session is None
+            or response.epoch != session.epoch
+            or session.parts[response.request_id][0] != sender
+        ):
             return
-        if share.wants_bucket_digests:
-            one.long.add(sender)
-            del one.parts[share.request_id]
-            self._ask(one, sender)
+        if response.wants_bucket_digests:
+            session.wants_bucket_digests.add(sender)
+            del session.parts[response.request_id]
+            self._ask(session, sender)
             return
-        parts = one.parts[share.request_id][1]
-        parts.add(share.part_index)
-        if len(parts) < share.part_count:
+        parts = session.parts[response.request_id][1]
+        parts.add(response.part_index)
+        if len(parts) < response.part_count:
             return
-        del one.parts[share.request_id]
-        if one.kind == QUIET:
-            self._sessions.remove(one)
+        del session.parts[response.request_id]
+        if session.kind == REPAIR:
+            self._sessions.remove(session)
         elif not taken:
             return
-        elif one.kind in READINGS:
-            if share.complete_epoch >= one.epoch and sender in self._voters.ips:
-                one.yes.add(sender)
-        elif share.complete_epoch >= one.epoch:
-            self._finish(one)  # It has all that was held before this epoch, so one copy is enough.
+        elif session.kind in QUORUM_READS:
+            if response.complete_epoch >= session.epoch and sender in self._voters.ips:
+                session.completed.add(sender)
+        elif response.complete_epoch >= session.epoch:
+            self._finish(session)  # It has all that was held before this epoch, so one copy is enough.
             return
-        elif self._counts(sender, share):
-            one.yes.add(sender)
-            if self._out.now < one.alone_till:
-                one.yes.clear()
-                one.again = self._out.now + SOON
-        self._check(one)
+        elif self._counts(sender, response):
+            session.completed.add(sender)
+            if self._out.now < session.single_source_until_ns:
+                session.completed.clear()
+                session.retry_at_ns = self._out.now + SINGLE_SOURCE_RETRY_INTERVAL_NS
+        self._check(session)
 
-    def _counts(self, sender: str, share: SyncResponse) -> bool:
+    def _counts(self, sender: str, response: SyncResponse) -> bool:
         """Whether that is a voter of the epoch before, complete then, that counts for it no more."""
         decision = self._voters.decision
         return (
             decision is not None
-            and share.complete_epoch >= decision.epoch - 1
-            and holds(decision.previous_voters, sender, share.disk_id)
+            and response.complete_epoch >= decision.epoch - 1
+            and holds(decision.previous_voters, sender, response.disk_id)
         )
 
-    def _check(self, one: Session) -> None:
+    def _check(self, session: SyncSession) -> None:
         decision = self._voters.decision
-        if one.kind in READINGS and len(one.yes) >= self._voters.enough:
-            self._sessions.remove(one)
-            self._contact.read(one.begun)
-            if one.kind == CALL:
-                self._out.answer(one.call, Held(None))
+        if session.kind in QUORUM_READS and len(session.completed) >= self._voters.enough:
+            self._sessions.remove(session)
+            self._contact.read(session.started_ns)
+            if session.kind == READ:
+                self._out.answer(session.call, Held(None))
         elif (
-            one.kind == COMPLETE
+            session.kind == CATCH_UP
             and decision is not None
-            and len(one.yes) >= majority(len(decision.previous_voters))
+            and len(session.completed) >= majority(len(decision.previous_voters))
         ):
-            self._finish(one)
+            self._finish(session)
 
-    def _finish(self, one: Session) -> None:
-        self._sessions.remove(one)
+    def _finish(self, session: SyncSession) -> None:
+        self._sessions.remove(session)
         self._voters.complete()
         self._completed()
 
@@ -205,26 +211,30 @@
         for one in list(self._sessions):
             self._start(one)
 
-    def reached(self, ip: str) -> None:
+    def on_connected(self, ip: str) -> None:
         """What was asked of it before is lost; after a start all proxies wait for it."""
         for one in self._sessions:
-            if one.epoch and ip in one.asked - one.yes:
+            if one.epoch and ip in one.contacted - one.completed:
                 self._ask(one, ip)
 
     # Telling.
 
-    def asked(self, sender: str, ask: SyncRequest) -> None:
+    def answer_request(self, sender: str, request: SyncRequest) -> None:
         """Tell what differs. Only after the disk has it all: that this machine has left the epoch before,
         above everything."""
-        names = self._store.buckets.unequal(ask.item_digests)
-        head = partial(SyncResponse, ask.epoch, ask.request_id, self._voters.whole, self._voters.me.birth)
+        names = self._store.buckets.unequal(request.item_digests)
+        head = partial(
+            SyncResponse, request.epoch, request.request_id, self._voters.whole, self._voters.me.birth
+        )
         if names is None:
-            self._out.send(sender, head(0, 1, True, (), (), tombstone_batch=self._store.forgotten.batch))
+            self._out.send(sender, head(0, 1, True, (), (), tombstone_batch=self._store.collected.batch))
             return
-        records = [] if ask.register_ballots is None else self._acceptor.newer(ask.register_ballots)
-        parts = list(_parts(self._store.named(names), records))
+        records = (
+            [] if request.register_ballots is None else self._acceptor.newer_than(request.register_ballots)
+        )
+        parts = list(_parts(self._store.by_row_keys(names), records))
         shares = [
-            head(index, len(parts), False, items, registers, tombstone_batch=self._store.forgotten.batch)
+            head(index, len(parts), False, items, registers, tombstone_batch=self._store.collected.batch)
             for index, (items, registers) in enumerate(parts)
         ]
         for share in shares:
@@ -234,28 +244,28 @@
 
     def tick(self) -> None:
         for one in list(self._sessions):
-            if self._out.now >= one.deadline:
+            if self._out.now >= one.deadline_ns:
                 self._sessions.remove(one)
-                if one.kind == CALL:
+                if one.kind == READ:
                     self._out.answer(one.call, OutcomeUnknownError("too few voters answered in time"))
             elif one.epoch == 0:
                 self._start(one)
-            elif one.alone_till and self._out.now >= one.alone_till:
-                one.alone_till = 0
-                one.asked = set(self._voters.ips) - {self._voters.me.ip}
+            elif one.single_source_until_ns and self._out.now >= one.single_source_until_ns:
+                one.single_source_until_ns = 0
+                one.contacted = set(self._voters.ips) - {self._voters.me.ip}
                 if self._voters.decision is not None:
-                    one.asked |= {member.ip for member in self._voters.decision.previous_voters}
+                    one.contacted |= {member.ip for member in self._voters.decision.previous_voters}
                 self._send(one)
-            elif self._out.now >= one.again:
+            elif self._out.now >= one.retry_at_ns:
                 self._send(one)
 
     def epoch_changed(self) -> None:
         for one in list(self._sessions):
-            if one.kind in (QUIET, PROOF):
+            if one.kind in (REPAIR, CONTACT_PROOF):
                 self._sessions.remove(one)
-            elif one.kind == CALL:
+            elif one.kind == READ:
                 self._start(one)
-        self.complete()
+        self.catch_up()
 
 
 def _parts(
@@ -268,13 +278,13 @@
     for item in items:
         some.append(item)
         size += len(msgspec.msgpack.encode(item))
-        if size > PART:
+        if size > PART_BYTES_MAX:
             yield tuple(some), ()
             some, size = [], 0
     for record in records:
         others.append(record)
         size += len(msgspec.msgpack.encode(record))
-        if size > PART:
+        if size > PART_BYTES_MAX:
             yield tuple(some), tuple(others)
             some, others, size = [], [], 0
     yield tuple(some), tuple(others)
--- a/ambershift/system/consensus/events.py
+++ b/ambershift/system/consensus/events.py
@@ -11,16 +11,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
+class WriteItems:
     call: int
     items: Sequence[Item]
-    within: float  # Seconds.
+    timeout_s: float  # Seconds.
 
 
 @dataclass(frozen=True, slots=True)
-class Freshen:
+class ReadQuorum:
     call: int
-    within: float
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,14 +28,14 @@
     call: int
     register: str
     change: ChangeFunction
-    within: float
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Reached:
+class PeerConnected:
     """A link to that machine has come up; what was sent to it before is lost."""
 
     ip: str
 
 
-Event = MessageReceived | Reached | Tick | WriteCompleted | Put | Freshen | ChangeRegister
+Event = MessageReceived | PeerConnected | Tick | WriteCompleted | WriteItems | ReadQuorum | ChangeRegister
--- a/ambershift/system/consensus/failure_detector.py
+++ b/ambershift/system/consensus/failure_detector.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.effect_buffer import Outbox
-from ambershift.system.consensus.item_store import Store
+from ambershift.system.consensus.item_store import ItemStore
 from ambershift.system.consensus.quorum import ALL_WATCH, watchers
 from ambershift.system.consensus.voters import Voters, holds
 from ambershift.system.messages import replication
@@ -33,7 +33,7 @@
 
 class FailureDetector:
     def __init__(
-        self, out: Outbox, voters: Voters, store: Store, seeds: Sequence[str], contact: Contact
+        self, out: Outbox, voters: Voters, store: ItemStore, seeds: Sequence[str], contact: Contact
     ) -> None:
         self._out, self._voters, self._store, self._contact = out, voters, store, contact
         self._seeds = tuple(seeds)
--- a/ambershift/system/consensus/item_store.py
+++ b/ambershift/system/consensus/item_store.py
@@ -26,7 +26,7 @@
     collected_tombstones_of,
 )
 
-TABLE = "items"
+ITEMS_TABLE = "items"
 EVENT_REPLACED = 212
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Item).decode
@@ -36,94 +36,100 @@
     return f"{key[0]}\x1f{key[1]}"
 
 
-class Store:
+class ItemStore:
     def __init__(self, out: Outbox, journal: Journal, rows: dict[str, bytes]) -> None:
         self._out, self._journal = out, journal
         self.items: dict[Key, Item] = {}
-        self.drops: dict[Key, Item] = {}  # Of the operator's items, those that are dropped.
-        self._named: dict[str, Item] = {}
+        self.tombstones: dict[Key, Item] = {}  # Of the operator's items, those that are dropped.
+        self._by_row_key: dict[str, Item] = {}
         self.buckets = Buckets()
         for data in rows.values():
-            self._keep(_decode(data))
-        self._cleared = frozenset[Key]()
+            self._insert(_decode(data))
+        self._cleared_keys = frozenset[Key]()
         if (held := self.items.get(CLEARED_INSTANCES_KEY)) is not None:
-            self._clear(held)
-        self.forgotten = collected_tombstones_of(self.items.get(COLLECTED_TOMBSTONES_KEY))
-        self._gone = self.forgotten.versions_by_key()
-        self.replaced = 0  # How often the configuration was thrown away, as being of before the drops listed.
+            self._delete_cleared(held)
+        self.collected = collected_tombstones_of(self.items.get(COLLECTED_TOMBSTONES_KEY))
+        self._collected_versions = self.collected.versions_by_key()
+        self.resets = 0  # How often the configuration was thrown away, as being of before the drops listed.
 
-    def _keep(self, item: Item) -> None:
+    def _insert(self, item: Item) -> None:
         name = row_key(item.key)
-        self.items[item.key] = self._named[name] = item
+        self.items[item.key] = self._by_row_key[name] = item
         self.buckets.put(name, _encode(item.rank))
         if item.kind in CONFIGURATION_KINDS and item.body is None:
-            self.drops[item.key] = item
+            self.tombstones[item.key] = item
         else:
-            self.drops.pop(item.key, None)
+            self.tombstones.pop(item.key, None)
 
-    def merge(self, items: Iterable[Item], batch: int | None = None) -> bool:
+    def merge(self, items: Iterable[Item], tombstone_batch: int | None = None) -> bool:
         """Take in what is newer. It is in memory at once: nothing is acknowledged before the disk has it.
 
         `batch`: the last one that the machine knows whose copy they are of. False where it misses so many
         that its configuration may hold what was dropped and forgotten: then none of that is taken."""
-        outdated = batch is not None and batch < self.forgotten.required_batch
-        left_out = False
-        fresh = []
+        is_outdated = tombstone_batch is not None and tombstone_batch < self.collected.required_batch
+        is_incomplete = False
+        merged = []
         for item in items:
-            if outdated and item.kind in CONFIGURATION_KINDS:
-                left_out = True
+            if is_outdated and item.kind in CONFIGURATION_KINDS:
+                is_incomplete = True
                 continue
-            if item.key in self._cleared or item.version[0] <= self._gone.get(item.key, -1):
+            if item.key in self._cleared_keys or item.version[0] <= self._collected_versions.get(
+                item.key, -1
+            ):
                 continue
             held = self.items.get(item.key)
             if held is not None and newest(held, item) is held:
                 continue
-            self._keep(item)
-            self._journal.put(TABLE, row_key(item.key), _encode(item))
-            fresh.append(item)
+            self._insert(item)
+            self._journal.put(ITEMS_TABLE, row_key(item.key), _encode(item))
+            merged.append(item)
             if item.kind == CLEARED:
-                self._clear(item)
+                self._delete_cleared(item)
             elif item.kind == COLLECTED_TOMBSTONES_KIND:
-                self._forget(collected_tombstones_of(item))
-        if fresh:
-            self._out.news(fresh)
-        return not left_out
+                self._collect(collected_tombstones_of(item))
+        if merged:
+            self._out.news(merged)
+        return not is_incomplete
 
-    def _clear(self, by: Item) -> None:
+    def _delete_cleared(self, clearing: Item) -> None:
         """Drop what it names. That everybody does so on merging one item keeps all copies alike."""
-        self._cleared = frozenset((INSTANCE, id) for id in cleared_instances(by))
-        for key in self._cleared:
-            self._drop(key)
+        self._cleared_keys = frozenset((INSTANCE, id) for id in cleared_instances(clearing))
+        for key in self._cleared_keys:
+            self._delete(key)
 
-    def _drop(self, key: Key) -> None:
+    def _delete(self, key: Key) -> None:
         if self.items.pop(key, None) is not None:
             name = row_key(key)
-            del self._named[name]
+            del self._by_row_key[name]
             self.buckets.drop(name)
-            self.drops.pop(key, None)
-            self._journal.put(TABLE, name, None)
+            self.tombstones.pop(key, None)
+            self._journal.put(ITEMS_TABLE, name, None)
 
-    def _forget(self, by: CollectedTombstones) -> None:
+    def _collect(self, collected: CollectedTombstones) -> None:
         """Drop what it lists. Where this copy may have more that was dropped, all that is as old goes: what
         stands of it comes back from others."""
-        known, self.forgotten, self._gone = self.forgotten.batch, by, by.versions_by_key()
-        for key, version in self._gone.items():
+        known, self.collected, self._collected_versions = (
+            self.collected.batch,
+            collected,
+            collected.versions_by_key(),
+        )
+        for key, version in self._collected_versions.items():
             if (held := self.items.get(key)) is not None and held.version[0] <= version:
-                self._drop(key)
-        if known < by.required_batch:
+                self._delete(key)
+        if known < collected.required_batch:
             old = [
                 key
                 for key, one in self.items.items()
-                if key[0] in CONFIGURATION_KINDS and one.version[0] <= by.highest_version
+                if key[0] in CONFIGURATION_KINDS and one.version[0] <= collected.highest_version
             ]
             for key in old:
-                self._drop(key)
-            self.replaced += 1
-            self._out.log(EVENT_REPLACED, known=known, needed=by.required_batch, items=len(old))
+                self._delete(key)
+            self.resets += 1
+            self._out.log(EVENT_REPLACED, known=known, needed=collected.required_batch, items=len(old))
 
-    def held(self, keys: Iterable[Key]) -> tuple[Item, ...]:
+    def stored(self, keys: Iterable[Key]) -> tuple[Item, ...]:
         """Of these, what is held: what was cleared isn't."""
         return tuple(self.items[key] for key in keys if key in self.items)
 
-    def named(self, names: Iterable[str]) -> tuple[Item, ...]:
-        return tuple(self._named[name] for name in names)
+    def by_row_keys(self, row_keys: Iterable[str]) -> tuple[Item, ...]:
+        return tuple(self._by_row_key[name] for name in row_keys)
--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ambershift.system.consensus.acceptor import VOTERS, Acceptor
+from ambershift.system.consensus.acceptor import VOTER_REGISTER_PREFIX, Acceptor
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.failure_detector import SILENT, FailureDetector
 from ambershift.system.consensus.membership_plan import Plan, VoterView, plan
@@ -33,7 +33,7 @@
 
 
 def register_of(epoch: int) -> str:
-    return f"{VOTERS}{epoch}"
+    return f"{VOTER_REGISTER_PREFIX}{epoch}"
 
 
 def _identities(members: tuple[Voter, ...]) -> set[tuple[str, int]]:
@@ -157,7 +157,7 @@
         self._tell(decision)
         found = self.wanted()
         wanted = found.members
-        if self._acceptor.record(register_of(decision.epoch)).value is not None:
+        if self._acceptor.state(register_of(decision.epoch)).value is not None:
             wanted = ()  # A decision may have been made that nobody tells of: find it out.
         elif _identities(wanted) == _identities(decision.voters) or self._completing():
             self._wanted = None
@@ -193,4 +193,4 @@
             if isinstance(outcome, Held) and outcome.result is not None:
                 self._decided(_decode(outcome.result))
 
-        self._proposer.call(register_of(decision.epoch), change, self._out.now + WITHIN, done)
+        self._proposer.change(register_of(decision.epoch), change, self._out.now + WITHIN, done)
--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -10,8 +10,8 @@
 
 from ambershift.system.consensus.acceptor import Acceptor
 from ambershift.system.consensus.effect_buffer import Held, Outbox
-from ambershift.system.consensus.register import Call, Lease, Register, Round
-from ambershift.system.consensus.round_fanout import Asking, transfer
+from ambershift.system.consensus.register import PendingChange, PreparedBallot, ProposerRegister, Round
+from ambershift.system.consensus.round_fanout import RoundFanout, transfer_allowance_ns
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.interfaces import ChangeFunction, DeltaCodec, NotAppliedError, OutcomeUnknownError
 from ambershift.system.messages.replication import (
@@ -25,12 +25,12 @@
 )
 from ambershift.system.state_machine import NS_PER_MS
 
-TOGETHER = 64  # Calls judged in one round at the most.
-AGAIN = 250 * NS_PER_MS
-ABOVE = 1000  # A proposer that takes a register over goes so far above what it knows of it.
-PAUSE_MOST = 600 * NS_PER_MS  # Before the next try of a round that was refused.
+CHANGES_PER_ROUND_MAX = 64  # Calls judged in one round at the most.
+RETRY_INTERVAL_NS = 250 * NS_PER_MS
+TAKEOVER_COUNTER_STEP = 1000  # A proposer that takes a register over goes so far above what it knows of it.
+BACKOFF_MAX_NS = 600 * NS_PER_MS  # Before the next try of a round that was refused.
 
-Reply = Acknowledgement | Promise | Rejected | MissingBase
+AcceptorReply = Acknowledgement | Promise | Rejected | MissingBase
 
 
 class Proposer:
@@ -39,145 +39,164 @@
         out: Outbox,
         voters: Voters,
         acceptor: Acceptor,
-        shapes: Callable[[str], DeltaCodec | None],
-        life: int,
-        chance: random.Random,
-        numbers: Callable[[], int],
-        alive: Callable[[str], bool],
+        delta_codecs: Callable[[str], DeltaCodec | None],
+        incarnation: int,
+        rng: random.Random,
+        next_request_id: Callable[[], int],
+        is_reachable: Callable[[str], bool],
     ) -> None:
-        self._out, self._voters, self._acceptor, self._shapes = out, voters, acceptor, shapes
-        self._life, self._chance, self._numbers = life, chance, numbers
-        self._asking = Asking(out, voters, alive)
-        self._registers: dict[str, Register] = {}
+        self._out, self._voters, self._acceptor, self._delta_codecs = out, voters, acceptor, delta_codecs
+        self._incarnation, self._rng, self._next_request_id = incarnation, rng, next_request_id
+        self._fanout = RoundFanout(out, voters, is_reachable)
+        self._registers: dict[str, ProposerRegister] = {}
         self._active: set[str] = set()
-        self._rounds: dict[int, Register] = {}
+        self._rounds: dict[int, ProposerRegister] = {}
 
-    def call(
-        self, name: str, change: ChangeFunction, deadline: int, done: Callable[[Held | Exception], None]
+    def change(
+        self,
+        register_name: str,
+        change: ChangeFunction,
+        deadline_ns: int,
+        on_done: Callable[[Held | Exception], None],
     ) -> None:
-        register = self._registers.get(name)
+        register = self._registers.get(register_name)
         if register is None:
-            register = self._registers[name] = Register(name)
-        register.queue.append(Call(change, deadline, done))
-        self._active.add(name)
-        self._begin(register)
+            register = self._registers[register_name] = ProposerRegister(register_name)
+        register.queue.append(PendingChange(change, deadline_ns, on_done))
+        self._active.add(register_name)
+        self._start_next_round(register)
 
     # What the voters say.
 
-    def reply(self, sender: str, message: Reply) -> bool:
+    def receive_reply(self, sender: str, message: AcceptorReply) -> bool:
         """Take an answer; False where no round of this proposer is meant."""
         register = self._rounds.get(message.request_id)
         round_ = None if register is None else register.round
-        if register is None or round_ is None or round_.number != message.request_id:
+        if register is None or round_ is None or round_.request_id != message.request_id:
             return False
         if message.epoch != round_.epoch or sender not in self._voters.ips:
             return True
         if isinstance(message, Rejected):
-            register.counter = max(register.counter, message.promised_counter)
-            if sender in round_.yes:
+            register.highest_counter = max(register.highest_counter, message.promised_counter)
+            if sender in round_.granted:
                 return True
             ballot = round_.message.ballot
             preparing = isinstance(round_.message, Prepare)
-            if not register.leapt and (preparing or message.promised_counter > ballot[0] + 1):
+            if not register.counter_raised and (preparing or message.promised_counter > ballot[0] + 1):
                 # Most likely nobody is at it just now: this machine's copy or lease is of long ago.
-                register.leapt = True
-                self._give_way(register, paused=False)
+                register.counter_raised = True
+                self._abandon_round(register, paused=False)
                 return True
             if isinstance(round_.message, ConfirmBallot) and message.promised_counter < ballot[0]:
-                self._asking.renew(sender, register, round_)
+                self._fanout.send_prepare_to(sender, register, round_)
                 return True
-            round_.no.add(sender)
-            if len(round_.no) > len(self._voters.near) - self._voters.enough:
-                self._give_way(register)
+            round_.rejected.add(sender)
+            if len(round_.rejected) > len(self._voters.near) - self._voters.enough:
+                self._abandon_round(register)
             else:  # The others may suffice, but if one of them is away, two proposers would wait for it.
-                self._asking.widen(register, round_)
-                round_.again = min(round_.again, self._out.now + self._asking.patience())
+                self._fanout.send_to_remaining(register, round_)
+                round_.retry_at_ns = min(round_.retry_at_ns, self._out.now + self._fanout.hedge_delay_ns())
         elif isinstance(message, MissingBase):
-            register.held.pop(sender, None)
-            self._asking.tell(sender, register, round_)
+            register.peer_ballots.pop(sender, None)
+            self._fanout.send_to(sender, register, round_)
         else:
-            round_.no.discard(sender)
-            round_.yes.add(sender)
+            round_.rejected.discard(sender)
+            round_.granted.add(sender)
             if isinstance(message, Promise):
-                register.held[sender] = message.accepted_ballot
-                if isinstance(round_.message, ConfirmBallot) and message.accepted_ballot > round_.best:
-                    self._give_way(register)
+                register.peer_ballots[sender] = message.accepted_ballot
+                if (
+                    isinstance(round_.message, ConfirmBallot)
+                    and message.accepted_ballot > round_.accepted_ballot
+                ):
+                    self._abandon_round(register)
                     return True
-            if isinstance(message, Promise) and message.accepted_ballot >= round_.best:
+            if isinstance(message, Promise) and message.accepted_ballot >= round_.accepted_ballot:
                 value = (
-                    register.own.value
-                    if message.accepted_ballot == register.own.accepted_ballot
+                    register.local_state.value
+                    if message.accepted_ballot == register.local_state.accepted_ballot
                     else message.value
                 )
-                round_.best, round_.origin, round_.value = (
+                round_.accepted_ballot, round_.origin_ballot, round_.value = (
                     message.accepted_ballot,
                     message.origin_ballot,
                     value,
                 )
-            if len(round_.yes) >= self._voters.enough:
-                self._complete(register, round_)
+            if len(round_.granted) >= self._voters.enough:
+                self._complete_round(register, round_)
         return True
 
-    def _complete(self, register: Register, round_: Round) -> None:
-        self._asking.took(self._out.now - round_.started)
-        self._end(register)
+    def _complete_round(self, register: ProposerRegister, round_: Round) -> None:
+        self._fanout.record_duration(self._out.now - round_.started_ns)
+        self._end_round(register)
         if isinstance(round_.message, Prepare):
-            lease = Lease(round_.epoch, round_.message.ballot, round_.best, round_.origin, round_.value)
-            register.lease = lease
-            self._judge(register, lease, fresh=True)
+            lease = PreparedBallot(
+                round_.epoch,
+                round_.message.ballot,
+                round_.accepted_ballot,
+                round_.origin_ballot,
+                round_.value,
+            )
+            register.prepared = lease
+            self._apply_changes(register, lease, after_prepare=True)
             return
-        register.tries, register.leapt = 0, False
+        register.failed_attempts, register.counter_raised = 0, False
         if isinstance(round_.message, Accept):
             ballot = round_.message.ballot
-            following = (ballot[0] + 1, self._life)
-            register.lease = Lease(round_.epoch, following, ballot, round_.origin, round_.value)
-        if round_.no:  # Somebody was promised more: prepare above it next time.
-            register.lease = None
+            following = (ballot[0] + 1, self._incarnation)
+            register.prepared = PreparedBallot(
+                round_.epoch, following, ballot, round_.origin_ballot, round_.value
+            )
+        if round_.rejected:  # Somebody was promised more: prepare above it next time.
+            register.prepared = None
         for call, result in round_.results:
-            call.done(result)
-        self._begin(register)
+            call.on_done(result)
+        self._start_next_round(register)
 
     # Rounds.
 
-    def _begin(self, register: Register) -> None:
-        if register.round is not None or not register.queue or self._out.now < register.pause:
+    def _start_next_round(self, register: ProposerRegister) -> None:
+        if register.round is not None or not register.queue or self._out.now < register.backoff_until_ns:
             if not register.queue and register.round is None:
                 self._active.discard(register.name)
             return
         if self._voters.decision is None:
             return
-        lease = register.lease
+        lease = register.prepared
         if lease is not None and lease.epoch == self._voters.epoch:
-            self._judge(register, lease, fresh=False)
+            self._apply_changes(register, lease, after_prepare=False)
             return
-        register.own = self._acceptor.record(register.name)
+        register.local_state = self._acceptor.state(register.name)
         # This copy may be behind by the writes of a while, and to be refused costs a trip and a pause.
-        register.counter = max(register.counter, register.own.promised_ballot[0]) + ABOVE
-        number = self._numbers()
+        register.highest_counter = (
+            max(register.highest_counter, register.local_state.promised_ballot[0]) + TAKEOVER_COUNTER_STEP
+        )
+        number = self._next_request_id()
         prepare = Prepare(
             self._voters.epoch,
             number,
             register.name,
-            (register.counter, self._life),
-            register.own.accepted_ballot,
+            (register.highest_counter, self._incarnation),
+            register.local_state.accepted_ballot,
         )
-        self._start(register, Round(number, self._voters.epoch, prepare, self._out.now))
+        self._start_round(register, Round(number, self._voters.epoch, prepare, self._out.now))
 
-    def _judge(self, register: Register, lease: Lease, fresh: bool) -> None:
+    def _apply_changes(
+        self, register: ProposerRegister, prepared: PreparedBallot, after_prepare: bool
+    ) -> None:
         """Judge the calls that wait, one on what the other leaves, and have the outcome agreed.
 
         On a `fresh` lease, from a prepare, even what changes nothing is written. That all asked have accepted
         one value doesn't prove that it holds: they may have it from the voters before, and another, higher
         one may still come up from a machine that wasn't asked.
         """
-        batch, register.queue = register.queue[:TOGETHER], register.queue[TOGETHER:]
+        batch, register.queue = register.queue[:CHANGES_PER_ROUND_MAX], register.queue[CHANGES_PER_ROUND_MAX:]
         if not batch:
-            self._begin(register)
+            self._start_next_round(register)
             return
         now = self._out.now
-        value = lease.value
-        since = now if value is None else self._acceptor.since(register.name, lease.origin)
-        results: list[tuple[Call, Held | Exception]] = []
+        value = prepared.value
+        since = now if value is None else self._acceptor.known_since(register.name, prepared.origin_ballot)
+        results: list[tuple[PendingChange, Held | Exception]] = []
         changed = False
         for call in batch:
             try:
@@ -188,80 +207,85 @@
             if verdict.new_value is not None:
                 value, since, changed = verdict.new_value, now, True
             results.append((call, Held(verdict.result)))
-        if changed or fresh:
-            self._accept(register, lease, value, results, changed)
+        if changed or after_prepare:
+            self._accept(register, prepared, value, results, changed)
         else:
-            self._confirm(register, lease, results)
+            self._confirm(register, prepared, results)
 
     def _accept(
         self,
-        register: Register,
-        lease: Lease,
+        register: ProposerRegister,
+        prepared: PreparedBallot,
         value: bytes | None,
-        results: list[tuple[Call, Held | Exception]],
+        results: list[tuple[PendingChange, Held | Exception]],
         changed: bool,
     ) -> None:
-        number, ballot = self._numbers(), lease.ballot
+        number, ballot = self._next_request_id(), prepared.ballot
         base, body = None, value
         if not changed:
-            base, body = lease.accepted, None
-        elif lease.value is not None and value is not None:
-            shape = self._shapes(register.name)
-            difference = None if shape is None else shape.diff(lease.value, value)
+            base, body = prepared.accepted_ballot, None
+        elif prepared.value is not None and value is not None:
+            shape = self._delta_codecs(register.name)
+            difference = None if shape is None else shape.diff(prepared.value, value)
             if difference is not None:
-                base, body = lease.accepted, difference
-        origin = ballot if changed else lease.origin
-        accept = Accept(lease.epoch, number, register.name, ballot, None if changed else origin, base, body)
+                base, body = prepared.accepted_ballot, difference
+        origin = ballot if changed else prepared.origin_ballot
+        accept = Accept(
+            prepared.epoch, number, register.name, ballot, None if changed else origin, base, body
+        )
         if changed:
-            self._acceptor.since(register.name, ballot)
+            self._acceptor.known_since(register.name, ballot)
         for call, _ in results:
-            call.sent = call.sent or changed
-        register.lease = None
-        register.counter = max(register.counter, ballot[0] + 1)
-        round_ = Round(number, lease.epoch, accept, self._out.now)
-        round_.value, round_.origin, round_.results = value, origin, results
-        self._start(register, round_)
+            call.maybe_applied = call.maybe_applied or changed
+        register.prepared = None
+        register.highest_counter = max(register.highest_counter, ballot[0] + 1)
+        round_ = Round(number, prepared.epoch, accept, self._out.now)
+        round_.value, round_.origin_ballot, round_.results = value, origin, results
+        self._start_round(register, round_)
 
     def _confirm(
-        self, register: Register, lease: Lease, results: list[tuple[Call, Held | Exception]]
+        self,
+        register: ProposerRegister,
+        prepared: PreparedBallot,
+        results: list[tuple[PendingChange, Held | Exception]],
     ) -> None:
-        number = self._numbers()
+        number = self._next_request_id()
         round_ = Round(
             number,
-            lease.epoch,
-            ConfirmBallot(lease.epoch, number, register.name, lease.ballot),
+            prepared.epoch,
+            ConfirmBallot(prepared.epoch, number, register.name, prepared.ballot),
             self._out.now,
         )
-        round_.best, round_.results = lease.accepted, results
-        self._start(register, round_)
+        round_.accepted_ballot, round_.results = prepared.accepted_ballot, results
+        self._start_round(register, round_)
 
-    def _start(self, register: Register, round_: Round) -> None:
+    def _start_round(self, register: ProposerRegister, round_: Round) -> None:
         register.round = round_
-        self._rounds[round_.number] = register
-        self._asking.ask(register, round_)
+        self._rounds[round_.request_id] = register
+        self._fanout.send_to_quorum(register, round_)
 
-    def _end(self, register: Register) -> None:
+    def _end_round(self, register: ProposerRegister) -> None:
         if register.round is not None:
-            del self._rounds[register.round.number]
+            del self._rounds[register.round.request_id]
             register.round = None
 
-    def _give_way(self, register: Register, paused: bool = True) -> None:
+    def _abandon_round(self, register: ProposerRegister, paused: bool = True) -> None:
         """The round can't be completed: its calls are judged anew on what a higher ballot finds."""
         round_ = register.round
         if round_ is None:
             return
-        self._end(register)
-        register.lease = None
+        self._end_round(register)
+        register.prepared = None
         register.queue[:0] = [call for call, _ in round_.results]
         if not paused:
-            register.pause = self._out.now
-            self._begin(register)
+            register.backoff_until_ns = self._out.now
+            self._start_next_round(register)
             return
-        register.tries += 1
+        register.failed_attempts += 1
         # Two rounds must fit into a pause, or two proposers take a register from each other for ever.
-        most = min(self._asking.usual << min(register.tries, 4), PAUSE_MOST)
-        register.pause = self._out.now + self._chance.randrange(most)
-        self._out.wake(register.pause)
+        most = min(self._fanout.double_round_time_ns << min(register.failed_attempts, 4), BACKOFF_MAX_NS)
+        register.backoff_until_ns = self._out.now + self._rng.randrange(most)
+        self._out.wake(register.backoff_until_ns)
         self._active.add(register.name)
 
     # Time and voters.
@@ -273,42 +297,42 @@
             self._expire(register)
             round_ = register.round
             if round_ is None:
-                self._begin(register)
-            elif now >= round_.again and round_.no:
-                self._give_way(register)
-            elif now >= round_.again:
-                round_.again = now + AGAIN + transfer(round_)
-                self._asking.waited(round_)
-                if round_.asked < self._voters.ips:
-                    self._asking.widen(register, round_)
+                self._start_next_round(register)
+            elif now >= round_.retry_at_ns and round_.rejected:
+                self._abandon_round(register)
+            elif now >= round_.retry_at_ns:
+                round_.retry_at_ns = now + RETRY_INTERVAL_NS + transfer_allowance_ns(round_)
+                self._fanout.mark_unanswered_slow(round_)
+                if round_.contacted < self._voters.ips:
+                    self._fanout.send_to_remaining(register, round_)
                 else:
                     for ip in self._voters.near:
-                        if ip not in round_.yes and ip not in round_.no:
-                            self._asking.tell(ip, register, round_)
+                        if ip not in round_.granted and ip not in round_.rejected:
+                            self._fanout.send_to(ip, register, round_)
 
-    def _expire(self, register: Register) -> None:
+    def _expire(self, register: ProposerRegister) -> None:
         now, round_ = self._out.now, register.round
-        late = [call for call in register.queue if now >= call.deadline]
-        register.queue = [call for call in register.queue if now < call.deadline]
+        late = [call for call in register.queue if now >= call.deadline_ns]
+        register.queue = [call for call in register.queue if now < call.deadline_ns]
         if round_ is not None and round_.results:
-            late += [call for call, _ in round_.results if now >= call.deadline]
-            round_.results = [one for one in round_.results if now < one[0].deadline]
+            late += [call for call, _ in round_.results if now >= call.deadline_ns]
+            round_.results = [one for one in round_.results if now < one[0].deadline_ns]
         for call in late:
-            call.done(
+            call.on_done(
                 OutcomeUnknownError("too few voters answered in time")
-                if call.sent
+                if call.maybe_applied
                 else NotAppliedError("too few voters answered in time")
             )
         if late and round_ is not None and not round_.results and not register.queue:
-            self._end(register)
-            register.lease = None
+            self._end_round(register)
+            register.prepared = None
 
     def epoch_changed(self) -> None:
         """Rounds and leases of the epoch before count for nothing: prepare anew among the new voters."""
         for name in sorted(self._registers):
             register = self._registers[name]
-            register.lease = None
+            register.prepared = None
             if register.round is not None:
-                self._give_way(register)
-            register.pause = self._out.now
-            self._begin(register)
+                self._abandon_round(register)
+            register.backoff_until_ns = self._out.now
+            self._start_next_round(register)
--- a/ambershift/system/consensus/register.py
+++ b/ambershift/system/consensus/register.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ambershift.system.consensus.acceptor import EMPTY
+from ambershift.system.consensus.acceptor import EMPTY_STATE
 from ambershift.system.consensus.effect_buffer import Held
 from ambershift.system.interfaces import ChangeFunction
 from ambershift.system.messages.replication import (
@@ -19,50 +19,54 @@
 
 
 @dataclass(slots=True)
-class Call:
+class PendingChange:
     change: ChangeFunction
-    deadline: int
-    done: Callable[[Held | Exception], None]
-    sent: bool = False  # Whether a write with its effect went out, so that it may hold.
+    deadline_ns: int
+    on_done: Callable[[Held | Exception], None]
+    maybe_applied: bool = False  # Whether a write with its effect went out, so that it may hold.
 
 
 @dataclass(slots=True)
-class Lease:
+class PreparedBallot:
     """Enough voters promised `ballot` in `epoch`, and the newest accepted value is this."""
 
     epoch: int
     ballot: Ballot
-    accepted: Ballot
-    origin: Ballot
+    accepted_ballot: Ballot
+    origin_ballot: Ballot
     value: bytes | None
 
 
 @dataclass(slots=True)
 class Round:
-    number: int
+    request_id: int
     epoch: int
     message: Prepare | Accept | ConfirmBallot
-    started: int
-    again: int = 0
-    asked: set[str] = field(default_factory=set)
-    yes: set[str] = field(default_factory=set)
-    no: set[str] = field(default_factory=set)
+    started_ns: int
+    retry_at_ns: int = 0
+    contacted: set[str] = field(default_factory=set)
+    granted: set[str] = field(default_factory=set)
+    rejected: set[str] = field(default_factory=set)
     # Of a prepare: the newest accepted value found. Of an accept: what it writes.
-    best: Ballot = ZERO_BALLOT
-    origin: Ballot = ZERO_BALLOT
+    accepted_ballot: Ballot = ZERO_BALLOT
+    origin_ballot: Ballot = ZERO_BALLOT
     value: bytes | None = None
-    results: list[tuple[Call, Held | Exception]] = field(default_factory=list)
+    results: list[tuple[PendingChange, Held | Exception]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Register:
+class ProposerRegister:
     name: str
-    queue: list[Call] = field(default_factory=list)
-    lease: Lease | None = None
+    queue: list[PendingChange] = field(default_factory=list)
+    prepared: PreparedBallot | None = None
     round: Round | None = None
-    counter: int = 0  # The highest counter used or met.
-    own: AcceptorState = EMPTY  # What the acceptor here held when the prepare went out.
-    held: dict[str, Ballot] = field(default_factory=dict)  # What each voter should have accepted last.
-    tries: int = 0
-    leapt: bool = False  # Whether a prepare was refused and sent again, higher, since the last success.
-    pause: int = 0
+    highest_counter: int = 0  # The highest counter used or met.
+    local_state: AcceptorState = EMPTY_STATE  # What the acceptor here held when the prepare went out.
+    peer_ballots: dict[str, Ballot] = field(
+        default_factory=dict
+    )  # What each voter should have accepted last.
+    failed_attempts: int = 0
+    counter_raised: bool = (
+        False  # Whether a prepare was refused and sent again, higher, since the last success.
+    )
+    backoff_until_ns: int = 0
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -14,16 +14,16 @@
 import msgspec
 
 from ambershift.system.consensus.acceptor import Acceptor
-from ambershift.system.consensus.anti_entropy import Syncing
+from ambershift.system.consensus.anti_entropy import AntiEntropy
 from ambershift.system.consensus.contact_lease import Contact
 from ambershift.system.consensus.effect_buffer import News, Outbox
-from ambershift.system.consensus.events import Event, Freshen, Put, Reached
+from ambershift.system.consensus.events import Event, PeerConnected, ReadQuorum, WriteItems
 from ambershift.system.consensus.failure_detector import FailureDetector
-from ambershift.system.consensus.item_store import Store
+from ambershift.system.consensus.item_store import ItemStore
 from ambershift.system.consensus.membership import Membership
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.consensus.quorum_write import Writing
-from ambershift.system.consensus.tombstone_collector import Forgetting
+from ambershift.system.consensus.quorum_write import QuorumWriter
+from ambershift.system.consensus.tombstone_collector import TombstoneCollector
 from ambershift.system.consensus.voters import FOUNDER, Voters
 from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.interfaces import DeltaCodec
@@ -47,13 +47,13 @@
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_SECOND, Effect, MessageReceived, Tick, WriteCompleted
 
-PREFETCH = NS_PER_SECOND
-HELD_BACK = 2000  # Messages kept for when this machine votes.
+PREFETCH_INTERVAL_NS = NS_PER_SECOND
+DEFERRED_MESSAGES_MAX = 2000  # Messages kept for when this machine votes.
 EVENT_BORN, EVENT_VOTERS, EVENT_WHOLE = 203, 204, 205
 Rows = Mapping[str, dict[str, bytes]]
 
 
-_WANTED = (Prepare, Accept, ConfirmBallot, SyncRequest)
+_VOTE_REQUESTS = (Prepare, Accept, ConfirmBallot, SyncRequest)
 
 
 class Replica:
@@ -75,7 +75,7 @@
             settings.ip, settings.zone, settings.region, birth, 0, settings.initial, settings.counted
         )
         numbers = itertools.count(chance.randrange(1 << 31)).__next__
-        self._store = Store(out, journal, rows.get("items", {}))
+        self._store = ItemStore(out, journal, rows.get("items", {}))
         self._voters = Voters(journal, me, meta)
         self._acceptor = Acceptor(out, journal, shapes, rows.get("registers", {}))
         self._contact = Contact(out, self._voters)
@@ -92,8 +92,10 @@
             numbers,
             self._failure_detector.has_stable_contact,
         )
-        self._writing = Writing(out, self._voters, self._store, numbers, self._failure_detector.learners)
-        self._syncing = Syncing(
+        self._quorum_writer = QuorumWriter(
+            out, self._voters, self._store, numbers, self._failure_detector.learners
+        )
+        self._anti_entropy = AntiEntropy(
             out,
             self._voters,
             self._store,
@@ -114,11 +116,11 @@
             settings.tolerated,
             self._decisions.append,
         )
-        self._forgetting = Forgetting(
-            out, self._voters, self._failure_detector, self._store, self._proposer, self._writing
+        self._tombstone_collector = TombstoneCollector(
+            out, self._voters, self._failure_detector, self._store, self._proposer, self._quorum_writer
         )
-        self._prefetch = 0
-        self._held: list[tuple[str, msgspec.Struct]] = []
+        self._next_prefetch_ns = 0
+        self._deferred: list[tuple[str, msgspec.Struct]] = []
         if "birth" not in meta:
             journal.put("meta", "ip", settings.ip.encode())
             journal.put("meta", "birth", str(birth).encode())
@@ -127,7 +129,7 @@
             self._voters.found(settings.seed_ips)
         if self._voters.member:
             self._voted()
-            self._syncing.complete()
+            self._anti_entropy.catch_up()
 
     # Events.
 
@@ -137,65 +139,65 @@
         self._contact.passed(since)
         if isinstance(event, MessageReceived):
             self._failure_detector.record_contact(event.sender)
-            self._take(event.sender, event.message)
-        elif isinstance(event, Reached):
+            self._dispatch(event.sender, event.message)
+        elif isinstance(event, PeerConnected):
             self._failure_detector.handle_connected(event.ip)
-            self._syncing.reached(event.ip)
+            self._anti_entropy.on_connected(event.ip)
         elif isinstance(event, Tick):
             self._tick()
         elif isinstance(event, WriteCompleted):
             self._journal.written(event.token, event.fault)
-        elif isinstance(event, Put):
+        elif isinstance(event, WriteItems):
             done = partial(out.answer, event.call)
-            self._writing.put(event.items, now + int(event.within * NS_PER_SECOND), done)
-        elif isinstance(event, Freshen):
-            self._syncing.freshen(event.call, now + int(event.within * NS_PER_SECOND))
+            self._quorum_writer.write(event.items, now + int(event.timeout_s * NS_PER_SECOND), done)
+        elif isinstance(event, ReadQuorum):
+            self._anti_entropy.read(event.call, now + int(event.timeout_s * NS_PER_SECOND))
         else:
-            self._proposer.call(
+            self._proposer.change(
                 event.register,
                 event.change,
-                now + int(event.within * NS_PER_SECOND),
+                now + int(event.timeout_s * NS_PER_SECOND),
                 partial(out.answer, event.call),
             )
         while out.own or self._decisions:
             if self._decisions:
                 self._decided(self._decisions.pop(0))
             else:
-                self._take(out.ip, out.own.popleft())
+                self._dispatch(out.ip, out.own.popleft())
         self._journal.flush()
         return out.taken()
 
     def _tick(self) -> None:
         self._failure_detector.tick()
-        self._writing.tick()
-        if not self._voters.voting and self._out.now >= self._prefetch:
+        self._quorum_writer.tick()
+        if not self._voters.voting and self._out.now >= self._next_prefetch_ns:
             # Whoever may be made a voter should then lack little.
-            self._prefetch = self._out.now + PREFETCH
+            self._next_prefetch_ns = self._out.now + PREFETCH_INTERVAL_NS
             if not self._voters.member and (near := self._failure_detector.nearest_voter()) is not None:
-                self._syncing.quiet(near)
+                self._anti_entropy.repair_from(near)
         if self._contact.wants_reading() and self._failure_detector.has_quorum_contact():
-            self._syncing.prove()
-        self._syncing.tick()
+            self._anti_entropy.prove_contact()
+        self._anti_entropy.tick()
         self._proposer.tick()
         self._membership.tick()
-        self._forgetting.tick()
+        self._tombstone_collector.tick()
 
-    def _take(self, sender: str, message: msgspec.Struct) -> None:
+    def _dispatch(self, sender: str, message: msgspec.Struct) -> None:
         if isinstance(message, (Acknowledgement, Promise, Rejected, MissingBase)):
-            if not self._proposer.reply(sender, message) and isinstance(message, Acknowledgement):
-                self._writing.agreed(sender, message)
+            if not self._proposer.receive_reply(sender, message) and isinstance(message, Acknowledgement):
+                self._quorum_writer.acknowledge(sender, message)
         elif isinstance(message, MergeItems):
             taken = self._merge(message)  # Newer is newer, whoever votes.
             if message.request_id and taken:
                 self._vote(sender, message, message.epoch)
-        elif isinstance(message, _WANTED):
+        elif isinstance(message, _VOTE_REQUESTS):
             self._vote(sender, message, message.epoch)
         elif isinstance(message, SyncResponse):
-            self._syncing.shared(sender, message)
+            self._anti_entropy.receive_response(sender, message)
         elif isinstance(message, Heartbeat):
             differing = self._failure_detector.handle_heartbeat(sender, message)
             if differing is not None:
-                self._syncing.quiet(differing)
+                self._anti_entropy.repair_from(differing)
         elif isinstance(message, Announcement):
             self._failure_detector.handle_announcement(sender, message)
         elif isinstance(message, PeerList):
@@ -204,10 +206,10 @@
             self._adopt(message)
 
     def _merge(self, message: MergeItems) -> bool:
-        replaced = self._store.replaced
+        replaced = self._store.resets
         taken = self._store.merge(message.items, message.tombstone_batch)
-        if self._store.replaced != replaced:
-            self._syncing.restart()
+        if self._store.resets != replaced:
+            self._anti_entropy.restart()
         return taken
 
     def _vote(self, sender: str, message: msgspec.Struct, epoch: int) -> None:
@@ -217,9 +219,9 @@
             self._out.send(sender, decision)
         elif decision is None or epoch > decision.epoch:
             self._failure_detector.request_configuration(sender)
-            self._hold(sender, message)
+            self._defer(sender, message)
         elif isinstance(message, SyncRequest):
-            self._syncing.asked(sender, message)
+            self._anti_entropy.answer_request(sender, message)
         elif self._voters.voting:
             if isinstance(message, Prepare):
                 self._acceptor.prepare(sender, message)
@@ -232,17 +234,17 @@
                     partial(self._out.send, sender, Acknowledgement(epoch, message.request_id))
                 )
         elif self._voters.member:
-            self._hold(sender, message)
+            self._defer(sender, message)
 
-    def _hold(self, sender: str, message: msgspec.Struct) -> None:
+    def _defer(self, sender: str, message: msgspec.Struct) -> None:
         """Keep it until this machine knows the newer voters, or is complete: both take a moment only."""
-        if len(self._held) < HELD_BACK:
-            self._held.append((sender, message))
+        if len(self._deferred) < DEFERRED_MESSAGES_MAX:
+            self._deferred.append((sender, message))
 
-    def _unhold(self) -> None:
-        held, self._held = self._held, []
+    def _dispatch_deferred(self) -> None:
+        held, self._deferred = self._deferred, []
         for sender, message in held:
-            self._take(sender, message)
+            self._dispatch(sender, message)
 
     # Voters.
 
@@ -257,13 +259,13 @@
         if not self._voters.adopt(decision):
             return
         self._out.log(EVENT_VOTERS, epoch=decision.epoch, voters=[one.ip for one in decision.voters])
-        self._acceptor.forget_voters(f"@{decision.epoch}")
+        self._acceptor.delete_voter_registers(f"@{decision.epoch}")
         self._failure_detector.voters_changed()
         self._contact.voters_changed()
         self._voted()
-        self._syncing.epoch_changed()
-        self._unhold()
-        self._writing.epoch_changed()
+        self._anti_entropy.epoch_changed()
+        self._dispatch_deferred()
+        self._quorum_writer.epoch_changed()
         self._proposer.epoch_changed()
 
     def _voted(self) -> None:
@@ -275,12 +277,12 @@
 
     def _completed(self) -> None:
         self._out.log(EVENT_WHOLE, epoch=self._voters.epoch)
-        self._unhold()
+        self._dispatch_deferred()
 
     # What the shell reads.
 
     @property
-    def store(self) -> Store:
+    def store(self) -> ItemStore:
         return self._store
 
     @property
@@ -295,11 +297,11 @@
     def contact(self) -> Contact:
         return self._contact
 
-    def leaves_soon(self) -> bool:
+    def is_leaving_voters(self) -> bool:
         """Whether this machine, which tells that it is about to end, is no voter soon, or isn't one now."""
         me = self._voters.me
         return not self._voters.member or all(one.ip != me.ip for one in self._membership.wanted().members)
 
     @property
-    def disk_bad(self) -> bool:
+    def is_disk_failing(self) -> bool:
         return self._journal.bad
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -15,7 +15,7 @@
 from ambershift.system.consensus.contact_lease import NEVER_MS
 from ambershift.system.consensus.disk import Disk, Rows
 from ambershift.system.consensus.effect_buffer import Held, News
-from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put, Reached
+from ambershift.system.consensus.events import ChangeRegister, Event, PeerConnected, ReadQuorum, WriteItems
 from ambershift.system.consensus.membership_view import MembershipStatus, membership_status
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import ChangeFunction, DeltaCodec, NotAppliedError
@@ -35,8 +35,8 @@
 )
 
 EVENT_LISTENER, EVENT_ASIDE, EVENT_NO_DISK = 6, 206, 207
-REOPEN = 0.3  # Seconds between tries to open the folder.
-LOOK_S = 0.02  # Seconds between looks whether this machine has left.
+DISK_REOPEN_INTERVAL_S = 0.3  # Seconds between tries to open the folder.
+LEAVE_POLL_INTERVAL_S = 0.02  # Seconds between looks whether this machine has left.
 
 
 class StorageBackend(Protocol):
@@ -62,14 +62,14 @@
         seed: int,
         shapes: Callable[[str], DeltaCodec | None],
         log: Callable[[int, dict[str, Any]], None],
-        bottom: Callable[[str, str, Callable[[int, str | None], None]], StorageBackend] = Disk,
+        open_disk: Callable[[str, str, Callable[[int, str | None], None]], StorageBackend] = Disk,
     ) -> None:
         self._settings, self._send, self._steady, self._log = settings, send, steady, log
-        self._seed, self._shapes, self._bottom = seed, shapes, bottom
+        self._seed, self._shapes, self._open_disk = seed, shapes, open_disk
         self._replica: Replica | None = None
         self._disk: StorageBackend | None = None
         self._calls: dict[int, asyncio.Future[Any]] = {}
-        self._number = itertools.count(1)
+        self._next_call = itertools.count(1)
         self._events: deque[Event] = deque()
         self._stepping = False
         self._listeners: list[Callable[[Sequence[Item]], None]] = []
@@ -87,27 +87,27 @@
         self._loop = asyncio.get_running_loop()
         rows: Rows = {}
         if self._settings.folder is not None:
-            self._disk = self._bottom(self._settings.folder, self._settings.ip, self._from_disk)
-            rows = await self._opened(self._disk)
+            self._disk = self._open_disk(self._settings.folder, self._settings.ip, self._on_written)
+            rows = await self._read_disk(self._disk)
             if self._disk.refused is not None:
                 self._log(EVENT_ASIDE, {"reason": self._disk.refused})
         self._replica = Replica(self._settings, self._seed, self._shapes, rows, self._steady())
         self.tick()
 
-    async def _opened(self, disk: StorageBackend) -> Rows:
+    async def _read_disk(self, disk: StorageBackend) -> Rows:
         while True:
             try:
                 return await asyncio.to_thread(disk.open)
             except (OSError, sqlite3.Error) as why:
                 self._log(EVENT_NO_DISK, {"reason": str(why)})
-                await asyncio.sleep(REOPEN)
+                await asyncio.sleep(DISK_REOPEN_INTERVAL_S)
 
     def hear(self, sender_ip: str, message: msgspec.Struct) -> None:
         self._step(MessageReceived(sender_ip, message))
 
     def reached(self, ip: str) -> None:
         """A link to that one has come up: what was sent before is lost."""
-        self._step(Reached(ip))
+        self._step(PeerConnected(ip))
 
     def tick(self) -> None:
         self._step(Tick())
@@ -118,17 +118,17 @@
             self._replica.failure_detector.start_leaving()
             self.tick()
 
-    async def left(self, within: float) -> bool:
+    async def wait_until_left(self, timeout_s: float) -> bool:
         """Wait until this machine is no voter and the others are complete without it, at most `within` s.
 
         False where that was not to be had, as the voters would be worse off without its seat."""
-        end = self._steady() + int(within * NS_PER_SECOND)
+        end = self._steady() + int(timeout_s * NS_PER_SECOND)
         while self._replica is not None and self._steady() < end:
             if self._replica.failure_detector.has_left():
                 return True
-            if not self._replica.leaves_soon():
+            if not self._replica.is_leaving_voters():
                 return False
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(LEAVE_POLL_INTERVAL_S)
         return False
 
     def close(self) -> None:
@@ -141,7 +141,7 @@
         if self._disk is not None:
             self._disk.close()
 
-    def _from_disk(self, token: int, fault: str | None) -> None:
+    def _on_written(self, token: int, fault: str | None) -> None:
         loop = self._loop
         if loop is not None and not loop.is_closed():
             loop.call_soon_threadsafe(self._step, WriteCompleted(token, fault))
@@ -154,11 +154,11 @@
         try:
             while self._events and self._replica is not None:
                 for effect in self._replica.step(self._steady(), self._events.popleft()):
-                    self._carry_out(effect)
+                    self._execute(effect)
         finally:
             self._stepping = False
 
-    def _carry_out(self, effect: Any) -> None:
+    def _execute(self, effect: Any) -> None:
         if isinstance(effect, Send):
             self._send(effect.recipient, effect.message)
         elif isinstance(effect, Write):
@@ -188,7 +188,7 @@
     async def _call(self, event: Callable[[int], Event]) -> Any:
         if self._replica is None or self._loop is None:
             raise NotAppliedError("not started, or closed")
-        number = next(self._number)
+        number = next(self._next_call)
         future: asyncio.Future[Any] = self._loop.create_future()
         self._calls[number] = future
         self._step(event(number))
@@ -200,10 +200,10 @@
     # The contract's side.
 
     async def put(self, items: Sequence[Item], within: float) -> None:
-        await self._call(lambda call: Put(call, items, within))
+        await self._call(lambda call: WriteItems(call, items, within))
 
     async def freshen(self, within: float) -> None:
-        await self._call(lambda call: Freshen(call, within))
+        await self._call(lambda call: ReadQuorum(call, within))
 
     async def change(self, register: str, change: ChangeFunction, within: float) -> Any:
         return await self._call(lambda call: ChangeRegister(call, register, change, within))
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -19,9 +19,9 @@
 
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.failure_detector import FailureDetector
-from ambershift.system.consensus.item_store import Store
+from ambershift.system.consensus.item_store import ItemStore
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.consensus.quorum_write import Writing
+from ambershift.system.consensus.quorum_write import QuorumWriter
 from ambershift.system.consensus.voters import Voters
 from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
@@ -29,55 +29,61 @@
 from ambershift.system.state_machine import NS_PER_SECOND
 
 REGISTER = "forgotten"
-KEPT = 1024  # Drops that are kept: a call of before them that comes late is told what became of it.
-BATCH = 256
-EVERY = 10 * NS_PER_SECOND
-WITHIN = 5 * NS_PER_SECOND
+TOMBSTONES_RETAINED = (
+    1024  # Drops that are kept: a call of before them that comes late is told what became of it.
+)
+BATCH_SIZE = 256
+COLLECTION_INTERVAL_NS = 10 * NS_PER_SECOND
+STEP_TIMEOUT_NS = 5 * NS_PER_SECOND
 EVENT_FORGOTTEN = 211
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(CollectedTombstones).decode
 
 
-class Forgetting:
+class TombstoneCollector:
     def __init__(
         self,
         out: Outbox,
         voters: Voters,
         watching: FailureDetector,
-        store: Store,
+        store: ItemStore,
         proposer: Proposer,
-        writing: Writing,
+        writing: QuorumWriter,
     ) -> None:
         self._out, self._voters, self._watching = out, voters, watching
         self._store, self._proposer, self._writing = store, proposer, writing
-        self._next = out.now + EVERY
+        self._next = out.now + COLLECTION_INTERVAL_NS
 
     def tick(self) -> None:
         now = self._out.now
         if now < self._next:
             return
-        self._next = now + EVERY
-        if len(self._store.drops) >= KEPT + BATCH and self._first() and self._watching.has_quorum_contact():
-            many = min(BATCH, len(self._store.drops) - KEPT)
-            oldest = nsmallest(many, self._store.drops.values(), key=lambda one: (one.version, one.key))
-            self._put_everywhere(oldest)
-
-    def _first(self) -> bool:
+        self._next = now + COLLECTION_INTERVAL_NS
+        if (
+            len(self._store.tombstones) >= TOMBSTONES_RETAINED + BATCH_SIZE
+            and self._is_responsible()
+            and self._watching.has_quorum_contact()
+        ):
+            count = min(BATCH_SIZE, len(self._store.tombstones) - TOMBSTONES_RETAINED)
+            oldest = nsmallest(count, self._store.tombstones.values(), key=lambda one: (one.version, one.key))
+            self._write_to_all_voters(oldest)
+
+    def _is_responsible(self) -> bool:
         """Whether it is this machine's turn: two at once do no harm, but cost."""
-        there = [ip for ip in self._voters.ips if self._watching.is_alive(ip)]
-        return self._voters.voting and min(there) == self._voters.me.ip
+        live_voters = [ip for ip in self._voters.ips if self._watching.is_alive(ip)]
+        return self._voters.voting and min(live_voters) == self._voters.me.ip
 
-    def _put_everywhere(self, oldest: list[Item]) -> None:
-        before = self._store.forgotten
+    def _write_to_all_voters(self, oldest: list[Item]) -> None:
+        before = self._store.collected
 
         def done(outcome: Held | Exception) -> None:
             if isinstance(outcome, Held):
-                self._agree(before, before.with_batch(oldest))
+                self._agree_on_batch(before, before.with_batch(oldest))
 
         known = [] if before is NO_COLLECTED_TOMBSTONES else [before.as_item]
-        self._writing.put([*oldest, *known], self._out.now + WITHIN, done, on_all=True)
+        self._writing.write([*oldest, *known], self._out.now + STEP_TIMEOUT_NS, done, to_all_voters=True)
 
-    def _agree(self, before: CollectedTombstones, after: CollectedTombstones) -> None:
+    def _agree_on_batch(self, before: CollectedTombstones, after: CollectedTombstones) -> None:
         def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
             standing = NO_COLLECTED_TOMBSTONES if value is None else _decode(value)
             if standing.batch != before.batch:
@@ -88,10 +94,10 @@
 
         def done(outcome: Held | Exception) -> None:
             if isinstance(outcome, Held):
-                self._put(outcome.result)
+                self._write_batch(outcome.result)
 
-        self._proposer.call(REGISTER, change, self._out.now + WITHIN, done)
+        self._proposer.change(REGISTER, change, self._out.now + STEP_TIMEOUT_NS, done)
 
-    def _put(self, agreed: CollectedTombstones) -> None:
+    def _write_batch(self, agreed: CollectedTombstones) -> None:
         self._out.log(EVENT_FORGOTTEN, batch=agreed.batch, floor=agreed.highest_version)
-        self._writing.put([agreed.as_item], self._out.now + WITHIN, lambda outcome: None)
+        self._writing.write([agreed.as_item], self._out.now + STEP_TIMEOUT_NS, lambda outcome: None)
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -108,7 +108,7 @@
         self.store.retire()
         self.control_api.close()
         server.should_exit = True
-        left = asyncio.ensure_future(self.store.left(LEAVE_TIMEOUT_S))
+        left = asyncio.ensure_future(self.store.wait_until_left(LEAVE_TIMEOUT_S))
         with contextlib.suppress(asyncio.TimeoutError):
             await asyncio.wait_for(tasks[0], 2 * SHUTDOWN_TIMEOUT_S)
         self.log(209, {"left": await left})
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -24,9 +24,9 @@
 
 def known_since_the_first(real: Any) -> Any:
     def since(self: acceptor.Acceptor, name: str, origin: Any) -> int:
-        known = self._since.get(name)
+        known = self._known_since.get(name)
         if known is None or origin == ZERO_BALLOT:
-            known = self._since[name] = origin, self._out.now
+            known = self._known_since[name] = origin, self._out.now
         return known[1]
 
     return since
--- a/ambershift/system/simulation/forgetting_soon.py
+++ b/ambershift/system/simulation/forgetting_soon.py
@@ -15,9 +15,9 @@
 def forgetting_soon() -> Iterator[None]:
     """No drop is kept, each is a batch of its own, and two are listed."""
     with (
-        patch.object(tombstone_collector, "KEPT", 0),
-        patch.object(tombstone_collector, "BATCH", 1),
-        patch.object(tombstone_collector, "EVERY", 300 * NS_PER_MS),
+        patch.object(tombstone_collector, "TOMBSTONES_RETAINED", 0),
+        patch.object(tombstone_collector, "BATCH_SIZE", 1),
+        patch.object(tombstone_collector, "COLLECTION_INTERVAL_NS", 300 * NS_PER_MS),
         patch.object(tombstones, "LISTED_TOMBSTONES_MAX", 2),
     ):
         yield
--- a/ambershift/system/simulation/lists.py
+++ b/ambershift/system/simulation/lists.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.consensus.events import ChangeRegister, Freshen, Put
+from ambershift.system.consensus.events import ChangeRegister, ReadQuorum, WriteItems
 from ambershift.system.interfaces import ChangeOutcome, NotAppliedError
 from ambershift.system.messages.items import Item
 from ambershift.system.simulation.world import World
@@ -97,7 +97,7 @@
     def put(self, ip: str, name: str, within: float = 1.5) -> Op:
         op = self._op("put", f"{name} {len(self.ops)}".encode())
         item = Item("route", name, (len(self.ops), ""), op.id)
-        self.call(ip, lambda call: Put(call, (item,), within), self._end(op))
+        self.call(ip, lambda call: WriteItems(call, (item,), within), self._end(op))
         return op
 
     def freshen(self, ip: str, within: float = 1.5) -> Op:
@@ -109,7 +109,7 @@
             if isinstance(outcome, Held) and box.replica is not None and box.life == life:
                 self._check_items(ip, op.begun)
 
-        self.call(ip, lambda call: Freshen(call, within), done)
+        self.call(ip, lambda call: ReadQuorum(call, within), done)
         return op
 
     # The judge.
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -59,7 +59,7 @@
 
 
 def shared_at_once(real: Any) -> Any:
-    def asked(self: anti_entropy.Syncing, sender: str, ask: SyncRequest) -> None:
+    def asked(self: anti_entropy.AntiEntropy, sender: str, ask: SyncRequest) -> None:
         kept, self._journal = self._journal, _AtOnce()  # type: ignore[assignment]
         try:
             real(self, sender, ask)
@@ -71,9 +71,9 @@
 
 def accepted_below_promise(real: Any) -> Any:
     def accept(self: acceptor.Acceptor, sender: str, asked: Accept) -> None:
-        held = self.record(asked.register)
+        held = self.state(asked.register)
         if asked.ballot < held.promised_ballot and held.accepted_ballot != asked.ballot:
-            self.records[asked.register] = AcceptorState(
+            self.states[asked.register] = AcceptorState(
                 asked.ballot, held.accepted_ballot, held.origin_ballot, held.value
             )
         real(self, sender, asked)
@@ -83,10 +83,10 @@
 
 def prepare_without_promise(real: Any) -> Any:
     def prepare(self: acceptor.Acceptor, sender: str, asked: Any) -> None:
-        held = self.records.get(asked.name)
+        held = self.states.get(asked.register)
         real(self, sender, asked)
         if held is not None:
-            self._write(asked.name, held)
+            self._store(asked.register, held)
 
     return prepare
 
@@ -100,7 +100,7 @@
 
 def patched_on_any_base(real: Any) -> Any:
     def accept(self: acceptor.Acceptor, sender: str, asked: Accept) -> None:
-        held = self.record(asked.register)
+        held = self.state(asked.register)
         if asked.base_ballot is not None and held.value is not None:
             asked = msgspec.structs.replace(asked, base_ballot=held.accepted_ballot)
         real(self, sender, asked)
@@ -112,7 +112,7 @@
     def confirm(self: proposer.Proposer, register: Any, lease: Any, results: Any) -> None:
         for call, result in results:
             call.done(result)
-        self._begin(register)
+        self._start_next_round(register)
 
     return confirm
 
@@ -125,7 +125,7 @@
 
 
 def copied_while_voting(real: Any) -> Any:
-    def shared(self: anti_entropy.Syncing, sender: str, share: Any) -> None:
+    def shared(self: anti_entropy.AntiEntropy, sender: str, share: Any) -> None:
         self._acceptor.merge(share.registers)
         real(self, sender, share)
 
@@ -133,10 +133,10 @@
 
 
 def counted_twice(real: Any) -> Any:
-    def agreed(self: quorum_write.Writing, sender: str, message: Any) -> None:
-        one = self._puts.get(message.request_id)
-        if one is not None and sender in one.yes:
-            one.yes.add(f"{sender} again")
+    def agreed(self: quorum_write.QuorumWriter, sender: str, message: Any) -> None:
+        one = self._writes.get(message.request_id)
+        if one is not None and sender in one.acknowledged:
+            one.acknowledged.add(f"{sender} again")
         real(self, sender, message)
 
     return agreed
@@ -150,7 +150,7 @@
 
 
 def tombstones_not_kept(real: Any) -> Any:
-    def init(self: item_store.Store, out: Any, journal: Any, rows: dict[str, bytes]) -> None:
+    def init(self: item_store.ItemStore, out: Any, journal: Any, rows: dict[str, bytes]) -> None:
         decode = msgspec.msgpack.Decoder(Item).decode
         real(self, out, journal, {key: row for key, row in rows.items() if decode(row).body is not None})
 
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -62,7 +62,7 @@
     world.run(0.01)
     world.caught = [caught for caught in world.caught if not isinstance(caught[2], SyncResponse)]
     world.run(0.5)
-    assert one._acceptor.record(name).promised_ballot[0] > 0 and alone.told is None
+    assert one._acceptor.state(name).promised_ballot[0] > 0 and alone.told is None
     world.let_go(lambda sender, to, message: isinstance(message, SyncResponse) and sender == other)
     world.run(0.05)
     assert learner.voters.voting
--- a/ambershift/system/simulation/scripts_voters.py
+++ b/ambershift/system/simulation/scripts_voters.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.consensus.register import Register
+from ambershift.system.consensus.register import ProposerRegister
 from ambershift.system.simulation.lists import Lists as World
 from ambershift.system.state_machine import NS_PER_SECOND
 
@@ -21,26 +21,26 @@
     replica = world.boxes[alone].replica
     assert replica is not None
     if first:
-        replica._proposer._registers[name] = Register(name)
+        replica._proposer._registers[name] = ProposerRegister(name)
     else:
         late = world.change("append", alone, name)
         world.run(0.5)
         assert isinstance(late.told, Held)
     # The machine prepares a high ballot at three, and is cut off before its write reaches anyone.
     register = replica._proposer._registers[name]
-    register.lease = None
-    register.counter = high = register.counter + 10_000  # Above whatever others will propose.
+    register.prepared = None
+    register.highest_counter = high = register.highest_counter + 10_000  # Above whatever others will propose.
     world.change("append", alone, name)
     world.run(0.03)
     world.cut |= {(alone, ip) for ip in world.boxes}
     asked = [
         ip
         for ip, box in world.boxes.items()
-        if box.replica and box.replica._acceptor.record(name).promised_ballot[0] > high
+        if box.replica and box.replica._acceptor.state(name).promised_ballot[0] > high
     ]
     writer = next(ip for ip in sorted(world.boxes) if ip not in asked)
     world.run(0.5)
-    assert len(asked) == 3 and replica._acceptor.record(name).accepted_ballot[0] > high
+    assert len(asked) == 3 and replica._acceptor.state(name).accepted_ballot[0] > high
     world.cut |= {(ip, alone) for ip in world.boxes}
     # One by one the others that promised lose their disks, and are taken in again.
     for ip in asked:
@@ -75,7 +75,7 @@
     assert two.replica is not None and newest is not None
     if unsynced:
         while world.now < 5 * NS_PER_SECOND and (
-            two.out is not None or two.replica._acceptor.record("@1").value is None
+            two.out is not None or two.replica._acceptor.state("@1").value is None
         ):
             world.run(0.001)
         two.fault = "stalled"
@@ -111,7 +111,7 @@
     world.change("append", mine, "list/0")
     third = world.boxes[other].replica
     assert third is not None
-    while third._acceptor.record("list/0").promised_ballot[0] == 0 and world.now < 4 * NS_PER_SECOND:
+    while third._acceptor.state("list/0").promised_ballot[0] == 0 and world.now < 4 * NS_PER_SECOND:
         world.run(0.001)
     world.cut.add((mine, other))  # The write reaches one machine alone.
     world.run(1)
--- a/ambershift/system/simulation/variants_coordination.py
+++ b/ambershift/system/simulation/variants_coordination.py
@@ -25,7 +25,7 @@
         "ONE",
         "a renewal does not move the hold's beginning",
         acceptor.Acceptor,
-        "since",
+        "known_since",
         coordination_mistakes.known_since_the_first,
     ),
     of(
--- a/ambershift/system/simulation/variants_forgetting.py
+++ b/ambershift/system/simulation/variants_forgetting.py
@@ -12,14 +12,16 @@
 
 
 def on_enough(real: Any) -> Any:
-    def put(self: quorum_write.Writing, items: Any, deadline: int, done: Any, on_all: bool = False) -> None:
+    def write(
+        self: quorum_write.QuorumWriter, items: Any, deadline: int, done: Any, to_all_voters: bool = False
+    ) -> None:
         real(self, items, deadline, done)
 
-    return put
+    return write
 
 
 def from_anybody(real: Any) -> Any:
-    def merge(self: item_store.Store, items: Any, batch: int | None = None) -> bool:
+    def merge(self: item_store.ItemStore, items: Any, batch: int | None = None) -> bool:
         taken: bool = real(self, items)
         return taken
 
@@ -27,8 +29,8 @@
 
 
 def never_replaced(real: Any) -> Any:
-    def forget(self: item_store.Store, by: tombstones.CollectedTombstones) -> None:
-        self.forgotten = by  # As if it had known the batch before.
+    def forget(self: item_store.ItemStore, by: tombstones.CollectedTombstones) -> None:
+        self.collected = by  # As if it had known the batch before.
         real(self, by)
 
     return forget
@@ -43,11 +45,13 @@
 
 
 def without_the_batch_before(real: Any) -> Any:
-    def put(self: quorum_write.Writing, items: Any, deadline: int, done: Any, on_all: bool = False) -> None:
-        some = [one for one in items if not on_all or one.key != tombstones.COLLECTED_TOMBSTONES_KEY]
-        real(self, some, deadline, done, on_all)
+    def write(
+        self: quorum_write.QuorumWriter, items: Any, deadline: int, done: Any, to_all_voters: bool = False
+    ) -> None:
+        some = [one for one in items if not to_all_voters or one.key != tombstones.COLLECTED_TOMBSTONES_KEY]
+        real(self, some, deadline, done, to_all_voters)
 
-    return put
+    return write
 
 
 VARIANTS: tuple[Mutant, ...] = (
@@ -55,15 +59,15 @@
         "forgotten-by-a-majority",
         "CONFIG",
         "drops are forgotten once a majority holds them, though a voter may have the item still",
-        quorum_write.Writing,
-        "put",
+        quorum_write.QuorumWriter,
+        "write",
         on_enough,
     ),
     of(
         "old-copies-are-merged",
         "CONFIG",
         "the configuration of a machine that was away for long is merged",
-        item_store.Store,
+        item_store.ItemStore,
         "merge",
         from_anybody,
     ),
@@ -71,15 +75,15 @@
         "old-configuration-is-kept",
         "CONFIG",
         "a machine that was away for long keeps what it had, whatever was dropped meanwhile",
-        item_store.Store,
-        "_forget",
+        item_store.ItemStore,
+        "_collect",
         never_replaced,
     ),
     of(
         "fetched-parts-outlive-a-replacement",
         "CONFIG",
         "what was fetched before the configuration was thrown away counts as here",
-        anti_entropy.Syncing,
+        anti_entropy.AntiEntropy,
         "restart",
         constant(lambda self: None),
     ),
@@ -95,8 +99,8 @@
         "batches-not-put-on-all",
         "CONFIG",
         "the next batch is agreed though a voter may miss the one before",
-        quorum_write.Writing,
-        "put",
+        quorum_write.QuorumWriter,
+        "write",
         without_the_batch_before,
     ),
     of(
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.consensus.disk import Disk
 from ambershift.system.consensus.effect_buffer import News
-from ambershift.system.consensus.events import ChangeRegister, Event, Freshen, Put
+from ambershift.system.consensus.events import ChangeRegister, Event, ReadQuorum, WriteItems
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages import codec, replication
@@ -91,7 +91,7 @@
     exchange.messages.clear()
     exchange.written = 0
     found["put of one route, all six|µs"] = micros(
-        lambda at: exchange.called(Put(at, (routes[at],), 2.0)), PUTS
+        lambda at: exchange.called(WriteItems(at, (routes[at],), 2.0)), PUTS
     )
     found["put of one route, between the six|B"] = sum(exchange.bytes.values()) / PUTS
     found["put of one route, messages|number"] = sum(exchange.messages.values()) / PUTS
@@ -124,11 +124,11 @@
     def all_items(_: int) -> None:
         merge = codec.decode(call.pop())
         assert isinstance(merge, replication.MergeItems)
-        exchange.called(Put(1, merge.items, 20.0))
+        exchange.called(WriteItems(1, merge.items, 20.0))
 
     found["put of all items, all six|ms"] = micros(all_items, 1) / 1e3
     found["memory of all items, one of six|MB"] = (megabytes() - before) / CONTROL_NODES
-    found["freshen, all six|µs"] = micros(lambda at: exchange.called(Freshen(at, 2.0)), PUTS)
+    found["freshen, all six|µs"] = micros(lambda at: exchange.called(ReadQuorum(at, 2.0)), PUTS)
     exchange.bytes.clear()
     ticks = micros(lambda _: exchange.tick(), 20) * 20 / 1e3
     found["a second of ticks, one of six|ms"] = ticks / CONTROL_NODES
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 
 from ambershift.system.consensus.effect_buffer import Held, Outbox
-from ambershift.system.consensus.events import Put
-from ambershift.system.consensus.item_store import Store
+from ambershift.system.consensus.events import WriteItems
+from ambershift.system.consensus.item_store import ItemStore
 from ambershift.system.consensus.write_queue import Journal
 from ambershift.system.messages.items import AGREED, ROUTE, Item
 from ambershift.system.messages.replication import SyncResponse
@@ -47,7 +47,7 @@
 
 def put(world: World, items: list[Item]) -> None:
     told: list[object] = []
-    world.call(AT, lambda call: Put(call, items, 3.0), told.append)
+    world.call(AT, lambda call: WriteItems(call, items, 3.0), told.append)
     for _ in range(400):
         world.run(0.01)
         if told:
@@ -104,11 +104,11 @@
 def start_ms(items: int) -> float:
     """How long a start takes to read so many rows."""
     journal = Journal(Outbox(AT))
-    store = Store(Outbox(AT), journal, {})
+    store = ItemStore(Outbox(AT), journal, {})
     store.merge(Item(ROUTE, f"r{at}", (1, AGREED), body(at, 1)) for at in range(items))
     rows = {key: value for (_, key), value in journal._rows.items() if value is not None}  # noqa: SLF001
     began = time.process_time()
-    Store(Outbox(AT), Journal(Outbox(AT)), rows)
+    ItemStore(Outbox(AT), Journal(Outbox(AT)), rows)
     return (time.process_time() - began) * NS_PER_SECOND / NS_PER_MS
 
 
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -10,7 +10,7 @@
 from system_exchange import NS_PER_SECOND, World
 
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.consensus.events import Put
+from ambershift.system.consensus.events import WriteItems
 from ambershift.system.consensus.item_store import row_key
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
@@ -186,7 +186,7 @@
 
     def put(*items: Item) -> None:
         told: list[object] = []
-        world.call(one, lambda call: Put(call, items, 1.5), told.append)
+        world.call(one, lambda call: WriteItems(call, items, 1.5), told.append)
         world.run(1)
         assert told == [Held(None)]
 
--- a/tests/test_system_consensus.py
+++ b/tests/test_system_consensus.py
@@ -99,7 +99,7 @@
         world.change("append", "10.0.0.1", "list/0")
         world.run(0.2)
     short = max(world.sent["Accept"][-3:])
-    held = {ip: box.replica._acceptor.record("list/0") for ip, box in world.boxes.items() if box.replica}
+    held = {ip: box.replica._acceptor.state("list/0") for ip, box in world.boxes.items() if box.replica}
     behind = next(ip for ip, record in held.items() if len(record.value or b"") < 30 * 8)
     lacking = len(world.sent.get("MissingBase", ()))
     op = world.change("append", behind, "list/0")
@@ -134,7 +134,7 @@
             next(
                 ip
                 for ip, box in world.boxes.items()
-                if box.replica and ip != "10.0.0.1" and box.replica._acceptor.record("list/0").value
+                if box.replica and ip != "10.0.0.1" and box.replica._acceptor.state("list/0").value
             )
         )
         prepared = len(world.sent["Prepare"])
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -24,9 +24,9 @@
 )
 from ambershift.system.configuration.change_request import read_order
 from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.consensus.events import Freshen, Put
+from ambershift.system.consensus.events import ReadQuorum, WriteItems
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.consensus.tombstone_collector import Forgetting
+from ambershift.system.consensus.tombstone_collector import TombstoneCollector
 from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages import tombstones
 from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
@@ -104,7 +104,7 @@
 
 def put(world: World, *items: Item, at: str = "10.0.0.1") -> None:
     told: list[object] = []
-    world.call(at, lambda call: Put(call, items, 2.5), told.append)
+    world.call(at, lambda call: WriteItems(call, items, 2.5), told.append)
     world.run(1)
     assert told == [Held(None)]
 
@@ -131,8 +131,8 @@
     world.run(6)
     left = {(ROUTE, f"r{at}") for at in (6, 7, 8)}
     for ip, one in replicas(world).items():
-        assert one.store.items.keys() == left | {COLLECTED_TOMBSTONES_KEY} and not one.store.drops
-        assert one.store.forgotten.batch == 5 and one.store.forgotten.highest_version == 15
+        assert one.store.items.keys() == left | {COLLECTED_TOMBSTONES_KEY} and not one.store.tombstones
+        assert one.store.collected.batch == 5 and one.store.collected.highest_version == 15
         assert world.boxes[ip].disk["items"].keys() == {f"{kind}\x1f{name}" for kind, name in one.store.items}
     put(world, drop("r5", 15), route("r4", 4))  # What comes late, from a copy of before, is not taken.
     world.run(1)
@@ -152,7 +152,7 @@
     world.run(16)
     voters = replicas(world)["10.0.0.1"].voters
     assert AWAY not in voters.ips
-    assert replicas(world)["10.0.0.1"].store.forgotten.batch == 5
+    assert replicas(world)["10.0.0.1"].store.collected.batch == 5
     assert (ROUTE, "r1") in replicas(world)[AWAY].store.items
 
 
@@ -167,9 +167,9 @@
     away_while_all_forget(world)
     standing = {(ROUTE, "r6"), (ROUTE, "r7"), (ROUTE, "r8"), COLLECTED_TOMBSTONES_KEY}
     assert [one.store.items.keys() for one in replicas(world).values()] == [standing] * 6
-    assert {ip for ip, one in replicas(world).items() if one.store.replaced} == {AWAY}
+    assert {ip for ip, one in replicas(world).items() if one.store.resets} == {AWAY}
     told: list[object] = []
-    world.call(AWAY, lambda call: Freshen(call, 1.0), told.append)
+    world.call(AWAY, lambda call: ReadQuorum(call, 1.0), told.append)
     world.run(1)
     assert told == [Held(None)]
 
@@ -197,7 +197,7 @@
             lacking.update(standing - replicas(world)[AWAY].store.items.keys())
 
     for _ in range(40):
-        world.call(AWAY, lambda call: Freshen(call, 1.0), told)
+        world.call(AWAY, lambda call: ReadQuorum(call, 1.0), told)
         world.run(0.05)
     world.run(1)
     assert Held(None) in done
@@ -222,7 +222,7 @@
             others = [one for ip, one in replicas(world).items() if ip != AWAY]
             holding.append(sum((ROUTE, "new") in one.store.items for one in others))
 
-    world.call(AWAY, lambda call: Put(call, (route("new", 900),), 3.0), told)
+    world.call(AWAY, lambda call: WriteItems(call, (route("new", 900),), 3.0), told)
     world.run(4)
     return min(holding, default=5)
 
@@ -250,8 +250,8 @@
     for at in range(1, 7):
         put(world, drop(f"r{at}", 10 + at))
         world.run(1)
-        agreed = max(one.store.forgotten.batch for one in replicas(world).values())
-        missed.append(agreed - replicas(world)[deaf].store.forgotten.batch)
+        agreed = max(one.store.collected.batch for one in replicas(world).values())
+        missed.append(agreed - replicas(world)[deaf].store.collected.batch)
     return max(missed)
 
 
@@ -263,11 +263,11 @@
 
 def test_two_that_propose_a_batch_at_once_agree_on_one(monkeypatch: pytest.MonkeyPatch) -> None:
     agreed: list[CollectedTombstones] = []
-    monkeypatch.setattr(Forgetting, "_put", lambda self, one: agreed.append(one))
+    monkeypatch.setattr(TombstoneCollector, "_write_batch", lambda self, one: agreed.append(one))
     world = started()
     for number, ip in enumerate(("10.0.0.1", "10.0.0.4", "10.0.0.1")):
         after = CollectedTombstones().with_batch([drop(f"r{number}", 10)])
-        replicas(world)[ip]._forgetting._agree(CollectedTombstones(), after)
+        replicas(world)[ip]._tombstone_collector._agree_on_batch(CollectedTombstones(), after)
     world.run(3)
     assert len(agreed) == 3 and len(set(agreed)) == 1 and agreed[0].batch == 1
 
@@ -277,10 +277,10 @@
     world.cut |= cut_off(world)
     put(world, drop("r1", 11))
     world.run(3)  # It isn't left out yet.
-    assert all(not one.store.forgotten.batch for one in replicas(world).values())
+    assert all(not one.store.collected.batch for one in replicas(world).values())
     with broken(BY_NAME["forgotten-by-a-majority"]):
         world.run(3)
-        assert replicas(world)["10.0.0.1"].store.forgotten.batch == 1
+        assert replicas(world)["10.0.0.1"].store.collected.batch == 1
 
 
 def test_many_drops_are_kept_and_what_is_beyond_them_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -292,9 +292,10 @@
     world.run(500)
     for one in replicas(world).values():
         assert (
-            len(one.store.drops) < 1024 + 256 and one.store.forgotten.highest_version >= 12_800 - 1024 - 256
+            len(one.store.tombstones) < 1024 + 256
+            and one.store.collected.highest_version >= 12_800 - 1024 - 256
         )
-        assert len(one.store.forgotten.tombstones) <= 1024 + 256 and len(one.store.items) < 1300
+        assert len(one.store.collected.tombstones) <= 1024 + 256 and len(one.store.items) < 1300
 
 
 @pytest.mark.parametrize("seed", [1, 29, 78, 187, 242])
@@ -439,7 +440,7 @@
     rows = [{"Name": f"r{at}", "ConfigVersion": f"r{100 + at}"} for at in range(5)]
     go(streets.rpc("configuration.modify", "", {"Remove": {"Routes": rows}}, 5.0, lost=0))
     fleet.run(8)
-    batches = {box.replica.store.forgotten.batch for box in fleet.boxes.values() if box.replica is not None}
+    batches = {box.replica.store.collected.batch for box in fleet.boxes.values() if box.replica is not None}
     assert batches == {5}
     routings = {name: front.server.routing for name, front in fleet.fronts.items()}
     assert (ROUTE, "r0") in routings["front-1"].items and routings["front-1"].routes == ROUTES
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ambershift.system.consensus.acceptor import EMPTY
+from ambershift.system.consensus.acceptor import EMPTY_STATE
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.control_api.pending_calls import OpenCalls
@@ -92,10 +92,10 @@
         self.out.now = NS_PER_SECOND
 
         class Acceptor:
-            def record(self, name: str) -> Any:
-                return EMPTY
+            def state(self, name: str) -> Any:
+                return EMPTY_STATE
 
-            def since(self, name: str, origin: Any) -> int:
+            def known_since(self, name: str, origin: Any) -> int:
                 return 0
 
         numbers = iter(range(1, 100))
@@ -112,7 +112,7 @@
 
     def call(self, value: bytes) -> Any:
         """The message that the call makes the proposer send."""
-        self.proposer.call(
+        self.proposer.change(
             "r", lambda old, since, now: ChangeOutcome(value, value), 9 * NS_PER_SECOND, self.told.append
         )
         return self.sent()
@@ -123,8 +123,9 @@
         return found[-1] if found else None
 
     def vote(self, ip: str, prepare: Any, epoch: int) -> None:
-        self.proposer.reply(
-            ip, Promise(epoch, prepare.request_id, EMPTY.accepted_ballot, EMPTY.origin_ballot, None)
+        self.proposer.receive_reply(
+            ip,
+            Promise(epoch, prepare.request_id, EMPTY_STATE.accepted_ballot, EMPTY_STATE.origin_ballot, None),
         )
 
     def promise(self, prepare: Any) -> Any:
@@ -134,7 +135,7 @@
 
     def agree(self, accept: Any, epoch: int | None = None) -> None:
         for ip in "ab":
-            self.proposer.reply(ip, Acknowledgement(epoch or accept.epoch, accept.request_id))
+            self.proposer.receive_reply(ip, Acknowledgement(epoch or accept.epoch, accept.request_id))
 
 
 def test_a_lease_of_an_epoch_before_writes_nothing() -> None:
--- a/tests/test_system_membership.py
+++ b/tests/test_system_membership.py
@@ -110,7 +110,7 @@
             box = world.boxes[ip]
             assert box.replica is not None
             # A set of five or four bears no more without one of its seats.
-            assert box.replica.failure_detector.has_left() or not box.replica.leaves_soon()
+            assert box.replica.failure_detector.has_left() or not box.replica.is_leaving_voters()
         world.remove(ip)
         world.run(10)
         left = [one for one, box in world.boxes.items() if not box.gone]
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -20,7 +20,7 @@
 
 from ambershift.system.consensus import cache_file
 from ambershift.system.consensus.cache_file import SideFile
-from ambershift.system.consensus.events import Freshen, Reached
+from ambershift.system.consensus.events import PeerConnected, ReadQuorum
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.messages import codec
 from ambershift.system.messages.items import INSTANCE, Item
@@ -340,11 +340,11 @@
     )
     replica = Replica(settings, 7, lambda name: None, {}, NOW)
     replica.step(NOW, WriteCompleted(1))
-    asked = replica.step(NOW, Freshen(1, 1.0))
+    asked = replica.step(NOW, ReadQuorum(1, 1.0))
     assert {
         one.recipient for one in asked if isinstance(one, Send) and isinstance(one.message, SyncRequest)
     } == set(ips[1:])
-    again = [one for one in replica.step(NOW + NS_PER_MS, Reached(ips[2])) if isinstance(one, Send)]
+    again = [one for one in replica.step(NOW + NS_PER_MS, PeerConnected(ips[2])) if isinstance(one, Send)]
     assert {one.recipient for one in again} == {ips[2]}
     assert [type(one.message) for one in again] == [Announcement, SyncRequest]
 
--- a/tests/test_system_simulation.py
+++ b/tests/test_system_simulation.py
@@ -55,7 +55,7 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each item is a part of its own: no route is seen without the service that came with it, or before."""
-    monkeypatch.setattr(anti_entropy, "PART", 1)
+    monkeypatch.setattr(anti_entropy, "PART_BYTES_MAX", 1)
     assert play_cluster(seed).broken == []
 
 
