--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -150,10 +150,10 @@
         most = CONFIGURATION_MOST if name == MODIFY else MAX_BODY_BYTES
         body = await asgi.read_whole(scope, receive, most)
         if name == "instances.heartbeat":
-            status, fields = await self._registry.beat(of, parse_body(body))
+            status, fields = await self._registry.heartbeat(of, parse_body(body))
             return json_reply(status, **fields)
         if name == "instances.deregister":
-            status, fields = await self._registry.leave(of)
+            status, fields = await self._registry.deregister(of)
             return json_reply(status, **fields)
         if name == MODIFY:
             return await self._configuration.modify(body)
@@ -192,7 +192,9 @@
 
     def _resolution(self, asked: dict[str, str]) -> Reply:
         addresses = list(
-            self._registry.addresses(asked.get("Region", ""), asked.get("Zone", ""), asked.get("Name", ""))
+            self._registry.proxy_addresses(
+                asked.get("Region", ""), asked.get("Zone", ""), asked.get("Name", "")
+            )
         )
         if not addresses:
             return json_reply(503, Cause="no proxy is known yet")
--- a/ambershift/system/control_api/registry_interface.py
+++ b/ambershift/system/control_api/registry_interface.py
@@ -7,11 +7,11 @@
 
 
 class Registry(Protocol):
-    async def beat(self, id: str, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+    async def heartbeat(self, id: str, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         """A backend's beat; HTTP status and answer."""
 
-    async def leave(self, id: str) -> tuple[int, dict[str, Any]]:
+    async def deregister(self, id: str) -> tuple[int, dict[str, Any]]:
         """A backend's sign-off."""
 
-    def addresses(self, region: str, zone: str, host: str) -> Sequence[str]:
+    def proxy_addresses(self, region: str, zone: str, host: str) -> Sequence[str]:
         """Where clients there may go with requests to the host, the best first."""
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -26,8 +26,8 @@
     LoadReport,
 )
 from ambershift.system.messages.tombstones import COLLECTED_TOMBSTONES_KIND
-from ambershift.system.registry.records import Life
-from ambershift.system.registry.registry import Registry, backend
+from ambershift.system.registry.records import Instance
+from ambershift.system.registry.registry import RegistryService, backend_of
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_MS, Send
 
@@ -46,7 +46,7 @@
         self,
         settings: Local,
         ledger: ReplicatedState,
-        registry: Registry,
+        registry: RegistryService,
         send_proxy: Sending,
         send_core: Sending,
         steady: Callable[[], int],
@@ -80,7 +80,7 @@
         if isinstance(message, Hello):
             self._greet(message)
             return
-        self.registry.spoke(name)
+        self.registry.proxy_contacted(name)
         if name not in self.hellos:
             return
         if isinstance(message, LoadReport) and message.interval_ms > 0:
@@ -94,7 +94,7 @@
     def proxy_lost(self, name: str) -> None:
         if name in self.hellos:  # Many only ask for a sign.
             self.log(PROXY_LOST, {"proxy": name})
-        self.registry.parted(name)
+        self.registry.proxy_disconnected(name)
         self._unlink(name)
 
     def _unlink(self, name: str) -> None:
@@ -106,14 +106,14 @@
 
     def _greet(self, hello: Hello) -> None:
         known = self.hellos.get(hello.name)
-        self.registry.greet(hello)
+        self.registry.proxy_connected(hello)
         if known and known.incarnation == hello.incarnation and known != hello:
             self.hellos[hello.name] = hello
             return  # The link goes on; only what it says of itself has changed.
         self.log(PROXY_LINKED, {"proxy": hello.name, "life": hello.incarnation, "ready": hello.ready})
         self._unlink(hello.name)
         self.hellos[hello.name] = hello
-        self.settled = self.settled or self.registry.settled()
+        self.settled = self.settled or self.registry.is_complete()
         self._send(self.pushes.greet(hello.name, self.ledger.items().values(), self._list()))
         # Behind the items: from here on the sign's age is that of what the proxy has.
         self.send_proxy(hello.name, self._sign(self.ledger.cores()))
@@ -147,14 +147,14 @@
         pass
 
     def core_linked(self, ip: str) -> None:
-        self.registry.core_linked(ip)
+        self.registry.peer_connected(ip)
 
     # What changes.
     def _items(self, items: Sequence[Item]) -> None:
         self._send(self.pushes.items(items))
         self.routed &= not any(one.kind in (ROUTE, ZONE, COLLECTED_TOMBSTONES_KIND) for one in items)
 
-    def _listed(self, put: Sequence[Life], gone: Sequence[str]) -> None:
+    def _listed(self, put: Sequence[Instance], gone: Sequence[str]) -> None:
         self.list = None
         self.pushes.listed(self._backends(put), gone)
         self.pool_loads.listed(self.steady(), put, gone)
@@ -164,13 +164,13 @@
         """The list in one message. Hundreds link at once where a control node was lost: all get the same."""
         now = self.steady()
         if self.list is None or self.list.complete != self.settled or now > self.list_at + LIST_FOR:
-            lives = self._backends(self.registry.lives().values())
+            lives = self._backends(self.registry.endpoints().values())
             self.list, self.list_at = BackendUpdate(tuple(lives), (), self.settled), now
         return self.list
 
-    def _backends(self, lives: Iterable[Life]) -> list[Backend]:
+    def _backends(self, lives: Iterable[Instance]) -> list[Backend]:
         now = self.steady()
-        return [backend(life, now) for life in lives]
+        return [backend_of(life, now) for life in lives]
 
     # Time.
     def tick(self) -> None:
@@ -179,9 +179,9 @@
         if not self.read:
             self.read = True
             self._items(list(self.ledger.items().values()))
-        if not self.settled and self.registry.settled():
+        if not self.settled and self.registry.is_complete():
             self.settled = True
-            self._send(self.pushes.settle(self._backends(self.registry.lives().values())))
+            self._send(self.pushes.settle(self._backends(self.registry.endpoints().values())))
         if not self.routed:
             self.routed = True
             self.pool_loads.route(self.ledger.items().values())
@@ -189,10 +189,10 @@
             self.proxies_at = now
             self.pool_loads.follow(self.registry.proxies())
         if now >= self.pool_loads.fed_at + FED_EACH:
-            self.pool_loads.feed(now, self.registry.flows())
+            self.pool_loads.feed(now, self.registry.peer_rates())
         moved, gone = self.flows.tell(now, self.pool_loads.pools.keys())
         if moved or gone:
-            self.registry.flowed(moved, gone)
+            self.registry.rates_changed(moved, gone)
         self._send(self.pushes.flush())
         # Tables dealt from a list heard in part would press all traffic on few.
         if self.settled:
@@ -230,7 +230,7 @@
     def _sign(self, cores: Sequence[ControlNodeAddress]) -> ControlNodeHeartbeat:
         ledger = self.ledger
         return ControlNodeHeartbeat(
-            tuple(cores), ledger.in_touch(), self.registry.proxies_most(), ledger.contact_age_ms()
+            tuple(cores), ledger.in_touch(), self.registry.max_proxies(), ledger.contact_age_ms()
         )
 
     def _send(self, sends: Sequence[Send]) -> None:
--- a/ambershift/system/distribution/flows.py
+++ b/ambershift/system/distribution/flows.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection
 
 from ambershift.system.messages.proxy_link import parse_host_counter_name
-from ambershift.system.messages.registry_sync import Flow
+from ambershift.system.messages.registry_sync import PoolRate
 from ambershift.system.state_machine import NS_PER_SECOND
 
 WINDOW, TOLD_EACH, MOVED = 15 * NS_PER_SECOND, 2 * NS_PER_SECOND, 0.1
@@ -28,7 +28,7 @@
         self.zones.pop(proxy, None)
         self.came.pop(proxy, None)
 
-    def tell(self, now: int, pools: Collection[str]) -> tuple[list[Flow], list[tuple[str, str]]]:
+    def tell(self, now: int, pools: Collection[str]) -> tuple[list[PoolRate], list[tuple[str, str]]]:
         """Sums that have moved by a tenth since they were told, and those that are there no more."""
         if now < self.told_at + TOLD_EACH:
             return [], []
@@ -51,12 +51,12 @@
                 for pool, count in came.items():
                     if (self.zones[proxy], pool) in rates:
                         rates[self.zones[proxy], pool] += count * 100 * NS_PER_SECOND / spans
-        moved = list[Flow]()
+        moved = list[PoolRate]()
         for key, rate in rates.items():
             told = self.told.get(key)
             if told is None or abs(rate - told) > max(SMALL, MOVED * told):
                 self.told[key] = round(rate)
-                moved.append(Flow(*key, round(rate)))
+                moved.append(PoolRate(*key, round(rate)))
         gone = [key for key in self.told if key not in rates]
         for key in gone:
             del self.told[key]
--- a/ambershift/system/distribution/pool_loads.py
+++ b/ambershift/system/distribution/pool_loads.py
@@ -16,7 +16,7 @@
 from ambershift.system.distribution.terms import terms_for, zones_of
 from ambershift.system.messages.items import ZONE, Item
 from ambershift.system.messages.proxy_link import LoadReport
-from ambershift.system.registry.records import Life, ProxyRecord
+from ambershift.system.registry.records import Instance, ProxyRecord
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 FED_EACH = NS_PER_SECOND
@@ -29,7 +29,7 @@
         self.pools: dict[str, Pool] = {}
         self.assigners: dict[str, Assigner] = {}
         self.serving: dict[str, list[Assigner]] = {}  # By service.
-        self.lives: dict[str, Life] = {}
+        self.lives: dict[str, Instance] = {}
         self.evacuated: set[str] = set()
         self.cold: dict[str, int] = {}  # Backends that are cold, until when.
         self.proxies: dict[str, tuple[str, str, str]] = {}  # Zone, keeper ("": here) and life.
@@ -55,14 +55,14 @@
             self.serving.setdefault(pool.service, []).append(self.assigners[name])
         self._seat(self.lives.values())
 
-    def listed(self, now: int, put: Iterable[Life], gone: Iterable[str]) -> None:
+    def listed(self, now: int, put: Iterable[Instance], gone: Iterable[str]) -> None:
         """The list has changed."""
         fresh = list(put)
         for life in fresh:
             self.lives[life.id] = life
             self.cold.pop(life.id, None)
-            if life.cold_until > now:
-                self.cold[life.id] = life.cold_until
+            if life.warming_until > now:
+                self.cold[life.id] = life.warming_until
         for id in gone:
             self.cold.pop(id, None)
             if known := self.lives.pop(id, None):
@@ -89,12 +89,12 @@
         elsewhere = {
             name: (keeper, proxy)
             for name, (keeper, proxy) in directory.items()
-            if keeper and name not in here and not proxy.leaving
+            if keeper and name not in here and not proxy.draining
         }
         for name in self.proxies.keys() - elsewhere.keys() - here:
             self.leave(name)
         for name, (keeper, proxy) in elsewhere.items():
-            self.join(name, proxy.zone, keeper, proxy.life)
+            self.join(name, proxy.zone, keeper, proxy.incarnation)
 
     def report(self, name: str, report: LoadReport) -> None:
         """What came to a proxy linked here, none where a pool isn't named, and what it met."""
@@ -131,15 +131,15 @@
         self._seat([self.lives[id] for id in warm])
         return [(pool, dealt) for pool, assigner in self.assigners.items() if (dealt := assigner.step(now))]
 
-    def _seat(self, lives: Iterable[Life]) -> None:
-        by_service = defaultdict[str, list[Life]](list)
+    def _seat(self, lives: Iterable[Instance]) -> None:
+        by_service = defaultdict[str, list[Instance]](list)
         for life in lives:
             by_service[life.service].append(life)
         for name, pool in self.pools.items():
             if seats := self._seats(pool, by_service.get(pool.service, ())):
                 self.assigners[name].seat(seats)
 
-    def _seats(self, pool: Pool, lives: Sequence[Life]) -> dict[str, Seat]:
+    def _seats(self, pool: Pool, lives: Sequence[Instance]) -> dict[str, Seat]:
         seats = dict[str, Seat]()
         for life in lives:
             if not pool.homes or self.regions.get(life.zone) in pool.homes:
--- a/ambershift/system/messages/registry_sync.py
+++ b/ambershift/system/messages/registry_sync.py
@@ -9,7 +9,7 @@
 import msgspec
 
 
-class Lived(msgspec.Struct, frozen=True, array_like=True):
+class InstanceRecord(msgspec.Struct, frozen=True, array_like=True):
     """A backend's life as its keeper heard it. `cold`: ms still cold; `age`: ms since it was first heard."""
 
     id: str
@@ -19,23 +19,23 @@
     slots: int
     sequence: int
     draining: bool
-    cold: int
-    age: int
+    warm_up_ms: int
+    age_ms: int
 
 
-class Attached(msgspec.Struct, frozen=True, array_like=True):
+class ProxyLinkRecord(msgspec.Struct, frozen=True, array_like=True):
     """A proxy linked to the sender; `age`: ms since its last Hello."""
 
     name: str
-    life: str
+    incarnation: str
     zone: str
     address: str
     ready: bool
-    leaving: bool
-    age: int
+    draining: bool
+    hello_age_ms: int
 
 
-class Flow(msgspec.Struct, frozen=True, array_like=True):
+class PoolRate(msgspec.Struct, frozen=True, array_like=True):
     """What came to a zone's proxies linked to the sender for a pool, in requests per 100 s."""
 
     zone: str
@@ -43,7 +43,7 @@
     rate: int
 
 
-class Delta(msgspec.Struct, frozen=True, array_like=True, tag="rd"):
+class RegistryDelta(msgspec.Struct, frozen=True, array_like=True, tag="rd"):
     """Changes of the sender's records from edition `since` to `upto`; `since` -1: these are all it has.
 
     `start` is drawn at each start of the process. `gone` has keys of records: "b" and an id, "d" and a
@@ -51,24 +51,24 @@
     once.
     """
 
-    start: int
-    since: int
-    upto: int
-    lives: tuple[Lived, ...]
-    proxies: tuple[Attached, ...]
-    flows: tuple[Flow, ...]
-    gone: tuple[str, ...]
-    most: int
+    incarnation: int
+    base_revision: int
+    revision: int
+    instances: tuple[InstanceRecord, ...]
+    proxies: tuple[ProxyLinkRecord, ...]
+    rates: tuple[PoolRate, ...]
+    removed: tuple[str, ...]
+    max_proxies: int
 
 
-class Pulse(msgspec.Struct, frozen=True, array_like=True, tag="rp"):
+class RevisionAnnouncement(msgspec.Struct, frozen=True, array_like=True, tag="rp"):
     """The sender's records stand at this edition, and whom it keeps it heard lately."""
 
-    start: int
-    edition: int
+    incarnation: int
+    revision: int
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="ra"):
+class FullStateRequest(msgspec.Struct, frozen=True, array_like=True, tag="ra"):
     """Send me all your records: mine are another edition."""
 
-    edition: int
+    revision: int
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -26,7 +26,7 @@
 from ambershift.system.processes.metrics import CONTROL_PORT, PORT_TAKEN, Metric, MetricsMiddleware
 from ambershift.system.processes.settings_watch import POLL_INTERVAL_S as FILE_S
 from ambershift.system.processes.settings_watch import SettingsFileWatch
-from ambershift.system.registry.registry import Registry
+from ambershift.system.registry.registry import RegistryService
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
 from ambershift.system.transport.links import Links
@@ -61,7 +61,7 @@
         self.cache_file = (
             SideFile(settings.folder, BACKENDS_CACHE_FILE) if settings.folder is not None else None
         )
-        self.registry = Registry(
+        self.registry = RegistryService(
             settings, self.store, send, steady, secrets.randbits(62), self.log, self.cache_file
         )
         self.controller = Controller(
@@ -97,7 +97,9 @@
             self.log(PORT_TAKEN, {"address": metrics})
         self.log(1, {"role": "control", "zone": self.settings.zone, "initial": self.settings.initial})
         await self.store.start()
-        self.registry.recall(await asyncio.to_thread(self.cache_file.read) if self.cache_file else None)
+        self.registry.load_snapshot(
+            await asyncio.to_thread(self.cache_file.read) if self.cache_file else None
+        )
         await self.links.open(self.settings.ip)
         server = create_server(
             MetricsMiddleware(self.control_api, CONTROL_PORT, self.metrics), KEEP_ALIVE_S, SHUTDOWN_TIMEOUT_S
@@ -136,7 +138,7 @@
             Metric("copies_complete", "voters known to be complete", members.complete if members else 0),
             Metric("items", "items held here", len(items)),
             Metric("proxies_linked", "proxies that this node looks after", len(self.controller.hellos)),
-            Metric("backends", "backends on the list", len(self.registry.lives())),
+            Metric("backends", "backends on the list", len(self.registry.endpoints())),
             Metric("links_waiting_bytes", "bytes that wait for all links", waiting),
         ]
 
@@ -189,7 +191,7 @@
         elif owner == forwarding.__name__:
             self.control_api.hear(caller.name, message)
         elif owner == registry_sync.__name__:
-            self.registry.hear_core(caller.name, message)
+            self.registry.receive(caller.name, message)
             self.controller.hear_core(caller.name, message)
 
     def link_up(self, caller: Caller) -> None:
--- a/ambershift/system/registry/events.py
+++ b/ambershift/system/registry/events.py
@@ -5,82 +5,92 @@
 from dataclasses import dataclass
 
 from ambershift.system.messages.proxy_link import Hello
-from ambershift.system.messages.registry_sync import Flow
-from ambershift.system.registry.heartbeats import Beat
-from ambershift.system.registry.records import Life
+from ambershift.system.messages.registry_sync import PoolRate
+from ambershift.system.registry.heartbeats import Heartbeat
+from ambershift.system.registry.records import Instance
 from ambershift.system.state_machine import LogEvent, MessageReceived, Send
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class ContactTick:
     """Time has passed. `touch`: enough nodes are heard; `alive`: others heard lately; `peers`: known."""
 
-    touch: bool
-    alive: frozenset[str]
+    in_contact: bool
+    live_peers: frozenset[str]
     peers: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
+class SnapshotLoaded:
     """Lives that were on the list before this process began; `most` proxies were known at once."""
 
-    most: int
-    lives: tuple[Life, ...]
+    max_proxies: int
+    instances: tuple[Instance, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class TombstonesMerged:
     """Items of lives that end have become newer here: id and version."""
 
-    lives: tuple[tuple[str, int], ...]
+    versions: tuple[tuple[str, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Cleared:
+class TombstonesCollected:
     """Of these lives, the last cleared, the ends are held no more; nothing is taken of them."""
 
-    lives: tuple[str, ...]
+    ids: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Linked:
+class PeerConnected:
     peer: str
 
 
 @dataclass(frozen=True, slots=True)
-class Greeted:
+class ProxyConnected:
     hello: Hello
 
 
 @dataclass(frozen=True, slots=True)
-class Spoke:
+class ProxyContacted:
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Parted:
+class ProxyDisconnected:
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Flowed:
+class RatesChanged:
     """What comes to proxies linked here, wherever it differs from what was told before."""
 
-    flows: tuple[Flow, ...]
-    gone: tuple[tuple[str, str], ...] = ()
+    rates: tuple[PoolRate, ...]
+    removed: tuple[tuple[str, str], ...] = ()
 
 
 Event = (
-    Beat | Look | Recalled | Ended | Cleared | Linked | Greeted | Spoke | Parted | Flowed | MessageReceived
+    Heartbeat
+    | ContactTick
+    | SnapshotLoaded
+    | TombstonesMerged
+    | TombstonesCollected
+    | PeerConnected
+    | ProxyConnected
+    | ProxyContacted
+    | ProxyDisconnected
+    | RatesChanged
+    | MessageReceived
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
+class EndpointsChanged:
     """Effect: what is new or changed on the list, and ids that are gone from it."""
 
-    put: tuple[Life, ...]
-    gone: tuple[str, ...]
+    updated: tuple[Instance, ...]
+    removed: tuple[str, ...]
 
 
-Effect = Send | LogEvent | Shown
+Effect = Send | LogEvent | EndpointsChanged
--- a/ambershift/system/registry/home_regions.py
+++ b/ambershift/system/registry/home_regions.py
@@ -14,19 +14,21 @@
 
 # Of a host's requests, the part that homes elsewhere must have before its clients are sent there, and under
 # which they are not any more: a client far from its proxy waits longer for what could be answered near it.
-MOST, LEAST = 0.6, 0.4
-SEEN = 100  # Requests per 100 s; fewer tell nothing, and what was chosen stays.
+REDIRECT_MIN_SHARE, RETAIN_MIN_SHARE = 0.6, 0.4
+MIN_RATE_PER_100S = 100  # Requests per 100 s; fewer tell nothing, and what was chosen stays.
 
-NOWHERE = frozenset[str]()
+NO_REGIONS = frozenset[str]()
 
 
-class Homes:
+class HomeRegions:
     def __init__(self) -> None:
-        self.totals: dict[str, int] = {}  # By host.
-        self.bound: dict[str, dict[frozenset[str], int]] = {}  # Of these, by host and homes.
-        self.sent: dict[tuple[str, str], frozenset[str]] = {}  # Where clients are sent, by host and region.
+        self.host_rates: dict[str, int] = {}  # By host.
+        self.homed_rates: dict[str, dict[frozenset[str], int]] = {}  # Of these, by host and homes.
+        self.redirects: dict[
+            tuple[str, str], frozenset[str]
+        ] = {}  # Where clients are sent, by host and region.
 
-    def take(self, rates: Mapping[str, int]) -> None:
+    def update(self, rates: Mapping[str, int]) -> None:
         """What comes to all proxies now, by name of the sum."""
         totals, bound = dict[str, int](), defaultdict[str, dict[frozenset[str], int]](dict)
         for name, rate in rates.items():
@@ -36,19 +38,21 @@
                     bound[host][frozenset(homes)] = rate
                 else:
                     totals[host] = rate
-        self.totals, self.bound = totals, dict(bound)
-        self.sent = {key: homes for key, homes in self.sent.items() if key[0] in bound}
+        self.host_rates, self.homed_rates = totals, dict(bound)
+        self.redirects = {key: homes for key, homes in self.redirects.items() if key[0] in bound}
 
-    def of(self, host: str, region: str) -> frozenset[str]:
+    def regions_for(self, host: str, region: str) -> frozenset[str]:
         """The regions whose proxies this host's clients are to be named; none where near ones are as good."""
         host = host.partition(":")[0].lower()
-        if not region or host not in self.bound or self.totals.get(host, 0) < SEEN:
-            return self.sent.get((host, region), NOWHERE)
-        away = {homes: rate for homes, rate in self.bound[host].items() if rate and region not in homes}
-        least = LEAST if (host, region) in self.sent else MOST
-        if sum(away.values()) < least * self.totals[host] or not (all_bear := frozenset.intersection(*away)):
-            self.sent.pop((host, region), None)
-            return NOWHERE
-        if len(self.sent) < 10_000:  # Callers may name any region.
-            self.sent[host, region] = all_bear
+        if not region or host not in self.homed_rates or self.host_rates.get(host, 0) < MIN_RATE_PER_100S:
+            return self.redirects.get((host, region), NO_REGIONS)
+        away = {homes: rate for homes, rate in self.homed_rates[host].items() if rate and region not in homes}
+        least = RETAIN_MIN_SHARE if (host, region) in self.redirects else REDIRECT_MIN_SHARE
+        if sum(away.values()) < least * self.host_rates[host] or not (
+            all_bear := frozenset.intersection(*away)
+        ):
+            self.redirects.pop((host, region), None)
+            return NO_REGIONS
+        if len(self.redirects) < 10_000:  # Callers may name any region.
+            self.redirects[host, region] = all_bear
         return all_bear
--- a/ambershift/system/registry/liveness.py
+++ b/ambershift/system/registry/liveness.py
@@ -4,59 +4,66 @@
 
 from collections.abc import Container
 
-from ambershift.system.registry.heartbeats import Beat
-from ambershift.system.registry.records import Life
+from ambershift.system.registry.heartbeats import Heartbeat
+from ambershift.system.registry.records import Instance
 from ambershift.system.state_machine import NS_PER_MS
 
-MISSED, WARY_MISSED, SUSPECT = 3.5, 5.5, 2.3  # Heartbeats without a word.
-MASS_LEAST = 3  # Fewer than these that fall silent together may well be their own fault.
+TIMEOUT_HEARTBEATS, MASS_FAILURE_TIMEOUT_HEARTBEATS, SUSPICION_HEARTBEATS = (
+    3.5,
+    5.5,
+    2.3,
+)  # Heartbeats without a word.
+MASS_FAILURE_MIN_SUSPECTS = 3  # Fewer than these that fall silent together may well be their own fault.
 
 
-class Keeping:
+class HeartbeatMonitor:
     def __init__(self, heartbeat: int) -> None:
-        self.heartbeat = heartbeat
-        self.lives: dict[str, Life] = {}
-        self.heard: dict[str, int] = {}
-        self.mass = False  # Whether most have fallen silent together.
+        self.heartbeat_interval = heartbeat
+        self.instances: dict[str, Instance] = {}
+        self.last_heartbeat_at: dict[str, int] = {}
+        self.mass_failure = False  # Whether most have fallen silent together.
 
-    def beat(self, now: int, beat: Beat, born: int) -> bool:
+    def record(self, now: int, heartbeat: Heartbeat, first_seen_at: int) -> bool:
         """Take a beat in; whether others must be told. An older beat changes nothing, but draining sticks."""
-        known = self.lives.get(beat.id)
-        if known and beat.sequence <= known.sequence and not (beat.draining and not known.draining):
+        known = self.instances.get(heartbeat.id)
+        if known and heartbeat.sequence <= known.sequence and not (heartbeat.draining and not known.draining):
             return False
-        sequence = max(beat.sequence, known.sequence) if known else beat.sequence
-        life = Life(
-            beat.id,
-            beat.service,
-            beat.address,
-            beat.zone,
-            beat.slots,
+        sequence = max(heartbeat.sequence, known.sequence) if known else heartbeat.sequence
+        life = Instance(
+            heartbeat.id,
+            heartbeat.service,
+            heartbeat.address,
+            heartbeat.zone,
+            heartbeat.slots,
             sequence,
-            beat.draining or known is not None and known.draining,
-            now + beat.cold * NS_PER_MS if beat.cold else 0,
-            born,
+            heartbeat.draining or known is not None and known.draining,
+            now + heartbeat.warm_up_ms * NS_PER_MS if heartbeat.warm_up_ms else 0,
+            first_seen_at,
         )
-        self.lives[beat.id], self.heard[beat.id] = life, now
-        return known is None or not life.alike(known, now)
+        self.instances[heartbeat.id], self.last_heartbeat_at[heartbeat.id] = life, now
+        return known is None or not life.is_equivalent(known, now)
 
-    def drop(self, id: str) -> None:
-        self.lives.pop(id, None)
-        self.heard.pop(id, None)
+    def remove(self, id: str) -> None:
+        self.instances.pop(id, None)
+        self.last_heartbeat_at.pop(id, None)
 
-    def silent(self, now: int, well_since: int, elsewhere: Container[str]) -> list[str]:
+    def timed_out(self, now: int, healthy_since: int, elsewhere: Container[str]) -> list[str]:
         """Lives that have missed their beats. `well_since`: since when this control node itself is well.
 
         Where most fall silent at once, it is the link or this machine: others get time to hear them first.
         """
         # After a trouble of our own one heartbeat more than a full round has to pass before silence tells.
-        floor = well_since - int((MISSED - 2) * self.heartbeat)
-        quiet = {id: now - max(at, floor) for id, at in self.heard.items()}
+        floor = healthy_since - int((TIMEOUT_HEARTBEATS - 2) * self.heartbeat_interval)
+        quiet = {id: now - max(at, floor) for id, at in self.last_heartbeat_at.items()}
         here = [span for id, span in quiet.items() if id not in elsewhere]
-        suspects = sum(span > SUSPECT * self.heartbeat for span in here)
-        self.mass = suspects >= MASS_LEAST and 2 * suspects > len(here)
-        limit = int((WARY_MISSED if self.mass else MISSED) * self.heartbeat)
+        suspects = sum(span > SUSPICION_HEARTBEATS * self.heartbeat_interval for span in here)
+        self.mass_failure = suspects >= MASS_FAILURE_MIN_SUSPECTS and 2 * suspects > len(here)
+        limit = int(
+            (MASS_FAILURE_TIMEOUT_HEARTBEATS if self.mass_failure else TIMEOUT_HEARTBEATS)
+            * self.heartbeat_interval
+        )
         return [
             id
             for id, span in quiet.items()
-            if span > (int(MISSED * self.heartbeat) if id in elsewhere else limit)
+            if span > (int(TIMEOUT_HEARTBEATS * self.heartbeat_interval) if id in elsewhere else limit)
         ]
--- a/ambershift/system/registry/tombstones.py
+++ b/ambershift/system/registry/tombstones.py
@@ -10,55 +10,59 @@
 
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
 from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances
-from ambershift.system.registry.tombstone_expiry import REFUSED
+from ambershift.system.registry.tombstone_expiry import MAX_COLLECTED_IDS
 
-PUT_LIMIT_S = 0.8  # A backend waits a second for its acknowledgement.
-HELD_MOST = 20_000  # Of these lives we remember that their end is held; others are just put again.
+PUT_TIMEOUT_S = 0.8  # A backend waits a second for its acknowledgement.
+MAX_REMEMBERED_TOMBSTONES = (
+    20_000  # Of these lives we remember that their end is held; others are just put again.
+)
 
-Answered = tuple[int, dict[str, Any]]  # HTTP's status and the body.
+HttpAnswer = tuple[int, dict[str, Any]]  # HTTP's status and the body.
 
 
-class Ends:
+class TombstoneWriter:
     """`ip` is this control node's."""
 
     def __init__(self, ledger: ReplicatedState, ip: str) -> None:
         self._ledger, self._ip = ledger, ip
-        self._held = dict[str, int]()
-        self._holding = dict[tuple[str, int], asyncio.Task[None]]()
-        self._clearing: asyncio.Future[None] | None = None
+        self._durable_versions = dict[str, int]()
+        self._writes_in_flight = dict[tuple[str, int], asyncio.Task[None]]()
+        self._collection: asyncio.Future[None] | None = None
 
-    async def hold(self, id: str, version: int, service: str, address: str) -> Answered:
+    async def write(self, id: str, version: int, service: str, address: str) -> HttpAnswer:
         """Acknowledge once enough copies hold that this life ends."""
-        if self._held.get(id, 0) < version:
+        if self._durable_versions.get(id, 0) < version:
             key = id, version
-            if key not in self._holding:
+            if key not in self._writes_in_flight:
                 item = Item(
                     INSTANCE, id, (version, ""), msgspec.json.encode({"Service": service, "Address": address})
                 )
-                self._holding[key] = task = asyncio.ensure_future(self._ledger.put([item], PUT_LIMIT_S))
-                task.add_done_callback(lambda done: self._put(key, done))
+                self._writes_in_flight[key] = task = asyncio.ensure_future(
+                    self._ledger.put([item], PUT_TIMEOUT_S)
+                )
+                task.add_done_callback(lambda done: self._on_written(key, done))
             try:
-                await asyncio.shield(self._holding[key])
+                await asyncio.shield(self._writes_in_flight[key])
             except (OutcomeUnknownError, NotAppliedError) as why:
                 return 503, {"Error": why.reason}
         return 200, {}
 
-    def _put(self, key: tuple[str, int], done: asyncio.Task[None]) -> None:
-        self._holding.pop(key, None)
+    def _on_written(self, key: tuple[str, int], done: asyncio.Task[None]) -> None:
+        self._writes_in_flight.pop(key, None)
         if not done.cancelled() and done.exception() is None:
-            if len(self._held) >= HELD_MOST:
-                self._held.clear()
-            self._held[key[0]] = max(key[1], self._held.get(key[0], 0))
+            if len(self._durable_versions) >= MAX_REMEMBERED_TOMBSTONES:
+                self._durable_versions.clear()
+            self._durable_versions[key[0]] = max(key[1], self._durable_versions.get(key[0], 0))
 
-    def clear(self, ids: Sequence[str]) -> None:
+    def collect(self, ids: Sequence[str]) -> None:
         """Let all forget the ends of lives that are long over. One node does so; two at once do no harm:
         what the one has told last is held, and the rest comes again."""
         if not ids:
             return
         last = self._ledger.items().get(CLEARED_INSTANCES_KEY)
-        told = [*(cleared_instances(last) if last else ()), *ids][-REFUSED:]
+        told = [*(cleared_instances(last) if last else ()), *ids][-MAX_COLLECTED_IDS:]
         item = Item(
             *CLEARED_INSTANCES_KEY, (last.version[0] + 1 if last else 1, self._ip), msgspec.json.encode(told)
         )
-        self._clearing = asyncio.ensure_future(self._ledger.put([item], PUT_LIMIT_S))
-        self._clearing.add_done_callback(lambda done: done.cancelled() or done.exception())
+        self._collection = asyncio.ensure_future(self._ledger.put([item], PUT_TIMEOUT_S))
+        self._collection.add_done_callback(lambda done: done.cancelled() or done.exception())
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -64,13 +64,13 @@
 class Backends:
     """Nobody beats in a drill."""
 
-    async def beat(self, id: str, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+    async def heartbeat(self, id: str, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         return 200, {}
 
-    async def leave(self, id: str) -> tuple[int, dict[str, Any]]:
+    async def deregister(self, id: str) -> tuple[int, dict[str, Any]]:
         return 200, {}
 
-    def addresses(self, region: str, zone: str, host: str) -> Sequence[str]:
+    def proxy_addresses(self, region: str, zone: str, host: str) -> Sequence[str]:
         return ()
 
 
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -13,7 +13,7 @@
 from ambershift.system.messages import codec, registry_sync
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.registry.registry import Registry
+from ambershift.system.registry.registry import RegistryService
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.simulation.cluster import ZONES, Cluster
 from ambershift.system.simulation.fleet_links import Accepted, FromProxy, HungUp, ProxyLink, ProxyLinks
@@ -40,7 +40,7 @@
 
     def __init__(self, seed: int, count: int = 9, proxies: int = 9, config_apply: float = 2.5) -> None:
         self.bounds = replace(Bounds(), config_apply=config_apply)
-        self.controllers: dict[str, tuple[Registry, Controller]] = {}
+        self.controllers: dict[str, tuple[RegistryService, Controller]] = {}
         self.lines: dict[tuple[str, str], ProxyLink] = {}  # By control node and proxy.
         self.dialled = 0
         self.fronts: dict[str, Front] = {}
@@ -70,7 +70,9 @@
             return self.steady(ip)
 
         with process.loop.current():
-            registry = Registry(settings, process.store, send, steady, chance.getrandbits(62), self.log)
+            registry = RegistryService(
+                settings, process.store, send, steady, chance.getrandbits(62), self.log
+            )
             controller = Controller(
                 settings,
                 process.store,
@@ -81,7 +83,7 @@
                 chance.getrandbits(62),
                 self.log,
             )
-            registry.recall(None)
+            registry.load_snapshot(None)
         self.controllers[ip] = registry, controller
 
     def kill(self, ip: str) -> None:
@@ -99,7 +101,7 @@
                 isinstance(event, MessageReceived)
                 and type(event.message).__module__ == registry_sync.__name__
             ):
-                registry.hear_core(event.sender, event.message)
+                registry.receive(event.sender, event.message)
                 controller.hear_core(event.sender, event.message)
                 return
             if isinstance(event, Accepted):
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -103,9 +103,9 @@
     scene.step()
     scene.bytes.clear()
     id, drained = world.backend(size, 0).id, world.beat(size, 0, 999, "draining")
-    ended(scene.registry.ends.hold(id, 0, "", ""))
-    scene.registry.ends._held[id] = 1  # noqa: SLF001
-    ended(scene.registry.beat(id, drained))
+    ended(scene.registry.tombstones.write(id, 0, "", ""))
+    scene.registry.tombstones._durable_versions[id] = 1  # noqa: SLF001
+    ended(scene.registry.heartbeat(id, drained))
     found["the second after a drain|ms"] = micros(lambda _: scene.quiet_second(), 1) / 1e3
     found["told of a drain a link|B"] = (
         sum(scene.bytes.values()) - scene.bytes["ControlNodeHeartbeat"]
--- a/benchmarks/capacity/messages.py
+++ b/benchmarks/capacity/messages.py
@@ -48,7 +48,9 @@
     proxies = tuple(world.attached(size, at) for at in range(0, size.proxies, CONTROL_NODES))
     zones = size.names[::CONTROL_NODES]
     flows = tuple(
-        registry_sync.Flow(zone, world.service(at), 12_345) for zone in zones for at in range(size.services)
+        registry_sync.PoolRate(zone, world.service(at), 12_345)
+        for zone in zones
+        for at in range(size.services)
     )
     value = b"v" * 300
     return {
@@ -75,17 +77,19 @@
             EPOCH, NUMBER, b"8" * 8, {f"l/lock-{at:04}": (BALLOT, BALLOT) for at in range(300)}
         ),
         "ct Share, equal": replication.SyncResponse(EPOCH, NUMBER, 3, 1_234_567_890, 0, 1, False, (), ()),
-        "rp Pulse": registry_sync.Pulse(NUMBER, 400_000),
-        "ra Ask": registry_sync.Ask(400_000),
-        "rd Delta, one life": registry_sync.Delta(NUMBER, 7, 8, lives[:1], (), (), (), size.proxies),
-        "rd Delta, one proxy": registry_sync.Delta(NUMBER, 7, 8, (), proxies[:1], (), (), size.proxies),
-        "rd Delta, lives of one control node": registry_sync.Delta(
+        "rp Pulse": registry_sync.RevisionAnnouncement(NUMBER, 400_000),
+        "ra Ask": registry_sync.FullStateRequest(400_000),
+        "rd Delta, one life": registry_sync.RegistryDelta(NUMBER, 7, 8, lives[:1], (), (), (), size.proxies),
+        "rd Delta, one proxy": registry_sync.RegistryDelta(
+            NUMBER, 7, 8, (), proxies[:1], (), (), size.proxies
+        ),
+        "rd Delta, lives of one control node": registry_sync.RegistryDelta(
             NUMBER, -1, 8, lives, (), (), (), size.proxies
         ),
-        "rd Delta, proxies of one control node": registry_sync.Delta(
+        "rd Delta, proxies of one control node": registry_sync.RegistryDelta(
             NUMBER, -1, 8, (), proxies, (), (), size.proxies
         ),
-        "rd Delta, flows of one control node": registry_sync.Delta(
+        "rd Delta, flows of one control node": registry_sync.RegistryDelta(
             NUMBER, -1, 8, (), (), flows, (), size.proxies
         ),
         "eo ForwardedCall": forwarding.ForwardedCall(
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -12,7 +12,7 @@
 from ambershift.system.messages import codec, registry_sync
 from ambershift.system.messages.proxy_link import LoadReport
 from ambershift.system.processes import control_node  # All that a control node's process imports counts.
-from ambershift.system.registry.registry import Registry
+from ambershift.system.registry.registry import RegistryService
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
@@ -43,7 +43,7 @@
         self.proxies = [at for at in range(size.proxies) if at % CONTROL_NODES == 0]
         self.ledger = Held(size)
         self.sequence = 0
-        self.registry = Registry(
+        self.registry = RegistryService(
             world.local(size), self.ledger, self.send, lambda: self.now, 1, lambda *_: None
         )
         self.registry.listen(lambda put, gone: None)
@@ -53,7 +53,7 @@
 
     def beats(self, bodies: list[tuple[str, bytes]]) -> None:
         for id, body in bodies:
-            ended(self.registry.beat(id, body))
+            ended(self.registry.heartbeat(id, body))
 
     def bodies(self, some: list[int]) -> list[tuple[str, bytes]]:
         self.sequence += 1
@@ -64,14 +64,14 @@
         size, mine = self.size, range(peer, self.size.backends, CONTROL_NODES)
         zones = size.names[peer::CONTROL_NODES] if flows else []
         return codec.encode(
-            registry_sync.Delta(
+            registry_sync.RegistryDelta(
                 9,
                 -1,
                 8,
                 tuple(world.lived(size, at) for at in mine),
                 tuple(world.attached(size, at) for at in range(peer, size.proxies, CONTROL_NODES)),
                 tuple(
-                    registry_sync.Flow(zone, world.service(at), 12_345)
+                    registry_sync.PoolRate(zone, world.service(at), 12_345)
                     for zone in zones
                     for at in range(size.services)
                 ),
@@ -81,7 +81,7 @@
         )
 
     def hear(self, peer: int, data: bytes) -> None:
-        self.registry.hear_core(world.cores(self.size)[peer].ip, codec.decode(data))
+        self.registry.receive(world.cores(self.size)[peer].ip, codec.decode(data))
 
     def second(self) -> None:
         """The twenty ticks of a second."""
@@ -109,7 +109,7 @@
     first, told = scene.bodies(scene.own), [scene.told(peer) for peer in range(1, CONTROL_NODES)]
     found["first beat of a life|µs"] = micros(lambda _: scene.beats(first), 1) / len(first)
     greets = [world.hello(size, at) for at in scene.proxies]
-    found["greet a proxy|µs"] = micros(lambda at: registry.greet(greets[at]), len(greets))
+    found["greet a proxy|µs"] = micros(lambda at: registry.proxy_connected(greets[at]), len(greets))
     found["hear all of another control node|ms"] = (
         micros(lambda at: scene.hear(at + 1, told[at]), CONTROL_NODES - 1) / 1e3
     )
@@ -121,8 +121,8 @@
     new = scene.bodies([size.backends + at for at in range(40)])
     found["beat that changes the list|µs"] = micros(lambda at: scene.beats(new[at : at + 1]), len(new))
     zone = size.names[1]
-    found["a resolution|µs"] = micros(lambda _: registry.addresses("", zone), 20)
-    found["count the proxies|µs"] = micros(lambda _: registry.proxies_most(), 20)
+    found["a resolution|µs"] = micros(lambda _: registry.proxy_addresses("", zone), 20)
+    found["count the proxies|µs"] = micros(lambda _: registry.max_proxies(), 20)
     controller = Controller(
         world.local(size), scene.ledger, registry, coded, scene.send, lambda: scene.now, 1, lambda *_: None
     )
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -13,7 +13,7 @@
 from ambershift.system.messages import proxy_link
 from ambershift.system.processes.http_server import bind_listener, create_server
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.registry.registry import Registry
+from ambershift.system.registry.registry import RegistryService
 from benchmarks.capacity import world
 from benchmarks.capacity.registry import ended
 from benchmarks.capacity.world import SIZES, Size
@@ -81,11 +81,11 @@
     """A control node's HTTP with its registry, which has all backends and proxies."""
     ledger = world.Held(size)
     settings = world.local(size)
-    registry = Registry(settings, ledger, lambda *_: None, time.monotonic_ns, 1, lambda *_: None)
+    registry = RegistryService(settings, ledger, lambda *_: None, time.monotonic_ns, 1, lambda *_: None)
     for at in range(size.backends):
-        ended(registry.beat(world.backend(size, at).id, world.beat(size, at, 1)))
+        ended(registry.heartbeat(world.backend(size, at).id, world.beat(size, at, 1)))
     for at in range(size.proxies):
-        registry.greet(world.hello(size, at))
+        registry.proxy_connected(world.hello(size, at))
     api = ControlApi(settings, ledger, registry, time.monotonic_ns, lambda *_: None, lambda *_: None, 1)
     await serve(api, address)
 
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -95,9 +95,9 @@
     )
 
 
-def lived(size: Size, at: int) -> registry_sync.Lived:
+def lived(size: Size, at: int) -> registry_sync.InstanceRecord:
     one = backend(size, at)
-    return registry_sync.Lived(
+    return registry_sync.InstanceRecord(
         one.id, one.service, one.address, one.zone, one.slots, 4000, False, 0, 5_000_000
     )
 
@@ -133,9 +133,11 @@
     )
 
 
-def attached(size: Size, at: int) -> registry_sync.Attached:
+def attached(size: Size, at: int) -> registry_sync.ProxyLinkRecord:
     one = hello(size, at)
-    return registry_sync.Attached(one.name, one.incarnation, one.zone, one.address, True, False, 5_000_000)
+    return registry_sync.ProxyLinkRecord(
+        one.name, one.incarnation, one.zone, one.address, True, False, 5_000_000
+    )
 
 
 def bind(size: Size, at: int) -> proxy_link.BindTable:
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -147,14 +147,14 @@
     def __init__(self) -> None:
         self.beats: list[tuple[str, Any]] = []
 
-    async def beat(self, id: str, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+    async def heartbeat(self, id: str, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         self.beats.append((id, body))
         return 200, {}
 
-    async def leave(self, id: str) -> tuple[int, dict[str, Any]]:
+    async def deregister(self, id: str) -> tuple[int, dict[str, Any]]:
         return 200, {}
 
-    def addresses(self, region: str, zone: str, host: str) -> Sequence[str]:
+    def proxy_addresses(self, region: str, zone: str, host: str) -> Sequence[str]:
         return [f"10.1.0.{number}:8641" for number in range(100)] if region == "riga" else []
 
 
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -14,7 +14,7 @@
 from ambershift.system.interfaces import OutcomeUnknownError
 from ambershift.system.messages import codec, proxy_link
 from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances, newest
-from ambershift.system.registry.registry import Registry
+from ambershift.system.registry.registry import RegistryService
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -117,13 +117,13 @@
             self.sent.setdefault(name, []).append(codec.decode(codec.encode(message)))
 
         seed = next(world.seeds)
-        self.registry = Registry(settings, self.ledger, send, lambda: world.now, seed, log)
+        self.registry = RegistryService(settings, self.ledger, send, lambda: world.now, seed, log)
         self.controller = Controller(
             settings, self.ledger, self.registry, send_proxy, send, lambda: world.now, seed, log
         )
 
     def shown(self) -> set[str]:
-        return {id for id, life in self.registry.lives().items() if not life.draining}
+        return {id for id, life in self.registry.endpoints().items() if not life.draining}
 
 
 class World:
@@ -174,7 +174,7 @@
         body["Condition"]["Sequence"] += 1
         body["Condition"] |= condition
         self.beating[id] = keeper or known, body, self.now + BEAT
-        return await self.nodes[keeper or known].registry.beat(id, msgspec.json.encode(body))
+        return await self.nodes[keeper or known].registry.heartbeat(id, msgspec.json.encode(body))
 
     def proxy(
         self, name: str, ip: str, zone: str, ready: bool = True, leaving: bool = False, **rates: int
@@ -210,7 +210,7 @@
             while self.mail and self.mail[0][0] <= self.now:
                 _, _, sender, to, data = heapq.heappop(self.mail)
                 if self.hears(to, sender):
-                    self.nodes[to].registry.hear_core(sender, codec.decode(data))
+                    self.nodes[to].registry.receive(sender, codec.decode(data))
             for id, (keeper, _, due) in list(self.beating.items()):
                 if due <= self.now and keeper not in self.down | self.frozen:
                     await self.beat(id)
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -18,7 +18,13 @@
 from ambershift.system.messages.proxy_link import BackendUpdate
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.registry import endpoint_list, machine, tombstone_expiry
-from ambershift.system.registry.tombstone_expiry import EVERY, KEPT, PORTION, REFUSED, Clearing
+from ambershift.system.registry.tombstone_expiry import (
+    COLLECTION_BATCH,
+    COLLECTION_INTERVAL_NS,
+    MAX_COLLECTED_IDS,
+    TOMBSTONE_RETENTION_NS,
+    TombstoneExpiry,
+)
 from ambershift.system.simulation.world import World as Copies
 
 MINUTE = 60 * NS_PER_SECOND
@@ -34,51 +40,56 @@
 
 def test_what_is_kept_stays_bounded_at_ten_times_the_restarts() -> None:
     """54,000 restarts a day, for two days, each life signed off after it said that it drains."""
-    ends, now, most, told = Clearing(), 0, 0, Counter[str]()
+    ends, now, most, told = TombstoneExpiry(), 0, 0, Counter[str]()
     gap = 86_400 * NS_PER_SECOND // 54_000
     for number in range(2 * 54_000):
         now += gap
-        ends.ended(now - 8 * NS_PER_SECOND, f"i-{number}")
-        ends.ended(now, f"i-{number}")
-        out = ends.due(now, lambda id: False)
-        assert len(out) <= PORTION
+        ends.record(now - 8 * NS_PER_SECOND, f"i-{number}")
+        ends.record(now, f"i-{number}")
+        out = ends.expired(now, lambda id: False)
+        assert len(out) <= COLLECTION_BATCH
         told.update(out)
-        ends.forget(out)
-        most = max(most, len(ends.since))
-    assert most <= (KEPT + 2 * EVERY) // gap and set(told.values()) == {1}
+        ends.remove(out)
+        most = max(most, len(ends.recorded_at))
+    assert most <= (TOMBSTONE_RETENTION_NS + 2 * COLLECTION_INTERVAL_NS) // gap and set(told.values()) == {1}
     # The ids still refused span more than ten minutes even then, and the item that tells them is bounded.
-    assert REFUSED * gap > 10 * MINUTE
+    assert MAX_COLLECTED_IDS * gap > 10 * MINUTE
     # After hours in which nothing could be cleared all of it goes, the oldest first.
-    late = Clearing()
-    for number in range(10 * PORTION):
-        late.ended(number, f"i-{number:05}")
+    late = TombstoneExpiry()
+    for number in range(10 * COLLECTION_BATCH):
+        late.record(number, f"i-{number:05}")
     for turn in range(10):
-        out = late.due(KEPT + MINUTE + turn * EVERY, lambda id: False)
-        late.forget(out)
-        assert out == [f"i-{turn * PORTION + at:05}" for at in range(PORTION)]
-        assert late.due(KEPT + MINUTE + (turn + 1) * EVERY - 1, lambda id: False) == []
-    assert not late.since
+        out = late.expired(TOMBSTONE_RETENTION_NS + MINUTE + turn * COLLECTION_INTERVAL_NS, lambda id: False)
+        late.remove(out)
+        assert out == [f"i-{turn * COLLECTION_BATCH + at:05}" for at in range(COLLECTION_BATCH)]
+        assert (
+            late.expired(
+                TOMBSTONE_RETENTION_NS + MINUTE + (turn + 1) * COLLECTION_INTERVAL_NS - 1, lambda id: False
+            )
+            == []
+        )
+    assert not late.recorded_at
 
 
 def test_a_life_that_somebody_still_tells_of_is_kept_for_as_long_again() -> None:
-    ends, heard = Clearing(), {"a"}
-    ends.ended(0, "a")
-    ends.ended(0, "b")
-    assert ends.due(KEPT - 1, heard.__contains__) == []
-    assert ends.due(KEPT - 1 + EVERY, heard.__contains__) == ["b"]
+    ends, heard = TombstoneExpiry(), {"a"}
+    ends.record(0, "a")
+    ends.record(0, "b")
+    assert ends.expired(TOMBSTONE_RETENTION_NS - 1, heard.__contains__) == []
+    assert ends.expired(TOMBSTONE_RETENTION_NS - 1 + COLLECTION_INTERVAL_NS, heard.__contains__) == ["b"]
     heard.clear()
-    assert "a" not in ends.due(2 * KEPT, heard.__contains__)
-    assert "a" in ends.due(2 * KEPT + 2 * EVERY, heard.__contains__)
+    assert "a" not in ends.expired(2 * TOMBSTONE_RETENTION_NS, heard.__contains__)
+    assert "a" in ends.expired(2 * TOMBSTONE_RETENTION_NS + 2 * COLLECTION_INTERVAL_NS, heard.__contains__)
 
 
 @pytest.fixture
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
     """All times a hundredth of what they are, but for those of a heartbeat."""
     for where, name, value in (
-        (tombstone_expiry, "KEPT", 18),
-        (tombstone_expiry, "EVERY", 1),
-        (machine, "STALE", 9),
-        (endpoint_list, "KEPT", 6),
+        (tombstone_expiry, "TOMBSTONE_RETENTION_NS", 18),
+        (tombstone_expiry, "COLLECTION_INTERVAL_NS", 1),
+        (machine, "MAX_HEARTBEAT_DELAY_NS", 9),
+        (endpoint_list, "RETENTION_NS", 6),
     ):
         monkeypatch.setattr(where, name, value * NS_PER_SECOND)
 
@@ -103,7 +114,7 @@
         body = world.beating.pop("a1-0")[1]
         world.beating["a1-0"] = "1", body, world.now
         assert (await world.beat("a1-0", State="draining"))[0] == 200
-        assert (await world.nodes["2"].registry.leave("a1-0"))[0] == 200
+        assert (await world.nodes["2"].registry.deregister("a1-0"))[0] == 200
         del world.beating["a1-0"]
         # One that only said that it drains, and one that drains on: that one's end is not forgotten.
         for id in ("b1-0", "c1-0"):
@@ -129,13 +140,15 @@
             False,
         ]
         for node in world.nodes.values():
-            stacks = node.registry.machine
-            assert set(stacks.listing.ended) == set(stacks.clearing.since) == {"c1-0"}
-            assert {"a1-0", "b1-0"} <= stacks.listing.cleared
+            stacks = node.registry.state_machine
+            assert (
+                set(stacks.endpoint_list.tombstones) == set(stacks.tombstone_expiry.recorded_at) == {"c1-0"}
+            )
+            assert {"a1-0", "b1-0"} <= stacks.endpoint_list.collected
         late = {**body, "Condition": {"State": "ready", "Sequence": 1, "ColdRemainingMs": 0}}
-        assert (await world.nodes["3"].registry.beat("a1-0", late))[0] == 200
+        assert (await world.nodes["3"].registry.heartbeat("a1-0", late))[0] == 200
         await world.run(0.3)
-        assert not any("a1-0" in node.registry.lives() for node in world.nodes.values())
+        assert not any("a1-0" in node.registry.endpoints() for node in world.nodes.values())
         # Another copy that was away with the end brings it back to nobody.
         world.nodes["3"].ledger.merge([ended("a1-0")])
         assert held(world) == [{"c1-0"}] * 3
@@ -155,7 +168,7 @@
         world.cut |= {("3", "1"), ("3", "2")}  # Its store merges nothing meanwhile, either.
         waiting = world.beating["c1-0"][1]
         for ip in ("1", "2"):
-            assert (await world.nodes[ip].registry.leave("c1-0"))[0] == 200
+            assert (await world.nodes[ip].registry.deregister("c1-0"))[0] == 200
         del world.beating["c1-0"]
         world.beating["c1-1"] = "1", *world.beating["c1-1"][1:]
         await world.run(still)
@@ -163,14 +176,14 @@
         assert not world.nodes["3"].ledger.held
         node = world.nodes["3"].registry
         for other in "12":
-            stacks = world.nodes[other].registry.machine
-            stacks.listing.cleared = frozenset()  # As if so many had been cleared since.
+            stacks = world.nodes[other].registry.state_machine
+            stacks.endpoint_list.collected = frozenset()  # As if so many had been cleared since.
         world.frozen.clear()
         world.cut.clear()
         late = {**waiting, "Condition": {"State": "ready", "Sequence": 99, "ColdRemainingMs": 0}}
-        await node.beat("c1-0", late)  # It has waited for the process.
+        await node.heartbeat("c1-0", late)  # It has waited for the process.
         node.tick()
-        await node.beat("c1-0", late)
+        await node.heartbeat("c1-0", late)
         for _ in range(20):
             await world.run(0.1)
             assert not any("c1-0" in world.nodes[ip].shown() for ip in "12")
--- a/tests/test_system_homes.py
+++ b/tests/test_system_homes.py
@@ -11,7 +11,12 @@
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.messages.proxy_link import host_counter_name, parse_host_counter_name
 from ambershift.system.proxy.routing import Routing
-from ambershift.system.registry.home_regions import LEAST, MOST, SEEN, Homes
+from ambershift.system.registry.home_regions import (
+    MIN_RATE_PER_100S,
+    REDIRECT_MIN_SHARE,
+    RETAIN_MIN_SHARE,
+    HomeRegions,
+)
 from ambershift.system.state_machine import NS_PER_SECOND
 
 ALL, BOUND = host_counter_name("h.example", ()), host_counter_name("h.example", ("b", "a"))
@@ -22,36 +27,40 @@
 
 
 def test_clients_follow_the_part_of_their_requests_that_is_answered_elsewhere() -> None:
-    homes = Homes()
+    homes = HomeRegions()
     assert (
         parse_host_counter_name(BOUND) == ("h.example", ("a", "b"))
         and parse_host_counter_name("service|a|b") is None
     )
-    homes.take(rates(1000, 1000 * MOST - 1))
-    assert not homes.of("h.example", "c")
-    homes.take(rates(1000, 1000 * MOST))
-    assert homes.of("h.example", "c") == {"a", "b"} == homes.of("H.Example:80", "c")
-    assert not homes.of("h.example", "a") and not homes.of("other", "c") and not homes.of("h.example", "")
-    homes.take(rates(1000, 1000 * LEAST))
-    assert homes.of("h.example", "c")  # Not to and fro for a little.
-    homes.take(rates(SEEN - 1, 0))
-    assert homes.of("h.example", "c")  # So few tell nothing.
-    homes.take(rates(1000, 1000 * LEAST - 1))
-    assert not homes.of("h.example", "c")
-    homes.take(rates(1000, 1000 * MOST - 1))
-    assert not homes.of("h.example", "c")
-    homes.take(rates(1000, 900))
-    assert homes.of("h.example", "c")
-    homes.take({ALL: 1000})  # The host has no homes any more.
-    assert not homes.of("h.example", "c")
+    homes.update(rates(1000, 1000 * REDIRECT_MIN_SHARE - 1))
+    assert not homes.regions_for("h.example", "c")
+    homes.update(rates(1000, 1000 * REDIRECT_MIN_SHARE))
+    assert homes.regions_for("h.example", "c") == {"a", "b"} == homes.regions_for("H.Example:80", "c")
+    assert (
+        not homes.regions_for("h.example", "a")
+        and not homes.regions_for("other", "c")
+        and not homes.regions_for("h.example", "")
+    )
+    homes.update(rates(1000, 1000 * RETAIN_MIN_SHARE))
+    assert homes.regions_for("h.example", "c")  # Not to and fro for a little.
+    homes.update(rates(MIN_RATE_PER_100S - 1, 0))
+    assert homes.regions_for("h.example", "c")  # So few tell nothing.
+    homes.update(rates(1000, 1000 * RETAIN_MIN_SHARE - 1))
+    assert not homes.regions_for("h.example", "c")
+    homes.update(rates(1000, 1000 * REDIRECT_MIN_SHARE - 1))
+    assert not homes.regions_for("h.example", "c")
+    homes.update(rates(1000, 900))
+    assert homes.regions_for("h.example", "c")
+    homes.update({ALL: 1000})  # The host has no homes any more.
+    assert not homes.regions_for("h.example", "c")
 
 
 def test_only_regions_that_may_answer_all_are_named() -> None:
-    homes, other = Homes(), host_counter_name("h.example", ("b", "c"))
-    homes.take({ALL: 1000, BOUND: 500, other: 500})
-    assert homes.of("h.example", "d") == {"b"} and not homes.of("h.example", "c")
-    homes.take({ALL: 1000, host_counter_name("h.example", ("a",)): 500, other: 500})
-    assert not homes.of("h.example", "d")
+    homes, other = HomeRegions(), host_counter_name("h.example", ("b", "c"))
+    homes.update({ALL: 1000, BOUND: 500, other: 500})
+    assert homes.regions_for("h.example", "d") == {"b"} and not homes.regions_for("h.example", "c")
+    homes.update({ALL: 1000, host_counter_name("h.example", ("a",)): 500, other: 500})
+    assert not homes.regions_for("h.example", "d")
 
 
 def test_requests_count_for_hosts_that_have_homes() -> None:
@@ -81,7 +90,7 @@
 def test_the_directory_names_proxies_of_the_homes_while_two_are_ready() -> None:
     async def play() -> None:
         world = World("a1", "b1", "c1")
-        find = world.nodes["3"].registry.addresses
+        find = world.nodes["3"].registry.proxy_addresses
         for name, ip, zone in (("p", "1", "a1"), ("q", "2", "b1"), ("r", "3", "c1")):
             world.proxy(name, ip, zone, **{ALL: 50, BOUND: 40})
         await world.run(6)
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -31,22 +31,28 @@
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy import awaited, handling
 from ambershift.system.proxy.backend_view import BackendView
-from ambershift.system.registry.records import Life
-from ambershift.system.registry.registry import UNSURE_PROXIES
-from ambershift.system.registry.snapshot import EACH_LEAST, Keep, SheetError, read_sheet, write_sheet
+from ambershift.system.registry.records import Instance
+from ambershift.system.registry.registry import PROXIES_WHILE_INCOMPLETE
+from ambershift.system.registry.snapshot import (
+    MIN_WRITE_INTERVAL_NS,
+    SnapshotError,
+    SnapshotSchedule,
+    decode_snapshot,
+    encode_snapshot,
+)
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_MS, Send, WriteCompleted
 from ambershift.system.transport import links
 from ambershift.system.transport.link_path import CONTROL_NODE, Caller
 
 NOW = 1000 * NS_PER_SECOND
-ONE = Life("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * NS_PER_SECOND)
+ONE = Instance("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * NS_PER_SECOND)
 
 
 def kept(world: World, ip: str) -> bytes:
     registry = world.nodes[ip].registry
-    return write_sheet(
-        ip, world.now, registry.machine.most_proxies(world.now), list(registry.lives().values())
+    return encode_snapshot(
+        ip, world.now, registry.state_machine.max_proxies(world.now), list(registry.endpoints().values())
     )
 
 
@@ -65,7 +71,7 @@
     for ip in world.zones:
         world.start(ip)
     for ip, data in sheets.items():
-        world.nodes[ip].registry.recall(data)
+        world.nodes[ip].registry.load_snapshot(data)
 
 
 def test_all_is_there_at_once_and_silence_takes_the_lost_away() -> None:
@@ -103,10 +109,10 @@
         for number in range(7):
             world.proxy(f"proxy{number}", "1", "a1")
         await world.run(0.3)
-        sheet, usual = kept(world, "2"), world.nodes["2"].registry.proxies_most()
+        sheet, usual = kept(world, "2"), world.nodes["2"].registry.max_proxies()
         again(world, {"2": sheet})
-        assert world.nodes["2"].registry.proxies_most() == usual < UNSURE_PROXIES
-        assert world.nodes["1"].registry.proxies_most() == UNSURE_PROXIES  # Nothing is known here.
+        assert world.nodes["2"].registry.max_proxies() == usual < PROXIES_WHILE_INCOMPLETE
+        assert world.nodes["1"].registry.max_proxies() == PROXIES_WHILE_INCOMPLETE  # Nothing is known here.
 
     asyncio.run(run())
 
@@ -138,8 +144,8 @@
                 (INSTANCE, id): Item(INSTANCE, id, (version, ""), b"{}")
                 for id, version in (("a1-0", 2), ("a1-1", 1))
             }
-            world.nodes[ip].registry.recall(sheets[ip])
-        lives = world.nodes["1"].registry.lives()
+            world.nodes[ip].registry.load_snapshot(sheets[ip])
+        lives = world.nodes["1"].registry.endpoints()
         assert "a1-0" not in lives and lives["a1-1"].draining  # Before any tick.
         world.backend("new", "s9", "b1", "1", address="b1-1:80")
         await world.beat("new")
@@ -161,7 +167,7 @@
         world.backend("new", "s9", "b1", "2", address="old:80")
         await world.run(4)
         world.start("1")
-        world.nodes["1"].registry.recall(sheet)
+        world.nodes["1"].registry.load_snapshot(sheet)
         await world.run(1)
         assert "new" in world.nodes["1"].shown() and "old" not in world.nodes["1"].shown()
 
@@ -174,8 +180,8 @@
         again(world, {"1": sheets["1"]})
         world.beating["b1-0"][1]["Condition"]["Sequence"] = -1
         await world.beat("b1-0", "1", ColdRemainingMs=9000)
-        life = world.nodes["1"].registry.lives()["b1-0"]
-        assert life.cold_until > world.now and not life.unsure
+        life = world.nodes["1"].registry.endpoints()["b1-0"]
+        assert life.warming_until > world.now and not life.unconfirmed
 
     asyncio.run(run())
 
@@ -183,10 +189,10 @@
 def test_a_cold_one_comes_back_as_cold_as_it_was() -> None:
     async def run() -> None:
         world, sheets = await worn(cold=8000)
-        before = world.nodes["1"].registry.lives()["cold"].cold_until - world.now
+        before = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
         world.now += 3 * NS_PER_SECOND
         again(world, sheets)
-        left = world.nodes["1"].registry.lives()["cold"].cold_until - world.now
+        left = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
         assert before - NS_PER_MS < left <= before
 
     asyncio.run(run())
@@ -194,8 +200,8 @@
 
 @pytest.mark.parametrize("change", ["torn", "short", "empty", "foreign", "newer", "other"])
 def test_a_list_that_cannot_be_read_says_nothing(change: str) -> None:
-    data = write_sheet("1", NOW, 9, [ONE])
-    assert [one.id for one in read_sheet("1", NOW, data)[1]] == ["one"]
+    data = encode_snapshot("1", NOW, 9, [ONE])
+    assert [one.id for one in decode_snapshot("1", NOW, data)[1]] == ["one"]
     if change == "newer":
         body = msgspec.msgpack.encode([2, "1", 0, []])
         data = hashlib.blake2b(body, digest_size=16).digest() + body
@@ -204,25 +210,27 @@
     else:
         torn = data.replace(b"10.9.0.1", b"10.9.0.2")
         data = {"torn": torn, "short": data[:-1], "empty": b"", "foreign": data}[change]
-    with pytest.raises(SheetError):
-        read_sheet("9" if change == "foreign" else "1", NOW, data)
+    with pytest.raises(SnapshotError):
+        decode_snapshot("9" if change == "foreign" else "1", NOW, data)
     node = Node(World("a1"), "1")
     node.registry.settings = replace(node.registry.settings, ip="9" if change == "foreign" else "1")
-    node.registry.recall(data)
-    assert node.logs[-1][0] == 305 and not node.registry.lives()
+    node.registry.load_snapshot(data)
+    assert node.logs[-1][0] == 305 and not node.registry.endpoints()
 
 
 def test_the_list_is_written_after_changes_and_when_a_cold_one_is_warm() -> None:
-    keep = Keep()
+    keep = SnapshotSchedule()
     assert not keep.due(NOW, 0)
     keep.changed = True
     assert keep.due(NOW, 9)
-    keep.written(NOW, 9, [ONE, replace(ONE, cold_until=NOW + 3 * NS_PER_SECOND)])
-    assert not keep.due(NOW + EACH_LEAST, 9)
+    keep.written(NOW, 9, [ONE, replace(ONE, warming_until=NOW + 3 * NS_PER_SECOND)])
+    assert not keep.due(NOW + MIN_WRITE_INTERVAL_NS, 9)
     keep.changed = True
-    assert not keep.due(NOW + EACH_LEAST - 1, 9) and keep.due(NOW + EACH_LEAST, 9)
+    assert not keep.due(NOW + MIN_WRITE_INTERVAL_NS - 1, 9) and keep.due(NOW + MIN_WRITE_INTERVAL_NS, 9)
     keep.changed = False
-    assert not keep.due(NOW + EACH_LEAST, 9) and keep.due(NOW + EACH_LEAST, 10)  # Another proxy.
+    assert not keep.due(NOW + MIN_WRITE_INTERVAL_NS, 9) and keep.due(
+        NOW + MIN_WRITE_INTERVAL_NS, 10
+    )  # Another proxy.
     assert keep.due(NOW + 3 * NS_PER_SECOND, 9)
 
 
@@ -242,9 +250,9 @@
     async def run() -> None:
         world, _ = await worn()
         registry = world.nodes["1"].registry
-        registry.side = side = Side()
+        registry.cache_file = side = Side()
         await world.run(0.2)
-        assert {one.id for one in read_sheet("1", world.now, side.writes[-1])[1]} == set(world.beating)
+        assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.beating)
         await world.run(5)
         assert len(side.writes) == 1
         side.failed = True
@@ -255,9 +263,9 @@
             world.beating.pop(id)
         await world.run(12)
         assert "a1-1" in world.nodes["1"].shown()
-        assert {one.id for one in read_sheet("1", world.now, side.writes[-1])[1]} == set(world.beating)
+        assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.beating)
         world.start("1")
-        world.nodes["1"].registry.side = side = Side()
+        world.nodes["1"].registry.cache_file = side = Side()
         await world.run(3)
         assert not side.writes
 
--- a/tests/test_system_registry.py
+++ b/tests/test_system_registry.py
@@ -61,15 +61,15 @@
     await world.run(0.3)
     assert listed(world, "a1-0") == [False] * 3 and not world.nodes["2"].ledger.puts
     assert await world.beat("a1-0", "2", State="draining") == (200, {}) and world.nodes["2"].ledger.puts
-    assert await world.nodes["3"].registry.leave("a1-0") == (200, {})
-    assert all("a1-0" not in node.registry.lives() for node in world.nodes.values())
+    assert await world.nodes["3"].registry.deregister("a1-0") == (200, {})
+    assert all("a1-0" not in node.registry.endpoints() for node in world.nodes.values())
 
 
 @play
 async def test_an_end_that_is_not_held_is_not_acknowledged(world: World) -> None:
     world.nodes["1"].ledger.holds = False
     assert (await world.beat("a1-0", State="draining"))[0] == 503
-    assert (await world.nodes["1"].registry.leave("a1-1"))[0] == 503
+    assert (await world.nodes["1"].registry.deregister("a1-1"))[0] == 503
     assert (await world.beat("a1-0", State="ready"))[0] == 200  # Draining sticks all the same.
     await world.run(0.3)
     assert listed(world, "a1-0") == [False] * 3
@@ -90,20 +90,20 @@
     world = World("a1")
     world.backend("one", "s", "a1", "1")
     body = world.beating["one"][1] | change
-    status, answer = asyncio.run(world.nodes["1"].registry.beat("one", body))
+    status, answer = asyncio.run(world.nodes["1"].registry.heartbeat("one", body))
     assert status == 400 and answer["Error"].startswith(f"{field}: ")
 
 
 @play
 async def test_the_newest_beat_holds_wherever_it_came(world: World) -> None:
     def cold() -> list[bool]:
-        return [node.registry.lives()["a1-0"].cold_until > world.now for node in world.nodes.values()]
+        return [node.registry.endpoints()["a1-0"].warming_until > world.now for node in world.nodes.values()]
 
     body = world.beating["a1-0"][1]
     late = body | {"Condition": body["Condition"] | {"ColdRemainingMs": 9000}}
     await world.beat("a1-0")
     for ip in ("1", "3"):  # Where it beats and where it doesn't.
-        assert (await world.nodes[ip].registry.beat("a1-0", late))[0] == 200
+        assert (await world.nodes[ip].registry.heartbeat("a1-0", late))[0] == 200
         await world.run(0.4)
         assert cold() == [False] * 3
     await world.beat("a1-0", "2", ColdRemainingMs=9000)
@@ -137,8 +137,8 @@
     await world.run(0.5)
     world.cut.clear()
     await world.run(1.2)
-    life = world.nodes["3"].registry.lives()["a1-0"]
-    assert "new" in world.nodes["3"].shown() and life.cold_until > world.now + 2 * NS_PER_SECOND
+    life = world.nodes["3"].registry.endpoints()["a1-0"]
+    assert "new" in world.nodes["3"].shown() and life.warming_until > world.now + 2 * NS_PER_SECOND
 
 
 @play
@@ -227,7 +227,7 @@
     world.frozen.clear()
     late = {id: world.beating.pop(id) for id in list(world.beating) if id.startswith("a1")}
     world.nodes["1"].registry.tick()  # Before it has read what has come meanwhile.
-    assert world.nodes["1"].registry.addresses("a", "a1") == ["proxy:80"]
+    assert world.nodes["1"].registry.proxy_addresses("a", "a1") == ["proxy:80"]
     await world.run(1)
     assert len([id for id in world.nodes["1"].shown() if id.startswith("a1")]) == 4 and sent
     world.beating |= late
@@ -242,14 +242,14 @@
     await world.run(0.3)
     assert listed(world, "a1-0") == [False] * 3 and listed(world, "b1-new") == [True] * 3
     old[1]["Condition"]["Sequence"] += 5
-    assert await world.nodes["3"].registry.beat("a1-0", old[1]) == (200, {"HeartbeatTarget": "1:8080"})
+    assert await world.nodes["3"].registry.heartbeat("a1-0", old[1]) == (200, {"HeartbeatTarget": "1:8080"})
     await world.run(0.3)
     assert listed(world, "a1-0") == [False] * 3 and listed(world, "b1-new") == [True] * 3
 
 
 @play
 async def test_the_directory_names_ready_proxies_nearest_first(world: World) -> None:
-    find = world.nodes["3"].registry.addresses
+    find = world.nodes["3"].registry.proxy_addresses
     assert find("a", "a1") == []
     for name, ip, zone in (("p", "1", "a1"), ("q", "1", "a2"), ("r", "2", "b1"), ("s", "3", "b1")):
         world.proxy(name, ip, zone)
@@ -258,7 +258,7 @@
     assert sorted(find("a", "a1")) == ["p:80", "q:80"]  # One in the zone: the region.
     assert sorted(find("b", "b1")) == ["r:80", "s:80"] and len(find("c", "c1")) == 4
     assert len({tuple(find("c", "c1")) for _ in range(20)}) > 1
-    assert world.nodes["3"].registry.proxies_most() == 5 + 2 + 6
+    assert world.nodes["3"].registry.max_proxies() == 5 + 2 + 6
     world.proxy("s", "3", "b1", leaving=True)
     assert find("b", "b2") == ["r:80"]
     world.proxy("s", "2", "b1")  # A word that was on its way: this life leaves.
@@ -280,12 +280,12 @@
     assert find("c", "c1") == []
     world.start("3")
     await world.run(6)
-    assert world.nodes["3"].registry.proxies_most() == 5 + 2 + 6  # The most ever known to any.
+    assert world.nodes["3"].registry.max_proxies() == 5 + 2 + 6  # The most ever known to any.
 
 
 @play
 async def test_proxies_of_a_silent_control_node_are_left_out_while_half_are_left(world: World) -> None:
-    find = world.nodes["3"].registry.addresses
+    find = world.nodes["3"].registry.proxy_addresses
     for name, ip, zone in (("p", "1", "a1"), ("q", "1", "a1"), ("r", "2", "b1"), ("s", "3", "b1")):
         world.proxy(name, ip, zone)
     for name in "tu":  # These don't count.
@@ -309,10 +309,10 @@
     await world.run(0.5)
     kept = world.proxies.pop("p")
     await world.run(3.2)
-    assert world.nodes["2"].registry.addresses("a", "a1") == []
+    assert world.nodes["2"].registry.proxy_addresses("a", "a1") == []
     world.proxies["p"] = kept
     await world.run(1.3)
-    assert world.nodes["2"].registry.addresses("a", "a1") == ["p:80"]
+    assert world.nodes["2"].registry.proxy_addresses("a", "a1") == ["p:80"]
 
 
 class Exchange(RuleBasedStateMachine):
@@ -369,7 +369,7 @@
         self.run(12)
         services = {body["Information"]["Service"] for _, body, _ in self.world.beating.values()}
         for node in self.world.nodes.values():
-            lives = [life for life in node.registry.lives().values() if not life.draining]
+            lives = [life for life in node.registry.endpoints().values() if not life.draining]
             assert {life.id for life in lives if life.service in services} == set(self.world.beating)
 
 
