--- a/tests/encoded_forms.py
+++ b/tests/encoded_forms.py
@@ -24,14 +24,14 @@
 from ambershift.replication import records
 from ambershift.replication.heard import messages as heard
 from ambershift.system.configuration.agreement import Agreement
-from ambershift.system.consensus.membership_view import Members
+from ambershift.system.consensus.membership_view import MembershipStatus
 from ambershift.system.coordination.groups import Group
-from ambershift.system.coordination.locks import Lock
-from ambershift.system.coordination.value_deltas import Added
+from ambershift.system.coordination.locks import Lease
+from ambershift.system.coordination.value_deltas import GroupDelta
 from ambershift.system.messages import codec, replication
 from ambershift.system.messages.items import Item
 from ambershift.system.messages.tombstones import CollectedTombstones
-from ambershift.system.registry.snapshot import Sheet
+from ambershift.system.registry.snapshot import Snapshot
 
 
 @dataclass(frozen=True)
@@ -54,8 +54,8 @@
 
 SYSTEM = {
     "system": Form(reduce(or_, codec.message_types()), codec.encode, codec.decode),
-    "difference of a group of cells": plain(Added),
-    "GET /ambershift/members": json(Members),
+    "difference of a group of cells": plain(GroupDelta),
+    "GET /ambershift/members": json(MembershipStatus),
 }
 GROUP = {
     "replica": Form(group_messages.Message, group_messages.encode, group_messages.decode),
@@ -73,12 +73,12 @@
 STORED = {
     "archive.db items": plain(Item),
     "archive.db registers": plain(replication.AcceptorState),
-    "archive.db meta decision": plain(replication.Decision),
+    "archive.db meta decision": plain(replication.VoterConfiguration),
     "register configuration": plain(Agreement),
     "register of a group of cells": plain(Group),
-    "register of a lock": plain(Lock),
+    "register of a lock": plain(Lease),
     "body of the forgotten item": json(CollectedTombstones),
-    "backends.list": plain(Sheet),
+    "backends.list": plain(Snapshot),
     "log head": plain(records.Head),
     "log line": plain(records.Line),
     "log command": Form(Command, answers.encode, answers.decode),
--- a/tests/struct_layout.py
+++ b/tests/struct_layout.py
@@ -35,6 +35,8 @@
         return {"enum": sorted((member.value for member in one.cls), key=str)}
     if isinstance(one, inspect.TupleType):
         return {"tuple": [_layout(each) for each in one.item_types]}
+    if isinstance(one, inspect.NamedTupleType):  # Encoded as a tuple: an array without names.
+        return {"tuple": [_layout(field.type) for field in one.fields]}
     if isinstance(one, inspect.VarTupleType | inspect.ListType):
         return {"many": _layout(one.item_type)}
     if isinstance(one, inspect.DictType):
