--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -97,7 +97,7 @@
     def metrics(self) -> list[Metric]:
         """What metrics tell of this proxy."""
         server, attachment = self.server, self.attachment
-        waiting = attachment.outbox.size if attachment.outbox else 0
+        waiting = attachment.link.outbox.size if attachment.link.outbox else 0
         return [
             *attachment.metrics(),
             Metric("ready", "whether this proxy serves", float(server.ready and not server.leaving)),
@@ -131,7 +131,7 @@
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             report = self.server.report(time.monotonic_ns())
-            self.attachment.report(report)
+            self.attachment.send_report(report)
             if (told := self.meter.due(time.monotonic_ns())) is not None:
                 self.log(105, {**told})
 
--- a/tests/test_system_fleet.py
+++ b/tests/test_system_fleet.py
@@ -109,7 +109,7 @@
     fleet.run(4)
     front, ip = fleet.fronts["front-1"], "10.0.0.2"
     with front.loop.current():
-        asked = front.loop.create_task(front.attachment.probe(ip))
+        asked = front.loop.create_task(front.attachment.search.probe(ip))
     fleet.run(0.09)  # It has accepted; its sign is on the way.
     fleet.cut.add((ip, "front-1"))
     fleet.run(1.7)
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Coroutine, Iterator
 from typing import Any
 from unittest.mock import Mock
@@ -38,7 +37,8 @@
     collected_tombstones_of,
 )
 from ambershift.system.node_selection.selector import Choice
-from ambershift.system.processes.attachment import Attachment
+from ambershift.system.processes.attachment_log import AttachmentLog
+from ambershift.system.processes.control_link import ControlLink
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.fleet import Fleet
@@ -452,23 +452,17 @@
 
 
 def test_a_link_that_cannot_tell_what_stands_is_left_and_its_items_are_not_told_as_in_force() -> None:
-    made = object.__new__(Attachment)
-    made.selector, made.steady, made.log = (
-        Choice("p", "z", "r", ("a", "b")),
-        lambda: 7 * NS_PER_SECOND,
-        Mock(),
-    )
-    made.server, made.abandoned_links, made.configuration_version = Mock(), Counter[str](), 0
-    made.server.hear.return_value = []
-    made.server.routing.unusable = True
-    made.outbox = outbox = Mock()
-    made.selector.up(7 * NS_PER_SECOND, "a")
+    selector, server, log = Choice("p", "z", "r", ("a", "b")), Mock(), Mock()
+    events = AttachmentLog(selector, Mock(), lambda: 7 * NS_PER_SECOND, log)
+    link = ControlLink(selector, server, Mock(), lambda: 7 * NS_PER_SECOND, log, events)
+    server.hear.return_value = []
+    server.routing.unusable = True
+    link.outbox = outbox = Mock()
+    selector.up(7 * NS_PER_SECOND, "a")
     for _ in range(2):  # What is on the way still is void.
-        made.receive(outbox, ItemUpdate((route("r1", 1),), False))
-    assert made.abandoned_links == {"outdated": 1} and made.configuration_version == 0 and made.outbox is None
-    assert [call.args[0] for call in made.log.call_args_list] == [112]
-    assert (
-        outbox.break_off.called
-        and made.selector.linked is None
-        and made.selector.candidates(7 * NS_PER_SECOND)[0] == "b"
-    )
+        link.receive(outbox, ItemUpdate((route("r1", 1),), False))
+    assert events.abandoned_links == {"outdated": 1}
+    assert events.configuration_version == 0 and link.outbox is None
+    assert [call.args[0] for call in log.call_args_list] == [112]
+    assert outbox.break_off.called and selector.linked is None
+    assert selector.candidates(7 * NS_PER_SECOND)[0] == "b"
--- a/tests/test_system_metrics.py
+++ b/tests/test_system_metrics.py
@@ -16,7 +16,7 @@
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.messages.proxy_link import ControlNodeHeartbeat, ItemUpdate
 from ambershift.system.node_selection.selector import Choice
-from ambershift.system.processes.attachment import Attachment
+from ambershift.system.processes.attachment_log import AttachmentLog
 from ambershift.system.processes.control_node import ControlNode
 from ambershift.system.processes.http_server import bind_listener, try_bind_listener
 from ambershift.system.processes.metrics import (
@@ -91,21 +91,14 @@
 
 
 def test_a_proxy_tells_its_version_and_how_old_it_may_be() -> None:
-    made = object.__new__(Attachment)
-    made.selector, made.steady, made.log = Choice("p", "z", "r", ()), lambda: 7 * NS_PER_SECOND, Mock()
-    made.server, made.outbox, made.last_hello, made.configuration_version, made.abandoned_links = (
-        Mock(),
-        None,
-        None,
-        0,
-        Mock(),
-    )
-    assert values(made.metrics())["configuration_age_seconds"] == -1.0
-    made.selector.hear(6 * NS_PER_SECOND, ControlNodeHeartbeat((), True, 1, 500))
-    made._log_configuration(
+    selector = Choice("p", "z", "r", ())
+    made = AttachmentLog(selector, Mock(), lambda: 7 * NS_PER_SECOND, Mock())
+    assert values(made.metrics(linked=False))["configuration_age_seconds"] == -1.0
+    selector.hear(6 * NS_PER_SECOND, ControlNodeHeartbeat((), True, 1, 500))
+    made.configuration_applied(
         ItemUpdate((Item(ROUTE, "r", (12, "agreed"), b"{}"), Item("zone", "z", (99, "a"))), False)
     )
-    found = values(made.metrics())
+    found = values(made.metrics(linked=False))
     assert found["configuration_version"] == 12 and found["configuration_age_seconds"] == 1.5
 
 
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -9,7 +9,6 @@
 from collections.abc import Iterator
 from dataclasses import replace
 from pathlib import Path
-from types import SimpleNamespace
 from typing import Any
 from unittest.mock import Mock
 
@@ -27,8 +26,8 @@
 from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ControlNodeHeartbeat, ItemUpdate
 from ambershift.system.messages.replication import Announcement, SyncRequest
 from ambershift.system.node_selection.selector import Choice
-from ambershift.system.processes import attachment, candidate_probe
-from ambershift.system.processes.attachment import Attachment
+from ambershift.system.processes import candidate_probe, candidate_search
+from ambershift.system.processes.candidate_search import CandidateSearch
 from ambershift.system.proxy import awaited, handling
 from ambershift.system.proxy.backend_view import BackendView
 from ambershift.system.registry.records import Instance
@@ -367,7 +366,7 @@
         return codec.encode(self.sign)
 
 
-def dialling_proxy(dials: dict[str, OSError | Dialled]) -> Attachment:
+def search_by_dials(dials: dict[str, OSError | Dialled]) -> tuple[CandidateSearch, Choice]:
     """One whose dials come to what is given."""
 
     async def dial(ip: str) -> Any:
@@ -377,10 +376,9 @@
         await found.up.wait()
         return found
 
-    made = object.__new__(Attachment)
-    made.links = SimpleNamespace(dial=dial)  # type: ignore[assignment]
-    made.selector, made.steady, made.log = Choice("p", "z", "r", ()), lambda: NOW, Mock()
-    return made
+    selector, links = Choice("p", "z", "r", ()), Mock()
+    links.dial = dial
+    return CandidateSearch(selector, links, lambda: NOW, Mock()), selector
 
 
 def test_a_proxy_dials_the_next_beside_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -389,11 +387,11 @@
     async def run() -> None:
         silent, there = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
         there.up.set()
-        made = dialling_proxy({"a": OSError(), "b": silent, "c": there})
-        found = await asyncio.wait_for(made._find_current(["a", "b", "c"]), 10)
+        made, selector = search_by_dials({"a": OSError(), "b": silent, "c": there})
+        found = await asyncio.wait_for(made.find_current(["a", "b", "c"]), 10)
         assert found is not None and found.ip == "c" and not there.transport.abort.called
-        assert list(made.selector.failed) == ["a"]
-        assert await dialling_proxy({"a": OSError()})._find_current(["a"]) is None
+        assert list(selector.failed) == ["a"]
+        assert await search_by_dials({"a": OSError()})[0].find_current(["a"]) is None
 
     asyncio.run(run())
 
@@ -407,12 +405,12 @@
     old.up.set()
 
     async def run(up: bool) -> str:
-        made = dialling_proxy({"a": old, "b": late})
+        made, _ = search_by_dials({"a": old, "b": late})
         if up:
             asyncio.get_running_loop().call_soon(late.up.set)
         else:
-            monkeypatch.setattr(attachment, "RESERVE_S", 0.0)
-        found = await asyncio.wait_for(made._find_current(["a", "b"]), 10)
+            monkeypatch.setattr(candidate_search, "RESERVE_S", 0.0)
+        found = await asyncio.wait_for(made.find_current(["a", "b"]), 10)
         assert found is not None
         return found.ip
 
@@ -426,10 +424,10 @@
 def test_a_nearer_one_is_taken_only_where_it_is_current(age_ms: int, taken: bool) -> None:
     there = Dialled(ControlNodeHeartbeat((), True, 1, age_ms))
     there.up.set()
-    made = dialling_proxy({"a": there})
-    found = asyncio.run(made._probe_nearer("a"))
+    made, selector = search_by_dials({"a": there})
+    found = asyncio.run(made.probe_nearer("a"))
     assert (found is not None) == taken and there.transport.abort.called == (not taken)
-    assert ("a" in made.selector.failed) == (not taken)
+    assert ("a" in selector.failed) == (not taken)
 
 
 def test_one_that_answers_too_late_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -437,12 +435,15 @@
 
     async def run() -> None:
         one, other = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
-        asked = candidate_probe.CandidateProbe(dialling_proxy({"a": one, "b": other}).probe, ["a", "b"], 2)
+        asked = candidate_probe.CandidateProbe(
+            search_by_dials({"a": one, "b": other})[0].probe, ["a", "b"], 2
+        )
         one.up.set()
         chosen = await asked.next_reply()
         other.up.set()
         await asyncio.sleep(0)  # It has come up, but is not told any more.
-        asked.close(chosen)
+        asked.selected = chosen
+        asked.close()
         for _ in range(5):
             await asyncio.sleep(0)
         assert other.transport.abort.called and not one.transport.abort.called
