--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -199,42 +199,42 @@
 
     # The contract's side.
 
-    async def put(self, items: Sequence[Item], within: float) -> None:
-        await self._call(lambda call: WriteItems(call, items, within))
+    async def write(self, items: Sequence[Item], timeout_s: float) -> None:
+        await self._call(lambda call: WriteItems(call, items, timeout_s))
 
-    async def freshen(self, within: float) -> None:
-        await self._call(lambda call: ReadQuorum(call, within))
+    async def read_quorum(self, timeout_s: float) -> None:
+        await self._call(lambda call: ReadQuorum(call, timeout_s))
 
-    async def change(self, register: str, change: ChangeFunction, within: float) -> Any:
-        return await self._call(lambda call: ChangeRegister(call, register, change, within))
+    async def change(self, register: str, change: ChangeFunction, timeout_s: float) -> Any:
+        return await self._call(lambda call: ChangeRegister(call, register, change, timeout_s))
 
     def items(self) -> Mapping[Key, Item]:
         return {} if self._replica is None else MappingProxyType(self._replica.store.items)
 
-    def listen(self, heard: Callable[[Sequence[Item]], None]) -> None:
-        self._listeners.append(heard)
+    def subscribe(self, on_items: Callable[[Sequence[Item]], None]) -> None:
+        self._listeners.append(on_items)
 
-    def cores(self) -> Sequence[ControlNodeAddress]:
+    def control_nodes(self) -> Sequence[ControlNodeAddress]:
         return () if self._replica is None else self._replica.failure_detector.control_nodes()
 
-    def members(self) -> MembershipStatus | None:
+    def membership_status(self) -> MembershipStatus | None:
         return (
             None
             if self._replica is None
             else membership_status(self._replica.voters, self._replica.failure_detector)
         )
 
-    def in_touch(self) -> bool:
+    def has_quorum_contact(self) -> bool:
         return self._replica is not None and self._replica.failure_detector.has_quorum_contact()
 
     def contact_age_ms(self) -> int:
         return NEVER_MS if self._replica is None else self._replica.contact.age_ms()
 
-    def alive(self, ip: str) -> bool:
+    def is_alive(self, ip: str) -> bool:
         return self._replica is not None and self._replica.failure_detector.is_alive(ip)
 
-    def settled(self) -> frozenset[str]:
+    def settled_voters(self) -> frozenset[str]:
         return frozenset() if self._replica is None else self._replica.failure_detector.settled_voters()
 
-    def lately(self, ip: str) -> bool:
+    def is_responsive(self, ip: str) -> bool:
         return self._replica is not None and self._replica.failure_detector.is_responsive(ip)
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -185,7 +185,7 @@
 
     def _members(self) -> Reply:
         """For operators: who votes, and how many copies are complete, as this machine sees it."""
-        found = self._ledger.members()
+        found = self._ledger.membership_status()
         return (
             json_reply(503, Cause="not started") if found is None else Reply(200, msgspec.json.encode(found))
         )
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -113,14 +113,14 @@
             if not isinstance(outcome, Behind):
                 return outcome
             try:
-                await self._ledger.freshen(self._left(until))
+                await self._ledger.read_quorum(self._left(until))
             except OutcomeUnknownError as why:
                 raise NotAppliedError(why.reason) from why
             self._progress.has_read(outcome.settled)
 
     async def _stored(self, outcome: Accepted, until: int) -> None:
         if outcome.to_store:
-            await self._ledger.put(outcome.to_store, self._left(until))
+            await self._ledger.write(outcome.to_store, self._left(until))
         self._progress.has_stored(outcome.end)
 
     def _left(self, until: int) -> float:
@@ -154,10 +154,10 @@
 
     async def retrieve(self) -> Reply:
         """All items that stand, as a majority of the stores has them now."""
-        if not self._ledger.in_touch():
+        if not self._ledger.has_quorum_contact():
             return NOT_DONE
         try:
-            await self._ledger.freshen(PATIENCE / NS_PER_SECOND)
+            await self._ledger.read_quorum(PATIENCE / NS_PER_SECOND)
         except OutcomeUnknownError:
             return NOT_DONE
         return Reply(200, msgspec.json.encode(write_back(self._ledger.items())))
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -31,17 +31,17 @@
         """Send nothing more to a zone's backends, or (`out` False) send there again."""
         if zone not in self._settings.zones:
             return json_reply(404, Cause="no such zone")
-        if not self._ledger.in_touch():
+        if not self._ledger.has_quorum_contact():
             return NOT_DONE
         begun = self._steady()
         try:
             async with asyncio.timeout(PATIENCE / NS_PER_SECOND), self._evacuating:
-                await self._ledger.freshen((begun + PATIENCE - self._steady()) / NS_PER_SECOND)
+                await self._ledger.read_quorum((begun + PATIENCE - self._steady()) / NS_PER_SECOND)
                 item = self._evacuation(zone, out)
         except (TimeoutError, OutcomeUnknownError):
             return NOT_DONE
         try:
-            await self._ledger.put([item], (begun + PATIENCE - self._steady()) / NS_PER_SECOND)
+            await self._ledger.write([item], (begun + PATIENCE - self._steady()) / NS_PER_SECOND)
         except OutcomeUnknownError as why:
             self._log(log_events.EVACUATION_UNCLEAR, {"zone": zone, "out": out, "reason": why.reason})
             return UNCLEAR
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -85,7 +85,7 @@
             while not answer.done() and (rest := until - self._steady()) > 0:
                 await asyncio.wait([answer], timeout=min(patience, rest) / NS_PER_SECOND)
                 patience = LOOK
-                if not answer.done() and not self._ledger.lately(proposer):
+                if not answer.done() and not self._ledger.is_responsive(proposer):
                     break
             if answer.done():
                 if answer.result().status == REFUSED.status:
@@ -100,12 +100,12 @@
     async def in_touch(self) -> bool:
         """Waits for a moment where this machine has only just lost touch: at each change of voters all copies
         are completed first. Refused, callers' machines would look for another proposer, each its own."""
-        if self._ledger.in_touch():
+        if self._ledger.has_quorum_contact():
             self._touched = self._steady()
             return True
         until = min(self._touched + NS_PER_SECOND, self._steady() + CATCH_UP)
         while self._steady() < until:
             await asyncio.sleep(LOOK_S)
-            if self._ledger.in_touch():
+            if self._ledger.has_quorum_contact():
                 return True
         return False
--- a/ambershift/system/control_api/proposer_selection.py
+++ b/ambershift/system/control_api/proposer_selection.py
@@ -28,7 +28,7 @@
 
     def order(self, register: str) -> tuple[str, ...]:
         """All cores known, the first choice first."""
-        cores = tuple(sorted({core.ip for core in self._ledger.cores()} | {self._own}))
+        cores = tuple(sorted({core.ip for core in self._ledger.control_nodes()} | {self._own}))
         if cores != self._cores or len(self._orders) > KNOWN_MOST:
             self._cores, self._orders = cores, {}
         found = self._orders.get(register)
@@ -44,12 +44,12 @@
         have just come back, that is nobody's advantage.
         """
         order = self.order(register)
-        settled = self._ledger.settled()
+        settled = self._ledger.settled_voters()
         for ip in order:
             if ip in settled and (ip == self._own or not self.doubted(ip)):
                 return ip
         for ip in order:
-            if ip == self._own or (self._ledger.lately(ip) and not self.doubted(ip)):
+            if ip == self._own or (self._ledger.is_responsive(ip) and not self.doubted(ip)):
                 return ip
         return self._own
 
@@ -59,7 +59,9 @@
 
     def others(self) -> list[str]:
         return [
-            core.ip for core in self._ledger.cores() if core.ip != self._own and self._ledger.alive(core.ip)
+            core.ip
+            for core in self._ledger.control_nodes()
+            if core.ip != self._own and self._ledger.is_alive(core.ip)
         ]
 
     def doubted(self, ip: str) -> bool:
--- a/ambershift/system/control_api/watches.py
+++ b/ambershift/system/control_api/watches.py
@@ -74,7 +74,7 @@
             return await self._applications.ask(SNAPSHOT_GROUP, name, b"")
         until = self._steady() + wait
         while (now := self._steady()) < until and not self._closed:
-            if not self._ledger.in_touch():
+            if not self._ledger.has_quorum_contact():
                 return REFUSED  # Others may see what is put meanwhile.
             owner = self._proposers.owner("g/" + name)
             answer = await self._at(owner, name, after, until, now)
@@ -107,7 +107,11 @@
             done: set[asyncio.Future[Reply]] = set()
             while not done:
                 left = min(until - self._steady(), CHECK)
-                if left <= 0 or self._proposers.owner("g/" + name) != owner or not self._ledger.in_touch():
+                if (
+                    left <= 0
+                    or self._proposers.owner("g/" + name) != owner
+                    or not self._ledger.has_quorum_contact()
+                ):
                     return None
                 done, _ = await asyncio.wait(
                     waiting, timeout=left / NS_PER_SECOND, return_when=asyncio.FIRST_COMPLETED
@@ -176,7 +180,7 @@
             self._look(name)
 
     def _look(self, name: str) -> None:
-        if name not in self._looking and self._ledger.in_touch():
+        if name not in self._looking and self._ledger.has_quorum_contact():
             self._looking[name] = task = asyncio.create_task(self._read(name))
             task.add_done_callback(lambda _: self._looking.pop(name, None))
 
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -66,7 +66,7 @@
         self.list: BackendUpdate | None = None
         self.list_at = 0
         self.freshening: asyncio.Task[None] | None = None
-        ledger.listen(self._items)
+        ledger.subscribe(self._items)
         registry.listen(self._listed)
 
     # Proxies.
@@ -74,7 +74,7 @@
         """A new link of a proxy, before its first message: whatever the old one was told is told again. It
         gets a sign at once: by that it judges whether to say Hello here."""
         self.hellos.pop(name, None)
-        self.send_proxy(name, self._sign(self.ledger.cores()))
+        self.send_proxy(name, self._sign(self.ledger.control_nodes()))
 
     def hear_proxy(self, name: str, message: msgspec.Struct) -> None:
         if isinstance(message, Hello):
@@ -116,7 +116,7 @@
         self.settled = self.settled or self.registry.is_complete()
         self._send(self.pushes.greet(hello.name, self.ledger.items().values(), self._list()))
         # Behind the items: from here on the sign's age is that of what the proxy has.
-        self.send_proxy(hello.name, self._sign(self.ledger.cores()))
+        self.send_proxy(hello.name, self._sign(self.ledger.control_nodes()))
         self.pool_loads.join(hello.name, hello.zone, "", hello.incarnation)
         if self.freshening is None:
             self.freshening = asyncio.ensure_future(self._freshen())
@@ -126,7 +126,7 @@
         try:
             while asked := self.pushes.wanting():
                 try:
-                    await self.ledger.freshen(FRESHEN_LIMIT_S)
+                    await self.ledger.read_quorum(FRESHEN_LIMIT_S)
                 except (OutcomeUnknownError, NotAppliedError):
                     await asyncio.sleep(FRESHEN_PAUSE_S)
                     continue
@@ -221,7 +221,7 @@
             self.send_proxy(name, Barrier(self.mark))
 
     def _send_signs(self) -> None:
-        cores = tuple(self.ledger.cores())
+        cores = tuple(self.ledger.control_nodes())
         sign = self._sign(() if cores == self.cores else cores)
         self.cores = cores
         for name in self.hellos:
@@ -230,7 +230,7 @@
     def _sign(self, cores: Sequence[ControlNodeAddress]) -> ControlNodeHeartbeat:
         ledger = self.ledger
         return ControlNodeHeartbeat(
-            tuple(cores), ledger.in_touch(), self.registry.max_proxies(), ledger.contact_age_ms()
+            tuple(cores), ledger.has_quorum_contact(), self.registry.max_proxies(), ledger.contact_age_ms()
         )
 
     def _send(self, sends: Sequence[Send]) -> None:
--- a/ambershift/system/interfaces.py
+++ b/ambershift/system/interfaces.py
@@ -51,12 +51,12 @@
 class ReplicatedState(Protocol):
     """`consensus/`: items merged one by one, and agreed registers, each synced on enough copies."""
 
-    async def put(self, items: Sequence[Item], within: float) -> None:
+    async def write(self, items: Sequence[Item], timeout_s: float) -> None:
         """Merge, and return once these or newer are synced on enough copies.
 
         Raises `OutcomeUnknownError`, `NotAppliedError`."""
 
-    async def freshen(self, within: float) -> None:
+    async def read_quorum(self, timeout_s: float) -> None:
         """Merge what enough copies hold: `items()` then has all acknowledged.
 
         Raises `OutcomeUnknownError`."""
@@ -64,31 +64,31 @@
     def items(self) -> Mapping[Key, Item]:
         """All items merged here, tombstones too."""
 
-    def listen(self, heard: Callable[[Sequence[Item]], None]) -> None:
+    def subscribe(self, on_items: Callable[[Sequence[Item]], None]) -> None:
         """Call `heard` with each batch of items that has just become newer here."""
 
-    async def change(self, register: str, change: ChangeFunction, within: float) -> Any:
+    async def change(self, register: str, change: ChangeFunction, timeout_s: float) -> Any:
         """Run a change on a register, through this machine as proposer. Returns the verdict's result.
 
         Raises `OutcomeUnknownError` (it may hold) or `NotAppliedError` (it never will)."""
 
-    def cores(self) -> Sequence[ControlNodeAddress]:
+    def control_nodes(self) -> Sequence[ControlNodeAddress]:
         """All control nodes known and not known to be gone for good, this one too."""
 
-    def members(self) -> msgspec.Struct | None:
+    def membership_status(self) -> msgspec.Struct | None:
         """The voters as this machine sees them (`consensus/membership_view.py`); None before it runs."""
 
-    def in_touch(self) -> bool:
+    def has_quorum_contact(self) -> bool:
         """Whether enough of the others were heard within the last second and a half."""
 
     def contact_age_ms(self) -> int:
         """How long ago the last moment was before which nothing was acknowledged that isn't held here."""
 
-    def alive(self, ip: str) -> bool:
+    def is_alive(self, ip: str) -> bool:
         """Whether that control node was heard lately (always for this one)."""
 
-    def settled(self) -> frozenset[str]:
+    def settled_voters(self) -> frozenset[str]:
         """The voters that have been well for a while, so that all agree on them; none where most are not."""
 
-    def lately(self, ip: str) -> bool:
+    def is_responsive(self, ip: str) -> bool:
         """Whether it was heard within two or three of its beats: it may be slow, but it is there."""
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -84,7 +84,9 @@
         """Where a control node (by its ip) or a proxy linked here (by its name) is."""
         if hello := self.controller.hellos.get(peer):
             return hello.zone, self.settings.zones.get(hello.zone, "")
-        return next(((core.zone, core.region) for core in self.store.cores() if core.ip == peer), None)
+        return next(
+            ((core.zone, core.region) for core in self.store.control_nodes() if core.ip == peer), None
+        )
 
     async def run(self) -> None:
         install_signal_handlers(self.stop_requested.set, self.reload_settings)
@@ -127,12 +129,12 @@
         ledger, links = self.store, self.links
         items = ledger.items()
         versions = [one.version[0] for one in items.values() if one.kind in (ROUTE, SERVICE, LIMITS)]
-        members = ledger.members()
+        members = ledger.membership_status()
         waiting = sum(one.size for one in (*links.dialled.values(), *links.accepted.values()))
         return [
             Metric("configuration_version", "highest version of the operator here", max(versions, default=0)),
             Metric("contact_age_seconds", "age of the proof of contact", ledger.contact_age_ms() / 1000),
-            Metric("in_touch", "whether a majority was heard lately", float(ledger.in_touch())),
+            Metric("in_touch", "whether a majority was heard lately", float(ledger.has_quorum_contact())),
             Metric("epoch", "epoch of the voters", members.epoch if members else 0),
             Metric("voters", "voters of this epoch", len(members.voters) if members else 0),
             Metric("copies_complete", "voters known to be complete", members.complete if members else 0),
@@ -165,7 +167,7 @@
                     self.log_fault("tick", why)
             if (told := self.meter.due(time.monotonic_ns())) is not None:
                 self.log(105, {**told})
-            self.links.want([*self.settings.seed_ips, *(core.ip for core in self.store.cores())])
+            self.links.want([*self.settings.seed_ips, *(core.ip for core in self.store.control_nodes())])
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def log_fault(self, event: str, error: Exception) -> None:
--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/registry.py
@@ -97,7 +97,7 @@
         self._max_proxies_known = False  # Whether the disk has told how many proxies there may be.
         self._proxies_at, self._proxies = -NS_PER_SECOND, list[ProxyRecord]()
         self._rates_at = -NS_PER_SECOND
-        ledger.listen(self._on_items)
+        ledger.subscribe(self._on_items)
 
     async def heartbeat(self, id: str, body: Any) -> HttpAnswer:
         """A backend's beat: HTTP's status and the body. Draining is acknowledged once it is held."""
@@ -108,7 +108,7 @@
         self._step(beat)
         if beat.draining:
             return await self.tombstones.write(id, DRAINING_VERSION, beat.service, beat.address)
-        if not self.ledger.in_touch():
+        if not self.ledger.has_quorum_contact():
             # The others would take it for silent if it kept to us: it is to call another one.
             return 503, {"Error": "out of touch"}
         target = self._heartbeat_target(id, beat.zone)
@@ -162,10 +162,10 @@
             self._rates_at = self.steady()
             self.home_regions.update(self.state_machine.total_rates())
         self._save_snapshot(self.steady())
-        ips = [core.ip for core in self.ledger.cores() if core.ip != self.settings.ip]
-        alive = frozenset(ip for ip in ips if self.ledger.alive(ip))
-        self._step(ContactTick(self.ledger.in_touch(), alive, tuple(ips)))
-        if self.ledger.in_touch() and all(self.settings.ip < ip for ip in alive):
+        ips = [core.ip for core in self.ledger.control_nodes() if core.ip != self.settings.ip]
+        alive = frozenset(ip for ip in ips if self.ledger.is_alive(ip))
+        self._step(ContactTick(self.ledger.has_quorum_contact(), alive, tuple(ips)))
+        if self.ledger.has_quorum_contact() and all(self.settings.ip < ip for ip in alive):
             self.tombstones.collect(self.state_machine.expired_tombstones(self.steady()))
 
     def receive(self, ip: str, message: msgspec.Struct) -> None:
@@ -233,7 +233,7 @@
         known = [
             one for one in self.state_machine.proxies(now).values() if one[1].ready and not one[1].draining
         ]
-        sure = [proxy for keeper, proxy in known if not keeper or self.ledger.lately(keeper)]
+        sure = [proxy for keeper, proxy in known if not keeper or self.ledger.is_responsive(keeper)]
         return sure if 2 * len(sure) >= len(known) else [proxy for _, proxy in known]
 
     def _load_items(self) -> None:
@@ -266,7 +266,11 @@
         if zone == self.settings.zone or not self.port:
             return ""
         region = self.settings.zones.get(zone, "")
-        near = [core for core in self.ledger.cores() if core.region == region and self.ledger.alive(core.ip)]
+        near = [
+            core
+            for core in self.ledger.control_nodes()
+            if core.region == region and self.ledger.is_alive(core.ip)
+        ]
         best = [core.ip for core in near if core.zone == zone]
         if not best and self.settings.region != region:
             best = [core.ip for core in near]
--- a/ambershift/system/registry/tombstones.py
+++ b/ambershift/system/registry/tombstones.py
@@ -38,7 +38,7 @@
                     INSTANCE, id, (version, ""), msgspec.json.encode({"Service": service, "Address": address})
                 )
                 self._writes_in_flight[key] = task = asyncio.ensure_future(
-                    self._ledger.put([item], PUT_TIMEOUT_S)
+                    self._ledger.write([item], PUT_TIMEOUT_S)
                 )
                 task.add_done_callback(lambda done: self._on_written(key, done))
             try:
@@ -64,5 +64,5 @@
         item = Item(
             *CLEARED_INSTANCES_KEY, (last.version[0] + 1 if last else 1, self._ip), msgspec.json.encode(told)
         )
-        self._collection = asyncio.ensure_future(self._ledger.put([item], PUT_TIMEOUT_S))
+        self._collection = asyncio.ensure_future(self._ledger.write([item], PUT_TIMEOUT_S))
         self._collection.add_done_callback(lambda done: done.cancelled() or done.exception())
--- a/ambershift/system/simulation/configuration_mistakes.py
+++ b/ambershift/system/simulation/configuration_mistakes.py
@@ -22,7 +22,7 @@
         until = self._steady() + PATIENCE
         try:
             order = read_order(body)
-            await self._ledger.freshen(self._left(until))
+            await self._ledger.read_quorum(self._left(until))
             start, progress = agreement.Agreement(0, ()), agreement.Progress()
             _, outcome = agreement.decide(order, start, progress, self._ledger.items())
             if isinstance(outcome, agreement.Accepted):
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -121,7 +121,7 @@
     def __getattr__(self, name: str) -> Any:
         return getattr(self._ledger, name)
 
-    async def freshen(self, within: float) -> None:
+    async def read_quorum(self, timeout_s: float) -> None:
         return
 
 
--- a/ambershift/system/simulation/readers.py
+++ b/ambershift/system/simulation/readers.py
@@ -32,7 +32,7 @@
 
         async def merge(process: Process) -> None:
             try:
-                await process.store.freshen(1.0)
+                await process.store.read_quorum(1.0)
             except OutcomeUnknownError:
                 return
             items = dict(process.store.items())
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -201,34 +201,34 @@
         self.held = {one.key: one for one in items(size)}
         self.hearers = list[Callable[[Sequence[Item]], None]]()
 
-    async def put(self, items: Sequence[Item], within: float) -> None:
+    async def write(self, items: Sequence[Item], timeout_s: float) -> None:
         self.held |= {one.key: one for one in items}
         for heard in self.hearers:
             heard(items)
 
-    async def freshen(self, within: float) -> None:
+    async def read_quorum(self, timeout_s: float) -> None:
         pass
 
     def items(self) -> Mapping[Key, Item]:
         return self.held
 
-    def listen(self, heard: Callable[[Sequence[Item]], None]) -> None:
-        self.hearers.append(heard)
+    def subscribe(self, on_items: Callable[[Sequence[Item]], None]) -> None:
+        self.hearers.append(on_items)
 
-    async def change(self, register: str, change: ChangeFunction, within: float) -> Any:
+    async def change(self, register: str, change: ChangeFunction, timeout_s: float) -> Any:
         raise NotImplementedError
 
-    def cores(self) -> Sequence[proxy_link.ControlNodeAddress]:
+    def control_nodes(self) -> Sequence[proxy_link.ControlNodeAddress]:
         return self.found
 
     def contact_age_ms(self) -> int:
         return 200
 
-    def in_touch(self) -> bool:
+    def has_quorum_contact(self) -> bool:
         return True
 
-    def alive(self, ip: str) -> bool:
+    def is_alive(self, ip: str) -> bool:
         return True
 
-    def lately(self, ip: str) -> bool:
+    def is_responsive(self, ip: str) -> bool:
         return True
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -173,14 +173,14 @@
         self.rounds = 0
         self.since: dict[str, tuple[bytes | None, int]] = {}
 
-    async def change(self, register: str, change: ChangeFunction, within: float) -> Any:
-        assert within > 0
+    async def change(self, register: str, change: ChangeFunction, timeout_s: float) -> Any:
+        assert timeout_s > 0
         self.rounds += 1
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "refused":
             raise NotAppliedError("refused")
         lost = fault in ("hangs", "lost") or self.ip in self.world.lost
-        await asyncio.sleep(TRIP if fault == "lost" or not lost else within)
+        await asyncio.sleep(TRIP if fault == "lost" or not lost else timeout_s)
         if lost:
             raise OutcomeUnknownError("lost")
         for _ in range(2 if fault == "again" else 1):
@@ -198,7 +198,7 @@
             raise OutcomeUnknownError("unclear")
         return verdict.result
 
-    async def put(self, items: Sequence[Item], within: float) -> None:
+    async def write(self, items: Sequence[Item], timeout_s: float) -> None:
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "refused":
             raise NotAppliedError("refused")
@@ -209,7 +209,7 @@
         if fault:
             raise OutcomeUnknownError(fault)
 
-    async def freshen(self, within: float) -> None:
+    async def read_quorum(self, timeout_s: float) -> None:
         await asyncio.sleep(2 * TRIP)
         fault = self.faults.pop(0) if self.faults else ""
         if fault:
@@ -219,25 +219,25 @@
     def items(self) -> dict[Key, Item]:
         return self.held
 
-    def listen(self, heard: Callable[[Sequence[Item]], None]) -> None:
+    def subscribe(self, on_items: Callable[[Sequence[Item]], None]) -> None:
         raise NotImplementedError
 
-    def cores(self) -> Sequence[ControlNodeAddress]:
+    def control_nodes(self) -> Sequence[ControlNodeAddress]:
         return [ControlNodeAddress(ip, f"zone-{ip}", "riga") for ip in IPS]
 
-    def members(self) -> msgspec.Struct | None:
+    def membership_status(self) -> msgspec.Struct | None:
         return None
 
-    def in_touch(self) -> bool:
+    def has_quorum_contact(self) -> bool:
         return self.touch
 
-    def settled(self) -> frozenset[str]:
-        return frozenset(ip for ip in IPS if self.lately(ip) and ip not in self.world.unsettled)
+    def settled_voters(self) -> frozenset[str]:
+        return frozenset(ip for ip in IPS if self.is_responsive(ip) and ip not in self.world.unsettled)
 
-    def lately(self, ip: str) -> bool:
+    def is_responsive(self, ip: str) -> bool:
         return self.world.loop.now - self.world.lost.get(ip, self.world.loop.now) < 0.3
 
-    def alive(self, ip: str) -> bool:
+    def is_alive(self, ip: str) -> bool:
         return True
 
 
--- a/tests/system_exchange.py
+++ b/tests/system_exchange.py
@@ -43,7 +43,7 @@
         for heard in self.hearers if newer else ():
             heard(newer)
 
-    async def put(self, items: Sequence[Item], within: float) -> None:
+    async def write(self, items: Sequence[Item], timeout_s: float) -> None:
         await self.gate.wait()
         if not self.holds:
             raise OutcomeUnknownError("too few")
@@ -52,7 +52,7 @@
             if ip == self.ip or (ip, self.ip) not in self.world.cut:
                 self.world.nodes[ip].ledger.merge(items)
 
-    async def freshen(self, within: float) -> None:
+    async def read_quorum(self, timeout_s: float) -> None:
         await self.gate.wait()
         self.freshened += 1
         if not self.holds:
@@ -61,26 +61,26 @@
     def items(self) -> dict[Any, Item]:
         return self.held
 
-    def listen(self, heard: Callable[..., None]) -> None:
-        self.hearers.append(heard)
+    def subscribe(self, on_items: Callable[..., None]) -> None:
+        self.hearers.append(on_items)
 
-    def cores(self) -> list[proxy_link.ControlNodeAddress]:
+    def control_nodes(self) -> list[proxy_link.ControlNodeAddress]:
         return [proxy_link.ControlNodeAddress(ip, zone, ZONES[zone]) for ip, zone in self.world.zones.items()]
 
-    def settled(self) -> frozenset[str]:
-        return frozenset(core.ip for core in self.cores() if self.lately(core.ip))
+    def settled_voters(self) -> frozenset[str]:
+        return frozenset(core.ip for core in self.control_nodes() if self.is_responsive(core.ip))
 
-    def lately(self, ip: str) -> bool:
-        return self.alive(ip)
+    def is_responsive(self, ip: str) -> bool:
+        return self.is_alive(ip)
 
-    def alive(self, ip: str) -> bool:
+    def is_alive(self, ip: str) -> bool:
         return ip == self.ip or ip in self.world.zones and self.world.hears(self.ip, ip)
 
     def contact_age_ms(self) -> int:
-        return 0 if self.in_touch() else 1 << 30
+        return 0 if self.has_quorum_contact() else 1 << 30
 
-    def in_touch(self) -> bool:
-        return 2 * sum(self.alive(ip) for ip in self.world.zones) > len(self.world.zones)
+    def has_quorum_contact(self) -> bool:
+        return 2 * sum(self.is_alive(ip) for ip in self.world.zones) > len(self.world.zones)
 
 
 class Node:
--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -165,14 +165,14 @@
 
     async def first(shelf: ReplicatedStore) -> int:
         heard: list[Item] = []
-        shelf.listen(heard.extend)
-        await shelf.put([Item("route", "r", (1, ""), b"{}")], 5)
+        shelf.subscribe(heard.extend)
+        await shelf.write([Item("route", "r", (1, ""), b"{}")], 5)
         assert [one.name for one in heard] == ["r"]
-        assert shelf.in_touch() and [core.ip for core in shelf.cores()] == [IP]
+        assert shelf.has_quorum_contact() and [core.ip for core in shelf.control_nodes()] == [IP]
         return int(await shelf.change("n/1", add, 5)) + int(await shelf.change("n/1", add, 5))
 
     async def second(shelf: ReplicatedStore) -> int:
-        await shelf.freshen(5)
+        await shelf.read_quorum(5)
         assert ("route", "r") in shelf.items()
         return int(await shelf.change("n/1", add, 5))
 
--- a/tests/test_system_distribution.py
+++ b/tests/test_system_distribution.py
@@ -42,7 +42,7 @@
 
 async def route(world: World, service: str, *homes: str, name: str = "r") -> None:
     body = {"Name": name, "Service": service, "TargetMs": 500, "ServingRegions": homes}
-    await world.nodes["3"].ledger.put([Item(ROUTE, name, (1, ""), msgspec.json.encode(body))], 1)
+    await world.nodes["3"].ledger.write([Item(ROUTE, name, (1, ""), msgspec.json.encode(body))], 1)
 
 
 async def serve(world: World, counts: dict[str, int], *homes: str, full: float = 0.41, **rates: int) -> None:
@@ -151,7 +151,7 @@
     await world.run(2.5)
     assert "a1.0" in tables(world)["a1"]
     for version, body in ((1, b"true"), (2, b"false")):
-        await world.nodes["2"].ledger.put([Item(ZONE, "a1", (version, ""), body)], 1)
+        await world.nodes["2"].ledger.write([Item(ZONE, "a1", (version, ""), body)], 1)
         await world.run(2)
         shut = not any(id.startswith("a1") for ids in tables(world).values() for id in ids)
         assert shut == (body == b"true")
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -26,7 +26,7 @@
 def test_an_owner_that_gives_no_outcomes_is_passed_over_for_a_second_although_its_beats_come() -> None:
     async def story(world: World) -> None:
         owner, other, entry = order("n/n")
-        world.ledgers[entry].lately = lambda ip: True  # type: ignore[method-assign]
+        world.ledgers[entry].is_responsive = lambda ip: True  # type: ignore[method-assign]
         world.lose(owner)
         assert await number(world, entry) == 504
         begun = world.loop.now
--- a/tests/test_system_processes_unit.py
+++ b/tests/test_system_processes_unit.py
@@ -20,7 +20,7 @@
     made = object.__new__(ControlNode)
     for name in (*PARTS, "links", "log"):
         setattr(made, name, Mock())
-    made.store.cores.return_value = ()  # type: ignore[attr-defined]
+    made.store.control_nodes.return_value = ()  # type: ignore[attr-defined]
     made.settings = SimpleNamespace(seed_ips=())  # type: ignore[assignment]
     made.settings_watch = SimpleNamespace(has_changed=lambda: False)  # type: ignore[assignment]
     return made
