--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -10,15 +10,15 @@
 import msgspec
 
 from ambershift.system.control_api import asgi, log_events
-from ambershift.system.control_api.configuration_calls import MODIFY, ConfigurationCalls
-from ambershift.system.control_api.coordination_calls import Applications
+from ambershift.system.control_api.configuration_calls import MODIFY_CONFIGURATION, ConfigurationCalls
+from ambershift.system.control_api.coordination_calls import CoordinationCalls
 from ambershift.system.control_api.evacuations import Evacuations
-from ambershift.system.control_api.forwarding import REFUSED, Forwarding
+from ambershift.system.control_api.forwarding import NOT_APPLIED, Forwarding
 from ambershift.system.control_api.pause_detector import PauseDetector
-from ambershift.system.control_api.pending_calls import OpenCalls, Sender
-from ambershift.system.control_api.proposer_selection import Proposers
+from ambershift.system.control_api.pending_calls import PendingCalls, Sender
+from ambershift.system.control_api.proposer_selection import ProposerSelector
 from ambershift.system.control_api.registry_interface import Registry
-from ambershift.system.control_api.watches import WATCH, Watches
+from ambershift.system.control_api.watches import WATCH_OPERATION, Watches
 from ambershift.system.coordination.calls import MAX_BODY_BYTES, PARSERS, SNAPSHOT_GROUP
 from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.coordination.request_fields import InvalidCallError, parse_body
@@ -28,14 +28,18 @@
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
-RPC, NUMBERS, WATCHES = "/ambershift/rpc", "/ambershift/numbers/", "/ambershift/watch/"
-RESOLUTION = "/ambershift/resolution"
-MEMBERS = "/ambershift/members"
-CONFIGURATION_MOST = 64 << 20
-FRONTS_MOST = 64
-TTL = 2.0
-WAIT_MOST = 60_000  # ms
-HISTORY_MARGIN = 10.0  # Seconds beyond `HistoryS`, as answers may be late.
+RPC_PATH, NUMBERS_PATH_PREFIX, WATCH_PATH_PREFIX = (
+    "/ambershift/rpc",
+    "/ambershift/numbers/",
+    "/ambershift/watch/",
+)
+RESOLUTION_PATH = "/ambershift/resolution"
+MEMBERS_PATH = "/ambershift/members"
+MAX_CONFIGURATION_BYTES = 64 << 20
+MAX_RESOLVED_ADDRESSES = 64
+RESOLUTION_TTL_S = 2.0
+MAX_WAIT_MS = 60_000  # ms
+HISTORY_MARGIN_S = 10.0  # Seconds beyond `HistoryS`, as answers may be late.
 
 Log = Callable[[int, dict[str, Any]], None]
 
@@ -53,144 +57,150 @@
         steady: Callable[[], int],
         send: Sender,
         log: Log,
-        begin: int | None = None,
+        first_call_number: int | None = None,
     ) -> None:
         self._settings, self._ledger, self._registry = settings, ledger, registry
         self._steady, self._log = steady, log
-        open_calls = OpenCalls(send, secrets.randbits(62) if begin is None else begin)
-        proposers = Proposers(ledger, settings.ip, steady)
-        ages = RevisionAges(int((settings.bounds.history + HISTORY_MARGIN) * NS_PER_SECOND))
-        self._open_calls, self._pauses = open_calls, PauseDetector()
+        open_calls = PendingCalls(
+            send, secrets.randbits(62) if first_call_number is None else first_call_number
+        )
+        proposers = ProposerSelector(ledger, settings.ip, steady)
+        ages = RevisionAges(int((settings.bounds.history + HISTORY_MARGIN_S) * NS_PER_SECOND))
+        self._open_calls, self._pause_detector = open_calls, PauseDetector()
         forwarding = Forwarding(ledger, settings.ip, steady, open_calls, proposers, log)
         self._configuration = ConfigurationCalls(ledger, steady, send, open_calls, forwarding, log)
         self._evacuations = Evacuations(settings, ledger, steady, log)
         self._watches = Watches(ledger, settings.ip, steady, send, open_calls, proposers, ages)
-        self._applications = Applications(
+        self._coordination = CoordinationCalls(
             ledger, settings.ip, steady, send, open_calls, proposers, forwarding, ages, log, self._watches
         )
-        self._watches.serve(self._applications)
+        self._watches.serve(self._coordination)
         self._tasks: set[asyncio.Task[None]] = set()
 
     def tick(self) -> None:
         """Notices when the process was stopped, and looks after watches."""
-        stopped = self._pauses.beat(self._steady())
+        stopped = self._pause_detector.tick(self._steady())
         if stopped:
-            self._log(log_events.WOKEN, {"stopped_ms": stopped // NS_PER_MS})
+            self._log(log_events.PROCESS_RESUMED, {"stopped_ms": stopped // NS_PER_MS})
         self._watches.tick()
 
     def close(self) -> None:
         """The process is about to end: answer all that only waits."""
         self._watches.close()
 
-    def hear(self, sender: str, message: msgspec.Struct) -> None:
+    def handle_message(self, sender: str, message: msgspec.Struct) -> None:
         """A message of `messages.forwarding` from another control node."""
         if isinstance(message, ForwardedCall):
-            self._spawn(self._bearer(message.operation).carry_out(sender, message))
+            self._start_task(self._handler_of(message.operation).handle_forwarded(sender, message))
         elif isinstance(message, ForwardedResponse):
-            self._open_calls.settle(sender, message)
+            self._open_calls.complete(sender, message)
         elif isinstance(message, GroupChanged):
-            self._spawn(self._watches.stirred(sender, message))
+            self._start_task(self._watches.handle_group_changed(sender, message))
 
-    def _bearer(self, name: str) -> Watches | ConfigurationCalls | Applications:
+    def _handler_of(self, name: str) -> Watches | ConfigurationCalls | CoordinationCalls:
         """Who carries a forwarded call of that name out."""
-        if name == WATCH:
+        if name == WATCH_OPERATION:
             return self._watches
-        return self._configuration if name == MODIFY else self._applications
+        return self._configuration if name == MODIFY_CONFIGURATION else self._coordination
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_finished)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_finished(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (why := task.exception()) is not None:
-            self._log(log_events.FAILED, {"on": "forwarded call", "error": repr(why)[:200]})
+            self._log(log_events.INTERNAL_ERROR, {"on": "forwarded call", "error": repr(why)[:200]})
 
     async def __call__(self, scope: asgi.Scope, receive: asgi.Receive, send: asgi.Send) -> None:
         if scope["type"] != "http":
             return  # The shell asks uvicorn for neither lifespan nor websockets.
         try:
             found = await self._route(scope, receive)
-        except asgi.TooLargeError:
+        except asgi.BodyTooLargeError:
             found = json_reply(413, Cause="the body is too large")
         except InvalidCallError as why:
             found = json_reply(400, Cause=f"{why.field}: {why.reason}")
-        except asgi.GoneError:
+        except asgi.CallerDisconnectedError:
             return
         except Exception as why:  # The caller must hear something; 500 promises nothing.
-            self._log(log_events.FAILED, {"on": scope["path"][:80], "error": repr(why)[:200]})
+            self._log(log_events.INTERNAL_ERROR, {"on": scope["path"][:80], "error": repr(why)[:200]})
             found = json_reply(500, Cause="failed")
-        await asgi.answer(send, found)
+        await asgi.send_reply(send, found)
 
     async def _route(self, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
         path, method = scope["path"], scope["method"]
-        if path == RPC:
+        if path == RPC_PATH:
             if method != "POST":
                 return json_reply(405)
-            asked = asgi.query(scope)
-            return await self._rpc(asked.get("call", ""), asked.get("of", ""), scope, receive)
-        if path.startswith(NUMBERS):
+            asked = asgi.query_parameters(scope)
+            return await self._dispatch_rpc(asked.get("call", ""), asked.get("of", ""), scope, receive)
+        if path.startswith(NUMBERS_PATH_PREFIX):
             if method != "POST":
                 return json_reply(405)
-            return await self._ask("numbers", path.removeprefix(NUMBERS), scope, receive)
-        if path.startswith(WATCHES):
+            return await self._coordination_call(
+                "numbers", path.removeprefix(NUMBERS_PATH_PREFIX), scope, receive
+            )
+        if path.startswith(WATCH_PATH_PREFIX):
             return (
-                json_reply(405) if method != "GET" else await self._watch(scope, path.removeprefix(WATCHES))
+                json_reply(405)
+                if method != "GET"
+                else await self._handle_watch(scope, path.removeprefix(WATCH_PATH_PREFIX))
             )
-        if path == MEMBERS:
-            return json_reply(405) if method != "GET" else self._members()
-        if path == RESOLUTION:
-            return json_reply(405) if method != "GET" else self._resolution(asgi.query(scope))
+        if path == MEMBERS_PATH:
+            return json_reply(405) if method != "GET" else self._describe_members()
+        if path == RESOLUTION_PATH:
+            return json_reply(405) if method != "GET" else self._resolve(asgi.query_parameters(scope))
         return json_reply(404)
 
-    async def _rpc(self, name: str, of: str, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
+    async def _dispatch_rpc(self, name: str, of: str, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
         if name in PARSERS and name not in (SNAPSHOT_GROUP, "numbers"):
-            return await self._ask(name, of, scope, receive)
-        most = CONFIGURATION_MOST if name == MODIFY else MAX_BODY_BYTES
-        body = await asgi.read_whole(scope, receive, most)
+            return await self._coordination_call(name, of, scope, receive)
+        most = MAX_CONFIGURATION_BYTES if name == MODIFY_CONFIGURATION else MAX_BODY_BYTES
+        body = await asgi.read_body(scope, receive, most)
         if name == "instances.heartbeat":
             status, fields = await self._registry.heartbeat(of, parse_body(body))
             return json_reply(status, **fields)
         if name == "instances.deregister":
             status, fields = await self._registry.deregister(of)
             return json_reply(status, **fields)
-        if name == MODIFY:
+        if name == MODIFY_CONFIGURATION:
             return await self._configuration.modify(body)
         if name == "configuration.retrieve":
             return await self._configuration.retrieve()
         if name in ("evacuation.initiate", "evacuation.terminate"):
             # A late one would undo what was ordered since, and no version tells that it is late.
-            await asgi.still_there(receive)
-            if self._pauses.stale(self._steady()):
-                return REFUSED
-            return await self._evacuations.evacuate(of, name == "evacuation.initiate")
+            await asgi.ensure_connected(receive)
+            if self._pause_detector.is_stale(self._steady()):
+                return NOT_APPLIED
+            return await self._evacuations.set_evacuated(of, name == "evacuation.initiate")
         return json_reply(404)
 
-    async def _ask(self, name: str, of: str, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
-        body = await asgi.read_whole(scope, receive, MAX_BODY_BYTES)
-        if self._pauses.stale(self._steady()):
-            return REFUSED
-        return await self._applications.ask(name, of, body)
+    async def _coordination_call(self, name: str, of: str, scope: asgi.Scope, receive: asgi.Receive) -> Reply:
+        body = await asgi.read_body(scope, receive, MAX_BODY_BYTES)
+        if self._pause_detector.is_stale(self._steady()):
+            return NOT_APPLIED
+        return await self._coordination.execute(name, of, body)
 
-    async def _watch(self, scope: asgi.Scope, name: str) -> Reply:
-        asked = asgi.query(scope)
+    async def _handle_watch(self, scope: asgi.Scope, name: str) -> Reply:
+        asked = asgi.query_parameters(scope)
         try:
             after, wait = int(asked.get("after", "0")), int(asked.get("WaitMs", "0"))
         except ValueError:
             return json_reply(400, Cause="after or WaitMs: is not a whole number")
         if not name or after < 0:
             return json_reply(400, Cause="after: is below 0, or the group has no name")
-        return await self._watches.watch(name, after, min(max(wait, 0), WAIT_MOST) * NS_PER_MS)
+        return await self._watches.watch(name, after, min(max(wait, 0), MAX_WAIT_MS) * NS_PER_MS)
 
-    def _members(self) -> Reply:
+    def _describe_members(self) -> Reply:
         """For operators: who votes, and how many copies are complete, as this machine sees it."""
         found = self._ledger.membership_status()
         return (
             json_reply(503, Cause="not started") if found is None else Reply(200, msgspec.json.encode(found))
         )
 
-    def _resolution(self, asked: dict[str, str]) -> Reply:
+    def _resolve(self, asked: dict[str, str]) -> Reply:
         addresses = list(
             self._registry.proxy_addresses(
                 asked.get("Region", ""), asked.get("Zone", ""), asked.get("Name", "")
@@ -199,5 +209,7 @@
         if not addresses:
             return json_reply(503, Cause="no proxy is known yet")
         return json_reply(
-            200, Addresses=addresses[:FRONTS_MOST], TtlS=min(TTL, self._settings.bounds.ttl_most)
+            200,
+            Addresses=addresses[:MAX_RESOLVED_ADDRESSES],
+            TtlS=min(RESOLUTION_TTL_S, self._settings.bounds.ttl_most),
         )
--- a/ambershift/system/control_api/asgi.py
+++ b/ambershift/system/control_api/asgi.py
@@ -10,7 +10,7 @@
 
 from ambershift.system.coordination.replies import Reply
 
-LINGER = 0.03  # Seconds.
+DISCONNECT_WAIT_S = 0.03  # Seconds.
 
 Scope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
@@ -18,53 +18,53 @@
 
 
 @dataclass(eq=False)
-class TooLargeError(Exception):
+class BodyTooLargeError(Exception):
     """The body goes over the bound (bytes)."""
 
-    most: int
+    limit_bytes: int
 
 
 @dataclass(eq=False)
-class GoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has closed its connection before its body was whole."""
 
 
-def query(scope: Scope) -> dict[str, str]:
+def query_parameters(scope: Scope) -> dict[str, str]:
     return dict(parse_qsl(scope["query_string"].decode("latin-1"), keep_blank_values=True))
 
 
-async def read_whole(scope: Scope, receive: Receive, most: int) -> bytes:
+async def read_body(scope: Scope, receive: Receive, most: int) -> bytes:
     """Raises `TooLargeError` (without reading on) or `GoneError`."""
     for name, value in scope["headers"]:
         if name == b"content-length" and value.isdigit() and int(value) > most:
-            raise TooLargeError(most)
+            raise BodyTooLargeError(most)
     parts: list[bytes] = []
     size = 0
     more = True
     while more:
         message = await receive()
         if message["type"] != "http.request":
-            raise GoneError
+            raise CallerDisconnectedError
         parts.append(message.get("body", b""))
         size += len(parts[-1])
         if size > most:
-            raise TooLargeError(most)
+            raise BodyTooLargeError(most)
         more = message.get("more_body", False)
     return b"".join(parts)
 
 
-async def still_there(receive: Receive) -> None:
+async def ensure_connected(receive: Receive) -> None:
     """Raises `GoneError` where the caller closed its connection right after its request, or long before now:
     a cut may hold up both, and then they come together."""
     try:
-        async with asyncio.timeout(LINGER):
+        async with asyncio.timeout(DISCONNECT_WAIT_S):
             await receive()
     except TimeoutError:
         return
-    raise GoneError
+    raise CallerDisconnectedError
 
 
-async def answer(send: Send, reply: Reply) -> None:
+async def send_reply(send: Send, reply: Reply) -> None:
     headers = [(b"content-length", b"%d" % len(reply.body))]
     if reply.body:
         headers.append((b"content-type", b"application/json"))
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -28,22 +28,24 @@
 from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.configuration.layout import write_back
 from ambershift.system.control_api import log_events
-from ambershift.system.control_api.forwarding import Asked, Forwarding
-from ambershift.system.control_api.pending_calls import OpenCalls, Sender
+from ambershift.system.control_api.forwarding import Forwarding, OutgoingCall
+from ambershift.system.control_api.pending_calls import PendingCalls, Sender
 from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
 from ambershift.system.messages import forwarding as messages
 from ambershift.system.messages.items import Item
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
-MODIFY = "configuration.modify"  # The protocol's name of a change, and that of its forwarded call.
-PATIENCE = 850 * NS_PER_MS  # A caller gives up after one second of silence.
-PATIENCE_MOST = 3 * NS_PER_SECOND
-PATIENCE_ITEM = 2 * NS_PER_MS  # Callers wait longer for large bodies.
-NAMED_MOST = 20  # Faults and items that an answer names.
+MODIFY_CONFIGURATION = (
+    "configuration.modify"  # The protocol's name of a change, and that of its forwarded call.
+)
+CALL_TIMEOUT_NS = 850 * NS_PER_MS  # A caller gives up after one second of silence.
+MAX_CALL_TIMEOUT_NS = 3 * NS_PER_SECOND
+TIMEOUT_PER_ITEM_NS = 2 * NS_PER_MS  # Callers wait longer for large bodies.
+MAX_NAMED_ITEMS = 20  # Faults and items that an answer names.
 
-UNCLEAR = json_reply(504, Cause="may have been taken or not; send it again")
-NOT_DONE = json_reply(503, Cause="not done; send it again")
+OUTCOME_UNKNOWN = json_reply(504, Cause="may have been taken or not; send it again")
+NOT_APPLIED = json_reply(503, Cause="not done; send it again")
 
 
 class ConfigurationCalls:
@@ -52,7 +54,7 @@
         ledger: ReplicatedState,
         steady: Callable[[], int],
         send: Sender,
-        open_calls: OpenCalls,
+        open_calls: PendingCalls,
         forwarding: Forwarding,
         log: Callable[[int, dict[str, Any]], None],
     ) -> None:
@@ -66,102 +68,108 @@
         try:
             order = read_order(body)
         except InvalidError as why:
-            return self._invalid(why.faults)
-        patience = min(PATIENCE_MOST, PATIENCE + PATIENCE_ITEM * len(order.items))
-        asked = Asked(REGISTER, self._open_calls.number(), MODIFY, "", body)
-        return await self._forwarding.ask(asked, begun + patience, lambda until: self._propose(order, until))
+            return self._invalid_reply(why.faults)
+        patience = min(MAX_CALL_TIMEOUT_NS, CALL_TIMEOUT_NS + TIMEOUT_PER_ITEM_NS * len(order.items))
+        asked = OutgoingCall(REGISTER, self._open_calls.next_number(), MODIFY_CONFIGURATION, "", body)
+        return await self._forwarding.execute(
+            asked, begun + patience, lambda until: self._propose(order, until)
+        )
 
-    async def carry_out(self, sender: str, forwarded: messages.ForwardedCall) -> None:
+    async def handle_forwarded(self, sender: str, forwarded: messages.ForwardedCall) -> None:
         """A change that another machine was asked for; its outcome goes back whatever it is."""
         until = self._steady() + forwarded.remaining_ms * NS_PER_MS
         try:
             order = read_order(forwarded.body)
-            answer = await self._propose(order, until) if await self._forwarding.in_touch() else NOT_DONE
+            answer = (
+                await self._propose(order, until)
+                if await self._forwarding.wait_for_contact()
+                else NOT_APPLIED
+            )
         except InvalidError as why:
-            answer = self._invalid(why.faults)
+            answer = self._invalid_reply(why.faults)
         self._send(sender, messages.ForwardedResponse(forwarded.number, answer.status, answer.body))
 
     async def _propose(self, order: Order, until: int) -> Reply:
         """Have the change agreed and stored through this machine."""
         proposal = Proposal(order, self._progress, self._ledger.items())
         try:
-            outcome = await self._agreed(proposal, until)
+            outcome = await self._agree(proposal, until)
         except OutcomeUnknownError as why:
-            return self._unclear(why.reason, len(order.items))
+            return self._outcome_unknown_reply(why.reason, len(order.items))
         except NotAppliedError as why:
             if proposal.tried:
-                return self._unclear(why.reason, len(order.items))
-            self._log(log_events.CONFIGURATION_UNCLEAR, {"reason": why.reason, "items": 0})
-            return NOT_DONE
+                return self._outcome_unknown_reply(why.reason, len(order.items))
+            self._log(log_events.CONFIGURATION_OUTCOME_UNKNOWN, {"reason": why.reason, "items": 0})
+            return NOT_APPLIED
         if isinstance(outcome, Conflict):
-            return self._conflict(outcome)
+            return self._conflict_reply(outcome)
         if isinstance(outcome, Invalid):
-            return self._invalid(outcome.faults)
+            return self._invalid_reply(outcome.faults)
         if isinstance(outcome, BelowFloor):
-            return self._below_floor(outcome)
+            return self._below_floor_reply(outcome)
         try:
-            await self._stored(outcome, until)
+            await self._store(outcome, until)
         except (OutcomeUnknownError, NotAppliedError) as why:
-            return self._unclear(why.reason, len(order.items))
-        self._log(log_events.CONFIGURATION_TAKEN, {"items": len(order.items)})
+            return self._outcome_unknown_reply(why.reason, len(order.items))
+        self._log(log_events.CONFIGURATION_APPLIED, {"items": len(order.items)})
         return json_reply(200)
 
-    async def _agreed(self, proposal: Proposal, until: int) -> Accepted | Conflict | Invalid | BelowFloor:
+    async def _agree(self, proposal: Proposal, until: int) -> Accepted | Conflict | Invalid | BelowFloor:
         """Raises `OutcomeUnknownError`, or `NotAppliedError` where the last try did nothing."""
         while True:
-            outcome: Outcome = await self._ledger.change(REGISTER, proposal, self._left(until))
+            outcome: Outcome = await self._ledger.change(REGISTER, proposal, self._remaining_s(until))
             if not isinstance(outcome, Behind):
                 return outcome
             try:
-                await self._ledger.read_quorum(self._left(until))
+                await self._ledger.read_quorum(self._remaining_s(until))
             except OutcomeUnknownError as why:
                 raise NotAppliedError(why.reason) from why
             self._progress.has_read(outcome.settled)
 
-    async def _stored(self, outcome: Accepted, until: int) -> None:
+    async def _store(self, outcome: Accepted, until: int) -> None:
         if outcome.to_store:
-            await self._ledger.write(outcome.to_store, self._left(until))
+            await self._ledger.write(outcome.to_store, self._remaining_s(until))
         self._progress.has_stored(outcome.end)
 
-    def _left(self, until: int) -> float:
+    def _remaining_s(self, until: int) -> float:
         """Seconds. Raises `NotAppliedError` where none are left."""
         left = until - self._steady()
         if left <= 0:
             raise NotAppliedError("no time is left")
         return left / NS_PER_SECOND
 
-    def _invalid(self, faults: tuple[Fault, ...]) -> Reply:
-        reason = "; ".join(map(str, faults[:NAMED_MOST]))
+    def _invalid_reply(self, faults: tuple[Fault, ...]) -> Reply:
+        reason = "; ".join(map(str, faults[:MAX_NAMED_ITEMS]))
         self._log(log_events.CONFIGURATION_INVALID, {"reason": reason})
         return json_reply(400, Cause=reason)
 
-    def _conflict(self, conflict: Conflict) -> Reply:
-        reason = "; ".join(map(_conflicting, conflict.items[:NAMED_MOST])) or str(REFUSED_BEFORE)
+    def _conflict_reply(self, conflict: Conflict) -> Reply:
+        reason = "; ".join(map(_describe_conflict, conflict.items[:MAX_NAMED_ITEMS])) or str(REFUSED_BEFORE)
         self._log(log_events.CONFIGURATION_CONFLICT, {"reason": reason})
         return json_reply(409, Cause=reason)
 
-    def _below_floor(self, outcome: BelowFloor) -> Reply:
-        names = ", ".join(f"{one.kind} {one.name}" for one in outcome.items[:NAMED_MOST])
+    def _below_floor_reply(self, outcome: BelowFloor) -> Reply:
+        names = ", ".join(f"{one.kind} {one.name}" for one in outcome.items[:MAX_NAMED_ITEMS])
         reason = (
             f"{names}: not held; drops up to r{outcome.floor} are forgotten: send it under a higher version"
         )
-        self._log(log_events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": len(outcome.items)})
+        self._log(log_events.CONFIGURATION_OUTCOME_UNKNOWN, {"reason": reason, "items": len(outcome.items)})
         return json_reply(503, Cause=reason)
 
-    def _unclear(self, reason: str, items: int) -> Reply:
-        self._log(log_events.CONFIGURATION_UNCLEAR, {"reason": reason, "items": items})
-        return UNCLEAR
+    def _outcome_unknown_reply(self, reason: str, items: int) -> Reply:
+        self._log(log_events.CONFIGURATION_OUTCOME_UNKNOWN, {"reason": reason, "items": items})
+        return OUTCOME_UNKNOWN
 
     async def retrieve(self) -> Reply:
         """All items that stand, as a majority of the stores has them now."""
         if not self._ledger.has_quorum_contact():
-            return NOT_DONE
+            return NOT_APPLIED
         try:
-            await self._ledger.read_quorum(PATIENCE / NS_PER_SECOND)
+            await self._ledger.read_quorum(CALL_TIMEOUT_NS / NS_PER_SECOND)
         except OutcomeUnknownError:
-            return NOT_DONE
+            return NOT_APPLIED
         return Reply(200, msgspec.json.encode(write_back(self._ledger.items())))
 
 
-def _conflicting(item: Item) -> str:
+def _describe_conflict(item: Item) -> str:
     return f"{item.kind} {item.name}: ConfigVersion: r{item.version[0]} stands for another content"
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ambershift.system.control_api import log_events
-from ambershift.system.control_api.configuration_calls import NOT_DONE, PATIENCE, UNCLEAR
+from ambershift.system.control_api.configuration_calls import CALL_TIMEOUT_NS, NOT_APPLIED, OUTCOME_UNKNOWN
 from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
 from ambershift.system.messages.items import ZONE, Item
@@ -24,33 +24,35 @@
         log: Callable[[int, dict[str, Any]], None],
     ) -> None:
         self._settings, self._ledger, self._steady, self._log = settings, ledger, steady, log
-        self._evacuating = asyncio.Lock()
+        self._write_lock = asyncio.Lock()
         self._counters: dict[str, int] = {}
 
-    async def evacuate(self, zone: str, out: bool) -> Reply:
+    async def set_evacuated(self, zone: str, evacuated: bool) -> Reply:
         """Send nothing more to a zone's backends, or (`out` False) send there again."""
         if zone not in self._settings.zones:
             return json_reply(404, Cause="no such zone")
         if not self._ledger.has_quorum_contact():
-            return NOT_DONE
+            return NOT_APPLIED
         begun = self._steady()
         try:
-            async with asyncio.timeout(PATIENCE / NS_PER_SECOND), self._evacuating:
-                await self._ledger.read_quorum((begun + PATIENCE - self._steady()) / NS_PER_SECOND)
-                item = self._evacuation(zone, out)
+            async with asyncio.timeout(CALL_TIMEOUT_NS / NS_PER_SECOND), self._write_lock:
+                await self._ledger.read_quorum((begun + CALL_TIMEOUT_NS - self._steady()) / NS_PER_SECOND)
+                item = self._next_item(zone, evacuated)
         except (TimeoutError, OutcomeUnknownError):
-            return NOT_DONE
+            return NOT_APPLIED
         try:
-            await self._ledger.write([item], (begun + PATIENCE - self._steady()) / NS_PER_SECOND)
+            await self._ledger.write([item], (begun + CALL_TIMEOUT_NS - self._steady()) / NS_PER_SECOND)
         except OutcomeUnknownError as why:
-            self._log(log_events.EVACUATION_UNCLEAR, {"zone": zone, "out": out, "reason": why.reason})
-            return UNCLEAR
+            self._log(
+                log_events.EVACUATION_OUTCOME_UNKNOWN, {"zone": zone, "out": evacuated, "reason": why.reason}
+            )
+            return OUTCOME_UNKNOWN
         except NotAppliedError:
-            return NOT_DONE
-        self._log(log_events.EVACUATION_TAKEN, {"zone": zone, "out": out})
+            return NOT_APPLIED
+        self._log(log_events.EVACUATION_APPLIED, {"zone": zone, "out": evacuated})
         return json_reply(200)
 
-    def _evacuation(self, zone: str, out: bool) -> Item:
+    def _next_item(self, zone: str, out: bool) -> Item:
         """Above all that was acknowledged, and above all that this machine has ever made."""
         held = self._ledger.items().get((ZONE, zone))
         counter = max(held.version[0] if held else 0, self._counters.get(zone, 0)) + 1
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -191,7 +191,7 @@
         elif owner == replication.__name__:
             self.store.hear(caller.name, message)
         elif owner == forwarding.__name__:
-            self.control_api.hear(caller.name, message)
+            self.control_api.handle_message(caller.name, message)
         elif owner == registry_sync.__name__:
             self.registry.receive(caller.name, message)
             self.controller.hear_core(caller.name, message)
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -182,7 +182,10 @@
                 process.control_api.tick()
             elif isinstance(event, MessageReceived):
                 copied = type(event.message).__module__ == replication.__name__
-                (process.store if copied else process.control_api).hear(event.sender, event.message)
+                if copied:
+                    process.store.hear(event.sender, event.message)
+                else:
+                    process.control_api.handle_message(event.sender, event.message)
             elif isinstance(event, WriteCompleted):
                 process.bottom.done(event.token, event.fault)
             elif isinstance(event, Arrived):
--- a/ambershift/system/simulation/configuration_mistakes.py
+++ b/ambershift/system/simulation/configuration_mistakes.py
@@ -8,7 +8,11 @@
 from ambershift.system.configuration import agreement
 from ambershift.system.configuration.change_request import read_order
 from ambershift.system.configuration.errors import InvalidError
-from ambershift.system.control_api.configuration_calls import PATIENCE, UNCLEAR, ConfigurationCalls
+from ambershift.system.control_api.configuration_calls import (
+    CALL_TIMEOUT_NS,
+    OUTCOME_UNKNOWN,
+    ConfigurationCalls,
+)
 from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError
 
@@ -19,19 +23,19 @@
     """By the newest copies and at the machine that was asked: two machines may decide at once."""
 
     async def modify(self: ConfigurationCalls, body: bytes) -> Reply:
-        until = self._steady() + PATIENCE
+        until = self._steady() + CALL_TIMEOUT_NS
         try:
             order = read_order(body)
-            await self._ledger.read_quorum(self._left(until))
+            await self._ledger.read_quorum(self._remaining_s(until))
             start, progress = agreement.Agreement(0, ()), agreement.Progress()
             _, outcome = agreement.decide(order, start, progress, self._ledger.items())
             if isinstance(outcome, agreement.Accepted):
-                await self._stored(outcome, until)
+                await self._store(outcome, until)
                 return json_reply(200)
         except (OutcomeUnknownError, NotAppliedError):
-            return UNCLEAR
+            return OUTCOME_UNKNOWN
         except InvalidError as why:
-            return self._invalid(why.faults)
+            return self._invalid_reply(why.faults)
         return json_reply(409 if isinstance(outcome, agreement.Conflict) else 400)
 
     return modify
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -136,17 +136,17 @@
 
 def nothing_from_memory(real: Any) -> Any:
     async def nothing(self: watches.Watches, name: str, after: int) -> Any:
-        return watches.nothing(after)
+        return watches.no_events_reply(after)
 
     return nothing
 
 
 def told_before_held(real: Any) -> Any:
-    async def propose(self: coordination_calls.Applications, call: Any, until: int) -> Any:
+    async def propose(self: coordination_calls.CoordinationCalls, call: Any, until: int) -> Any:
         def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
             verdict: ChangeOutcome = call.change(value, since, now)
             if verdict.result.group is not None:
-                self._news.learn(call.register.removeprefix("g/"), verdict.result.group)
+                self._news.group_read(call.register.removeprefix("g/"), verdict.result.group)
             return verdict
 
         return await real(self, RegisterCall(call.register, change), until)
@@ -157,7 +157,7 @@
 def however_late(real: Any) -> Any:
     async def rpc(self: application.ControlApi, name: str, of: str, scope: Any, receive: Any) -> Any:
         if name.startswith("evacuation."):
-            return await self._evacuations.evacuate(of, name == "evacuation.initiate")
+            return await self._evacuations.set_evacuated(of, name == "evacuation.initiate")
         return await real(self, name, of, scope, receive)
 
     return rpc
--- a/ambershift/system/simulation/variants_configuration.py
+++ b/ambershift/system/simulation/variants_configuration.py
@@ -38,7 +38,7 @@
         "CONFIG",
         "a change is acknowledged before a majority stores it",
         configuration_calls.ConfigurationCalls,
-        "_stored",
+        "_store",
         configuration_mistakes.acknowledged_before_stored,
     ),
     of(
@@ -46,7 +46,7 @@
         "CONFIG",
         "items are no longer listed though no majority is known to store them",
         configuration_calls.ConfigurationCalls,
-        "_stored",
+        "_store",
         configuration_mistakes.counted_before_stored,
     ),
     of(
@@ -85,7 +85,7 @@
         "call-numbers-of-the-life-before",
         "ONE",
         "calls that are forwarded are numbered anew at each start",
-        pending_calls.OpenCalls,
+        pending_calls.PendingCalls,
         "__init__",
         mistakes.numbered_anew,
     ),
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -179,8 +179,8 @@
         "REFUSED",
         "an owner that stays silent counts as one that refused",
         forwarding,
-        "UNCLEAR",
-        lambda real: forwarding.REFUSED,
+        "OUTCOME_UNKNOWN",
+        lambda real: forwarding.NOT_APPLIED,
     ),
     of(
         "tombstone-dropped-early",
--- a/ambershift/system/simulation/variants_coordination.py
+++ b/ambershift/system/simulation/variants_coordination.py
@@ -105,14 +105,14 @@
         "STALE",
         "an empty span is told without asking the others",
         watches.Watches,
-        "_nothing",
+        "_confirm_no_events",
         coordination_mistakes.nothing_from_memory,
     ),
     of(
         "watch-told-before-held",
         "MIXED",
         "a watch tells what is proposed",
-        coordination_calls.Applications,
+        coordination_calls.CoordinationCalls,
         "propose",
         coordination_mistakes.told_before_held,
     ),
@@ -121,7 +121,7 @@
         "LOST",
         "an evacuation's version is the clock's",
         evacuations.Evacuations,
-        "_evacuation",
+        "_next_item",
         coordination_mistakes.by_the_time_of_day,
     ),
     of(
@@ -129,7 +129,7 @@
         "LOST",
         "an evacuation goes above what is known here",
         evacuations.Evacuations,
-        "evacuate",
+        "set_evacuated",
         coordination_mistakes.without_freshening,
     ),
     of(
@@ -145,7 +145,7 @@
         "LOST",
         "an order is done however late it is read",
         application.ControlApi,
-        "_rpc",
+        "_dispatch_rpc",
         coordination_mistakes.however_late,
     ),
     of(
@@ -153,7 +153,7 @@
         "WORTH",
         "what waited in a stopped process is done when it wakes",
         pause_detector.PauseDetector,
-        "stale",
+        "is_stale",
         constant(lambda self, now: False),
     ),
     of(
@@ -161,7 +161,7 @@
         "LOST",
         "an order is done though its caller has gone",
         asgi,
-        "still_there",
+        "ensure_connected",
         constant(coordination_mistakes.nobody_left),
     ),
 )
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.control_api.application import ControlApi
-from ambershift.system.control_api.proposer_selection import rank
+from ambershift.system.control_api.proposer_selection import rendezvous_score
 from ambershift.system.interfaces import ChangeFunction, NotAppliedError, OutcomeUnknownError
 from ambershift.system.messages.codec import decode, encode
 from ambershift.system.messages.items import Item, Key, newest
@@ -24,7 +24,7 @@
 
 def order(register: str) -> list[str]:
     """Who is to propose for a register, the first choice first."""
-    return sorted(IPS, key=lambda ip: rank(ip, register))
+    return sorted(IPS, key=lambda ip: rendezvous_score(ip, register))
 
 
 class _Jump(selectors.SelectSelector):
@@ -100,7 +100,7 @@
 
             def arrive() -> None:
                 if not {own, to} & self.lost.keys():
-                    self.machines[to].hear(own, decode(encode(message)))
+                    self.machines[to].handle_message(own, decode(encode(message)))
 
             if own not in self.lost:
                 self.loop.call_later(TRIP, arrive)
--- a/tests/test_system_control_api_faults.py
+++ b/tests/test_system_control_api_faults.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from ambershift.system.control_api.subscriptions import FRESH, Subscriptions
+from ambershift.system.control_api.subscriptions import FRESHNESS_NS, Subscriptions
 from ambershift.system.coordination.groups import Group, decode_group
 from tests.enquiring import IPS, TRIP, World, order, play
 
@@ -210,16 +210,20 @@
 
 def test_watched_groups_are_looked_at_when_they_may_have_changed() -> None:
     vigils = Subscriptions()
-    assert vigils.arrive(0, 1, "g.", 5, True) is None and vigils.stale(0, "g.")
+    assert vigils.subscribe(0, 1, "g.", 5, True) is None and vigils.needs_refresh(0, "g.")
     group = Group(5, 5, {}, ())
-    assert vigils.learn(0, "g.", group) == [] and not vigils.look(FRESH - 1)
-    assert vigils.look(FRESH) == ["g."]  # Word of a put may have been lost.
-    assert vigils.stirred("g.", 6) and not vigils.stirred("g.", 5) and not vigils.stirred("h.", 6)
-    assert [token for token, _ in vigils.learn(FRESH, "g.", group.put("g.a", "v", 0))] == [1]
-    vigils.arrive(FRESH, 2, "g.", 9, False)
-    assert not vigils.stale(FRESH, "g.")  # Another machine looks after it.
-    vigils.arrive(FRESH, 3, "g.", 9, True)
-    assert vigils.stale(FRESH, "g.")  # Its caller has seen more than is known here.
+    assert vigils.update(0, "g.", group) == [] and not vigils.groups_to_refresh(FRESHNESS_NS - 1)
+    assert vigils.groups_to_refresh(FRESHNESS_NS) == ["g."]  # Word of a put may have been lost.
+    assert (
+        vigils.first_missing_revision("g.", 6)
+        and not vigils.first_missing_revision("g.", 5)
+        and not vigils.first_missing_revision("h.", 6)
+    )
+    assert [token for token, _ in vigils.update(FRESHNESS_NS, "g.", group.put("g.a", "v", 0))] == [1]
+    vigils.subscribe(FRESHNESS_NS, 2, "g.", 9, False)
+    assert not vigils.needs_refresh(FRESHNESS_NS, "g.")  # Another machine looks after it.
+    vigils.subscribe(FRESHNESS_NS, 3, "g.", 9, True)
+    assert vigils.needs_refresh(FRESHNESS_NS, "g.")  # Its caller has seen more than is known here.
 
 
 def test_watches_end_as_they_should() -> None:
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -11,7 +11,7 @@
 from ambershift.system.consensus.acceptor import EMPTY_STATE
 from ambershift.system.consensus.effect_buffer import Held, Outbox
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.control_api.pending_calls import OpenCalls
+from ambershift.system.control_api.pending_calls import PendingCalls
 from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.forwarding import ForwardedResponse
 from ambershift.system.messages.replication import Accept, Acknowledgement, Prepare, Promise
@@ -63,16 +63,16 @@
 
 def test_an_outcome_counts_only_from_whom_the_call_was_handed_to_last() -> None:
     async def story() -> None:
-        open_calls = OpenCalls(lambda to, message: None, 7)
-        at = open_calls.number()
-        open_calls.hand("a", at, "numbers", "n", b"", 100).cancel()
+        open_calls = PendingCalls(lambda to, message: None, 7)
+        at = open_calls.next_number()
+        open_calls.forward("a", at, "numbers", "n", b"", 100).cancel()
         await asyncio.sleep(0)
-        second = open_calls.hand("b", at, "numbers", "n", b"", 100)
-        open_calls.settle(
+        second = open_calls.forward("b", at, "numbers", "n", b"", 100)
+        open_calls.complete(
             "a", ForwardedResponse(at, 503, b"")
         )  # Late: the forwarded call is with the other now.
         assert not second.done()
-        open_calls.settle("b", ForwardedResponse(at, 200, b"{}"))
+        open_calls.complete("b", ForwardedResponse(at, 200, b"{}"))
         assert (await second).status == 200
 
     asyncio.run(story())
