--- a/ambershift/system/control_api/asgi.py
+++ b/ambershift/system/control_api/asgi.py
@@ -1,4 +1,4 @@
-"""Reads the body of an ASGI request within a bound, and sends an answer."""
+"""Reads the body of an ASGI request within a bound, and sends a reply (ASGI 3.0, HTTP)."""
 
 from __future__ import annotations
 
@@ -10,52 +10,73 @@
 
 from ambershift.system.coordination.replies import Reply
 
-DISCONNECT_WAIT_S = 0.03  # Seconds.
+DISCONNECT_WAIT_S = 0.03
 
 Scope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
 Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 
 
+class RequestError(Exception):
+    """A request that can't be read; the base of this layer's exceptions."""
+
+
 @dataclass(eq=False)
-class BodyTooLargeError(Exception):
-    """The body goes over the bound (bytes)."""
+class BodyTooLargeError(RequestError):
+    """The body is larger than `limit_bytes`."""
 
     limit_bytes: int
 
+    def __str__(self) -> str:
+        return f"The body is larger than {self.limit_bytes} bytes."
 
-@dataclass(eq=False)
-class CallerDisconnectedError(Exception):
-    """The caller has closed its connection before its body was whole."""
+
+class CallerDisconnectedError(RequestError):
+    """The caller has closed its connection."""
+
+    def __str__(self) -> str:
+        return "The caller has closed its connection."
 
 
 def query_parameters(scope: Scope) -> dict[str, str]:
+    """The parameters of the query string; of a parameter that is repeated, the last."""
     return dict(parse_qsl(scope["query_string"].decode("latin-1"), keep_blank_values=True))
 
 
-async def read_body(scope: Scope, receive: Receive, most: int) -> bytes:
-    """Raises `TooLargeError` (without reading on) or `GoneError`."""
+async def read_body(scope: Scope, receive: Receive, limit_bytes: int) -> bytes:
+    """The complete body.
+
+    Raises:
+        BodyTooLargeError: It is larger than the limit; the rest isn't read.
+        CallerDisconnectedError: The connection was closed before the body was complete.
+    """
     for name, value in scope["headers"]:
-        if name == b"content-length" and value.isdigit() and int(value) > most:
-            raise BodyTooLargeError(most)
-    parts: list[bytes] = []
+        if name == b"content-length" and value.isdigit() and int(value) > limit_bytes:
+            raise BodyTooLargeError(limit_bytes)
+    chunks: list[bytes] = []
     size = 0
     more = True
     while more:
         message = await receive()
         if message["type"] != "http.request":
             raise CallerDisconnectedError
-        parts.append(message.get("body", b""))
-        size += len(parts[-1])
-        if size > most:
-            raise BodyTooLargeError(most)
+        chunks.append(message.get("body", b""))
+        size += len(chunks[-1])
+        if size > limit_bytes:
+            raise BodyTooLargeError(limit_bytes)
         more = message.get("more_body", False)
-    return b"".join(parts)
+    return b"".join(chunks)
 
 
 async def ensure_connected(receive: Receive) -> None:
-    """Raises `GoneError` where the caller closed its connection right after its request, or long before now:
-    a cut may hold up both, and then they come together."""
+    """Check that the caller is still there, after its request was read.
+
+    A network partition may delay both a request and the end of its connection, and then they come together:
+    this waits for a moment, so that the end is noticed although it is read after the request.
+
+    Raises:
+        CallerDisconnectedError: The caller closed its connection right after its request, or long ago.
+    """
     try:
         async with asyncio.timeout(DISCONNECT_WAIT_S):
             await receive()
@@ -65,6 +86,7 @@
 
 
 async def send_reply(send: Send, reply: Reply) -> None:
+    """Send status, headers and body."""
     headers = [(b"content-length", b"%d" % len(reply.body))]
     if reply.body:
         headers.append((b"content-type", b"application/json"))
--- a/ambershift/system/control_api/configuration_calls.py
+++ b/ambershift/system/control_api/configuration_calls.py
@@ -1,14 +1,13 @@
-"""The operator's configuration calls: changes, agreed as a whole before any copy holds them; the read-back.
+"""The operator's configuration calls: changes that are agreed as a whole, and reading the configuration back.
 
-A change goes to the machine that proposes for the configuration's register. It is acknowledged once it was
-agreed there and is in the stores of a majority. Sent again, at any machine and however late, it finds what
-was agreed; 409 and 400 are told of calls alone of which nothing was or will be in force.
+A change goes to the node that proposes for the configuration's register. It is acknowledged once it was
+agreed there and is stored by a majority. Sent again, at any node and however late, it finds what was agreed;
+409 and 400 are only replied to calls of which nothing was or will be in force.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from http import HTTPStatus
 
 import msgspec
 
@@ -28,147 +27,151 @@
 from ambershift.system.configuration.errors import Fault, InvalidError
 from ambershift.system.configuration.layout import write_back
 from ambershift.system.control_api import log_events
+from ambershift.system.control_api.context import NodeContext
 from ambershift.system.control_api.forwarding import Forwarding, OutgoingCall
-from ambershift.system.control_api.pending_calls import PendingCalls, Sender
+from ambershift.system.control_api.routes import MODIFY_CONFIGURATION
 from ambershift.system.coordination.replies import Reply, json_reply
-from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
-from ambershift.system.messages import forwarding as messages
+from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError
+from ambershift.system.messages.forwarding import ForwardedCall
 from ambershift.system.messages.items import Item
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
-MODIFY_CONFIGURATION = (
-    "configuration.modify"  # The protocol's name of a change, and that of its forwarded call.
-)
 CALL_TIMEOUT_NS = 850 * NS_PER_MS  # A caller gives up after one second of silence.
 MAX_CALL_TIMEOUT_NS = 3 * NS_PER_SECOND
 TIMEOUT_PER_ITEM_NS = 2 * NS_PER_MS  # Callers wait longer for large bodies.
-MAX_NAMED_ITEMS = 20  # Faults and items that an answer names.
+MAX_NAMED_ITEMS = 20  # A reply names so many faults or items.
+
+OUTCOME_UNKNOWN = json_reply(HTTPStatus.GATEWAY_TIMEOUT, Cause="may have been taken or not; send it again")
+NOT_APPLIED = json_reply(HTTPStatus.SERVICE_UNAVAILABLE, Cause="not done; send it again")
 
-OUTCOME_UNKNOWN = json_reply(504, Cause="may have been taken or not; send it again")
-NOT_APPLIED = json_reply(503, Cause="not done; send it again")
+Rejection = Conflict | Invalid | BelowFloor
 
 
 class ConfigurationCalls:
-    def __init__(
-        self,
-        ledger: ReplicatedState,
-        steady: Callable[[], int],
-        send: Sender,
-        open_calls: PendingCalls,
-        forwarding: Forwarding,
-        log: Callable[[int, dict[str, Any]], None],
-    ) -> None:
-        self._ledger, self._steady, self._send, self._log = ledger, steady, send, log
-        self._open_calls, self._forwarding = open_calls, forwarding
+    """Executes changes of the configuration, this node's callers' and other nodes', and reads it back."""
+
+    def __init__(self, context: NodeContext, forwarding: Forwarding) -> None:
+        self._store = context.store
+        self._monotonic_ns = context.monotonic_ns
+        self._log = context.log
+        self._forwarding = forwarding
         self._progress = Progress()
 
     async def modify(self, body: bytes) -> Reply:
-        """A change that was just read from its caller."""
-        begun = self._steady()
+        """Execute a change that was just read from its caller."""
+        started_at = self._monotonic_ns()
         try:
             order = read_order(body)
-        except InvalidError as why:
-            return self._invalid_reply(why.faults)
-        patience = min(MAX_CALL_TIMEOUT_NS, CALL_TIMEOUT_NS + TIMEOUT_PER_ITEM_NS * len(order.items))
-        asked = OutgoingCall(REGISTER, self._open_calls.next_number(), MODIFY_CONFIGURATION, "", body)
+        except InvalidError as error:
+            return self._invalid_reply(error.faults)
+        timeout_ns = min(MAX_CALL_TIMEOUT_NS, CALL_TIMEOUT_NS + TIMEOUT_PER_ITEM_NS * len(order.items))
+        number = self._forwarding.pending_calls.next_number()
+        call = OutgoingCall(REGISTER, number, MODIFY_CONFIGURATION, "", body)
         return await self._forwarding.execute(
-            asked, begun + patience, lambda until: self._propose(order, until)
+            call, started_at + timeout_ns, lambda deadline: self._propose(order, deadline)
         )
 
-    async def handle_forwarded(self, sender: str, forwarded: messages.ForwardedCall) -> None:
-        """A change that another machine was asked for; its outcome goes back whatever it is."""
-        until = self._steady() + forwarded.remaining_ms * NS_PER_MS
+    async def handle_forwarded(self, sender: str, forwarded: ForwardedCall) -> None:
+        """Execute a change that another node has forwarded; it gets a response whatever the outcome is."""
+        deadline = self._monotonic_ns() + forwarded.remaining_ms * NS_PER_MS
         try:
             order = read_order(forwarded.body)
-            answer = (
-                await self._propose(order, until)
-                if await self._forwarding.wait_for_contact()
-                else NOT_APPLIED
-            )
-        except InvalidError as why:
-            answer = self._invalid_reply(why.faults)
-        self._send(sender, messages.ForwardedResponse(forwarded.number, answer.status, answer.body))
-
-    async def _propose(self, order: Order, until: int) -> Reply:
-        """Have the change agreed and stored through this machine."""
-        proposal = Proposal(order, self._progress, self._ledger.items())
+            in_contact = await self._forwarding.wait_for_contact()
+            reply = await self._propose(order, deadline) if in_contact else NOT_APPLIED
+        except InvalidError as error:
+            reply = self._invalid_reply(error.faults)
+        self._forwarding.respond(sender, forwarded, reply)
+
+    async def _propose(self, order: Order, deadline: int) -> Reply:
+        """Have the change agreed and stored through this node."""
+        proposal = Proposal(order, self._progress, self._store.items())
         try:
-            outcome = await self._agree(proposal, until)
-        except OutcomeUnknownError as why:
-            return self._outcome_unknown_reply(why.reason, len(order.items))
-        except NotAppliedError as why:
-            if proposal.tried:
-                return self._outcome_unknown_reply(why.reason, len(order.items))
-            self._log(log_events.CONFIGURATION_OUTCOME_UNKNOWN, {"reason": why.reason, "items": 0})
+            outcome = await self._agree(proposal, deadline)
+        except OutcomeUnknownError as error:
+            return self._outcome_unknown_reply(error.reason, len(order.items))
+        except NotAppliedError as error:
+            if proposal.tried:  # An earlier attempt may have been agreed, though the last one was not.
+                return self._outcome_unknown_reply(error.reason, len(order.items))
+            self._log(log_events.CONFIGURATION_OUTCOME_UNKNOWN, {"reason": error.reason, "items": 0})
             return NOT_APPLIED
-        if isinstance(outcome, Conflict):
-            return self._conflict_reply(outcome)
-        if isinstance(outcome, Invalid):
-            return self._invalid_reply(outcome.faults)
-        if isinstance(outcome, BelowFloor):
-            return self._below_floor_reply(outcome)
+        if not isinstance(outcome, Accepted):
+            return self._rejection_reply(outcome)
         try:
-            await self._store(outcome, until)
-        except (OutcomeUnknownError, NotAppliedError) as why:
-            return self._outcome_unknown_reply(why.reason, len(order.items))
+            await self._store_items(outcome, deadline)
+        except (OutcomeUnknownError, NotAppliedError) as error:
+            return self._outcome_unknown_reply(error.reason, len(order.items))
         self._log(log_events.CONFIGURATION_APPLIED, {"items": len(order.items)})
-        return json_reply(200)
+        return json_reply(HTTPStatus.OK)
 
-    async def _agree(self, proposal: Proposal, until: int) -> Accepted | Conflict | Invalid | BelowFloor:
-        """Raises `OutcomeUnknownError`, or `NotAppliedError` where the last try did nothing."""
+    async def _agree(self, proposal: Proposal, deadline: int) -> Accepted | Rejection:
+        """Decide the change on the register, reading the store again while this node's copy is behind.
+
+        Raises:
+            OutcomeUnknownError: It may have been agreed.
+            NotAppliedError: The last attempt did nothing.
+        """
         while True:
-            outcome: Outcome = await self._ledger.change(REGISTER, proposal, self._remaining_s(until))
+            outcome: Outcome = await self._store.change(REGISTER, proposal, self._remaining_s(deadline))
             if not isinstance(outcome, Behind):
                 return outcome
             try:
-                await self._ledger.read_quorum(self._remaining_s(until))
-            except OutcomeUnknownError as why:
-                raise NotAppliedError(why.reason) from why
+                await self._store.read_quorum(self._remaining_s(deadline))
+            except OutcomeUnknownError as error:
+                raise NotAppliedError(error.reason) from error
             self._progress.has_read(outcome.settled)
 
-    async def _store(self, outcome: Accepted, until: int) -> None:
+    async def _store_items(self, outcome: Accepted, deadline: int) -> None:
         if outcome.to_store:
-            await self._ledger.write(outcome.to_store, self._remaining_s(until))
+            await self._store.write(outcome.to_store, self._remaining_s(deadline))
         self._progress.has_stored(outcome.end)
 
-    def _remaining_s(self, until: int) -> float:
-        """Seconds. Raises `NotAppliedError` where none are left."""
-        left = until - self._steady()
-        if left <= 0:
+    def _remaining_s(self, deadline: int) -> float:
+        """The time left in seconds. Raises `NotAppliedError` where none is."""
+        remaining_ns = deadline - self._monotonic_ns()
+        if remaining_ns <= 0:
             raise NotAppliedError("no time is left")
-        return left / NS_PER_SECOND
+        return remaining_ns / NS_PER_SECOND
+
+    def _rejection_reply(self, rejection: Rejection) -> Reply:
+        match rejection:
+            case Conflict():
+                return self._conflict_reply(rejection)
+            case Invalid():
+                return self._invalid_reply(rejection.faults)
+            case BelowFloor():
+                return self._below_floor_reply(rejection)
 
     def _invalid_reply(self, faults: tuple[Fault, ...]) -> Reply:
         reason = "; ".join(map(str, faults[:MAX_NAMED_ITEMS]))
         self._log(log_events.CONFIGURATION_INVALID, {"reason": reason})
-        return json_reply(400, Cause=reason)
+        return json_reply(HTTPStatus.BAD_REQUEST, Cause=reason)
 
     def _conflict_reply(self, conflict: Conflict) -> Reply:
         reason = "; ".join(map(_describe_conflict, conflict.items[:MAX_NAMED_ITEMS])) or str(REFUSED_BEFORE)
         self._log(log_events.CONFIGURATION_CONFLICT, {"reason": reason})
-        return json_reply(409, Cause=reason)
+        return json_reply(HTTPStatus.CONFLICT, Cause=reason)
 
     def _below_floor_reply(self, outcome: BelowFloor) -> Reply:
-        names = ", ".join(f"{one.kind} {one.name}" for one in outcome.items[:MAX_NAMED_ITEMS])
+        names = ", ".join(f"{item.kind} {item.name}" for item in outcome.items[:MAX_NAMED_ITEMS])
         reason = (
             f"{names}: not held; drops up to r{outcome.floor} are forgotten: send it under a higher version"
         )
         self._log(log_events.CONFIGURATION_OUTCOME_UNKNOWN, {"reason": reason, "items": len(outcome.items)})
-        return json_reply(503, Cause=reason)
+        return json_reply(HTTPStatus.SERVICE_UNAVAILABLE, Cause=reason)
 
     def _outcome_unknown_reply(self, reason: str, items: int) -> Reply:
         self._log(log_events.CONFIGURATION_OUTCOME_UNKNOWN, {"reason": reason, "items": items})
         return OUTCOME_UNKNOWN
 
     async def retrieve(self) -> Reply:
-        """All items that stand, as a majority of the stores has them now."""
-        if not self._ledger.has_quorum_contact():
+        """The complete configuration, as a majority of the stores has it now."""
+        if not self._store.has_quorum_contact():
             return NOT_APPLIED
         try:
-            await self._ledger.read_quorum(CALL_TIMEOUT_NS / NS_PER_SECOND)
+            await self._store.read_quorum(CALL_TIMEOUT_NS / NS_PER_SECOND)
         except OutcomeUnknownError:
             return NOT_APPLIED
-        return Reply(200, msgspec.json.encode(write_back(self._ledger.items())))
+        return Reply(HTTPStatus.OK, msgspec.json.encode(write_back(self._store.items())))
 
 
 def _describe_conflict(item: Item) -> str:
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -1,6 +1,6 @@
-"""Brings a call on a register to the machine that proposes for it, or past it where it is silent.
+"""Forwards a call on a register to the node that proposes for it, or passes that node over if it fails.
 
-Any machine may propose for any register: that one does it is a matter of speed. A call that was forwarded may
+Any node may propose for any register: that one does it is a matter of speed. A call that was forwarded may
 therefore be carried out there and here too; calls on registers are made so that this does no harm.
 """
 
@@ -9,107 +9,144 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
-from typing import Any
+from http import HTTPStatus
 
+from ambershift.system.control_api.context import NodeContext
 from ambershift.system.control_api.log_events import PROPOSER_UNRESPONSIVE
 from ambershift.system.control_api.pending_calls import PendingCalls
 from ambershift.system.control_api.proposer_selection import ProposerSelector
 from ambershift.system.coordination.replies import Reply, json_reply
-from ambershift.system.interfaces import ReplicatedState
+from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
-PROPOSER_TIMEOUT_NS = 350 * NS_PER_MS  # Two trips between regions and a turn that has to be waited for.
-LIVENESS_CHECK_INTERVAL_NS = (
-    50 * NS_PER_MS
-)  # How often it is asked after that whether the proposer is still there.
-CONTACT_POLL_INTERVAL_S = 0.02  # Seconds between looks whether this machine is in touch again.
-CONTACT_GRACE_NS = (
-    150 * NS_PER_MS
-)  # A voter's copy is complete again within this, once it has heard of new voters.
-MIN_ATTEMPT_TIME_NS = 60 * NS_PER_MS  # With less left, nothing new is begun.
-
-NOT_APPLIED = json_reply(503, Cause="not in touch with enough machines")
-OUTCOME_UNKNOWN = json_reply(504, Cause="no clear outcome in time")
-FINAL_STATUSES = frozenset({200, 400, 404, 409, 412})
-
-# Carries the call out through this machine, by a time (ns, steady).
+PROPOSER_TIMEOUT_NS = 350 * NS_PER_MS  # Two round trips between regions, and a round that waits its turn.
+LIVENESS_CHECK_INTERVAL_NS = 50 * NS_PER_MS  # How often the proposer is checked after that.
+CONTACT_POLL_INTERVAL_S = 0.02  # How often a node out of contact checks whether it is in contact again.
+CONTACT_GRACE_NS = 150 * NS_PER_MS  # A voter's copy is complete again within this, after a change of voters.
+CONTACT_MEMORY_NS = NS_PER_SECOND  # A node that was out of contact for longer doesn't wait at all.
+MIN_ATTEMPT_TIME_NS = 60 * NS_PER_MS  # With less time left, no further attempt is made.
+
+NOT_APPLIED = json_reply(HTTPStatus.SERVICE_UNAVAILABLE, Cause="not in touch with enough machines")
+OUTCOME_UNKNOWN = json_reply(HTTPStatus.GATEWAY_TIMEOUT, Cause="no clear outcome in time")
+FINAL_STATUSES = frozenset(
+    {
+        HTTPStatus.OK,
+        HTTPStatus.BAD_REQUEST,
+        HTTPStatus.NOT_FOUND,
+        HTTPStatus.CONFLICT,
+        HTTPStatus.PRECONDITION_FAILED,
+    }
+)
+
+# Carries the call out through this node, by a deadline (monotonic clock, ns).
 Propose = Callable[[int], Awaitable[Reply]]
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingCall:
-    """A call as it goes to another machine: the register it is about, its number at this machine, the name
-    that the protocol gives it, the id it is about, and its body."""
+    """A call as it is forwarded.
+
+    Attributes:
+        register: The register that it is about.
+        number: Its number at this node.
+        operation: Its name in the protocol.
+        subject_id: The id that it is about.
+        body: JSON.
+    """
 
     register: str
     number: int
-    name: str
-    of: str
+    operation: str
+    subject_id: str
     body: bytes
 
+    def message(self, remaining_ms: int) -> ForwardedCall:
+        """The message to another node, which has so much time left for it."""
+        return ForwardedCall(self.number, self.operation, self.subject_id, self.body, remaining_ms)
+
 
 class Forwarding:
+    """Executes calls where they are best executed.
+
+    Attributes:
+        pending_calls: The calls that this node has forwarded.
+        proposers: Selects the node to forward to.
+    """
+
     def __init__(
-        self,
-        ledger: ReplicatedState,
-        own: str,
-        steady: Callable[[], int],
-        open_calls: PendingCalls,
-        proposers: ProposerSelector,
-        log: Callable[[int, dict[str, Any]], None],
+        self, context: NodeContext, pending_calls: PendingCalls, proposers: ProposerSelector
     ) -> None:
-        self._ledger, self._own, self._steady = ledger, own, steady
-        self._open_calls, self._proposers, self._log = open_calls, proposers, log
-        self._last_contact_at = 0  # When this machine was last seen to be in touch.
+        self.pending_calls = pending_calls
+        self.proposers = proposers
+        self._ip = context.ip
+        self._store = context.store
+        self._monotonic_ns = context.monotonic_ns
+        self._send = context.send
+        self._log = context.log
+        self._last_contact_at = 0
 
-    async def execute(self, asked: OutgoingCall, until: int, propose: Propose) -> Reply:
-        """503 only where nothing was done by any copy of this call; 504 where that is not certain."""
+    async def execute(self, call: OutgoingCall, deadline: int, propose: Propose) -> Reply:
+        """Have a call carried out, by its proposer or through this node.
+
+        Returns:
+            503 only where nothing was done by any copy of this call; 504 where that is not certain.
+        """
         if not await self.wait_for_contact():
             return NOT_APPLIED
-        unclear = False
+        outcome_unknown = False
         while True:
-            proposer = self._proposers.proposer_of(asked.register)
-            if proposer == self._own:
-                answer = await propose(until)
+            proposer = self.proposers.proposer_of(call.register)
+            if proposer == self._ip:
+                reply = await propose(deadline)
             else:
-                answer = await self._forward(proposer, asked, until)
-            if answer.status in FINAL_STATUSES:
-                return answer
-            unclear |= answer.status != NOT_APPLIED.status
-            if proposer == self._own or until - self._steady() < MIN_ATTEMPT_TIME_NS:
-                return OUTCOME_UNKNOWN if unclear else NOT_APPLIED
-
-    async def _forward(self, proposer: str, asked: OutgoingCall, until: int) -> Reply:
-        """What the proposer makes of it. One that is there but slow is waited for: a second proposer beside
-        it would only take the register from it again and again, and make it slower still."""
-        left = (until - self._steady()) // NS_PER_MS
-        answer = self._open_calls.forward(proposer, asked.number, asked.name, asked.of, asked.body, left)
+                reply = await self._forward(proposer, call, deadline)
+            if reply.status in FINAL_STATUSES:
+                return reply
+            outcome_unknown |= reply.status != NOT_APPLIED.status
+            if proposer == self._ip or deadline - self._monotonic_ns() < MIN_ATTEMPT_TIME_NS:
+                return OUTCOME_UNKNOWN if outcome_unknown else NOT_APPLIED
+
+    async def _forward(self, proposer: str, call: OutgoingCall, deadline: int) -> Reply:
+        """The proposer's reply.
+
+        A proposer that is slow but alive is waited for: a second proposer at the same time would only take
+        the register from it again and again, and make it slower still.
+        """
+        remaining_ms = (deadline - self._monotonic_ns()) // NS_PER_MS
+        response = self.pending_calls.forward(proposer, call.message(remaining_ms))
         try:
-            patience = PROPOSER_TIMEOUT_NS
-            while not answer.done() and (rest := until - self._steady()) > 0:
-                await asyncio.wait([answer], timeout=min(patience, rest) / NS_PER_SECOND)
-                patience = LIVENESS_CHECK_INTERVAL_NS
-                if not answer.done() and not self._ledger.is_responsive(proposer):
+            timeout_ns = PROPOSER_TIMEOUT_NS
+            while not response.done() and (remaining_ns := deadline - self._monotonic_ns()) > 0:
+                await asyncio.wait([response], timeout=min(timeout_ns, remaining_ns) / NS_PER_SECOND)
+                timeout_ns = LIVENESS_CHECK_INTERVAL_NS
+                if not response.done() and not self._store.is_responsive(proposer):
                     break
-            if answer.done():
-                if answer.result().status == NOT_APPLIED.status:
-                    self._proposers.suspect(proposer)
-                return answer.result()
-            self._proposers.suspect(proposer)
-            self._log(PROPOSER_UNRESPONSIVE, {"owner": proposer, "register": asked.register})
+            if response.done():
+                if response.result().status == NOT_APPLIED.status:
+                    self.proposers.suspect(proposer)
+                return response.result()
+            self.proposers.suspect(proposer)
+            self._log(PROPOSER_UNRESPONSIVE, {"owner": proposer, "register": call.register})
             return OUTCOME_UNKNOWN
         finally:
-            answer.cancel()
+            response.cancel()
+
+    def respond(self, sender: str, call: ForwardedCall, reply: Reply) -> None:
+        """Send the reply to a call that another node has forwarded to this one."""
+        self._send(sender, ForwardedResponse(call.number, reply.status, reply.body))
 
     async def wait_for_contact(self) -> bool:
-        """Waits for a moment where this machine has only just lost touch: at each change of voters all copies
-        are completed first. Refused, callers' machines would look for another proposer, each its own."""
-        if self._ledger.has_quorum_contact():
-            self._last_contact_at = self._steady()
+        """Whether this node is in contact with a majority; waits for a moment if it has only just lost it.
+
+        At each change of voters all copies are completed first, and nodes are out of contact until then. If
+        their calls were rejected, the other nodes would select another proposer, each its own.
+        """
+        if self._store.has_quorum_contact():
+            self._last_contact_at = self._monotonic_ns()
             return True
-        until = min(self._last_contact_at + NS_PER_SECOND, self._steady() + CONTACT_GRACE_NS)
-        while self._steady() < until:
+        deadline = min(self._last_contact_at + CONTACT_MEMORY_NS, self._monotonic_ns() + CONTACT_GRACE_NS)
+        while self._monotonic_ns() < deadline:
             await asyncio.sleep(CONTACT_POLL_INTERVAL_S)
-            if self._ledger.has_quorum_contact():
+            if self._store.has_quorum_contact():
                 return True
         return False
--- a/ambershift/system/control_api/registry_interface.py
+++ b/ambershift/system/control_api/registry_interface.py
@@ -1,4 +1,4 @@
-"""What the control API asks of the list of backends and proxies (`registry/`)."""
+"""What the control API needs of the registry of backends and proxies (`registry/`)."""
 
 from __future__ import annotations
 
@@ -7,11 +7,17 @@
 
 
 class Registry(Protocol):
+    """Backends report to it, and clients find proxies by it."""
+
     async def heartbeat(self, id: str, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """A backend's beat; HTTP status and answer."""
+        """A backend's heartbeat. Returns the HTTP status and the answer's fields.
+
+        Raises:
+            InvalidCallError: The id or a field of the body is invalid.
+        """
 
     async def deregister(self, id: str) -> tuple[int, dict[str, Any]]:
-        """A backend's sign-off."""
+        """A backend deregisters. Returns the HTTP status and the answer's fields."""
 
     def proxy_addresses(self, region: str, zone: str, host: str) -> Sequence[str]:
-        """Where clients there may go with requests to the host, the best first."""
+        """The proxies (`ip:port`) for a client at this place and requests to this host, the best first."""
--- a/ambershift/system/coordination/calls.py
+++ b/ambershift/system/coordination/calls.py
@@ -55,13 +55,13 @@
 
 
 def parse_call(
-    name: str, resource_id: str, body: bytes, call_id: str, revision_ages: RevisionAges
+    operation: str, subject_id: str, body: bytes, call_id: str, revision_ages: RevisionAges
 ) -> RegisterCall:
     """Parse a call.
 
     Args:
-        name: The call's name in the protocol.
-        resource_id: The id of the lock, number, cell or group that it is about.
+        operation: The call's name in the protocol.
+        subject_id: The id of the lock, number, cell or group that it is about.
         body: JSON.
         call_id: The id of this call among all calls; the same each time that this call is run.
         revision_ages: Tells which events a put may forget.
@@ -69,38 +69,38 @@
     Raises:
         InvalidCallError: The name is unknown, the id improper, or a field of the body is.
     """
-    if not resource_id or len(resource_id) > MAX_ID_LENGTH:
+    if not subject_id or len(subject_id) > MAX_ID_LENGTH:
         raise InvalidCallError("of", "is empty or too long")
-    parser = PARSERS.get(name)
+    parser = PARSERS.get(operation)
     if parser is None:
         raise InvalidCallError("call", "is not known")
-    return parser(resource_id, body, call_id, revision_ages)
+    return parser(subject_id, body, call_id, revision_ages)
 
 
-def _parse_acquire(resource_id: str, body: bytes, call_id: str, _ages: RevisionAges) -> RegisterCall:
+def _parse_acquire(subject_id: str, body: bytes, call_id: str, _ages: RevisionAges) -> RegisterCall:
     fields = parse_body(body)
     duration_ms = integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS)
     holder = name_field(fields, "Holder")
-    return RegisterCall(LOCK_PREFIX + resource_id, locks.acquire(holder, duration_ms, call_id))
+    return RegisterCall(LOCK_PREFIX + subject_id, locks.acquire(holder, duration_ms, call_id))
 
 
-def _parse_renew(resource_id: str, body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+def _parse_renew(subject_id: str, body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
     fields = parse_body(body)
     duration_ms = integer_field(fields, "HoldMs", 1, locks.MAX_LEASE_MS)
     fencing_token = integer_field(fields, "fence", 0, MAX_COUNT)
     holder = name_field(fields, "Holder")
-    return RegisterCall(LOCK_PREFIX + resource_id, locks.renew(holder, fencing_token, duration_ms))
+    return RegisterCall(LOCK_PREFIX + subject_id, locks.renew(holder, fencing_token, duration_ms))
 
 
-def _parse_release(resource_id: str, body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+def _parse_release(subject_id: str, body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
     fields = parse_body(body)
     holder = name_field(fields, "Holder")
     fencing_token = integer_field(fields, "fence", 0, MAX_COUNT)
-    return RegisterCall(LOCK_PREFIX + resource_id, locks.release(holder, fencing_token))
+    return RegisterCall(LOCK_PREFIX + subject_id, locks.release(holder, fencing_token))
 
 
-def _parse_next_number(resource_id: str, _body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
-    return RegisterCall(NUMBER_PREFIX + resource_id, numbers.next_number)
+def _parse_next_number(subject_id: str, _body: bytes, _call_id: str, _ages: RevisionAges) -> RegisterCall:
+    return RegisterCall(NUMBER_PREFIX + subject_id, numbers.next_number)
 
 
 def _parse_replace(key: str, body: bytes, _call_id: str, revision_ages: RevisionAges) -> RegisterCall:
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -12,6 +12,7 @@
 from ambershift.system.consensus.cache_file import SideFile
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.control_api.application import ControlApi
+from ambershift.system.control_api.context import NodeContext
 from ambershift.system.coordination.value_deltas import value_delta_codec
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.messages import forwarding, proxy_link, registry_sync, replication
@@ -74,7 +75,8 @@
             secrets.randbits(62),
             self.log,
         )
-        self.control_api = ControlApi(settings, self.store, self.registry, steady, send, self.log)
+        context = NodeContext(ip=settings.ip, store=self.store, monotonic_ns=steady, send=send, log=self.log)
+        self.control_api = ControlApi(settings, context, self.registry)
         self.stop_requested, self.settings_watch = asyncio.Event(), SettingsFileWatch(settings.file)
 
     def send_proxy(self, name: str, message: msgspec.Struct) -> None:
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -11,6 +11,7 @@
 
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.control_api.application import ControlApi
+from ambershift.system.control_api.context import NodeContext
 from ambershift.system.coordination.value_deltas import value_delta_codec
 from ambershift.system.messages import replication
 from ambershift.system.settings.local import Local
@@ -146,9 +147,8 @@
             settings, send, steady, self.chance.getrandbits(62), value_delta_codec, self.log, bottom
         )
         with loop.current():
-            control_api = ControlApi(
-                settings, store, Backends(), steady, send, self.log, self.chance.getrandbits(62)
-            )
+            context = NodeContext(ip=settings.ip, store=store, monotonic_ns=steady, send=send, log=self.log)
+            control_api = ControlApi(settings, context, Backends(), self.chance.getrandbits(62))
             begun = store.start()
             try:
                 begun.send(None)
--- a/ambershift/system/simulation/configuration_mistakes.py
+++ b/ambershift/system/simulation/configuration_mistakes.py
@@ -23,14 +23,14 @@
     """By the newest copies and at the machine that was asked: two machines may decide at once."""
 
     async def modify(self: ConfigurationCalls, body: bytes) -> Reply:
-        until = self._steady() + CALL_TIMEOUT_NS
+        until = self._monotonic_ns() + CALL_TIMEOUT_NS
         try:
             order = read_order(body)
-            await self._ledger.read_quorum(self._remaining_s(until))
+            await self._store.read_quorum(self._remaining_s(until))
             start, progress = agreement.Agreement(0, ()), agreement.Progress()
-            _, outcome = agreement.decide(order, start, progress, self._ledger.items())
+            _, outcome = agreement.decide(order, start, progress, self._store.items())
             if isinstance(outcome, agreement.Accepted):
-                await self._store(outcome, until)
+                await self._store_items(outcome, until)
                 return json_reply(200)
         except (OutcomeUnknownError, NotAppliedError):
             return OUTCOME_UNKNOWN
--- a/ambershift/system/simulation/coordination_mistakes.py
+++ b/ambershift/system/simulation/coordination_mistakes.py
@@ -115,11 +115,11 @@
 
 
 class _Unfresh:
-    def __init__(self, ledger: Any) -> None:
-        self._ledger = ledger
+    def __init__(self, store: Any) -> None:
+        self._store = store
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._ledger, name)
+        return getattr(self._store, name)
 
     async def read_quorum(self, timeout_s: float) -> None:
         return
@@ -128,7 +128,7 @@
 def without_freshening(real: Any) -> Any:
     async def call(self: Any, *given: Any) -> Any:
         alone = copy.copy(self)
-        alone._ledger = _Unfresh(self._ledger)
+        alone._store = _Unfresh(self._store)
         return await real(alone, *given)
 
     return call
@@ -146,7 +146,7 @@
         def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
             verdict: ChangeOutcome = call.change(value, since, now)
             if verdict.result.group is not None:
-                self._news.group_read(call.register.removeprefix("g/"), verdict.result.group)
+                self._waiters.group_read(call.register.removeprefix("g/"), verdict.result.group)
             return verdict
 
         return await real(self, RegisterCall(call.register, change), until)
--- a/ambershift/system/simulation/variants_configuration.py
+++ b/ambershift/system/simulation/variants_configuration.py
@@ -38,7 +38,7 @@
         "CONFIG",
         "a change is acknowledged before a majority stores it",
         configuration_calls.ConfigurationCalls,
-        "_store",
+        "_store_items",
         configuration_mistakes.acknowledged_before_stored,
     ),
     of(
@@ -46,7 +46,7 @@
         "CONFIG",
         "items are no longer listed though no majority is known to store them",
         configuration_calls.ConfigurationCalls,
-        "_store",
+        "_store_items",
         configuration_mistakes.counted_before_stored,
     ),
     of(
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -10,6 +10,7 @@
 import uvloop
 
 from ambershift.system.control_api.application import ControlApi
+from ambershift.system.control_api.context import NodeContext
 from ambershift.system.messages import proxy_link
 from ambershift.system.processes.http_server import bind_listener, create_server
 from ambershift.system.proxy.server import ProxyServer
@@ -86,7 +87,14 @@
         ended(registry.heartbeat(world.backend(size, at).id, world.beat(size, at, 1)))
     for at in range(size.proxies):
         registry.proxy_connected(world.hello(size, at))
-    api = ControlApi(settings, ledger, registry, time.monotonic_ns, lambda *_: None, lambda *_: None, 1)
+    context = NodeContext(
+        ip=settings.ip,
+        store=ledger,
+        monotonic_ns=time.monotonic_ns,
+        send=lambda *_: None,
+        log=lambda *_: None,
+    )
+    api = ControlApi(settings, context, registry, first_call_number=1)
     await serve(api, address)
 
 
--- a/tests/enquiring.py
+++ b/tests/enquiring.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from ambershift.system.control_api.application import ControlApi
+from ambershift.system.control_api.context import NodeContext
 from ambershift.system.control_api.proposer_selection import rendezvous_score
 from ambershift.system.interfaces import ChangeFunction, NotAppliedError, OutcomeUnknownError
 from ambershift.system.messages.codec import decode, encode
@@ -77,11 +78,14 @@
         self.machines = {
             ip: ControlApi(
                 _local(ip),
-                self.ledgers[ip],
+                NodeContext(
+                    ip=ip,
+                    store=self.ledgers[ip],
+                    monotonic_ns=self.steady,
+                    send=self._sender(ip),
+                    log=lambda number, fields: None,
+                ),
                 self.registry,
-                self.steady,
-                self._sender(ip),
-                lambda number, fields: None,
                 number << 40,
             )
             for number, ip in enumerate(IPS)
--- a/tests/test_system_control_api_faults.py
+++ b/tests/test_system_control_api_faults.py
@@ -215,9 +215,9 @@
     assert vigils.update(0, "g.", group) == [] and not vigils.groups_to_refresh(FRESHNESS_NS - 1)
     assert vigils.groups_to_refresh(FRESHNESS_NS) == ["g."]  # Word of a put may have been lost.
     assert (
-        vigils.first_missing_revision("g.", 6)
-        and not vigils.first_missing_revision("g.", 5)
-        and not vigils.first_missing_revision("h.", 6)
+        vigils.revision_to_fetch_after("g.", 6)
+        and not vigils.revision_to_fetch_after("g.", 5)
+        and not vigils.revision_to_fetch_after("h.", 6)
     )
     assert [token for token, _ in vigils.update(FRESHNESS_NS, "g.", group.put("g.a", "v", 0))] == [1]
     vigils.subscribe(FRESHNESS_NS, 2, "g.", 9, False)
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -13,7 +13,7 @@
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.control_api.pending_calls import PendingCalls
 from ambershift.system.interfaces import ChangeOutcome
-from ambershift.system.messages.forwarding import ForwardedResponse
+from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse
 from ambershift.system.messages.replication import Accept, Acknowledgement, Prepare, Promise
 from ambershift.system.state_machine import NS_PER_SECOND
 from tests.enquiring import TRIP, World, order, play
@@ -65,9 +65,9 @@
     async def story() -> None:
         open_calls = PendingCalls(lambda to, message: None, 7)
         at = open_calls.next_number()
-        open_calls.forward("a", at, "numbers", "n", b"", 100).cancel()
+        open_calls.forward("a", ForwardedCall(at, "numbers", "n", b"", 100)).cancel()
         await asyncio.sleep(0)
-        second = open_calls.forward("b", at, "numbers", "n", b"", 100)
+        second = open_calls.forward("b", ForwardedCall(at, "numbers", "n", b"", 100))
         open_calls.complete(
             "a", ForwardedResponse(at, 503, b"")
         )  # Late: the forwarded call is with the other now.
