--- a/ambershift/modelcheck/models/consensus.py
+++ b/ambershift/modelcheck/models/consensus.py
@@ -71,7 +71,7 @@
                 yield from self.called(world, place, name, ways)
                 if world.changes and self.behind(world):
                     table = Table(world)
-                    if table.replica(place).voters.voting:
+                    if table.replica(place).voters.can_vote:
                         table.propose(place, ways)
                         yield Step(
                             f"{IPS[place]}: changes the voters; {name}", table.done(changes=world.changes - 1)
@@ -98,27 +98,27 @@
         table = Table(world)
         newest = max(
             (
-                table.replica(place).voters.decision
+                table.replica(place).voters.configuration
                 for place in PLACES
-                if table.replica(place).voters.decision is not None
+                if table.replica(place).voters.configuration is not None
             ),
             key=lambda one: one.epoch if one else 0,
         )
-        births = {ip: table.replica(at).voters.me.birth for at, ip in enumerate(IPS)}
-        return newest is not None and any(births[one.ip] != one.birth for one in newest.voters)
+        births = {ip: table.replica(at).voters.local_node.disk_id for at, ip in enumerate(IPS)}
+        return newest is not None and any(births[one.ip] != one.disk_id for one in newest.voters)
 
     def catches_up(self, world: World, place: int) -> Iterator[Step[World]]:
         """It hears of newer voters, or gathers what it lacks before it votes."""
         table = Table(world)
         mine = table.replica(place).voters
         for other in PLACES:
-            theirs = table.replica(other).voters.decision
+            theirs = table.replica(other).voters.configuration
             if other != place and theirs is not None and theirs.epoch > mine.epoch:
                 after = Table(world)
                 after.does(place, MessageReceived(IPS[other], theirs), frozenset())
                 after.settle()
                 yield Step(f"{IPS[place]}: hears of the voters from {IPS[other]}", after.done())
-        if mine.member and not mine.voting:
+        if mine.is_voter and not mine.can_vote:
             for name, ways in (*self.ways(place), ("all hear", ALL)):
                 after = Table(world)
                 after.does(place, Tick(), ways)
@@ -142,7 +142,7 @@
         table = Table(world)
         epochs = [table.replica(at).voters.epoch for at in PLACES]
         return all(
-            table.replica(at).voters.voting and epochs[at] == max(epochs) for at in PLACES if at != place
+            table.replica(at).voters.can_vote and epochs[at] == max(epochs) for at in PLACES if at != place
         )
 
     def show(self, world: World) -> list[str]:
@@ -152,8 +152,8 @@
             replica = table.replica(place)
             record = replica._acceptor.state("list")
             told.append(
-                f"{IPS[place]}: epoch {replica.voters.epoch}, whole {replica.voters.whole}, "
-                f"votes {replica.voters.voting}, promised {record.promised_ballot[0]}, accepted "
+                f"{IPS[place]}: epoch {replica.voters.epoch}, whole {replica.voters.complete_epoch}, "
+                f"votes {replica.voters.can_vote}, promised {record.promised_ballot[0]}, accepted "
                 f"{record.accepted_ballot[0]}, {record.value!r}"
             )
         return [*told, f"told: {world.told}; refused: {world.refused}"]
--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import ChangeOutcome, NotAppliedError
@@ -170,7 +170,7 @@
         self.does(place, ChangeRegister(1, LIST, change, 1.0), ways)
         self.settle()
         outcome = self.outcome
-        if isinstance(outcome, Held):
+        if isinstance(outcome, CallSucceeded):
             ids = tuple(outcome.result)
             if ids[: len(self.told)] != self.told:
                 self.wrong = "one-order", f"told {ids} after {self.told}"
@@ -194,12 +194,12 @@
     def propose(self, place: int, ways: Ways) -> None:
         """What `membership` would have agreed: whoever has another disk now is a voter with it."""
         replica = self.replica(place)
-        decision = replica.voters.decision
+        decision = replica.voters.configuration
         assert decision is not None
-        births = {ip: self.replica(at).voters.me.birth for at, ip in enumerate(IPS)}
+        births = {ip: self.replica(at).voters.local_node.disk_id for at, ip in enumerate(IPS)}
         wanted = tuple(Voter(one.ip, one.zone, one.region, births[one.ip]) for one in decision.voters)
         replica._out.now = self.now
-        replica._membership._try(decision, wanted)
+        replica._membership._propose(decision, wanted)
         self.does(place, MessageReceived(IPS[place], replication.Heartbeat(0, 0, 0, ())), ways)
         self.settle()
 
@@ -232,9 +232,9 @@
     registers = replica._proposer._registers
     return msgspec.msgpack.encode(
         [
-            voters.decision,
-            voters.whole,
-            voters.me.birth,
+            voters.configuration,
+            voters.complete_epoch,
+            voters.local_node.disk_id,
             replica._proposer._incarnation,
             sorted(replica._acceptor.states.items()),
             [
--- a/ambershift/system/consensus/acceptor.py
+++ b/ambershift/system/consensus/acceptor.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ambershift.system.consensus.effect_buffer import Outbox
-from ambershift.system.consensus.write_queue import Journal
+from ambershift.system.consensus.effect_buffer import EffectBuffer
+from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.interfaces import DeltaCodec
 from ambershift.system.messages.replication import (
     ZERO_BALLOT,
@@ -35,8 +35,8 @@
 class Acceptor:
     def __init__(
         self,
-        out: Outbox,
-        journal: Journal,
+        out: EffectBuffer,
+        journal: WriteQueue,
         shapes: Callable[[str], DeltaCodec | None],
         rows: dict[str, bytes],
     ) -> None:
@@ -79,7 +79,7 @@
         promise = Promise(
             request.epoch, request.request_id, record.accepted_ballot, record.origin_ballot, value
         )
-        self._journal.synced(partial(self._out.send, sender, promise))
+        self._journal.on_durable(partial(self._out.send, sender, promise))
 
     def accept(self, sender: str, request: Accept) -> None:
         record = self.state(request.register)
@@ -103,7 +103,7 @@
                 request.register,
                 AcceptorState(next_ballot, request.ballot, request.origin_ballot or request.ballot, value),
             )
-        self._journal.synced(
+        self._journal.on_durable(
             partial(self._out.send, sender, Acknowledgement(request.epoch, request.request_id))
         )
 
--- a/ambershift/system/consensus/anti_entropy.py
+++ b/ambershift/system/consensus/anti_entropy.py
@@ -9,12 +9,12 @@
 import msgspec
 
 from ambershift.system.consensus.acceptor import Acceptor
-from ambershift.system.consensus.contact_lease import Contact
-from ambershift.system.consensus.effect_buffer import Held, Outbox
+from ambershift.system.consensus.contact_lease import ContactLease
+from ambershift.system.consensus.effect_buffer import CallSucceeded, EffectBuffer
 from ambershift.system.consensus.item_store import ItemStore
 from ambershift.system.consensus.quorum import majority
-from ambershift.system.consensus.voters import Voters, holds
-from ambershift.system.consensus.write_queue import Journal
+from ambershift.system.consensus.voters import VotingState, includes_disk
+from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.interfaces import OutcomeUnknownError
 from ambershift.system.messages.items import Item
 from ambershift.system.messages.replication import AcceptorState, SyncRequest, SyncResponse
@@ -52,15 +52,15 @@
 class AntiEntropy:
     def __init__(
         self,
-        out: Outbox,
-        voters: Voters,
+        out: EffectBuffer,
+        voters: VotingState,
         store: ItemStore,
         acceptor: Acceptor,
-        journal: Journal,
+        journal: WriteQueue,
         numbers: Callable[[], int],
         ready: Callable[[str], bool],
         completed: Callable[[], None],
-        contact: Contact,
+        contact: ContactLease,
     ) -> None:
         self._out, self._voters, self._store, self._acceptor = out, voters, store, acceptor
         self._contact = contact
@@ -80,7 +80,7 @@
     def catch_up(self) -> None:
         """Begin to gather all that was held under the voters before, so that this machine may vote."""
         self._sessions = [one for one in self._sessions if one.kind != CATCH_UP]
-        if self._voters.member and not self._voters.voting:
+        if self._voters.is_voter and not self._voters.can_vote:
             self._open(SyncSession(CATCH_UP, 1 << 62))
 
     def repair_from(self, ip: str) -> None:
@@ -99,22 +99,25 @@
         self._start(session)
 
     def _start(self, session: SyncSession) -> None:
-        decision = self._voters.decision
+        decision = self._voters.configuration
         if decision is None:
             return
         session.epoch, session.started_ns = decision.epoch, self._out.now
         session.completed.clear()
         session.parts.clear()
         session.wants_bucket_digests.clear()
-        me = self._voters.me
+        me = self._voters.local_node
         if session.kind in QUORUM_READS:
             session.contacted = set(self._voters.ips) - {me.ip}
-            if self._voters.voting:
+            if self._voters.can_vote:
                 session.completed.add(me.ip)
         elif session.kind == CATCH_UP:
-            others = [ip for ip in self._voters.near if ip != me.ip]
+            others = [ip for ip in self._voters.ips_by_proximity if ip != me.ip]
             session.contacted = {*others, *(member.ip for member in decision.previous_voters)} - {me.ip}
-            if holds(decision.previous_voters, me.ip, me.birth) and self._voters.whole >= decision.epoch - 1:
+            if (
+                includes_disk(decision.previous_voters, me.ip, me.disk_id)
+                and self._voters.complete_epoch >= decision.epoch - 1
+            ):
                 session.completed.add(me.ip)
             else:
                 session.single_source_until_ns = self._out.now + SINGLE_SOURCE_PERIOD_NS
@@ -129,9 +132,9 @@
 
     def _ask(self, session: SyncSession, ip: str) -> None:
         long = session.kind == CATCH_UP or ip in session.wants_bucket_digests
-        wanted = session.kind not in QUORUM_READS and not self._voters.voting
+        wanted = session.kind not in QUORUM_READS and not self._voters.can_vote
         registers = self._acceptor.ballots() if wanted else None
-        items = self._store.buckets.long() if long else self._store.buckets.short()
+        items = self._store.buckets.bucket_digest() if long else self._store.buckets.total_digest()
         number = self._numbers()
         session.parts[number] = ip, set()
         self._out.send(ip, SyncRequest(session.epoch, number, items, registers))
@@ -139,7 +142,7 @@
     def receive_response(self, sender: str, response: SyncResponse) -> None:
         replaced = self._store.resets
         taken = self._store.merge(response.items, response.tombstone_batch)
-        if not self._voters.voting:
+        if not self._voters.can_vote:
             self._acceptor.merge(response.registers)
         if self._store.resets != replaced:
             self.restart()
@@ -180,20 +183,20 @@
 
     def _counts(self, sender: str, response: SyncResponse) -> bool:
         """Whether that is a voter of the epoch before, complete then, that counts for it no more."""
-        decision = self._voters.decision
+        decision = self._voters.configuration
         return (
             decision is not None
             and response.complete_epoch >= decision.epoch - 1
-            and holds(decision.previous_voters, sender, response.disk_id)
+            and includes_disk(decision.previous_voters, sender, response.disk_id)
         )
 
     def _check(self, session: SyncSession) -> None:
-        decision = self._voters.decision
-        if session.kind in QUORUM_READS and len(session.completed) >= self._voters.enough:
+        decision = self._voters.configuration
+        if session.kind in QUORUM_READS and len(session.completed) >= self._voters.quorum_size:
             self._sessions.remove(session)
-            self._contact.read(session.started_ns)
+            self._contact.record_quorum_read(session.started_ns)
             if session.kind == READ:
-                self._out.answer(session.call, Held(None))
+                self._out.complete_call(session.call, CallSucceeded(None))
         elif (
             session.kind == CATCH_UP
             and decision is not None
@@ -203,7 +206,7 @@
 
     def _finish(self, session: SyncSession) -> None:
         self._sessions.remove(session)
-        self._voters.complete()
+        self._voters.mark_complete()
         self._completed()
 
     def restart(self) -> None:
@@ -222,9 +225,13 @@
     def answer_request(self, sender: str, request: SyncRequest) -> None:
         """Tell what differs. Only after the disk has it all: that this machine has left the epoch before,
         above everything."""
-        names = self._store.buckets.unequal(request.item_digests)
+        names = self._store.buckets.differing_names(request.item_digests)
         head = partial(
-            SyncResponse, request.epoch, request.request_id, self._voters.whole, self._voters.me.birth
+            SyncResponse,
+            request.epoch,
+            request.request_id,
+            self._voters.complete_epoch,
+            self._voters.local_node.disk_id,
         )
         if names is None:
             self._out.send(sender, head(0, 1, True, (), (), tombstone_batch=self._store.collected.batch))
@@ -238,7 +245,7 @@
             for index, (items, registers) in enumerate(parts)
         ]
         for share in shares:
-            self._journal.synced(partial(self._out.send, sender, share))
+            self._journal.on_durable(partial(self._out.send, sender, share))
 
     # Time and voters.
 
@@ -247,14 +254,14 @@
             if self._out.now >= one.deadline_ns:
                 self._sessions.remove(one)
                 if one.kind == READ:
-                    self._out.answer(one.call, OutcomeUnknownError("too few voters answered in time"))
+                    self._out.complete_call(one.call, OutcomeUnknownError("too few voters answered in time"))
             elif one.epoch == 0:
                 self._start(one)
             elif one.single_source_until_ns and self._out.now >= one.single_source_until_ns:
                 one.single_source_until_ns = 0
-                one.contacted = set(self._voters.ips) - {self._voters.me.ip}
-                if self._voters.decision is not None:
-                    one.contacted |= {member.ip for member in self._voters.decision.previous_voters}
+                one.contacted = set(self._voters.ips) - {self._voters.local_node.ip}
+                if self._voters.configuration is not None:
+                    one.contacted |= {member.ip for member in self._voters.configuration.previous_voters}
                 self._send(one)
             elif self._out.now >= one.retry_at_ns:
                 self._send(one)
--- a/ambershift/system/consensus/bucket_checksums.py
+++ b/ambershift/system/consensus/bucket_checksums.py
@@ -5,57 +5,57 @@
 import struct
 from hashlib import blake2b
 
-BUCKETS = 64
-_PACK = struct.Struct(f">{BUCKETS}Q")
+BUCKET_COUNT = 64
+_CHECKSUMS_STRUCT = struct.Struct(f">{BUCKET_COUNT}Q")
 
 
-class Buckets:
+class BucketChecksums:
     """The sum (exclusive or) of its entries' hashes, a bucket by the name's hash."""
 
     def __init__(self) -> None:
-        self._sums = [0] * BUCKETS
-        self._entries: list[dict[str, int]] = [{} for _ in range(BUCKETS)]
+        self._checksums = [0] * BUCKET_COUNT
+        self._hashes: list[dict[str, int]] = [{} for _ in range(BUCKET_COUNT)]
         self.total = 0
 
     @staticmethod
-    def bucket(name: str) -> int:
-        return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKETS
+    def bucket_of(name: str) -> int:
+        return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
-    def put(self, name: str, state: bytes) -> None:
+    def update(self, name: str, state: bytes) -> None:
         """The entry's state is now this."""
         fresh = int.from_bytes(blake2b(state, digest_size=8, key=name.encode()[-64:]).digest(), "big")
-        self._change(name, fresh)
+        self._replace_hash(name, fresh)
 
-    def drop(self, name: str) -> None:
-        self._change(name, None)
+    def remove(self, name: str) -> None:
+        self._replace_hash(name, None)
 
-    def _change(self, name: str, fresh: int | None) -> None:
-        bucket = self.bucket(name)
-        entries = self._entries[bucket]
-        change = entries.get(name, 0) ^ (fresh or 0)
-        self._sums[bucket] ^= change
+    def _replace_hash(self, name: str, new_hash: int | None) -> None:
+        bucket = self.bucket_of(name)
+        entries = self._hashes[bucket]
+        change = entries.get(name, 0) ^ (new_hash or 0)
+        self._checksums[bucket] ^= change
         self.total ^= change
-        if fresh is None:
+        if new_hash is None:
             entries.pop(name, None)
         else:
-            entries[name] = fresh
+            entries[name] = new_hash
 
-    def short(self) -> bytes:
+    def total_digest(self) -> bytes:
         return self.total.to_bytes(8, "big")
 
-    def long(self) -> bytes:
-        return _PACK.pack(*self._sums)
+    def bucket_digest(self) -> bytes:
+        return _CHECKSUMS_STRUCT.pack(*self._checksums)
 
-    def unequal(self, told: bytes) -> list[str] | None:
+    def differing_names(self, remote_digest: bytes) -> list[str] | None:
         """Names in buckets whose sum differs from those told; None if only the sum over all was told and
         differs."""
-        if len(told) == 8:
-            return [] if told == self.short() else None
-        if len(told) != _PACK.size:
+        if len(remote_digest) == 8:
+            return [] if remote_digest == self.total_digest() else None
+        if len(remote_digest) != _CHECKSUMS_STRUCT.size:
             return []
         return [
             name
-            for bucket, theirs in enumerate(_PACK.unpack(told))
-            if theirs != self._sums[bucket]
-            for name in self._entries[bucket]
+            for bucket, theirs in enumerate(_CHECKSUMS_STRUCT.unpack(remote_digest))
+            if theirs != self._checksums[bucket]
+            for name in self._hashes[bucket]
         ]
--- a/ambershift/system/consensus/cache_file.py
+++ b/ambershift/system/consensus/cache_file.py
@@ -15,42 +15,42 @@
 
 from ambershift.system.consensus.disk import sync_folder
 
-FRESH = ".new"
-READ_MOST = 64 << 20  # A larger one is none of ours.
+TEMPORARY_SUFFIX = ".new"
+MAX_SIZE_BYTES = 64 << 20  # A larger one is none of ours.
 
 
-class SideFile:
+class CacheFile:
     def __init__(self, folder: str, name: str) -> None:
         self._folder, self._file = Path(folder), Path(folder) / name
-        self._fresh = Path(folder) / (name + FRESH)
+        self._temporary = Path(folder) / (name + TEMPORARY_SUFFIX)
         self._queue: queue.SimpleQueue[Callable[[], bytes] | None] = queue.SimpleQueue()
-        self._busy = False
+        self._is_writing = False
         self._thread: threading.Thread | None = None
         self.failed = False  # Whether the last write did not come to its end.
 
     def read(self) -> bytes | None:
         """What it holds; None where there is none, or it can't be read."""
         try:
-            if self._file.stat().st_size <= READ_MOST:
+            if self._file.stat().st_size <= MAX_SIZE_BYTES:
                 return self._file.read_bytes()
         except OSError:
             pass
         return None
 
-    def write(self, make: Callable[[], bytes]) -> bool:
+    def write(self, encode: Callable[[], bytes]) -> bool:
         """Replace it by what `make` returns, called in the thread. False while a write is out."""
-        if self._busy:
+        if self._is_writing:
             return False
         if self._thread is None:
             self._thread = threading.Thread(target=self._run, name="side", daemon=True)
             self._thread.start()
-        self._busy, self.failed = True, False
-        self._queue.put(make)
+        self._is_writing, self.failed = True, False
+        self._queue.put(encode)
         return True
 
     @property
-    def busy(self) -> bool:
-        return self._busy
+    def is_writing(self) -> bool:
+        return self._is_writing
 
     def close(self) -> None:
         """What is under way may be lost."""
@@ -59,19 +59,19 @@
     def _run(self) -> None:
         while (make := self._queue.get()) is not None:
             self.failed = not self._replace(make())
-            self._busy = False
+            self._is_writing = False
 
     def _replace(self, data: bytes) -> bool:
         try:
-            with open(self._fresh, "wb") as file:
+            with open(self._temporary, "wb") as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
             # Only what is whole on disk takes the old one's place.
-            self._fresh.replace(self._file)
+            self._temporary.replace(self._file)
             sync_folder(self._folder)
             return True
         except OSError:
             with contextlib.suppress(OSError):
-                self._fresh.unlink()  # A full disk's last room is for what is acknowledged.
+                self._temporary.unlink()  # A full disk's last room is for what is acknowledged.
             return False
--- a/ambershift/system/consensus/contact_lease.py
+++ b/ambershift/system/consensus/contact_lease.py
@@ -9,69 +9,71 @@
 
 from __future__ import annotations
 
-from ambershift.system.consensus.effect_buffer import Outbox
-from ambershift.system.consensus.voters import Voters
+from ambershift.system.consensus.effect_buffer import EffectBuffer
+from ambershift.system.consensus.voters import VotingState
 from ambershift.system.state_machine import NS_PER_MS
 
-READ_AFTER = (
+RENEWAL_AGE_NS = (
     450 * NS_PER_MS
 )  # A proof of this age is renewed by a reading: beats, 300 ms apart, have not done so.
-READ_AFTER_AS_LEARNER = 700 * NS_PER_MS  # Voters beat to those that don't vote half as often.
-STOOD_STILL = 800 * NS_PER_MS  # Ticks come each 50 ms.
-CATCH_UP = 1000 * NS_PER_MS  # By then all beats are read that came while this process stood still.
-NEVER_MS = 1 << 30  # The age, in ms, of a proof that there never was.
+LEARNER_RENEWAL_AGE_NS = 700 * NS_PER_MS  # Voters beat to those that don't vote half as often.
+PAUSE_THRESHOLD_NS = 800 * NS_PER_MS  # Ticks come each 50 ms.
+STALE_HEARTBEAT_PERIOD_NS = (
+    1000 * NS_PER_MS
+)  # By then all beats are read that came while this process stood still.
+NO_CONTACT_AGE_MS = 1 << 30  # The age, in ms, of a proof that there never was.
 
 
-class Contact:
-    def __init__(self, out: Outbox, voters: Voters) -> None:
+class ContactLease:
+    def __init__(self, out: EffectBuffer, voters: VotingState) -> None:
         self._out, self._voters = out, voters
-        self._equal: dict[str, int] = {}  # When each voter was last known to hold the same as this copy.
-        self._beats_from = 0  # Beats before then may have waited for this process.
-        self._proved: int | None = None  # Only rises: what was proved once stays true of that moment.
+        self._matched_at: dict[str, int] = {}  # When each voter was last known to hold the same as this copy.
+        self._heartbeats_count_from = 0  # Beats before then may have waited for this process.
+        self._proven_until: int | None = None  # Only rises: what was proved once stays true of that moment.
 
-    def equal(self, voter: str) -> None:
+    def record_matching_heartbeat(self, voter: str) -> None:
         """A beat of a complete voter of this epoch told this copy's own checksum."""
-        if self._out.now >= self._beats_from:
-            self._equal[voter] = self._out.now
+        if self._out.now >= self._heartbeats_count_from:
+            self._matched_at[voter] = self._out.now
 
-    def passed(self, since: int) -> None:
+    def record_elapsed(self, since: int) -> None:
         """That long (ns) nothing happened in this process: where it stood still, beats that waited for it
         are old, and prove nothing of now."""
-        if since > STOOD_STILL:
-            self._beats_from = self._out.now + CATCH_UP
+        if since > PAUSE_THRESHOLD_NS:
+            self._heartbeats_count_from = self._out.now + STALE_HEARTBEAT_PERIOD_NS
 
-    def read(self, begun: int) -> None:
+    def record_quorum_read(self, begun: int) -> None:
         """All that a majority of the voters held after `begun` (ns) is merged here."""
-        self._prove(begun)
+        self._extend(begun)
 
-    def voters_changed(self) -> None:
+    def handle_configuration_change(self) -> None:
         """Beats of the voters before say nothing of what those of now acknowledge."""
-        self._equal.clear()
+        self._matched_at.clear()
 
-    def proved(self) -> int | None:
+    def proven_until(self) -> int | None:
         """The moment (ns) before which nothing was acknowledged that isn't held here; None: not known yet."""
-        enough = self._voters.enough
-        times = [self._equal.get(ip, 0) for ip in self._voters.ips if ip != self._voters.me.ip]
-        if self._voters.voting:
+        enough = self._voters.quorum_size
+        times = [self._matched_at.get(ip, 0) for ip in self._voters.ips if ip != self._voters.local_node.ip]
+        if self._voters.can_vote:
             times.append(self._out.now)
-        if self._voters.decision is not None and len(times) >= enough:
+        if self._voters.configuration is not None and len(times) >= enough:
             latest = sorted(times, reverse=True)[enough - 1]
             if latest:
-                self._prove(latest)
-        return self._proved
+                self._extend(latest)
+        return self._proven_until
 
-    def age(self) -> int | None:
+    def age_ns(self) -> int | None:
         """How long ago (ns) that was."""
-        proved = self.proved()
+        proved = self.proven_until()
         return None if proved is None else self._out.now - proved
 
     def age_ms(self) -> int:
-        age = self.age()
-        return NEVER_MS if age is None else min(age // NS_PER_MS, NEVER_MS)
+        age = self.age_ns()
+        return NO_CONTACT_AGE_MS if age is None else min(age // NS_PER_MS, NO_CONTACT_AGE_MS)
 
-    def wants_reading(self) -> bool:
-        age = self.age()
-        return age is None or age > (READ_AFTER if self._voters.member else READ_AFTER_AS_LEARNER)
+    def needs_quorum_read(self) -> bool:
+        age = self.age_ns()
+        return age is None or age > (RENEWAL_AGE_NS if self._voters.is_voter else LEARNER_RENEWAL_AGE_NS)
 
-    def _prove(self, moment: int) -> None:
-        self._proved = moment if self._proved is None else max(self._proved, moment)
+    def _extend(self, moment: int) -> None:
+        self._proven_until = moment if self._proven_until is None else max(self._proven_until, moment)
--- a/ambershift/system/consensus/disk.py
+++ b/ambershift/system/consensus/disk.py
@@ -15,8 +15,8 @@
 
 from ambershift.system.state_machine import Write
 
-FORMAT = 1
-FILE, ASIDE = "archive.db", "aside"
+FORMAT_VERSION = 1
+DATABASE_FILE, QUARANTINE_FOLDER = "archive.db", "aside"
 Rows = dict[str, dict[str, bytes]]
 
 
@@ -43,8 +43,8 @@
                 raise
 
 
-def _connect(file: Path) -> sqlite3.Connection:
-    base = sqlite3.connect(file, isolation_level=None, check_same_thread=False)
+def _connect(path: Path) -> sqlite3.Connection:
+    base = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
     # Write-ahead logging without shared memory (exclusive), one sync a transaction.
     for pragma in (
         "mmap_size=0",
@@ -59,12 +59,12 @@
     return base
 
 
-def _read(file: Path, ip: str) -> tuple[sqlite3.Connection, Rows]:
+def _open_database(file: Path, ip: str) -> tuple[sqlite3.Connection, Rows]:
     """Raises `sqlite3.Error` or `ValueError` where the file isn't one that this machine may use."""
     base = _connect(file)
     try:
         found = base.execute("PRAGMA user_version").fetchone()[0]
-        if found > FORMAT:
+        if found > FORMAT_VERSION:
             raise ValueError(f"written by a newer program (format {found})")
         if base.execute("PRAGMA quick_check").fetchall() != [("ok",)]:
             raise ValueError("damaged")
@@ -72,7 +72,7 @@
             "CREATE TABLE IF NOT EXISTS entries (kind TEXT, name TEXT, value BLOB, "
             "PRIMARY KEY (kind, name)) WITHOUT ROWID"
         )
-        base.execute(f"PRAGMA user_version={FORMAT}")
+        base.execute(f"PRAGMA user_version={FORMAT_VERSION}")
         rows: Rows = {}
         for kind, name, value in base.execute("SELECT kind, name, value FROM entries"):
             rows.setdefault(kind, {})[name] = value
@@ -87,11 +87,11 @@
         raise
 
 
-def _set_aside(folder: Path) -> None:
-    aside = folder / ASIDE
+def _quarantine(folder: Path) -> None:
+    aside = folder / QUARANTINE_FOLDER
     shutil.rmtree(aside, ignore_errors=True)  # An older one: the disk is small.
     aside.mkdir()
-    for one in sorted(folder.glob(f"{FILE}*")):
+    for one in sorted(folder.glob(f"{DATABASE_FILE}*")):
         one.rename(aside / one.name)
     sync_folder(aside)
     sync_folder(folder)
@@ -100,25 +100,25 @@
 class Disk:
     """`done(token, fault)` is called from the disk's thread; `fault` is "full", "failed" or None."""
 
-    def __init__(self, folder: str, ip: str, done: Callable[[int, str | None], None]) -> None:
-        self._folder, self._ip, self._done = Path(folder), ip, done
+    def __init__(self, folder: str, ip: str, on_written: Callable[[int, str | None], None]) -> None:
+        self._folder, self._ip, self._on_written = Path(folder), ip, on_written
         self._queue: queue.SimpleQueue[Write | None] = queue.SimpleQueue()
-        self._base: sqlite3.Connection | None = None
+        self._connection: sqlite3.Connection | None = None
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
-        self.refused: str | None = None  # Why the folder was set aside at the start.
+        self.quarantine_reason: str | None = None  # Why the folder was set aside at the start.
 
     def open(self) -> Rows:
         """Read all rows and begin to write. Raises `OSError` or `sqlite3.Error` without a usable disk."""
         _make_folder(self._folder)
-        file = self._folder / FILE
+        file = self._folder / DATABASE_FILE
         try:
-            self._base, rows = _read(file, self._ip)
+            self._connection, rows = _open_database(file, self._ip)
         except (ValueError, sqlite3.DatabaseError) as why:
             if isinstance(why, sqlite3.OperationalError):
                 raise  # The disk's trouble, not the file's: nothing is set aside for that.
-            self.refused = str(why)
-            _set_aside(self._folder)
-            self._base, rows = _read(file, self._ip)
+            self.quarantine_reason = str(why)
+            _quarantine(self._folder)
+            self._connection, rows = _open_database(file, self._ip)
         sync_folder(self._folder)
         self._thread.start()
         return rows
@@ -133,15 +133,15 @@
 
     def _run(self) -> None:
         while (write := self._queue.get()) is not None:
-            self._done(write.token, self._commit(write))
-        if self._base is not None:
-            self._base.close()
+            self._on_written(write.token, self._commit(write))
+        if self._connection is not None:
+            self._connection.close()
 
     def _commit(self, write: Write) -> str | None:
         try:
-            if self._base is None:
-                self._base = _connect(self._folder / FILE)
-            base = self._base
+            if self._connection is None:
+                self._connection = _connect(self._folder / DATABASE_FILE)
+            base = self._connection
             base.execute("BEGIN IMMEDIATE")
             for kind, name, value in write.rows:
                 if value is None:
@@ -160,7 +160,7 @@
 
     def _reopen(self) -> None:
         """After a failure nothing is known of what the connection holds: begin with a new one."""
-        base, self._base = self._base, None
+        base, self._connection = self._connection, None
         if base is not None:
             try:
                 base.close()
--- a/ambershift/system/consensus/effect_buffer.py
+++ b/ambershift/system/consensus/effect_buffer.py
@@ -14,49 +14,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ItemsUpdated:
     """Effect: these items have just become newer here."""
 
     items: tuple[Item, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class CallSucceeded:
     """The good outcome of a call."""
 
     result: Any
 
 
-class Outbox:
+class EffectBuffer:
     """Collects effects in order. A message to this machine is handled within the same step."""
 
     def __init__(self, ip: str) -> None:
-        self.ip = ip
+        self.local_ip = ip
         self.now = 0
-        self.effects: list[Effect | News] = []
-        self.own: deque[msgspec.Struct] = deque()
+        self.effects: list[Effect | ItemsUpdated] = []
+        self.loopback: deque[msgspec.Struct] = deque()
 
-    def send(self, to: str, message: msgspec.Struct) -> None:
-        if to == self.ip:
-            self.own.append(message)
+    def send(self, recipient: str, message: msgspec.Struct) -> None:
+        if recipient == self.local_ip:
+            self.loopback.append(message)
         else:
-            self.effects.append(Send(to, message))
+            self.effects.append(Send(recipient, message))
 
     def write(self, token: int, rows: tuple[tuple[str, str, bytes | None], ...]) -> None:
         self.effects.append(Write(token, rows))
 
-    def wake(self, at: int) -> None:
+    def schedule_tick(self, at: int) -> None:
         self.effects.append(ScheduleTick(at))
 
-    def answer(self, call: int, outcome: Held | Exception) -> None:
+    def complete_call(self, call: int, outcome: CallSucceeded | Exception) -> None:
         self.effects.append(CompleteCall(call, outcome))
 
-    def news(self, items: Sequence[Item]) -> None:
-        self.effects.append(News(tuple(items)))
+    def items_updated(self, items: Sequence[Item]) -> None:
+        self.effects.append(ItemsUpdated(tuple(items)))
 
     def log(self, number: int, **fields: Any) -> None:
         self.effects.append(LogEvent(number, fields))
 
-    def taken(self) -> list[Effect | News]:
+    def drain(self) -> list[Effect | ItemsUpdated]:
         effects, self.effects = self.effects, []
         return effects
--- a/ambershift/system/consensus/failure_detector.py
+++ b/ambershift/system/consensus/failure_detector.py
@@ -7,37 +7,46 @@
 
 import msgspec
 
-from ambershift.system.consensus.contact_lease import Contact
-from ambershift.system.consensus.effect_buffer import Outbox
+from ambershift.system.consensus.contact_lease import ContactLease
+from ambershift.system.consensus.effect_buffer import EffectBuffer
 from ambershift.system.consensus.item_store import ItemStore
-from ambershift.system.consensus.quorum import ALL_WATCH, watchers
-from ambershift.system.consensus.voters import Voters, holds
+from ambershift.system.consensus.quorum import FULL_MESH_MAX_NODES, choose_watchers
+from ambershift.system.consensus.voters import VotingState, includes_disk
 from ambershift.system.messages import replication
 from ambershift.system.messages.proxy_link import ControlNodeAddress
 from ambershift.system.messages.replication import Announcement, Heartbeat, NodeRecord, PeerList
 from ambershift.system.state_machine import NS_PER_MS
 
-BEAT = 300 * NS_PER_MS
-SILENT = 1500 * NS_PER_MS
-LATELY = 800 * NS_PER_MS  # Asked first if heard within this.
-QUIET = 550 * NS_PER_MS  # Not heard for so long, it gets no calls: a beat and most of another are missing.
-DISTANT = 1000 * NS_PER_MS  # The same for those that hear voters less often, as they are none.
-SETTLED = (
+HEARTBEAT_INTERVAL_NS = 300 * NS_PER_MS
+SUSPICION_TIMEOUT_NS = 1500 * NS_PER_MS
+RECENT_CONTACT_NS = 800 * NS_PER_MS  # Asked first if heard within this.
+FORWARDING_TIMEOUT_NS = (
+    550 * NS_PER_MS
+)  # Not heard for so long, it gets no calls: a beat and most of another are missing.
+LEARNER_FORWARDING_TIMEOUT_NS = (
+    1000 * NS_PER_MS
+)  # The same for those that hear voters less often, as they are none.
+SETTLING_TIME_NS = (
     2000 * NS_PER_MS
 )  # Links to a machine that was away are there, and it votes again, when this is over.
-GONE = 5000 * NS_PER_MS
-EVENT_CONTACT = 210
-NONE_KNOWN = -1  # Unlike every checksum: whoever is told this tells of all it knows, itself too.
+LISTING_TIMEOUT_NS = 5000 * NS_PER_MS
+EVENT_QUORUM_CONTACT = 210
+UNKNOWN_CHECKSUM = -1  # Unlike every checksum: whoever is told this tells of all it knows, itself too.
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class FailureDetector:
     def __init__(
-        self, out: Outbox, voters: Voters, store: ItemStore, seeds: Sequence[str], contact: Contact
+        self,
+        out: EffectBuffer,
+        voters: VotingState,
+        store: ItemStore,
+        seeds: Sequence[str],
+        contact: ContactLease,
     ) -> None:
         self._out, self._voters, self._store, self._contact = out, voters, store, contact
         self._seeds = tuple(seeds)
-        self.nodes: dict[str, NodeRecord] = {voters.me.ip: voters.me}
+        self.nodes: dict[str, NodeRecord] = {voters.local_node.ip: voters.local_node}
         # Births that machines have told themselves since the voters changed. What was known before may be of
         # a disk that this very change replaced: chosen again, it would name a voter that isn't there.
         self.self_reported_disks: dict[str, int] = {}
@@ -63,29 +72,29 @@
 
     @property
     def local_node(self) -> NodeRecord:
-        return self._voters.me
+        return self._voters.local_node
 
     # What is told.
 
     def record_contact(self, sender: str) -> None:
         now = self._out.now
-        if now - self.last_contact.get(sender, -GONE) > DISTANT:
+        if now - self.last_contact.get(sender, -LISTING_TIMEOUT_NS) > LEARNER_FORWARDING_TIMEOUT_NS:
             self._contact_since[sender] = now
         self.last_contact[sender] = now
 
     def handle_announcement(self, sender: str, knock: Announcement) -> None:
         if knock.node.ip == sender:
-            self.self_reported_disks[sender] = knock.node.birth
+            self.self_reported_disks[sender] = knock.node.disk_id
             self._merge(knock.node, direct=True)
-        if knock.known != self._checksum:
+        if knock.peers_checksum != self._checksum:
             self._out.send(sender, PeerList(tuple(self.nodes.values())))
-        if self._voters.decision is not None and knock.epoch < self._voters.epoch:
-            self._out.send(sender, self._voters.decision)
+        if self._voters.configuration is not None and knock.epoch < self._voters.epoch:
+            self._out.send(sender, self._voters.configuration)
 
     def handle_peer_list(self, sender: str, message: PeerList) -> None:
         for machine in message.nodes:
             if machine.ip == sender:
-                self.self_reported_disks[sender] = machine.birth
+                self.self_reported_disks[sender] = machine.disk_id
             self._merge(machine, direct=False)
 
     def _merge(self, machine: NodeRecord, direct: bool) -> None:
@@ -98,28 +107,28 @@
             or machine.version > mine.version
             or (direct and machine.version == mine.version and machine != mine)
         ):
-            if mine is None or mine.birth != machine.birth:
+            if mine is None or mine.disk_id != machine.disk_id:
                 self.last_newcomer_at = self._out.now
             self.nodes[machine.ip] = machine
             self._sum()
 
-    def voters_changed(self) -> None:
+    def handle_configuration_change(self) -> None:
         self.self_reported_disks.clear()
 
     def _unconfirmed_replacements(self) -> list[str]:
         """Voters that are known with another disk, but not by their own word."""
-        decision = self._voters.decision
+        decision = self._voters.configuration
         return [
             one.ip
             for one in (decision.voters if decision else ())
             if one.ip in self.nodes
-            and self.nodes[one.ip].birth != one.birth
+            and self.nodes[one.ip].disk_id != one.disk_id
             and one.ip not in self.self_reported_disks
         ]
 
     def update_local_node(self, me: NodeRecord) -> None:
         """Something about this machine has changed: tell all."""
-        self._voters.me = me
+        self._voters.local_node = me
         self.nodes[me.ip] = me
         self._sum()
         self._announce(self.peers())
@@ -131,18 +140,18 @@
         (self.leaving.add if beat.flags & replication.LEAVING else self.leaving.discard)(sender)
         if beat.flags & replication.COMPLETE:
             self._complete_epochs[sender] = beat.epoch
-        if beat.known != self._checksum:
+        if beat.peers_checksum != self._checksum:
             self._out.send(sender, self._announcement())
-        if self._voters.decision is not None and beat.epoch < self._voters.epoch:
-            self._out.send(sender, self._voters.decision)
-        if self._out.now - self._last_heartbeat_sent.get(sender, 0) > 2 * BEAT:
+        if self._voters.configuration is not None and beat.epoch < self._voters.epoch:
+            self._out.send(sender, self._voters.configuration)
+        if self._out.now - self._last_heartbeat_sent.get(sender, 0) > 2 * HEARTBEAT_INTERVAL_NS:
             self._send_heartbeat(
                 [sender]
             )  # It watches me though I needn't watch it: let it know that I am here.
-        if beat.items == self._store.buckets.total:
+        if beat.items_checksum == self._store.buckets.total:
             self._divergent_heartbeats.pop(sender, None)
             if beat.epoch == self._voters.epoch and beat.flags & replication.COMPLETE:
-                self._contact.equal(sender)
+                self._contact.record_matching_heartbeat(sender)
             return None
         count = self._divergent_heartbeats[sender] = self._divergent_heartbeats.get(sender, 0) + 1
         return sender if count >= 2 else None
@@ -168,7 +177,7 @@
     def _flags(self) -> int:
         return (
             replication.SETTLED * (self.local_node.ip in self._settled_nodes)
-            + replication.COMPLETE * self._voters.voting
+            + replication.COMPLETE * self._voters.can_vote
             + replication.LEAVING * (self.local_node.ip in self.leaving)
         )
 
@@ -186,23 +195,25 @@
 
     def handle_connected(self, ip: str) -> None:
         """Show it at once that this machine is there."""
-        if ip in self.nodes and self._voters.decision is not None:
+        if ip in self.nodes and self._voters.configuration is not None:
             self._send_heartbeat([ip])
         else:
             self._announce([ip])
 
     def tick(self) -> None:
-        if self._out.now - self._last_tick > LATELY:
+        if self._out.now - self._last_tick > RECENT_CONTACT_NS:
             self._running_since = self._out.now
         self._last_tick = self._out.now
         if self.has_quorum_contact() != self._was_in_contact:
             self._was_in_contact = not self._was_in_contact
-            self._out.log(EVENT_CONTACT, in_touch=self._was_in_contact, unheard=list(self.suspected_voters()))
+            self._out.log(
+                EVENT_QUORUM_CONTACT, in_touch=self._was_in_contact, unheard=list(self.suspected_voters())
+            )
         settled = (
             self.local_node.ip not in self.leaving
             and self.has_quorum_contact()
-            and self._voters.voting
-            and self._out.now - self._running_since >= SETTLED
+            and self._voters.can_vote
+            and self._out.now - self._running_since >= SETTLING_TIME_NS
         )
         if settled != (self.local_node.ip in self._settled_nodes):
             (self._settled_nodes.add if settled else self._settled_nodes.discard)(self.local_node.ip)
@@ -211,25 +222,28 @@
             )  # All should know at once, or two propose for one register.
         if self._out.now < self._next_heartbeat_at:
             return
-        self._next_heartbeat_at = self._out.now + BEAT
+        self._next_heartbeat_at = self._out.now + HEARTBEAT_INTERVAL_NS
         others = self.peers()
-        watching = {*watchers(self.local_node.ip, others), *self._voters.ips} - {self.local_node.ip}
+        watching = {*choose_watchers(self.local_node.ip, others), *self._voters.ips} - {self.local_node.ip}
         # Whoever isn't known is told who this machine is; what others lack they show by their beats.
-        strange = [ip for ip in others if ip not in self.nodes or self._voters.decision is None]
+        strange = [ip for ip in others if ip not in self.nodes or self._voters.configuration is None]
         self._announce(strange)
         for ip in self._unconfirmed_replacements():
-            self._out.send(ip, Announcement(self.local_node, self._voters.epoch, NONE_KNOWN))
+            self._out.send(ip, Announcement(self.local_node, self._voters.epoch, UNKNOWN_CHECKSUM))
         self._send_heartbeat(sorted(watching - set(strange)))
 
     # What follows.
 
-    def is_alive(self, ip: str, within: int = SILENT) -> bool:
-        return ip == self.local_node.ip or self._out.now - self.last_contact.get(ip, -GONE) <= within
+    def is_alive(self, ip: str, within: int = SUSPICION_TIMEOUT_NS) -> bool:
+        return (
+            ip == self.local_node.ip
+            or self._out.now - self.last_contact.get(ip, -LISTING_TIMEOUT_NS) <= within
+        )
 
     def is_complete(self, ip: str) -> bool:
         """Whether that voter is known to have all that was held before this epoch."""
         if ip == self.local_node.ip:
-            return self._voters.voting
+            return self._voters.can_vote
         return self._complete_epochs.get(ip, 0) >= max(1, self._voters.epoch)
 
     def start_leaving(self) -> None:
@@ -239,21 +253,21 @@
 
     def has_left(self) -> bool:
         """Whether this machine may end: it is no voter any more, and the voters are complete without it."""
-        decision = self._voters.decision
+        decision = self._voters.configuration
         if decision is None or self.local_node.ip in self._voters.ips:
             return decision is None
-        return sum(self.is_complete(ip) for ip in self._voters.ips) >= self._voters.enough
+        return sum(self.is_complete(ip) for ip in self._voters.ips) >= self._voters.quorum_size
 
     def was_heard_recently(self, ip: str) -> bool:
-        return self.is_alive(ip, LATELY)
+        return self.is_alive(ip, RECENT_CONTACT_NS)
 
     def is_ready(self, ip: str) -> bool:
         """Whether that voter was heard lately, and not as a machine that has lost the disk it votes with."""
-        decision, machine = self._voters.decision, self.nodes.get(ip)
+        decision, machine = self._voters.configuration, self.nodes.get(ip)
         return (
             self.was_heard_recently(ip)
             and self._has_contact_with_local(ip)
-            and (decision is None or machine is None or holds(decision.voters, ip, machine.birth))
+            and (decision is None or machine is None or includes_disk(decision.voters, ip, machine.disk_id))
         )
 
     def settled_voters(self) -> frozenset[str]:
@@ -263,19 +277,21 @@
         as views that differ make two propose for one register.
         """
         found = frozenset(ip for ip in self._voters.ips if self._is_settled(ip))
-        return found if len(found) >= self._voters.enough else frozenset()
+        return found if len(found) >= self._voters.quorum_size else frozenset()
 
     def _is_settled(self, ip: str) -> bool:
         return ip in self._settled_nodes and self.is_responsive(ip) and self._has_contact_with_local(ip)
 
     def is_responsive(self, ip: str) -> bool:
         """Whether calls may be handed to it, by when it was heard last."""
-        return self.is_alive(ip, QUIET if self._voters.member else DISTANT)
+        return self.is_alive(
+            ip, FORWARDING_TIMEOUT_NS if self._voters.is_voter else LEARNER_FORWARDING_TIMEOUT_NS
+        )
 
     def has_stable_contact(self, ip: str) -> bool:
         """Whether that voter's answer to a round may be counted on."""
         return self.is_ready(ip) and (
-            ip == self.local_node.ip or self._out.now - self._contact_since.get(ip, 0) >= SETTLED
+            ip == self.local_node.ip or self._out.now - self._contact_since.get(ip, 0) >= SETTLING_TIME_NS
         )
 
     def _has_contact_with_local(self, ip: str) -> bool:
@@ -288,15 +304,18 @@
 
     def has_quorum_contact(self) -> bool:
         return (
-            self._voters.decision is not None
-            and (self._voters.voting or not self._voters.member)
+            self._voters.configuration is not None
+            and (self._voters.can_vote or not self._voters.is_voter)
             and sum(self.is_alive(ip) and self._has_contact_with_local(ip) for ip in self._voters.ips)
-            >= self._voters.enough
+            >= self._voters.quorum_size
         )
 
     def nearest_voter(self) -> str | None:
         """The nearest voter that is there."""
-        return next((ip for ip in self._voters.near if ip != self.local_node.ip and self.is_ready(ip)), None)
+        return next(
+            (ip for ip in self._voters.ips_by_proximity if ip != self.local_node.ip and self.is_ready(ip)),
+            None,
+        )
 
     def learners(self) -> list[str]:
         return [
@@ -306,14 +325,14 @@
         ]
 
     def control_nodes(self) -> tuple[ControlNodeAddress, ...]:
-        decision = self._voters.decision
+        decision = self._voters.configuration
         found = (
             {one.ip: ControlNodeAddress(one.ip, one.zone, one.region) for one in decision.voters}
             if decision
             else {}
         )
-        hears_all = self._voters.voting or len(self.nodes) <= ALL_WATCH
+        hears_all = self._voters.can_vote or len(self.nodes) <= FULL_MESH_MAX_NODES
         for one in self.nodes.values():
-            if one.ip in found or not hears_all or self.is_alive(one.ip, GONE):
+            if one.ip in found or not hears_all or self.is_alive(one.ip, LISTING_TIMEOUT_NS):
                 found[one.ip] = ControlNodeAddress(one.ip, one.zone, one.region)
         return tuple(found[ip] for ip in sorted(found))
--- a/ambershift/system/consensus/item_store.py
+++ b/ambershift/system/consensus/item_store.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from ambershift.system.consensus.bucket_checksums import Buckets
-from ambershift.system.consensus.effect_buffer import Outbox
-from ambershift.system.consensus.write_queue import Journal
+from ambershift.system.consensus.bucket_checksums import BucketChecksums
+from ambershift.system.consensus.effect_buffer import EffectBuffer
+from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.messages.items import (
     CLEARED,
     CLEARED_INSTANCES_KEY,
@@ -37,12 +37,12 @@
 
 
 class ItemStore:
-    def __init__(self, out: Outbox, journal: Journal, rows: dict[str, bytes]) -> None:
+    def __init__(self, out: EffectBuffer, journal: WriteQueue, rows: dict[str, bytes]) -> None:
         self._out, self._journal = out, journal
         self.items: dict[Key, Item] = {}
         self.tombstones: dict[Key, Item] = {}  # Of the operator's items, those that are dropped.
         self._by_row_key: dict[str, Item] = {}
-        self.buckets = Buckets()
+        self.buckets = BucketChecksums()
         for data in rows.values():
             self._insert(_decode(data))
         self._cleared_keys = frozenset[Key]()
@@ -55,7 +55,7 @@
     def _insert(self, item: Item) -> None:
         name = row_key(item.key)
         self.items[item.key] = self._by_row_key[name] = item
-        self.buckets.put(name, _encode(item.rank))
+        self.buckets.update(name, _encode(item.rank))
         if item.kind in CONFIGURATION_KINDS and item.body is None:
             self.tombstones[item.key] = item
         else:
@@ -88,7 +88,7 @@
             elif item.kind == COLLECTED_TOMBSTONES_KIND:
                 self._collect(collected_tombstones_of(item))
         if merged:
-            self._out.news(merged)
+            self._out.items_updated(merged)
         return not is_incomplete
 
     def _delete_cleared(self, clearing: Item) -> None:
@@ -101,7 +101,7 @@
         if self.items.pop(key, None) is not None:
             name = row_key(key)
             del self._by_row_key[name]
-            self.buckets.drop(name)
+            self.buckets.remove(name)
             self.tombstones.pop(key, None)
             self._journal.put(ITEMS_TABLE, name, None)
 
--- a/ambershift/system/consensus/membership_view.py
+++ b/ambershift/system/consensus/membership_view.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ambershift.system.consensus.failure_detector import FailureDetector
-from ambershift.system.consensus.voters import Voters
+from ambershift.system.consensus.voters import VotingState
 
 
 class VoterStatus(msgspec.Struct, frozen=True, rename="pascal"):
@@ -14,9 +14,9 @@
 
     ip: str
     zone: str
-    heard: bool
-    complete: bool
-    leaving: bool
+    is_alive: bool = msgspec.field(name="Heard")
+    is_complete: bool = msgspec.field(name="Complete")
+    is_leaving: bool = msgspec.field(name="Leaving")
 
 
 class MembershipStatus(msgspec.Struct, frozen=True, rename="pascal"):
@@ -25,13 +25,13 @@
 
     epoch: int
     voters: tuple[VoterStatus, ...]
-    complete: int
-    bears: int
+    complete_count: int = msgspec.field(name="Complete")
+    tolerated_losses: int = msgspec.field(name="Bears")
     learners: tuple[str, ...]
 
 
-def membership_status(voters: Voters, watching: FailureDetector) -> MembershipStatus:
-    decision = voters.decision
+def membership_status(voters: VotingState, watching: FailureDetector) -> MembershipStatus:
+    decision = voters.configuration
     machines = watching.nodes
     found = tuple(
         VoterStatus(
@@ -43,6 +43,6 @@
         )
         for one in (decision.voters if decision else ())
     )
-    complete = sum(one.heard and one.complete for one in found)
-    bears = complete - voters.enough
+    complete = sum(one.is_alive and one.is_complete for one in found)
+    bears = complete - voters.quorum_size
     return MembershipStatus(voters.epoch, found, complete, bears, tuple(watching.learners()))
--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 
 from ambershift.system.consensus.acceptor import Acceptor
-from ambershift.system.consensus.effect_buffer import Held, Outbox
+from ambershift.system.consensus.effect_buffer import CallSucceeded, EffectBuffer
 from ambershift.system.consensus.register import PendingChange, PreparedBallot, ProposerRegister, Round
 from ambershift.system.consensus.round_fanout import RoundFanout, transfer_allowance_ns
-from ambershift.system.consensus.voters import Voters
+from ambershift.system.consensus.voters import VotingState
 from ambershift.system.interfaces import ChangeFunction, DeltaCodec, NotAppliedError, OutcomeUnknownError
 from ambershift.system.messages.replication import (
     Accept,
@@ -36,8 +36,8 @@
 class Proposer:
     def __init__(
         self,
-        out: Outbox,
-        voters: Voters,
+        out: EffectBuffer,
+        voters: VotingState,
         acceptor: Acceptor,
         delta_codecs: Callable[[str], DeltaCodec | None],
         incarnation: int,
@@ -57,7 +57,7 @@
         register_name: str,
         change: ChangeFunction,
         deadline_ns: int,
-        on_done: Callable[[Held | Exception], None],
+        on_done: Callable[[CallSucceeded | Exception], None],
     ) -> None:
         register = self._registers.get(register_name)
         if register is None:
@@ -91,7 +91,7 @@
                 self._fanout.send_prepare_to(sender, register, round_)
                 return True
             round_.rejected.add(sender)
-            if len(round_.rejected) > len(self._voters.near) - self._voters.enough:
+            if len(round_.rejected) > len(self._voters.ips_by_proximity) - self._voters.quorum_size:
                 self._abandon_round(register)
             else:  # The others may suffice, but if one of them is away, two proposers would wait for it.
                 self._fanout.send_to_remaining(register, round_)
@@ -121,7 +121,7 @@
                     message.origin_ballot,
                     value,
                 )
-            if len(round_.granted) >= self._voters.enough:
+            if len(round_.granted) >= self._voters.quorum_size:
                 self._complete_round(register, round_)
         return True
 
@@ -159,7 +159,7 @@
             if not register.queue and register.round is None:
                 self._active.discard(register.name)
             return
-        if self._voters.decision is None:
+        if self._voters.configuration is None:
             return
         lease = register.prepared
         if lease is not None and lease.epoch == self._voters.epoch:
@@ -196,7 +196,7 @@
         now = self._out.now
         value = prepared.value
         since = now if value is None else self._acceptor.known_since(register.name, prepared.origin_ballot)
-        results: list[tuple[PendingChange, Held | Exception]] = []
+        results: list[tuple[PendingChange, CallSucceeded | Exception]] = []
         changed = False
         for call in batch:
             try:
@@ -206,7 +206,7 @@
                 continue
             if verdict.new_value is not None:
                 value, since, changed = verdict.new_value, now, True
-            results.append((call, Held(verdict.result)))
+            results.append((call, CallSucceeded(verdict.result)))
         if changed or after_prepare:
             self._accept(register, prepared, value, results, changed)
         else:
@@ -217,7 +217,7 @@
         register: ProposerRegister,
         prepared: PreparedBallot,
         value: bytes | None,
-        results: list[tuple[PendingChange, Held | Exception]],
+        results: list[tuple[PendingChange, CallSucceeded | Exception]],
         changed: bool,
     ) -> None:
         number, ballot = self._next_request_id(), prepared.ballot
@@ -247,7 +247,7 @@
         self,
         register: ProposerRegister,
         prepared: PreparedBallot,
-        results: list[tuple[PendingChange, Held | Exception]],
+        results: list[tuple[PendingChange, CallSucceeded | Exception]],
     ) -> None:
         number = self._next_request_id()
         round_ = Round(
@@ -285,7 +285,7 @@
         # Two rounds must fit into a pause, or two proposers take a register from each other for ever.
         most = min(self._fanout.double_round_time_ns << min(register.failed_attempts, 4), BACKOFF_MAX_NS)
         register.backoff_until_ns = self._out.now + self._rng.randrange(most)
-        self._out.wake(register.backoff_until_ns)
+        self._out.schedule_tick(register.backoff_until_ns)
         self._active.add(register.name)
 
     # Time and voters.
@@ -306,7 +306,7 @@
                 if round_.contacted < self._voters.ips:
                     self._fanout.send_to_remaining(register, round_)
                 else:
-                    for ip in self._voters.near:
+                    for ip in self._voters.ips_by_proximity:
                         if ip not in round_.granted and ip not in round_.rejected:
                             self._fanout.send_to(ip, register, round_)
 
--- a/ambershift/system/consensus/quorum_write.py
+++ b/ambershift/system/consensus/quorum_write.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from ambershift.system.consensus.effect_buffer import Held, Outbox
+from ambershift.system.consensus.effect_buffer import CallSucceeded, EffectBuffer
 from ambershift.system.consensus.item_store import ItemStore
-from ambershift.system.consensus.voters import Voters
+from ambershift.system.consensus.voters import VotingState
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.messages.replication import Acknowledgement, MergeItems
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class PendingWrite:
-    on_done: Callable[[Held | Exception], None]
+    on_done: Callable[[CallSucceeded | Exception], None]
     items: tuple[Item, ...]
     deadline_ns: int
     to_all_voters: bool  # Not on enough voters, but on all.
@@ -36,8 +36,8 @@
 class QuorumWriter:
     def __init__(
         self,
-        out: Outbox,
-        voters: Voters,
+        out: EffectBuffer,
+        voters: VotingState,
         store: ItemStore,
         numbers: Callable[[], int],
         learners: Callable[[], Sequence[str]],
@@ -50,7 +50,7 @@
         self,
         items: Sequence[Item],
         deadline_ns: int,
-        on_done: Callable[[Held | Exception], None],
+        on_done: Callable[[CallSucceeded | Exception], None],
         to_all_voters: bool = False,
     ) -> None:
         write = PendingWrite(on_done, tuple(items), deadline_ns, to_all_voters, self._numbers())
@@ -59,13 +59,13 @@
 
     def _start(self, write: PendingWrite) -> None:
         """(Again) from nothing, among the voters of now."""
-        if self._voters.decision is None:
+        if self._voters.configuration is None:
             return
         is_first_attempt = write.epoch == 0
         write.epoch = self._voters.epoch
         write.acknowledged.clear()
         self._store.merge(write.items)
-        self._send(write, self._voters.near)
+        self._send(write, self._voters.ips_by_proximity)
         if is_first_attempt:  # What learners miss they find out by checksums.
             message = MergeItems(write.epoch, 0, self._store.stored(write.keys), self._store.collected.batch)
             for ip in self._learners():
@@ -85,9 +85,11 @@
         if write is None or message.epoch != write.epoch or sender not in self._voters.ips:
             return
         write.acknowledged.add(sender)
-        if len(write.acknowledged) >= (len(self._voters.ips) if write.to_all_voters else self._voters.enough):
+        if len(write.acknowledged) >= (
+            len(self._voters.ips) if write.to_all_voters else self._voters.quorum_size
+        ):
             del self._writes[write.request_id]
-            write.on_done(Held(None))
+            write.on_done(CallSucceeded(None))
 
     def tick(self) -> None:
         for one in list(self._writes.values()):
@@ -101,7 +103,7 @@
             elif one.epoch == 0:
                 self._start(one)
             elif self._out.now >= one.retry_at_ns:
-                self._send(one, [ip for ip in self._voters.near if ip not in one.acknowledged])
+                self._send(one, [ip for ip in self._voters.ips_by_proximity if ip not in one.acknowledged])
 
     def epoch_changed(self) -> None:
         for one in list(self._writes.values()):
--- a/ambershift/system/consensus/register.py
+++ b/ambershift/system/consensus/register.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from ambershift.system.consensus.acceptor import EMPTY_STATE
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.interfaces import ChangeFunction
 from ambershift.system.messages.replication import (
     ZERO_BALLOT,
@@ -22,7 +22,7 @@
 class PendingChange:
     change: ChangeFunction
     deadline_ns: int
-    on_done: Callable[[Held | Exception], None]
+    on_done: Callable[[CallSucceeded | Exception], None]
     maybe_applied: bool = False  # Whether a write with its effect went out, so that it may hold.
 
 
@@ -51,7 +51,7 @@
     accepted_ballot: Ballot = ZERO_BALLOT
     origin_ballot: Ballot = ZERO_BALLOT
     value: bytes | None = None
-    results: list[tuple[PendingChange, Held | Exception]] = field(default_factory=list)
+    results: list[tuple[PendingChange, CallSucceeded | Exception]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -15,17 +15,17 @@
 
 from ambershift.system.consensus.acceptor import Acceptor
 from ambershift.system.consensus.anti_entropy import AntiEntropy
-from ambershift.system.consensus.contact_lease import Contact
-from ambershift.system.consensus.effect_buffer import News, Outbox
+from ambershift.system.consensus.contact_lease import ContactLease
+from ambershift.system.consensus.effect_buffer import EffectBuffer, ItemsUpdated
 from ambershift.system.consensus.events import Event, PeerConnected, ReadQuorum, WriteItems
 from ambershift.system.consensus.failure_detector import FailureDetector
 from ambershift.system.consensus.item_store import ItemStore
-from ambershift.system.consensus.membership import Membership
+from ambershift.system.consensus.membership import MembershipManager
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.quorum_write import QuorumWriter
 from ambershift.system.consensus.tombstone_collector import TombstoneCollector
-from ambershift.system.consensus.voters import FOUNDER, Voters
-from ambershift.system.consensus.write_queue import Journal
+from ambershift.system.consensus.voters import FOUNDER_DISK_ID, VotingState
+from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.interfaces import DeltaCodec
 from ambershift.system.messages.replication import (
     Accept,
@@ -61,24 +61,24 @@
         self, settings: Local, seed: int, shapes: Callable[[str], DeltaCodec | None], rows: Rows, now: int
     ) -> None:
         chance = random.Random(seed)
-        out = self._out = Outbox(settings.ip)
+        out = self._out = EffectBuffer(settings.ip)
         out.now = now
         meta = rows.get("meta", {})
-        journal = self._journal = Journal(out)
+        journal = self._journal = WriteQueue(out)
         founding = "birth" not in meta and settings.initial and settings.ip in settings.seed_ips
         birth = (
             int(meta.get("birth", b"0"))
             if "birth" in meta
-            else (FOUNDER if founding else chance.randrange(1, 1 << 32))
+            else (FOUNDER_DISK_ID if founding else chance.randrange(1, 1 << 32))
         )
         me = NodeRecord(
             settings.ip, settings.zone, settings.region, birth, 0, settings.initial, settings.counted
         )
         numbers = itertools.count(chance.randrange(1 << 31)).__next__
         self._store = ItemStore(out, journal, rows.get("items", {}))
-        self._voters = Voters(journal, me, meta)
+        self._voters = VotingState(journal, me, meta)
         self._acceptor = Acceptor(out, journal, shapes, rows.get("registers", {}))
-        self._contact = Contact(out, self._voters)
+        self._contact = ContactLease(out, self._voters)
         self._failure_detector = FailureDetector(
             out, self._voters, self._store, settings.seed_ips, self._contact
         )
@@ -107,7 +107,7 @@
             self._contact,
         )
         self._decisions: list[VoterConfiguration] = []
-        self._membership = Membership(
+        self._membership = MembershipManager(
             out,
             self._voters,
             self._failure_detector,
@@ -126,17 +126,17 @@
             journal.put("meta", "birth", str(birth).encode())
             out.log(EVENT_BORN, birth=birth, founding=founding)
         if founding:
-            self._voters.found(settings.seed_ips)
-        if self._voters.member:
+            self._voters.bootstrap(settings.seed_ips)
+        if self._voters.is_voter:
             self._voted()
             self._anti_entropy.catch_up()
 
     # Events.
 
-    def step(self, now: int, event: Event) -> list[Effect | News]:
+    def step(self, now: int, event: Event) -> list[Effect | ItemsUpdated]:
         out = self._out
         since, out.now = now - out.now, now
-        self._contact.passed(since)
+        self._contact.record_elapsed(since)
         if isinstance(event, MessageReceived):
             self._failure_detector.record_contact(event.sender)
             self._dispatch(event.sender, event.message)
@@ -146,9 +146,9 @@
         elif isinstance(event, Tick):
             self._tick()
         elif isinstance(event, WriteCompleted):
-            self._journal.written(event.token, event.fault)
+            self._journal.handle_write_completed(event.token, event.fault)
         elif isinstance(event, WriteItems):
-            done = partial(out.answer, event.call)
+            done = partial(out.complete_call, event.call)
             self._quorum_writer.write(event.items, now + int(event.timeout_s * NS_PER_SECOND), done)
         elif isinstance(event, ReadQuorum):
             self._anti_entropy.read(event.call, now + int(event.timeout_s * NS_PER_SECOND))
@@ -157,25 +157,25 @@
                 event.register,
                 event.change,
                 now + int(event.timeout_s * NS_PER_SECOND),
-                partial(out.answer, event.call),
+                partial(out.complete_call, event.call),
             )
-        while out.own or self._decisions:
+        while out.loopback or self._decisions:
             if self._decisions:
                 self._decided(self._decisions.pop(0))
             else:
-                self._dispatch(out.ip, out.own.popleft())
+                self._dispatch(out.local_ip, out.loopback.popleft())
         self._journal.flush()
-        return out.taken()
+        return out.drain()
 
     def _tick(self) -> None:
         self._failure_detector.tick()
         self._quorum_writer.tick()
-        if not self._voters.voting and self._out.now >= self._next_prefetch_ns:
+        if not self._voters.can_vote and self._out.now >= self._next_prefetch_ns:
             # Whoever may be made a voter should then lack little.
             self._next_prefetch_ns = self._out.now + PREFETCH_INTERVAL_NS
-            if not self._voters.member and (near := self._failure_detector.nearest_voter()) is not None:
+            if not self._voters.is_voter and (near := self._failure_detector.nearest_voter()) is not None:
                 self._anti_entropy.repair_from(near)
-        if self._contact.wants_reading() and self._failure_detector.has_quorum_contact():
+        if self._contact.needs_quorum_read() and self._failure_detector.has_quorum_contact():
             self._anti_entropy.prove_contact()
         self._anti_entropy.tick()
         self._proposer.tick()
@@ -214,7 +214,7 @@
 
     def _vote(self, sender: str, message: msgspec.Struct, epoch: int) -> None:
         """Handle what wants this machine's vote, if the sender counts by the same voters as it does."""
-        decision = self._voters.decision
+        decision = self._voters.configuration
         if decision is not None and epoch < decision.epoch:
             self._out.send(sender, decision)
         elif decision is None or epoch > decision.epoch:
@@ -222,7 +222,7 @@
             self._defer(sender, message)
         elif isinstance(message, SyncRequest):
             self._anti_entropy.answer_request(sender, message)
-        elif self._voters.voting:
+        elif self._voters.can_vote:
             if isinstance(message, Prepare):
                 self._acceptor.prepare(sender, message)
             elif isinstance(message, Accept):
@@ -230,10 +230,10 @@
             elif isinstance(message, ConfirmBallot):
                 self._acceptor.confirm(sender, message)
             elif isinstance(message, MergeItems):
-                self._journal.synced(
+                self._journal.on_durable(
                     partial(self._out.send, sender, Acknowledgement(epoch, message.request_id))
                 )
-        elif self._voters.member:
+        elif self._voters.is_voter:
             self._defer(sender, message)
 
     def _defer(self, sender: str, message: msgspec.Struct) -> None:
@@ -260,8 +260,8 @@
             return
         self._out.log(EVENT_VOTERS, epoch=decision.epoch, voters=[one.ip for one in decision.voters])
         self._acceptor.delete_voter_registers(f"@{decision.epoch}")
-        self._failure_detector.voters_changed()
-        self._contact.voters_changed()
+        self._failure_detector.handle_configuration_change()
+        self._contact.handle_configuration_change()
         self._voted()
         self._anti_entropy.epoch_changed()
         self._dispatch_deferred()
@@ -269,8 +269,8 @@
         self._proposer.epoch_changed()
 
     def _voted(self) -> None:
-        me = self._voters.me
-        if me.initial and self._voters.member:
+        me = self._voters.local_node
+        if me.initial and self._voters.is_voter:
             self._failure_detector.update_local_node(
                 msgspec.structs.replace(me, initial=False, version=me.version + 1)
             )
@@ -286,7 +286,7 @@
         return self._store
 
     @property
-    def voters(self) -> Voters:
+    def voters(self) -> VotingState:
         return self._voters
 
     @property
@@ -294,14 +294,14 @@
         return self._failure_detector
 
     @property
-    def contact(self) -> Contact:
+    def contact(self) -> ContactLease:
         return self._contact
 
     def is_leaving_voters(self) -> bool:
         """Whether this machine, which tells that it is about to end, is no voter soon, or isn't one now."""
-        me = self._voters.me
-        return not self._voters.member or all(one.ip != me.ip for one in self._membership.wanted().members)
+        me = self._voters.local_node
+        return not self._voters.is_voter or all(one.ip != me.ip for one in self._membership.plan().voters)
 
     @property
     def is_disk_failing(self) -> bool:
-        return self._journal.bad
+        return self._journal.is_unhealthy
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from ambershift.system.consensus.contact_lease import NEVER_MS
+from ambershift.system.consensus.contact_lease import NO_CONTACT_AGE_MS
 from ambershift.system.consensus.disk import Disk, Rows
-from ambershift.system.consensus.effect_buffer import Held, News
+from ambershift.system.consensus.effect_buffer import CallSucceeded, ItemsUpdated
 from ambershift.system.consensus.events import ChangeRegister, Event, PeerConnected, ReadQuorum, WriteItems
 from ambershift.system.consensus.membership_view import MembershipStatus, membership_status
 from ambershift.system.consensus.replica import Replica
@@ -42,7 +42,7 @@
 class StorageBackend(Protocol):
     """The disk under a store: `disk.Disk`, or a simulated one."""
 
-    refused: str | None
+    quarantine_reason: str | None
 
     def open(self) -> Rows: ...
 
@@ -89,8 +89,8 @@
         if self._settings.folder is not None:
             self._disk = self._open_disk(self._settings.folder, self._settings.ip, self._on_written)
             rows = await self._read_disk(self._disk)
-            if self._disk.refused is not None:
-                self._log(EVENT_ASIDE, {"reason": self._disk.refused})
+            if self._disk.quarantine_reason is not None:
+                self._log(EVENT_ASIDE, {"reason": self._disk.quarantine_reason})
         self._replica = Replica(self._settings, self._seed, self._shapes, rows, self._steady())
         self.tick()
 
@@ -170,11 +170,11 @@
             future = self._calls.pop(effect.call_id, None)
             if future is None or future.done():
                 return
-            if isinstance(effect.outcome, Held):
+            if isinstance(effect.outcome, CallSucceeded):
                 future.set_result(effect.outcome.result)
             else:
                 future.set_exception(effect.outcome)
-        elif isinstance(effect, News):
+        elif isinstance(effect, ItemsUpdated):
             for heard in self._listeners:
                 try:
                     heard(effect.items)
@@ -228,7 +228,7 @@
         return self._replica is not None and self._replica.failure_detector.has_quorum_contact()
 
     def contact_age_ms(self) -> int:
-        return NEVER_MS if self._replica is None else self._replica.contact.age_ms()
+        return NO_CONTACT_AGE_MS if self._replica is None else self._replica.contact.age_ms()
 
     def is_alive(self, ip: str) -> bool:
         return self._replica is not None and self._replica.failure_detector.is_alive(ip)
--- a/ambershift/system/consensus/round_fanout.py
+++ b/ambershift/system/consensus/round_fanout.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from ambershift.system.consensus.effect_buffer import Outbox
+from ambershift.system.consensus.effect_buffer import EffectBuffer
 from ambershift.system.consensus.register import ProposerRegister, Round
-from ambershift.system.consensus.voters import Voters
+from ambershift.system.consensus.voters import VotingState
 from ambershift.system.messages.replication import Accept, ConfirmBallot, Prepare
 from ambershift.system.state_machine import NS_PER_MS
 
@@ -27,7 +27,7 @@
 class RoundFanout:
     """`alive` tells of a voter whether its answer may be counted on."""
 
-    def __init__(self, out: Outbox, voters: Voters, is_reachable: Callable[[str], bool]) -> None:
+    def __init__(self, out: EffectBuffer, voters: VotingState, is_reachable: Callable[[str], bool]) -> None:
         self._out, self._voters, self._is_reachable = out, voters, is_reachable
         self.double_round_time_ns = INITIAL_DOUBLE_ROUND_TIME_NS  # Twice what a round takes.
         self._slow_until_ns: dict[str, int] = {}  # Till when a voter is asked last.
@@ -48,11 +48,11 @@
         )
 
     def send_to_quorum(self, register: ProposerRegister, round_: Round) -> None:
-        near, now = self._voters.near, self._out.now
+        near, now = self._voters.ips_by_proximity, self._out.now
         chosen = [ip for ip in near if self._is_reachable(ip) and self._slow_until_ns.get(ip, 0) <= now][
-            : self._voters.enough
+            : self._voters.quorum_size
         ]
-        if len(chosen) < self._voters.enough:
+        if len(chosen) < self._voters.quorum_size:
             chosen = list(near)  # Too few are known to be well: whoever comes first.
         round_.contacted = set(chosen)
         round_.retry_at_ns = now + self.hedge_delay_ns() + transfer_allowance_ns(round_)
@@ -83,7 +83,7 @@
         )
 
     def send_to_remaining(self, register: ProposerRegister, round_: Round) -> None:
-        for ip in self._voters.near:
+        for ip in self._voters.ips_by_proximity:
             if ip not in round_.contacted:
                 round_.contacted.add(ip)
                 if isinstance(round_.message, ConfirmBallot):
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -17,12 +17,12 @@
 
 import msgspec
 
-from ambershift.system.consensus.effect_buffer import Held, Outbox
+from ambershift.system.consensus.effect_buffer import CallSucceeded, EffectBuffer
 from ambershift.system.consensus.failure_detector import FailureDetector
 from ambershift.system.consensus.item_store import ItemStore
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.quorum_write import QuorumWriter
-from ambershift.system.consensus.voters import Voters
+from ambershift.system.consensus.voters import VotingState
 from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
 from ambershift.system.messages.tombstones import NO_COLLECTED_TOMBSTONES, CollectedTombstones
@@ -43,8 +43,8 @@
 class TombstoneCollector:
     def __init__(
         self,
-        out: Outbox,
-        voters: Voters,
+        out: EffectBuffer,
+        voters: VotingState,
         watching: FailureDetector,
         store: ItemStore,
         proposer: Proposer,
@@ -71,13 +71,13 @@
     def _is_responsible(self) -> bool:
         """Whether it is this machine's turn: two at once do no harm, but cost."""
         live_voters = [ip for ip in self._voters.ips if self._watching.is_alive(ip)]
-        return self._voters.voting and min(live_voters) == self._voters.me.ip
+        return self._voters.can_vote and min(live_voters) == self._voters.local_node.ip
 
     def _write_to_all_voters(self, oldest: list[Item]) -> None:
         before = self._store.collected
 
-        def done(outcome: Held | Exception) -> None:
-            if isinstance(outcome, Held):
+        def done(outcome: CallSucceeded | Exception) -> None:
+            if isinstance(outcome, CallSucceeded):
                 self._agree_on_batch(before, before.with_batch(oldest))
 
         known = [] if before is NO_COLLECTED_TOMBSTONES else [before.as_item]
@@ -92,8 +92,8 @@
                 )  # Agreed already, but its put may not have come to its end.
             return ChangeOutcome(_encode(after), after)
 
-        def done(outcome: Held | Exception) -> None:
-            if isinstance(outcome, Held):
+        def done(outcome: CallSucceeded | Exception) -> None:
+            if isinstance(outcome, CallSucceeded):
                 self._write_batch(outcome.result)
 
         self._proposer.change(REGISTER, change, self._out.now + STEP_TIMEOUT_NS, done)
--- a/ambershift/system/messages/replication.py
+++ b/ambershift/system/messages/replication.py
@@ -21,7 +21,7 @@
     ip: str
     zone: str
     region: str
-    birth: int
+    disk_id: int
 
 
 class VoterConfiguration(msgspec.Struct, frozen=True, array_like=True, tag="cv"):
@@ -41,14 +41,14 @@
     ip: str
     zone: str
     region: str
-    birth: int
+    disk_id: int
     version: int
     initial: bool
     counted: bool
 
     @property
     def voter(self) -> Voter:
-        return Voter(self.ip, self.zone, self.region, self.birth)
+        return Voter(self.ip, self.zone, self.region, self.disk_id)
 
 
 class Announcement(msgspec.Struct, frozen=True, array_like=True, tag="ck"):
@@ -56,7 +56,7 @@
 
     node: NodeRecord
     epoch: int
-    known: int
+    peers_checksum: int
 
 
 class PeerList(msgspec.Struct, frozen=True, array_like=True, tag="cn"):
@@ -73,8 +73,8 @@
     `state` is the sum of the flags below."""
 
     epoch: int
-    items: int
-    known: int
+    items_checksum: int
+    peers_checksum: int
     suspected: tuple[str, ...]
     flags: int = 0
 
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ambershift.system.consensus.cache_file import SideFile
+from ambershift.system.consensus.cache_file import CacheFile
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.control_api.application import ControlApi
 from ambershift.system.control_api.context import NodeContext
@@ -60,7 +60,7 @@
             settings, send, steady, secrets.randbits(62), value_delta_codec, self.log
         )
         self.cache_file = (
-            SideFile(settings.folder, BACKENDS_CACHE_FILE) if settings.folder is not None else None
+            CacheFile(settings.folder, BACKENDS_CACHE_FILE) if settings.folder is not None else None
         )
         self.registry = RegistryService(
             settings, self.store, send, steady, secrets.randbits(62), self.log, self.cache_file
@@ -139,7 +139,9 @@
             Metric("in_touch", "whether a majority was heard lately", float(ledger.has_quorum_contact())),
             Metric("epoch", "epoch of the voters", members.epoch if members else 0),
             Metric("voters", "voters of this epoch", len(members.voters) if members else 0),
-            Metric("copies_complete", "voters known to be complete", members.complete if members else 0),
+            Metric(
+                "copies_complete", "voters known to be complete", members.complete_count if members else 0
+            ),
             Metric("items", "items held here", len(items)),
             Metric("proxies_linked", "proxies that this node looks after", len(self.controller.hellos)),
             Metric("backends", "backends on the list", len(self.registry.endpoints())),
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -42,7 +42,7 @@
 class StorageBackend:
     """A simulated disk, as `consensus.disk.Disk`."""
 
-    refused: str | None = None
+    quarantine_reason: str | None = None
 
     def __init__(
         self,
--- a/ambershift/system/simulation/fleet_history.py
+++ b/ambershift/system/simulation/fleet_history.py
@@ -185,7 +185,7 @@
     def _look_at_proofs(self) -> None:
         """What was acknowledged before the moment that was proved must be there."""
         for ip, box in self.fleet.boxes.items():
-            if box.replica is not None and (proved := box.replica.contact.proved()) is not None:
+            if box.replica is not None and (proved := box.replica.contact.proven_until()) is not None:
                 self._compare(ip, proved, box.replica.store.items)
         bound = int(self.fleet.bounds.contact * NS_PER_SECOND)
         for name, front in self.fleet.fronts.items():
--- a/ambershift/system/simulation/histories.py
+++ b/ambershift/system/simulation/histories.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.simulation.callers import GROUPS, Application
 from ambershift.system.simulation.calling import Streets
 from ambershift.system.simulation.cluster import Cluster
@@ -69,7 +69,7 @@
         broken += [
             f"{op.kind} at {ip} fails though all is well: {op.told!r}"
             for op in last
-            if not isinstance(op.told, Held)
+            if not isinstance(op.told, CallSucceeded)
         ]
     return Played(broken + world.judge(), troubles.happened, len(world.ops))
 
--- a/ambershift/system/simulation/lists.py
+++ b/ambershift/system/simulation/lists.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.consensus.events import ChangeRegister, ReadQuorum, WriteItems
 from ambershift.system.interfaces import ChangeOutcome, NotAppliedError
 from ambershift.system.messages.items import Item
@@ -61,7 +61,7 @@
     def _end(self, op: Op) -> Callable[[Any], None]:
         def done(outcome: Any) -> None:
             op.ended, op.told = self.now, outcome
-            if isinstance(outcome, Held):
+            if isinstance(outcome, CallSucceeded):
                 self.at(self.now, self.told)
 
         return done
@@ -106,7 +106,7 @@
 
         def done(outcome: Any) -> None:
             op.ended, op.told = self.now, outcome
-            if isinstance(outcome, Held) and box.replica is not None and box.life == life:
+            if isinstance(outcome, CallSucceeded) and box.replica is not None and box.life == life:
                 self._check_items(ip, op.begun)
 
         self.call(ip, lambda call: ReadQuorum(call, within), done)
@@ -118,7 +118,12 @@
         replica = self.boxes[ip].replica
         assert replica is not None
         for op in self.ops:
-            if op.kind == "put" and isinstance(op.told, Held) and op.ended is not None and op.ended <= before:
+            if (
+                op.kind == "put"
+                and isinstance(op.told, CallSucceeded)
+                and op.ended is not None
+                and op.ended <= before
+            ):
                 name, number = op.id.decode().split()
                 held = replica.store.items.get(("route", name))
                 if held is None or held.version[0] <= int(number):
@@ -139,7 +144,7 @@
 
     def _judge(self, ops: list[Op]) -> list[str]:
         """The longest list told is the order: all others begin it, none is shorter than one told before."""
-        good = [op for op in ops if isinstance(op.told, Held)]
+        good = [op for op in ops if isinstance(op.told, CallSucceeded)]
         touches = [op for op in good if op.kind == "touch"]
         broken = [wrong for op in good if (wrong := self._check_since(op, touches))]
         order: list[bytes] = max((op.told.result for op in good), key=len, default=[])
--- a/ambershift/system/simulation/loss_pairs.py
+++ b/ambershift/system/simulation/loss_pairs.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.simulation.lists import LISTS, Lists, Op
 from ambershift.system.simulation.troubles import heal
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
@@ -110,9 +110,9 @@
     world.run(REPAIR_S + CATCH_UP_S)
     last = _write_all(world, 2.0)
     stands_still = _disks_left(world) < _enough(world)  # Two machines that are gone for good, of three.
-    wrote_all = all(isinstance(op.told, Held) for op in last)
+    wrote_all = all(isinstance(op.told, CallSucceeded) for op in last)
     broken = [] if wrote_all or stands_still else ["no write though all is well"]
-    wrote = any(isinstance(op.told, Held) for op in done)
+    wrote = any(isinstance(op.told, CallSucceeded) for op in done)
     return Outcome(broken + world.judge(), wrote)
 
 
@@ -147,16 +147,16 @@
         (box.replica.voters for box in world.boxes.values() if box.replica is not None),
         key=lambda one: one.epoch,
     )
-    return voters.epoch, [one.ip for one in voters.decision.voters] if voters.decision else []
+    return voters.epoch, [one.ip for one in voters.configuration.voters] if voters.configuration else []
 
 
 def _disks_left(world: Lists, without: str = "") -> int:
     """How many of the newest voters have, with the disk that they vote with, all that was held before."""
     epoch, members = _newest(world)
     births = {
-        one.ip: str(one.birth).encode()
+        one.ip: str(one.disk_id).encode()
         for box in world.boxes.values()
-        if box.replica is not None and (decision := box.replica.voters.decision) is not None
+        if box.replica is not None and (decision := box.replica.voters.configuration) is not None
         if decision.epoch == epoch
         for one in decision.voters
     }
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -23,7 +23,7 @@
 
 
 def at_once(real: Any) -> Any:
-    def synced(self: write_queue.Journal, then: Callable[[], None]) -> None:
+    def synced(self: write_queue.WriteQueue, then: Callable[[], None]) -> None:
         then()
 
     return synced
@@ -31,7 +31,7 @@
 
 def ballot_of_the_machine(real: Any) -> Any:
     def init(self: Any, out: Any, voters: Any, acceptor: Any, shapes: Any, life: int, *others: Any) -> None:
-        real(self, out, voters, acceptor, shapes, crc32(out.ip.encode()), *others)
+        real(self, out, voters, acceptor, shapes, crc32(out.local_ip.encode()), *others)
 
     return init
 
@@ -44,17 +44,17 @@
 
 
 def adopted_in_memory(real: Any) -> Any:
-    def adopt(self: voters.Voters, decision: Any) -> bool:
+    def adopt(self: voters.VotingState, decision: Any) -> bool:
         if decision.epoch <= self.epoch:
             return False
-        self._take(decision)
+        self._apply(decision)
         return True
 
     return adopt
 
 
 class _AtOnce:
-    def synced(self, then: Callable[[], None]) -> None:
+    def on_durable(self, then: Callable[[], None]) -> None:
         then()
 
 
@@ -143,7 +143,7 @@
 
 
 def faults_unseen(real: Any) -> Any:
-    def written(self: write_queue.Journal, token: int, fault: str | None) -> None:
+    def written(self: write_queue.WriteQueue, token: int, fault: str | None) -> None:
         real(self, token, None)
 
     return written
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.consensus.events import ChangeRegister
 from ambershift.system.coordination import locks
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError
@@ -24,7 +24,7 @@
     world.run(0.7)  # It asks again those that have not answered, itself among them.
     world.boxes[mine].fault = None
     world.run(0.3)
-    acknowledged = isinstance(put.told, Held)
+    acknowledged = isinstance(put.told, CallSucceeded)
     world.wipe(mine)
     world.cut.clear()
     world.start(mine)
@@ -33,7 +33,7 @@
         return []
     fresh = world.freshen(one)
     world.run(1.5)
-    assert isinstance(fresh.told, Held)
+    assert isinstance(fresh.told, CallSucceeded)
     return world.broken
 
 
@@ -52,7 +52,7 @@
     world.run(0.7)
     boxes = world.boxes
     one, learner = boxes[first].replica, boxes[fresh].replica
-    assert one is not None and learner is not None and learner.voters.member and not learner.voters.voting
+    assert one is not None and learner is not None and learner.voters.is_voter and not learner.voters.can_vote
     world.change("append", first, name)
     world.run(0.4)
     world.late = lambda sender, to, message: (
@@ -65,7 +65,7 @@
     assert one._acceptor.state(name).promised_ballot[0] > 0 and alone.told is None
     world.let_go(lambda sender, to, message: isinstance(message, SyncResponse) and sender == other)
     world.run(0.05)
-    assert learner.voters.voting
+    assert learner.voters.can_vote
     kept, world.caught = world.caught, []
     world.cut |= {(other, first), (first, other)}
     world.change("append", other, name)
--- a/ambershift/system/simulation/scripts_voters.py
+++ b/ambershift/system/simulation/scripts_voters.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.consensus.register import ProposerRegister
 from ambershift.system.simulation.lists import Lists as World
 from ambershift.system.state_machine import NS_PER_SECOND
@@ -25,7 +25,7 @@
     else:
         late = world.change("append", alone, name)
         world.run(0.5)
-        assert isinstance(late.told, Held)
+        assert isinstance(late.told, CallSucceeded)
     # The machine prepares a high ballot at three, and is cut off before its write reaches anyone.
     register = replica._proposer._registers[name]
     register.prepared = None
@@ -51,7 +51,7 @@
             world.run(2)
     told = world.change("append", writer, name)
     world.run(2)
-    assert isinstance(told.told, Held)
+    assert isinstance(told.told, CallSucceeded)
     world.cut.clear()
     world.run(3)
     for ip in sorted(world.boxes):
@@ -68,7 +68,7 @@
     world.run(0.3)
     first = world.change("append", behind, "list/0")
     world.run(0.4)
-    assert isinstance(first.told, Held)
+    assert isinstance(first.told, CallSucceeded)
     world.cut |= {(behind, ip) for ip in ahead} | {(ip, behind) for ip in [between, *ahead]}
     two = world.boxes[between]
     newest = world.boxes[ahead[0]].replica
@@ -81,7 +81,9 @@
         two.fault = "stalled"
     till = world.now + 5 * NS_PER_SECOND
     while world.now < till and (
-        not newest.voters.voting or newest.voters.epoch < 2 or (two.replica.voters.epoch < 2 and not unsynced)
+        not newest.voters.can_vote
+        or newest.voters.epoch < 2
+        or (two.replica.voters.epoch < 2 and not unsynced)
     ):
         world.run(0.005)
     world.run(0.1)
@@ -99,7 +101,11 @@
     world.run(4)
     last = world.change("append", behind, "list/0")
     world.run(2)
-    return world.judge() if isinstance(last.told, Held) else ["nothing is acknowledged though all is well"]
+    return (
+        world.judge()
+        if isinstance(last.told, CallSucceeded)
+        else ["nothing is acknowledged though all is well"]
+    )
 
 
 def forgetful(seed: int) -> list[str]:
@@ -122,7 +128,7 @@
     world.run(1)
     told = world.change("append", mine, "list/0")
     world.run(1.5)
-    assert isinstance(told.told, Held)
+    assert isinstance(told.told, CallSucceeded)
     world.cut.clear()
     for ip in (one, other, mine):
         world.change("append", ip, "list/0")
@@ -142,6 +148,6 @@
         world.run(10)
     ops = [world.change("append", ip, "list/0", 3) for ip, box in sorted(world.boxes.items()) if box.replica]
     world.run(4)
-    broken = [f"no write at {len(ops)} machines" for op in ops if not isinstance(op.told, Held)]
+    broken = [f"no write at {len(ops)} machines" for op in ops if not isinstance(op.told, CallSucceeded)]
     broken += world.judge()
     return broken
--- a/ambershift/system/simulation/troubles.py
+++ b/ambershift/system/simulation/troubles.py
@@ -13,7 +13,7 @@
 
 
 def whole(box: Box) -> bool:
-    return box.replica is not None and box.replica.voters.voting
+    return box.replica is not None and box.replica.voters.can_vote
 
 
 def may_lose_a_disk(world: World, ip: str) -> bool:
@@ -26,17 +26,17 @@
         key=lambda voters: voters.epoch,
         default=None,
     )
-    if newest is None or newest.decision is None:
+    if newest is None or newest.configuration is None:
         return False
     left = [
         one
-        for one in newest.decision.voters
+        for one in newest.configuration.voters
         if one.ip != ip
         and not world.boxes[one.ip].gone
-        and world.boxes[one.ip].disk.get("meta", {}).get("birth") == str(one.birth).encode()
+        and world.boxes[one.ip].disk.get("meta", {}).get("birth") == str(one.disk_id).encode()
         and int(world.boxes[one.ip].disk["meta"].get("whole", b"0")) >= newest.epoch
     ]
-    return len(left) >= newest.enough
+    return len(left) >= newest.quorum_size
 
 
 MIXED = (
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -6,7 +6,7 @@
 
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.system.consensus import contact_lease, failure_detector
-from ambershift.system.consensus.contact_lease import NEVER_MS
+from ambershift.system.consensus.contact_lease import NO_CONTACT_AGE_MS
 from ambershift.system.distribution import controller
 from ambershift.system.messages.proxy_link import ControlNodeHeartbeat
 from ambershift.system.messages.replication import Heartbeat
@@ -16,7 +16,7 @@
 
 def any_beat(real: Any) -> Any:
     def beat(self: failure_detector.FailureDetector, sender: str, message: Heartbeat) -> str | None:
-        self._contact.equal(sender)
+        self._contact.record_matching_heartbeat(sender)
         found: str | None = real(self, sender, message)
         return found
 
@@ -30,7 +30,7 @@
             made.control_nodes,
             made.has_quorum_contact,
             made.max_proxies,
-            0 if made.has_quorum_contact else NEVER_MS,
+            0 if made.has_quorum_contact else NO_CONTACT_AGE_MS,
         )
 
     return sign
@@ -49,8 +49,8 @@
         "old-beats-are-contact",
         "CONFIG",
         "beats count that waited while the process stood still",
-        contact_lease.Contact,
-        "passed",
+        contact_lease.ContactLease,
+        "record_elapsed",
         constant(lambda self, since: None),
     ),
     of(
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ambershift.system.consensus.effect_buffer import News
+from ambershift.system.consensus.effect_buffer import ItemsUpdated
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import DeltaCodec
 from ambershift.system.messages import codec
@@ -205,7 +205,7 @@
             elif isinstance(effect, ScheduleTick):
                 self.at(effect.at_ns, lambda: self.step(ip, life, Tick()))
             else:
-                assert isinstance(effect, News) or effect.number
+                assert isinstance(effect, ItemsUpdated) or effect.number
 
     # Network and disk.
 
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ambershift.system.consensus.disk import Disk
-from ambershift.system.consensus.effect_buffer import News
+from ambershift.system.consensus.effect_buffer import ItemsUpdated
 from ambershift.system.consensus.events import ChangeRegister, Event, ReadQuorum, WriteItems
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import ChangeOutcome
@@ -77,7 +77,7 @@
             assert not isinstance(effect.outcome, Exception), effect.outcome
             self.answers += 1
         else:
-            assert isinstance(effect, News) or effect
+            assert isinstance(effect, ItemsUpdated) or effect
 
     def called(self, event: Event) -> None:
         before = self.answers
@@ -135,7 +135,7 @@
     found["a quiet second, one to the five|B"] = sum(exchange.bytes.values()) / CONTROL_NODES
     changes(exchange, size, found)
     found["digests of the buckets, encoded|µs"] = micros(
-        lambda _: msgspec.msgpack.encode(exchange.nodes[exchange.ips[0]].store.buckets.long()), 200
+        lambda _: msgspec.msgpack.encode(exchange.nodes[exchange.ips[0]].store.buckets.bucket_digest()), 200
     )
     found |= disk(size)
     return found
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -14,10 +14,10 @@
 import time
 from dataclasses import dataclass
 
-from ambershift.system.consensus.effect_buffer import Held, Outbox
+from ambershift.system.consensus.effect_buffer import CallSucceeded, EffectBuffer
 from ambershift.system.consensus.events import WriteItems
 from ambershift.system.consensus.item_store import ItemStore
-from ambershift.system.consensus.write_queue import Journal
+from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.messages.items import AGREED, ROUTE, Item
 from ambershift.system.messages.replication import SyncResponse
 from ambershift.system.simulation.world import World
@@ -52,7 +52,7 @@
         world.run(0.01)
         if told:
             break
-    if told != [Held(None)]:
+    if told != [CallSucceeded(None)]:
         raise RuntimeError(f"a put of {len(items)} items was told {told}")
 
 
@@ -103,12 +103,12 @@
 
 def start_ms(items: int) -> float:
     """How long a start takes to read so many rows."""
-    journal = Journal(Outbox(AT))
-    store = ItemStore(Outbox(AT), journal, {})
+    journal = WriteQueue(EffectBuffer(AT))
+    store = ItemStore(EffectBuffer(AT), journal, {})
     store.merge(Item(ROUTE, f"r{at}", (1, AGREED), body(at, 1)) for at in range(items))
-    rows = {key: value for (_, key), value in journal._rows.items() if value is not None}  # noqa: SLF001
+    rows = {key: value for (_, key), value in journal._pending_rows.items() if value is not None}  # noqa: SLF001
     began = time.process_time()
-    ItemStore(Outbox(AT), Journal(Outbox(AT)), rows)
+    ItemStore(EffectBuffer(AT), WriteQueue(EffectBuffer(AT)), rows)
     return (time.process_time() - began) * NS_PER_SECOND / NS_PER_MS
 
 
--- a/tests/test_system_clearing.py
+++ b/tests/test_system_clearing.py
@@ -9,7 +9,7 @@
 import pytest
 from system_exchange import NS_PER_SECOND, World
 
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.consensus.events import WriteItems
 from ambershift.system.consensus.item_store import row_key
 from ambershift.system.consensus.replica import Replica
@@ -201,7 +201,7 @@
         told: list[object] = []
         world.call(one, lambda call: WriteItems(call, items, 1.5), told.append)
         world.run(1)
-        assert told == [Held(None)]
+        assert told == [CallSucceeded(None)]
 
     def replicas() -> list[Replica]:
         return [box.replica for box in world.boxes.values() if box.replica is not None]
--- a/tests/test_system_consensus.py
+++ b/tests/test_system_consensus.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.simulation import scripts_voters
 from ambershift.system.simulation.histories import play_lists as play
 from ambershift.system.simulation.lists import Lists as World
@@ -53,7 +53,11 @@
         world.run(0.05)
         epochs.append(behind.voters.epoch)
     fresh = world.boxes[lost].replica
-    assert fresh is not None and fresh.voters.voting and fresh.voters.decision == behind.voters.decision
+    assert (
+        fresh is not None
+        and fresh.voters.can_vote
+        and fresh.voters.configuration == behind.voters.configuration
+    )
     assert set(epochs) == {epoch + 1}
 
 
@@ -104,7 +108,9 @@
     lacking = len(world.sent.get("MissingBase", ()))
     op = world.change("append", behind, "list/0")
     world.run(0.5)
-    assert isinstance(op.told, Held) and op.ended is not None and op.ended - op.begun < 120 * NS_PER_MS
+    assert (
+        isinstance(op.told, CallSucceeded) and op.ended is not None and op.ended - op.begun < 120 * NS_PER_MS
+    )
     assert lacking == len(world.sent.get("MissingBase", ()))
     assert max(world.sent["Accept"][-4:]) > 30 * 8
     world.change("append", behind, "list/0")
@@ -120,7 +126,11 @@
         for ip in ("10.0.0.1", "10.0.0.2", "10.0.0.1"):
             op = world.change("append", ip, "list/0")
             world.run(1)
-        assert isinstance(op.told, Held) and op.ended is not None and op.ended - op.begun < 170 * NS_PER_MS
+        assert (
+            isinstance(op.told, CallSucceeded)
+            and op.ended is not None
+            and op.ended - op.begun < 170 * NS_PER_MS
+        )
 
 
 def test_a_read_is_confirmed_by_voters_that_took_no_part() -> None:
@@ -140,5 +150,9 @@
         prepared = len(world.sent["Prepare"])
         op = world.change("read", "10.0.0.1", "list/0")
         world.run(1)
-        assert isinstance(op.told, Held) and op.ended is not None and op.ended - op.begun < 200 * NS_PER_MS
+        assert (
+            isinstance(op.told, CallSucceeded)
+            and op.ended is not None
+            and op.ended - op.begun < 200 * NS_PER_MS
+        )
         assert len(world.sent["Prepare"]) == prepared + 2 and world.judge() == []
--- a/tests/test_system_consensus_disk.py
+++ b/tests/test_system_consensus_disk.py
@@ -15,10 +15,10 @@
 import pytest
 
 from ambershift.system.consensus import disk
-from ambershift.system.consensus.disk import ASIDE, FILE, Disk, Rows
-from ambershift.system.consensus.effect_buffer import Outbox
+from ambershift.system.consensus.disk import DATABASE_FILE, QUARANTINE_FOLDER, Disk, Rows
+from ambershift.system.consensus.effect_buffer import EffectBuffer
 from ambershift.system.consensus.replicated_store import ReplicatedStore
-from ambershift.system.consensus.write_queue import Journal
+from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
 from ambershift.system.settings.local import Bounds, Local
@@ -48,14 +48,14 @@
     sizes = []
     for number in range(1, 40):
         assert opened.write(number, ("items", f"k{number % 7}", bytes([number]) * 900)) is None
-        sizes.append((tmp_path / "live" / f"{FILE}-wal").stat().st_size)
+        sizes.append((tmp_path / "live" / f"{DATABASE_FILE}-wal").stat().st_size)
     files = [one for one in (tmp_path / "live").iterdir() if one.is_file()]
     for number in range(1, 40, 5):  # Power is lost with the next write torn at some byte.
         lost = tmp_path / f"lost{number}"
         lost.mkdir()
         for one in files:
             shutil.copy(one, lost / one.name)
-        with open(lost / f"{FILE}-wal", "r+b") as log:
+        with open(lost / f"{DATABASE_FILE}-wal", "r+b") as log:
             log.truncate(sizes[number - 1] + 37 * number)
             log.seek(-min(20, 37 * number), 2)
             log.write(b"torn"[: min(20, 37 * number)])
@@ -73,17 +73,17 @@
     opened.write(1, ("meta", "ip", opened.disk._ip.encode()), *items)
     opened.disk.close()
     if trouble == "newer":
-        base = sqlite3.connect(tmp_path / FILE)
+        base = sqlite3.connect(tmp_path / DATABASE_FILE)
         base.execute("PRAGMA user_version=99")
         base.close()
     elif trouble.startswith("damaged"):
-        data = bytearray((tmp_path / FILE).read_bytes())
+        data = bytearray((tmp_path / DATABASE_FILE).read_bytes())
         at = 0 if trouble == "damaged" else 3 * 4096
         data[at : at + 2000] = bytes(2000)
-        (tmp_path / FILE).write_bytes(data)
+        (tmp_path / DATABASE_FILE).write_bytes(data)
     again = Opened(tmp_path)
-    assert again.rows == {} and again.disk.refused
-    assert (tmp_path / ASIDE / FILE).exists()
+    assert again.rows == {} and again.disk.quarantine_reason
+    assert (tmp_path / QUARANTINE_FOLDER / DATABASE_FILE).exists()
     assert again.write(2, ("meta", "ip", IP.encode())) is None
     again.disk.close()
     assert Opened(tmp_path).rows == {"meta": {"ip": IP.encode()}}
@@ -92,8 +92,8 @@
 def test_a_full_disk_refuses_whole_writes_and_takes_them_later(tmp_path: Path) -> None:
     opened = Opened(tmp_path)
     opened.write(1, ("meta", "ip", IP.encode()))
-    assert opened.disk._base is not None
-    opened.disk._base.execute("PRAGMA max_page_count=6")
+    assert opened.disk._connection is not None
+    opened.disk._connection.execute("PRAGMA max_page_count=6")
     rows = [("items", f"k{number}", b"v" * 3000) for number in range(20)]
     assert opened.write(2, ("items", "small", b"v"), *rows) == "full"
     assert opened.write(3, ("items", "small", b"v"), *rows) is None  # Opened anew, without the bound.
@@ -102,24 +102,24 @@
 
 
 def test_nobody_is_answered_before_failed_rows_are_on_disk_with_newer_ones() -> None:
-    out = Outbox(IP)
-    journal = Journal(out)
+    out = EffectBuffer(IP)
+    journal = WriteQueue(out)
     told: list[str] = []
     journal.put("t", "a", b"1")
     journal.put("t", "b", b"1")
-    journal.synced(lambda: told.append("first"))
+    journal.on_durable(lambda: told.append("first"))
     journal.flush()
     journal.put("t", "b", b"2")
-    journal.synced(lambda: told.append("second"))
-    assert told == [] and [type(one) for one in out.taken()] == [Write]  # One write at a time.
-    journal.written(1, "full")
+    journal.on_durable(lambda: told.append("second"))
+    assert told == [] and [type(one) for one in out.drain()] == [Write]  # One write at a time.
+    journal.handle_write_completed(1, "full")
     journal.flush()
-    assert told == [] and journal.bad and not any(isinstance(one, Write) for one in out.taken())
+    assert told == [] and journal.is_unhealthy and not any(isinstance(one, Write) for one in out.drain())
     out.now += NS_PER_SECOND
     journal.flush()
-    assert out.taken()[-1] == Write(2, (("t", "a", b"1"), ("t", "b", b"2")))
-    journal.written(2, None)
-    assert told == ["first", "second"] and not journal.bad
+    assert out.drain()[-1] == Write(2, (("t", "a", b"1"), ("t", "b", b"2")))
+    journal.handle_write_completed(2, None)
+    assert told == ["first", "second"] and not journal.is_unhealthy
 
 
 def settings(folder: Path) -> Local:
@@ -189,7 +189,7 @@
     folder = tmp_path / "a" / "b" / "c"
     opened = Opened(folder)
     assert {tmp_path, tmp_path / "a", tmp_path / "a" / "b", folder} <= set(synced)
-    assert (folder / FILE).exists() and synced[-1] == folder
+    assert (folder / DATABASE_FILE).exists() and synced[-1] == folder
     opened.disk.close()
     before = synced.copy()
     synced.clear()
@@ -215,7 +215,7 @@
     Opened(tmp_path / "a" / "b").disk.close()
 
 
-@pytest.mark.parametrize("lost", [FILE, f"{FILE}-wal", "both"])
+@pytest.mark.parametrize("lost", [DATABASE_FILE, f"{DATABASE_FILE}-wal", "both"])
 @pytest.mark.parametrize("writes", [3, 400])
 def test_a_folder_that_lost_one_of_its_names_holds_all_or_is_not_this_machine_s(
     tmp_path: Path, lost: str, writes: int
@@ -227,7 +227,7 @@
         assert opened.write(number, ("items", f"k{number}", b"v" * 900)) is None
     left = tmp_path / "left"
     left.mkdir()
-    for name in {FILE, f"{FILE}-wal"} - {lost}:
+    for name in {DATABASE_FILE, f"{DATABASE_FILE}-wal"} - {lost}:
         if lost != "both":
             shutil.copy(tmp_path / "live" / name, left / name)
     again = Opened(left)
--- a/tests/test_system_contact_proof.py
+++ b/tests/test_system_contact_proof.py
@@ -7,14 +7,14 @@
 import pytest
 
 from ambershift.system.consensus.contact_lease import (
-    CATCH_UP,
-    NEVER_MS,
-    READ_AFTER,
-    READ_AFTER_AS_LEARNER,
-    STOOD_STILL,
-    Contact,
+    LEARNER_RENEWAL_AGE_NS,
+    NO_CONTACT_AGE_MS,
+    PAUSE_THRESHOLD_NS,
+    RENEWAL_AGE_NS,
+    STALE_HEARTBEAT_PERIOD_NS,
+    ContactLease,
 )
-from ambershift.system.consensus.effect_buffer import Outbox
+from ambershift.system.consensus.effect_buffer import EffectBuffer
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.messages.replication import COMPLETE, Heartbeat, SyncRequest, SyncResponse
 from ambershift.system.simulation.world import World
@@ -24,17 +24,17 @@
 
 
 class Voting:
-    """What is needed of `Voters`: five, of which this machine may be one."""
+    """What is needed of `VotingState`: five, of which this machine may be one."""
 
     def __init__(self, voting: bool = True) -> None:
-        self.ips, self.enough, self.voting, self.member = frozenset(NODES), 3, voting, voting
-        self.me: Any = type("Me", (), {"ip": NODES[0]})
-        self.decision: Any = object()
+        self.ips, self.quorum_size, self.can_vote, self.is_voter = frozenset(NODES), 3, voting, voting
+        self.local_node: Any = type("Me", (), {"ip": NODES[0]})
+        self.configuration: Any = object()
 
 
-def contact(voting: bool = True) -> tuple[Contact, Outbox]:
-    out = Outbox(NODES[0])
-    return Contact(out, Voting(voting)), out  # type: ignore[arg-type]
+def contact(voting: bool = True) -> tuple[ContactLease, EffectBuffer]:
+    out = EffectBuffer(NODES[0])
+    return ContactLease(out, Voting(voting)), out  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(("voting", "beats"), [(True, 2), (False, 3)])
@@ -42,49 +42,49 @@
     one, out = contact(voting)
     others = NODES[1:]
     for at in range(beats):
-        assert one.proved() is None and one.age_ms() == NEVER_MS and one.wants_reading()
+        assert one.proven_until() is None and one.age_ms() == NO_CONTACT_AGE_MS and one.needs_quorum_read()
         out.now = (at + 1) * 10 * NS_PER_MS
-        one.equal(others[at])
-    assert one.proved() == 10 * NS_PER_MS
+        one.record_matching_heartbeat(others[at])
+    assert one.proven_until() == 10 * NS_PER_MS
     out.now = 100 * NS_PER_MS
-    one.equal(others[0])
-    assert one.proved() == 20 * NS_PER_MS
-    out.now += READ_AFTER if voting else READ_AFTER_AS_LEARNER
-    assert one.age_ms() == (out.now - 20 * NS_PER_MS) // NS_PER_MS and one.wants_reading()
+    one.record_matching_heartbeat(others[0])
+    assert one.proven_until() == 20 * NS_PER_MS
+    out.now += RENEWAL_AGE_NS if voting else LEARNER_RENEWAL_AGE_NS
+    assert one.age_ms() == (out.now - 20 * NS_PER_MS) // NS_PER_MS and one.needs_quorum_read()
 
 
 def test_who_votes_now_must_have_spoken_since_and_what_was_proved_stays_so() -> None:
     one, out = contact()
     out.now = NS_PER_SECOND
     for ip in NODES[1:]:
-        one.equal(ip)
-    assert one.proved() == NS_PER_SECOND
-    one.voters_changed()
+        one.record_matching_heartbeat(ip)
+    assert one.proven_until() == NS_PER_SECOND
+    one.handle_configuration_change()
     out.now = 2 * NS_PER_SECOND
-    one.equal("10.0.9.9")  # No voter.
-    one.equal(NODES[1])
-    assert one.proved() == NS_PER_SECOND
-    one.equal(NODES[2])
-    assert one.proved() == 2 * NS_PER_SECOND
-    one.read(NS_PER_SECOND)  # Begun long ago: nothing newer is proved.
-    assert one.proved() == 2 * NS_PER_SECOND
+    one.record_matching_heartbeat("10.0.9.9")  # No voter.
+    one.record_matching_heartbeat(NODES[1])
+    assert one.proven_until() == NS_PER_SECOND
+    one.record_matching_heartbeat(NODES[2])
+    assert one.proven_until() == 2 * NS_PER_SECOND
+    one.record_quorum_read(NS_PER_SECOND)  # Begun long ago: nothing newer is proved.
+    assert one.proven_until() == 2 * NS_PER_SECOND
 
 
 def test_beats_that_waited_while_the_process_stood_still_prove_nothing() -> None:
     one, out = contact()
     out.now = 10 * NS_PER_SECOND
-    one.passed(STOOD_STILL + 1)
-    for at in (0, CATCH_UP - 1):
+    one.record_elapsed(PAUSE_THRESHOLD_NS + 1)
+    for at in (0, STALE_HEARTBEAT_PERIOD_NS - 1):
         out.now = 10 * NS_PER_SECOND + at
         for ip in NODES[1:]:
-            one.equal(ip)
-    assert one.proved() is None
-    one.read(out.now)  # Asked and answered since: that counts.
-    assert one.proved() == out.now
-    out.now = 10 * NS_PER_SECOND + CATCH_UP
+            one.record_matching_heartbeat(ip)
+    assert one.proven_until() is None
+    one.record_quorum_read(out.now)  # Asked and answered since: that counts.
+    assert one.proven_until() == out.now
+    out.now = 10 * NS_PER_SECOND + STALE_HEARTBEAT_PERIOD_NS
     for ip in NODES[1:]:
-        one.equal(ip)
-    assert one.proved() == out.now
+        one.record_matching_heartbeat(ip)
+    assert one.proven_until() == out.now
 
 
 def settled(count: int = 3) -> tuple[World, Replica]:
@@ -106,23 +106,23 @@
     now, total = world.now + 200 * NS_PER_MS, replica.store.buckets.total
     beat = Heartbeat(replica.voters.epoch + ahead, total + differs, 0, (), state)
     replica.step(now, MessageReceived("10.0.0.2", beat))
-    assert (replica.contact.proved() == now) == counts
+    assert (replica.contact.proven_until() == now) == counts
 
 
 def test_a_reading_proves_the_moment_at_which_it_was_begun() -> None:
     world, replica = settled()
-    begun = world.now + READ_AFTER + 200 * NS_PER_MS
+    begun = world.now + RENEWAL_AGE_NS + 200 * NS_PER_MS
     asked = [
         one
         for one in replica.step(begun, Tick())
         if isinstance(one, Send) and isinstance(one.message, SyncRequest)
     ]
     assert {one.recipient for one in asked} == {"10.0.0.2", "10.0.0.3"}
-    before = replica.contact.proved()
+    before = replica.contact.proven_until()
     number = next(one.message.request_id for one in asked if one.recipient == "10.0.0.3")  # type: ignore[union-attr]
     epoch = replica.voters.epoch
     share = SyncResponse(epoch, number, epoch, 0, 0, 1, False, (), ())
     replica.step(begun + 90 * NS_PER_MS, MessageReceived("10.0.0.2", share))  # Another one's answer.
-    assert replica.contact.proved() == before
+    assert replica.contact.proven_until() == before
     replica.step(begun + 100 * NS_PER_MS, MessageReceived("10.0.0.3", share))
-    assert replica.contact.proved() == begun
+    assert replica.contact.proven_until() == begun
--- a/tests/test_system_forgetting.py
+++ b/tests/test_system_forgetting.py
@@ -22,7 +22,7 @@
     decide,
 )
 from ambershift.system.configuration.change_request import read_order
-from ambershift.system.consensus.effect_buffer import Held
+from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.consensus.events import ReadQuorum, WriteItems
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.consensus.tombstone_collector import TombstoneCollector
@@ -106,7 +106,7 @@
     told: list[object] = []
     world.call(at, lambda call: WriteItems(call, items, 2.5), told.append)
     world.run(1)
-    assert told == [Held(None)]
+    assert told == [CallSucceeded(None)]
 
 
 def replicas(world: World) -> dict[str, Replica]:
@@ -171,7 +171,7 @@
     told: list[object] = []
     world.call(AWAY, lambda call: ReadQuorum(call, 1.0), told.append)
     world.run(1)
-    assert told == [Held(None)]
+    assert told == [CallSucceeded(None)]
 
 
 @pytest.mark.parametrize("variant", ["old-copies-are-merged", "old-configuration-is-kept"])
@@ -193,14 +193,14 @@
 
     def told(outcome: object) -> None:
         done.append(outcome)
-        if outcome == Held(None):
+        if outcome == CallSucceeded(None):
             lacking.update(standing - replicas(world)[AWAY].store.items.keys())
 
     for _ in range(40):
         world.call(AWAY, lambda call: ReadQuorum(call, 1.0), told)
         world.run(0.05)
     world.run(1)
-    assert Held(None) in done
+    assert CallSucceeded(None) in done
     return lacking
 
 
@@ -218,7 +218,7 @@
     world.cut.clear()
 
     def told(outcome: object) -> None:
-        if outcome == Held(None):
+        if outcome == CallSucceeded(None):
             others = [one for ip, one in replicas(world).items() if ip != AWAY]
             holding.append(sum((ROUTE, "new") in one.store.items for one in others))
 
--- a/tests/test_system_guards.py
+++ b/tests/test_system_guards.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ambershift.system.consensus.acceptor import EMPTY_STATE
-from ambershift.system.consensus.effect_buffer import Held, Outbox
+from ambershift.system.consensus.effect_buffer import CallSucceeded, EffectBuffer
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.control_api.pending_calls import PendingCalls
 from ambershift.system.interfaces import ChangeOutcome
@@ -81,14 +81,14 @@
 class Voters:
     """As the proposer sees them."""
 
-    decision, epoch, enough = object(), 1, 2
-    near = ["a", "b", "c"]
-    ips = frozenset(near)
+    configuration, epoch, quorum_size = object(), 1, 2
+    ips_by_proximity = ["a", "b", "c"]
+    ips = frozenset(ips_by_proximity)
 
 
 class Proposing:
     def __init__(self) -> None:
-        self.out, self.voters, self.told = Outbox("x"), Voters(), list[Any]()
+        self.out, self.voters, self.told = EffectBuffer("x"), Voters(), list[Any]()
         self.out.now = NS_PER_SECOND
 
         class Acceptor:
@@ -119,7 +119,7 @@
 
     def sent(self) -> Any:
         """The last message out, None for none."""
-        found = [one.message for one in self.out.taken() if hasattr(one, "message")]
+        found = [one.message for one in self.out.drain() if hasattr(one, "message")]
         return found[-1] if found else None
 
     def vote(self, ip: str, prepare: Any, epoch: int) -> None:
@@ -142,7 +142,7 @@
     world = Proposing()
     accept = world.promise(world.call(b"one"))
     world.agree(accept)
-    assert world.told == [Held(b"one")]
+    assert world.told == [CallSucceeded(b"one")]
     accept = world.call(b"two")
     assert isinstance(accept, Accept) and accept.ballot > (1, 9)  # One trip: the lease holds.
     world.agree(accept)
@@ -166,4 +166,4 @@
     world.agree(accept, other)
     assert not world.told
     world.agree(accept)
-    assert world.told == [Held(b"one")]
+    assert world.told == [CallSucceeded(b"one")]
--- a/tests/test_system_membership.py
+++ b/tests/test_system_membership.py
@@ -7,8 +7,8 @@
 import pytest
 
 from ambershift.system.consensus import membership
-from ambershift.system.consensus.effect_buffer import Held
-from ambershift.system.consensus.membership_plan import FEWEST, VoterView, plan, tolerance
+from ambershift.system.consensus.effect_buffer import CallSucceeded
+from ambershift.system.consensus.membership_plan import MIN_VOTERS, VoterView, loss_tolerance, plan_voters
 from ambershift.system.consensus.membership_view import membership_status
 from ambershift.system.messages.replication import NodeRecord, Voter
 from ambershift.system.simulation.lists import Lists
@@ -24,7 +24,7 @@
 
 def learner(number: int) -> NodeRecord:
     one = member(number)
-    return NodeRecord(one.ip, one.zone, one.region, one.birth, 0, False, True)
+    return NodeRecord(one.ip, one.zone, one.region, one.disk_id, 0, False, True)
 
 
 def planned(states: str, *learners: int) -> str:
@@ -35,8 +35,8 @@
         )
         for at, state in enumerate(states, 1)
     ]
-    found = plan(voters, [learner(number) for number in learners], TOLERATED)
-    return " ".join(one.ip.rpartition(".")[2] for one in found.members)
+    found = plan_voters(voters, [learner(number) for number in learners], TOLERATED)
+    return " ".join(one.ip.rpartition(".")[2] for one in found.voters)
 
 
 @pytest.mark.parametrize(
@@ -76,9 +76,9 @@
 
 def test_learners_are_not_taken_in_where_a_region_would_hold_the_majority() -> None:
     voters = [VoterView(member(number)) for number in (1, 2, 3)]
-    found = plan(voters, [learner(4), learner(7)], TOLERATED)  # Both of the region of the first.
-    assert not found.grows and len(found.members) == 3
-    assert plan(voters, [learner(4), learner(5)], TOLERATED).grows
+    found = plan_voters(voters, [learner(4), learner(7)], TOLERATED)  # Both of the region of the first.
+    assert not found.grows and len(found.voters) == 3
+    assert plan_voters(voters, [learner(4), learner(5)], TOLERATED).grows
 
 
 def test_a_set_changes_only_for_a_better_one_and_never_into_one_that_stands_still() -> None:
@@ -87,16 +87,16 @@
             kept = [int(number) for number in planned("".join(states)).split()]
             there = states.count(".")
             present = sum(states[number - 1] == "." for number in kept)
-            assert len(kept) >= FEWEST and present == there  # Nobody who is there loses its vote.
+            assert len(kept) >= MIN_VOTERS and present == there  # Nobody who is there loses its vote.
             if len(kept) < size:
-                assert tolerance(present, len(kept)) > tolerance(there, size)
-                assert tolerance(present, len(kept)) >= 0
+                assert loss_tolerance(present, len(kept)) > loss_tolerance(there, size)
+                assert loss_tolerance(present, len(kept)) >= 0
 
 
 def written(world: Lists, ips: list[str]) -> bool:
     ops = [world.change("append", ip, "list/0", within=3) for ip in ips if world.boxes[ip].replica]
     world.run(4)
-    return all(isinstance(op.told, Held) for op in ops)
+    return all(isinstance(op.told, CallSucceeded) for op in ops)
 
 
 @pytest.mark.parametrize("told", [True, False])
@@ -118,18 +118,18 @@
     found = world.boxes["10.0.0.6"].replica
     assert found is not None
     seen = membership_status(found.voters, found.failure_detector)
-    assert [one.ip for one in seen.voters if one.heard and one.complete] == [
+    assert [one.ip for one in seen.voters if one.is_alive and one.is_complete] == [
         "10.0.0.4",
         "10.0.0.5",
         "10.0.0.6",
     ]
-    assert seen.bears >= 0 and world.judge() == []
+    assert seen.tolerated_losses >= 0 and world.judge() == []
 
 
 def epochs(world: Lists) -> dict[str, tuple[int, int]]:
     """Of each machine the epoch that it knows, and how many vote in it."""
     return {
-        ip: (box.replica.voters.epoch, len(box.replica.voters.near))
+        ip: (box.replica.voters.epoch, len(box.replica.voters.ips_by_proximity))
         for ip, box in world.boxes.items()
         if box.replica is not None
     }
@@ -167,11 +167,13 @@
     replica = world.boxes["10.0.0.1"].replica
     assert replica is not None
     watching, members = replica.failure_detector, replica._membership
-    assert not members._completing()
+    assert not members._awaits_completion()
     watching._complete_epochs["10.0.0.2"] = 0
-    assert members._completing()  # Five of six are complete, and four are enough.
+    assert members._awaits_completion()  # Five of six are complete, and four are enough.
     watching._complete_epochs["10.0.0.3"] = 0
-    assert not members._completing()  # One more lost would leave no majority of complete ones: change now.
+    assert (
+        not members._awaits_completion()
+    )  # One more lost would leave no majority of complete ones: change now.
 
 
 def test_a_learner_that_comes_and_goes_is_not_taken_in() -> None:
@@ -180,12 +182,12 @@
     world.boxes["10.0.0.5"] = Box("10.0.0.5", initial=False)
     for _ in range(4):
         world.start("10.0.0.5")
-        world.run(membership.TAKEN_IN / 1e9 - 1)
+        world.run(membership.JOIN_DELAY_NS / 1e9 - 1)
         world.kill("10.0.0.5")
         world.run(2)
     assert {size for _, size in epochs(world).values()} == {3}  # Four would have two in one region.
     world.start("10.0.0.5")
-    world.run(membership.TAKEN_IN / 1e9 + 2)
+    world.run(membership.JOIN_DELAY_NS / 1e9 + 2)
     assert {size for _, size in epochs(world).values()} == {5}
 
 
--- a/tests/test_system_recall.py
+++ b/tests/test_system_recall.py
@@ -18,7 +18,7 @@
 from system_exchange import NS_PER_SECOND, ZONES, Node, World
 
 from ambershift.system.consensus import cache_file
-from ambershift.system.consensus.cache_file import SideFile
+from ambershift.system.consensus.cache_file import CacheFile
 from ambershift.system.consensus.events import PeerConnected, ReadQuorum
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.messages import codec
@@ -289,13 +289,13 @@
 
 
 @pytest.fixture
-def side(tmp_path: Path) -> Iterator[SideFile]:
-    made = SideFile(str(tmp_path), "list")
+def side(tmp_path: Path) -> Iterator[CacheFile]:
+    made = CacheFile(str(tmp_path), "list")
     yield made
     made.close()
 
 
-def write(side: SideFile, data: bytes) -> None:
+def write(side: CacheFile, data: bytes) -> None:
     done = threading.Event()
 
     def make() -> bytes:
@@ -303,12 +303,12 @@
         return data
 
     assert side.write(make) and done.wait(10)
-    while side.busy:
+    while side.is_writing:
         os.sched_yield()
 
 
 def test_a_side_file_is_replaced_as_a_whole_or_stays(
-    side: SideFile, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    side: CacheFile, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert side.read() is None
     write(side, b"first")
@@ -325,7 +325,7 @@
     assert side.read() == b"third" and not side.failed
 
 
-def test_nobody_waits_for_a_side_file(side: SideFile) -> None:
+def test_nobody_waits_for_a_side_file(side: CacheFile) -> None:
     gate = threading.Event()
 
     def make() -> bytes:
@@ -334,7 +334,7 @@
 
     assert side.write(make) and not side.write(lambda: b"more")
     gate.set()
-    while side.busy:
+    while side.is_writing:
         os.sched_yield()
     assert side.read() == b"late"
 
