--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -8,20 +8,15 @@
 
 import argparse
 import statistics
-import sys
 import time
 from collections import deque
-from pathlib import Path
 from typing import Any
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
-
-from replicas import SECOND, WALL, Counting, Sim  # noqa: E402
-
-from ambershift.replication.messages import decode, encode  # noqa: E402
-from ambershift.replication.replica import Replica  # noqa: E402
-from ambershift.replication.timing import MS, PLAIN  # noqa: E402
-from ambershift.replication.words import Answer, Entry, Send, Status, Write  # noqa: E402
+from ambershift.replication.messages import decode, encode
+from ambershift.replication.replica import Replica
+from ambershift.replication.timing import MS, PLAIN
+from ambershift.replication.words import Answer, Entry, Send, Status, Write
+from tests.support.simulated_replicas import SECOND, WALL, Counting, Sim
 
 
 class Bulky(Counting):
--- a/benchmarks/runtime_socket.py
+++ b/benchmarks/runtime_socket.py
@@ -23,13 +23,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-ROOT = Path(__file__).parent.parent
-sys.path.insert(0, str(ROOT / "tests"))
-
-from plain import free_port  # noqa: E402
-from stage import SETTINGS, Discovery, Relay, configure, listing, until  # noqa: E402
+from ambershift.runtime.client import Client
+from tests.support.coordinator_process import SETTINGS, Discovery, Relay, configure, listing, until
+from tests.support.policy_model import free_port
 
-from ambershift.runtime.client import Client  # noqa: E402
+ROOT = Path(__file__).parent.parent
 
 ZONES, PROXIES = ("east", "west"), 8
 REPORTS_EVERY = 0.02
--- a/benchmarks/same_orders.py
+++ b/benchmarks/same_orders.py
@@ -24,10 +24,9 @@
 import ambershift
 from ambershift import interface as api
 from benchmarks.fleet_beat import unpack
+from tests.support import policy_model
 
 ROOT = Path(__file__).parent.parent
-sys.path.insert(0, str(ROOT / "tests"))
-import plain  # noqa: E402
 
 S, MS = 1_000_000_000, 1_000_000
 
@@ -84,7 +83,7 @@
     return orders, repr(orders).encode()
 
 
-class World(plain.Plain):
+class World(policy_model.Plain):
     """The plain model without its complaints: drawn days are worse than any that the rules hold for."""
 
     def check(self) -> None:
@@ -92,7 +91,7 @@
 
     def carry_out(self, order: api.Order) -> list[int]:
         if isinstance(order, api.Share):  # A slice may be held by a server that was never listed.
-            self.listed.setdefault(order.server, plain.entry(order.server, 0, api.Phase.GONE))
+            self.listed.setdefault(order.server, policy_model.entry(order.server, 0, api.Phase.GONE))
         return super().carry_out(order)
 
 
@@ -102,7 +101,7 @@
     "no message limit, no levels": {"zones": 3, "message_limit": 0, "levels": "silent", "strikes": 0},
     "only draining binds": {"zones": 4, "only_draining_binds": True, "must_watch": True},
     "groups of many kinds": {
-        "groups": tuple(plain.group(utility=1.0 + at % 3, budget=S // (1 + at)) for at in range(5))
+        "groups": tuple(policy_model.group(utility=1.0 + at % 3, budget=S // (1 + at)) for at in range(5))
     },
     "slow channel": {"lines_per_s": 60.0, "waiting_limit": 120.0, "message_limit": 6, "cold": 0},
     "slices": {"slices": 8, "zones": 2},
@@ -126,7 +125,7 @@
         self.rng = rng = random.Random(f"{name} {seed}")
         large = name in LARGE
         self.servers, self.crowd = rng.randint(40, 130) if large else rng.randint(1, 24), 140 if large else 12
-        self.terms = plain.make_terms(**TERMS[name])
+        self.terms = policy_model.make_terms(**TERMS[name])
         self.tries = rng.choice([3, 15, 40])
         self.world = World(self.terms, [self.entry(index) for index in range(self.servers)], 100 * S)
         self.mood: dict[Any, tuple[float, int]] = {}
@@ -247,7 +246,7 @@
 
 def use(old: dict[str, ModuleType], new: dict[str, ModuleType]) -> None:
     Both.forms = tuple(one["ambershift.policy"].TableManager for one in (old, new))
-    plain.TableManager = Both  # The name that the model starts its module by.
+    policy_model.TableManager = Both  # The name that the model starts its module by.
 
 
 def recorded(tests: list[str]) -> list[list[tuple[int, list[api.Event]]]]:
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -10,21 +10,15 @@
 import argparse
 import random
 import statistics
-import sys
 from multiprocessing import Pool
-from pathlib import Path
 from typing import NamedTuple
 
-ROOT = Path(__file__).parent.parent
-sys.path.insert(0, str(ROOT / "tests"))
-
-from operated import Operated  # noqa: E402
-from plain import S, entry, make_terms  # noqa: E402
-
-from ambershift import interface as api  # noqa: E402
-from ambershift.group.learned import Learned  # noqa: E402
-from ambershift.replication.heard.messages import Message, decode, encode  # noqa: E402
-from ambershift.replication.heard.store import Store  # noqa: E402
+from ambershift import interface as api
+from ambershift.group.learned import Learned
+from ambershift.replication.heard.messages import Message, decode, encode
+from ambershift.replication.heard.store import Store
+from tests.support.operator_model import Operated
+from tests.support.policy_model import S, entry, make_terms
 
 RATE = 10.0  # Flows a second of each proxy.
 DELAY = S // 5  # Of a word between members.
--- a/tests/control_process.py
+++ b/tests/compatibility/control_node_process.py
@@ -16,7 +16,7 @@
 
 IP = "127.246.1.1"  # The folder's owner: the program takes up no other machine's.
 PROGRAM = ("-m", "ambershift.system")
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SETTINGS = """
 [SelfEntity]
 NodeName = "control-riga-a-1"
--- a/tests/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -1,4 +1,4 @@
-"""What travels between machines or lies on disk, by the names of `tests/fixtures/`; shared with the maker.
+"""What travels between machines or lies on disk, by the names of `fixtures/`; shared with the maker.
 
 The names on the left are the fixtures' own and stay when a class is renamed.
 """
--- a/tests/test_http_answers.py
+++ b/tests/compatibility/test_http_answers.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.control_process import control_node
+from tests.compatibility.control_node_process import control_node
 
 FIXTURES = Path(__file__).parent / "fixtures"
 
--- a/tests/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -21,9 +21,9 @@
 from ambershift.replication.heard import messages as heard
 from ambershift.replication.heard.store import Store
 from ambershift.replication.words import Entry, Write
-from tests.control_process import IP, control_node
-from tests.encoded_forms import STORED, Form
-from tests.struct_layout import differences, layout, tags
+from tests.compatibility.control_node_process import IP, control_node
+from tests.compatibility.encoded_forms import STORED, Form
+from tests.compatibility.struct_layout import differences, layout, tags
 
 STORED_FOLDER = Path(__file__).parent / "fixtures" / "stored"
 FIXED = json.loads((STORED_FOLDER / "forms.json").read_text())
--- a/tests/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -20,8 +20,8 @@
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import WORDS
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller, caller_of, path_of
-from tests.encoded_forms import GROUP, SYSTEM, Form
-from tests.struct_layout import differences, layout, tags
+from tests.compatibility.encoded_forms import GROUP, SYSTEM, Form
+from tests.compatibility.struct_layout import differences, layout, tags
 
 FOLDER = Path(__file__).parent / "fixtures" / "wire"
 FORMS = {"system": SYSTEM, "group": GROUP}
--- a/tests/test_admin.py
+++ b/tests/coordinator/admin/test_admin.py
@@ -4,8 +4,6 @@
 from collections.abc import Callable
 
 import pytest
-from operated import Operated, some_changes
-from plain import S, entry, make_terms
 
 from ambershift import interface as api
 from ambershift.admin import pace
@@ -15,6 +13,8 @@
 from ambershift.admin.overlay import effective
 from ambershift.admin.pending import Told
 from ambershift.admin.words import Accepted, Change, Health, Reason, Refused, Stage, State, Weight
+from tests.support.operator_model import Operated, some_changes
+from tests.support.policy_model import S, entry, make_terms
 
 DRAIN, MAINT, READY = State.DRAIN, State.MAINT, State.READY
 
--- a/tests/test_tools.py
+++ b/tests/coordinator/cli/test_tools.py
@@ -10,7 +10,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stage import ROOT, configure, listing
 
 from ambershift.cli.commands import LAZY
 from ambershift.cli.ctl import batch
@@ -22,6 +21,7 @@
 from ambershift.settings.model import Root, duration, read_file, read_text
 from ambershift.settings.tree import SettingsError
 from ambershift.version import VERSION
+from tests.support.coordinator_process import ROOT, configure, listing
 
 TOOLS = (
     "click",
--- a/tests/test_group_counters.py
+++ b/tests/coordinator/group/test_counters_of_members.py
@@ -9,11 +9,11 @@
 from types import SimpleNamespace
 
 import pytest
-from test_group_processes import group, holds, title
 
 from ambershift.standins import __main__ as trying
 from ambershift.standins.counting import Counting
 from ambershift.standins.rig import Rig
+from tests.coordinator.group.test_processes import group, holds, title
 
 pytestmark = pytest.mark.timeout(150)
 
@@ -65,7 +65,7 @@
     told = subprocess.run(
         [sys.executable, "-m", "ambershift.standins", "--seconds", "5"],
         timeout=140,
-        cwd=Path(__file__).parent.parent,
+        cwd=Path(__file__).parents[3],
         capture_output=True,
         text=True,
         check=False,
--- a/tests/test_group_disk.py
+++ b/tests/coordinator/group/test_disk.py
@@ -12,9 +12,6 @@
 
 import msgspec
 import pytest
-import replicas
-from schedules import history
-from simdisk import CrashError, SimFiles
 
 from ambershift.group.disk import folder as folders
 from ambershift.group.disk.files import LockedError, RealFiles
@@ -23,6 +20,9 @@
 from ambershift.replication import records
 from ambershift.replication.vouched import ContradictionError, Held
 from ambershift.replication.words import Entry, Saved, Snapshot, Write
+from tests.support import simulated_replicas
+from tests.support.fault_schedules import history
+from tests.support.simulated_disk import CrashError, SimFiles
 
 Spoil = Callable[[dict[str, bytearray]], None]
 WALL = 1_800_000_000_000_000_000
@@ -264,7 +264,7 @@
 
 def test_the_folder_holds_what_replicas_mean(monkeypatch: pytest.MonkeyPatch) -> None:
     """Every write of a few histories of whole groups, by the folder and by the replicas' own slow model."""
-    plain, seen = replicas.written, list[int]()
+    plain, seen = simulated_replicas.written, list[int]()
 
     def both(saved: Saved | None, one: Write) -> Saved:
         held, wanted = Held(), plain(saved, one)
@@ -276,7 +276,7 @@
         seen.append(len(one.entries))
         return wanted
 
-    monkeypatch.setattr(replicas, "written", both)
+    monkeypatch.setattr(simulated_replicas, "written", both)
     for seed in range(8):
         history(seed, acts=25)
     assert len(seen) > 100 and 0 in seen and max(seen) > 5
--- a/tests/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -12,8 +12,6 @@
 
 import msgspec
 import pytest
-from operated import Operated, some_changes
-from plain import S, entry, make_terms
 
 from ambershift import interface as api
 from ambershift.admin.words import NEVER, Change, Health, Origin, Reason, Standing, State, Weight
@@ -37,6 +35,8 @@
 from ambershift.standins.processes import Member as Process
 from ambershift.standins.rig import Rig
 from ambershift.standins.world import until
+from tests.support.operator_model import Operated, some_changes
+from tests.support.policy_model import S, entry, make_terms
 
 READY, DRAIN, MAINT = State.READY, State.DRAIN, State.MAINT
 
--- a/tests/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -6,7 +6,6 @@
 
 import msgspec
 import pytest
-from plain import S, entry, make_terms
 
 from ambershift import interface as api
 from ambershift.admin.mirror import BLANK
@@ -15,6 +14,7 @@
 from ambershift.replication.heard import Kind
 from ambershift.replication.heard.store import Store
 from benchmarks.takeover import Numbered, Side, Takeover
+from tests.support.policy_model import S, entry, make_terms
 
 COLD = 20 * S
 NOW = 1000 * S
--- a/tests/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -7,8 +7,6 @@
 
 import msgspec
 import pytest
-from test_group import Member as Virtual
-from test_group import declare, out, permit
 
 from ambershift.admin.words import State, Weight
 from ambershift.group.counting import Counting
@@ -30,6 +28,8 @@
 from ambershift.replication.heard.words import Kind as Heard
 from ambershift.replication.words import Applied, Entry, Halt, Note, Reason
 from ambershift.standins.world import until
+from tests.coordinator.group.test_group import Member as Virtual
+from tests.coordinator.group.test_group import declare, out, permit
 
 S = 1_000_000_000
 
--- a/tests/test_group_waves.py
+++ b/tests/coordinator/group/test_waves.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 import pytest
-from test_group_processes import group, holds, title
 
 from ambershift.standins.keeping import Keeper
 from ambershift.standins.rig import Rig
+from tests.coordinator.group.test_processes import group, holds, title
 
 pytestmark = pytest.mark.timeout(150)
 WORK = tuple(f"s-{at}" for at in range(6))
--- a/tests/test_groupsim.py
+++ b/tests/coordinator/groupsim/test_groupsim.py
@@ -1,7 +1,6 @@
 """Simulated groups: random schedules of faults, what each broken replica is caught by, and the shrinker."""
 
 import pytest
-from test_tools import ambershift
 
 from ambershift.groupsim.chance import Chance
 from ambershift.groupsim.folder import ContradictionError, Folder
@@ -10,6 +9,7 @@
 from ambershift.groupsim.world import World, run, run_seed
 from ambershift.modelcheck.mutants import SIMULATED, Mutant, broken, simulated
 from ambershift.replication.words import Entry, Snapshot, Write
+from tests.coordinator.cli.test_tools import ambershift
 
 
 @pytest.mark.parametrize("first", range(1, 151, 30))
--- a/tests/test_interference.py
+++ b/tests/coordinator/interference/test_interference.py
@@ -9,7 +9,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from planted import Played, due, play, record
 
 from ambershift.counters.standin import rows, written
 from ambershift.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
@@ -22,6 +21,7 @@
 from ambershift.interference.suspects import BLOCK, findings, present, swings
 from ambershift.interference.words import Sample, Unusable
 from ambershift.replication.heard import Kind
+from tests.coordinator.interference.planted_worlds import Played, due, play, record
 
 SECOND = 1_000_000_000
 NOW = 1_700_000_000 * SECOND
--- a/tests/test_maintenance_faults.py
+++ b/tests/coordinator/maintenance/test_maintenance_faults.py
@@ -1,14 +1,14 @@
-"""The steward over members, clocks and servers that fail, beside the plain rules of tests/maintained.py."""
+"""The steward over members, clocks and servers that fail, beside the plain rules of `simulated_permits`."""
 
 import random
 
 import pytest
-from maintained import OPENS, Group, S, Server, some_world
 
 from ambershift.maintenance.words import Phase, Refusal
 from ambershift.promises.answers import encode
 from ambershift.promises.steward import Steward
 from ambershift.promises.words import Declare
+from tests.coordinator.maintenance.simulated_permits import OPENS, Group, S, Server, some_world
 
 CLOCKS = [[0, 0, 0], [-1, 0, 1], [0, -1, 0], [1, 0, 0]]
 
--- a/tests/test_program.py
+++ b/tests/coordinator/program/test_program.py
@@ -9,10 +9,21 @@
 from typing import Any
 
 import pytest
-from plain import free_port
-from stage import SETTINGS, Stage, configure, launch, listing, play, playing, server, start, until
 
 from ambershift.coordinator.program.signals import Signals
+from tests.support.coordinator_process import (
+    SETTINGS,
+    Stage,
+    configure,
+    launch,
+    listing,
+    play,
+    playing,
+    server,
+    start,
+    until,
+)
+from tests.support.policy_model import free_port
 
 
 def test_starts_from_a_stale_list_and_follows_the_true_one(tmp_path: Path) -> None:
--- a/tests/test_replication.py
+++ b/tests/coordinator/replication/test_replication.py
@@ -7,8 +7,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from replicas import SECOND, WALL, Counting, Sim
-from schedules import SMALL, history
 
 from ambershift.replication import birth, knowing, messages
 from ambershift.replication.log import Log
@@ -27,6 +25,8 @@
     Status,
     Write,
 )
+from tests.support.fault_schedules import SMALL, history
+from tests.support.simulated_replicas import SECOND, WALL, Counting, Sim
 
 
 def group(voters: int = 3, copies: int = 0, seed: int = 1, disk: bool = False, **more: Any) -> Sim:
--- a/tests/test_runtime.py
+++ b/tests/coordinator/runtime/test_runtime.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 import pytest
-from stage import SETTINGS, Stage, configure, listing, play, server, until
 
 from ambershift.runtime.client import Client, ClientError, Reply
 from ambershift.runtime.session import LINE_MOST
+from tests.support.coordinator_process import SETTINGS, Stage, configure, listing, play, server, until
 
 Act = Callable[[Stage, str], Awaitable[None]]
 
@@ -465,7 +465,7 @@
 
 
 def test_levels_and_two_sockets(tmp_path: Path) -> None:
-    from plain import free_port
+    from tests.support.policy_model import free_port
 
     port = free_port()
 
@@ -564,8 +564,8 @@
     (tmp_path / "run.hcl").write_text(f'runtime {{\n socket "{path}" {{}}\n {block}\n}}\n')
 
     async def act() -> None:
-        from plain import free_port
-        from stage import start
+        from tests.support.coordinator_process import start
+        from tests.support.policy_model import free_port
 
         process = await start(
             tmp_path,
--- a/tests/test_network.py
+++ b/tests/coordinator/test_network.py
@@ -10,7 +10,6 @@
 from typing import Any
 
 import pytest
-from plain import free_port
 
 from ambershift import interface as api
 from ambershift.coordinator.program.log import LogWriter
@@ -30,6 +29,7 @@
 from ambershift.coordinator.transport.lines import Framer
 from ambershift.coordinator.transport.listener import Listener
 from ambershift.terms import Names
+from tests.support.policy_model import free_port
 
 NAMES = Names(("east", "west"), ("play", "slip"), ("util",), 8, 100.0, True, 100_000_000, 2000.0)
 
--- a/tests/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -13,7 +13,6 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from test_tools import ambershift
 
 from ambershift.coordinator.protocol import discovery, http, lines, relay
 from ambershift.coordinator.protocol.words import UnreadableError
@@ -25,6 +24,7 @@
 from ambershift.modelcheck.mutants import MUTANTS, Mutant, broken
 from ambershift.modelcheck.registry import models, usual
 from ambershift.modelcheck.visited import Plain, Runs, collision_chance
+from tests.coordinator.cli.test_tools import ambershift
 
 # How deep CI goes; `ambershift check-model` goes to the end.
 IN_CI = {
--- a/tests/test_size.py
+++ b/tests/policy/test_fleet_size.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterable
 
 import pytest
-from plain import READS, Plain, S, entry, make_terms
 
 from ambershift import interface as api
 from ambershift.door import Door
 from ambershift.policy import TableManager
 from ambershift.policy.health import recent
+from tests.support.policy_model import READS, Plain, S, entry, make_terms
 
 ZONES = 4
 
--- a/tests/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -3,10 +3,10 @@
 import random
 
 import pytest
-from plain import READS, WRITES, Plain, S, entry, group, make_terms
 
 from ambershift import interface as api
 from ambershift.policy import tables
+from tests.support.policy_model import READS, WRITES, Plain, S, entry, group, make_terms
 
 
 def well(bad: int = 0, ms: int = 100) -> list[api.Met]:
--- a/tests/stage.py
+++ b/tests/support/coordinator_process.py
@@ -12,14 +12,13 @@
 from pathlib import Path
 from typing import Any
 
-from plain import free_port
-
 from ambershift.standins.discovery import Discovery
 from ambershift.standins.relay import Relay
 from ambershift.standins.world import SETTINGS, listing, server, until
+from tests.support.policy_model import free_port
 
 __all__ = ["SETTINGS", "Discovery", "Relay", "Stage", "listing", "server", "until"]
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 class Stage:
--- a/tests/schedules.py
+++ b/tests/support/fault_schedules.py
@@ -4,9 +4,8 @@
 
 from random import Random
 
-from replicas import Sim
-
 from ambershift.replication.timing import MS, PLAIN
+from tests.support.simulated_replicas import Sim
 
 SMALL = PLAIN._replace(snapshot_entries=24, chunk_bytes=200, batch_bytes=300, depth=2)
 
--- a/tests/operated.py
+++ b/tests/support/operator_model.py
@@ -4,11 +4,10 @@
 
 import random
 
-from plain import Plain, S
-
 from ambershift import interface as api
 from ambershift.admin.desk import Desk
 from ambershift.admin.words import Accepted, Change, Refused
+from tests.support.policy_model import Plain, S
 
 RELAYED = (api.Share, api.Clear, api.Withdraw, api.Level, api.Bind, api.Mark)
 
--- a/tests/test_system_guards.py
+++ b/tests/system/consensus/test_guards.py
@@ -16,7 +16,7 @@
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse
 from ambershift.system.messages.replication import Accept, Acknowledgement, Prepare, Promise
 from ambershift.system.state_machine import NS_PER_SECOND
-from tests.enquiring import TRIP, World, order, play
+from tests.support.control_api_world import TRIP, World, order, play
 
 
 async def number(world: World, at: str) -> int:
--- a/tests/test_system_control_api.py
+++ b/tests/system/control_api/test_calls.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.enquiring import IPS, World, order, play
+from tests.support.control_api_world import IPS, World, order, play
 
 ROUTE = {
     "Name": "r-1",
--- a/tests/test_system_control_api_faults.py
+++ b/tests/system/control_api/test_calls_with_faults.py
@@ -11,7 +11,7 @@
 
 from ambershift.system.control_api.subscriptions import FRESHNESS_NS, Subscriptions
 from ambershift.system.coordination.groups import Group, decode_group
-from tests.enquiring import IPS, TRIP, World, order, play
+from tests.support.control_api_world import IPS, TRIP, World, order, play
 
 PUT = {"Value": "v", "AppliesTo": 0}
 ROUTE = {"Name": "r", "Host": "a", "PathPrefix": "/", "RouteType": "idempotent", "Service": "s"}
--- a/tests/test_system_watches.py
+++ b/tests/system/control_api/test_watches.py
@@ -6,7 +6,7 @@
 
 from ambershift.system.coordination.calls import parse_call
 from ambershift.system.coordination.revision_ages import RevisionAges
-from tests.enquiring import World, order, play
+from tests.support.control_api_world import World, order, play
 
 
 def test_an_empty_answer_is_confirmed() -> None:
--- a/tests/test_system_distribution.py
+++ b/tests/system/distribution/test_distribution.py
@@ -8,7 +8,6 @@
 from typing import Any
 
 import msgspec
-from system_exchange import NS_PER_MS, NS_PER_SECOND, ZONES, World
 
 from ambershift import interface as api
 from ambershift.system.distribution.assigner import Assigner, Seat
@@ -25,6 +24,7 @@
     ItemUpdate,
     TableEntry,
 )
+from tests.support.simulated_exchange import NS_PER_MS, NS_PER_SECOND, ZONES, World
 
 KEEPERS = {"a": "1", "b": "2", "c": "3"}
 Play = Callable[[World], Coroutine[Any, Any, None]]
--- a/tests/test_system_metrics.py
+++ b/tests/system/processes/test_metrics.py
@@ -29,7 +29,7 @@
 )
 from ambershift.system.state_machine import NS_PER_SECOND
 
-DEPLOY = Path(__file__).parent.parent / "deploy" / "system.toml"
+DEPLOY = Path(__file__).parents[3] / "deploy" / "system.toml"
 
 
 def asked(port: int, path: str, method: str = "GET") -> tuple[int, bytes, list[str]]:
--- a/tests/test_system_proxy_endings.py
+++ b/tests/system/proxy/test_attempt_endings.py
@@ -7,9 +7,9 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from circulated import SERVICES, Rig, Script, answer, route, run
 
 from ambershift.system.messages.proxy_link import ItemUpdate
+from tests.support.proxy_rig import SERVICES, Rig, Script, answer, route, run
 
 WANTED = b"read"
 
--- a/tests/test_system_limits.py
+++ b/tests/system/proxy/test_limits.py
@@ -5,7 +5,6 @@
 
 import msgspec
 import pytest
-from circulated import PLAIN, Rig, answer, run
 
 from ambershift.system.messages.items import LIMITS, Item
 from ambershift.system.messages.proxy_link import ItemUpdate
@@ -13,6 +12,7 @@
 from ambershift.system.proxy.intake import _unread
 from ambershift.system.proxy.limits import Limits, Waiting, read_limits
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
+from tests.support.proxy_rig import PLAIN, Rig, answer, run
 
 HEAD = b"GET /read/a HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a1\r\nX-Deadline-Remaining: 1500\r\n"
 MOST = 400
--- a/tests/test_system_proxy_pick.py
+++ b/tests/system/proxy/test_pick.py
@@ -3,7 +3,6 @@
 from random import Random
 
 import pytest
-from circulated import PLAIN, SERVICES, ZONES, backend, route, settings
 
 from ambershift.system.messages.items import INSTANCE, ROUTE, ZONE, Item
 from ambershift.system.messages.proxy_link import (
@@ -20,6 +19,7 @@
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
+from tests.support.proxy_rig import PLAIN, SERVICES, ZONES, backend, route, settings
 
 PLACES = ("north", "north", "north", "hill", "hill", "south", "south", "south")
 
--- a/tests/test_system_proxy_path.py
+++ b/tests/system/proxy/test_request_path.py
@@ -6,10 +6,10 @@
 import struct
 
 import pytest
-from circulated import SERVICES, Rig, answer, backend, route, run
 
 from ambershift.system.messages.items import INSTANCE, Item
 from ambershift.system.messages.proxy_link import BackendUpdate, ItemUpdate
+from tests.support.proxy_rig import SERVICES, Rig, answer, backend, route, run
 
 
 async def good(head, body, writer):
--- a/tests/test_system_homes.py
+++ b/tests/system/registry/test_home_regions.py
@@ -4,9 +4,6 @@
 
 import asyncio
 
-from circulated import route
-from system_exchange import World
-
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.messages.proxy_link import host_counter_name, parse_host_counter_name
@@ -18,6 +15,8 @@
     HomeRegions,
 )
 from ambershift.system.state_machine import NS_PER_SECOND
+from tests.support.proxy_rig import route
+from tests.support.simulated_exchange import World
 
 ALL, BOUND = host_counter_name("h.example", ()), host_counter_name("h.example", ("b", "a"))
 
--- a/tests/test_system_registry.py
+++ b/tests/system/registry/test_registry.py
@@ -10,9 +10,9 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
-from system_exchange import NS_PER_SECOND, World
 
 from ambershift.system.messages.proxy_link import ItemUpdate
+from tests.support.simulated_exchange import NS_PER_SECOND, World
 
 Play = Callable[[World], Coroutine[Any, Any, None]]
 
--- a/tests/test_system_recall.py
+++ b/tests/system/registry/test_snapshot.py
@@ -12,10 +12,8 @@
 from typing import Any
 from unittest.mock import Mock
 
-import circulated
 import msgspec
 import pytest
-from system_exchange import NS_PER_SECOND, ZONES, Node, World
 
 from ambershift.system.consensus import cache_file
 from ambershift.system.consensus.cache_file import CacheFile
@@ -43,6 +41,8 @@
 from ambershift.system.state_machine import NS_PER_MS, Send, WriteCompleted
 from ambershift.system.transport import links
 from ambershift.system.transport.link_path import CONTROL_NODE, Caller
+from tests.support import proxy_rig
+from tests.support.simulated_exchange import NS_PER_SECOND, ZONES, Node, World
 
 NOW = 1000 * NS_PER_SECOND
 ONE = Instance("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * NS_PER_SECOND)
@@ -487,9 +487,9 @@
 
     async def playing() -> None:
         async def well(head: bytes, body: bytes, writer: Any) -> bytes:
-            return circulated.answer(head)
+            return proxy_rig.answer(head)
 
-        async with circulated.Rig(well, items=ItemUpdate(circulated.PLAIN.items, False)) as rig:
+        async with proxy_rig.Rig(well, items=ItemUpdate(proxy_rig.PLAIN.items, False)) as rig:
             heads = rig.shelves[0].heads
             asked = asyncio.ensure_future(rig.ask())
             if most:
@@ -504,4 +504,4 @@
                 monkeypatch.setattr(handling, "WAIT", 0.0)
                 assert (await rig.ask())[0] == 503 and not heads
 
-    circulated.run(playing)
+    proxy_rig.run(playing)
--- a/tests/test_system_clearing.py
+++ b/tests/system/registry/test_tombstone_expiry.py
@@ -7,7 +7,6 @@
 
 import msgspec
 import pytest
-from system_exchange import NS_PER_SECOND, World
 
 from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.consensus.events import WriteItems
@@ -26,6 +25,7 @@
     TombstoneExpiry,
 )
 from ambershift.system.simulation.world import World as Copies
+from tests.support.simulated_exchange import NS_PER_SECOND, World
 
 MINUTE = 60 * NS_PER_SECOND
 
--- a/tests/test_system_events.py
+++ b/tests/system/test_events.py
@@ -9,7 +9,7 @@
 from ambershift.system.control_api import log_events as control_api
 from ambershift.system.events import EVENTS
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 def test_each_number_is_in_the_catalogue_and_on_the_page() -> None:
