--- a/ambershift/system/registry/registry.py
+++ b/ambershift/system/registry/service.py
@@ -35,7 +35,6 @@
 )
 from ambershift.system.registry.heartbeats import HeartbeatError, check_instance_id, parse_heartbeat
 from ambershift.system.registry.home_regions import HomeRegions
-from ambershift.system.registry.machine import RegistryStateMachine
 from ambershift.system.registry.proxy_directory import MAX_ADDRESSES, nearest_proxies
 from ambershift.system.registry.records import Instance, ProxyRecord
 from ambershift.system.registry.snapshot import (
@@ -44,6 +43,7 @@
     decode_snapshot,
     encode_snapshot,
 )
+from ambershift.system.registry.state_machine import RegistryStateMachine
 from ambershift.system.registry.tombstones import HttpAnswer, TombstoneWriter
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND, LogEvent, MessageReceived, Send
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -13,7 +13,7 @@
 from ambershift.system.messages import codec, registry_sync
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.registry.registry import RegistryService
+from ambershift.system.registry.service import RegistryService
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.simulation.cluster import ZONES, Cluster
 from ambershift.system.simulation.fleet_links import Accepted, FromProxy, HungUp, ProxyLink, ProxyLinks
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -12,7 +12,7 @@
 from ambershift.system.messages import codec, registry_sync
 from ambershift.system.messages.proxy_link import LoadReport
 from ambershift.system.processes import control_node  # All that a control node's process imports counts.
-from ambershift.system.registry.registry import RegistryService
+from ambershift.system.registry.service import RegistryService
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -14,7 +14,7 @@
 from ambershift.system.messages import proxy_link
 from ambershift.system.processes.http_server import bind_listener, create_server
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.registry.registry import RegistryService
+from ambershift.system.registry.service import RegistryService
 from benchmarks.capacity import world
 from benchmarks.capacity.registry import ended
 from benchmarks.capacity.world import SIZES, Size
--- a/tests/support/simulated_exchange.py
+++ b/tests/support/simulated_exchange.py
@@ -14,7 +14,7 @@
 from ambershift.system.interfaces import OutcomeUnknownError
 from ambershift.system.messages import codec, proxy_link
 from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances, newest
-from ambershift.system.registry.registry import RegistryService
+from ambershift.system.registry.service import RegistryService
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -29,7 +29,7 @@
 from ambershift.system.proxy import awaited, handling
 from ambershift.system.proxy.backend_view import BackendView
 from ambershift.system.registry.records import Instance
-from ambershift.system.registry.registry import PROXIES_WHILE_INCOMPLETE
+from ambershift.system.registry.service import PROXIES_WHILE_INCOMPLETE
 from ambershift.system.registry.snapshot import (
     MIN_WRITE_INTERVAL_NS,
     SnapshotError,
