--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -26,8 +26,8 @@
     LoadReport,
 )
 from ambershift.system.messages.tombstones import COLLECTED_TOMBSTONES_KIND
-from ambershift.system.registry.records import Instance
-from ambershift.system.registry.service import RegistryService, backend_of
+from ambershift.system.registry.records import Instance, backend_of
+from ambershift.system.registry.service import RegistryService
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_MS, Send
 
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -27,7 +27,7 @@
 from ambershift.system.processes.metrics import CONTROL_PORT, PORT_TAKEN, Metric, MetricsMiddleware
 from ambershift.system.processes.settings_watch import POLL_INTERVAL_S as FILE_S
 from ambershift.system.processes.settings_watch import SettingsFileWatch
-from ambershift.system.registry.service import RegistryService
+from ambershift.system.registry.service import RegistryIO, RegistryService
 from ambershift.system.settings.local import Local, SettingsError, read_local
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
 from ambershift.system.transport.links import Links
@@ -63,7 +63,10 @@
             CacheFile(settings.folder, BACKENDS_CACHE_FILE) if settings.folder is not None else None
         )
         self.registry = RegistryService(
-            settings, self.store, send, steady, secrets.randbits(62), self.log, self.cache_file
+            settings,
+            self.store,
+            RegistryIO(send=send, steady=steady, log=self.log, cache_file=self.cache_file),
+            seed=secrets.randbits(62),
         )
         self.controller = Controller(
             settings,
--- a/ambershift/system/registry/endpoint_list.py
+++ b/ambershift/system/registry/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of backends that all nodes arrive at, from what each hears and from what is held for good."""
+"""The endpoint list at which all control nodes arrive, from reported instances and from tombstones."""
 
 from __future__ import annotations
 
@@ -9,100 +9,133 @@
 from ambershift.system.registry.records import Instance
 from ambershift.system.state_machine import NS_PER_SECOND
 
-RETENTION_NS = (
-    600 * NS_PER_SECOND
-)  # So long a life is remembered that nobody hears, or that another has replaced.
-DRAINING_VERSION, REMOVED_VERSION = 1, 2  # Versions of the item of a life that ends.
+# So long an instance is remembered that no control node reports, or that another one has superseded.
+RETENTION_NS = 600 * NS_PER_SECOND
+# Versions of a tombstone: the instance drains, or it has signed off.
+DRAINING_VERSION = 1
+REMOVED_VERSION = 2
 
 
 class EndpointList:
-    """`shown` is the list. A missing life leaves it, unless its service would have none that is ready."""
+    """The instances that proxies are told of, and what decides on them.
+
+    An instance that nobody reports leaves the list, unless its service would have none left that is ready.
+    Times are ns of the steady clock.
+
+    Attributes:
+        endpoints: The list, by id.
+        instances: The newest state of each instance that has neither ended nor been superseded.
+        unreported_since: Which of these no control node reports, and since when.
+        superseded_at: Instances whose address a younger one has taken, and when.
+        tombstones: Versions of the tombstones, by id.
+        collected: Ids of the last instances whose tombstones have been collected.
+        ids_by_service: Ids of `instances`, by service.
+        id_by_address: The instance that has an address.
+    """
 
     def __init__(self) -> None:
         self.endpoints: dict[str, Instance] = {}
-        self._endpoint_ids_by_service = defaultdict[str, set[str]](set)  # Ids of these, by service.
-        self._newly_superseded = set[str]()
-        self.instances: dict[
-            str, Instance
-        ] = {}  # The newest known of each life that is neither gone nor replaced.
-        self.unreported_since: dict[str, int] = {}  # Of these, those that nobody hears, and since when.
+        self.instances: dict[str, Instance] = {}
+        self.unreported_since: dict[str, int] = {}
         self.superseded_at: dict[str, int] = {}
         self.tombstones: dict[str, int] = {}
-        self.collected = frozenset[str]()  # The last lives whose ends are held no more.
+        self.collected = frozenset[str]()
         self.ids_by_service = defaultdict[str, set[str]](set)
-        self.id_by_address: dict[str, str] = {}  # The life that has an address.
+        self.id_by_address: dict[str, str] = {}
+        self._endpoint_ids_by_service = defaultdict[str, set[str]](set)
+        self._newly_superseded = set[str]()
 
     def is_terminated(self, id: str) -> bool:
+        """Tell whether this instance is never listed again."""
         return (
             id in self.superseded_at or id in self.collected or self.tombstones.get(id, 0) >= REMOVED_VERSION
         )
 
+    def add_tombstone(self, id: str, version: int) -> None:
+        """Note a tombstone; an older version than the known one changes nothing."""
+        self.tombstones[id] = max(version, self.tombstones.get(id, 0))
+
     def set_collected(self, ids: Iterable[str]) -> None:
+        """Replace the ids of collected tombstones, and drop these tombstones."""
         self.collected = frozenset(ids)
         for id in self.collected:
             self.tombstones.pop(id, None)
 
     def take_superseded(self) -> set[str]:
-        """Lives that others have replaced at their address since this was asked last."""
-        lost, self._newly_superseded = self._newly_superseded, set()
-        return lost
+        """Return the instances that have been superseded since the last call."""
+        superseded = self._newly_superseded
+        self._newly_superseded = set()
+        return superseded
 
     def refresh(
-        self, now: int, ids: Iterable[str], best: Callable[[str], Instance | None]
+        self, now: int, ids: Iterable[str], merged_instance: Callable[[str], Instance | None]
     ) -> tuple[list[Instance], list[str]]:
-        """Look again at these lives. Returns what is new or changed on the list, and what is gone."""
-        touched = set[str]()
+        """Look again at these instances.
+
+        Args:
+            now: Time (ns, steady clock).
+            ids: Instances of which a report or a tombstone has changed.
+            merged_instance: Returns an instance from all reports of it; None if there are none.
+
+        Returns:
+            Endpoints that are new or have changed, and ids of those that have left the list.
+        """
+        changed_services = set[str]()
         for id in ids:
             if known := self.instances.get(id):
-                touched.add(known.service)
-            life = best(id)
+                changed_services.add(known.service)
+            instance = merged_instance(id)
             if self.is_terminated(id):
                 self._remove(id)
-            elif life:
-                touched |= self._admit(now, life)
+            elif instance:
+                changed_services |= self._admit(now, instance)
             elif known and id not in self.unreported_since:
                 self.unreported_since[id] = now
-        put, gone = list[Instance](), list[str]()
-        for service in touched:
-            self._update_service(now, service, put, gone)
-        return put, gone
+        updated = list[Instance]()
+        removed = list[str]()
+        for service in changed_services:
+            self._update_service(service, now, updated, removed)
+        return updated, removed
 
     def expire(self, now: int) -> list[str]:
-        """Lives to look at again, since nobody has heard them for very long."""
+        """Forget what is older than the retention time; returns ids to refresh."""
         for id, at in list(self.superseded_at.items()):
             if now > at + RETENTION_NS:
                 del self.superseded_at[id]
-        old = [
+        expired = [
             id
             for id, at in self.unreported_since.items()
             if now > at + RETENTION_NS and id not in self.endpoints
         ]
-        for id in old:
+        for id in expired:
             self._remove(id)
-        return old
-
-    def _admit(self, now: int, life: Instance) -> set[str]:
-        """Take a life that is heard; at its address the one that was first heard later stays."""
-        touched = {life.service}
-        other = self.instances.get(self.id_by_address.get(life.address, ""))
-        if other and other.id != life.id and other.address == life.address:
-            loser = min(life, other, key=lambda one: (one.first_seen_at, one.id))
-            touched.add(loser.service)
-            self.superseded_at[loser.id] = now
-            self._newly_superseded.add(loser.id)
-            self._remove(loser.id)
-            if loser is life:
-                return touched
-        if self.tombstones.get(life.id) == DRAINING_VERSION and not life.draining:
-            life = replace(life, draining=True)
-        known = self.instances.get(life.id)
-        if known and known.service != life.service:
-            self.ids_by_service[known.service].discard(life.id)
-        self.id_by_address[life.address] = life.id
-        self.instances[life.id] = life
-        self.ids_by_service[life.service].add(life.id)
-        self.unreported_since.pop(life.id, None)
-        return touched
+        return expired
+
+    def _admit(self, now: int, instance: Instance) -> set[str]:
+        """Add or update a reported instance; returns the services that may change.
+
+        Of two instances at one address, the one that was first seen later has replaced the other.
+        """
+        changed_services = {instance.service}
+        rival = self.instances.get(self.id_by_address.get(instance.address, ""))
+        if rival and rival.id != instance.id and rival.address == instance.address:
+            superseded = min(instance, rival, key=lambda candidate: (candidate.first_seen_at, candidate.id))
+            changed_services.add(superseded.service)
+            self.superseded_at[superseded.id] = now
+            self._newly_superseded.add(superseded.id)
+            self._remove(superseded.id)
+            if superseded is instance:
+                return changed_services
+        if self.tombstones.get(instance.id) == DRAINING_VERSION and not instance.draining:
+            instance = replace(instance, draining=True)
+        known = self.instances.get(instance.id)
+        if known and known.service != instance.service:
+            self.ids_by_service[known.service].discard(instance.id)
+        self.id_by_address[instance.address] = instance.id
+        self.instances[instance.id] = instance
+        self.ids_by_service[instance.service].add(instance.id)
+        self.unreported_since.pop(instance.id, None)
+        return changed_services
 
     def _remove(self, id: str) -> None:
         self.unreported_since.pop(id, None)
@@ -111,21 +144,24 @@
             if self.id_by_address.get(known.address) == id:
                 del self.id_by_address[known.address]
 
-    def _update_service(self, now: int, service: str, put: list[Instance], gone: list[str]) -> None:
+    def _update_service(self, service: str, now: int, updated: list[Instance], removed: list[str]) -> None:
         ids = self.ids_by_service[service]
-        heard = any(id not in self.unreported_since and not self.instances[id].draining for id in ids)
-        visible = {
-            id for id in ids if id not in self.unreported_since or not (heard or self.instances[id].draining)
+        has_ready = any(id not in self.unreported_since and not self.instances[id].draining for id in ids)
+        listed = {
+            id
+            for id in ids
+            if id not in self.unreported_since or not (has_ready or self.instances[id].draining)
         }
-        for id in sorted(visible):
-            shown, life = self.endpoints.get(id), self.instances[id]
-            if shown is None or not life.is_equivalent(shown, now):
-                if shown and shown.service != service:
-                    self._endpoint_ids_by_service[shown.service].discard(id)
-                self.endpoints[id] = life
+        for id in sorted(listed):
+            endpoint = self.endpoints.get(id)
+            instance = self.instances[id]
+            if endpoint is None or not instance.is_equivalent(endpoint, now):
+                if endpoint and endpoint.service != service:
+                    self._endpoint_ids_by_service[endpoint.service].discard(id)
+                self.endpoints[id] = instance
                 self._endpoint_ids_by_service[service].add(id)
-                put.append(life)
-        for id in sorted(self._endpoint_ids_by_service[service] - visible):
+                updated.append(instance)
+        for id in sorted(self._endpoint_ids_by_service[service] - listed):
             del self.endpoints[id]
             self._endpoint_ids_by_service[service].discard(id)
-            gone.append(id)
+            removed.append(id)
--- a/ambershift/system/registry/events.py
+++ b/ambershift/system/registry/events.py
@@ -1,4 +1,4 @@
-"""Events and effects of the machine of backends and proxies, beside those that all machines know."""
+"""Events and effects of the registry's state machine, besides those that all state machines know."""
 
 from __future__ import annotations
 
@@ -13,7 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ContactTick:
-    """Time has passed. `touch`: enough nodes are heard; `alive`: others heard lately; `peers`: known."""
+    """Time has passed.
+
+    Attributes:
+        in_contact: This control node has heard from enough of the others lately.
+        live_peers: Ips of the others that it has heard from lately.
+        peers: Ips of all others that are known.
+    """
 
     in_contact: bool
     live_peers: frozenset[str]
@@ -22,7 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotLoaded:
-    """Lives that were on the list before this process began; `most` proxies were known at once."""
+    """The endpoint list of the process before this one.
+
+    Attributes:
+        max_proxies: The most proxies that it knew at once.
+    """
 
     max_proxies: int
     instances: tuple[Instance, ...]
@@ -30,41 +40,61 @@
 
 @dataclass(frozen=True, slots=True)
 class TombstonesMerged:
-    """Items of lives that end have become newer here: id and version."""
+    """Tombstones have arrived or become newer.
+
+    Attributes:
+        versions: Instance id and version of each.
+    """
 
     versions: tuple[tuple[str, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TombstonesCollected:
-    """Of these lives, the last cleared, the ends are held no more; nothing is taken of them."""
+    """The tombstones of these instances have been dropped; nothing is accepted of the instances any more.
+
+    Attributes:
+        ids: The last collected ones, some of which may be known.
+    """
 
     ids: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class PeerConnected:
+    """A link to another control node is up; `peer` is its ip."""
+
     peer: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyConnected:
+    """A proxy linked here has said `Hello`, for the first time or again."""
+
     hello: Hello
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyContacted:
+    """A proxy linked here has sent a message of any kind; `proxy` is its name."""
+
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyDisconnected:
+    """The link of a proxy has ended; `proxy` is its name."""
+
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class RatesChanged:
-    """What comes to proxies linked here, wherever it differs from what was told before."""
+    """Request rates at the proxies linked here that differ from what was reported before.
+
+    Attributes:
+        removed: Zone and pool of rates that no longer exist.
+    """
 
     rates: tuple[PoolRate, ...]
     removed: tuple[tuple[str, str], ...] = ()
@@ -87,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsChanged:
-    """Effect: what is new or changed on the list, and ids that are gone from it."""
+    """Effect: endpoints that are new or have changed, and ids of those that have left the list."""
 
     updated: tuple[Instance, ...]
     removed: tuple[str, ...]
--- a/ambershift/system/registry/snapshot.py
+++ b/ambershift/system/registry/snapshot.py
@@ -1,7 +1,7 @@
-"""The list as it is kept on disk: what a process tells of backends between its start and their next beat.
+"""The snapshot of the endpoint list on disk: a process serves it between its start and the next heartbeats.
 
-It is a view that was true a moment before the end: no acknowledgement counts on it, and whatever can't be
-read is taken for nothing.
+It was true a moment before the end of the last process. No acknowledgement depends on it, and a file that
+can't be read counts as none.
 """
 
 from __future__ import annotations
@@ -18,15 +18,19 @@
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 FORMAT_VERSION = 1
-DIGEST_BYTES = 16  # Bytes of the digest in front: a write may be torn.
-MIN_WRITE_INTERVAL_NS, WRITE_INTERVAL_PER_INSTANCE_NS = (
-    NS_PER_SECOND // 2,
-    NS_PER_MS // 2,
-)  # The least time between two writes.
+DIGEST_BYTES = 16  # A digest stands in front, since a write may be torn.
+# The least time between two writes: the larger of the first and the second for each instance.
+MIN_WRITE_INTERVAL_NS = NS_PER_SECOND // 2
+WRITE_INTERVAL_PER_INSTANCE_NS = NS_PER_MS // 2
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """What the file holds. `ip`: of the machine whose list it is; `most`: the most proxies known at once."""
+    """Content of the file. The order of the fields is its format.
+
+    Attributes:
+        ip: Of the control node that wrote it.
+        max_proxies: The most proxies known at once.
+    """
 
     format: int
     ip: str
@@ -40,51 +44,82 @@
 
 @dataclass(eq=False)
 class SnapshotError(Exception):
-    """Why the file says nothing."""
+    """A file that can't be used, and why."""
 
     reason: str
 
+    def __str__(self) -> str:
+        return f"The snapshot of the endpoint list can't be used: {self.reason}."
+
+
+def encode_snapshot(ip: str, now: int, max_proxies: int, instances: Iterable[Instance]) -> bytes:
+    """Encode a snapshot with its digest; `now` in ns, steady clock.
 
-def encode_snapshot(ip: str, now: int, most: int, lives: Iterable[Instance]) -> bytes:
-    """A cold one is written with the cold time it has left: read later, that is more than it has."""
-    data = _encode(Snapshot(FORMAT_VERSION, ip, most, tuple(instance_to_wire(now, one) for one in lives)))
-    return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest() + data
+    An instance that warms up is written with the warm-up time left: when it is read, that is more than it
+    has.
+    """
+    records = tuple(instance_to_wire(now, instance) for instance in instances)
+    data = _encode(Snapshot(FORMAT_VERSION, ip, max_proxies, records))
+    return _digest(data) + data
 
 
 def decode_snapshot(ip: str, now: int, data: bytes) -> tuple[int, list[Instance]]:
-    """The most proxies, and lives that were there: whatever is heard is newer, and has the address."""
-    if hashlib.blake2b(data[DIGEST_BYTES:], digest_size=DIGEST_BYTES).digest() != data[:DIGEST_BYTES]:
+    """Decode a snapshot of the control node at `ip`; `now` in ns, steady clock.
+
+    Returns:
+        The most proxies known at once, and the instances. They are unconfirmed and older than any that a
+        heartbeat tells of, so that those win and keep their addresses.
+
+    Raises:
+        SnapshotError: The data is torn, of another format or of another machine.
+    """
+    if _digest(data[DIGEST_BYTES:]) != data[:DIGEST_BYTES]:
         raise SnapshotError("torn")
     try:
-        sheet = _decode(data[DIGEST_BYTES:])
-    except msgspec.DecodeError as why:
-        raise SnapshotError(str(why)) from why
-    if sheet.format != FORMAT_VERSION:
-        raise SnapshotError(f"format {sheet.format}")
-    if sheet.ip != ip:
-        raise SnapshotError(f"of another machine ({sheet.ip})")
-    known = (instance_from_wire(now, one) for one in sheet.instances)
-    return sheet.max_proxies, [
-        replace(one, unconfirmed=True, sequence=-1, first_seen_at=one.first_seen_at - RETENTION_NS)
-        for one in known
+        snapshot = _decode(data[DIGEST_BYTES:])
+    except msgspec.DecodeError as error:
+        raise SnapshotError(str(error)) from error
+    if snapshot.format != FORMAT_VERSION:
+        raise SnapshotError(f"format {snapshot.format}")
+    if snapshot.ip != ip:
+        raise SnapshotError(f"of another machine ({snapshot.ip})")
+    instances = (instance_from_wire(now, record) for record in snapshot.instances)
+    return snapshot.max_proxies, [
+        replace(instance, unconfirmed=True, sequence=-1, first_seen_at=instance.first_seen_at - RETENTION_NS)
+        for instance in instances
     ]
 
 
+def _digest(data: bytes) -> bytes:
+    return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
+
+
 class SnapshotSchedule:
-    """When the list is to be written again: after changes, and once what is written as cold is warm."""
+    """When to write a snapshot: after changes, and once an instance that was written as warming up is warm.
 
-    def __init__(self) -> None:
-        self.changed, self._next_write_at, self._next_warm_at, self._max_proxies = False, 0, 0, 0
+    Times are ns of the steady clock.
 
-    def due(self, now: int, most: int) -> bool:
-        return now >= self._next_write_at and (
-            self.changed or most > self._max_proxies or 0 < self._next_warm_at <= now
-        )
+    Attributes:
+        changed: The endpoint list has changed since the last write.
+    """
 
-    def written(self, now: int, most: int, lives: Sequence[Instance]) -> None:
-        self._max_proxies = most
-        self.changed, self._next_write_at = (
-            False,
-            now + max(MIN_WRITE_INTERVAL_NS, WRITE_INTERVAL_PER_INSTANCE_NS * len(lives)),
+    def __init__(self) -> None:
+        self.changed = False
+        self._next_write_at = 0
+        self._next_warm_at = 0  # 0: none of those written warms up.
+        self._max_proxies = 0
+
+    def due(self, now: int, max_proxies: int) -> bool:
+        """Tell whether to write now."""
+        is_outdated = self.changed or max_proxies > self._max_proxies or 0 < self._next_warm_at <= now
+        return now >= self._next_write_at and is_outdated
+
+    def written(self, now: int, max_proxies: int, instances: Sequence[Instance]) -> None:
+        """Note a write and what it held."""
+        self._max_proxies = max_proxies
+        self.changed = False
+        interval = max(MIN_WRITE_INTERVAL_NS, WRITE_INTERVAL_PER_INSTANCE_NS * len(instances))
+        self._next_write_at = now + interval
+        self._next_warm_at = min(
+            (instance.warming_until for instance in instances if instance.warming_until > now), default=0
         )
-        self._next_warm_at = min((one.warming_until for one in lives if one.warming_until > now), default=0)
--- a/ambershift/system/registry/tombstones.py
+++ b/ambershift/system/registry/tombstones.py
@@ -1,4 +1,4 @@
-"""Ends of backends' lives, put on enough copies: acknowledged once they are, and forgotten when long over."""
+"""Writes tombstones of instances to enough copies, and collects old ones."""
 
 from __future__ import annotations
 
@@ -13,56 +13,70 @@
 from ambershift.system.registry.tombstone_expiry import MAX_COLLECTED_IDS
 
 PUT_TIMEOUT_S = 0.8  # A backend waits a second for its acknowledgement.
-MAX_REMEMBERED_TOMBSTONES = (
-    20_000  # Of these lives we remember that their end is held; others are just put again.
-)
+# Of so many instances the durable version is remembered; for others the put is repeated, which does no harm.
+MAX_REMEMBERED_TOMBSTONES = 20_000
 
-HttpAnswer = tuple[int, dict[str, Any]]  # HTTP's status and the body.
+HttpAnswer = tuple[int, dict[str, Any]]  # HTTP status and JSON body.
 
 
 class TombstoneWriter:
-    """`ip` is this control node's."""
+    """Puts tombstones into the replicated state, once for any number of calls at the same time."""
 
-    def __init__(self, ledger: ReplicatedState, ip: str) -> None:
-        self._ledger, self._ip = ledger, ip
+    def __init__(self, replicated_state: ReplicatedState, ip: str) -> None:
+        """`ip` is this control node's; it goes into the versions that it writes."""
+        self._replicated_state = replicated_state
+        self._ip = ip
         self._durable_versions = dict[str, int]()
         self._writes_in_flight = dict[tuple[str, int], asyncio.Task[None]]()
-        self._collection: asyncio.Future[None] | None = None
+        self._collection: asyncio.Future[None] | None = None  # Keeps the task from being destroyed.
 
     async def write(self, id: str, version: int, service: str, address: str) -> HttpAnswer:
-        """Acknowledge once enough copies hold that this life ends."""
+        """Acknowledge once enough copies have stored the tombstone.
+
+        Args:
+            id: Of the instance.
+            version: `endpoint_list.DRAINING_VERSION` or `endpoint_list.REMOVED_VERSION`.
+            service: Of the instance; empty if unknown.
+            address: Of the instance (ip:port); empty if unknown.
+
+        Returns:
+            Status 200, or 503 with the reason.
+        """
         if self._durable_versions.get(id, 0) < version:
             key = id, version
             if key not in self._writes_in_flight:
-                item = Item(
-                    INSTANCE, id, (version, ""), msgspec.json.encode({"Service": service, "Address": address})
-                )
-                self._writes_in_flight[key] = task = asyncio.ensure_future(
-                    self._ledger.write([item], PUT_TIMEOUT_S)
-                )
+                value = msgspec.json.encode({"Service": service, "Address": address})
+                item = Item(INSTANCE, id, (version, ""), value)
+                task = asyncio.ensure_future(self._replicated_state.write([item], PUT_TIMEOUT_S))
+                self._writes_in_flight[key] = task
                 task.add_done_callback(lambda done: self._on_written(key, done))
             try:
+                # Shielded: the caller may hang up, and other callers wait for the same write.
                 await asyncio.shield(self._writes_in_flight[key])
-            except (OutcomeUnknownError, NotAppliedError) as why:
-                return 503, {"Error": why.reason}
+            except (OutcomeUnknownError, NotAppliedError) as error:
+                return 503, {"Error": error.reason}
         return 200, {}
 
-    def _on_written(self, key: tuple[str, int], done: asyncio.Task[None]) -> None:
-        self._writes_in_flight.pop(key, None)
-        if not done.cancelled() and done.exception() is None:
-            if len(self._durable_versions) >= MAX_REMEMBERED_TOMBSTONES:
-                self._durable_versions.clear()
-            self._durable_versions[key[0]] = max(key[1], self._durable_versions.get(key[0], 0))
-
     def collect(self, ids: Sequence[str]) -> None:
-        """Let all forget the ends of lives that are long over. One node does so; two at once do no harm:
-        what the one has told last is held, and the rest comes again."""
+        """Make all control nodes drop these tombstones.
+
+        One control node does so. Two at once do no harm: the list of the last writer is stored, and the
+        tombstones of the other come again.
+        """
         if not ids:
             return
-        last = self._ledger.items().get(CLEARED_INSTANCES_KEY)
-        told = [*(cleared_instances(last) if last else ()), *ids][-MAX_COLLECTED_IDS:]
-        item = Item(
-            *CLEARED_INSTANCES_KEY, (last.version[0] + 1 if last else 1, self._ip), msgspec.json.encode(told)
-        )
-        self._collection = asyncio.ensure_future(self._ledger.write([item], PUT_TIMEOUT_S))
+        last = self._replicated_state.items().get(CLEARED_INSTANCES_KEY)
+        collected = [*(cleared_instances(last) if last else ()), *ids][-MAX_COLLECTED_IDS:]
+        version = last.version[0] + 1 if last else 1
+        item = Item(*CLEARED_INSTANCES_KEY, (version, self._ip), msgspec.json.encode(collected))
+        self._collection = asyncio.ensure_future(self._replicated_state.write([item], PUT_TIMEOUT_S))
+        # Reads the exception, if any, so that asyncio doesn't report it as unhandled.
         self._collection.add_done_callback(lambda done: done.cancelled() or done.exception())
+
+    def _on_written(self, key: tuple[str, int], task: asyncio.Task[None]) -> None:
+        self._writes_in_flight.pop(key, None)
+        if not task.cancelled() and task.exception() is None:
+            if len(self._durable_versions) >= MAX_REMEMBERED_TOMBSTONES:
+                self._durable_versions.clear()
+            id, version = key
+            self._durable_versions[id] = max(version, self._durable_versions.get(id, 0))
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -13,7 +13,7 @@
 from ambershift.system.messages import codec, registry_sync
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.registry.service import RegistryService
+from ambershift.system.registry.service import RegistryIO, RegistryService
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.simulation.cluster import ZONES, Cluster
 from ambershift.system.simulation.fleet_links import Accepted, FromProxy, HungUp, ProxyLink, ProxyLinks
@@ -72,7 +72,10 @@
 
         with process.loop.current():
             registry = RegistryService(
-                settings, process.store, send, steady, chance.getrandbits(62), self.log
+                settings,
+                process.store,
+                RegistryIO(send=send, steady=steady, log=self.log),
+                seed=chance.getrandbits(62),
             )
             controller = Controller(
                 settings,
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -12,7 +12,7 @@
 from ambershift.system.messages import codec, registry_sync
 from ambershift.system.messages.proxy_link import LoadReport
 from ambershift.system.processes import control_node  # All that a control node's process imports counts.
-from ambershift.system.registry.service import RegistryService
+from ambershift.system.registry.service import RegistryIO, RegistryService
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 from benchmarks.capacity import world
 from benchmarks.capacity.meter import Found, megabytes, micros
@@ -44,7 +44,7 @@
         self.ledger = Held(size)
         self.sequence = 0
         self.registry = RegistryService(
-            world.local(size), self.ledger, self.send, lambda: self.now, 1, lambda *_: None
+            world.local(size), self.ledger, RegistryIO(self.send, lambda: self.now, lambda *_: None), 1
         )
         self.registry.listen(lambda put, gone: None)
 
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -14,7 +14,7 @@
 from ambershift.system.messages import proxy_link
 from ambershift.system.processes.http_server import bind_listener, create_server
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.registry.service import RegistryService
+from ambershift.system.registry.service import RegistryIO, RegistryService
 from benchmarks.capacity import world
 from benchmarks.capacity.registry import ended
 from benchmarks.capacity.world import SIZES, Size
@@ -82,7 +82,9 @@
     """A control node's HTTP with its registry, which has all backends and proxies."""
     ledger = world.Held(size)
     settings = world.local(size)
-    registry = RegistryService(settings, ledger, lambda *_: None, time.monotonic_ns, 1, lambda *_: None)
+    registry = RegistryService(
+        settings, ledger, RegistryIO(lambda *_: None, time.monotonic_ns, lambda *_: None), 1
+    )
     for at in range(size.backends):
         ended(registry.heartbeat(world.backend(size, at).id, world.beat(size, at, 1)))
     for at in range(size.proxies):
--- a/tests/support/simulated_exchange.py
+++ b/tests/support/simulated_exchange.py
@@ -14,7 +14,7 @@
 from ambershift.system.interfaces import OutcomeUnknownError
 from ambershift.system.messages import codec, proxy_link
 from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances, newest
-from ambershift.system.registry.service import RegistryService
+from ambershift.system.registry.service import RegistryIO, RegistryService
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
@@ -117,7 +117,7 @@
             self.sent.setdefault(name, []).append(codec.decode(codec.encode(message)))
 
         seed = next(world.seeds)
-        self.registry = RegistryService(settings, self.ledger, send, lambda: world.now, seed, log)
+        self.registry = RegistryService(settings, self.ledger, RegistryIO(send, lambda: world.now, log), seed)
         self.controller = Controller(
             settings, self.ledger, self.registry, send_proxy, send, lambda: world.now, seed, log
         )
--- a/tests/system/registry/test_tombstone_expiry.py
+++ b/tests/system/registry/test_tombstone_expiry.py
@@ -16,7 +16,7 @@
 from ambershift.system.messages.items import CLEARED, CLEARED_INSTANCES_KEY, INSTANCE, Item
 from ambershift.system.messages.proxy_link import BackendUpdate
 from ambershift.system.proxy.routing import Routing
-from ambershift.system.registry import endpoint_list, state_machine, tombstone_expiry
+from ambershift.system.registry import endpoint_list, process_health, tombstone_expiry
 from ambershift.system.registry.tombstone_expiry import (
     COLLECTION_BATCH,
     COLLECTION_INTERVAL_NS,
@@ -88,7 +88,7 @@
     for where, name, value in (
         (tombstone_expiry, "TOMBSTONE_RETENTION_NS", 18),
         (tombstone_expiry, "COLLECTION_INTERVAL_NS", 1),
-        (state_machine, "MAX_HEARTBEAT_DELAY_NS", 9),
+        (process_health, "MAX_HEARTBEAT_DELAY_NS", 9),
         (endpoint_list, "RETENTION_NS", 6),
     ):
         monkeypatch.setattr(where, name, value * NS_PER_SECOND)
