--- a/ambershift/system/consensus/failure_detector.py
+++ b/ambershift/system/consensus/failure_detector.py
@@ -1,338 +1,213 @@
-"""Who is there: knocks, beats, words of others; who was heard when, and whom others don't hear."""
+"""The failure detector: when each peer was last heard, what it says of its own state, and whom it suspects.
 
-from __future__ import annotations
-
-from collections.abc import Sequence
-from zlib import crc32
+Time-outs grow with what a wrong suspicion costs: a call is handed to another node after half a second, a
+voter is suspected after one and a half, a node is no longer listed after five.
+"""
 
-import msgspec
+from __future__ import annotations
 
-from ambershift.system.consensus.contact_lease import ContactLease
 from ambershift.system.consensus.effect_buffer import EffectBuffer
-from ambershift.system.consensus.item_store import ItemStore
-from ambershift.system.consensus.quorum import FULL_MESH_MAX_NODES, choose_watchers
-from ambershift.system.consensus.voters import VotingState, includes_disk
-from ambershift.system.messages import replication
-from ambershift.system.messages.proxy_link import ControlNodeAddress
-from ambershift.system.messages.replication import Announcement, Heartbeat, NodeRecord, PeerList
+from ambershift.system.consensus.peer_directory import PeerDirectory
+from ambershift.system.consensus.voters import VotingState
+from ambershift.system.messages.replication import Heartbeat, HeartbeatFlag
 from ambershift.system.state_machine import NS_PER_MS
 
-HEARTBEAT_INTERVAL_NS = 300 * NS_PER_MS
 SUSPICION_TIMEOUT_NS = 1500 * NS_PER_MS
-RECENT_CONTACT_NS = 800 * NS_PER_MS  # Asked first if heard within this.
-FORWARDING_TIMEOUT_NS = (
-    550 * NS_PER_MS
-)  # Not heard for so long, it gets no calls: a beat and most of another are missing.
-LEARNER_FORWARDING_TIMEOUT_NS = (
-    1000 * NS_PER_MS
-)  # The same for those that hear voters less often, as they are none.
-SETTLING_TIME_NS = (
-    2000 * NS_PER_MS
-)  # Links to a machine that was away are there, and it votes again, when this is over.
-LISTING_TIMEOUT_NS = 5000 * NS_PER_MS
+RECENT_CONTACT_NS = 800 * NS_PER_MS  # A voter heard within this time is asked before others.
+# A voter not heard for so long gets no forwarded calls: one heartbeat and most of another are missing.
+FORWARDING_TIMEOUT_NS = 550 * NS_PER_MS
+LEARNER_FORWARDING_TIMEOUT_NS = 1000 * NS_PER_MS  # The same at a learner: voters send it fewer heartbeats.
+SETTLING_TIME_NS = 2000 * NS_PER_MS  # By then a returned node has its links, and votes again.
+LISTING_TIMEOUT_NS = 5000 * NS_PER_MS  # A node that isn't a voter is listed to proxies for so long.
+PAUSE_THRESHOLD_NS = 800 * NS_PER_MS  # A longer time between two ticks: this process stood still.
 EVENT_QUORUM_CONTACT = 210
-UNKNOWN_CHECKSUM = -1  # Unlike every checksum: whoever is told this tells of all it knows, itself too.
-_encode = msgspec.msgpack.Encoder().encode
 
 
 class FailureDetector:
-    def __init__(
-        self,
-        out: EffectBuffer,
-        voters: VotingState,
-        store: ItemStore,
-        seeds: Sequence[str],
-        contact: ContactLease,
-    ) -> None:
-        self._out, self._voters, self._store, self._contact = out, voters, store, contact
-        self._seeds = tuple(seeds)
-        self.nodes: dict[str, NodeRecord] = {voters.local_node.ip: voters.local_node}
-        # Births that machines have told themselves since the voters changed. What was known before may be of
-        # a disk that this very change replaced: chosen again, it would name a voter that isn't there.
-        self.self_reported_disks: dict[str, int] = {}
-        self.last_contact: dict[str, int] = {}
-        self._contact_since: dict[str, int] = {}  # Since when each has been heard without a pause.
-        self._last_tick = self._running_since = out.now
-        self._settled_nodes: set[str] = set()  # Who says of itself that it is settled; this machine, too.
-        self.leaving: set[str] = set()  # Who tells that it is about to end; this machine, too.
-        self._complete_epochs: dict[
-            str, int
-        ] = {}  # The epoch for which each voter was last told to be complete.
-        self.suspected_by: dict[str, tuple[str, ...]] = {}  # Whom each other doesn't hear.
-        self.last_newcomer_at = out.now  # When a machine was last heard of for the first time.
-        self._divergent_heartbeats: dict[str, int] = {}
-        self._was_in_contact = False
-        self._last_heartbeat_sent: dict[str, int] = {}
-        self._next_heartbeat_at = out.now
-        self._checksum = 0
-        self._sum()
-
-    def _sum(self) -> None:
-        self._checksum = crc32(_encode([self.nodes[ip] for ip in sorted(self.nodes)]))
+    """Judges which peers are alive, from their messages and from what they say of themselves.
+
+    Attributes:
+        leaving: Ips of nodes that are about to end, this one included.
+        suspected_by: The voters that each peer suspects, by the peer's ip.
+    """
+
+    def __init__(self, effects: EffectBuffer, voters: VotingState, directory: PeerDirectory) -> None:
+        """Start without any contact."""
+        self._effects = effects
+        self._voters = voters
+        self._directory = directory
+        self.leaving: set[str] = set()
+        self.suspected_by: dict[str, tuple[str, ...]] = {}
+        self._last_contact: dict[str, int] = {}
+        self._contact_since: dict[str, int] = {}  # Since when each peer has been heard without a gap.
+        self._settled: set[str] = set()  # Nodes that say that they are settled, this one included.
+        self._complete_epochs: dict[str, int] = {}  # The last epoch for which each voter said it is complete.
+        self._last_tick = effects.now
+        self._running_since = effects.now  # The start, or the end of the last pause of this process.
+        self._had_quorum_contact = False
+        self._status_changed = False
 
     @property
-    def local_node(self) -> NodeRecord:
-        return self._voters.local_node
+    def _local_ip(self) -> str:
+        return self._directory.local_node.ip
 
-    # What is told.
+    # Events.
 
     def record_contact(self, sender: str) -> None:
-        now = self._out.now
-        if now - self.last_contact.get(sender, -LISTING_TIMEOUT_NS) > LEARNER_FORWARDING_TIMEOUT_NS:
+        """Note that a message of that node has arrived now."""
+        now = self._effects.now
+        if self._silence_ns(sender) > LEARNER_FORWARDING_TIMEOUT_NS:
             self._contact_since[sender] = now
-        self.last_contact[sender] = now
-
-    def handle_announcement(self, sender: str, knock: Announcement) -> None:
-        if knock.node.ip == sender:
-            self.self_reported_disks[sender] = knock.node.disk_id
-            self._merge(knock.node, direct=True)
-        if knock.peers_checksum != self._checksum:
-            self._out.send(sender, PeerList(tuple(self.nodes.values())))
-        if self._voters.configuration is not None and knock.epoch < self._voters.epoch:
-            self._out.send(sender, self._voters.configuration)
-
-    def handle_peer_list(self, sender: str, message: PeerList) -> None:
-        for machine in message.nodes:
-            if machine.ip == sender:
-                self.self_reported_disks[sender] = machine.disk_id
-            self._merge(machine, direct=False)
-
-    def _merge(self, machine: NodeRecord, direct: bool) -> None:
-        mine = self.nodes.get(machine.ip)
-        if machine.ip == self.local_node.ip:
-            if machine != self.local_node and machine.version >= self.local_node.version:
-                self.update_local_node(msgspec.structs.replace(self.local_node, version=machine.version + 1))
-        elif (
-            mine is None
-            or machine.version > mine.version
-            or (direct and machine.version == mine.version and machine != mine)
-        ):
-            if mine is None or mine.disk_id != machine.disk_id:
-                self.last_newcomer_at = self._out.now
-            self.nodes[machine.ip] = machine
-            self._sum()
-
-    def handle_configuration_change(self) -> None:
-        self.self_reported_disks.clear()
-
-    def _unconfirmed_replacements(self) -> list[str]:
-        """Voters that are known with another disk, but not by their own word."""
-        decision = self._voters.configuration
-        return [
-            one.ip
-            for one in (decision.voters if decision else ())
-            if one.ip in self.nodes
-            and self.nodes[one.ip].disk_id != one.disk_id
-            and one.ip not in self.self_reported_disks
-        ]
-
-    def update_local_node(self, me: NodeRecord) -> None:
-        """Something about this machine has changed: tell all."""
-        self._voters.local_node = me
-        self.nodes[me.ip] = me
-        self._sum()
-        self._announce(self.peers())
-
-    def handle_heartbeat(self, sender: str, beat: Heartbeat) -> str | None:
-        """Take a beat. Returns the sender if its items have differed for two beats."""
-        self.suspected_by[sender] = beat.suspected
-        (self._settled_nodes.add if beat.flags & replication.SETTLED else self._settled_nodes.discard)(sender)
-        (self.leaving.add if beat.flags & replication.LEAVING else self.leaving.discard)(sender)
-        if beat.flags & replication.COMPLETE:
-            self._complete_epochs[sender] = beat.epoch
-        if beat.peers_checksum != self._checksum:
-            self._out.send(sender, self._announcement())
-        if self._voters.configuration is not None and beat.epoch < self._voters.epoch:
-            self._out.send(sender, self._voters.configuration)
-        if self._out.now - self._last_heartbeat_sent.get(sender, 0) > 2 * HEARTBEAT_INTERVAL_NS:
-            self._send_heartbeat(
-                [sender]
-            )  # It watches me though I needn't watch it: let it know that I am here.
-        if beat.items_checksum == self._store.buckets.total:
-            self._divergent_heartbeats.pop(sender, None)
-            if beat.epoch == self._voters.epoch and beat.flags & replication.COMPLETE:
-                self._contact.record_matching_heartbeat(sender)
-            return None
-        count = self._divergent_heartbeats[sender] = self._divergent_heartbeats.get(sender, 0) + 1
-        return sender if count >= 2 else None
-
-    def request_configuration(self, sender: str) -> None:
-        """That machine knows newer voters than this one: show it, so that it tells."""
-        self._announce([sender])
-
-    # What is sent.
-
-    def peers(self) -> list[str]:
-        """All that may be there: machines known, voters, seeds."""
-        return sorted({*self.nodes, *self._voters.ips, *self._seeds} - {self.local_node.ip})
-
-    def _announcement(self) -> Announcement:
-        return Announcement(self.local_node, self._voters.epoch, self._checksum)
-
-    def _announce(self, ips: Sequence[str]) -> None:
-        message = self._announcement()
-        for ip in ips:
-            self._out.send(ip, message)
-
-    def _flags(self) -> int:
-        return (
-            replication.SETTLED * (self.local_node.ip in self._settled_nodes)
-            + replication.COMPLETE * self._voters.can_vote
-            + replication.LEAVING * (self.local_node.ip in self.leaving)
-        )
+        self._last_contact[sender] = now
 
-    def _send_heartbeat(self, ips: Sequence[str]) -> None:
-        message = Heartbeat(
-            self._voters.epoch,
-            self._store.buckets.total,
-            self._checksum,
-            self.suspected_voters(),
-            self._flags(),
-        )
-        for ip in ips:
-            self._last_heartbeat_sent[ip] = self._out.now
-            self._out.send(ip, message)
-
-    def handle_connected(self, ip: str) -> None:
-        """Show it at once that this machine is there."""
-        if ip in self.nodes and self._voters.configuration is not None:
-            self._send_heartbeat([ip])
-        else:
-            self._announce([ip])
-
-    def tick(self) -> None:
-        if self._out.now - self._last_tick > RECENT_CONTACT_NS:
-            self._running_since = self._out.now
-        self._last_tick = self._out.now
-        if self.has_quorum_contact() != self._was_in_contact:
-            self._was_in_contact = not self._was_in_contact
-            self._out.log(
-                EVENT_QUORUM_CONTACT, in_touch=self._was_in_contact, unheard=list(self.suspected_voters())
+    def record_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
+        """Note what a peer says of its state, and which voters it suspects."""
+        self.suspected_by[sender] = heartbeat.suspected
+        _set_membership(self._settled, sender, bool(heartbeat.flags & HeartbeatFlag.SETTLED))
+        _set_membership(self.leaving, sender, bool(heartbeat.flags & HeartbeatFlag.LEAVING))
+        if heartbeat.flags & HeartbeatFlag.COMPLETE:
+            self._complete_epochs[sender] = heartbeat.epoch
+
+    def start_leaving(self) -> None:
+        """This process is about to end: others propose from now on, and replace or remove its vote."""
+        self.leaving.add(self._local_ip)
+        self._status_changed = True
+
+    def update_local_status(self) -> bool:
+        """Judge this node's own state anew; call it with each tick.
+
+        Returns:
+            Whether the peers should learn of a change at once.
+        """
+        now = self._effects.now
+        if now - self._last_tick > PAUSE_THRESHOLD_NS:
+            self._running_since = now
+        self._last_tick = now
+        if self.has_quorum_contact() != self._had_quorum_contact:
+            self._had_quorum_contact = not self._had_quorum_contact
+            self._effects.log(
+                EVENT_QUORUM_CONTACT,
+                in_touch=self._had_quorum_contact,
+                unheard=list(self.suspected_voters()),
             )
-        settled = (
-            self.local_node.ip not in self.leaving
+        is_settled = (
+            self._local_ip not in self.leaving
             and self.has_quorum_contact()
             and self._voters.can_vote
-            and self._out.now - self._running_since >= SETTLING_TIME_NS
-        )
-        if settled != (self.local_node.ip in self._settled_nodes):
-            (self._settled_nodes.add if settled else self._settled_nodes.discard)(self.local_node.ip)
-            self._next_heartbeat_at = (
-                self._out.now
-            )  # All should know at once, or two propose for one register.
-        if self._out.now < self._next_heartbeat_at:
-            return
-        self._next_heartbeat_at = self._out.now + HEARTBEAT_INTERVAL_NS
-        others = self.peers()
-        watching = {*choose_watchers(self.local_node.ip, others), *self._voters.ips} - {self.local_node.ip}
-        # Whoever isn't known is told who this machine is; what others lack they show by their beats.
-        strange = [ip for ip in others if ip not in self.nodes or self._voters.configuration is None]
-        self._announce(strange)
-        for ip in self._unconfirmed_replacements():
-            self._out.send(ip, Announcement(self.local_node, self._voters.epoch, UNKNOWN_CHECKSUM))
-        self._send_heartbeat(sorted(watching - set(strange)))
-
-    # What follows.
-
-    def is_alive(self, ip: str, within: int = SUSPICION_TIMEOUT_NS) -> bool:
-        return (
-            ip == self.local_node.ip
-            or self._out.now - self.last_contact.get(ip, -LISTING_TIMEOUT_NS) <= within
+            and now - self._running_since >= SETTLING_TIME_NS
         )
-
-    def is_complete(self, ip: str) -> bool:
-        """Whether that voter is known to have all that was held before this epoch."""
-        if ip == self.local_node.ip:
-            return self._voters.can_vote
-        return self._complete_epochs.get(ip, 0) >= max(1, self._voters.epoch)
-
-    def start_leaving(self) -> None:
-        """This process is about to end: others propose from now on, and take its seat or leave it out."""
-        self.leaving.add(self.local_node.ip)
-        self._next_heartbeat_at = self._out.now
-
-    def has_left(self) -> bool:
-        """Whether this machine may end: it is no voter any more, and the voters are complete without it."""
-        decision = self._voters.configuration
-        if decision is None or self.local_node.ip in self._voters.ips:
-            return decision is None
-        return sum(self.is_complete(ip) for ip in self._voters.ips) >= self._voters.quorum_size
+        if is_settled != (self._local_ip in self._settled):
+            _set_membership(self._settled, self._local_ip, is_settled)
+            self._status_changed = True
+        changed, self._status_changed = self._status_changed, False
+        return changed
+
+    def local_flags(self) -> HeartbeatFlag:
+        """Return this node's own state, as its heartbeats carry it."""
+        flags = HeartbeatFlag(0)
+        if self._local_ip in self._settled:
+            flags |= HeartbeatFlag.SETTLED
+        if self._voters.can_vote:
+            flags |= HeartbeatFlag.COMPLETE
+        if self._local_ip in self.leaving:
+            flags |= HeartbeatFlag.LEAVING
+        return flags
+
+    # One peer.
+
+    def _silence_ns(self, ip: str) -> int:
+        return self._effects.now - self._last_contact.get(ip, -LISTING_TIMEOUT_NS)
+
+    def is_alive(self, ip: str, within_ns: int = SUSPICION_TIMEOUT_NS) -> bool:
+        """Return whether that node was heard within so many ns. This node always is."""
+        return ip == self._local_ip or self._silence_ns(ip) <= within_ns
 
     def was_heard_recently(self, ip: str) -> bool:
+        """Return whether that node was heard within `RECENT_CONTACT_NS`."""
         return self.is_alive(ip, RECENT_CONTACT_NS)
 
+    def is_responsive(self, ip: str) -> bool:
+        """Return whether calls may be forwarded to that node."""
+        timeout_ns = FORWARDING_TIMEOUT_NS if self._voters.is_voter else LEARNER_FORWARDING_TIMEOUT_NS
+        return self.is_alive(ip, timeout_ns)
+
+    def _hears_local_node(self, ip: str) -> bool:
+        """Return False while that peer suspects this node: links may be cut one way."""
+        return self._local_ip not in self.suspected_by.get(ip, ())
+
     def is_ready(self, ip: str) -> bool:
-        """Whether that voter was heard lately, and not as a machine that has lost the disk it votes with."""
-        decision, machine = self._voters.configuration, self.nodes.get(ip)
+        """Return whether that voter was heard recently, and still has the disk it votes with."""
         return (
             self.was_heard_recently(ip)
-            and self._has_contact_with_local(ip)
-            and (decision is None or machine is None or includes_disk(decision.voters, ip, machine.disk_id))
+            and self._hears_local_node(ip)
+            and not self._directory.has_lost_voting_disk(ip)
         )
 
-    def settled_voters(self) -> frozenset[str]:
-        """The voters that have been there without a pause for a while: none, where most have not.
+    def has_stable_contact(self, ip: str) -> bool:
+        """Return whether that voter's answer to a round may be relied on."""
+        if not self.is_ready(ip):
+            return False
+        stable_ns = self._effects.now - self._contact_since.get(ip, 0)
+        return ip == self._local_ip or stable_ns >= SETTLING_TIME_NS
 
-        Each judges itself, from its start or since it stood still, and tells the others in the same moment,
-        as views that differ make two propose for one register.
-        """
-        found = frozenset(ip for ip in self._voters.ips if self._is_settled(ip))
-        return found if len(found) >= self._voters.quorum_size else frozenset()
+    def is_complete(self, ip: str) -> bool:
+        """Return whether that voter is known to have all that was committed before this epoch."""
+        if ip == self._local_ip:
+            return self._voters.can_vote
+        return self._complete_epochs.get(ip, 0) >= max(1, self._voters.epoch)
 
     def _is_settled(self, ip: str) -> bool:
-        return ip in self._settled_nodes and self.is_responsive(ip) and self._has_contact_with_local(ip)
+        return ip in self._settled and self.is_responsive(ip) and self._hears_local_node(ip)
 
-    def is_responsive(self, ip: str) -> bool:
-        """Whether calls may be handed to it, by when it was heard last."""
-        return self.is_alive(
-            ip, FORWARDING_TIMEOUT_NS if self._voters.is_voter else LEARNER_FORWARDING_TIMEOUT_NS
-        )
-
-    def has_stable_contact(self, ip: str) -> bool:
-        """Whether that voter's answer to a round may be counted on."""
-        return self.is_ready(ip) and (
-            ip == self.local_node.ip or self._out.now - self._contact_since.get(ip, 0) >= SETTLING_TIME_NS
-        )
-
-    def _has_contact_with_local(self, ip: str) -> bool:
-        """False while that one tells that it doesn't: links may be cut one way."""
-        return self.local_node.ip not in self.suspected_by.get(ip, ())
+    # All peers.
 
     def suspected_voters(self) -> tuple[str, ...]:
-        """Voters not heard for a while."""
+        """Return the ips of voters not heard for `SUSPICION_TIMEOUT_NS`, sorted."""
         return tuple(sorted(ip for ip in self._voters.ips if not self.is_alive(ip)))
 
     def has_quorum_contact(self) -> bool:
-        return (
-            self._voters.configuration is not None
-            and (self._voters.can_vote or not self._voters.is_voter)
-            and sum(self.is_alive(ip) and self._has_contact_with_local(ip) for ip in self._voters.ips)
-            >= self._voters.quorum_size
-        )
+        """Return whether a majority of the voters is alive and hears this node.
+
+        It proves nothing of the present moment (see `contact_lease`); it keeps calls from waiting for a round
+        that can't succeed.
+        """
+        if self._voters.configuration is None or (self._voters.is_voter and not self._voters.can_vote):
+            return False
+        in_contact = sum(self.is_alive(ip) and self._hears_local_node(ip) for ip in self._voters.ips)
+        return in_contact >= self._voters.quorum_size
+
+    def settled_voters(self) -> frozenset[str]:
+        """Return the ips of voters that have been up without a pause for a while.
+
+        It is empty where fewer than a majority have been. Each node judges itself, from its start or from the
+        end of its last pause, and tells all others at the same moment: with differing views two nodes would
+        propose for one register.
+        """
+        settled = frozenset(ip for ip in self._voters.ips if self._is_settled(ip))
+        return settled if len(settled) >= self._voters.quorum_size else frozenset()
 
     def nearest_voter(self) -> str | None:
-        """The nearest voter that is there."""
-        return next(
-            (ip for ip in self._voters.ips_by_proximity if ip != self.local_node.ip and self.is_ready(ip)),
-            None,
-        )
+        """Return the ip of the nearest other voter that is ready."""
+        candidates = (ip for ip in self._voters.ips_by_proximity if ip != self._local_ip)
+        return next((ip for ip in candidates if self.is_ready(ip)), None)
 
     def learners(self) -> list[str]:
-        return [
-            ip
-            for ip in sorted(self.nodes)
-            if ip not in self._voters.ips and self.is_alive(ip) and ip != self.local_node.ip
-        ]
-
-    def control_nodes(self) -> tuple[ControlNodeAddress, ...]:
-        decision = self._voters.configuration
-        found = (
-            {one.ip: ControlNodeAddress(one.ip, one.zone, one.region) for one in decision.voters}
-            if decision
-            else {}
-        )
-        hears_all = self._voters.can_vote or len(self.nodes) <= FULL_MESH_MAX_NODES
-        for one in self.nodes.values():
-            if one.ip in found or not hears_all or self.is_alive(one.ip, LISTING_TIMEOUT_NS):
-                found[one.ip] = ControlNodeAddress(one.ip, one.zone, one.region)
-        return tuple(found[ip] for ip in sorted(found))
+        """Return the ips of other nodes that are alive and aren't voters, sorted."""
+        candidates = sorted(self._directory.nodes.keys() - self._voters.ips - {self._local_ip})
+        return [ip for ip in candidates if self.is_alive(ip)]
+
+    def has_left(self) -> bool:
+        """Return whether this node may end: it is no voter, and a majority is complete without it."""
+        if self._voters.configuration is None:
+            return True
+        if self._local_ip in self._voters.ips:
+            return False
+        return sum(self.is_complete(ip) for ip in self._voters.ips) >= self._voters.quorum_size
+
+
+def _set_membership(group: set[str], ip: str, is_member: bool) -> None:
+    """Add `ip` to a set, or take it out."""
+    if is_member:
+        group.add(ip)
+    else:
+        group.discard(ip)
--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -15,6 +15,7 @@
 from ambershift.system.consensus.effect_buffer import CallSucceeded, EffectBuffer
 from ambershift.system.consensus.failure_detector import SUSPICION_TIMEOUT_NS, FailureDetector
 from ambershift.system.consensus.membership_plan import VoterPlan, VoterView, plan_voters
+from ambershift.system.consensus.peer_directory import PeerDirectory
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.voters import VotingState
 from ambershift.system.interfaces import ChangeOutcome
@@ -51,13 +52,15 @@
         self,
         out: EffectBuffer,
         voters: VotingState,
-        watching: FailureDetector,
+        directory: PeerDirectory,
+        failure_detector: FailureDetector,
         acceptor: Acceptor,
         proposer: Proposer,
         tolerated: tuple[int, int, int],
         decided: Callable[[VoterConfiguration], None],
     ) -> None:
-        self._out, self._voters, self._failure_detector = out, voters, watching
+        self._out, self._voters = out, voters
+        self._directory, self._failure_detector = directory, failure_detector
         self._acceptor, self._proposer, self._tolerated = acceptor, proposer, tolerated
         self._on_configuration = decided
         self._last_tick = self._running_since = out.now
@@ -70,9 +73,7 @@
 
     def _is_eligible(self, machine: NodeRecord) -> bool:
         """Whether a learner may be made a voter."""
-        counting = any(
-            one.counted for one in self._failure_detector.nodes.values() if one.ip in self._voters.ips
-        )
+        counting = any(one.counted for one in self._directory.nodes.values() if one.ip in self._voters.ips)
         return (
             self._failure_detector.was_heard_recently(machine.ip)
             and machine.ip not in self._failure_detector.leaving
@@ -94,12 +95,12 @@
 
     def _current_identity(self, old: Voter) -> Voter:
         """The voter with the disk that it has now: whoever lost its disk comes back as another member."""
-        machine = self._failure_detector.nodes.get(old.ip)
+        machine = self._directory.nodes.get(old.ip)
         if machine is None:
             return old
         again = (
             self._failure_detector.was_heard_recently(old.ip)
-            and self._failure_detector.self_reported_disks.get(old.ip) == machine.disk_id
+            and self._directory.self_reported_disks.get(old.ip) == machine.disk_id
         )
         return machine.voter if machine.disk_id == old.disk_id or again else old
 
@@ -123,7 +124,7 @@
         decision = self._voters.configuration
         if decision is None:
             return VoterPlan(())
-        machines = self._failure_detector.nodes
+        machines = self._directory.nodes
         learners = [
             one
             for _, one in sorted(machines.items())
@@ -184,7 +185,7 @@
 
     def _is_too_early(self, found: VoterPlan) -> bool:
         if found.founding:
-            return self._out.now - self._failure_detector.last_newcomer_at < FOUNDING_DELAY_NS
+            return self._out.now - self._directory.last_newcomer_at < FOUNDING_DELAY_NS
         return self._out.now - self._planned_since < JOIN_DELAY_NS
 
     def _propose(self, decision: VoterConfiguration, wanted: tuple[Voter, ...]) -> None:
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -14,13 +14,16 @@
 import msgspec
 
 from ambershift.system.consensus.acceptor import Acceptor
+from ambershift.system.consensus.announcements import Announcer
 from ambershift.system.consensus.anti_entropy import AntiEntropy
 from ambershift.system.consensus.contact_lease import ContactLease
 from ambershift.system.consensus.effect_buffer import EffectBuffer, ItemsUpdated
 from ambershift.system.consensus.events import Event, PeerConnected, ReadQuorum, WriteItems
 from ambershift.system.consensus.failure_detector import FailureDetector
+from ambershift.system.consensus.heartbeats import HeartbeatExchange
 from ambershift.system.consensus.item_store import ItemStore
 from ambershift.system.consensus.membership import MembershipManager
+from ambershift.system.consensus.peer_directory import PeerDirectory
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.quorum_write import QuorumWriter
 from ambershift.system.consensus.tombstone_collector import TombstoneCollector
@@ -79,8 +82,17 @@
         self._voters = VotingState(journal, me, meta)
         self._acceptor = Acceptor(out, journal, shapes, rows.get("registers", {}))
         self._contact = ContactLease(out, self._voters)
-        self._failure_detector = FailureDetector(
-            out, self._voters, self._store, settings.seed_ips, self._contact
+        self._peer_directory = PeerDirectory(out, self._voters, settings.seed_ips)
+        self._failure_detector = FailureDetector(out, self._voters, self._peer_directory)
+        self._announcer = Announcer(out, self._voters, self._peer_directory)
+        self._heartbeats = HeartbeatExchange(
+            out,
+            self._voters,
+            self._store,
+            self._peer_directory,
+            self._failure_detector,
+            self._announcer,
+            self._contact,
         )
         self._proposer = Proposer(
             out,
@@ -110,6 +122,7 @@
         self._membership = MembershipManager(
             out,
             self._voters,
+            self._peer_directory,
             self._failure_detector,
             self._acceptor,
             self._proposer,
@@ -141,7 +154,7 @@
             self._failure_detector.record_contact(event.sender)
             self._dispatch(event.sender, event.message)
         elif isinstance(event, PeerConnected):
-            self._failure_detector.handle_connected(event.ip)
+            self._heartbeats.handle_connected(event.ip)
             self._anti_entropy.on_connected(event.ip)
         elif isinstance(event, Tick):
             self._tick()
@@ -168,7 +181,7 @@
         return out.drain()
 
     def _tick(self) -> None:
-        self._failure_detector.tick()
+        self._heartbeats.tick()
         self._quorum_writer.tick()
         if not self._voters.can_vote and self._out.now >= self._next_prefetch_ns:
             # Whoever may be made a voter should then lack little.
@@ -195,13 +208,13 @@
         elif isinstance(message, SyncResponse):
             self._anti_entropy.receive_response(sender, message)
         elif isinstance(message, Heartbeat):
-            differing = self._failure_detector.handle_heartbeat(sender, message)
+            differing = self._heartbeats.handle_heartbeat(sender, message)
             if differing is not None:
                 self._anti_entropy.repair_from(differing)
         elif isinstance(message, Announcement):
-            self._failure_detector.handle_announcement(sender, message)
+            self._announcer.handle_announcement(sender, message)
         elif isinstance(message, PeerList):
-            self._failure_detector.handle_peer_list(sender, message)
+            self._announcer.handle_peer_list(sender, message)
         elif isinstance(message, VoterConfiguration):
             self._adopt(message)
 
@@ -218,7 +231,7 @@
         if decision is not None and epoch < decision.epoch:
             self._out.send(sender, decision)
         elif decision is None or epoch > decision.epoch:
-            self._failure_detector.request_configuration(sender)
+            self._announcer.announce([sender])  # Its answer is the newer configuration.
             self._defer(sender, message)
         elif isinstance(message, SyncRequest):
             self._anti_entropy.answer_request(sender, message)
@@ -251,7 +264,7 @@
     def _decided(self, decision: VoterConfiguration) -> None:
         """This machine has found out what the voters decided: tell all, then count by it."""
         if decision.epoch > self._voters.epoch:
-            for ip in self._failure_detector.peers():
+            for ip in self._peer_directory.peers():
                 self._out.send(ip, decision)
         self._adopt(decision)
 
@@ -260,7 +273,7 @@
             return
         self._out.log(EVENT_VOTERS, epoch=decision.epoch, voters=[one.ip for one in decision.voters])
         self._acceptor.delete_voter_registers(f"@{decision.epoch}")
-        self._failure_detector.handle_configuration_change()
+        self._peer_directory.handle_configuration_change()
         self._contact.handle_configuration_change()
         self._voted()
         self._anti_entropy.epoch_changed()
@@ -271,7 +284,7 @@
     def _voted(self) -> None:
         me = self._voters.local_node
         if me.initial and self._voters.is_voter:
-            self._failure_detector.update_local_node(
+            self._announcer.update_local_node(
                 msgspec.structs.replace(me, initial=False, version=me.version + 1)
             )
 
@@ -289,6 +302,10 @@
     def voters(self) -> VotingState:
         return self._voters
 
+    @property
+    def peer_directory(self) -> PeerDirectory:
+        return self._peer_directory
+
     @property
     def failure_detector(self) -> FailureDetector:
         return self._failure_detector
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -16,7 +16,11 @@
 from ambershift.system.consensus.disk import Disk, Rows
 from ambershift.system.consensus.effect_buffer import CallSucceeded, ItemsUpdated
 from ambershift.system.consensus.events import ChangeRegister, Event, PeerConnected, ReadQuorum, WriteItems
-from ambershift.system.consensus.membership_view import MembershipStatus, membership_status
+from ambershift.system.consensus.membership_view import (
+    MembershipStatus,
+    control_node_addresses,
+    membership_status,
+)
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import ChangeFunction, DeltaCodec, NotAppliedError
 from ambershift.system.messages.items import Item, Key
@@ -215,13 +219,21 @@
         self._listeners.append(on_items)
 
     def control_nodes(self) -> Sequence[ControlNodeAddress]:
-        return () if self._replica is None else self._replica.failure_detector.control_nodes()
+        return (
+            ()
+            if self._replica is None
+            else control_node_addresses(
+                self._replica.voters, self._replica.peer_directory, self._replica.failure_detector
+            )
+        )
 
     def membership_status(self) -> MembershipStatus | None:
         return (
             None
             if self._replica is None
-            else membership_status(self._replica.voters, self._replica.failure_detector)
+            else membership_status(
+                self._replica.voters, self._replica.peer_directory, self._replica.failure_detector
+            )
         )
 
     def has_quorum_contact(self) -> bool:
--- a/ambershift/system/messages/replication.py
+++ b/ambershift/system/messages/replication.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+import enum
+
 import msgspec
 
 from ambershift.system.messages.items import Item
@@ -63,9 +65,18 @@
     nodes: tuple[NodeRecord, ...]
 
 
-SETTLED = 1  # A voter that has been well for a while.
-COMPLETE = 2  # A voter of the beat's epoch that has all that was held before it.
-LEAVING = 4  # The process is about to end.
+class HeartbeatFlag(enum.IntFlag):
+    """What a node says of itself in its heartbeats.
+
+    Attributes:
+        SETTLED: A voter that has run without a pause for a while.
+        COMPLETE: A voter of the heartbeat's epoch that has all that was committed before it.
+        LEAVING: The process is about to end.
+    """
+
+    SETTLED = 1
+    COMPLETE = 2
+    LEAVING = 4
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="cb"):
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.system.consensus import contact_lease, failure_detector
+from ambershift.system.consensus import contact_lease, heartbeats
 from ambershift.system.consensus.contact_lease import NO_CONTACT_AGE_MS
 from ambershift.system.distribution import controller
 from ambershift.system.messages.proxy_link import ControlNodeHeartbeat
@@ -15,8 +15,8 @@
 
 
 def any_beat(real: Any) -> Any:
-    def beat(self: failure_detector.FailureDetector, sender: str, message: Heartbeat) -> str | None:
-        self._contact.record_matching_heartbeat(sender)
+    def beat(self: heartbeats.HeartbeatExchange, sender: str, message: Heartbeat) -> str | None:
+        self._contact_lease.record_matching_heartbeat(sender)
         found: str | None = real(self, sender, message)
         return found
 
@@ -41,7 +41,7 @@
         "a-beat-is-contact",
         "CONFIG",
         "beats of a majority count though their checksums differ",
-        failure_detector.FailureDetector,
+        heartbeats.HeartbeatExchange,
         "handle_heartbeat",
         any_beat,
     ),
--- a/tests/system/consensus/test_contact_lease.py
+++ b/tests/system/consensus/test_contact_lease.py
@@ -16,7 +16,7 @@
 )
 from ambershift.system.consensus.effect_buffer import EffectBuffer
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.messages.replication import COMPLETE, Heartbeat, SyncRequest, SyncResponse
+from ambershift.system.messages.replication import Heartbeat, HeartbeatFlag, SyncRequest, SyncResponse
 from ambershift.system.simulation.world import World
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND, MessageReceived, Send, Tick
 
@@ -97,7 +97,12 @@
 
 @pytest.mark.parametrize(
     ("state", "ahead", "differs", "counts"),
-    [(COMPLETE, 0, 0, True), (0, 0, 0, False), (COMPLETE, 1, 0, False), (COMPLETE, 0, 1, False)],
+    [
+        (HeartbeatFlag.COMPLETE, 0, 0, True),
+        (0, 0, 0, False),
+        (HeartbeatFlag.COMPLETE, 1, 0, False),
+        (HeartbeatFlag.COMPLETE, 0, 1, False),
+    ],
 )
 def test_only_beats_of_complete_voters_of_this_epoch_with_equal_checksums_count(
     state: int, ahead: int, differs: int, counts: bool
--- a/tests/system/consensus/test_histories.py
+++ b/tests/system/consensus/test_histories.py
@@ -38,7 +38,7 @@
     stale, lost, _ = sorted(world.boxes)
     behind = world.boxes[stale].replica
     assert behind is not None
-    known = behind.failure_detector.nodes[lost]
+    known = behind.peer_directory.nodes[lost]
     world.wipe(lost)
     world.cut.add((lost, stale))
     world.start(lost)
@@ -46,7 +46,7 @@
     while behind.voters.epoch == epoch and world.now < 6 * NS_PER_SECOND:
         world.run(0.001)
     assert behind.voters.epoch == epoch + 1
-    behind.failure_detector.nodes[lost] = known  # As if no other had told of it either.
+    behind.peer_directory.nodes[lost] = known  # As if no other had told of it either.
     world.cut.clear()
     epochs = []
     for _ in range(100):
--- a/tests/system/consensus/test_membership.py
+++ b/tests/system/consensus/test_membership.py
@@ -117,7 +117,7 @@
         assert written(world, left)
     found = world.boxes["10.0.0.6"].replica
     assert found is not None
-    seen = membership_status(found.voters, found.failure_detector)
+    seen = membership_status(found.voters, found.peer_directory, found.failure_detector)
     assert [one.ip for one in seen.voters if one.is_alive and one.is_complete] == [
         "10.0.0.4",
         "10.0.0.5",
