--- a/ambershift/__main__.py
+++ b/ambershift/__main__.py
@@ -1,5 +1,6 @@
 """`python -m ambershift`: one real coordinator as the platform runs it; with words behind it, the
-command line."""
+command line.
+"""
 
 from __future__ import annotations
 
--- a/ambershift/admin/__init__.py
+++ b/ambershift/admin/__init__.py
@@ -1,2 +1,3 @@
 """The operator's standing word on each server: what a command changes, what it may not, and what came
-of it."""
+of it.
+"""
--- a/ambershift/admin/adopt.py
+++ b/ambershift/admin/adopt.py
@@ -1,5 +1,6 @@
 """Adopt: a desk takes over what a group has promised. Nothing of it is refused here, that was the leader's to
-do; the rules on who is lent and who waits for an heir hold as for any command."""
+do; the rules on who is lent and who waits for an heir hold as for any command.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +39,8 @@
         self, now: int, wishes: Mapping[int, Standing], said: Sequence[tuple[str, str]]
     ) -> tuple[int, ...]:
         """Take over wishes that stand. Of servers that are not listed yet `ahead` must tell when they come.
-        `said` has who said what, command by command."""
+        `said` has who said what, command by command.
+        """
         world, changed = self.world, list[int]()
         for server, wish in wishes.items():
             if server in world.listed and (old := world.own(server)) != wish:
--- a/ambershift/admin/coverage.py
+++ b/ambershift/admin/coverage.py
@@ -96,7 +96,8 @@
 
 class Lender:
     """Lends servers back where nobody else is left, and takes them out again once others have come to
-    stay."""
+    stay.
+    """
 
     def __init__(self, warmth: Warmth) -> None:
         self.warmth = warmth
--- a/ambershift/admin/ledger.py
+++ b/ambershift/admin/ledger.py
@@ -1,5 +1,6 @@
 """Ledger: what happened to the operator's wishes, in order, and the answers to commands that may come
-again."""
+again.
+"""
 
 from __future__ import annotations
 
--- a/ambershift/admin/mirror.py
+++ b/ambershift/admin/mirror.py
@@ -85,7 +85,8 @@
 
     def concerned(self, server: int, reply: int) -> list[int]:
         """Tables whose users a reply that shuts the server out, or lets it in, was a message to. Others are
-        told nothing and answer nothing; what a proxy not yet bound holds is not known."""
+        told nothing and answer nothing; what a proxy not yet bound holds is not known.
+        """
         lines = self.lines(server)
         return [
             NOBODY,
--- a/ambershift/admin/pending.py
+++ b/ambershift/admin/pending.py
@@ -21,7 +21,8 @@
 
 class Told(NamedTuple):
     """A wish on its way: since when; what the module was told of it, None before; the last reply before that;
-    and whether the weight told was another than before, so that every line must be laid anew."""
+    and whether the weight told was another than before, so that every line must be laid anew.
+    """
 
     at: int
     entry: api.Entry | None = None
@@ -86,7 +87,8 @@
 
 def drained(picture: Picture, server: int, period: int, now: int) -> bool:
     """Shut out at every joined proxy, and no try told for a while; a server without a line counts as
-    shut out."""
+    shut out.
+    """
     out, reply, at = picture.shut.get(server, NEVER_SHUT)
     if not out and any(line.weight for line in picture.lines(server).values()):
         return False
--- a/ambershift/admin/weigh.py
+++ b/ambershift/admin/weigh.py
@@ -1,5 +1,6 @@
 """Weigh: what a command would make of a world, and whether it may. The desk asks before it takes one, the
-leader of a group before it writes one to the log."""
+leader of a group before it writes one to the log.
+"""
 
 from __future__ import annotations
 
--- a/ambershift/admin/world.py
+++ b/ambershift/admin/world.py
@@ -18,7 +18,8 @@
 class World(NamedTuple):
     """`lent` holds the servers that serve against the operator's word, and since when; `permitted` those that
     a group's permits keep out, and until when; `eased` what part of its weight a server keeps that neighbours
-    slow down."""
+    slow down.
+    """
 
     listed: HashTrieMap[int, api.Entry]
     zones: HashTrieMap[int, HashTrieSet[int]]
--- a/ambershift/attempt/machine.py
+++ b/ambershift/attempt/machine.py
@@ -29,7 +29,8 @@
     """What a traffic group bears: `everywhere` tells that all servers know each other's flows by their keys,
     `window` for how long, from the sending of the first try that may have run; `way` how long a try may be
     under
-    way before it runs. Times are ns."""
+    way before it runs. Times are ns.
+    """
 
     repeat: Repeat
     everywhere: bool
@@ -40,7 +41,8 @@
 class Attempt(NamedTuple):
     """The tries of one flow so far. `first` is the server of the first try that may have run, `since` when
     it was
-    sent; -1 where none may have."""
+    sent; -1 where none may have.
+    """
 
     tries: int = 0
     first: int = -1
--- a/ambershift/cli/ctl.py
+++ b/ambershift/cli/ctl.py
@@ -80,7 +80,8 @@
 
 def batch(data: bytes) -> Iterator[tuple[str, str | None]]:
     """Commands with their payloads. Lines that begin with # are passed over; a bad one stops all
-    beforehand."""
+    beforehand.
+    """
     lines = iter(enumerate(data.split(b"\n"), 1))
     for at, line in lines:
         if line.lstrip().startswith(b"#"):
@@ -109,7 +110,8 @@
 
 class Console:
     """Asks all coordinators at once, and tells the answer of each by itself: one that is away holds up
-    none."""
+    none.
+    """
 
     def __init__(self, targets: tuple[str, ...], as_json: bool, timeout: float) -> None:
         self.clients = [Client(target, timeout) for target in targets]
--- a/ambershift/cli/logs.py
+++ b/ambershift/cli/logs.py
@@ -1,5 +1,6 @@
 """Structured logging for `run`: structlog's processors, rendered by orjson, through the writer that
-never waits."""
+never waits.
+"""
 
 from __future__ import annotations
 
@@ -52,7 +53,8 @@
 
 def make(writer: LogWriter, level: str) -> Callable[[dict[str, Any]], None]:
     """A function that logs one event, given as its fields, with a level added, and leaves out what is
-    below."""
+    below.
+    """
     logger = structlog.wrap_logger(
         Sink(writer.write),
         processors=[structlog.contextvars.merge_contextvars, add_level],
--- a/ambershift/coordinator/program/signals.py
+++ b/ambershift/coordinator/program/signals.py
@@ -8,7 +8,8 @@
 
 class Signals:
     """Made first of all: from then on SIGHUP, whose default would end the program, ends nothing any more,
-    and one that came before anybody could heed it is not lost."""
+    and one that came before anybody could heed it is not lost.
+    """
 
     def __init__(self) -> None:
         self.early = False
--- a/ambershift/coordinator/routing/admit.py
+++ b/ambershift/coordinator/routing/admit.py
@@ -21,7 +21,8 @@
 
 class Pace:
     """Against a flood of good lines, of which the module keeps half a minute: lets through twice what the
-    settings announce, and what came late, ten seconds of it, at once."""
+    settings announce, and what came late, ten seconds of it, at once.
+    """
 
     def __init__(self, per_s: float, now: Callable[[], int]) -> None:
         self.per_ns, self.most, self.now = 2 * per_s / SECOND, 20 * per_s, now
--- a/ambershift/coordinator/routing/compared.py
+++ b/ambershift/coordinator/routing/compared.py
@@ -51,7 +51,8 @@
 
 def same(one: codec.News, other: codec.News) -> bool:
     """Whether both tell of the same. A join that stands may have other figures by now than when it
-    happened."""
+    happened.
+    """
     if isinstance(one, codec.Hello) and isinstance(other, codec.Hello):
         return (one.proxy, one.zone) == (other.proxy, other.zone)
     return one == other
@@ -106,7 +107,8 @@
 
     def agree(self, stream: Stream, other: Stream, only: set[int] | None) -> None:
         """Words that stand for two things may have been matched wrongly: what both have is true all the
-        same."""
+        same.
+        """
         here = (stream.view.keys() & other.view.keys()) - self.joined.keys()
         gone = self.joined.keys() - stream.view.keys() - other.view.keys()
         for proxy in sorted(here if only is None else here & only):
@@ -143,7 +145,8 @@
 
     def stale(self, other: Stream, at: int, news: codec.News) -> bool:
         """Whether what was found ahead is an older word that this one never brought: it does not hold now,
-        and nothing behind it took it back."""
+        and nothing behind it took it back.
+        """
         proxy = proxy_of(news)
         if any(proxy_of(one) == proxy and not isinstance(one, codec.Ack) for one in list(other.ahead)[at:]):
             return False
@@ -177,7 +180,8 @@
 
     def settle(self, stream: Stream, other: Stream, proxies: set[int]) -> None:
         """Of these the other has nothing ahead any more; where it is broken, this one alone tells the
-        truth."""
+        truth.
+        """
         if not other.level and stream.level:
             self.reconcile(stream, other, proxies)
 
--- a/ambershift/coordinator/routing/follow.py
+++ b/ambershift/coordinator/routing/follow.py
@@ -37,7 +37,8 @@
 
     def move(self, address: str) -> None:
         """Follow at another address: one connection goes there at once, the other once that one has been told
-        all that stands, so that news are missed on neither side of the move."""
+        all that stands, so that news are missed on neither side of the move.
+        """
         if address != self.address:
             self.address = address
             first, second = (stream.level for stream in self.news.streams)
--- a/ambershift/coordinator/routing/row.py
+++ b/ambershift/coordinator/routing/row.py
@@ -17,7 +17,8 @@
 class Call(NamedTuple):
     """Orders that go out together; `upto` is the last reply that is settled once they are answered, NONE
     where
-    they settle none."""
+    they settle none.
+    """
 
     orders: tuple[str, ...]
     upto: int
@@ -25,7 +26,8 @@
 
 class Outcome(NamedTuple):
     """What an answer means: the call it was for, the order that the relay will never carry out, if any, why,
-    and the reply up to which all is settled, if that is known now."""
+    and the reply up to which all is settled, if that is known now.
+    """
 
     call: Call
     lost: str | None = None
--- a/ambershift/coordinator/routing/watch.py
+++ b/ambershift/coordinator/routing/watch.py
@@ -23,7 +23,8 @@
 
 class Watcher:
     """Asks again right after each answer, so that one watch goes on; when to ask again after a failure is
-    the module's to say. A watch waits a fifth of the time in which an unasked change counts as told."""
+    the module's to say. A watch waits a fifth of the time in which an unasked change counts as told.
+    """
 
     def __init__(
         self,
--- a/ambershift/counters/sources.py
+++ b/ambershift/counters/sources.py
@@ -1,5 +1,6 @@
 """All sources of the settings: reads every file's rows into samples, and keeps the newest while nobody takes
-them."""
+them.
+"""
 
 from __future__ import annotations
 
--- a/ambershift/group/at_desk.py
+++ b/ambershift/group/at_desk.py
@@ -41,7 +41,8 @@
 
     def wishes(self, state: Promises, servers: Iterable[str], said: Sequence[tuple[str, str]]) -> None:
         """These servers' wishes are others now; `said` has who said what. All that came together is taken in
-        one go: each costs a look through all that waits."""
+        one go: each costs a look through all that waits.
+        """
         self.state = state
         found = dict[int, Standing]()
         for server in servers:
--- a/ambershift/group/counting.py
+++ b/ambershift/group/counting.py
@@ -40,7 +40,8 @@
 
 class Counting:
     """`make` gives the engine: it and its libraries are loaded on the thread, and only once there is
-    something to count. `ease` is told, on the loop, which servers keep what part of their weight."""
+    something to count. `ease` is told, on the loop, which servers keep what part of their weight.
+    """
 
     def __init__(
         self,
--- a/ambershift/group/disk/folder.py
+++ b/ambershift/group/disk/folder.py
@@ -40,7 +40,8 @@
 
 class Opened(NamedTuple):
     """`saved` None: the member is blank. `aside` names the files set aside, with `fault` and `why`. `lost`:
-    something was set aside here, now or before, and nothing has been recovered since."""
+    something was set aside here, now or before, and nothing has been recovered since.
+    """
 
     saved: Saved | None
     incarnation: int
--- a/ambershift/group/evidence.py
+++ b/ambershift/group/evidence.py
@@ -114,7 +114,8 @@
 
 def troubled(store: Store, now: int, age_most: int) -> tuple[frozenset[str], frozenset[str]]:
     """Servers that fail for all zones that tried them lately, and those that fail for some of them only: by
-    everybody's evidence, one's own too. Late answers are answers."""
+    everybody's evidence, one's own too. Late answers are answers.
+    """
     fails, does_well = dict[str, set[str]](), dict[str, set[str]]()
     for record in store.all(now, Kind.ILL):
         if record.age_ns <= age_most:
--- a/ambershift/group/gossip.py
+++ b/ambershift/group/gossip.py
@@ -1,5 +1,6 @@
 """Gossip: spreads heard state, and says of this member what others need: what it steers, its clock, and
-which servers on permits are drained for its proxies."""
+which servers on permits are drained for its proxies.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +52,8 @@
 
     def live(self, incarnation: int) -> None:
         """A new life. What others said still counts, by its age, and one's own words are said anew: to all
-        others they are those of a newer origin."""
+        others they are those of a newer origin.
+        """
         self.store.origins[self.store.me].incarnation = incarnation
 
     def open(self) -> None:
@@ -100,7 +102,8 @@
 
     def word(self, held: Held) -> bytes:
         """How far a permit has come here: drained, let in again, or neither. "Let in" is told once a restart
-        can't take it back: the entry that gives the permit back is on this member's disk."""
+        can't take it back: the entry that gives the permit back is on this member's disk.
+        """
         at_desk, permit = self.member.at_desk, held.permit
         if permit.phase <= Phase.OUT:
             return DRAINED if at_desk.drained(permit.server) else NEITHER
@@ -131,7 +134,8 @@
 
     def steers(self, now: int) -> dict[str, tuple[int, int, int]]:
         """By member how many proxies it steers, how far its clock is ahead of this one, and how long ago it
-        said so, ns."""
+        said so, ns.
+        """
         found = {self.store.me: (self.steered(), 0, 0)}
         for record in self.store.all(now, Heard.STEERS):
             if record.origin != self.store.me and (steers := read_steers(record)) is not None:
--- a/ambershift/group/guard.py
+++ b/ambershift/group/guard.py
@@ -71,7 +71,8 @@
 
     def world(self, state: Promises) -> World:
         """This member's list under the wishes and permits of a state. A permit counts until it is closed: the
-        clocks of others may be behind."""
+        clocks of others may be behind.
+        """
         world, wishes = self.desk.world, state.wishes
         standing = world.standing
         # The desk holds most of them already, the very same ones.
--- a/ambershift/group/life.py
+++ b/ambershift/group/life.py
@@ -24,7 +24,8 @@
 
 class Life(NamedTuple):
     """`folder` None: nothing is kept on disk. `failed`: the disk can't be used, and no part is taken. `lost`:
-    an earlier life's folder could not be vouched for."""
+    an earlier life's folder could not be vouched for.
+    """
 
     incarnation: int
     saved: Saved | None
@@ -35,7 +36,8 @@
 
 def begin(spec: Spec, note: Note, least: int = 0, void: str = "") -> Life:
     """Waits for the disk. `least` is the lowest incarnation that will do, `void` why a folder counts for
-    nothing. Unix time counts incarnations, so that one that lost its folder is newer than it was."""
+    nothing. Unix time counts incarnations, so that one that lost its folder is newer than it was.
+    """
     wall = max(time.time_ns(), least)
     if not spec.folder:
         return Life(wall, None, None, "")
--- a/ambershift/group/links/queue.py
+++ b/ambershift/group/links/queue.py
@@ -1,5 +1,6 @@
 """The queue of a link: bounded by frames and bytes, and what is heard gives way to what is promised. No
-I/O."""
+I/O.
+"""
 
 from __future__ import annotations
 
--- a/ambershift/group/links/wire.py
+++ b/ambershift/group/links/wire.py
@@ -45,7 +45,8 @@
 
 class Hello(msgspec.Struct, frozen=True, array_like=True):
     """The first message of a link, before anything else. `group` is "" while the one who dials knows none;
-    `to` is whom it means to reach; `run` is random at each start."""
+    `to` is whom it means to reach; `run` is random at each start.
+    """
 
     wire: int
     program: str
--- a/ambershift/group/rows.py
+++ b/ambershift/group/rows.py
@@ -16,7 +16,8 @@
 
 def member_rows(member: Member) -> list[dict[str, Any]]:
     """A row a member, as this one knows it. `heard_ms` is -1 for who was never heard and for this member
-    itself; `link` is `up`, or why the way there does not stand."""
+    itself; `link` is `up`, or why the way there does not stand.
+    """
     replica, halted, me = member.replica, member.halted, member.spec.me
     found = replica.member_rows(member.now()) if replica is not None else ()
     rows = {row.name: row for row in found}
--- a/ambershift/group/spec.py
+++ b/ambershift/group/spec.py
@@ -11,7 +11,8 @@
 
 class Spec(NamedTuple):
     """Voters and copies stand in the order of their names, the same at all members: leaders follow from it.
-    Times are nanoseconds."""
+    Times are nanoseconds.
+    """
 
     title: str
     me: str
--- a/ambershift/group/upkeep.py
+++ b/ambershift/group/upkeep.py
@@ -1,5 +1,6 @@
 """Upkeep: what a member does for maintenance each second. The leader lays and moves permits, by the steward;
-each member declares what its settings say, until that stands or is refused."""
+each member declares what its settings say, until that stands or is refused.
+"""
 
 from __future__ import annotations
 
--- a/ambershift/groupsim/faults.py
+++ b/ambershift/groupsim/faults.py
@@ -79,7 +79,8 @@
 
     def allowed(self, process: Process, old: bool) -> bool:
         """Whether the promise still bears that this voter forgets what it holds. An old copy is told from a
-        whole folder only by what others know: they must be there, and it must hear them."""
+        whole folder only by what others know: they must be there, and it must hear them.
+        """
         if self.world.plan.beyond or not process.voter:
             return True
         if old and (
--- a/ambershift/groupsim/history.py
+++ b/ambershift/groupsim/history.py
@@ -76,7 +76,8 @@
 
 def matters(operations: Sequence[Operation]) -> list[Operation]:
     """Without those that can't make a difference: refused ones, reads without an answer, and unknown writes
-    whose value nobody saw, which may as well have had no effect."""
+    whose value nobody saw, which may as well have had no effect.
+    """
     seen = {one.value for one in operations if one.kind is Kind.READ and one.outcome is Outcome.DONE}
     done = {one.token for one in operations if one.outcome is Outcome.DONE}
     return [
@@ -115,7 +116,8 @@
 
 def listed(operations: Sequence[Operation]) -> Event:
     """The events by time behind a head; of the same time calls come first, so that both may be said to
-    overlap."""
+    overlap.
+    """
     events = list[tuple[int, int, Event]]()
     for number, one in enumerate(operations):
         call = Event(number)
@@ -181,7 +183,8 @@
 
 def check(history: Iterable[Operation]) -> Violation | None:
     """None if the history is linearizable, else the first register that isn't. Raises ValueError for an
-    operation that is done without an answer."""
+    operation that is done without an answer.
+    """
     by_key = dict[str, list[Operation]]()
     for one in history:
         by_key.setdefault(one.key, []).append(one)
--- a/ambershift/groupsim/judge.py
+++ b/ambershift/groupsim/judge.py
@@ -102,7 +102,8 @@
 
     def held(self, group: str, number: int, token: str) -> None:
         """By a majority of voters, as what each has in its memory or folder says; one that has forgotten it
-        since, as the promise bears, held it."""
+        since, as the promise bears, held it.
+        """
         if self.world.plan.beyond:
             return
         voters = [one for one in self.world.processes.values() if one.voter]
--- a/ambershift/groupsim/register.py
+++ b/ambershift/groupsim/register.py
@@ -23,7 +23,8 @@
 
 class RegisterMachine:
     """Commands are "key=value"; the answer to one is the place of its effect among all, so that an answer
-    given twice is known to be the same."""
+    given twice is known to be the same.
+    """
 
     def initial(self) -> Registers:
         return Registers((), (), "")
--- a/ambershift/interference/node.py
+++ b/ambershift/interference/node.py
@@ -112,7 +112,8 @@
 
     def look(self, now: int, normals: Normals, accused: frozenset[tuple[str, str]] = frozenset()) -> Block:
         """Learn from the blocks that have ended, and find who suffers and what goes with it. What a victim
-        needs while one who is `accused` of slowing it is busy is not its normal."""
+        needs while one who is `accused` of slowing it is busy is not its normal.
+        """
         first = self.looked * BLOCK
         self.looked = min(self.newest, now // self.slot_ns - 3) // BLOCK
         slots, cpi, use = self.series()
--- a/ambershift/interference/perfcsv.py
+++ b/ambershift/interference/perfcsv.py
@@ -101,7 +101,8 @@
 
     def __init__(self, job: Job, start: int | None = None) -> None:
         """`start`: Unix ns at which perf's time stamps count 0. None: the first row tells, as it comes when
-        its interval ends; that interval began nobody knows when and is left out."""
+        its interval ends; that interval began nobody knows when and is left out.
+        """
         self.job, self.start = job, start or 0
         self._known = start is not None
         self.took = Counter[Unusable]()
--- a/ambershift/interference/suspects.py
+++ b/ambershift/interference/suspects.py
@@ -64,7 +64,8 @@
 ) -> list[Finding | None]:
     """One a row of `filled`, the uses as `present` gives them. `over`: the victim's excess, NaN where
     unusable; `own`: its use; `busy`: the others' swings; `common`: the least excess of the others, NaN where
-    unknown; `slots`: numbers of the slots."""
+    unknown; `slots`: numbers of the slots.
+    """
     blocks = slots // BLOCK
     none: list[Finding | None] = [None] * len(filled)
     rows = ~np.isnan(over) & ~np.isnan(own)
--- a/ambershift/maintenance/limits.py
+++ b/ambershift/maintenance/limits.py
@@ -10,7 +10,8 @@
 
 class Limits(NamedTuple):
     """`clock_bound`: how far a member's clock may be from the middle of all. `drain` is how long a server may
-    take to drain, `warm` how long it is cold after a start."""
+    take to drain, `warm` how long it is cold after a start.
+    """
 
     clock_bound: int = SECOND
     drain: int = 2 * MINUTE
--- a/ambershift/maintenance/permits.py
+++ b/ambershift/maintenance/permits.py
@@ -17,7 +17,8 @@
 
 class Steers(NamedTuple):
     """What a member last said of itself: how many proxies it steers, how far its wall clock is ahead of
-    ours, and how long ago it said so."""
+    ours, and how long ago it said so.
+    """
 
     proxies: int
     ahead: int
@@ -26,7 +27,8 @@
 
 class Heard(NamedTuple):
     """What the leader has heard. `members` are all of the group; `steers` has what each said, itself among
-    them; `drained` and `let_in` who said so of a permit, by its id."""
+    them; `drained` and `let_in` who said so of a permit, by its id.
+    """
 
     members: tuple[str, ...]
     steers: Mapping[str, Steers]
@@ -36,7 +38,8 @@
 
 def clock_apart(ahead: Iterable[int], bound: int) -> bool:
     """Whether our clock is apart by more than the bound from the middle of the members' clocks; `ahead` has
-    how far each is ahead of ours, 0 for our own among them."""
+    how far each is ahead of ours, 0 for our own among them.
+    """
     clocks = sorted(ahead)
     if not clocks:
         return False
@@ -62,7 +65,8 @@
 
 def all_let_in(permit: Permit, heard: Heard, limits: Limits, at: int) -> bool:
     """Whether no member can hold it out any longer. One that is cut off still may, so that the silent count
-    too, until the end has passed by any clock."""
+    too, until the end has passed by any clock.
+    """
     said = heard.let_in.get(permit.id, frozenset())
     return (
         at >= limits.let_in(permit.ends)
@@ -74,7 +78,8 @@
 def is_back(permit: Permit, standing: Standing | None, limits: Limits, at: int, stopped: bool) -> bool:
     """Whether a server that returns needs its permit no longer: it is warm, or out by another's word, or it
     did not come back. One that was `stopped` for its work may look well until somebody tries it: it is not
-    warm before it could be."""
+    warm before it could be.
+    """
     if standing is not None and standing.trouble is Trouble.WISHED_OUT:
         return True
     if standing is not None and standing.trouble is None and standing.warm_at <= at:
--- a/ambershift/maintenance/waves.py
+++ b/ambershift/maintenance/waves.py
@@ -67,7 +67,8 @@
     spans: Spans | None = None,
 ) -> Plan:
     """`jobs` are a work, a server and the time before which it is not tried; `drains` when each tenant last
-    had a server drained."""
+    had a server drained.
+    """
     spans, jobs = spans or Spans(at, limits.ahead), list(jobs)
     unlaid = [
         Unlaid(work.name, server, Binds(Refusal.NO_SUCH_SERVER), 0)
--- a/ambershift/maintenance/windows.py
+++ b/ambershift/maintenance/windows.py
@@ -95,7 +95,8 @@
 
 def check_rule(rrule: str) -> None:
     """Refuse what would cost the library without bound: rules finer than a day, an interval of none, on
-    which it never comes back, and days that no month has, which it looks for to the year 9999."""
+    which it never comes back, and days that no month has, which it looks for to the year 9999.
+    """
     parts = dict[str, str]()
     for part in rrule.split(";"):
         key, _, value = part.partition("=")
@@ -218,7 +219,8 @@
 
 def tenant_spans(tenant: Tenant, since: int, until: int, closed: bool = True) -> list[Span]:
     """When this tenant lets maintenance be, or would without its closed days. Without a window it never
-    does."""
+    does.
+    """
     found = [(window, one) for window in tenant.windows if (one := openings(window)) is not None]
     spans = joined(span for _, one in found for span in one.spans(since, until))
     if not closed:
--- a/ambershift/maintenance/words.py
+++ b/ambershift/maintenance/words.py
@@ -43,7 +43,8 @@
 
 class Work(msgspec.Struct, frozen=True, array_like=True):
     """Take these servers out, each for so long, all before a time. No wave has more than `at_once` servers;
-    0: no limit of its own."""
+    0: no limit of its own.
+    """
 
     name: str
     servers: tuple[str, ...]
@@ -70,7 +71,8 @@
 class Permit(msgspec.Struct, frozen=True, array_like=True):
     """A promise to keep one server out, with an end. `ends` bounds DRAINING and OUT by any member's clock:
     each lets the server in at its own `ends`; whoever grants counts it as out until `ends` and twice the
-    clock bound."""
+    clock bound.
+    """
 
     id: str  # "WORK/SERVER/N", N counting the tries of that server.
     work: str
--- a/ambershift/modelcheck/explore.py
+++ b/ambershift/modelcheck/explore.py
@@ -277,7 +277,8 @@
 
 def walk(model: Model, seed: int, walks: int, length: int, options: Options) -> Result:
     """Random walks, for worlds too large to explore: the shortest fault among them, and never
-    'exhaustive'."""
+    'exhaustive'.
+    """
     rng, judge = np.random.default_rng(seed), Expander(model, options)
     started, edges, best, deepest = time.monotonic(), 0, None, 0
     seen = Runs(options.bits)
--- a/ambershift/modelcheck/model.py
+++ b/ambershift/modelcheck/model.py
@@ -45,7 +45,8 @@
 
 class Liveness(NamedTuple):
     """What must come to an end: `pending` is true in the states that fair steps must leave for good or
-    again."""
+    again.
+    """
 
     name: str
     sentence: str
@@ -81,7 +82,8 @@
     def orbit(self, state: Any) -> Iterable[Any]:
         """States that differ from this one only by names that mean nothing: all of them, itself among them,
         or
-        one that is the same for all."""
+        one that is the same for all.
+        """
 
     def key(self, state: Any) -> Any:
         """What of a state tells it from others; all of it, unless it holds the same thing in two forms."""
--- a/ambershift/modelcheck/models/admin.py
+++ b/ambershift/modelcheck/models/admin.py
@@ -27,7 +27,8 @@
     """`desk` is the machine itself, pickled; `shape` what of it counts. `shut` is what the module was told
     last,
     `held` what the relay holds. `wishes` is the last accepted word for each server, `flips` how often it
-    changed."""
+    changed.
+    """
 
     desk: bytes
     shape: str
--- a/ambershift/modelcheck/models/agreement.py
+++ b/ambershift/modelcheck/models/agreement.py
@@ -45,7 +45,8 @@
 class World(NamedTuple):
     """`register` is its value; `stores` the item that each node holds (b"": none); `read` and `stored` the
     nodes' progress; `voters` those whose stores count; `told` what each call's callers were told; `sends`
-    how many copies of each call may still be sent."""
+    how many copies of each call may still be sent.
+    """
 
     register: bytes
     stores: tuple[bytes, ...]
--- a/ambershift/modelcheck/models/attempt.py
+++ b/ambershift/modelcheck/models/attempt.py
@@ -30,7 +30,8 @@
 
 class Server(NamedTuple):
     """`ran` counts how often the flow took effect here; `key_until` is how long its key is known here,
-    -1: not."""
+    -1: not.
+    """
 
     phase: int = UP
     ran: int = 0
@@ -39,7 +40,8 @@
 
 class World(NamedTuple):
     """`sent_at` is when each try was sent, `dup_late` that the key's window was over before a second
-    effect."""
+    effect.
+    """
 
     repeat: Repeat
     again: Again
@@ -63,7 +65,8 @@
 @prop
 def no_slip_takes_effect_twice(world: World) -> str | None:
     """No flow that may not run twice takes effect twice, whatever way the table allows and whatever is
-    lost."""
+    lost.
+    """
     if world.repeat is Repeat.NON_RETRIABLE and effects(world) > 1:
         return f"it ran {effects(world)} times"
     return None
@@ -72,7 +75,8 @@
 @prop
 def deduped_takes_effect_once(world: World) -> str | None:
     """A flow that servers know by its key takes effect once: it is sent again only where and while it
-    is known."""
+    is known.
+    """
     if world.repeat is Repeat.DEDUPED and effects(world) > 1:
         return f"it took effect {effects(world)} times"
     return None
--- a/ambershift/modelcheck/models/collector.py
+++ b/ambershift/modelcheck/models/collector.py
@@ -18,7 +18,8 @@
 
 class Visitor(NamedTuple):
     """One connection: what it is by the machine, its bad messages on end, its age in seconds, and by our own
-    count how many it really sent on end, and for how many things it has been silent."""
+    count how many it really sent on end, and for how many things it has been silent.
+    """
 
     what: int = GONE
     bad: int = 0
--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -52,7 +52,8 @@
 
 class World(NamedTuple):
     """`members` are the processes and `disks` what they have synced, frozen; `sums` is what of the processes
-    tells one from another. `told` is the longest list told, `refused` what was told never to come in."""
+    tells one from another. `told` is the longest list told, `refused` what was told never to come in.
+    """
 
     members: tuple[bytes, ...]
     disks: tuple[bytes, ...]
--- a/ambershift/modelcheck/models/news.py
+++ b/ambershift/modelcheck/models/news.py
@@ -18,7 +18,8 @@
 class Line(NamedTuple):
     """One line of news: `kind` is hello, bye, ack or sign. `sole` tells that the other connection does not
     have it,
-    so that it is gone for good if this one breaks."""
+    so that it is gone for good if this one breaks.
+    """
 
     kind: str
     proxy: int = 0
@@ -103,7 +104,8 @@
 class Proxy(NamedTuple):
     """A proxy at the relay: whether it is joined and holds no table of ours; how often it really joined and
     left;
-    how often the coordinator was told so."""
+    how often the coordinator was told so.
+    """
 
     joined: bool = False
     fresh: bool = True
@@ -119,7 +121,8 @@
 class World(NamedTuple):
     """`gap` tells that for a time neither connection had told all that stands, or that news were lost which
     no
-    other connection carried: a proxy that came and went in between is known to nobody."""
+    other connection carried: a proxy that came and went in between is known to nobody.
+    """
 
     proxies: tuple[Proxy, ...]
     connections: tuple[Connection, Connection]
--- a/ambershift/modelcheck/models/permits.py
+++ b/ambershift/modelcheck/models/permits.py
@@ -68,7 +68,8 @@
 class World(NamedTuple):
     """`states` is what the log has made at each place, packed, from the first; `knows` how far each member
     has come in it. `wire` is sent and has not landed. `grants` are the permits ever granted, `done`
-    the servers whose work had its time."""
+    the servers whose work had its time.
+    """
 
     at: int
     states: tuple[bytes, ...]
--- a/ambershift/modelcheck/models/policy.py
+++ b/ambershift/modelcheck/models/policy.py
@@ -59,7 +59,8 @@
     """`module` is the machine itself, pickled. `phase` and `since` are the list's; `gone_at` when it took a
     server away, `bare_at` since when a proxy has nothing; `messages` when each proxy got one; `marks` what
     waits to be
-    answered, with the line behind which it leaves the channel."""
+    answered, with the line behind which it leaves the channel.
+    """
 
     module: bytes
     now: int
--- a/ambershift/modelcheck/models/replication_table.py
+++ b/ambershift/modelcheck/models/replication_table.py
@@ -47,7 +47,8 @@
 class World(NamedTuple):
     """`members` are the replicas, frozen; `folders` what each has written and synced. `log` is by number the
     view and the token that were applied there first. `forgot` is up to where each held the log in a life
-    before. `wrong` is a property's name and why."""
+    before. `wrong` is a property's name and why.
+    """
 
     members: tuple[bytes, ...]
     folders: tuple[bytes, ...]
--- a/ambershift/modelcheck/models/row.py
+++ b/ambershift/modelcheck/models/row.py
@@ -31,7 +31,8 @@
 class World(NamedTuple):
     """`wanted` has, for each thing that orders set, the last word and the reply it came in; `held` what the
     relay
-    holds. `unknown` is a call sent whose outcome is not known; `wrong` what a party noticed itself."""
+    holds. `unknown` is a call sent whose outcome is not known; `wrong` what a party noticed itself.
+    """
 
     calls: tuple[Call, ...]
     replies: int
--- a/ambershift/modelcheck/mutants/words.py
+++ b/ambershift/modelcheck/mutants/words.py
@@ -11,7 +11,8 @@
 class Mutant(NamedTuple):
     """`property` is what must be found broken in `model`; "" for a harmless one. `change` gives what is put
     in place of the owner's `target`, which it is given. `seed`: the simulation shows it by this one, not the
-    checker; `beyond`, in the tier beyond the promise."""
+    checker; `beyond`, in the tier beyond the promise.
+    """
 
     name: str
     model: str
--- a/ambershift/modelcheck/trace.py
+++ b/ambershift/modelcheck/trace.py
@@ -35,7 +35,8 @@
 
 def as_test(model: Model, fault: Fault) -> str:
     """A test that fails as long as the fault is there: the way must keep the property, where it still
-    exists."""
+    exists.
+    """
     name = fault.property.replace("-", "_")
     return f'''def test_{model.name.replace("-", "_")}_{name}_along_this_way() -> None:
     """{fault.sentence}"""
--- a/ambershift/promises/answers.py
+++ b/ambershift/promises/answers.py
@@ -29,7 +29,8 @@
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True):
     """The answer to a command. `reason` is the name that answers, logs and docs use, "" where it stands;
-    `changed` are the servers or permits that it changed, none where all stood so already."""
+    `changed` are the servers or permits that it changed, none where all stood so already.
+    """
 
     done: bool
     reason: str = ""
--- a/ambershift/promises/rows.py
+++ b/ambershift/promises/rows.py
@@ -27,7 +27,8 @@
 
 class Row(msgspec.Struct, frozen=True):
     """`state` is the phase of a permit, or `next`, `not-laid` or `stopped`; times are Unix nanoseconds, 0
-    where there is none. `nearest` is the earliest `before` that would do."""
+    where there is none. `nearest` is the earliest `before` that would do.
+    """
 
     id: str
     work: str
--- a/ambershift/promises/state.py
+++ b/ambershift/promises/state.py
@@ -22,7 +22,8 @@
     """An open permit; `number` is the entry that changed it last, `done` whether the work had its time.
 
     `latest` is the last `ends` that it ever had: a member that has not heard of a sooner one holds the server
-    out to there."""
+    out to there.
+    """
 
     permit: Permit
     number: int
@@ -32,7 +33,8 @@
 
 class Past(NamedTuple):
     """What became of one server of a work: how often it was tried, whether the work was done there, and when
-    it was granted last."""
+    it was granted last.
+    """
 
     tries: int
     done: bool
@@ -65,7 +67,8 @@
 
     def kept_out(self, at: int) -> dict[str, Permit]:
         """The servers that permits keep out for a member whose wall clock shows `at`, in the order of their
-        ids. The operator's word counts beside it: whichever is stricter holds."""
+        ids. The operator's word counts beside it: whichever is stricter holds.
+        """
         found = {
             held.permit.server: held.permit
             for held in self.permits.values()
--- a/ambershift/promises/steward.py
+++ b/ambershift/promises/steward.py
@@ -209,7 +209,8 @@
     def drains_seen(self, at: int, state: Promises) -> dict[str, tuple[int, int]]:
         """When each tenant last had a server drained, as granted and as seen. A grant may lie in the log for
         long before it is committed, so that the drain counts from when we saw it stand; a new leader counts
-        it from its own beginning where the server still is out."""
+        it from its own beginning where the server still is out.
+        """
         fresh, known = self.drains is None, self.drains or {}
         out = {name for held in state.permits.values() for name in held.permit.tenants}
         return {
@@ -242,7 +243,8 @@
 
     def rows(self, state: Promises, now: int) -> list[Row]:
         """For `show maintenance`, at any member; what comes next is known only where `due` looks, and worked
-        out anew once a minute or when something changed."""
+        out anew once a minute or when something changed.
+        """
         rows = permit_rows(state)
         if self.apart:
             return [*rows, stopped_row()]
--- a/ambershift/promises/unconfirmed.py
+++ b/ambershift/promises/unconfirmed.py
@@ -23,7 +23,8 @@
 
     A member that has let a server in has the entry that allowed it on its disk, though perhaps not that it is
     committed. The others no longer count the server as out, so after a restart it must not be held out again;
-    let in too soon it breaks no agreement."""
+    let in too soon it breaks no agreement.
+    """
     found = dict[str, SoonerEnd]()
     for entry in entries:
         command = decode(entry.command) if entry.number > committed else None
--- a/ambershift/promises/words.py
+++ b/ambershift/promises/words.py
@@ -19,7 +19,8 @@
 
 class Wishes(msgspec.Struct, frozen=True, tag="wishes", array_like=True):
     """An operator's command: all of its changes or none. `text` is the whole of what was asked, payload and
-    all: the digest under a token is made of it alone."""
+    all: the digest under a token is made of it alone.
+    """
 
     who: str
     text: str
@@ -28,7 +29,8 @@
 
 class Declare(msgspec.Struct, frozen=True, tag="declare", array_like=True):
     """Tenants, windows and works of a settings file. A higher revision takes the place of a lower one; the
-    same revision with other contents is refused."""
+    same revision with other contents is refused.
+    """
 
     declared: Declared
 
@@ -36,7 +38,8 @@
 class Grant(msgspec.Struct, frozen=True, tag="grant", array_like=True):
     """Permits of one wave, judged by the leader against `based_on`, the number of the last entry that
     touched permits or what was declared. It stands only if that is still the last: of two leaders that judged
-    by the same, one is refused."""
+    by the same, one is refused.
+    """
 
     based_on: int
     permits: tuple[Permit, ...]
@@ -58,7 +61,8 @@
 
 class Answered(msgspec.Struct, frozen=True, tag="answered", array_like=True):
     """A refusal by the leader's judgement, written so that its token gets the same answer at every member;
-    `text` is that of the refused `Wishes`, and its digest the same."""
+    `text` is that of the refused `Wishes`, and its digest the same.
+    """
 
     text: str
     reason: str
--- a/ambershift/replication/applying.py
+++ b/ambershift/replication/applying.py
@@ -13,7 +13,8 @@
 
 def append(core: Core, entries: tuple[Entry, ...]) -> bool:
     """Take over entries that follow from where the two logs are the same. False: the other's past is not
-    ours, which no faults make that are borne; nobody may go on from there as if it were."""
+    ours, which no faults make that are borne; nobody may go on from there as if it were.
+    """
     for entry in entries:
         if entry.number <= core.log.base:
             continue
--- a/ambershift/replication/birth.py
+++ b/ambershift/replication/birth.py
@@ -19,7 +19,8 @@
 
 def look_back(core: Core, now: int) -> None:
     """One that was born with nobody left who knows of it holds nothing and has vouched for nothing: it is as
-    good as blank, and would else keep the others from being born."""
+    good as blank, and would else keep the others from being born.
+    """
     void = core.status is Status.NORMAL and core.fixed.votes and not core.view and not core.log.top
     if void and now >= core.leader_heard + core.fixed.timing.unborn:
         core.note("group-unborn")
@@ -166,7 +167,8 @@
 
 def crash_consistent(core: Core) -> list[str]:
     """Without answers of which another knows that who gave it has been started anew since (Michael, Ports,
-    Sharma, Szekeres 2017)."""
+    Sharma, Szekeres 2017).
+    """
     return [
         name
         for name, (incarnation, _, _, _) in sorted(core.told.items())
--- a/ambershift/replication/core.py
+++ b/ambershift/replication/core.py
@@ -25,7 +25,8 @@
 
 class Want(NamedTuple):
     """A client's command or read at this member. `open`: attempts that may have reached a leader and were not
-    refused by it. `place`: a read waits until this number is applied; -1: not told yet."""
+    refused by it. `place`: a read waits until this number is applied; -1: not told yet.
+    """
 
     read: bool
     token: str
@@ -58,7 +59,8 @@
 
 class Reader(NamedTuple):
     """A read, or a refusal, that goes out once the leader has shown in a round that it still is it, and all
-    up to `number` is committed. `round` is 0 until one has begun. `attempt` is 0 for a read."""
+    up to `number` is committed. `round` is 0 until one has begun. `attempt` is 0 for a read.
+    """
 
     member: str
     incarnation: int
@@ -186,7 +188,8 @@
     @property
     def told_group(self) -> str:
         """The group's id as its first entry has it, committed or not: a newborn one is told from another
-        from its first word on."""
+        from its first word on.
+        """
         if self.group or self.log.base or not self.log.top:
             return self.group
         return self.log.at(1).token.removeprefix(GROUP).split(" ")[0]
@@ -198,7 +201,8 @@
     @property
     def barren(self) -> bool:
         """Whether a group may be born with this member: not with one that knows of a group that there was, or
-        all that lose their folders in one hour would give birth to an empty one."""
+        all that lose their folders in one hour would give birth to an empty one.
+        """
         return self.status is Status.BLANK and not self.lost and not self.log.top
 
     @property
--- a/ambershift/replication/knowing.py
+++ b/ambershift/replication/knowing.py
@@ -41,7 +41,8 @@
 
 def learn_row(core: Core, row: Vouch) -> None:
     """What a member vouches for never shrinks, over its starts too, unless its folder is behind: so the
-    most is kept, until it vouches for as much again."""
+    most is kept, until it vouches for as much again.
+    """
     old = core.rows.get(row.name)
     if old is None or (
         row.view >= old.view
--- a/ambershift/replication/leading.py
+++ b/ambershift/replication/leading.py
@@ -12,7 +12,8 @@
 
 def start_leading(core: Core, now: int) -> None:
     """The log is the newest of a majority. What it holds is applied ahead, and counts once an entry of this
-    view does."""
+    view does.
+    """
     core.status, core.sure = Status.NORMAL, core.log.top
     core.fetching = None
     core.note("group-leads", view=core.view, number=core.log.top)
@@ -202,7 +203,8 @@
 
 def rounds(core: Core, now: int) -> None:
     """A read is served once a majority has said, in a round that began after it came, that this is still its
-    leader; and once what was promised before this view is known to be committed."""
+    leader; and once what was promised before this view is known to be committed.
+    """
     while core.readers and core.log.view_at(core.committed) == core.view:
         said = sorted(
             (core.round if name == core.fixed.me else core.rounds.get(name, 0) for name in core.fixed.voters),
--- a/ambershift/replication/messages.py
+++ b/ambershift/replication/messages.py
@@ -25,7 +25,8 @@
 
 class Vouch(msgspec.Struct, frozen=True, array_like=True):
     """The most that a member is known to have vouched for: the view it was in, and a log that ends with
-    `number`, written in the view `last`. `status` is for people."""
+    `number`, written in the view `last`. `status` is for people.
+    """
 
     name: Name
     incarnation: Count
@@ -45,7 +46,8 @@
 
 class Ask(Part, frozen=True, tag=1):
     """A blank voter asks all. Rounds count up: the second of birth starts after the first is complete.
-    Who answers it knows from `lives` which earlier lives have ended, and heeds nothing late of theirs."""
+    Who answers it knows from `lives` which earlier lives have ended, and heeds nothing late of theirs.
+    """
 
     round: Count
     voters: tuple[Name, ...]
@@ -61,7 +63,8 @@
 
 class Told(Part, frozen=True, tag=3):
     """I am in normal work in `view` (or not), with a log up to `number`. `birth`, if I know it yet, is who
-    was blank at the moment at which all were."""
+    was blank at the moment at which all were.
+    """
 
     asked: Count
     round: Count
--- a/ambershift/replication/replica.py
+++ b/ambershift/replication/replica.py
@@ -42,7 +42,8 @@
     from it. `incarnation` is higher than of any start before; `saved` is what the folder vouches for, None
     where there is none or it was set aside; `lost` then tells that it has vouched in an earlier life, so that
     it waits for others to recover from and no group is born with it. Times are ns; `noop` is the command that
-    a new leader writes."""
+    a new leader writes.
+    """
 
     def __init__(
         self,
@@ -236,7 +237,8 @@
     @property
     def durable(self) -> int:
         """The last entry that a restart of this member surely finds again; without a disk a restart asks the
-        others for all that is committed."""
+        others for all that is committed.
+        """
         return self.core.durable_top if self.core.fixed.disk else self.core.committed
 
     @property
--- a/ambershift/replication/requests.py
+++ b/ambershift/replication/requests.py
@@ -91,7 +91,8 @@
 
 def on_forward(core: Core, now: int, sender: str, message: Forward) -> None:
     """Only in the view for which it was meant, and each attempt once: a copy that comes late writes nothing
-    that was refused or forgotten."""
+    that was refused or forgotten.
+    """
     if message.view != core.view or not core.leading:
         return
     taken = core.attempts.get(sender, ())
--- a/ambershift/replication/words.py
+++ b/ambershift/replication/words.py
@@ -87,7 +87,8 @@
 
     def digest(self, command: bytes) -> bytes:
         """What must be the same where a token comes again: another one is TOKEN_REUSED. Who sent it, and
-        which servers a name meant at that moment, may differ and are left out."""
+        which servers a name meant at that moment, may differ and are left out.
+        """
 
     def pack(self, state: State) -> bytes: ...
 
@@ -96,7 +97,8 @@
 
 class Write(NamedTuple):
     """Append these to the folder and sync them; then tell `Replica.synced` the ticket. Tickets count up, and
-    one that is synced vouches for all before it."""
+    one that is synced vouches for all before it.
+    """
 
     ticket: int
     group: str
@@ -131,7 +133,8 @@
 
 class Answer(NamedTuple):
     """To one `submit` or `read`: `reason` is None where it stands; `retry_ns` says when to come back, 0: no
-    use."""
+    use.
+    """
 
     ticket: int
     reason: Reason | None
@@ -148,7 +151,8 @@
 
 class Halt(NamedTuple):
     """This member takes no further part under this incarnation; the shell sets its folder aside where
-    `reason` is OLD_FOLDER and starts a blank replica, for the others it waits for a person."""
+    `reason` is OLD_FOLDER and starts a blank replica, for the others it waits for a person.
+    """
 
     reason: Reason
     why: str
--- a/ambershift/runtime/catalogue.py
+++ b/ambershift/runtime/catalogue.py
@@ -22,7 +22,8 @@
 
 class Entry(NamedTuple):
     """`path` holds the words that name the command, `usage` all that may follow, `handler` is "" if
-    refused."""
+    refused.
+    """
 
     path: tuple[str, ...]
     usage: str
--- a/ambershift/runtime/changing.py
+++ b/ambershift/runtime/changing.py
@@ -101,7 +101,8 @@
 
     def once_in_group(self, common: Common, session: Session, inner: Command) -> Outcome:
         """The group has the answers. What can't even be read here, as this member's list lacks the server for
-        one, may have been done under this token elsewhere: so its refusal is a promise too."""
+        one, may have been done under this token elsewhere: so its refusal is a promise too.
+        """
         try:
             return self.handle(session, inner)
         except BadCommandError as bad:
--- a/ambershift/runtime/client.py
+++ b/ambershift/runtime/client.py
@@ -163,7 +163,8 @@
 
 def prepare(command: str) -> tuple[str, bool]:
     """The command as it goes out, under a token of its own if it changes servers, and whether it may
-    again."""
+    again.
+    """
     try:
         row = read(command.encode())
     except GrammarError as error:
--- a/ambershift/runtime/common.py
+++ b/ambershift/runtime/common.py
@@ -18,14 +18,16 @@
         self, who: str, token: str, text: str, changes: Sequence[Change], wait: int
     ) -> Awaitable[Answer]:
         """Answered within `wait` ns: done once a majority holds it. `token` is "" where the client has none;
-        `text` is what the same token must come with again."""
+        `text` is what the same token must come with again.
+        """
 
     def refuse(self, token: str, text: str, reason: str, why: str, wait: int) -> Awaitable[Answer]:
         """The answer that stands under this token, this refusal if none does."""
 
     def read(self, wait: int) -> Awaitable[Answer | None]:
         """None once what this coordinator holds has all that was promised when this was called; else the
-        refusal, within `wait` ns."""
+        refusal, within `wait` ns.
+        """
 
     def members(self) -> Rows: ...
 
--- a/ambershift/runtime/grammar.py
+++ b/ambershift/runtime/grammar.py
@@ -18,7 +18,8 @@
 
 class Command(NamedTuple):
     """`text` is the command as it came, for records; `payload` is None where none was announced; `token` is
-    that of the `once` around it."""
+    that of the `once` around it.
+    """
 
     words: tuple[str, ...]
     text: str
--- a/ambershift/runtime/lookup.py
+++ b/ambershift/runtime/lookup.py
@@ -43,7 +43,8 @@
 
 def alike(words: tuple[str, ...], most: int = 8) -> list[Entry]:
     """The commands closest to words that are none: those that share the longest beginning, then by
-    likeness."""
+    likeness.
+    """
 
     def shared(entry: Entry) -> int:
         count = 0
--- a/ambershift/runtime/session.py
+++ b/ambershift/runtime/session.py
@@ -1,5 +1,6 @@
 """Session: one client's conversation without I/O: its level, its modes, and what of its bytes is a
-command."""
+command.
+"""
 
 from __future__ import annotations
 
--- a/ambershift/runtime/stat.py
+++ b/ambershift/runtime/stat.py
@@ -233,7 +233,8 @@
 
 def states(scene: Scene, view: View, server: int) -> tuple[int, int]:
     """HAProxy's operational state (0 stopped, 1 starting, 2 running, 3 stopping) and its administrative
-    bits."""
+    bits.
+    """
     listed, wish, entry = view.world.listed[server], view.world.wish(server), scene.entry(view, server)
     bits = (
         FORCED_MAINT * (wish.state is State.MAINT)
--- a/ambershift/settings/interference.py
+++ b/ambershift/settings/interference.py
@@ -27,7 +27,8 @@
 
 class CounterJob(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One job of a node. `file` is what perf writes, a file or a FIFO; `cgroup` picks its rows where perf
-    counts several groups. Jobs of one tenant are taken as the same program."""
+    counts several groups. Jobs of one tenant are taken as the same program.
+    """
 
     name: str
     file: str
--- a/ambershift/settings/maintenance.py
+++ b/ambershift/settings/maintenance.py
@@ -72,7 +72,8 @@
 
 class MaintenanceBlock(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What is declared here takes the place of what a lower revision declared. `drain` is how long a server
-    should take to drain."""
+    should take to drain.
+    """
 
     revision: Annotated[int, msgspec.Meta(ge=1, le=1 << 62)]
     drain: str = "2m"
--- a/ambershift/standins/histories.py
+++ b/ambershift/standins/histories.py
@@ -116,7 +116,8 @@
 
 def weight(value: int) -> str:
     """Distinct figures within what a weight may be, up to 25,500 of them; none is so small that what has been
-    drained would be lent back for want of others."""
+    drained would be lent back for want of others.
+    """
     return f"{1 + value / 100:g}"
 
 
--- a/ambershift/standins/keeping.py
+++ b/ambershift/standins/keeping.py
@@ -1,5 +1,6 @@
 """Whether servers that are out stay within an agreement, at each moment that a proxy shuts one out or lets it
-in."""
+in.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +16,8 @@
 
 class Keeper:
     """Looks at the proxies, not at what members say: a server counts as out while any proxy shuts it out, and
-    as cold for its time after it started."""
+    as cold for its time after it started.
+    """
 
     def __init__(self, fleet: Fleet, capacity: float, out_most: int, weight: float = 1.0) -> None:
         self.fleet, self.capacity, self.out_most, self.weight = fleet, capacity, out_most, weight
--- a/ambershift/standins/rig.py
+++ b/ambershift/standins/rig.py
@@ -164,7 +164,8 @@
 
     def clone(self, name: str) -> Member:
         """A further process that says it is this member, with a copy of its folder and a place of its own to
-        listen; the others' links go to the real one."""
+        listen; the others' links go to the real one.
+        """
         real, at = self.members[name], self.names.index(name)
         others = f'listen = "{self.host}:{TALK + at}"', f'listen = "{self.host}:{CLONE}"'
         configuration = {**real.configuration, "listen": f"{self.host}:{CLONE + 1}"}
--- a/ambershift/standins/schedules.py
+++ b/ambershift/standins/schedules.py
@@ -57,7 +57,8 @@
 
 class Runner:
     """Carries a schedule out on a rig. It never wipes so many that a majority of the holders is gone: beyond
-    that nothing is promised."""
+    that nothing is promised.
+    """
 
     def __init__(self, rig: Rig, history: History) -> None:
         self.rig, self.history = rig, history
@@ -123,7 +124,8 @@
 
     async def spare(self, name: str) -> bool:
         """Whether a majority holds what is promised without this one: the others that were not wiped, or that
-        were and are back."""
+        were and are back.
+        """
         for other in list(self.blank):
             rows = await self.rig.rows(other, "show group json") if self.rig.members[other].running else []
             if any(row.get("name") == other and row.get("state") == "normal" for row in rows):
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -72,7 +72,8 @@
     # Proxies.
     def proxy_linked(self, name: str) -> None:
         """A new link of a proxy, before its first message: whatever the old one was told is told again. It
-        gets a sign at once: by that it judges whether to say Hello here."""
+        gets a sign at once: by that it judges whether to say Hello here.
+        """
         self.hellos.pop(name, None)
         self.send_proxy(name, self._sign(self.ledger.control_nodes()))
 
--- a/ambershift/system/interfaces.py
+++ b/ambershift/system/interfaces.py
@@ -29,7 +29,8 @@
 @dataclass(frozen=True, slots=True)
 class ChangeOutcome:
     """What a change makes of a register: `value` None leaves it as it is. `result` goes to the caller, once
-    it is certain that the value judged was the newest and (where changed) that enough copies hold the new."""
+    it is certain that the value judged was the newest and (where changed) that enough copies hold the new.
+    """
 
     new_value: bytes | None
     result: Any
@@ -54,12 +55,14 @@
     async def write(self, items: Sequence[Item], timeout_s: float) -> None:
         """Merge, and return once these or newer are synced on enough copies.
 
-        Raises `OutcomeUnknownError`, `NotAppliedError`."""
+        Raises `OutcomeUnknownError`, `NotAppliedError`.
+        """
 
     async def read_quorum(self, timeout_s: float) -> None:
         """Merge what enough copies hold: `items()` then has all acknowledged.
 
-        Raises `OutcomeUnknownError`."""
+        Raises `OutcomeUnknownError`.
+        """
 
     def items(self) -> Mapping[Key, Item]:
         """All items merged here, tombstones too."""
@@ -70,7 +73,8 @@
     async def change(self, register: str, change: ChangeFunction, timeout_s: float) -> Any:
         """Run a change on a register, through this machine as proposer. Returns the verdict's result.
 
-        Raises `OutcomeUnknownError` (it may hold) or `NotAppliedError` (it never will)."""
+        Raises `OutcomeUnknownError` (it may hold) or `NotAppliedError` (it never will).
+        """
 
     def control_nodes(self) -> Sequence[ControlNodeAddress]:
         """All control nodes known and not known to be gone for good, this one too."""
--- a/ambershift/system/proxy/attempt.py
+++ b/ambershift/system/proxy/attempt.py
@@ -25,7 +25,8 @@
 
 class Ending(Enum):
     """What ended it: the connection was refused, reset or closed; nothing came in time; bytes came that are
-    no answer to this request; the client has left; or the answer was whole."""
+    no answer to this request; the client has left; or the answer was whole.
+    """
 
     LOST = "lost"
     SILENT = "silent"
@@ -36,7 +37,8 @@
 
 class Outcome(Enum):
     """`NOT_RUN` and `MAY_HAVE_RUN` are evidence; `FAILED` is the backend's own failure answer, which is
-    passed on unless a repeat is worth it; `GOOD` is passed on."""
+    passed on unless a repeat is worth it; `GOOD` is passed on.
+    """
 
     NOT_RUN = "not run"
     MAY_HAVE_RUN = "may have run"
@@ -55,7 +57,8 @@
 @dataclass(frozen=True, slots=True)
 class Told:
     """What counts of an answer's head: whether it echoes this try's id, bears the server's seal, says that
-    the request was not executed, is encoded although nobody asked for it."""
+    the request was not executed, is encoded although nobody asked for it.
+    """
 
     status: int
     ours: bool
--- a/ambershift/system/proxy/backend_view.py
+++ b/ambershift/system/proxy/backend_view.py
@@ -32,7 +32,8 @@
 
 class Pool:
     """A service's lives within homes. `listed` are those of the bound table, `near` those of the proxy's own
-    region, `all` every one; each choice goes on to the next where it finds nothing good."""
+    region, `all` every one; each choice goes on to the next where it finds nothing good.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -132,7 +133,8 @@
 
     def take_back(self, now: int, zone: str) -> None:
         """The zone's evacuation is over. Its backends may be cold, so they count as cold for as long as that
-        may last, until a list that is surely newer says otherwise."""
+        may last, until a list that is surely newer says otherwise.
+        """
         self._emptied.discard(zone)
         self._back[zone] = now
         for life in self.lives.values():
--- a/ambershift/system/proxy/course.py
+++ b/ambershift/system/proxy/course.py
@@ -40,7 +40,8 @@
 
     async def run(self) -> Came | None:
         """What is to be passed on to the client; None where that is our own answer. Raises
-        `UnsendableError`."""
+        `UnsendableError`.
+        """
         failure = None
         while (trying := self._begin()) is not None:
             if self.tries.repeatable and self.tries.most > 1:
@@ -97,7 +98,8 @@
 
     async def _beside(self, first: Try) -> Came:
         """A try, and once its backend is silent to everybody a second one elsewhere; the first good answer
-        counts. The other is not broken off: its backend may be at work."""
+        counts. The other is not broken off: its backend may be at work.
+        """
         task: Racing = asyncio.ensure_future(self._see(first))
         await _either(task, first.life.patience() / NS_PER_SECOND)
         racing = {task}
@@ -128,7 +130,8 @@
 
 async def _either(task: Racing, seconds: float) -> None:
     """Until the task is done or the time is over; a fifth of what `asyncio.wait` takes, and each request
-    comes by here."""
+    comes by here.
+    """
     loop = asyncio.get_running_loop()
     news: asyncio.Future[None] = loop.create_future()
 
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -105,7 +105,8 @@
 
     async def refuse(self, status: int, again: bytes | None = None) -> None:
         """An answer before the body was taken. A small one is read first: closing on it would reset the
-        connection, and the answer be lost with it. A larger one ends the connection."""
+        connection, and the answer be lost with it. A larger one ends the connection.
+        """
         more = self.asked.chunked or bool(self.asked.length)
         if more and (self.asked.length or 0) <= DISCARD_MOST:
             with contextlib.suppress(TimeoutError):  # Who drips a body is not waited for.
--- a/ambershift/system/proxy/intake.py
+++ b/ambershift/system/proxy/intake.py
@@ -37,7 +37,8 @@
     """Uses uvicorn's timer of idle connections for a head's time as well: any bytes that come end it.
 
     Never closes on a request that was read whole: where one is being answered, the end comes after its
-    answer, and what came behind it gets none."""
+    answer, and what came behind it gets none.
+    """
 
     def __init__(
         self, limits: Callable[[], Limits], steady: Callable[[], int], *parts: Any, **named: Any
--- a/ambershift/system/proxy/limits.py
+++ b/ambershift/system/proxy/limits.py
@@ -14,7 +14,8 @@
 @dataclass(frozen=True, slots=True)
 class Limits:
     """Bytes of a body and of a head, from the request line to the empty line; ns from a head's first byte to
-    its last, and between the opening or an answer and the next head. Set where the operator sets nothing."""
+    its last, and between the opening or an answer and the next head. Set where the operator sets nothing.
+    """
 
     body: int = 64 << 20
     head: int = 64 << 10
@@ -50,7 +51,8 @@
     """One connection of a client: how much of a head has come and since when, or since when nothing has.
 
     The parser doesn't tell how many bytes a head has. What was read since it began is at least as much; of a
-    reading that held bytes of other messages too (`shared`), we can't tell how many are the head's."""
+    reading that held bytes of other messages too (`shared`), we can't tell how many are the head's.
+    """
 
     __slots__ = ("head", "idle_since", "shared", "since", "size", "spared", "unsure")
 
--- a/ambershift/system/proxy/lives.py
+++ b/ambershift/system/proxy/lives.py
@@ -76,7 +76,8 @@
 
     def resting(self, now: int) -> bool:
         """Passed over: after failures (after the pause it is tried by one request at a time), or while it
-        keeps all that was sent to it waiting for unusually long."""
+        keeps all that was sent to it waiting for unusually long.
+        """
         if self.pause > 0 and (now < self.paused_until or self.flying > 0):
             return True
         return self.flying > 0 and now - self.since > self.patience()
@@ -125,7 +126,8 @@
 
     def ended_badly(self, now: int, took: int, proof: bool) -> None:
         """`proof` where one such end is enough to pass it over: no connection, a reset or silence while it
-        answered nobody. Other broken answers count only once they are many."""
+        answered nobody. Other broken answers count only once they are many.
+        """
         self._over(took)
         self.bad += 1
         self.recent[0] += 1
--- a/ambershift/system/proxy/pick.py
+++ b/ambershift/system/proxy/pick.py
@@ -20,7 +20,8 @@
 ) -> Life | None:
     """The backend for the next try of a request that has been at `tried`, if there is one that may be used
     and hasn't too much to do. `cold` says whether a cold backend may get one request now; `left` is how long,
-    ns, the answer may take if all have queues."""
+    ns, the answer may take if all have queues.
+    """
     listed = pool.listed
     if listed.lives:
         one, other = _draw(listed, chance), _draw(listed, chance)
@@ -56,7 +57,8 @@
     pool: Pool, now: int, tried: Collection[Life], chance: Random, cold: ColdMay, left: int
 ) -> Life | None:
     """The slow way, over all: the table, then the region, then the whole pool; those with a slot before those
-    with a queue, and these before those that rest."""
+    with a queue, and these before those that rest.
+    """
     here = [life for life in pool.all.lives if life.open(now)]
     usable = [life for life in here if life not in tried]
     warm = {life for life in usable if now >= life.cold_until}
@@ -90,7 +92,8 @@
     tiers: tuple[Tier, ...], allowed: Collection[Life], waits: Mapping[Life, int], chance: Random
 ) -> Life | None:
     """Of two drawn from the first tier that has some of the allowed, the one with the shorter queue: all
-    proxies see the same queues, and would storm the shortest together."""
+    proxies see the same queues, and would storm the shortest together.
+    """
     for tier in tiers if allowed else ():
         there = [life for life in tier.lives if life in allowed]
         if there:
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -26,7 +26,8 @@
 @dataclass(frozen=True, slots=True)
 class Route:
     """One route as an item gives it. Times are ns; `most` backends may get one request; `shares` are the
-    services and their weights (one where the route has no `Distribution`)."""
+    services and their weights (one where the route has no `Distribution`).
+    """
 
     name: str
     version: kinds.Version
@@ -153,7 +154,8 @@
 
     def complete_link(self) -> None:
         """All that stands has been told on this link. What is as old as forgotten drops and wasn't told was
-        dropped while this proxy was away."""
+        dropped while this proxy was away.
+        """
         if self._outdated and self._told is not None and not self.unusable:
             old = [one for one in self.items.values() if one.kind in CONFIGURATION_KINDS]
             for item in old:
@@ -215,7 +217,8 @@
 
 class _Host:
     """One host's routes, by prefix. Two names may claim one prefix while one replaces the other: the higher
-    version has it."""
+    version has it.
+    """
 
     def __init__(self) -> None:
         self.heads: dict[bytes, list[Route]] = {}
--- a/ambershift/system/proxy/state.py
+++ b/ambershift/system/proxy/state.py
@@ -23,7 +23,8 @@
 
 class ProxyState:
     """`steady` gives ns of a clock that only runs forward. `came` counts requests by pool since the last
-    report, `proxies` is how many proxies there may be at the most."""
+    report, `proxies` is how many proxies there may be at the most.
+    """
 
     def __init__(self, settings: Local, steady: Callable[[], int], chance: Random) -> None:
         self.settings, self.steady, self.chance = settings, steady, chance
--- a/ambershift/system/proxy/stream.py
+++ b/ambershift/system/proxy/stream.py
@@ -96,7 +96,8 @@
 
     def rests(self, look: bool = True) -> Rest:
         """How it stands between exchanges. `look`: at the socket itself, too, since the loop may not have
-        come round to what has arrived."""
+        come round to what has arrived.
+        """
         if self._received:
             return Rest.UNREAD
         if self._eof or self._broken is not None:
--- a/ambershift/system/proxy/wire.py
+++ b/ambershift/system/proxy/wire.py
@@ -38,7 +38,8 @@
 
 class Unlocked:
     """In place of a connection's lock: one exchange at a time has it already, and each turn of a lock by
-    `anyio` costs a turn of the loop (a tenth of a request's processor time)."""
+    `anyio` costs a turn of the loop (a tenth of a request's processor time).
+    """
 
     async def __aenter__(self) -> None:
         return
@@ -68,7 +69,8 @@
 @dataclass(slots=True)
 class Reply:
     """An answer: its head, and its body whole, or the rest of it still to come (`rest`). `foreign`: answers
-    to earlier requests came before it."""
+    to earlier requests came before it.
+    """
 
     status: int
     headers: Headers
@@ -84,7 +86,8 @@
     After an answer to an earlier request ours is awaited for `foreign_wait` seconds more.
 
     Raises `TryError` with the stage reached, `UnsendableError` where nothing was sent because the request
-    is not one. The connection is closed then."""
+    is not one. The connection is closed then.
+    """
     wire.net.begin()
     reply = await _receive(wire, request, hold)
     return reply if _echoes(reply, attempt) else await _skip(wire, request, attempt, foreign_wait, reply)
--- a/ambershift/system/simulation/fleet_history.py
+++ b/ambershift/system/simulation/fleet_history.py
@@ -110,7 +110,8 @@
 class Judge:
     """Looks at each proxy all the while. `disturb` is to be called with whatever befalls the machines.
 
-    `untrue`: where a control node or a proxy took itself for newer than it was."""
+    `untrue`: where a control node or a proxy took itself for newer than it was.
+    """
 
     def __init__(self, fleet: Fleet, storm: Storm) -> None:
         self.fleet, self.storm = fleet, storm
--- a/ambershift/system/simulation/fleet_troubles.py
+++ b/ambershift/system/simulation/fleet_troubles.py
@@ -168,7 +168,8 @@
 
 def storm_while_cut(seed: int, apart: tuple[int, ...], lasts: float = 8.0, alone: bool = False) -> Judge:
     """These of nine control nodes (by number) are cut from the others while changes come; with `alone` from
-    each other too."""
+    each other too.
+    """
     fleet = Fleet(seed, NODES, PROXIES)
     streets = Streets(fleet, seed)
     storm = Storm(fleet, streets, GAP_S)
--- a/ambershift/system/simulation/judging.py
+++ b/ambershift/system/simulation/judging.py
@@ -21,7 +21,8 @@
 class Judge(History):
     """Beside what it inherits it looks at each answer of a watch, and knows all values ever sent.
 
-    To be asked once all callers have ended, so that each put has an outcome, though it may be unknown."""
+    To be asked once all callers have ended, so that each put has an outcome, though it may be unknown.
+    """
 
     def __init__(self) -> None:
         super().__init__()
--- a/ambershift/system/simulation/loss_pairs.py
+++ b/ambershift/system/simulation/loss_pairs.py
@@ -38,7 +38,8 @@
 @dataclass(frozen=True, slots=True)
 class Outcome:
     """`wrote`: whether a write was done right after the second loss. False where that was not brought about,
-    as too few complete copies would have been left: that is beyond what is to be borne."""
+    as too few complete copies would have been left: that is beyond what is to be borne.
+    """
 
     broken: list[str]
     wrote: bool
--- a/ambershift/system/simulation/operator_history.py
+++ b/ambershift/system/simulation/operator_history.py
@@ -142,7 +142,8 @@
 def _explained(orders: list[Order], sight: Sight, out: bool) -> bool:
     """Orders of a zone are given one after the other; the last one acknowledged holds, or one after it.
 
-    One that never got an answer may have come up after all, but not over one given after it."""
+    One that never got an answer may have come up after all, but not over one given after it.
+    """
     last = max(
         (at for at, one in enumerate(orders) if one.at is not None and one.at < sight.sent), default=-1
     )
--- a/ambershift/system/simulation/scripts_cluster.py
+++ b/ambershift/system/simulation/scripts_cluster.py
@@ -93,7 +93,8 @@
 
 def late_order(stopped: bool = False) -> list[str]:
     """An order is held up on its way (or the process that it came to is `stopped`) with the end of its
-    connection, and another one is given meanwhile."""
+    connection, and another one is given meanwhile.
+    """
     cluster = Cluster(23, loss=0, count=3)
     cluster.run(2.5)
     streets, history = Streets(cluster, 23), OperatorHistory()
--- a/ambershift/system/simulation/scripts_configuration.py
+++ b/ambershift/system/simulation/scripts_configuration.py
@@ -60,7 +60,8 @@
 
 def offered_on_return(seed: int = 1, way: str = "killed") -> list[str]:
     """A service is dropped while a machine is away (`killed`, `cut` or `frozen`), which is then offered a
-    route to it again and again from the moment that it returns."""
+    route to it again and again from the moment that it returns.
+    """
     cluster = Cluster(seed, loss=0, count=6)
     cluster.run(2.5)
     away, there = "10.0.0.2", _At(cluster, seed, "10.0.0.5")
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -39,7 +39,8 @@
 
 def late_copy() -> list[str]:
     """What was asked for before voting comes after it: a ballot that one voter holds alone. This voter has
-    promised a higher one by then; had it the value, it would agree to it when it is asked again."""
+    promised a higher one by then; had it the value, it would agree to it when it is asked again.
+    """
     world = Lists(12, loss=0, count=3)
     world.run(2.5)
     name, fresh = "list/0", "10.0.0.3"
--- a/ambershift/system/simulation/scripts_voters.py
+++ b/ambershift/system/simulation/scripts_voters.py
@@ -14,7 +14,8 @@
 def accepted_alone(first: bool) -> list[str]:
     """A value accepted alone under earlier voters never comes up over later ones; it is the `first` or not.
 
-    Promises go along with values that others lack: only where nobody lacks one they go alone."""
+    Promises go along with values that others lack: only where nobody lacks one they go alone.
+    """
     world = World(3, loss=0, count=5)
     world.run(2.5)
     name, alone = "list/0", "10.0.0.1"
@@ -62,7 +63,8 @@
 
 def left_behind(seed: int, unsynced: bool) -> list[str]:
     """Three become five while one, cut off, still counts by the three: with a voter that has agreed on the
-    five, or one that forgets that it has, as its disk stood still when it was killed."""
+    five, or one that forgets that it has, as its disk stood still when it was killed.
+    """
     world = World(seed, loss=0, count=5)
     behind, between, *ahead = (f"10.0.0.{index}" for index in range(1, 6))
     world.run(0.3)
--- a/ambershift/system/testbed/answering.py
+++ b/ambershift/system/testbed/answering.py
@@ -37,7 +37,8 @@
 
 class Spoken:
     """Serves one address. The handler gets a request and an event that is set once its connection ends;
-    None as its reply ends the connection by a reset. `closes` says whether to close after this answer."""
+    None as its reply ends the connection by a reset. `closes` says whether to close after this answer.
+    """
 
     def __init__(self, handler: Handler, idle_s: float, closes: Callable[[], bool]) -> None:
         self.handler, self.idle_s, self.closes = handler, idle_s, closes
--- a/ambershift/system/testbed/operator.py
+++ b/ambershift/system/testbed/operator.py
@@ -172,7 +172,8 @@
     async def read_back(self, within: float) -> list[str]:
         """What differs between the configuration sent and the one retrieved; empty where they are equal.
 
-        Where a change had no clear answer nothing can be said of its items: such ones are told as well."""
+        Where a change had no clear answer nothing can be said of its items: such ones are told as well.
+        """
         sent = items_of(self.book.whole())
         body = None
         last = ["nothing came back"]
--- a/benchmarks/group.py
+++ b/benchmarks/group.py
@@ -45,7 +45,8 @@
 
 async def promises(rig: Rig, clients: int, seconds: float) -> tuple[float, list[float], int]:
     """Promises a second, the time of each, and how many were not had: weights of all servers, from clients at
-    all members."""
+    all members.
+    """
     missed, times, until = list[float](), list[float](), time.monotonic() + seconds
     names = [f"{row['zone']}/{row['id']}" for row in rig.discovery.now["servers"]]
 
@@ -153,7 +154,8 @@
 
 async def catch_up(rig: Rig) -> tuple[float, float, float]:
     """After all servers got a wish: MB of a member before and after, and seconds from the start of a member
-    whose folder is gone until it has all."""
+    whose folder is gone until it has all.
+    """
     names = [f"{row['zone']}/{row['id']}" for row in rig.discovery.now["servers"]]
     process = rig.members["n1"].process
     assert process is not None
--- a/benchmarks/interference.py
+++ b/benchmarks/interference.py
@@ -60,7 +60,8 @@
 
 def threshold(world: World) -> Pairs:
     """Mean and two deviations of a group on a kind of machine for three minutes of five; the busiest is
-    accused. It sees the counters without faults."""
+    accused. It sees the counters without faults.
+    """
     accused = Pairs()
     classes = dict[tuple[str, str], list[int]]()
     for job in range(world.jobs):
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -1,5 +1,6 @@
 """Measures maintenance: `python -m benchmarks.maintenance [--quick]`, from the root. All times are virtual
-but those of the cost, which is time of the processor."""
+but those of the cost, which is time of the processor.
+"""
 
 from __future__ import annotations
 
@@ -60,7 +61,8 @@
 
 def some_world(size: int, seed: int) -> World:
     """Zones of about 25 servers, a tenant a zone, some over two zones and one over all; one server in 25 is
-    ill, one in 25 cold, one in 20 interfered with."""
+    ill, one in 25 cold, one in 20 interfered with.
+    """
     rng = random.Random(seed)
     zones = [f"z{i}" for i in range(max(2, size // 25))]
     servers = dict[str, Standing]()
@@ -153,7 +155,8 @@
 
 def first_fit(world: World) -> list[Out]:
     """Each in the order of the list at the first moment at which no tenant has more drained than it may; what
-    is ill, cold or interfered with is not looked at, nor is capacity."""
+    is ill, cold or interfered with is not looked at, nor is capacity.
+    """
     fit, users = starts(world)
     since = dict[str, int]()
     found, busy = list[Out](), {tenant.name: list[tuple[int, int]]() for tenant in world.declared.tenants}
@@ -196,7 +199,8 @@
 
 def broken(world: World, outs: list[Out]) -> tuple[int, float, int]:
     """Drains that broke an agreement which held without them, the tenant hours in which it was broken, and
-    the tenants."""
+    the tenants.
+    """
     drains, hours, whose = set[str](), 0.0, set[str]()
     for tenant in world.declared.tenants:
         mine = {
--- a/benchmarks/probe/sitecustomize.py
+++ b/benchmarks/probe/sitecustomize.py
@@ -1,5 +1,6 @@
 """Put on PYTHONPATH of a coordinator by benchmarks.group: keeps the thread's time of each step, and the wait
-before it, and writes them to the file of STEPS_FILE when the process is asked to end."""
+before it, and writes them to the file of STEPS_FILE when the process is asked to end.
+"""
 
 import atexit
 import os
--- a/benchmarks/runtime_socket.py
+++ b/benchmarks/runtime_socket.py
@@ -61,7 +61,8 @@
 @contextlib.asynccontextmanager
 async def running(servers: int, way: str) -> AsyncIterator[Running]:
     """`way` is `paced` or `plain`, `socket` for neither timed, `off` for `run` without a socket, or
-    `bare` for the platform's own start."""
+    `bare` for the platform's own start.
+    """
     relay, discovery = Relay(), Discovery()
     info = SETTINGS["family_info"] | {"most_waiting": 20_000.0, "egress_per_s": 10_000.0}
     relay.answering = True
@@ -205,7 +206,8 @@
 
 async def flooding(servers: int, way: str, seed: int) -> tuple[float, int, int, int, int, float]:
     """The ratio of step times, distinct effects, eject lines, messages a proxy, most lines waiting,
-    seconds."""
+    seconds.
+    """
     async with running(servers, way) as one:
         await asyncio.sleep(3.0)
         await one.timings()
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -71,7 +71,8 @@
 
 class Takeover:
     """`ill` of the servers fail every try; `cold` of them start anew within the last seconds, and the list
-    that tells of it reaches the one that takes over only `lag` after the take-over."""
+    that tells of it reaches the one that takes over only `lag` after the take-over.
+    """
 
     def __init__(
         self,
