--- a/ambershift/interference/perfcsv.py
+++ b/ambershift/interference/perfcsv.py
@@ -170,7 +170,7 @@
         return found
 
     def _align(self, stamp: int, now: int) -> None:
-        """perf counts by its own clock: where that runs ahead of ours, or far behind, ours holds."""
+        """Align with perf's own clock: where that runs ahead of ours, or far behind, ours holds."""
         if not now - LATE_MOST <= self.start + stamp <= now + AHEAD_MOST:
             self.start, self._bad = now - stamp, Unusable.SKEWED
         else:
--- a/ambershift/modelcheck/mutants/replication.py
+++ b/ambershift/modelcheck/mutants/replication.py
@@ -51,7 +51,7 @@
 
 
 def recovered_without_the_leader(real: Any) -> Any:
-    """f + 1 answers are enough, though the leader's is not among them."""
+    """Recover after f + 1 answers, though the leader's is not among them."""
 
     def on_told(core: Core, now: int, sender: str, message: messages.Told) -> None:
         real[messages.Told](core, now, sender, message)
--- a/ambershift/replication/birth.py
+++ b/ambershift/replication/birth.py
@@ -137,7 +137,7 @@
 
 
 def on_told(core: Core, now: int, sender: str, message: Told) -> None:
-    """f + 1 answers of members at work, and the leader of the newest view among them."""
+    """Recover by f + 1 answers of members at work, and the leader of the newest view among them."""
     if core.status is not Status.BLANK or message.asked != core.incarnation or not core.fixed.votes:
         return
     if sender not in core.fixed.voters:
