--- a/ambershift/admin/desk.py
+++ b/ambershift/admin/desk.py
@@ -192,7 +192,7 @@
         known = self.told.get(server)
         self.told[server] = entry
         if (told := self.waiting.get(server)) is not None:
-            scaled = told.scaled or known is not None and known.weight != entry.weight
+            scaled = told.scaled or (known is not None and known.weight != entry.weight)
             self.waiting = self.waiting.insert(
                 server, Told(told.at, entry, self.mirror.picture.reply, scaled)
             )
--- a/ambershift/admin/words.py
+++ b/ambershift/admin/words.py
@@ -60,7 +60,7 @@
         """How hard a server is kept out: 0 not at all, 1 it may still be asked for help, 2 better not."""
         if self.state is State.MAINT or self.health is Health.DOWN:
             return 2
-        return int(self.out or self.weight is not None and self.weight.figure == 0)
+        return int(self.out or (self.weight is not None and self.weight.figure == 0))
 
 
 NEVER = Origin("", 0, 0)
--- a/ambershift/coordinator/routing/compared.py
+++ b/ambershift/coordinator/routing/compared.py
@@ -208,7 +208,7 @@
     def stands(self, hello: codec.Hello) -> bool:
         """A proxy known before is the same stream still, unless it has lost the tables it had from us."""
         known = self.joined.get(hello.proxy)
-        if known is None or known.zone != hello.zone or hello.fresh and not known.fresh:
+        if known is None or known.zone != hello.zone or (hello.fresh and not known.fresh):
             self.tell(hello)
             return True
         self.joined[hello.proxy] = hello
--- a/ambershift/group/learned.py
+++ b/ambershift/group/learned.py
@@ -206,7 +206,7 @@
     def say(self, now: int, kind: Kind, key: str, body: bytes, age: int = 0) -> None:
         """Only what is new, or what would soon be too old."""
         known = self.put.get((kind, key))
-        if known is None or known[0] != body or kind != Kind.START and now - known[1] > longest(kind) // 3:
+        if known is None or known[0] != body or (kind != Kind.START and now - known[1] > longest(kind) // 3):
             self.put[kind, key] = body, now
             self.give(now, kind, key, body, age)
         if len(self.put) > 4 * len(self.known) + GIVEN_MOST:
--- a/ambershift/groupsim/clients.py
+++ b/ambershift/groupsim/clients.py
@@ -35,7 +35,7 @@
             return
         self.count, self.tries, self.unsure = self.count + 1, 0, False
         now, chance, key = self.world.now, self.chance, self.chance.choice(KEYS)
-        if self.final == 2 or not self.final and chance.hits(450):
+        if self.final == 2 or (not self.final and chance.hits(450)):
             self.at = Operation(self.name, key, Kind.READ, None, now, None, Outcome.UNKNOWN)
         elif not self.final and self.last is not None and chance.hits(150):
             self.at = self.last._replace(called=now, returned=None, outcome=Outcome.UNKNOWN)
--- a/ambershift/groupsim/history.py
+++ b/ambershift/groupsim/history.py
@@ -87,7 +87,7 @@
         or (
             one.outcome is Outcome.UNKNOWN
             and one.kind is not Kind.READ
-            and (one.value in seen or one.kind is Kind.ONCE and one.token in done)
+            and (one.value in seen or (one.kind is Kind.ONCE and one.token in done))
         )
     ]
 
@@ -144,10 +144,8 @@
     at = head.behind
     tried = list[int]()
     while left:
-        if (
-            at is not None
-            and operations[at.number].outcome is not Outcome.DONE
-            or (at is not None and at.answer is not None)
+        if (at is not None and operations[at.number].outcome is not Outcome.DONE) or (
+            at is not None and at.answer is not None
         ):
             tried.append(at.number)
             following = after(register, operations[at.number])
--- a/ambershift/groupsim/judge.py
+++ b/ambershift/groupsim/judge.py
@@ -48,7 +48,7 @@
                 for one in self.world.processes.values()
                 if one.voter and one.group() not in ("", group) and one.holds()
             ]
-            if self.groups and not self.world.plan.beyond or holding:
+            if (self.groups and not self.world.plan.beyond) or holding:
                 raise WrongError(f"{process.name} is in a new group, {holding or 'most'} hold the old one")
             self.groups.append(group)
         return group
@@ -150,10 +150,10 @@
     """Whether the entry is in its folder, or in its memory where it has none."""
     if process.folder is not None:
         saved = process.folder.saved()
-        if saved is None or saved.snapshot is not None and saved.snapshot.number >= number:
+        if saved is None or (saved.snapshot is not None and saved.snapshot.number >= number):
             return saved is not None
         return any(one.number == number and one.token == token for one in saved.entries)
     if process.replica is None:
         return False
     log = process.replica.core.log
-    return log.base >= number or log.top >= number and log.at(number).token == token
+    return log.base >= number or (log.top >= number and log.at(number).token == token)
--- a/ambershift/groupsim/network.py
+++ b/ambershift/groupsim/network.py
@@ -37,7 +37,7 @@
         """Each copy on its own way. The message is a value: nobody changes it on the way."""
         self.sent += 1
         way, weather, chance = (sender.name, to), self.weather, self.chance
-        if way in self.cuts or weather.lost and chance.hits(weather.lost):
+        if way in self.cuts or (weather.lost and chance.hits(weather.lost)):
             self.world.count("lost")
             return
         if self.world.plan.coded:
--- a/ambershift/groupsim/process.py
+++ b/ambershift/groupsim/process.py
@@ -136,7 +136,7 @@
                 self.inbox.append((sender, incarnation, group, message))
             return
         # What the hello of a link refuses: an older incarnation, another group.
-        if incarnation < self.newest.get(sender, 0) or group and self.group() not in ("", group):
+        if incarnation < self.newest.get(sender, 0) or (group and self.group() not in ("", group)):
             self.world.count("refused by hello")
             return
         self.newest[sender] = incarnation
--- a/ambershift/maintenance/permits.py
+++ b/ambershift/maintenance/permits.py
@@ -68,10 +68,8 @@
     too, until the end has passed by any clock.
     """
     said = heard.let_in.get(permit.id, frozenset())
-    return (
-        at >= limits.let_in(permit.ends)
-        or bool(heard.members)
-        and all(name in said for name in heard.members)
+    return at >= limits.let_in(permit.ends) or (
+        bool(heard.members) and all(name in said for name in heard.members)
     )
 
 
--- a/ambershift/maintenance/windows.py
+++ b/ambershift/maintenance/windows.py
@@ -111,7 +111,7 @@
     if "COUNT" in parts and "UNTIL" in parts:
         raise BadWindowError("rrule", "COUNT and UNTIL can't both stand")
     times = [parts[key].count(",") for key in ("BYHOUR", "BYMINUTE") if key in parts]
-    if any(one >= PER_DAY_MOST for one in times) or all(times) and len(times) > 1:
+    if any(one >= PER_DAY_MOST for one in times) or (all(times) and len(times) > 1):
         raise BadWindowError("rrule", f"opens more than {PER_DAY_MOST} times a day")
     if re.search(r"\d", parts.get("BYDAY", "")) and (
         frequency in ("DAILY", "WEEKLY") or "BYMONTHDAY" in parts or "BYSETPOS" in parts
--- a/ambershift/modelcheck/models/admin.py
+++ b/ambershift/modelcheck/models/admin.py
@@ -96,7 +96,7 @@
         return None
     for server in range(SERVERS):
         out = bool(world.wishes[server]) or world.listed[server] != api.Phase.READY
-        if f"s{server}" in world.held and not out or out and f"s{server}" not in world.held:
+        if (f"s{server}" in world.held and not out) or (out and f"s{server}" not in world.held):
             return (
                 f"server {server} is wished {State(world.wishes[server]).name}, the relay holds {world.held}"
             )
--- a/ambershift/modelcheck/models/news.py
+++ b/ambershift/modelcheck/models/news.py
@@ -156,8 +156,7 @@
         if (
             one.told_leaves > one.leaves
             or one.told_acks > one.acks
-            or not one.leaves
-            and one.told_joins > one.joins
+            or (not one.leaves and one.told_joins > one.joins)
         ):
             return f"proxy {at}: {one}"
         if one.told_leaves > one.told_joins:
@@ -332,7 +331,7 @@
         """At the beginning nothing has been told yet, so nothing can have been missed."""
         begun = any(one.joins for one in world.proxies) or world.breaks < self.breaks
         none = not any(stream.level for stream in world.held.streams)
-        return world._replace(gap=world.gap or begun and none)
+        return world._replace(gap=world.gap or (begun and none))
 
     def orbit(self, world: World) -> Iterable[World]:
         """The two connections are alike; proxies are told apart, as the first are asked first."""
--- a/ambershift/policy/channel.py
+++ b/ambershift/policy/channel.py
@@ -45,7 +45,7 @@
     cost, waiting = lines * len(proxies) + (terms.head + 1) * len(fresh), state.written - state.gone
     usual = state.usual * (EDITS if state.users[None] and part == ORDINARY else 1.0)
     most = terms.waiting_limit * DRAIN_PART if part >= GUARDING else usual
-    if waiting and waiting + cost > most or limited and written >= part * terms.message_limit:
+    if (waiting and waiting + cost > most) or (limited and written >= part * terms.message_limit):
         return False
     for index in proxies:
         spent[index] = spent.get(index, terms.head + 1) + lines
--- a/ambershift/policy/health.py
+++ b/ambershift/policy/health.py
@@ -39,7 +39,7 @@
         one: bad / tries
         for one, (tries, bad, took) in seen.items()
         if tries >= EVIDENCE_TRIES
-        and (took < LATE * state.budget or bad > LOST_SHARE * tries and state.level == 1.0)
+        and (took < LATE * state.budget or (bad > LOST_SHARE * tries and state.level == 1.0))
     }
     ease(state)
     bound = max(BAD_SHARE, min(3 * usual, LOST_SHARE))  # So many may be lost that it is usual.
--- a/ambershift/policy/levels.py
+++ b/ambershift/policy/levels.py
@@ -11,14 +11,14 @@
 
 def set_level(state: State, usual: float, took: float, tries: int, good: int) -> None:
     # Failures alone tell of servers lost or cut off: servers too full answer the rest late as well.
-    busy = took > BUSY_TIME * state.budget or usual > SHARED_BAD and took > FULL_TIME * state.budget
+    busy = took > BUSY_TIME * state.budget or (usual > SHARED_BAD and took > FULL_TIME * state.budget)
     # A try after a time-out runs the flow twice; one after a refusal feeds an overload.
     state.again = api.Again.NEVER if busy else api.Again.IF_NOT_RUN
     busy = busy or took > CALM_TIME * state.budget
     room = sum(state.servers[index].entry.weight * part for index, part in usable(state).items()) or 1.0
     state.delivered.append(good / room / state.lag)
     # One step for each round trip of order and report, else the same overload is counted twice.
-    if state.now < state.level_at + state.settle or not busy and state.level == 1.0:
+    if state.now < state.level_at + state.settle or (not busy and state.level == 1.0):
         return
     state.level_at = state.now
     room *= LOAD_AIM * max(state.delivered) * state.lag / tries if tries else 0.0
--- a/ambershift/policy/slices.py
+++ b/ambershift/policy/slices.py
@@ -12,7 +12,7 @@
     handover = terms.in_hand + max(terms.lease, terms.way_most) + SECOND
     load = {index: sum(index in lines for lines in state.held.values()) for index in ready}
     for number, lines in sorted(state.held.items()):
-        if not ready or any(index in ready for index in lines) and number not in state.stopped:
+        if not ready or (any(index in ready for index in lines) and number not in state.stopped):
             continue
         if terms.single_owner and lines:
             if number not in state.stopped and afford(state, everyone, 1, PRESSING):
--- a/ambershift/policy/tables.py
+++ b/ambershift/policy/tables.py
@@ -60,7 +60,7 @@
     fresh = not any(index in laid and index not in state.shut for index in wanted)
     changes.sort(key=lambda change: change[0] in state.placed)
     for index, weight in changes:
-        new = fresh or index not in state.placed and not state.servers[index].ill
+        new = fresh or (index not in state.placed and not state.servers[index].ill)
         if (new or state.idle) and afford(state, users, 1, PRESSING if new else ORDINARY):
             state.edited[table] = state.now
             state.orders.append(api.Share(table, index, weight))
--- a/ambershift/promises/steward.py
+++ b/ambershift/promises/steward.py
@@ -230,7 +230,7 @@
         for work in state.declared.works:
             for server in work.servers:
                 past = state.past.get((work.name, server))
-                if server in out or past is not None and past.done:
+                if server in out or (past is not None and past.done):
                     continue
                 found.append((work, server, past.granted + past.tries * self.limits.again if past else 0))
         return found
--- a/ambershift/replication/heard/store.py
+++ b/ambershift/replication/heard/store.py
@@ -55,7 +55,7 @@
         for name, held in self.found.get(kind, {}).get(key, {}).items():
             if not self.counts(now, held):
                 continue
-            if held.since > since or name == self.me and held.since == since:
+            if held.since > since or (name == self.me and held.since == since):
                 since, best = held.since, (name, held)
         return None if best is None or best[0] == self.me else self.record(now, *best)
 
@@ -188,7 +188,7 @@
     def origin(self, part: Part) -> Origin | None:
         """The life that a part is about; None where it is of no use."""
         known = self.origins.get(part.origin)
-        if part.origin == self.me or known is not None and known.incarnation > part.incarnation:
+        if part.origin == self.me or (known is not None and known.incarnation > part.incarnation):
             return None
         if known is None and len(self.origins) >= self.bounds.origins:
             self.left_out += 1
--- a/ambershift/runtime/grammar.py
+++ b/ambershift/runtime/grammar.py
@@ -40,7 +40,7 @@
     except UnicodeDecodeError as error:
         raise GrammarError(f"byte {error.start + 1} of the line is not UTF-8") from None
     for at, char in enumerate(text):
-        if char < " " and char != "\t" or char == "\x7f":
+        if (char < " " and char != "\t") or char == "\x7f":
             raise GrammarError(f"character {at + 1} of the line is a control character")
     return text
 
--- a/ambershift/runtime/reading.py
+++ b/ambershift/runtime/reading.py
@@ -197,7 +197,7 @@
     # Words
 
     def form(self, words: list[str], known: tuple[str, ...]) -> str:
-        if len(words) > 1 or words and words[0] not in known:
+        if len(words) > 1 or (words and words[0] not in known):
             raise BadCommandError(f"'{' '.join(words)[:80]}': only {' or '.join(known)} may stand here.")
         return words[0] if words else ""
 
--- a/ambershift/runtime/serving.py
+++ b/ambershift/runtime/serving.py
@@ -121,7 +121,7 @@
                 return Answer(("Done.",), Severity.INFO)
             if self.desk.stopping:
                 return Answer(("Interrupted: the coordinator ends.",), Severity.ERROR)
-            if link.writer.is_closing() or session.interactive and link.gone():
+            if link.writer.is_closing() or (session.interactive and link.gone()):
                 raise EndedError(Ending.IDLE)
             await self.pulse(min(POLL, (wait.until - self.now()) / SECOND))
             await asyncio.sleep(LOOK_AGAIN)  # Steps may come by the hundred, and clients that wait too.
@@ -147,7 +147,7 @@
     async def follow(
         self, link: Link, ledger: Ledger, after: int, key: asyncio.Future[list[bytes]] | None
     ) -> None:
-        while not (self.desk.stopping or link.writer.is_closing() or key and key.done()):
+        while not (self.desk.stopping or link.writer.is_closing() or (key and key.done())):
             fresh = [one for one in ledger.records if one.number > after]
             if fresh:
                 if fresh[0].number > after + 1 and after:
--- a/ambershift/runtime/stat.py
+++ b/ambershift/runtime/stat.py
@@ -242,7 +242,7 @@
         | LIST_DRAIN * (listed.phase == api.Phase.DRAINING)
         | LIST_GONE * (listed.phase == api.Phase.GONE)
     )
-    if bits & (FORCED_MAINT | LIST_GONE) and server not in view.world.lent or wish.health is Health.DOWN:
+    if (bits & (FORCED_MAINT | LIST_GONE) and server not in view.world.lent) or wish.health is Health.DOWN:
         return 0, bits
     if entry.phase != api.Phase.READY:
         return 3, bits
--- a/benchmarks/heard_state.py
+++ b/benchmarks/heard_state.py
@@ -99,7 +99,7 @@
     )
     for servers in (10, 100, 1_000, 10_000):
         for name, full in (("deltas", False), ("all is pushed", True)):
-            seconds = 10 if quick or full and servers > 1_000 else 60
+            seconds = 10 if quick or (full and servers > 1_000) else 60
             size, work, count = run(servers, seconds, full)
             print(
                 f"| {servers} | {name} | {size:.0f} | {size / servers:.1f} | {count:.1f} | {work:.1f} |",
--- a/benchmarks/probe/sitecustomize.py
+++ b/benchmarks/probe/sitecustomize.py
@@ -36,5 +36,5 @@
     atexit.register(write)
 
 
-if PLACE and sys.argv[:1] in (["-m"], ["-c"]) or PLACE and "ambershift" in " ".join(sys.orig_argv):
+if (PLACE and sys.argv[:1] in (["-m"], ["-c"])) or (PLACE and "ambershift" in " ".join(sys.orig_argv)):
     instrument()
