--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -262,4 +262,4 @@
     )
 
 
-__all__ = ["ALL", "IPS", "PLACES", "VoterConfiguration", "Table", "Ways", "World", "partial"]
+__all__ = ["ALL", "IPS", "PLACES", "Table", "VoterConfiguration", "Ways", "World", "partial"]
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -104,7 +104,7 @@
     scene.bytes.clear()
     id, drained = world.backend(size, 0).id, world.beat(size, 0, 999, "draining")
     ended(scene.registry.tombstones.write(id, 0, "", ""))
-    scene.registry.tombstones._durable_versions[id] = 1  # noqa: SLF001
+    scene.registry.tombstones._durable_versions[id] = 1
     ended(scene.registry.heartbeat(id, drained))
     found["the second after a drain|ms"] = micros(lambda _: scene.quiet_second(), 1) / 1e3
     found["told of a drain a link|B"] = (
