--- a/ambershift/system/simulation/fleet_links.py
+++ b/ambershift/system/simulation/fleet_links.py
@@ -4,30 +4,50 @@
 
 import asyncio
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 import msgspec
 from websockets.exceptions import ConnectionClosedError
 
 from ambershift.system.messages import codec
 from ambershift.system.simulation.observing import observe
+from ambershift.system.simulation.world import Box
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 from ambershift.system.transport.links import DIAL_LIMIT
 from ambershift.system.transport.send_queue import Outbox
 
-if TYPE_CHECKING:
-    from ambershift.system.simulation.fleet import Fleet
-
 HELD_UP = 200 * NS_PER_MS  # How often a sender tries again over a path that is cut.
 BYTE = 4000  # ns a byte takes to a proxy: a link of 2 Mbit/s.
 TRIPS_OF_A_DIAL = 4  # TCP's and HTTP's handshakes.
 
 
+class FleetNetwork(Protocol):
+    """What connections need of the simulated cluster that they belong to, as `fleet.Fleet` has it."""
+
+    now: int
+    dialled: int
+    cut: set[tuple[str, str]]
+    boxes: dict[str, Box]
+
+    def at(self, when: int, what: Callable[[], None]) -> None:
+        """Do something at a time of the simulation, in ns."""
+
+    def step(self, ip: str, life: int, event: Any) -> None:
+        """Give an event to one incarnation of a control node."""
+
+    def way_to(self, line: ProxyLink) -> int:
+        """Return how long a message takes between the two ends, in ns."""
+
+    def hang_up(self, line: ProxyLink) -> None:
+        """Tell the control node that the proxy has closed the connection."""
+
+
 class ProxyLink:
     """A connection of a proxy with one life of a control node; to `Outbox` and `receive` a websocket."""
 
-    def __init__(self, fleet: Fleet, proxy: str, ip: str, life: int) -> None:
+    def __init__(self, fleet: FleetNetwork, proxy: str, ip: str, life: int) -> None:
         self.fleet, self.proxy, self.ip, self.life = fleet, proxy, ip, life
         self.ended = False
         self.transport = self  # Of which only `abort` is used.
@@ -121,7 +141,7 @@
 class ProxyLinks:
     """The dialler of one proxy, as `processes.attachment.Dialler`."""
 
-    def __init__(self, fleet: Fleet, name: str) -> None:
+    def __init__(self, fleet: FleetNetwork, name: str) -> None:
         self.fleet, self.name = fleet, name
 
     async def dial(self, ip: str) -> Any:
