--- a/ambershift/system/processes/locality.py
+++ b/ambershift/system/processes/locality.py
@@ -1,4 +1,4 @@
-"""How far requests went: counts that an operator reads to see whether tables keep traffic at home."""
+"""How far requests went: counts that show an operator whether tables keep traffic in its zone and region."""
 
 from __future__ import annotations
 
@@ -7,50 +7,70 @@
 
 from ambershift.system.messages.proxy_link import BindTable, LoadReport
 
-REPORTS_PER_LOG_LINE = 10  # A line in the log for so many reports.
+REPORTS_PER_LOG_LINE = 10
 
 
 class Located(Protocol):
-    """A backend's life, of which only the place counts here."""
+    """A backend, of which only the location counts here."""
 
     zone: str
     region: str
 
 
 class LocalityCounter:
+    """Counts attempts by how far they went: own zone, own region, abroad.
+
+    `own_zone` and `own_region` are cumulative here, a zone being in its region; log fields are disjoint.
+    """
+
     def __init__(self, zone: str, region: str) -> None:
-        self.zone, self.region = zone, region
-        self.reports = self.attempts = self.failures = self.own_zone = self.own_region = 0
+        """Start the counts at zero, for a proxy in this zone and region."""
+        self.zone = zone
+        self.region = region
+        self._reset()
+
+    def _reset(self) -> None:
+        self.reports = 0
+        self.attempts = 0
+        self.failures = 0
+        self.own_zone = 0
+        self.own_region = 0
 
     def count(self, report: LoadReport, backends: Mapping[str, Located]) -> None:
+        """Add the attempts of a report; those to backends that are no longer known aren't counted."""
         self.reports += 1
-        for met in report.backends:
-            life = backends.get(met.backend_id)
-            if life is None:
-                continue  # Gone since: where it was is not worth keeping.
-            self.attempts += met.attempts
-            self.failures += met.failures
-            self.own_zone += met.attempts * (life.zone == self.zone)
-            self.own_region += met.attempts * (life.region == self.region)
-
-    def table_fields(self, bind: BindTable, backends: Mapping[str, Located]) -> dict[str, object]:
-        """A table's lines by place."""
-        found = [backends[id] for id, _ in bind.entries if id in backends]
-        region = sum(life.region == self.region for life in found)
-        own = sum(life.zone == self.zone for life in found)
-        return {"own_zone": own, "own_region": region - own, "abroad": len(bind.entries) - region}
+        for load in report.backends:
+            backend = backends.get(load.backend_id)
+            if backend is None:
+                continue
+            self.attempts += load.attempts
+            self.failures += load.failures
+            self.own_zone += load.attempts * (backend.zone == self.zone)
+            self.own_region += load.attempts * (backend.region == self.region)
+
+    def table_fields(self, table: BindTable, backends: Mapping[str, Located]) -> dict[str, object]:
+        """The log fields of a table: how many of its entries are how far."""
+        known = [backends[backend_id] for backend_id, _ in table.entries if backend_id in backends]
+        own_region = sum(backend.region == self.region for backend in known)
+        own_zone = sum(backend.zone == self.zone for backend in known)
+        return {
+            "own_zone": own_zone,
+            "own_region": own_region - own_zone,
+            "abroad": len(table.entries) - own_region,
+        }
 
     def is_due(self) -> bool:
+        """Whether enough reports were counted for a line in the log."""
         return self.reports >= REPORTS_PER_LOG_LINE
 
     def take_fields(self) -> dict[str, object]:
-        """The fields of the line; counting begins anew."""
-        told: dict[str, object] = {
+        """The log fields of the attempts counted; counting starts again at zero."""
+        fields: dict[str, object] = {
             "tries": self.attempts,
             "bad": self.failures,
             "own_zone": self.own_zone,
             "own_region": self.own_region - self.own_zone,
             "abroad": self.attempts - self.own_region,
         }
-        self.reports = self.attempts = self.failures = self.own_zone = self.own_region = 0
-        return told
+        self._reset()
+        return fields
--- a/ambershift/system/processes/logs.py
+++ b/ambershift/system/processes/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON line an event on standard output, by structlog, with the event's number and text."""
+"""Logs: one JSON line an event on standard output, by structlog, with the event's number and message."""
 
 from __future__ import annotations
 
@@ -10,32 +10,45 @@
 import structlog
 
 from ambershift.system.events import EVENTS, WARNING
+from ambershift.system.state_machine import NS_PER_SECOND
 
-MAX_LINES_PER_SECOND = (
-    20  # Of a number: a storm of the same tells nothing more, and each line costs processor time.
-)
+# Per event number: a storm of one event tells nothing more, and each line costs processor time.
+MAX_LINES_PER_SECOND = 20
 
 
 class EventLog:
-    """`log(number, fields)`; a number that isn't in the catalogue is a fault of the program."""
+    """Writes events as JSON lines; call it with an event's number and fields.
 
-    def __init__(self, name: str, steady: Callable[[], int]) -> None:
+    `system/events.py` has the catalogue of numbers. A number that isn't in it is a fault of the program, and
+    is written as a warning.
+    """
+
+    def __init__(self, node: str, steady: Callable[[], int]) -> None:
+        """Configure structlog for this process.
+
+        Args:
+            node: Name of this machine, in each line.
+            steady: The steady clock, in ns.
+        """
         structlog.configure(
             processors=[structlog.processors.JSONRenderer()],
             logger_factory=structlog.WriteLoggerFactory(sys.stdout),
             wrapper_class=structlog.BoundLogger,
             cache_logger_on_first_use=True,
         )
-        self.logger: Any = structlog.get_logger().bind(node=name)
-        self.steady, self.second, self.counts = steady, -1, Counter[int]()
+        self._logger: Any = structlog.get_logger().bind(node=node)
+        self._steady = steady
+        self._second = -1  # Of the steady clock; the lines of this second are counted.
+        self._line_counts = Counter[int]()  # By event number.
 
     def __call__(self, number: int, fields: dict[str, Any]) -> None:
-        now = self.steady()
-        if now // 1_000_000_000 != self.second:
-            self.second = now // 1_000_000_000
-            self.counts.clear()
-        self.counts[number] += 1
-        if self.counts[number] > MAX_LINES_PER_SECOND:
+        """Write an event, unless its number had `MAX_LINES_PER_SECOND` lines in this second."""
+        now = self._steady()
+        if now // NS_PER_SECOND != self._second:
+            self._second = now // NS_PER_SECOND
+            self._line_counts.clear()
+        self._line_counts[number] += 1
+        if self._line_counts[number] > MAX_LINES_PER_SECOND:
             return
-        level, text = EVENTS.get(number, (WARNING, f"event {number}"))
-        getattr(self.logger, level)(text, n=number, at=round(now / 1e9, 3), **fields)
+        level, message = EVENTS.get(number, (WARNING, f"event {number}"))
+        getattr(self._logger, level)(message, n=number, at=round(now / NS_PER_SECOND, 3), **fields)
--- a/ambershift/system/processes/metrics.py
+++ b/ambershift/system/processes/metrics.py
@@ -1,8 +1,7 @@
-"""A role's figures as Prometheus' text, on a port of its own, for whoever looks at an incident.
+"""A role's metrics in Prometheus' text format, on a port of their own.
 
-`metrics` in `deploy/system.toml` names port and path of each role; they stand here too, as a process is
-not told its own deploy file. The library is loaded by the first question: a day on which nobody asks pays
-nothing.
+`metrics` in `deploy/system.toml` names port and path of each role; they are repeated here, as a process isn't
+told its own deploy file. The library is loaded by the first scrape: one that isn't scraped pays nothing.
 """
 
 from __future__ import annotations
@@ -11,16 +10,25 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-PROXY_PORT, CONTROL_PORT, PATH = 9464, 9465, "/metrics"
-PORT_TAKEN = 7  # Number of the log's event.
+PROXY_PORT = 9464
+CONTROL_PORT = 9465
+PATH = "/metrics"
+PORT_TAKEN = 7  # Number of the event in the log.
 
 Application = Callable[[Any, Any, Any], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """A gauge: its name without the program's, what it tells and in which unit, and a value for each set of
-    labels (or one without)."""
+    """A gauge, with one value or a value for each value of a label.
+
+    Attributes:
+        name: Without the prefix `ambershift_`; with its base unit at the end.
+        help_text: What it tells, for `# HELP`.
+        value: The value of a gauge without a label.
+        label: Name of the label; empty for none.
+        values: By the value of the label.
+    """
 
     name: str
     help_text: str
@@ -30,37 +38,41 @@
 
 
 def render(metrics: Iterable[Metric]) -> bytes:
-    """In Prometheus' text format."""
+    """The metrics in Prometheus' text format."""
     from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
     registry = CollectorRegistry()
-    for one in metrics:
-        gauge = Gauge(
-            f"ambershift_{one.name}", one.help_text, [one.label] if one.label else [], registry=registry
-        )
-        if not one.label:
-            gauge.set(one.value)
-        for label, value in one.values.items():
-            gauge.labels(label).set(value)
-    found: bytes = generate_latest(registry)
-    return found
+    for metric in metrics:
+        label_names = [metric.label] if metric.label else []
+        gauge = Gauge(f"ambershift_{metric.name}", metric.help_text, label_names, registry=registry)
+        if not metric.label:
+            gauge.set(metric.value)
+        for label_value, value in metric.values.items():
+            gauge.labels(label_value).set(value)
+    text: bytes = generate_latest(registry)
+    return text
 
 
 class MetricsMiddleware:
-    """An ASGI application, and beside it the figures on their own port."""
+    """An ASGI application that answers requests on the metrics port and hands all others on."""
 
     def __init__(self, application: Application, port: int, collect: Callable[[], Sequence[Metric]]) -> None:
-        self._application, self._port, self._collect = application, port, collect
+        """Wrap `application`; `collect` is called at each scrape of `port`."""
+        self._application = application
+        self._port = port
+        self._collect = collect
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
+        """Serve one ASGI connection."""
         if scope["type"] != "http" or scope["server"][1] != self._port:
             await self._application(scope, receive, send)
             return
-        known = scope["path"] == PATH and scope["method"] == "GET"
-        body = render(self._collect()) if known else b""
+        is_scrape = scope["path"] == PATH and scope["method"] == "GET"
+        body = render(self._collect()) if is_scrape else b""
         headers = [
             (b"content-type", b"text/plain; version=0.0.4"),
             (b"content-length", b"%d" % len(body)),
         ]
-        await send({"type": "http.response.start", "status": 200 if known else 404, "headers": headers})
+        status = 200 if is_scrape else 404
+        await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": body})
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -11,31 +11,36 @@
 from ambershift.system.processes.http_server import (
     ACCEPTING_SHARE,
     HttpServer,
-    bind_listeners,
     create_server,
-    install_signal_handlers,
     response_deadline_s,
-    try_bind_listener,
 )
-from ambershift.system.processes.logs import EventLog
-from ambershift.system.processes.metrics import PORT_TAKEN, PROXY_PORT, Metric, MetricsMiddleware
-from ambershift.system.processes.settings_watch import POLL_INTERVAL_S as FILE_S
-from ambershift.system.processes.settings_watch import SettingsFileWatch
+from ambershift.system.processes.metrics import PROXY_PORT, Metric, MetricsMiddleware
+from ambershift.system.processes.role_process import RoleProcess, background_tasks
 from ambershift.system.proxy.intake import Intake
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.settings.local import Local, SettingsError, read_local
+from ambershift.system.settings.local import Local
 from ambershift.system.transport.links import Links
-from ambershift.system.transport.traffic_meter import Meter, Place
+from ambershift.system.transport.traffic_meter import Place
 
-REPORT_INTERVAL_S, KEEP_ALIVE_S = 1.0, 60
+REPORT_INTERVAL_S = 1.0
+KEEP_ALIVE_S = 60
+LISTEN_NAMES = ("Front", "Readiness")
+SHUTDOWN_TIMEOUT_MIN_S = 0.1
 
 
-class Proxy:
+class Proxy(RoleProcess):
+    """The process of the role `proxy`.
+
+    Attributes:
+        server: The ASGI application that carries the traffic.
+        links: Dials control nodes; nobody dials a proxy.
+        attachment: Keeps a link to a control node.
+    """
+
     def __init__(self, settings: Local) -> None:
-        self.settings = settings
-        self.log = EventLog(settings.name, time.monotonic_ns)
+        """Prepare the proxy; `run` opens its sockets."""
+        super().__init__(settings)
         self.server = ProxyServer(settings, time.monotonic_ns)
-        self.meter = Meter((settings.zone, settings.region), self.locate)
         self.links = Links(
             proxy_identity(settings),
             settings.internal[0],
@@ -43,98 +48,90 @@
             lambda _: None,
             lambda _: None,
             self.log,
-            self.meter,
+            self.traffic_meter,
         )
         self.attachment = Attachment(settings, self.server, self.links, time.monotonic_ns, self.log)
-        self.settings_watch = SettingsFileWatch(settings.file)
-        self.stop_requested = asyncio.Event()
 
-    def locate(self, ip: str) -> Place | None:
-        """Where a control node is."""
-        known = self.attachment.selector.cores
-        return next(((core.zone, core.region) for core in known if core.ip == ip), None)
+    def locate(self, peer: str) -> Place | None:
+        """Zone and region of a control node, by its ip."""
+        nodes = self.attachment.selector.cores
+        return next(((node.zone, node.region) for node in nodes if node.ip == peer), None)
 
     async def run(self) -> None:
-        install_signal_handlers(self.stop_requested.set, self.reload_settings)
-        listen, grace = self.settings.listen, self.settings.bounds.grace
-        sockets = bind_listeners([listen[key] for key in ("Front", "Readiness") if key in listen])
-        metrics = f"{self.settings.ip}:{PROXY_PORT}"
-        if (extra := try_bind_listener(metrics)) is not None:
-            sockets.append(extra)
-        else:
-            self.log(PORT_TAKEN, {"address": metrics})
+        """Serve until a stop is requested, then drain for the grace period."""
+        self.handle_signals()
+        sockets = self.bind_sockets(LISTEN_NAMES, PROXY_PORT)
         self.log(1, {"role": "proxy", "zone": self.settings.zone})
-        server = create_server(
+        grace_s = self.settings.bounds.grace  # A stop keeps to the grace period of the start.
+        server = self._create_server(grace_s)
+        with background_tasks(
+            server.serve(sockets=sockets),
+            self.attachment.run(),
+            self.run_checks(server),
+            self.run_reports(),
+        ) as tasks:
+            await self.stop_requested.wait()
+            await self._drain(server, tasks[0], grace_s)
+        await self.links.close()
+        self.log(3, {})
+
+    def _create_server(self, grace_s: float) -> HttpServer:
+        return create_server(
             MetricsMiddleware(self.server, PROXY_PORT, self.metrics),
             KEEP_ALIVE_S,
-            response_deadline_s(grace) - ACCEPTING_SHARE * grace,
+            response_deadline_s(grace_s) - ACCEPTING_SHARE * grace_s,
             partial(Intake, lambda: self.server.routing.limits, time.monotonic_ns),
         )
-        tasks = [
-            asyncio.ensure_future(one)
-            for one in (
-                server.serve(sockets=sockets),
-                self.attachment.run(),
-                self.run_checks(server),
-                self.run_reports(),
-            )
-        ]
-        await self.stop_requested.wait()
-        began = time.monotonic()
+
+    async def _drain(self, server: HttpServer, serving: asyncio.Task[None], grace_s: float) -> None:
+        """Announce the end, accept requests for a while, and complete those in flight."""
+        began_s = time.monotonic()
         self.log(2, {})
         self.server.leave()
         self.attachment.send_hello()
-        # Clients still come while an old answer of the directory names us: each is served and sent away.
-        await asyncio.sleep(ACCEPTING_SHARE * grace)
+        # Clients still arrive by an earlier answer of the directory: each is served and told to go elsewhere.
+        await asyncio.sleep(ACCEPTING_SHARE * grace_s)
         server.should_exit = True
+        remaining_s = began_s + response_deadline_s(grace_s) - time.monotonic()
         with contextlib.suppress(asyncio.TimeoutError):
-            await asyncio.wait_for(tasks[0], max(0.1, began + response_deadline_s(grace) - time.monotonic()))
-        for task in tasks:
-            task.cancel()
-        await self.links.close()
-        self.log(3, {})
+            await asyncio.wait_for(serving, max(SHUTDOWN_TIMEOUT_MIN_S, remaining_s))
 
     def metrics(self) -> list[Metric]:
-        """What metrics tell of this proxy."""
-        server, attachment = self.server, self.attachment
-        waiting = attachment.link.outbox.size if attachment.link.outbox else 0
+        """The metrics of this proxy."""
+        server, outbox = self.server, self.attachment.link.outbox
         return [
-            *attachment.metrics(),
+            *self.attachment.metrics(),
             Metric("ready", "whether this proxy serves", float(server.ready and not server.leaving)),
             Metric("requests_in_flight", "requests under way", server.admission.flying),
             Metric("routes", "routes in force", server.routing.routes),
             Metric("backends", "backends known", len(server.backend_view.lives)),
-            Metric("link_waiting_bytes", "bytes that wait for the control node's link", waiting),
+            Metric(
+                "link_waiting_bytes",
+                "bytes that wait for the control node's link",
+                outbox.size if outbox else 0,
+            ),
         ]
 
-    def reload_settings(self) -> None:
-        try:
-            self.settings = read_local(self.settings.file)
-        except SettingsError as why:
-            self.log(5, {"reason": str(why)})
-            return
+    def apply_settings(self) -> None:
+        """The attachment dials the new seeds from now on."""
         self.attachment.selector.reseed(self.settings.seed_ips)
-        self.log(4, {"seeds": len(self.settings.seeds)})
 
     async def run_checks(self, server: HttpServer) -> None:
-        due = 0.0
+        """Hand on what has changed: readiness, the keep-alive limit, the settings file."""
         while True:
             self.attachment.send_hello()
             server.advertise_keep_alive(self.server.routing.limits.told)
-            if time.monotonic() >= due:
-                due = time.monotonic() + FILE_S
-                if self.settings_watch.has_changed():
-                    self.reload_settings()
+            self.check_settings_file()
             await asyncio.sleep(LINK_CHECK_INTERVAL_S)
 
     async def run_reports(self) -> None:
+        """Report the load to the control node each `REPORT_INTERVAL_S`."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
-            report = self.server.report(time.monotonic_ns())
-            self.attachment.send_report(report)
-            if (told := self.meter.due(time.monotonic_ns())) is not None:
-                self.log(105, {**told})
+            self.attachment.send_report(self.server.report(time.monotonic_ns()))
+            self.log_traffic()
 
 
 async def run(settings: Local) -> None:
+    """Run a proxy until SIGTERM or SIGINT."""
     await Proxy(settings).run()
--- a/ambershift/system/processes/settings_watch.py
+++ b/ambershift/system/processes/settings_watch.py
@@ -3,26 +3,38 @@
 from __future__ import annotations
 
 import os
+from dataclasses import dataclass
 
 POLL_INTERVAL_S = 2.0
 
 
+@dataclass(frozen=True, slots=True)
+class FileState:
+    """What tells one content of a file from another without reading it."""
+
+    modified_ns: int
+    size_bytes: int
+    inode: int
+
+
 class SettingsFileWatch:
-    """A file as it was when last looked at."""
+    """Compares a file with what it was at the last look."""
 
     def __init__(self, file: str) -> None:
+        """Take the file's present state as the first look."""
         self.file = file
         self._last_state = self._read_state()
 
     def has_changed(self) -> bool:
-        """Whether it is another than at the last look; one that is away counts as unchanged."""
-        before, now = self._last_state, self._read_state()
-        self._last_state = now or before
-        return now is not None and now != before
+        """Whether the file differs from the last look; a file that is missing counts as unchanged."""
+        previous = self._last_state
+        current = self._read_state()
+        self._last_state = current or previous
+        return current is not None and current != previous
 
-    def _read_state(self) -> tuple[int, int, int] | None:
+    def _read_state(self) -> FileState | None:
         try:
-            found = os.stat(self.file)
+            status = os.stat(self.file)
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size, found.st_ino
+        return FileState(status.st_mtime_ns, status.st_size, status.st_ino)
--- a/tests/system/processes/test_control_node.py
+++ b/tests/system/processes/test_control_node.py
@@ -22,6 +22,7 @@
         setattr(made, name, Mock())
     made.store.control_nodes.return_value = ()  # type: ignore[attr-defined]
     made.settings = SimpleNamespace(seed_ips=())  # type: ignore[assignment]
+    made._next_settings_check_s = 0.0
     made.settings_watch = SimpleNamespace(has_changed=lambda: False)  # type: ignore[assignment]
     return made
 
