--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -255,7 +255,7 @@
             ],
             [repr(one) for one in replica._deferred],
             [
-                (one.kind, sorted(one.contacted), sorted(one.completed))
+                (type(one).__name__, sorted(one.contacted), sorted(one.completed))
                 for one in replica._anti_entropy._sessions
             ],
         ]
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -26,6 +26,8 @@
 from ambershift.system.consensus.peer_directory import PeerDirectory
 from ambershift.system.consensus.proposer import Proposer
 from ambershift.system.consensus.quorum_write import QuorumWriter
+from ambershift.system.consensus.sync_responder import SyncResponder
+from ambershift.system.consensus.sync_session import SyncContext
 from ambershift.system.consensus.tombstone_collector import TombstoneCollector
 from ambershift.system.consensus.voters import FOUNDER_DISK_ID, VotingState
 from ambershift.system.consensus.write_queue import WriteQueue
@@ -108,15 +110,13 @@
             out, self._voters, self._store, numbers, self._failure_detector.learners
         )
         self._anti_entropy = AntiEntropy(
-            out,
-            self._voters,
-            self._store,
-            self._acceptor,
-            journal,
-            numbers,
-            self._failure_detector.is_ready,
-            self._completed,
-            self._contact,
+            SyncContext(out, self._voters, self._contact, self._failure_detector.is_ready, self._completed),
+            store=self._store,
+            acceptor=self._acceptor,
+            next_request_id=numbers,
+        )
+        self._sync_responder = SyncResponder(
+            out, journal, voters=self._voters, store=self._store, acceptor=self._acceptor
         )
         self._decisions: list[VoterConfiguration] = []
         self._membership = MembershipManager(
@@ -234,7 +234,7 @@
             self._announcer.announce([sender])  # Its answer is the newer configuration.
             self._defer(sender, message)
         elif isinstance(message, SyncRequest):
-            self._anti_entropy.answer_request(sender, message)
+            self._sync_responder.answer_request(sender, message)
         elif self._voters.can_vote:
             if isinstance(message, Prepare):
                 self._acceptor.prepare(sender, message)
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -15,6 +15,7 @@
     proposer,
     quorum_write,
     replica,
+    sync_responder,
     voters,
     write_queue,
 )
@@ -59,7 +60,7 @@
 
 
 def shared_at_once(real: Any) -> Any:
-    def asked(self: anti_entropy.AntiEntropy, sender: str, ask: SyncRequest) -> None:
+    def asked(self: sync_responder.SyncResponder, sender: str, ask: SyncRequest) -> None:
         kept, self._journal = self._journal, _AtOnce()  # type: ignore[assignment]
         try:
             real(self, sender, ask)
@@ -118,7 +119,7 @@
 
 
 def never_fresh(real: Any) -> Any:
-    def judge(self: proposer.Proposer, register: Any, lease: Any, fresh: bool) -> None:
+    def judge(self: proposer.Proposer, register: Any, lease: Any, after_prepare: bool) -> None:
         real(self, register, lease, False)
 
     return judge
--- a/tests/system/simulation/test_histories.py
+++ b/tests/system/simulation/test_histories.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ambershift.modelcheck.mutants.words import broken
-from ambershift.system.consensus import anti_entropy
+from ambershift.system.consensus import sync_responder
 from ambershift.system.simulation.histories import Played, play, play_cluster
 from ambershift.system.simulation.judging import Judge, Told
 from ambershift.system.simulation.operator_history import Change, OperatorHistory, Order, Sight
@@ -55,7 +55,7 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Each item is a part of its own: no route is seen without the service that came with it, or before."""
-    monkeypatch.setattr(anti_entropy, "PART_BYTES_MAX", 1)
+    monkeypatch.setattr(sync_responder, "PART_BYTES_MAX", 1)
     assert play_cluster(seed).broken == []
 
 
