--- a/tests/support/control_api_world.py
+++ b/tests/support/fake_control_nodes.py
@@ -1,4 +1,4 @@
-"""A world for tests of control_api: time that jumps from timer to timer, and nodes on one plain store."""
+"""A cluster for tests of control_api: time that jumps from timer to timer, and nodes on one plain store."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from ambershift.system.state_machine import NS_PER_SECOND
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
-TRIP = 0.035  # Seconds, one way.
+ONE_WAY_DELAY_S = 0.035  # Seconds, one way.
 
 
-def order(register: str) -> list[str]:
+def proposer_ranking(register: str) -> list[str]:
     """Who is to propose for a register, the first choice first."""
     return sorted(IPS, key=lambda ip: rendezvous_score(ip, register))
 
 
-class _Jump(selectors.SelectSelector):
+class _TimeJumpingSelector(selectors.SelectSelector):
     """Never waits: time goes on to the next timer instead."""
 
-    loop: VirtualLoop
+    loop: VirtualTimeLoop
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
@@ -40,10 +40,10 @@
         return super().select(0)
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
         self.now = 1000.0
-        selector = _Jump()
+        selector = _TimeJumpingSelector()
         selector.loop = self
         super().__init__(selector)
 
@@ -51,11 +51,11 @@
         return self.now
 
 
-def play(main: Callable[[World], Coroutine[Any, Any, None]]) -> None:
-    """Run a test's story in a world of its own."""
-    loop = VirtualLoop()
+def run_story(main: Callable[[FakeCluster], Coroutine[Any, Any, None]]) -> None:
+    """Run a test's story in a cluster of its own."""
+    loop = VirtualTimeLoop()
     try:
-        loop.run_until_complete(main(World(loop)))
+        loop.run_until_complete(main(FakeCluster(loop)))
         for task in asyncio.all_tasks(loop):
             task.cancel()
         loop.run_until_complete(asyncio.sleep(0))
@@ -63,25 +63,25 @@
         loop.close()
 
 
-class World:
+class FakeCluster:
     """`lost` are machines that nothing reaches and that do nothing, and since when."""
 
-    def __init__(self, loop: VirtualLoop) -> None:
+    def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
         self.registers: dict[str, bytes] = {}
         self.items: dict[Key, Item] = {}
-        self.lost: dict[str, float] = {}
+        self.unreachable_since: dict[str, float] = {}
         self.unsettled: set[str] = set()
         self.sent: list[tuple[str, str, msgspec.Struct]] = []
-        self.ledgers = {ip: FakeLedger(self, ip) for ip in IPS}
+        self.stores = {ip: FakeReplicatedState(self, ip) for ip in IPS}
         self.registry = FakeRegistry()
-        self.machines = {
+        self.nodes = {
             ip: ControlApi(
-                _local(ip),
+                _settings_of(ip),
                 NodeContext(
                     ip=ip,
-                    store=self.ledgers[ip],
-                    monotonic_ns=self.steady,
+                    store=self.stores[ip],
+                    monotonic_ns=self.monotonic_ns,
                     send=self._sender(ip),
                     log=lambda number, fields: None,
                 ),
@@ -91,11 +91,11 @@
             for number, ip in enumerate(IPS)
         }
 
-    def lose(self, *ips: str) -> None:
+    def partition(self, *ips: str) -> None:
         """These and no others, from now on."""
-        self.lost = {ip: self.loop.now for ip in ips}
+        self.unreachable_since = {ip: self.loop.now for ip in ips}
 
-    def steady(self) -> int:
+    def monotonic_ns(self) -> int:
         return round(self.loop.now * NS_PER_SECOND)
 
     def _sender(self, own: str) -> Callable[[str, msgspec.Struct], None]:
@@ -103,11 +103,11 @@
             self.sent.append((own, to, message))
 
             def arrive() -> None:
-                if not {own, to} & self.lost.keys():
-                    self.machines[to].handle_message(own, decode(encode(message)))
+                if not {own, to} & self.unreachable_since.keys():
+                    self.nodes[to].handle_message(own, decode(encode(message)))
 
-            if own not in self.lost:
-                self.loop.call_later(TRIP, arrive)
+            if own not in self.unreachable_since:
+                self.loop.call_later(ONE_WAY_DELAY_S, arrive)
 
         return send
 
@@ -136,7 +136,7 @@
             "query_string": query.encode(),
             "headers": [],
         }
-        await self.machines[ip](scope, receive, send)
+        await self.nodes[ip](scope, receive, send)
         if not got:
             return 0, None
         return got[0]["status"], msgspec.json.decode(got[1]["body"]) if got[1]["body"] else None
@@ -149,10 +149,10 @@
 
 class FakeRegistry:
     def __init__(self) -> None:
-        self.beats: list[tuple[str, Any]] = []
+        self.heartbeats: list[tuple[str, Any]] = []
 
     async def heartbeat(self, id: str, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        self.beats.append((id, body))
+        self.heartbeats.append((id, body))
         return 200, {}
 
     async def deregister(self, id: str) -> tuple[int, dict[str, Any]]:
@@ -162,18 +162,18 @@
         return [f"10.1.0.{number}:8641" for number in range(100)] if region == "riga" else []
 
 
-class FakeLedger:
+class FakeReplicatedState:
     """One machine's view of the store. `faults` are carried out by the next calls, one each:
 
     "refused" (nothing is done), "unclear" (it is done), "lost" (not done, but who knows), "again" (the first
     run counts, then the change is run once more), "hangs".
     """
 
-    def __init__(self, world: World, ip: str) -> None:
-        self.world, self.ip = world, ip
+    def __init__(self, cluster: FakeCluster, ip: str) -> None:
+        self.cluster, self.ip = cluster, ip
         self.faults: list[str] = []
-        self.touch = True
-        self.held: dict[Key, Item] = {}
+        self.has_contact = True
+        self.stored_items: dict[Key, Item] = {}
         self.rounds = 0
         self.since: dict[str, tuple[bytes | None, int]] = {}
 
@@ -183,21 +183,21 @@
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "refused":
             raise NotAppliedError("refused")
-        lost = fault in ("hangs", "lost") or self.ip in self.world.lost
-        await asyncio.sleep(TRIP if fault == "lost" or not lost else timeout_s)
+        lost = fault in ("hangs", "lost") or self.ip in self.cluster.unreachable_since
+        await asyncio.sleep(ONE_WAY_DELAY_S if fault == "lost" or not lost else timeout_s)
         if lost:
             raise OutcomeUnknownError("lost")
         for _ in range(2 if fault == "again" else 1):
-            value = self.world.registers.get(register)
-            now = self.world.steady()
+            value = self.cluster.registers.get(register)
+            now = self.cluster.monotonic_ns()
             if register not in self.since or self.since[register][0] != value:
                 self.since[register] = value, now
             verdict = change(value, self.since[register][1], now)
             if verdict.new_value is not None:
                 assert verdict.new_value != value
-                self.world.registers[register] = verdict.new_value
+                self.cluster.registers[register] = verdict.new_value
                 self.since[register] = verdict.new_value, now
-        await asyncio.sleep(TRIP)
+        await asyncio.sleep(ONE_WAY_DELAY_S)
         if fault == "unclear":
             raise OutcomeUnknownError("unclear")
         return verdict.result
@@ -207,21 +207,21 @@
         if fault == "refused":
             raise NotAppliedError("refused")
         for item in items if fault != "lost" else ():
-            for held in (self.held, self.world.items):
+            for held in (self.stored_items, self.cluster.items):
                 held[item.key] = newest(item, held.get(item.key, item))
-        await asyncio.sleep(TRIP)
+        await asyncio.sleep(ONE_WAY_DELAY_S)
         if fault:
             raise OutcomeUnknownError(fault)
 
     async def read_quorum(self, timeout_s: float) -> None:
-        await asyncio.sleep(2 * TRIP)
+        await asyncio.sleep(2 * ONE_WAY_DELAY_S)
         fault = self.faults.pop(0) if self.faults else ""
         if fault:
             raise OutcomeUnknownError(fault)
-        self.held = dict(self.world.items)
+        self.stored_items = dict(self.cluster.items)
 
     def items(self) -> dict[Key, Item]:
-        return self.held
+        return self.stored_items
 
     def subscribe(self, on_items: Callable[[Sequence[Item]], None]) -> None:
         raise NotImplementedError
@@ -233,19 +233,19 @@
         return None
 
     def has_quorum_contact(self) -> bool:
-        return self.touch
+        return self.has_contact
 
     def settled_voters(self) -> frozenset[str]:
-        return frozenset(ip for ip in IPS if self.is_responsive(ip) and ip not in self.world.unsettled)
+        return frozenset(ip for ip in IPS if self.is_responsive(ip) and ip not in self.cluster.unsettled)
 
     def is_responsive(self, ip: str) -> bool:
-        return self.world.loop.now - self.world.lost.get(ip, self.world.loop.now) < 0.3
+        return self.cluster.loop.now - self.cluster.unreachable_since.get(ip, self.cluster.loop.now) < 0.3
 
     def is_alive(self, ip: str) -> bool:
         return True
 
 
-def _local(ip: str) -> Local:
+def _settings_of(ip: str) -> Local:
     return Local(
         file="",
         name=ip,
--- a/tests/system/consensus/test_guards.py
+++ b/tests/system/consensus/test_guards.py
@@ -16,49 +16,49 @@
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse
 from ambershift.system.messages.replication import Accept, Acknowledgement, Prepare, Promise
 from ambershift.system.state_machine import NS_PER_SECOND
-from tests.support.control_api_world import TRIP, World, order, play
+from tests.support.fake_control_nodes import ONE_WAY_DELAY_S, FakeCluster, proposer_ranking, run_story
 
 
-async def number(world: World, at: str) -> int:
+async def number(world: FakeCluster, at: str) -> int:
     return (await world.call(at, "POST", "/ambershift/numbers/n"))[0]
 
 
 def test_an_owner_that_gives_no_outcomes_is_passed_over_for_a_second_although_its_beats_come() -> None:
-    async def story(world: World) -> None:
-        owner, other, entry = order("n/n")
-        world.ledgers[entry].is_responsive = lambda ip: True  # type: ignore[method-assign]
-        world.lose(owner)
+    async def story(world: FakeCluster) -> None:
+        owner, other, entry = proposer_ranking("n/n")
+        world.stores[entry].is_responsive = lambda ip: True  # type: ignore[method-assign]
+        world.partition(owner)
         assert await number(world, entry) == 504
         begun = world.loop.now
         assert [await number(world, entry) for _ in range(3)] == [200] * 3
-        assert world.loop.now - begun < 0.5 and world.ledgers[other].rounds == 3
-        world.lose()
+        assert world.loop.now - begun < 0.5 and world.stores[other].rounds == 3
+        world.partition()
         await asyncio.sleep(1.1)
-        assert await number(world, entry) == 200 and world.ledgers[owner].rounds == 1
+        assert await number(world, entry) == 200 and world.stores[owner].rounds == 1
         # One that answers, but that it is out of touch.
-        world.ledgers[owner].touch = False
-        assert await number(world, entry) == 200 and world.ledgers[other].rounds == 4
+        world.stores[owner].has_contact = False
+        assert await number(world, entry) == 200 and world.stores[other].rounds == 4
 
-    play(story)
+    run_story(story)
 
 
 def test_a_watch_moves_back_with_its_owner() -> None:
     """Puts through the first choice are told to nobody: a watch must wait there."""
 
-    async def story(world: World) -> None:
-        owner, other, entry = order("g/g.")
+    async def story(world: FakeCluster) -> None:
+        owner, other, entry = proposer_ranking("g/g.")
         assert (await world.rpc(entry, "cells.replace", "g.a", {"Value": "a", "AppliesTo": 0}))[0] == 200
-        world.lose(owner)
+        world.partition(owner)
         await asyncio.sleep(0.4)
         watch = asyncio.ensure_future(world.call(entry, "GET", "/ambershift/watch/g.?after=1&WaitMs=9000"))
         await asyncio.sleep(0.3)
-        world.lose()
+        world.partition()
         await asyncio.sleep(0.8)
         assert (await world.rpc(other, "cells.replace", "g.b", {"Value": "b", "AppliesTo": 0}))[0] == 200
-        await asyncio.sleep(2 * TRIP)
+        await asyncio.sleep(2 * ONE_WAY_DELAY_S)
         assert watch.done() and watch.result()[1]["Revision"] == 2
 
-    play(story)
+    run_story(story)
 
 
 def test_an_outcome_counts_only_from_whom_the_call_was_handed_to_last() -> None:
--- a/tests/system/coordination/test_coordination.py
+++ b/tests/system/coordination/test_coordination.py
@@ -35,7 +35,7 @@
     results: list[Any] = field(default_factory=list)
 
 
-class LocksAnyhow(RuleBasedStateMachine):
+class LockCallsInAnyOrder(RuleBasedStateMachine):
     """One lock on an agreed value: each run reads the newest value, as agreement sees to that."""
 
     def __init__(self) -> None:
@@ -122,8 +122,10 @@
         assert sum(until > self.now for _, until in self.claims.values()) <= 1
 
 
-TestLocksAnyhow = LocksAnyhow.TestCase
-TestLocksAnyhow.settings = settings(max_examples=200, stateful_step_count=20, deadline=None, derandomize=True)
+TestLockCallsInAnyOrder = LockCallsInAnyOrder.TestCase
+TestLockCallsInAnyOrder.settings = settings(
+    max_examples=200, stateful_step_count=20, deadline=None, derandomize=True
+)
 
 
 def run(value: bytes | None, change: ChangeFunction, now: int = 0) -> tuple[bytes | None, int, Any]:
@@ -132,7 +134,7 @@
     return verdict.new_value or value, verdict.result.status, msgspec.json.decode(body) if body else None
 
 
-def test_a_lock_goes_on_when_it_ought_to() -> None:
+def test_a_lock_is_granted_on_release_and_expiry_only() -> None:
     """Safety alone would be had by never giving it to anybody."""
     value, status, _ = run(None, locks.acquire("a", 1000, "1"))
     late = 1000 * NS_PER_MS + locks.CLOCK_DRIFT_MARGIN_NS
@@ -147,7 +149,7 @@
     assert run(given_back, locks.acquire("a", 1000, "1"))[1] == 409  # A late run of what was given back.
 
 
-def test_what_is_under_way_still_cuts_no_hold_short() -> None:
+def test_delayed_calls_do_not_shorten_a_lease() -> None:
     value, _, _ = run(None, locks.acquire("a", 2000, "1"))
     for unheard in (locks.renew("a", 1, 300), locks.acquire("a", 300, "2")):
         shorter, _, _ = run(value, unheard, 100 * NS_PER_MS)
@@ -162,7 +164,7 @@
     assert run(value, numbers.next_number)[2]["Value"] > first["Value"]
 
 
-class GroupsAnyhow(RuleBasedStateMachine):
+class CellCallsInAnyOrder(RuleBasedStateMachine):
     """Puts with and without a revision, sent again at any time, against a plain list of all puts."""
 
     def __init__(self) -> None:
@@ -241,11 +243,13 @@
                 assert found == {"Value": self.puts[present - 1][1], "Revision": present}
 
 
-TestGroupsAnyhow = GroupsAnyhow.TestCase
-TestGroupsAnyhow.settings = settings(max_examples=60, stateful_step_count=25, deadline=None, derandomize=True)
+TestCellCallsInAnyOrder = CellCallsInAnyOrder.TestCase
+TestCellCallsInAnyOrder.settings = settings(
+    max_examples=60, stateful_step_count=25, deadline=None, derandomize=True
+)
 
 
-def test_events_are_forgotten_in_time() -> None:
+def test_events_are_pruned_after_the_retention_time() -> None:
     """Else a group would grow with the day."""
     ages, value = RevisionAges(30 * NS_PER_SECOND), None
     for number in range(1, 1001):
@@ -256,7 +260,7 @@
     assert len(decode_group(value).events) == MIN_RETAINED_EVENTS
 
 
-def test_differences_tell_values_apart() -> None:
+def test_a_delta_is_refused_between_unrelated_values() -> None:
     """Of two proposals one may be given up, and the next be made from the other."""
     ages = RevisionAges(NS_PER_SECOND)
     both = [run(None, cells.compare_and_set("g.a", value, None, ages))[0] for value in ("kept", "given up")]
@@ -266,5 +270,5 @@
     assert GROUP_DELTAS.diff(msgspec.msgpack.encode(1), msgspec.msgpack.encode(2)) is None
 
 
-def test_groups_end_at_the_first_dot() -> None:
+def test_group_names_end_at_the_first_dot() -> None:
     assert [group_name(key) for key in ("g1.2d", "g1.a.b", "alone", ".x")] == ["g1.", "g1.", "alone", "."]
