--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -122,12 +122,12 @@
         self._membership = MembershipManager(
             out,
             self._voters,
-            self._peer_directory,
-            self._failure_detector,
-            self._acceptor,
-            self._proposer,
-            settings.tolerated,
-            self._decisions.append,
+            directory=self._peer_directory,
+            failure_detector=self._failure_detector,
+            acceptor=self._acceptor,
+            proposer=self._proposer,
+            tolerated=settings.tolerated,
+            on_configuration=self._decisions.append,
         )
         self._tombstone_collector = TombstoneCollector(
             out, self._voters, self._failure_detector, self._store, self._proposer, self._quorum_writer
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -214,7 +214,7 @@
         "a voter that is gone keeps its seat for ever",
         membership_plan,
         "_remove_while_better",
-        constant(lambda seats, out, least: list(seats)),
+        constant(lambda seats, candidates, min_tolerance: list(seats)),
     ),
     of(
         "leaving-ones-left-out-whoever-is-left",
