--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -34,19 +34,27 @@
 
 
 class Proposer:
+    """Proposes changes of registers to the voters and keeps a prepared ballot for each register it won."""
+
     def __init__(
         self,
         out: EffectBuffer,
         voters: VotingState,
         acceptor: Acceptor,
+        *,
         delta_codecs: Callable[[str], DeltaCodec | None],
         incarnation: int,
         rng: random.Random,
         next_request_id: Callable[[], int],
         is_reachable: Callable[[str], bool],
     ) -> None:
-        self._out, self._voters, self._acceptor, self._delta_codecs = out, voters, acceptor, delta_codecs
-        self._incarnation, self._rng, self._next_request_id = incarnation, rng, next_request_id
+        self._out = out
+        self._voters = voters
+        self._acceptor = acceptor
+        self._delta_codecs = delta_codecs
+        self._incarnation = incarnation
+        self._rng = rng
+        self._next_request_id = next_request_id
         self._fanout = RoundFanout(out, voters, is_reachable)
         self._registers: dict[str, ProposerRegister] = {}
         self._active: set[str] = set()
@@ -66,10 +74,10 @@
         self._active.add(register_name)
         self._start_next_round(register)
 
-    # What the voters say.
+    # Replies of the acceptors.
 
     def receive_reply(self, sender: str, message: AcceptorReply) -> bool:
-        """Take an answer; False where no round of this proposer is meant."""
+        """Handle an acceptor's reply; False where it belongs to no round of this proposer."""
         register = self._rounds.get(message.request_id)
         round_ = None if register is None else register.round
         if register is None or round_ is None or round_.request_id != message.request_id:
@@ -77,79 +85,80 @@
         if message.epoch != round_.epoch or sender not in self._voters.ips:
             return True
         if isinstance(message, Rejected):
-            register.highest_counter = max(register.highest_counter, message.promised_counter)
-            if sender in round_.granted:
-                return True
-            ballot = round_.message.ballot
-            preparing = isinstance(round_.message, Prepare)
-            if not register.counter_raised and (preparing or message.promised_counter > ballot[0] + 1):
-                # Most likely nobody is at it just now: this machine's copy or lease is of long ago.
-                register.counter_raised = True
-                self._abandon_round(register, paused=False)
-                return True
-            if isinstance(round_.message, ConfirmBallot) and message.promised_counter < ballot[0]:
-                self._fanout.send_prepare_to(sender, register, round_)
-                return True
-            round_.rejected.add(sender)
-            if len(round_.rejected) > len(self._voters.ips_by_proximity) - self._voters.quorum_size:
-                self._abandon_round(register)
-            else:  # The others may suffice, but if one of them is away, two proposers would wait for it.
-                self._fanout.send_to_remaining(register, round_)
-                round_.retry_at_ns = min(round_.retry_at_ns, self._out.now + self._fanout.hedge_delay_ns())
+            self._on_rejected(sender, message, register, round_)
         elif isinstance(message, MissingBase):
             register.peer_ballots.pop(sender, None)
             self._fanout.send_to(sender, register, round_)
         else:
             round_.rejected.discard(sender)
             round_.granted.add(sender)
-            if isinstance(message, Promise):
-                register.peer_ballots[sender] = message.accepted_ballot
-                if (
-                    isinstance(round_.message, ConfirmBallot)
-                    and message.accepted_ballot > round_.accepted_ballot
-                ):
-                    self._abandon_round(register)
-                    return True
-            if isinstance(message, Promise) and message.accepted_ballot >= round_.accepted_ballot:
-                value = (
-                    register.local_state.value
-                    if message.accepted_ballot == register.local_state.accepted_ballot
-                    else message.value
-                )
-                round_.accepted_ballot, round_.origin_ballot, round_.value = (
-                    message.accepted_ballot,
-                    message.origin_ballot,
-                    value,
-                )
-            if len(round_.granted) >= self._voters.quorum_size:
+            if isinstance(message, Promise) and not self._on_promise(sender, message, register, round_):
+                self._abandon_round(register)
+            elif len(round_.granted) >= self._voters.quorum_size:
                 self._complete_round(register, round_)
         return True
 
+    def _on_rejected(self, sender: str, message: Rejected, register: ProposerRegister, round_: Round) -> None:
+        register.highest_counter = max(register.highest_counter, message.promised_counter)
+        if sender in round_.granted:
+            return
+        ballot = round_.message.ballot
+        preparing = isinstance(round_.message, Prepare)
+        if not register.counter_raised and (preparing or message.promised_counter > ballot[0] + 1):
+            # Most likely nobody else proposes now: this machine's copy or prepared ballot is of long ago.
+            register.counter_raised = True
+            self._abandon_round(register, paused=False)
+            return
+        if isinstance(round_.message, ConfirmBallot) and message.promised_counter < ballot[0]:
+            self._fanout.send_prepare_to(sender, register, round_)
+            return
+        round_.rejected.add(sender)
+        if len(round_.rejected) > len(self._voters.ips_by_proximity) - self._voters.quorum_size:
+            self._abandon_round(register)
+        else:  # The others may suffice, but if one of them is away, two proposers would wait for it.
+            self._fanout.send_to_remaining(register, round_)
+            round_.retry_at_ns = min(round_.retry_at_ns, self._out.now + self._fanout.hedge_delay_ns())
+
+    @staticmethod
+    def _on_promise(sender: str, message: Promise, register: ProposerRegister, round_: Round) -> bool:
+        """Note what the voter has accepted; False where that is newer than what the round confirms."""
+        accepted = message.accepted_ballot
+        register.peer_ballots[sender] = accepted
+        if isinstance(round_.message, ConfirmBallot) and accepted > round_.accepted_ballot:
+            return False
+        if accepted >= round_.accepted_ballot:
+            local = register.local_state
+            round_.accepted_ballot = accepted
+            round_.origin_ballot = message.origin_ballot
+            round_.value = local.value if accepted == local.accepted_ballot else message.value
+        return True
+
     def _complete_round(self, register: ProposerRegister, round_: Round) -> None:
         self._fanout.record_duration(self._out.now - round_.started_ns)
         self._end_round(register)
         if isinstance(round_.message, Prepare):
-            lease = PreparedBallot(
+            prepared = PreparedBallot(
                 round_.epoch,
                 round_.message.ballot,
                 round_.accepted_ballot,
                 round_.origin_ballot,
                 round_.value,
             )
-            register.prepared = lease
-            self._apply_changes(register, lease, after_prepare=True)
+            register.prepared = prepared
+            self._apply_changes(register, prepared, after_prepare=True)
             return
-        register.failed_attempts, register.counter_raised = 0, False
+        register.failed_attempts = 0
+        register.counter_raised = False
         if isinstance(round_.message, Accept):
             ballot = round_.message.ballot
-            following = (ballot[0] + 1, self._incarnation)
+            next_ballot = (ballot[0] + 1, self._incarnation)
             register.prepared = PreparedBallot(
-                round_.epoch, following, ballot, round_.origin_ballot, round_.value
+                round_.epoch, next_ballot, ballot, round_.origin_ballot, round_.value
             )
         if round_.rejected:  # Somebody was promised more: prepare above it next time.
             register.prepared = None
-        for call, result in round_.results:
-            call.on_done(result)
+        for pending, result in round_.results:
+            pending.on_done(result)
         self._start_next_round(register)
 
     # Rounds.
@@ -161,9 +170,9 @@
             return
         if self._voters.configuration is None:
             return
-        lease = register.prepared
-        if lease is not None and lease.epoch == self._voters.epoch:
-            self._apply_changes(register, lease, after_prepare=False)
+        prepared = register.prepared
+        if prepared is not None and prepared.epoch == self._voters.epoch:
+            self._apply_changes(register, prepared, after_prepare=False)
             return
         register.local_state = self._acceptor.state(register.name)
         # This copy may be behind by the writes of a while, and to be refused costs a trip and a pause.
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -100,11 +100,11 @@
             out,
             self._voters,
             self._acceptor,
-            shapes,
-            chance.randrange(1, 1 << 32),
-            chance,
-            numbers,
-            self._failure_detector.has_stable_contact,
+            delta_codecs=shapes,
+            incarnation=chance.randrange(1, 1 << 32),
+            rng=chance,
+            next_request_id=numbers,
+            is_reachable=self._failure_detector.has_stable_contact,
         )
         self._quorum_writer = QuorumWriter(
             out, self._voters, self._store, numbers, self._failure_detector.learners
--- a/ambershift/system/interfaces.py
+++ b/ambershift/system/interfaces.py
@@ -13,17 +13,30 @@
 
 
 @dataclass(eq=False)
-class OutcomeUnknownError(Exception):
-    """Not enough copies answered in time. A write may or may not hold: nothing is promised."""
+class ReplicationError(Exception):
+    """The base of what a call of `ReplicatedState` raises.
+
+    Attributes:
+        reason: What went wrong, as part of a sentence.
+    """
 
     reason: str
 
 
 @dataclass(eq=False)
-class NotAppliedError(Exception):
-    """Nothing was done, and it never will be (nothing was sent, or the disk refused before)."""
+class OutcomeUnknownError(ReplicationError):
+    """Too few voters answered in time. A write may be stored or not: the caller must allow for both."""
 
-    reason: str
+    def __str__(self) -> str:
+        return f"The outcome is unknown: {self.reason}."
+
+
+@dataclass(eq=False)
+class NotAppliedError(ReplicationError):
+    """Nothing was changed, and this call never will change anything."""
+
+    def __str__(self) -> str:
+        return f"Nothing was changed: {self.reason}."
 
 
 @dataclass(frozen=True, slots=True)
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -31,8 +31,8 @@
 
 
 def ballot_of_the_machine(real: Any) -> Any:
-    def init(self: Any, out: Any, voters: Any, acceptor: Any, shapes: Any, life: int, *others: Any) -> None:
-        real(self, out, voters, acceptor, shapes, crc32(out.local_ip.encode()), *others)
+    def init(self: Any, out: Any, voters: Any, acceptor: Any, *, incarnation: int, **others: Any) -> None:
+        real(self, out, voters, acceptor, incarnation=crc32(out.local_ip.encode()), **others)
 
     return init
 
--- a/tests/system/consensus/test_guards.py
+++ b/tests/system/consensus/test_guards.py
@@ -103,11 +103,11 @@
             self.out,
             self.voters,
             Acceptor(),
-            lambda name: None,
-            9,  # type: ignore[arg-type]
-            random.Random(1),
-            numbers.__next__,
-            lambda ip: True,
+            delta_codecs=lambda name: None,
+            incarnation=9,
+            rng=random.Random(1),
+            next_request_id=numbers.__next__,
+            is_reachable=lambda ip: True,
         )
 
     def call(self, value: bytes) -> Any:
