--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -130,7 +130,9 @@
             self.disks[place] = {}
         local = settings(place)
         rows = {kind: dict(some) for kind, some in self.disks[place].items()}
-        self.replicas[place] = Replica(replace(local, initial=not wiped), self.starts, shape, rows, self.now)
+        self.replicas[place] = Replica(
+            replace(local, initial=not wiped), seed=self.starts, delta_codecs=shape, rows=rows, now=self.now
+        )
         self.does(place, None, frozenset())
 
     def does(self, place: int, event: Any, ways: Ways) -> None:
@@ -253,7 +255,7 @@
                 )
                 for name, one in sorted(registers.items())
             ],
-            [repr(one) for one in replica._deferred],
+            [repr(one) for one in replica._vote_requests.deferred],
             [
                 (type(one).__name__, sorted(one.contacted), sorted(one.completed))
                 for one in replica._anti_entropy._sessions
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -29,6 +29,8 @@
 from ambershift.system.consensus.sync_responder import SyncResponder
 from ambershift.system.consensus.sync_session import SyncContext
 from ambershift.system.consensus.tombstone_collector import TombstoneCollector
+from ambershift.system.consensus.vote_requests import VoteRequestHandler
+from ambershift.system.consensus.voter_changes import VoterChanges
 from ambershift.system.consensus.voters import FOUNDER_DISK_ID, VotingState
 from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.interfaces import DeltaCodec
@@ -53,17 +55,23 @@
 from ambershift.system.state_machine import NS_PER_SECOND, Effect, MessageReceived, Tick, WriteCompleted
 
 PREFETCH_INTERVAL_NS = NS_PER_SECOND
-DEFERRED_MESSAGES_MAX = 2000  # Messages kept for when this machine votes.
-EVENT_BORN, EVENT_VOTERS, EVENT_WHOLE = 203, 204, 205
+EVENT_DISK_CREATED = 203
+EVENT_COPY_COMPLETE = 205
 Rows = Mapping[str, dict[str, bytes]]
-
-
 _VOTE_REQUESTS = (Prepare, Accept, ConfirmBallot, SyncRequest)
 
 
 class Replica:
+    """The components of one control node's copy, and the order in which they see each event."""
+
     def __init__(
-        self, settings: Local, seed: int, shapes: Callable[[str], DeltaCodec | None], rows: Rows, now: int
+        self,
+        settings: Local,
+        *,
+        seed: int,
+        delta_codecs: Callable[[str], DeltaCodec | None],
+        rows: Rows,
+        now: int,
     ) -> None:
         chance = random.Random(seed)
         out = self._out = EffectBuffer(settings.ip)
@@ -82,7 +90,7 @@
         numbers = itertools.count(chance.randrange(1 << 31)).__next__
         self._store = ItemStore(out, journal, rows.get("items", {}))
         self._voters = VotingState(journal, me, meta)
-        self._acceptor = Acceptor(out, journal, shapes, rows.get("registers", {}))
+        self._acceptor = Acceptor(out, journal, delta_codecs, rows.get("registers", {}))
         self._contact = ContactLease(out, self._voters)
         self._peer_directory = PeerDirectory(out, self._voters, settings.seed_ips)
         self._failure_detector = FailureDetector(out, self._voters, self._peer_directory)
@@ -100,7 +108,7 @@
             out,
             self._voters,
             self._acceptor,
-            delta_codecs=shapes,
+            delta_codecs=delta_codecs,
             incarnation=chance.randrange(1, 1 << 32),
             rng=chance,
             next_request_id=numbers,
@@ -110,15 +118,38 @@
             out, self._voters, self._store, numbers, self._failure_detector.learners
         )
         self._anti_entropy = AntiEntropy(
-            SyncContext(out, self._voters, self._contact, self._failure_detector.is_ready, self._completed),
+            SyncContext(
+                out, self._voters, self._contact, self._failure_detector.is_ready, self._on_caught_up
+            ),
             store=self._store,
             acceptor=self._acceptor,
             next_request_id=numbers,
         )
-        self._sync_responder = SyncResponder(
+        sync_responder = SyncResponder(
             out, journal, voters=self._voters, store=self._store, acceptor=self._acceptor
         )
-        self._decisions: list[VoterConfiguration] = []
+        self._vote_requests = VoteRequestHandler(
+            out,
+            journal,
+            voters=self._voters,
+            acceptor=self._acceptor,
+            sync_responder=sync_responder,
+            announcer=self._announcer,
+        )
+        self._voter_changes = VoterChanges(
+            out,
+            voters=self._voters,
+            acceptor=self._acceptor,
+            directory=self._peer_directory,
+            contact=self._contact,
+            announcer=self._announcer,
+            on_epoch_changed=(
+                self._anti_entropy.epoch_changed,
+                self._dispatch_deferred,
+                self._quorum_writer.epoch_changed,
+                self._proposer.epoch_changed,
+            ),
+        )
         self._membership = MembershipManager(
             out,
             self._voters,
@@ -127,21 +158,20 @@
             acceptor=self._acceptor,
             proposer=self._proposer,
             tolerated=settings.tolerated,
-            on_configuration=self._decisions.append,
+            on_configuration=self._voter_changes.queue_decided,
         )
         self._tombstone_collector = TombstoneCollector(
             out, self._voters, self._failure_detector, self._store, self._proposer, self._quorum_writer
         )
         self._next_prefetch_ns = 0
-        self._deferred: list[tuple[str, msgspec.Struct]] = []
         if "birth" not in meta:
             journal.put("meta", "ip", settings.ip.encode())
             journal.put("meta", "birth", str(birth).encode())
-            out.log(EVENT_BORN, birth=birth, founding=founding)
+            out.log(EVENT_DISK_CREATED, birth=birth, founding=founding)
         if founding:
             self._voters.bootstrap(settings.seed_ips)
         if self._voters.is_voter:
-            self._voted()
+            self._voter_changes.record_membership()
             self._anti_entropy.catch_up()
 
     # Events.
@@ -172,9 +202,9 @@
                 now + int(event.timeout_s * NS_PER_SECOND),
                 partial(out.complete_call, event.call),
             )
-        while out.loopback or self._decisions:
-            if self._decisions:
-                self._decided(self._decisions.pop(0))
+        while out.loopback or self._voter_changes.has_decided:
+            if self._voter_changes.has_decided:
+                self._voter_changes.adopt_next_decided()
             else:
                 self._dispatch(out.local_ip, out.loopback.popleft())
         self._journal.flush()
@@ -202,9 +232,9 @@
         elif isinstance(message, MergeItems):
             taken = self._merge(message)  # Newer is newer, whoever votes.
             if message.request_id and taken:
-                self._vote(sender, message, message.epoch)
+                self._vote_requests.handle(sender, message, message.epoch)
         elif isinstance(message, _VOTE_REQUESTS):
-            self._vote(sender, message, message.epoch)
+            self._vote_requests.handle(sender, message, message.epoch)
         elif isinstance(message, SyncResponse):
             self._anti_entropy.receive_response(sender, message)
         elif isinstance(message, Heartbeat):
@@ -216,7 +246,7 @@
         elif isinstance(message, PeerList):
             self._announcer.handle_peer_list(sender, message)
         elif isinstance(message, VoterConfiguration):
-            self._adopt(message)
+            self._voter_changes.adopt(message)
 
     def _merge(self, message: MergeItems) -> bool:
         replaced = self._store.resets
@@ -225,71 +255,12 @@
             self._anti_entropy.restart()
         return taken
 
-    def _vote(self, sender: str, message: msgspec.Struct, epoch: int) -> None:
-        """Handle what wants this machine's vote, if the sender counts by the same voters as it does."""
-        decision = self._voters.configuration
-        if decision is not None and epoch < decision.epoch:
-            self._out.send(sender, decision)
-        elif decision is None or epoch > decision.epoch:
-            self._announcer.announce([sender])  # Its answer is the newer configuration.
-            self._defer(sender, message)
-        elif isinstance(message, SyncRequest):
-            self._sync_responder.answer_request(sender, message)
-        elif self._voters.can_vote:
-            if isinstance(message, Prepare):
-                self._acceptor.prepare(sender, message)
-            elif isinstance(message, Accept):
-                self._acceptor.accept(sender, message)
-            elif isinstance(message, ConfirmBallot):
-                self._acceptor.confirm(sender, message)
-            elif isinstance(message, MergeItems):
-                self._journal.on_durable(
-                    partial(self._out.send, sender, Acknowledgement(epoch, message.request_id))
-                )
-        elif self._voters.is_voter:
-            self._defer(sender, message)
-
-    def _defer(self, sender: str, message: msgspec.Struct) -> None:
-        """Keep it until this machine knows the newer voters, or is complete: both take a moment only."""
-        if len(self._deferred) < DEFERRED_MESSAGES_MAX:
-            self._deferred.append((sender, message))
-
     def _dispatch_deferred(self) -> None:
-        held, self._deferred = self._deferred, []
-        for sender, message in held:
+        for sender, message in self._vote_requests.take_deferred():
             self._dispatch(sender, message)
 
-    # Voters.
-
-    def _decided(self, decision: VoterConfiguration) -> None:
-        """This machine has found out what the voters decided: tell all, then count by it."""
-        if decision.epoch > self._voters.epoch:
-            for ip in self._peer_directory.peers():
-                self._out.send(ip, decision)
-        self._adopt(decision)
-
-    def _adopt(self, decision: VoterConfiguration) -> None:
-        if not self._voters.adopt(decision):
-            return
-        self._out.log(EVENT_VOTERS, epoch=decision.epoch, voters=[one.ip for one in decision.voters])
-        self._acceptor.delete_voter_registers(f"@{decision.epoch}")
-        self._peer_directory.handle_configuration_change()
-        self._contact.handle_configuration_change()
-        self._voted()
-        self._anti_entropy.epoch_changed()
-        self._dispatch_deferred()
-        self._quorum_writer.epoch_changed()
-        self._proposer.epoch_changed()
-
-    def _voted(self) -> None:
-        me = self._voters.local_node
-        if me.initial and self._voters.is_voter:
-            self._announcer.update_local_node(
-                msgspec.structs.replace(me, initial=False, version=me.version + 1)
-            )
-
-    def _completed(self) -> None:
-        self._out.log(EVENT_WHOLE, epoch=self._voters.epoch)
+    def _on_caught_up(self) -> None:
+        self._out.log(EVENT_COPY_COMPLETE, epoch=self._voters.epoch)
         self._dispatch_deferred()
 
     # What the shell reads.
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -95,7 +95,13 @@
             rows = await self._read_disk(self._disk)
             if self._disk.quarantine_reason is not None:
                 self._log(EVENT_ASIDE, {"reason": self._disk.quarantine_reason})
-        self._replica = Replica(self._settings, self._seed, self._shapes, rows, self._steady())
+        self._replica = Replica(
+            self._settings,
+            seed=self._seed,
+            delta_codecs=self._shapes,
+            rows=rows,
+            now=self._steady(),
+        )
         self.tick()
 
     async def _read_disk(self, disk: StorageBackend) -> Rows:
--- a/ambershift/system/simulation/mistakes.py
+++ b/ambershift/system/simulation/mistakes.py
@@ -14,8 +14,8 @@
     item_store,
     proposer,
     quorum_write,
-    replica,
     sync_responder,
+    vote_requests,
     voters,
     write_queue,
 )
@@ -38,8 +38,8 @@
 
 
 def any_epoch(real: Any) -> Any:
-    def vote(self: replica.Replica, sender: str, message: Any, epoch: int) -> None:
-        real(self, sender, message, max(epoch, self.voters.epoch))
+    def vote(self: vote_requests.VoteRequestHandler, sender: str, message: Any, epoch: int) -> None:
+        real(self, sender, message, max(epoch, self._voters.epoch))
 
     return vote
 
--- a/ambershift/system/simulation/variants_consensus.py
+++ b/ambershift/system/simulation/variants_consensus.py
@@ -11,8 +11,8 @@
     membership_plan,
     proposer,
     quorum_write,
-    replica,
     sync_responder,
+    vote_requests,
     voters,
     write_queue,
 )
@@ -92,8 +92,8 @@
         "old-voting-set",
         "LOST",
         "a voter answers those that count by the voters before",
-        replica.Replica,
-        "_vote",
+        vote_requests.VoteRequestHandler,
+        "handle",
         mistakes.any_epoch,
     ),
     of(
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -124,7 +124,13 @@
 
     def begin(self, box: Box, rows: dict[str, dict[str, bytes]]) -> None:
         """A process starts on this machine with what its disk holds."""
-        box.replica = Replica(self.settings(box), self.chance.getrandbits(62), self.shape, rows, self.now)
+        box.replica = Replica(
+            self.settings(box),
+            seed=self.chance.getrandbits(62),
+            delta_codecs=self.shape,
+            rows=rows,
+            now=self.now,
+        )
 
     def shape(self, register: str) -> DeltaCodec | None:
         return None
--- a/benchmarks/capacity/copies.py
+++ b/benchmarks/capacity/copies.py
@@ -46,7 +46,9 @@
         self.written = 0
         self.lines: list[tuple[str, Event]] = []
         for at, ip in enumerate(self.ips):
-            self.nodes[ip] = Replica(world.local(size, at), at + 1, lambda _: None, {}, self.now)
+            self.nodes[ip] = Replica(
+                world.local(size, at), seed=at + 1, delta_codecs=lambda _: None, rows={}, now=self.now
+            )
         for _ in range(40):
             self.tick()
 
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -345,7 +345,7 @@
     settings = Local(
         "", "one", "core", ips[0], "z", "r", True, True, None, (1, 2), seeds, {}, {}, 1.5, (1, 0, 0), Bounds()
     )
-    replica = Replica(settings, 7, lambda name: None, {}, NOW)
+    replica = Replica(settings, seed=7, delta_codecs=lambda name: None, rows={}, now=NOW)
     replica.step(NOW, WriteCompleted(1))
     asked = replica.step(NOW, ReadQuorum(1, 1.0))
     assert {
