--- a/ambershift/system/consensus/item_store.py
+++ b/ambershift/system/consensus/item_store.py
@@ -1,4 +1,4 @@
-"""The items held here: merged one by one, the newest of each name, in memory and on their way to the disk."""
+"""The items of this copy: the newest version of each key, in memory and on its way to the disk."""
 
 from __future__ import annotations
 
@@ -27,30 +27,43 @@
 )
 
 ITEMS_TABLE = "items"
-EVENT_REPLACED = 212
+EVENT_CONFIGURATION_RESET = 212
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Item).decode
 
 
 def row_key(key: Key) -> str:
+    """The key of an item's row on disk, and its name among the bucket checksums."""
     return f"{key[0]}\x1f{key[1]}"
 
 
 class ItemStore:
+    """All items of this copy.
+
+    Attributes:
+        items: The newest version of each, tombstones too.
+        tombstones: Of the operator's items, those that are deleted.
+        buckets: The checksums of all items, by bucket.
+        collected: The tombstones that all copies have dropped.
+        resets: How often the configuration was dropped, as it missed too many batches of collected
+            tombstones.
+    """
+
     def __init__(self, out: EffectBuffer, journal: WriteQueue, rows: dict[str, bytes]) -> None:
-        self._out, self._journal = out, journal
+        self._out = out
+        self._journal = journal
         self.items: dict[Key, Item] = {}
-        self.tombstones: dict[Key, Item] = {}  # Of the operator's items, those that are dropped.
+        self.tombstones: dict[Key, Item] = {}
         self._by_row_key: dict[str, Item] = {}
         self.buckets = BucketChecksums()
-        for data in rows.values():
-            self._insert(_decode(data))
+        for row in rows.values():
+            self._insert(_decode(row))
         self._cleared_keys = frozenset[Key]()
-        if (held := self.items.get(CLEARED_INSTANCES_KEY)) is not None:
-            self._delete_cleared(held)
+        if (clearing := self.items.get(CLEARED_INSTANCES_KEY)) is not None:
+            self._delete_cleared(clearing)
         self.collected = collected_tombstones_of(self.items.get(COLLECTED_TOMBSTONES_KEY))
         self._collected_versions = self.collected.versions_by_key()
-        self.resets = 0  # How often the configuration was thrown away, as being of before the drops listed.
+        self.resets = 0
 
     def _insert(self, item: Item) -> None:
         name = row_key(item.key)
@@ -62,10 +75,16 @@
             self.tombstones.pop(item.key, None)
 
     def merge(self, items: Iterable[Item], tombstone_batch: int | None = None) -> bool:
-        """Take in what is newer. It is in memory at once: nothing is acknowledged before the disk has it.
+        """Merge what is newer. It is in memory at once: nothing is acknowledged before the disk has it.
+
+        Args:
+            items: Of another copy, or of a caller.
+            tombstone_batch: The last batch of collected tombstones that the other copy knows; None: no copy.
 
-        `batch`: the last one that the machine knows whose copy they are of. False where it misses so many
-        that its configuration may hold what was dropped and forgotten: then none of that is taken."""
+        Returns:
+            False where the other copy misses so many batches that its configuration may hold what was deleted
+            and collected: then none of that is merged.
+        """
         is_outdated = tombstone_batch is not None and tombstone_batch < self.collected.required_batch
         is_incomplete = False
         merged = []
@@ -73,12 +92,7 @@
             if is_outdated and item.kind in CONFIGURATION_KINDS:
                 is_incomplete = True
                 continue
-            if item.key in self._cleared_keys or item.version[0] <= self._collected_versions.get(
-                item.key, -1
-            ):
-                continue
-            held = self.items.get(item.key)
-            if held is not None and newest(held, item) is held:
+            if not self._is_newer(item):
                 continue
             self._insert(item)
             self._journal.put(ITEMS_TABLE, row_key(item.key), _encode(item))
@@ -91,9 +105,16 @@
             self._out.items_updated(merged)
         return not is_incomplete
 
+    def _is_newer(self, item: Item) -> bool:
+        """Whether the item is newer than what is stored, and was neither cleared nor collected."""
+        if item.key in self._cleared_keys or item.version[0] <= self._collected_versions.get(item.key, -1):
+            return False
+        stored = self.items.get(item.key)
+        return stored is None or newest(stored, item) is not stored
+
     def _delete_cleared(self, clearing: Item) -> None:
-        """Drop what it names. That everybody does so on merging one item keeps all copies alike."""
-        self._cleared_keys = frozenset((INSTANCE, id) for id in cleared_instances(clearing))
+        """Delete the instances it names. That all copies do so on merging one item keeps them alike."""
+        self._cleared_keys = frozenset((INSTANCE, instance) for instance in cleared_instances(clearing))
         for key in self._cleared_keys:
             self._delete(key)
 
@@ -106,30 +127,33 @@
             self._journal.put(ITEMS_TABLE, name, None)
 
     def _collect(self, collected: CollectedTombstones) -> None:
-        """Drop what it lists. Where this copy may have more that was dropped, all that is as old goes: what
-        stands of it comes back from others."""
-        known, self.collected, self._collected_versions = (
-            self.collected.batch,
-            collected,
-            collected.versions_by_key(),
-        )
+        """Delete what is listed as collected.
+
+        Where this copy may have more that was deleted, all that is as old goes: what is still in force comes
+        back from others.
+        """
+        known_batch = self.collected.batch
+        self.collected = collected
+        self._collected_versions = collected.versions_by_key()
         for key, version in self._collected_versions.items():
-            if (held := self.items.get(key)) is not None and held.version[0] <= version:
+            if (stored := self.items.get(key)) is not None and stored.version[0] <= version:
                 self._delete(key)
-        if known < collected.required_batch:
-            old = [
+        if known_batch < collected.required_batch:
+            old_keys = [
                 key
-                for key, one in self.items.items()
-                if key[0] in CONFIGURATION_KINDS and one.version[0] <= collected.highest_version
+                for key, item in self.items.items()
+                if key[0] in CONFIGURATION_KINDS and item.version[0] <= collected.highest_version
             ]
-            for key in old:
+            for key in old_keys:
                 self._delete(key)
             self.resets += 1
-            self._out.log(EVENT_REPLACED, known=known, needed=collected.required_batch, items=len(old))
+            needed = collected.required_batch
+            self._out.log(EVENT_CONFIGURATION_RESET, known=known_batch, needed=needed, items=len(old_keys))
 
     def stored(self, keys: Iterable[Key]) -> tuple[Item, ...]:
-        """Of these, what is held: what was cleared isn't."""
+        """The items with these keys that are stored: what was cleared isn't."""
         return tuple(self.items[key] for key in keys if key in self.items)
 
     def by_row_keys(self, row_keys: Iterable[str]) -> tuple[Item, ...]:
+        """The items with these `row_key`s, all of which are stored."""
         return tuple(self._by_row_key[name] for name in row_keys)
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -115,7 +115,11 @@
             is_reachable=self._failure_detector.has_stable_contact,
         )
         self._quorum_writer = QuorumWriter(
-            out, self._voters, self._store, numbers, self._failure_detector.learners
+            out,
+            self._voters,
+            self._store,
+            next_request_id=numbers,
+            learners=self._failure_detector.learners,
         )
         self._anti_entropy = AntiEntropy(
             SyncContext(
@@ -161,7 +165,12 @@
             on_configuration=self._voter_changes.queue_decided,
         )
         self._tombstone_collector = TombstoneCollector(
-            out, self._voters, self._failure_detector, self._store, self._proposer, self._quorum_writer
+            out,
+            self._voters,
+            self._store,
+            failure_detector=self._failure_detector,
+            proposer=self._proposer,
+            quorum_writer=self._quorum_writer,
         )
         self._next_prefetch_ns = 0
         if "birth" not in meta:
