--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -98,9 +98,8 @@
 
         def change(value: bytes | None, since: int, now: int) -> ChangeOutcome:
             agreed = NO_COLLECTED_TOMBSTONES if value is None else _decode(value)
-            if (
-                agreed.batch != before.batch
-            ):  # Agreed already, but it may not have been written to a majority.
+            if agreed.batch != before.batch:
+                # Agreed already, but it may not have been written to a majority.
                 return ChangeOutcome(None, agreed)
             return ChangeOutcome(_encode(after), after)
 
