--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -38,7 +38,9 @@
     WriteCompleted,
 )
 
-EVENT_LISTENER, EVENT_ASIDE, EVENT_NO_DISK = 6, 206, 207
+EVENT_LISTENER_FAILED = 6
+EVENT_DISK_QUARANTINED = 206
+EVENT_DISK_UNAVAILABLE = 207
 DISK_REOPEN_INTERVAL_S = 0.3  # Seconds between tries to open the folder.
 LEAVE_POLL_INTERVAL_S = 0.02  # Seconds between looks whether this machine has left.
 
@@ -61,15 +63,21 @@
     def __init__(
         self,
         settings: Local,
+        *,
         send: Callable[[str, msgspec.Struct], None],
-        steady: Callable[[], int],
+        steady_ns: Callable[[], int],
         seed: int,
-        shapes: Callable[[str], DeltaCodec | None],
+        delta_codecs: Callable[[str], DeltaCodec | None],
         log: Callable[[int, dict[str, Any]], None],
         open_disk: Callable[[str, str, Callable[[int, str | None], None]], StorageBackend] = Disk,
     ) -> None:
-        self._settings, self._send, self._steady, self._log = settings, send, steady, log
-        self._seed, self._shapes, self._open_disk = seed, shapes, open_disk
+        self._settings = settings
+        self._send = send
+        self._steady_ns = steady_ns
+        self._log = log
+        self._seed = seed
+        self._delta_codecs = delta_codecs
+        self._open_disk = open_disk
         self._replica: Replica | None = None
         self._disk: StorageBackend | None = None
         self._calls: dict[int, asyncio.Future[Any]] = {}
@@ -94,13 +102,13 @@
             self._disk = self._open_disk(self._settings.folder, self._settings.ip, self._on_written)
             rows = await self._read_disk(self._disk)
             if self._disk.quarantine_reason is not None:
-                self._log(EVENT_ASIDE, {"reason": self._disk.quarantine_reason})
+                self._log(EVENT_DISK_QUARANTINED, {"reason": self._disk.quarantine_reason})
         self._replica = Replica(
             self._settings,
             seed=self._seed,
-            delta_codecs=self._shapes,
+            delta_codecs=self._delta_codecs,
             rows=rows,
-            now=self._steady(),
+            now=self._steady_ns(),
         )
         self.tick()
 
@@ -109,20 +117,20 @@
             try:
                 return await asyncio.to_thread(disk.open)
             except (OSError, sqlite3.Error) as why:
-                self._log(EVENT_NO_DISK, {"reason": str(why)})
+                self._log(EVENT_DISK_UNAVAILABLE, {"reason": str(why)})
                 await asyncio.sleep(DISK_REOPEN_INTERVAL_S)
 
-    def hear(self, sender_ip: str, message: msgspec.Struct) -> None:
+    def receive_message(self, sender_ip: str, message: msgspec.Struct) -> None:
         self._step(MessageReceived(sender_ip, message))
 
-    def reached(self, ip: str) -> None:
+    def on_peer_connected(self, ip: str) -> None:
         """A link to that one has come up: what was sent before is lost."""
         self._step(PeerConnected(ip))
 
     def tick(self) -> None:
         self._step(Tick())
 
-    def retire(self) -> None:
+    def start_leaving(self) -> None:
         """The process is about to end: others are told at once to propose for themselves."""
         if self._replica is not None:
             self._replica.failure_detector.start_leaving()
@@ -132,8 +140,8 @@
         """Wait until this machine is no voter and the others are complete without it, at most `within` s.
 
         False where that was not to be had, as the voters would be worse off without its seat."""
-        end = self._steady() + int(timeout_s * NS_PER_SECOND)
-        while self._replica is not None and self._steady() < end:
+        end = self._steady_ns() + int(timeout_s * NS_PER_SECOND)
+        while self._replica is not None and self._steady_ns() < end:
             if self._replica.failure_detector.has_left():
                 return True
             if not self._replica.is_leaving_voters():
@@ -163,7 +171,7 @@
         self._stepping = True
         try:
             while self._events and self._replica is not None:
-                for effect in self._replica.step(self._steady(), self._events.popleft()):
+                for effect in self._replica.step(self._steady_ns(), self._events.popleft()):
                     self._execute(effect)
         finally:
             self._stepping = False
@@ -177,23 +185,29 @@
             else:
                 self._events.append(WriteCompleted(effect.token))
         elif isinstance(effect, CompleteCall):
-            future = self._calls.pop(effect.call_id, None)
-            if future is None or future.done():
-                return
-            if isinstance(effect.outcome, CallSucceeded):
-                future.set_result(effect.outcome.result)
-            else:
-                future.set_exception(effect.outcome)
+            self._complete_call(effect)
         elif isinstance(effect, ItemsUpdated):
-            for heard in self._listeners:
-                try:
-                    heard(effect.items)
-                except Exception as why:  # The rest of the step must be carried out.
-                    self._log(EVENT_LISTENER, {"on": "items", "error": repr(why)[:200]})
+            self._notify(effect)
         elif isinstance(effect, LogEvent):
             self._log(effect.number, effect.fields)
         elif isinstance(effect, ScheduleTick) and self._loop is not None:
-            self._loop.call_later(max(0, effect.at_ns - self._steady()) / 1e9, self.tick)
+            self._loop.call_later(max(0, effect.at_ns - self._steady_ns()) / 1e9, self.tick)
+
+    def _complete_call(self, effect: CompleteCall) -> None:
+        future = self._calls.pop(effect.call_id, None)
+        if future is None or future.done():
+            return
+        if isinstance(effect.outcome, CallSucceeded):
+            future.set_result(effect.outcome.result)
+        else:
+            future.set_exception(effect.outcome)
+
+    def _notify(self, effect: ItemsUpdated) -> None:
+        for on_items in self._listeners:
+            try:
+                on_items(effect.items)
+            except Exception as why:  # The rest of the step must be carried out.
+                self._log(EVENT_LISTENER_FAILED, {"on": "items", "error": repr(why)[:200]})
 
     async def _call(self, event: Callable[[int], Event]) -> Any:
         if self._replica is None or self._loop is None:
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -64,7 +64,12 @@
         )
         send = self.links.send
         self.store = ReplicatedStore(
-            settings, send, steady, secrets.randbits(62), value_delta_codec, self.log
+            settings,
+            send=send,
+            steady_ns=steady,
+            seed=secrets.randbits(62),
+            delta_codecs=value_delta_codec,
+            log=self.log,
         )
         self.cache_file = (
             CacheFile(settings.folder, BACKENDS_CACHE_FILE) if settings.folder is not None else None
@@ -124,7 +129,7 @@
     async def _leave(self, server: HttpServer, serving: asyncio.Task[None]) -> None:
         """Give up the seat among the voters, while calls in flight are completed."""
         self.log(2, {})
-        self.store.retire()
+        self.store.start_leaving()
         self.control_api.close()
         server.should_exit = True
         left = asyncio.ensure_future(self.store.wait_until_left(LEAVE_TIMEOUT_S))
@@ -196,7 +201,7 @@
             if owner == proxy_link.__name__:
                 self.controller.hear_proxy(caller.name, message)
         elif owner == replication.__name__:
-            self.store.hear(caller.name, message)
+            self.store.receive_message(caller.name, message)
         elif owner == forwarding.__name__:
             self.control_api.handle_message(caller.name, message)
         elif owner == registry_sync.__name__:
@@ -214,7 +219,7 @@
 
     def reached(self, ip: str) -> None:
         """A dial to another control node has succeeded."""
-        self.store.reached(ip)
+        self.store.on_peer_connected(ip)
 
     def link_lost(self, caller: Caller) -> None:
         """A link that a node had dialled has ended."""
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -144,7 +144,13 @@
 
         settings = self.settings(box)
         store = ReplicatedStore(
-            settings, send, steady, self.chance.getrandbits(62), value_delta_codec, self.log, bottom
+            settings,
+            send=send,
+            steady_ns=steady,
+            seed=self.chance.getrandbits(62),
+            delta_codecs=value_delta_codec,
+            log=self.log,
+            open_disk=bottom,
         )
         with loop.current():
             context = NodeContext(ip=settings.ip, store=store, monotonic_ns=steady, send=send, log=self.log)
@@ -183,7 +189,7 @@
             elif isinstance(event, MessageReceived):
                 copied = type(event.message).__module__ == replication.__name__
                 if copied:
-                    process.store.hear(event.sender, event.message)
+                    process.store.receive_message(event.sender, event.message)
                 else:
                     process.control_api.handle_message(event.sender, event.message)
             elif isinstance(event, WriteCompleted):
--- a/tests/system/consensus/test_disk.py
+++ b/tests/system/consensus/test_disk.py
@@ -151,11 +151,11 @@
     async def life(initial: bool, work: Callable[[ReplicatedStore], Any]) -> Any:
         shelf = ReplicatedStore(
             replace(settings(tmp_path), initial=initial),
-            lambda ip, message: None,
-            time.monotonic_ns,
-            7,
-            lambda name: None,
-            lambda number, fields: None,
+            send=lambda ip, message: None,
+            steady_ns=time.monotonic_ns,
+            seed=7,
+            delta_codecs=lambda name: None,
+            log=lambda number, fields: None,
         )
         await shelf.start()
         try:
--- a/tests/system/processes/test_control_node.py
+++ b/tests/system/processes/test_control_node.py
@@ -36,7 +36,7 @@
     assert told == [("proxy_linked", "proxy-1"), ("core_linked", "10.0.0.1"), ("proxy_lost", "proxy-1")]
     made.links.there.assert_called_once_with("10.0.0.1")  # type: ignore[attr-defined]
     made.reached("10.0.0.1")
-    made.store.reached.assert_called_once_with("10.0.0.1")  # type: ignore[attr-defined]
+    made.store.on_peer_connected.assert_called_once_with("10.0.0.1")  # type: ignore[attr-defined]
 
 
 @pytest.mark.parametrize("failing", PARTS)
