--- a/tests/support/fake_control_nodes.py
+++ b/tests/support/fake_control_nodes.py
@@ -1,4 +1,4 @@
-"""A cluster for tests of control_api: time that jumps from timer to timer, and nodes on one plain store."""
+"""A cluster for tests of the control API: time jumps from timer to timer, and all nodes share one store."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from ambershift.system.state_machine import NS_PER_SECOND
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
-ONE_WAY_DELAY_S = 0.035  # Seconds, one way.
+ONE_WAY_DELAY_S = 0.035
 
 
 def proposer_ranking(register: str) -> list[str]:
-    """Who is to propose for a register, the first choice first."""
+    """The ips of the nodes as they are to propose for a register, the first choice first."""
     return sorted(IPS, key=lambda ip: rendezvous_score(ip, register))
 
 
@@ -35,12 +35,14 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("all wait for what will never come")
+            raise RuntimeError("deadlock: every task waits, and no timer is set")
         self.loop.now += timeout
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop whose clock is `now` (seconds)."""
+
     def __init__(self) -> None:
         self.now = 1000.0
         selector = _TimeJumpingSelector()
@@ -64,7 +66,15 @@
 
 
 class FakeCluster:
-    """`lost` are machines that nothing reaches and that do nothing, and since when."""
+    """Three control nodes.
+
+    Attributes:
+        registers: The agreed value of each register.
+        items: The replicated items, as a majority has them.
+        unreachable_since: Since when (seconds) a node neither sends nor receives, by ip.
+        unsettled: The nodes that have just come back, by ip.
+        sent: Sender, recipient and message of all that was sent.
+    """
 
     def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
@@ -92,7 +102,7 @@
         }
 
     def partition(self, *ips: str) -> None:
-        """These and no others, from now on."""
+        """Make these nodes, and no others, unreachable from now on."""
         self.unreachable_since = {ip: self.loop.now for ip in ips}
 
     def monotonic_ns(self) -> int:
@@ -114,7 +124,7 @@
     async def call(
         self, ip: str, method: str, target: str, body: Any = b"", gone: bool = False
     ) -> tuple[int, Any]:
-        """Status (0 if there was no answer) and what the JSON says (None for none)."""
+        """The status of the reply (0: there was none) and its decoded body (None: it was empty)."""
         path, _, query = target.partition("?")
         whole = body if isinstance(body, bytes) else msgspec.json.encode(body)
         sent = [{"type": "http.request", "body": whole}]
@@ -163,10 +173,10 @@
 
 
 class FakeReplicatedState:
-    """One machine's view of the store. `faults` are carried out by the next calls, one each:
+    """One node's view of the store. Each of `faults` befalls one of the next calls:
 
-    "refused" (nothing is done), "unclear" (it is done), "lost" (not done, but who knows), "again" (the first
-    run counts, then the change is run once more), "hangs".
+    "refused" (not applied, and says so), "unclear" (applied, but reported as unknown), "lost" (not applied,
+    but reported as unknown), "again" (the first run counts, then the change is run once more), "hangs".
     """
 
     def __init__(self, cluster: FakeCluster, ip: str) -> None:
--- a/tests/system/control_api/test_calls.py
+++ b/tests/system/control_api/test_calls.py
@@ -1,4 +1,4 @@
-"""What callers are told, through several control nodes at once and with faults in their store and links."""
+"""What callers of several control nodes are answered where there are no faults."""
 
 from __future__ import annotations
 
--- a/tests/system/control_api/test_calls_with_faults.py
+++ b/tests/system/control_api/test_calls_with_faults.py
@@ -1,4 +1,4 @@
-"""What callers are told when the machine that was to do it fails, stays silent, or can't tell."""
+"""What callers are answered when the proposer fails, doesn't respond, or doesn't know the outcome."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
         ([], "", 200),
         (["again"], "", 200),
         (["unclear"], "refused", 200),
-        (["lost"], "refused", 200),  # The proposer is asked again, as it is there.
+        (["lost"], "refused", 200),  # The proposer is asked again, as it is alive.
         (["refused"], "", 200),
-        (["lost", "refused"], "", 200),  # The next one is asked: this machine.
-        (["refused"], "refused", 503),  # Nothing was done, and both say so.
+        (["lost", "refused"], "", 200),  # The next one is asked: this node.
+        (["refused"], "refused", 503),  # Neither applied it, and both say so.
         (["refused"], "lost", 504),
         (["refused"], "unclear", 504),
         (["refused"], "hangs", 504),
@@ -87,23 +87,26 @@
         ):
             cluster.unsettled = unsettled
             assert (await cluster.call(entry, "POST", "/ambershift/numbers/n"))[0] == 200
-            assert {ip: one.rounds for ip, one in cluster.stores.items() if one.rounds} == rounds
+            assert {ip: store.rounds for ip, store in cluster.stores.items() if store.rounds} == rounds
 
     run_story(story)
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_puts_take_effect_as_replied_and_watches_receive_each_once(seed: int) -> None:
-    """Puts sent again until they get a clear answer, by two callers that race for three keys, with faults
-    in every other round and machines that stay silent; a watch must hear of every put, once and in order."""
+    """Two callers race for three keys and retry each put until its outcome is known; a watch reads along.
+
+    Every other round has a fault, and nodes are unreachable for a while. The watch must receive every put
+    once and in order.
+    """
 
     async def story(cluster: FakeCluster) -> None:
         rng = random.Random(seed)
-        told: dict[str, set[tuple[int, int]]] = {}
-        heard: list[tuple[str, str, int]] = []
+        replies: dict[str, set[tuple[int, int]]] = {}
+        watched_events: list[tuple[str, str, int]] = []
         over = False
 
-        async def trouble() -> None:
+        async def inject_faults() -> None:
             while not over:
                 cluster.partition(*rng.sample(IPS, rng.random() < 0.3))
                 for store in cluster.stores.values():
@@ -126,7 +129,7 @@
                         applies_to = found["Revision"] if found else 0
                     put = {"Value": value, "AppliesTo": applies_to}
                     answer = await cluster.rpc(at, "cells.replace", key, put)
-                told.setdefault(value, set()).add((answer[0], (answer[1] or {}).get("Revision", 0)))
+                replies.setdefault(value, set()).add((answer[0], (answer[1] or {}).get("Revision", 0)))
 
         async def watch() -> None:
             after = 0
@@ -139,23 +142,23 @@
                     assert [event["Revision"] for event in found["Events"]] == list(
                         range(after + 1, found["Revision"] + 1)
                     )
-                    heard.extend(tuple(event.values()) for event in found["Events"])
+                    watched_events.extend(tuple(event.values()) for event in found["Events"])
                     after = found["Revision"]
                 await asyncio.sleep(0.01)
 
         await cluster.rpc(IPS[0], "cells.replace", "g.a", {"Value": "first"})
-        others = [asyncio.create_task(one) for one in (trouble(), watch())]
+        others = [asyncio.create_task(one) for one in (inject_faults(), watch())]
         await asyncio.gather(write("x"), write("y"))
         over = True
         await asyncio.gather(*others)
         events = decode_group(cluster.registers["g/g."]).events
-        assert heard == list(events[1:])
+        assert watched_events == list(events[1:])
         revisions = {value: revision for _, value, revision in events}
         assert len(revisions) == len(events)
-        for value, answers in told.items():
+        for value, answers in replies.items():
             ((status, revision),) = answers
             assert revisions.get(value) == (revision if status == 200 else None), (value, status)
-        assert {status for answers in told.values() for status, _ in answers} >= {200, 412}
+        assert {status for answers in replies.values() for status, _ in answers} >= {200, 412}
 
     run_story(story)
 
@@ -184,9 +187,9 @@
         assert (await cluster.rpc(other, "cells.replace", "g.a", put))[0] == 200
         assert await delay_of(entry) < 5 * ONE_WAY_DELAY_S and await delay_of(proposer) < 5 * ONE_WAY_DELAY_S
         cluster.partition(proposer)
-        assert await delay_of(entry) < 0.6  # It waits with the proposer, who isn't known to be lost.
+        assert await delay_of(entry) < 0.6  # It waits at the proposer, which isn't known to have failed.
         cluster.partition()
-        assert await delay_of(proposer, "refused") < 0.6  # Put through another machine; word of it comes.
+        assert await delay_of(proposer, "refused") < 0.6  # Put through another node, which notifies this one.
 
     run_story(story)
 
@@ -208,7 +211,7 @@
             assert (status, found["Revision"], len(found["Events"])) == (200, 2, 1)
         assert cluster.loop.now - begun < 8 * ONE_WAY_DELAY_S
         others = [store.rounds - rounds[ip] for ip, store in cluster.stores.items()]
-        assert sorted(others) == [0, 1, 1]  # The one refused, and the put itself.
+        assert sorted(others) == [0, 1, 1]  # The rejected round, and the put itself.
 
     run_story(story)
 
@@ -220,7 +223,7 @@
     assert subscriptions.update(0, "g.", group) == [] and not subscriptions.groups_to_refresh(
         FRESHNESS_NS - 1
     )
-    assert subscriptions.groups_to_refresh(FRESHNESS_NS) == ["g."]  # Word of a put may have been lost.
+    assert subscriptions.groups_to_refresh(FRESHNESS_NS) == ["g."]  # A notification may have been lost.
     assert (
         subscriptions.revision_to_fetch_after("g.", 6)
         and not subscriptions.revision_to_fetch_after("g.", 5)
@@ -228,9 +231,9 @@
     )
     assert [token for token, _ in subscriptions.update(FRESHNESS_NS, "g.", group.put("g.a", "v", 0))] == [1]
     subscriptions.subscribe(FRESHNESS_NS, 2, "g.", 9, False)
-    assert not subscriptions.needs_refresh(FRESHNESS_NS, "g.")  # Another machine looks after it.
+    assert not subscriptions.needs_refresh(FRESHNESS_NS, "g.")  # Another node keeps it fresh.
     subscriptions.subscribe(FRESHNESS_NS, 3, "g.", 9, True)
-    assert subscriptions.needs_refresh(FRESHNESS_NS, "g.")  # Its caller has seen more than is known here.
+    assert subscriptions.needs_refresh(FRESHNESS_NS, "g.")  # Its caller has seen a later revision.
 
 
 def test_watches_end_by_time_lost_history_lost_contact_and_shutdown() -> None:
@@ -251,7 +254,7 @@
             status, found, lasted = await watch(at, 100)
             assert (status, found) == (200, {"Events": [], "Revision": 100}) and 2 <= lasted < 2.2
             assert len((await watch(at, 1))[1]["Events"]) == 99
-        await asyncio.sleep(31)  # `HistoryS` and what is added to it.
+        await asyncio.sleep(31)  # `HistoryS` and its margin.
         put = {"Value": "w", "AppliesTo": 100}
         assert (await cluster.rpc(entry, "cells.replace", "g.a", put))[0] == 200
         assert [(await watch(at, 1))[0] for at in (proposer, entry)] == [410, 410]
@@ -281,7 +284,7 @@
         ("", "", 200, True),
         ("refused", "", 503, False),
         ("lost", "", 504, False),
-        ("unclear", "", 504, False),  # It was agreed, and whoever sends it again has it stored.
+        ("unclear", "", 504, False),  # It was agreed; a retry has it stored.
         ("", "refused", 504, False),
         ("", "lost", 504, False),
         ("", "unclear", 504, True),
@@ -313,7 +316,7 @@
         wrong = {"Upsert": {"Routes": [{**ROUTE, "ConfigVersion": "r2", "Service": "t"}]}}
         assert (await modify(cluster, IPS[0], wrong))[0] == 400
         assert (await modify(cluster, IPS[1], {"Upsert": {"Services": [{**SERVICE, "Name": "t"}]}}))[0] == 200
-        # It would be valid now, but its caller was told that it is refused.
+        # It would be valid now, but its caller was answered that it is rejected.
         assert [(await modify(cluster, at, wrong))[0] for at in IPS] == [400] * 3
         wrong["Upsert"]["Routes"][0]["ConfigVersion"] = "r3"
         assert [(await modify(cluster, at, wrong))[0] for at in IPS] == [200] * 3
@@ -322,7 +325,7 @@
 
 
 def test_a_node_with_an_outdated_copy_validates_nothing_by_it() -> None:
-    """It was asked for a route to a service that was dropped meanwhile, and takes the register over."""
+    """It proposes a route to a service that was removed while it was away."""
 
     async def story(cluster: FakeCluster) -> None:
         proposer, away, other = proposer_ranking("configuration")
@@ -331,7 +334,7 @@
         drop = {"Remove": {"Services": [{"Name": "s", "ConfigVersion": "r2"}]}}
         assert (await modify(cluster, other, drop))[0] == 200
         cluster.partition(proposer, other)
-        cluster.stores[away].faults = ["", "hidden"]  # The others' stores can't be read: nothing is judged.
+        cluster.stores[away].faults = ["", "hidden"]  # The other stores can't be read: nothing is validated.
         route = {"Upsert": {"Routes": [{**ROUTE, "ConfigVersion": "r3"}]}}
         assert (await modify(cluster, away, route))[0] in (503, 504)
         assert (await modify(cluster, away, route))[0] == 400
@@ -367,21 +370,21 @@
             (one, "terminate", b"false"),
         ):
             assert (await cluster.rpc(at, f"evacuation.{name}", "riga-a"))[0] == 200 and state() == body
-        # Both at once, at one machine: whichever it was, they don't make one version of two meanings.
+        # Both at once, at one node: whichever wins, one version never has two contents.
         await asyncio.gather(
             *(cluster.rpc(one, f"evacuation.{name}", "riga-a") for name in ("initiate", "terminate"))
         )
         assert state() == b"false"
-        # One that isn't known to hold may come up later: the next goes above it all the same.
+        # A write with an unknown outcome may show up later: the next version is above it all the same.
         version = cluster.items[("zone", "riga-a")].version[0]
         cluster.stores[one].faults = ["", "lost"]
         assert (await cluster.rpc(one, "evacuation.initiate", "riga-a"))[0] == 504
         assert (await cluster.rpc(one, "evacuation.terminate", "riga-a"))[0] == 200
         assert cluster.items[("zone", "riga-a")].version[0] == version + 2
-        # A cut held up the call and its caller's farewell; a stopped process finds both in its socket.
+        # A partition delayed the call and the end of its connection; a stopped process reads both late.
         assert (await cluster.rpc(two, "evacuation.initiate", "riga-a", gone=True))[0] == 0
-        for machine in cluster.nodes.values():
-            machine.tick()
+        for node in cluster.nodes.values():
+            node.tick()
         await asyncio.sleep(3)
         assert (await cluster.rpc(three, "evacuation.initiate", "riga-a"))[0] == 503
         cluster.nodes[three].tick()
@@ -398,10 +401,10 @@
     async def story(cluster: FakeCluster) -> None:
         proposer, _, entry = proposer_ranking("n/n")
 
-        async def ask(whole_after: float) -> tuple[int, float]:
+        async def ask(complete_after: float) -> tuple[int, float]:
             begun, store = cluster.loop.now, cluster.stores[proposer]
             store.has_contact = False
-            cluster.loop.call_later(whole_after, lambda: setattr(store, "has_contact", True))
+            cluster.loop.call_later(complete_after, lambda: setattr(store, "has_contact", True))
             status, _ = await cluster.call(proposer, "POST", "/ambershift/numbers/n")
             return status, cluster.loop.now - begun
 
@@ -413,6 +416,6 @@
         assert status == 503 and 0.1 < lasted < 0.2
         await asyncio.sleep(1.5)
         status, lasted = await ask(3)
-        assert status == 503 and lasted < 0.01  # It was out of touch before.
+        assert status == 503 and lasted < 0.01  # It was out of contact before.
 
     run_story(story)
--- a/tests/system/coordination/test_coordination.py
+++ b/tests/system/coordination/test_coordination.py
@@ -1,4 +1,4 @@
-"""Locks, numbers and cells against what callers count on; calls run late, twice and by any machine."""
+"""What callers rely on of locks, numbers and cells, with calls that run late, twice and on any node."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 
 
 @dataclass(eq=False)
-class Sent:
-    """A call under way: it may be run several times, by any machine, even after its caller gave it up."""
+class InFlightCall:
+    """A call in flight: any node may run it, several times, even after its caller has given it up."""
 
     caller: str
     kind: str
     at: int
     hold: int
     change: ChangeFunction
-    fences: dict[str, int]  # What others had got when it was sent.
+    fences: dict[str, int]  # The fencing tokens that others had when it was sent.
     results: list[Any] = field(default_factory=list)
 
 
 class LockCallsInAnyOrder(RuleBasedStateMachine):
-    """One lock on an agreed value: each run reads the newest value, as agreement sees to that."""
+    """One lock: each run of a call reads the newest value, as the register's agreement guarantees."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0
         self.value: bytes | None = None
         self.since: dict[int, tuple[bytes | None, int]] = {}
-        self.under_way: list[Sent] = []
-        self.waits: dict[str, Sent] = {}  # The one call that a caller awaits.
-        self.claims: dict[str, tuple[int, int]] = {}  # Fence, until when.
+        self.in_flight: list[InFlightCall] = []
+        self.waits: dict[str, InFlightCall] = {}  # The one call that a caller awaits.
+        self.claims: dict[str, tuple[int, int]] = {}  # Fencing token, and when the lease ends.
         self.got: dict[str, int] = {}
         self.count = 0
 
@@ -77,23 +77,23 @@
             kind, change = "terminate", locks.release(caller, fence)
             del self.claims[caller]
         others = {name: got for name, got in self.got.items() if name != caller}
-        self.waits[caller] = Sent(caller, kind, self.now, hold, change, others)
-        self.under_way.append(self.waits[caller])
+        self.waits[caller] = InFlightCall(caller, kind, self.now, hold, change, others)
+        self.in_flight.append(self.waits[caller])
 
-    @precondition(lambda self: self.under_way)
+    @precondition(lambda self: self.in_flight)
     @rule(machine=MACHINES, data=st.data(), late=st.booleans())
     def run(self, machine: int, data: Any, late: bool) -> None:
-        fresh = [call for call in self.under_way if not call.results]
-        self.run_call(data.draw(st.sampled_from(self.under_way if late or not fresh else fresh)), machine)
+        fresh = [call for call in self.in_flight if not call.results]
+        self.run_call(data.draw(st.sampled_from(self.in_flight if late or not fresh else fresh)), machine)
 
-    def run_call(self, call: Sent, machine: int) -> None:
+    def run_call(self, call: InFlightCall, machine: int) -> None:
         self.learn(machine)
-        verdict = call.change(self.value, self.since[machine][1], self.now)
-        if verdict.new_value is not None:
-            assert verdict.new_value != self.value
-            self.value = verdict.new_value
+        outcome = call.change(self.value, self.since[machine][1], self.now)
+        if outcome.new_value is not None:
+            assert outcome.new_value != self.value
+            self.value = outcome.new_value
             self.learn(machine)
-        call.results.append(verdict.result)
+        call.results.append(outcome.result)
 
     @precondition(lambda self: any(call.results for call in self.waits.values()))
     @rule(data=st.data())
@@ -101,7 +101,7 @@
         call = data.draw(st.sampled_from([call for call in self.waits.values() if call.results]))
         self.hear(call, data.draw(st.sampled_from(call.results)))
 
-    def hear(self, call: Sent, result: Any) -> None:
+    def hear(self, call: InFlightCall, result: Any) -> None:
         del self.waits[call.caller]
         if result.status != 200:
             assert call.kind != "terminate"
@@ -129,13 +129,13 @@
 
 
 def run(value: bytes | None, change: ChangeFunction, now: int = 0) -> tuple[bytes | None, int, Any]:
-    verdict = change(value, 0, now)
-    body = verdict.result.body
-    return verdict.new_value or value, verdict.result.status, msgspec.json.decode(body) if body else None
+    outcome = change(value, 0, now)
+    body = outcome.result.body
+    return outcome.new_value or value, outcome.result.status, msgspec.json.decode(body) if body else None
 
 
 def test_a_lock_is_granted_on_release_and_expiry_only() -> None:
-    """Safety alone would be had by never giving it to anybody."""
+    """Liveness: safety alone would hold if the lock were never granted."""
     value, status, _ = run(None, locks.acquire("a", 1000, "1"))
     late = 1000 * NS_PER_MS + locks.CLOCK_DRIFT_MARGIN_NS
     assert run(value, locks.acquire("b", 1000, "2"), late - 1)[1] == 409
@@ -146,16 +146,16 @@
     given_back, status, _ = run(value, locks.release("a", 1))
     assert status == run(value, locks.release("b", 1))[1] == 200
     assert run(given_back, locks.acquire("b", 1000, "2"))[1:] == (200, {"fence": 2})
-    assert run(given_back, locks.acquire("a", 1000, "1"))[1] == 409  # A late run of what was given back.
+    assert run(given_back, locks.acquire("a", 1000, "1"))[1] == 409  # A late run after the release.
 
 
 def test_delayed_calls_do_not_shorten_a_lease() -> None:
     value, _, _ = run(None, locks.acquire("a", 2000, "1"))
-    for unheard in (locks.renew("a", 1, 300), locks.acquire("a", 300, "2")):
-        shorter, _, _ = run(value, unheard, 100 * NS_PER_MS)
+    for delayed in (locks.renew("a", 1, 300), locks.acquire("a", 300, "2")):
+        shorter, _, _ = run(value, delayed, 100 * NS_PER_MS)
         assert locks.acquire("b", 300, "3")(shorter, 100 * NS_PER_MS, 1999 * NS_PER_MS).result.status == 409
     asked_anew, _, _ = run(value, locks.acquire("a", 2000, "2"))
-    given_back, _, _ = run(asked_anew, locks.release("a", 1))  # Sent before it asked anew, run after.
+    given_back, _, _ = run(asked_anew, locks.release("a", 1))  # Sent before it was acquired again, run after.
     assert run(given_back, locks.acquire("b", 300, "3"))[1] == 409
 
 
@@ -174,7 +174,7 @@
         self.value: bytes | None = None
         self.puts: list[tuple[str, str, int]] = []
         self.put_at: list[int] = []
-        self.turned_away: set[str] = set()
+        self.rejected: set[str] = set()
 
     def present(self, key: str) -> int:
         return max((revision for name, _, revision in self.puts if name == key), default=0)
@@ -190,9 +190,9 @@
     )
     def put(self, key: str, off: int | None, times: int) -> None:
         for _ in range(times):
-            self.one_put(key, f"v{len(self.puts)}.{len(self.turned_away)}", off)
+            self.put_once(key, f"v{len(self.puts)}.{len(self.rejected)}", off)
 
-    def one_put(self, key: str, value: str, off: int | None) -> None:
+    def put_once(self, key: str, value: str, off: int | None) -> None:
         before, present = self.value, self.present(key)
         applies_to = None if off is None else present + off
         self.value, status, answer = run(
@@ -200,7 +200,7 @@
         )
         if off:
             assert (status, answer) == (412, {"Revision": present}) and self.value == before
-            self.turned_away.add(value)
+            self.rejected.add(value)
             return
         assert (status, answer) == (200, {"Revision": len(self.puts) + 1}) and self.value is not None
         self.puts.append((key, value, len(self.puts) + 1))
@@ -220,19 +220,19 @@
             assert again == (self.value, 200, {"Revision": revision})
 
     @invariant()
-    def told_right(self) -> None:
+    def watch_replies_are_complete(self) -> None:
         group = decode_group(self.value)
         for after in range(len(self.puts) + 1):
-            told = cells.events_since(group, after)
-            if told is not None and told.status == 410:
+            reply = cells.events_since(group, after)
+            if reply is not None and reply.status == 410:
                 assert (
                     after < len(self.puts) - MIN_RETAINED_EVENTS
                     and self.now - self.put_at[after] >= 30 * NS_PER_SECOND
                 )
-            elif told is not None:
-                events = msgspec.json.decode(told.body)["Events"]
+            elif reply is not None:
+                events = msgspec.json.decode(reply.body)["Events"]
                 assert [tuple(event.values()) for event in events] == self.puts[after:]
-                assert msgspec.json.decode(told.body)["Revision"] == len(self.puts)
+                assert msgspec.json.decode(reply.body)["Revision"] == len(self.puts)
             else:
                 assert after == len(self.puts)
         for key in ("g.a", "g.b", "g.c"):
@@ -250,7 +250,7 @@
 
 
 def test_events_are_pruned_after_the_retention_time() -> None:
-    """Else a group would grow with the day."""
+    """Otherwise a group would grow without bound."""
     ages, value = RevisionAges(30 * NS_PER_SECOND), None
     for number in range(1, 1001):
         value, _, _ = run(
@@ -261,7 +261,7 @@
 
 
 def test_a_delta_is_refused_between_unrelated_values() -> None:
-    """Of two proposals one may be given up, and the next be made from the other."""
+    """Of two concurrent proposals one may be abandoned, and the next be made from the other."""
     ages = RevisionAges(NS_PER_SECOND)
     both = [run(None, cells.compare_and_set("g.a", value, None, ages))[0] for value in ("kept", "given up")]
     after = run(both[0], cells.compare_and_set("g.b", "next", None, ages))[0]
