--- a/tests/system/registry/test_home_regions.py
+++ b/tests/system/registry/test_home_regions.py
@@ -25,7 +25,7 @@
     return {ALL: int(total), BOUND: int(bound), "service|a|b": 77}
 
 
-def test_clients_follow_the_part_of_their_requests_that_is_answered_elsewhere() -> None:
+def test_clients_are_redirected_by_the_share_of_requests_homed_elsewhere() -> None:
     homes = HomeRegions()
     assert (
         parse_host_counter_name(BOUND) == ("h.example", ("a", "b"))
@@ -54,7 +54,7 @@
     assert not homes.regions_for("h.example", "c")
 
 
-def test_only_regions_that_may_answer_all_are_named() -> None:
+def test_only_regions_common_to_all_homes_are_returned() -> None:
     homes, other = HomeRegions(), host_counter_name("h.example", ("b", "c"))
     homes.update({ALL: 1000, BOUND: 500, other: 500})
     assert homes.regions_for("h.example", "d") == {"b"} and not homes.regions_for("h.example", "c")
@@ -62,7 +62,7 @@
     assert not homes.regions_for("h.example", "d")
 
 
-def test_requests_count_for_hosts_that_have_homes() -> None:
+def test_requests_are_counted_for_hosts_with_homes() -> None:
     routing = Routing()
     free, bound = route("free", "/free/"), route("bound", "/bound/", ServingRegions=["b", "a"])
     name, host = "books.example", b"books.example"
@@ -76,7 +76,7 @@
     assert routing.tallies(found) == []
 
 
-def test_sums_of_hosts_are_told_and_taken_back() -> None:
+def test_host_rates_are_reported_and_withdrawn() -> None:
     flows = Flows()
     flows.report(NS_PER_SECOND, "proxy", "a1", NS_PER_SECOND, {"s": 3, ALL: 5, BOUND: 4})
     moved, gone = flows.tell(2 * NS_PER_SECOND, ["s"])
@@ -86,7 +86,7 @@
     assert sorted(gone) == sorted([("a1", ALL), ("a1", BOUND)])
 
 
-def test_the_directory_names_proxies_of_the_homes_while_two_are_ready() -> None:
+def test_directory_returns_home_proxies_while_two_are_ready() -> None:
     async def play() -> None:
         world = World("a1", "b1", "c1")
         find = world.nodes["3"].registry.proxy_addresses
--- a/tests/system/registry/test_registry.py
+++ b/tests/system/registry/test_registry.py
@@ -41,7 +41,7 @@
 
 
 @play
-async def test_draining_is_acknowledged_once_held_and_told_at_once(world: World) -> None:
+async def test_draining_is_acknowledged_once_stored_and_reported_at_once(world: World) -> None:
     ledger = world.nodes["1"].ledger
     sent = world.proxy("proxy", "1", "a1")
     ledger.gate.clear()
@@ -66,7 +66,7 @@
 
 
 @play
-async def test_an_end_that_is_not_held_is_not_acknowledged(world: World) -> None:
+async def test_tombstone_that_is_not_stored_is_not_acknowledged(world: World) -> None:
     world.nodes["1"].ledger.holds = False
     assert (await world.beat("a1-0", State="draining"))[0] == 503
     assert (await world.nodes["1"].registry.deregister("a1-1"))[0] == 503
@@ -86,7 +86,7 @@
         ({"Condition": {"State": "ready", "Sequence": True}}, "Condition.Sequence"),
     ],
 )
-def test_a_beat_that_cant_be_read_is_answered_with_the_field(change: dict[str, Any], field: str) -> None:
+def test_malformed_heartbeat_is_rejected_with_the_field(change: dict[str, Any], field: str) -> None:
     world = World("a1")
     world.backend("one", "s", "a1", "1")
     body = world.beating["one"][1] | change
@@ -95,7 +95,7 @@
 
 
 @play
-async def test_the_newest_beat_holds_wherever_it_came(world: World) -> None:
+async def test_newest_heartbeat_wins_at_any_control_node(world: World) -> None:
     def cold() -> list[bool]:
         return [node.registry.endpoints()["a1-0"].warming_until > world.now for node in world.nodes.values()]
 
@@ -115,7 +115,7 @@
 
 
 @play
-async def test_beats_are_sent_to_the_nearest_control_node_that_lives(world: World) -> None:
+async def test_heartbeat_is_redirected_to_the_nearest_live_control_node(world: World) -> None:
     assert await world.beat("b1-0", "1") == (200, {"HeartbeatTarget": "2:8080"})
     assert await world.beat("b1-0", "2") == (200, {})
     world.backend("b2-0", "s0", "b2", "1")
@@ -127,7 +127,7 @@
 
 
 @play
-async def test_a_quiet_second_costs_few_bytes_and_lost_words_are_made_up_for(world: World) -> None:
+async def test_idle_exchange_costs_few_bytes_and_lost_messages_are_repaired(world: World) -> None:
     before = world.bytes
     await world.run(4)
     assert world.bytes - before <= 4 * 6 * 12  # Six ways, a pulse each.
@@ -142,7 +142,7 @@
 
 
 @play
-async def test_a_backend_that_is_silent_goes_missing_and_comes_back(world: World) -> None:
+async def test_silent_backend_times_out_and_returns(world: World) -> None:
     kept = world.beating.pop("a1-0")
     await world.run(4.4)
     assert listed(world, "a1-0") == [True] * 3
@@ -155,7 +155,7 @@
 
 
 @play
-async def test_most_silent_at_once_wait_for_others_to_hear_them(world: World) -> None:
+async def test_mass_failure_extends_the_timeout(world: World) -> None:
     silent = {id: world.beating.pop(id) for id in ("a1-0", "a1-1", "a1-2")}
     await world.run(6.2)
     assert all(listed(world, id) == [True] * 3 for id in silent)
@@ -166,7 +166,7 @@
 
 
 @play
-async def test_backends_of_a_lost_control_node_have_time_to_appear_elsewhere(world: World) -> None:
+async def test_backends_of_a_lost_control_node_have_time_to_move(world: World) -> None:
     world.down.add("1")
     lost = {id: world.beating.pop(id) for id in list(world.beating) if id.startswith("a1")}
     await world.run(2)
@@ -179,7 +179,7 @@
 
 
 @play
-async def test_backends_of_a_control_node_that_starts_anew_stay_listed(world: World) -> None:
+async def test_backends_of_a_restarted_control_node_stay_listed(world: World) -> None:
     kept = {id: world.beating.pop(id) for id in list(world.beating) if id.startswith("a1")}
     world.start("1")
     await world.run(4)
@@ -191,7 +191,7 @@
 
 
 @play
-async def test_who_is_out_of_touch_turns_beats_away_and_misses_nobody(world: World) -> None:
+async def test_control_node_without_contact_rejects_heartbeats_and_times_out_nobody(world: World) -> None:
     world.cut |= {(one, other) for one in "123" for other in "123" if "1" in (one, other)}
     moved = {id: kept for id, kept in world.beating.items() if kept[0] == "1"}
     await world.run(0.1)
@@ -208,7 +208,7 @@
 
 
 @play
-async def test_silence_never_empties_a_service(world: World) -> None:
+async def test_timeouts_never_empty_a_service(world: World) -> None:
     for id in [id for id in world.beating if id[-1] in "02"]:  # All of service s0.
         del world.beating[id]
     await world.run(12)
@@ -219,7 +219,7 @@
 
 
 @play
-async def test_who_stood_still_does_not_take_all_for_silent(world: World) -> None:
+async def test_paused_process_does_not_time_out_everybody(world: World) -> None:
     sent = world.proxy("proxy", "1", "a1")
     world.frozen.add("1")
     await world.run(30)
@@ -236,7 +236,7 @@
 
 
 @play
-async def test_an_address_belongs_to_the_life_first_heard_later(world: World) -> None:
+async def test_address_belongs_to_the_instance_seen_last(world: World) -> None:
     old = world.beating.pop("a1-0")
     world.backend("b1-new", "s9", "b1", "2", address="a1-0:80")
     await world.run(0.3)
@@ -248,7 +248,7 @@
 
 
 @play
-async def test_the_directory_names_ready_proxies_nearest_first(world: World) -> None:
+async def test_directory_returns_the_nearest_ready_proxies(world: World) -> None:
     find = world.nodes["3"].registry.proxy_addresses
     assert find("a", "a1") == []
     for name, ip, zone in (("p", "1", "a1"), ("q", "1", "a2"), ("r", "2", "b1"), ("s", "3", "b1")):
@@ -284,7 +284,7 @@
 
 
 @play
-async def test_proxies_of_a_silent_control_node_are_left_out_while_half_are_left(world: World) -> None:
+async def test_proxies_of_a_silent_control_node_are_left_out_while_half_remain(world: World) -> None:
     find = world.nodes["3"].registry.proxy_addresses
     for name, ip, zone in (("p", "1", "a1"), ("q", "1", "a1"), ("r", "2", "b1"), ("s", "3", "b1")):
         world.proxy(name, ip, zone)
@@ -304,7 +304,7 @@
 
 
 @play
-async def test_a_proxy_that_says_nothing_leaves_the_directory_until_it_speaks(world: World) -> None:
+async def test_silent_proxy_leaves_the_directory_until_its_next_message(world: World) -> None:
     world.proxy("p", "1", "a1")
     await world.run(0.5)
     kept = world.proxies.pop("p")
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -73,7 +73,7 @@
         world.nodes[ip].registry.load_snapshot(data)
 
 
-def test_all_is_there_at_once_and_silence_takes_the_lost_away() -> None:
+def test_snapshot_is_served_at_once_and_lost_instances_time_out() -> None:
     async def run() -> None:
         world, sheets = await worn()
         here = set(world.beating)
@@ -102,7 +102,7 @@
     asyncio.run(run())
 
 
-def test_so_many_proxies_are_reckoned_with_as_were_known() -> None:
+def test_snapshot_restores_the_number_of_proxies() -> None:
     async def run() -> None:
         world, _ = await worn()
         for number in range(7):
@@ -116,7 +116,7 @@
     asyncio.run(run())
 
 
-def test_who_is_out_of_touch_waits_with_its_list() -> None:
+def test_control_node_without_contact_keeps_its_snapshot() -> None:
     async def run() -> None:
         world, sheets = await worn()
         world.beating = {}
@@ -133,7 +133,7 @@
     asyncio.run(run())
 
 
-def test_ends_and_reused_addresses_are_heeded_first() -> None:
+def test_tombstones_and_reused_addresses_win_over_the_snapshot() -> None:
     async def run() -> None:
         world, sheets = await worn()
         world.beating = {}
@@ -154,7 +154,7 @@
     asyncio.run(run())
 
 
-def test_a_new_life_keeps_its_address_from_an_older_one_on_disk() -> None:
+def test_newer_instance_keeps_its_address_from_one_in_the_snapshot() -> None:
     async def run() -> None:
         world, _ = await worn()
         world.backend("old", "s9", "a1", "1")
@@ -173,7 +173,7 @@
     asyncio.run(run())
 
 
-def test_a_beat_is_newer_than_the_list_whatever_its_number() -> None:
+def test_heartbeat_wins_over_the_snapshot_at_any_sequence() -> None:
     async def run() -> None:
         world, sheets = await worn()
         again(world, {"1": sheets["1"]})
@@ -185,7 +185,7 @@
     asyncio.run(run())
 
 
-def test_a_cold_one_comes_back_as_cold_as_it_was() -> None:
+def test_snapshot_keeps_the_warm_up_time_left() -> None:
     async def run() -> None:
         world, sheets = await worn(cold=8000)
         before = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("change", ["torn", "short", "empty", "foreign", "newer", "other"])
-def test_a_list_that_cannot_be_read_says_nothing(change: str) -> None:
+def test_unreadable_snapshot_is_ignored(change: str) -> None:
     data = encode_snapshot("1", NOW, 9, [ONE])
     assert [one.id for one in decode_snapshot("1", NOW, data)[1]] == ["one"]
     if change == "newer":
@@ -217,7 +217,7 @@
     assert node.logs[-1][0] == 305 and not node.registry.endpoints()
 
 
-def test_the_list_is_written_after_changes_and_when_a_cold_one_is_warm() -> None:
+def test_snapshot_is_written_after_changes_and_when_an_instance_is_warm() -> None:
     keep = SnapshotSchedule()
     assert not keep.due(NOW, 0)
     keep.changed = True
@@ -245,7 +245,7 @@
         return True
 
 
-def test_only_a_list_that_is_whole_is_written_and_a_failed_one_again() -> None:
+def test_only_a_complete_list_is_written_and_a_failed_write_is_repeated() -> None:
     async def run() -> None:
         world, _ = await worn()
         registry = world.nodes["1"].registry
--- a/tests/system/registry/test_tombstone_expiry.py
+++ b/tests/system/registry/test_tombstone_expiry.py
@@ -38,7 +38,7 @@
     return Item(CLEARED, "instances", (version, "1"), msgspec.json.encode(ids))
 
 
-def test_what_is_kept_stays_bounded_at_ten_times_the_restarts() -> None:
+def test_tombstones_stay_bounded_at_ten_times_the_restarts() -> None:
     """54,000 restarts a day, for two days, each life signed off after it said that it drains."""
     ends, now, most, told = TombstoneExpiry(), 0, 0, Counter[str]()
     gap = 86_400 * NS_PER_SECOND // 54_000
@@ -71,7 +71,7 @@
     assert not late.recorded_at
 
 
-def test_a_life_that_somebody_still_tells_of_is_kept_for_as_long_again() -> None:
+def test_tombstone_of_a_reported_instance_is_retained_again() -> None:
     ends, heard = TombstoneExpiry(), {"a"}
     ends.record(0, "a")
     ends.record(0, "b")
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.usefixtures("soon")
-def test_ends_go_everywhere_and_a_late_beat_is_refused() -> None:
+def test_tombstones_are_collected_everywhere_and_a_late_heartbeat_is_rejected() -> None:
     async def playing() -> None:
         world = await three()
         body = world.beating.pop("a1-0")[1]
@@ -158,7 +158,7 @@
 
 @pytest.mark.usefixtures("soon")
 @pytest.mark.parametrize("still", [7, 40])
-def test_who_stood_still_brings_nobody_back(still: int) -> None:
+def test_paused_control_node_revives_no_instance(still: int) -> None:
     """Shorter than the ends are kept, it learns of them; longer, it lets go all that it knew, and takes no
     beat that waited for it."""
 
@@ -192,7 +192,7 @@
     asyncio.run(playing())
 
 
-def test_copies_stay_alike_and_one_that_was_away_is_brought_up_to_them() -> None:
+def test_replicas_converge_after_a_collection_that_one_missed() -> None:
     world = Copies(5, loss=0, count=5)
     world.run(2.5)
     one, away = "10.0.0.1", "10.0.0.4"
@@ -225,7 +225,7 @@
     assert [list(box.disk["items"]) for box in world.boxes.values()] == [[row_key(CLEARED_INSTANCES_KEY)]] * 5
 
 
-def test_proxies_and_their_controllers_forget_the_same() -> None:
+def test_proxies_and_controllers_drop_the_same_tombstones() -> None:
     pushes = Pushes()
     sent = pushes.greet("proxy", [ended("a"), ended("b")], BackendUpdate((), (), True))
     sent += pushes.items([cleared(1, "a"), ended("c")])
