--- a/ambershift/system/registry/service.py
+++ b/ambershift/system/registry/service.py
@@ -49,7 +49,7 @@
 EndpointsListener = Callable[[Sequence[Instance], Sequence[str]], None]
 
 
-class CacheFile(Protocol):
+class SnapshotFile(Protocol):
     """Where the snapshot is kept over a restart (`consensus/cache_file.py`).
 
     Attributes:
@@ -77,7 +77,7 @@
     send: Callable[[str, msgspec.Struct], None]
     steady: Callable[[], int]
     log: Callable[[int, dict[str, Any]], None]
-    cache_file: CacheFile | None = None
+    cache_file: SnapshotFile | None = None
 
 
 class RegistryService:
--- a/tests/system/distribution/test_distribution.py
+++ b/tests/system/distribution/test_distribution.py
@@ -24,50 +24,52 @@
     ItemUpdate,
     TableEntry,
 )
-from tests.support.simulated_exchange import NS_PER_MS, NS_PER_SECOND, ZONES, World
+from tests.support.simulated_exchange import NS_PER_MS, NS_PER_SECOND, ZONES, SimulatedExchange
 
 KEEPERS = {"a": "1", "b": "2", "c": "3"}
-Play = Callable[[World], Coroutine[Any, Any, None]]
+Play = Callable[[SimulatedExchange], Coroutine[Any, Any, None]]
 
 
 def play(test: Play) -> Callable[[], None]:
     """Runs a test in a world of six zones in three regions, each region with a control node."""
 
     def run() -> None:
-        asyncio.run(test(World("a1", "b1", "c1")))
+        asyncio.run(test(SimulatedExchange("a1", "b1", "c1")))
 
     run.__name__ = test.__name__
     return run
 
 
-async def route(world: World, service: str, *homes: str, name: str = "r") -> None:
+async def route(world: SimulatedExchange, service: str, *homes: str, name: str = "r") -> None:
     body = {"Name": name, "Service": service, "TargetMs": 500, "ServingRegions": homes}
-    await world.nodes["3"].ledger.write([Item(ROUTE, name, (1, ""), msgspec.json.encode(body))], 1)
+    await world.nodes["3"].replicated_state.write([Item(ROUTE, name, (1, ""), msgspec.json.encode(body))], 1)
 
 
-async def serve(world: World, counts: dict[str, int], *homes: str, full: float = 0.41, **rates: int) -> None:
+async def serve(
+    world: SimulatedExchange, counts: dict[str, int], *homes: str, full: float = 0.41, **rates: int
+) -> None:
     """So many backends of service `s` a zone, named like "a1.0"; a proxy a zone, with requests a second (20).
 
     Answers take so long that they fill that part of all slots; at 0.41 the threshold of overload is 0.95.
     """
     came = sum(rates.get(zone, 20) for zone in ZONES)
-    world.mean_ms = round(1000 * full * 4 * sum(counts.values()) / came)
+    world.reported_mean_ms = round(1000 * full * 4 * sum(counts.values()) / came)
     for zone, count in counts.items():
         for number in range(count):
-            world.backend(f"{zone}.{number}", "s", zone, KEEPERS[ZONES[zone]])
+            world.add_backend(f"{zone}.{number}", "s", zone, KEEPERS[ZONES[zone]])
     await route(world, "s", *homes)
     await world.run(4)
     for zone in ZONES:
         pool = "|".join(("s", *homes))
-        world.proxy(f"proxy {zone}", KEEPERS[ZONES[zone]], zone, **{pool: rates.get(zone, 20)})
+        world.connect_proxy(f"proxy {zone}", KEEPERS[ZONES[zone]], zone, **{pool: rates.get(zone, 20)})
     await world.run(50)
 
 
-def tables(world: World, of: str = "") -> dict[str, set[str]]:
+def tables(world: SimulatedExchange, of: str = "") -> dict[str, set[str]]:
     """The table that each zone's proxy uses now, by replaying what it was sent."""
     found = dict[str, set[str]]()
     for node in world.nodes.values():
-        for proxy, messages in node.sent.items():
+        for proxy, messages in node.sent_to_proxies.items():
             number, lines = -1, set[str]()
             for one in messages:
                 match one:
@@ -87,7 +89,7 @@
 
 
 @play
-async def test_zones_keep_their_own_and_lend_in_their_region_first(world: World) -> None:
+async def test_zones_keep_their_own_and_lend_in_their_region_first(world: SimulatedExchange) -> None:
     # The counts of a real service: b1 and c1 have one to spare; a2 and b2 one of two, for a2 too little.
     await serve(world, {"a1": 2, "a2": 1, "b1": 3, "b2": 1, "c1": 3, "c2": 2}, b2=18)
     found = {zone: zones_in(ids) for zone, ids in tables(world).items()}
@@ -102,7 +104,7 @@
     weights = [
         line
         for node in world.nodes.values()
-        for sent in node.sent.values()
+        for sent in node.sent_to_proxies.values()
         for one in sent
         if isinstance(one, BindTable)
         for line in one.entries
@@ -111,29 +113,31 @@
 
 
 @play
-async def test_traffic_of_all_proxies_makes_the_shares_and_one_answer_everywhere(world: World) -> None:
+async def test_traffic_of_all_proxies_makes_the_shares_and_one_answer_everywhere(
+    world: SimulatedExchange,
+) -> None:
     await serve(world, dict.fromkeys(ZONES, 2), full=0.6, a1=90, a2=90, b1=20, b2=20, c1=10, c2=10)
     found = tables(world)
     assert [len(found[zone]) for zone in sorted(ZONES)] == [3, 3, 2, 1, 1, 2]  # Due 4.5 in a: lent one each.
     # No two controllers give the same backend away.
-    assert sorted(id for ids in found.values() for id in ids) == sorted(world.beating)
+    assert sorted(id for ids in found.values() for id in ids) == sorted(world.backends)
 
 
 @play
-async def test_a_zone_far_over_its_due_sends_all_to_the_table_of_all(world: World) -> None:
+async def test_a_zone_far_over_its_due_sends_all_to_the_table_of_all(world: SimulatedExchange) -> None:
     # Due 1.83 each: a pair that lost one is no reason yet, or each drain would send half of all abroad.
     await serve(world, dict.fromkeys(ZONES, 2) | {"a1": 1})
     assert [len(ids) for _, ids in sorted(tables(world).items())] == [1, 2, 2, 2, 2, 2]
     world.proxies["proxy a1"] = "1", {"s": 25}  # Due 2.2 there.
     await world.run(40)
-    assert all(ids == set(world.beating) for ids in tables(world).values())
+    assert all(ids == set(world.backends) for ids in tables(world).values())
     world.proxies["proxy a1"] = "1", {"s": 15}
     await world.run(40)
     assert len(tables(world)["a1"]) == 1
 
 
 @play
-async def test_homes_bound_a_pool_and_zones_outside_them_borrow(world: World) -> None:
+async def test_homes_bound_a_pool_and_zones_outside_them_borrow(world: SimulatedExchange) -> None:
     await serve(world, dict.fromkeys(ZONES, 3), "a", "b")
     found = {zone: zones_in(ids) for zone, ids in tables(world).items()}
     assert all(zone[0] in "ab" for counts in found.values() for zone in counts)
@@ -142,86 +146,90 @@
 
 
 @play
-async def test_a_backend_is_in_tables_only_while_it_is_warm_and_its_zone_is_open(world: World) -> None:
+async def test_a_backend_is_in_tables_only_while_it_is_warm_and_its_zone_is_open(
+    world: SimulatedExchange,
+) -> None:
     await serve(world, dict.fromkeys(ZONES, 2))
-    await world.beat("a1.0", ColdRemainingMs=2500)
+    await world.send_heartbeat("a1.0", ColdRemainingMs=2500)
     await world.run(1.2)
     assert not any("a1.0" in ids for ids in tables(world).values())
-    await world.beat("a1.0", ColdRemainingMs=1000)
+    await world.send_heartbeat("a1.0", ColdRemainingMs=1000)
     await world.run(2.5)
     assert "a1.0" in tables(world)["a1"]
     for version, body in ((1, b"true"), (2, b"false")):
-        await world.nodes["2"].ledger.write([Item(ZONE, "a1", (version, ""), body)], 1)
+        await world.nodes["2"].replicated_state.write([Item(ZONE, "a1", (version, ""), body)], 1)
         await world.run(2)
         shut = not any(id.startswith("a1") for ids in tables(world).values() for id in ids)
         assert shut == (body == b"true")
-    assert not any(isinstance(one, EjectBackend) for sent in world.nodes["1"].sent.values() for one in sent)
+    assert not any(
+        isinstance(one, EjectBackend) for sent in world.nodes["1"].sent_to_proxies.values() for one in sent
+    )
 
 
 @play
-async def test_a_hello_is_answered_with_items_the_list_and_then_binds(world: World) -> None:
-    ledger = world.nodes["1"].ledger
+async def test_a_hello_is_answered_with_items_the_list_and_then_binds(world: SimulatedExchange) -> None:
+    ledger = world.nodes["1"].replicated_state
     await serve(world, dict.fromkeys(ZONES, 2))
-    ledger.gate.clear()
+    ledger.write_gate.clear()
     world.proxies.pop("proxy a1")
     world.nodes["1"].controller.proxy_linked("new")
-    sent = world.proxy("new", "1", "a1", ready=False, s=20)
+    sent = world.connect_proxy("new", "1", "a1", ready=False, s=20)
     await world.run(1)
     kinds = [type(one) for one in sent if not isinstance(one, ControlNodeHeartbeat)]
     assert kinds[:4] == [ItemUpdate, BackendUpdate, BindTable, Barrier]
     assert sent[2].complete and len(sent[2].updated) == 12
     assert not any(one.complete for one in sent if isinstance(one, ItemUpdate))
     await route(world, "t", name="later")
-    ledger.gate.set()
+    ledger.write_gate.set()
     await world.run(0.1)
     told = [one for one in sent if isinstance(one, ItemUpdate)]
     assert [[item.name for item in one.items] for one in told] == [["r"], ["later"], []] and told[-1].complete
-    world.proxy("new", "1", "a1", ready=True, s=20)  # The same link.
+    world.connect_proxy("new", "1", "a1", ready=True, s=20)  # The same link.
     assert sum(isinstance(one, BackendUpdate) for one in sent) == 1
-    world.proxy("new", "1", "a1", ready=True, s=20)  # Another one, since it says nothing new.
+    world.connect_proxy("new", "1", "a1", ready=True, s=20)  # Another one, since it says nothing new.
     world.nodes["1"].controller.proxy_linked("new")
-    world.proxy("new", "1", "a1", ready=False, s=20)
+    world.connect_proxy("new", "1", "a1", ready=False, s=20)
     await world.run(0.5)
     assert sum(isinstance(one, BackendUpdate) for one in sent) == 3
 
 
 @play
-async def test_the_sign_that_all_is_merged_is_for_links_that_asked_before(world: World) -> None:
+async def test_the_sign_that_all_is_merged_is_for_links_that_asked_before(world: SimulatedExchange) -> None:
     await world.run(4)
-    ledger = world.nodes["1"].ledger
-    ledger.gate.clear()
+    ledger = world.nodes["1"].replicated_state
+    ledger.write_gate.clear()
     for _ in range(2):
         world.nodes["1"].controller.proxy_linked("new")
-        sent = world.proxy("new", "1", "a1")
+        sent = world.connect_proxy("new", "1", "a1")
         await world.run(0.1)
-    ledger.gate.set()
+    ledger.write_gate.set()
     while not any(isinstance(one, ItemUpdate) and one.complete for one in sent):
         await asyncio.sleep(0)
-    assert ledger.freshened == 2
+    assert ledger.quorum_reads == 2
 
 
 @play
-async def test_freshening_goes_on_until_enough_answer(world: World) -> None:
-    world.nodes["1"].ledger.holds = False
-    sent = world.proxy("new", "1", "a1", ready=False)
+async def test_freshening_goes_on_until_enough_answer(world: SimulatedExchange) -> None:
+    world.nodes["1"].replicated_state.writes_succeed = False
+    sent = world.connect_proxy("new", "1", "a1", ready=False)
     await world.run(0.1)
     assert not any(isinstance(one, ItemUpdate) and one.complete for one in sent)
-    world.nodes["1"].ledger.holds = True
+    world.nodes["1"].replicated_state.writes_succeed = True
     await asyncio.sleep(0.25)  # The pause before the next try.
     assert any(isinstance(one, ItemUpdate) and one.complete for one in sent)
 
 
 @play
-async def test_a_draining_backend_is_withdrawn_before_lines_and_the_mark(world: World) -> None:
+async def test_a_draining_backend_is_withdrawn_before_lines_and_the_mark(world: SimulatedExchange) -> None:
     await serve(world, dict.fromkeys(ZONES, 2), full=0.3)
     await route(world, "s", "a", name="second")  # Another pool with the same backend.
-    del world.beating["a2.0"]  # It goes missing, and with the list.
+    del world.backends["a2.0"]  # It goes missing, and with the list.
     await world.run(8)
-    sent = world.nodes["1"].sent["proxy a1"]
+    sent = world.nodes["1"].sent_to_proxies["proxy a1"]
     before = len(sent)
     assert "a2.0" in [id for one in sent if isinstance(one, BackendUpdate) for id in one.removed_ids]
     assert not any(isinstance(one, EjectBackend) for one in sent)
-    assert await world.beat("a1.0", State="draining") == (200, {})
+    assert await world.send_heartbeat("a1.0", State="draining") == (200, {})
     await world.run(1.5)
     told = [one for one in sent[before:] if isinstance(one, EjectBackend | TableEntry | Barrier)]
     assert told[0] == EjectBackend("a1.0", True) and sum(isinstance(one, EjectBackend) for one in told) == 1
@@ -229,32 +237,36 @@
 
 
 @play
-async def test_a_new_control_node_takes_nothing_from_proxies_until_it_has_heard_all(world: World) -> None:
+async def test_a_new_control_node_takes_nothing_from_proxies_until_it_has_heard_all(
+    world: SimulatedExchange,
+) -> None:
     await serve(world, dict.fromkeys(ZONES, 2))
     for ip in world.zones:
         world.start(ip)
-    sent = [world.proxy(f"proxy {zone}", KEEPERS[ZONES[zone]], zone, s=20) for zone in ZONES][0]
+    sent = [world.connect_proxy(f"proxy {zone}", KEEPERS[ZONES[zone]], zone, s=20) for zone in ZONES][0]
     await world.run(2)
     assert not any(one.complete for one in sent if isinstance(one, BackendUpdate))
     assert not any(isinstance(one, BindTable) for one in sent)
     assert [one.max_proxies for one in sent if isinstance(one, ControlNodeHeartbeat)][-1] == 256
     await world.run(2.5)
     whole = [one for one in sent if isinstance(one, BackendUpdate) and one.complete]
-    assert len(whole) == 1 and {one.id for one in whole[0].updated} == set(world.beating)
+    assert len(whole) == 1 and {one.id for one in whole[0].updated} == set(world.backends)
     assert tables(world)["a1"] == {"a1.0", "a1.1"}
 
 
 @play
-async def test_a_proxy_that_changes_its_control_node_counts_once_and_gets_its_table(world: World) -> None:
+async def test_a_proxy_that_changes_its_control_node_counts_once_and_gets_its_table(
+    world: SimulatedExchange,
+) -> None:
     await serve(world, dict.fromkeys(ZONES, 2))
-    world.part("proxy a1")
-    sent = world.proxy("proxy a1", "2", "a1", s=20)
+    world.disconnect_proxy("proxy a1")
+    sent = world.connect_proxy("proxy a1", "2", "a1", s=20)
     await world.run(3)
     assert [one.table for one in sent if isinstance(one, BindTable)] == [0]
     floors = [node.controller.pool_loads for node in world.nodes.values()]
     assert all(set(floor.proxies) == set(world.proxies) for floor in floors)
     assert [floor.proxies["proxy a1"][1] for floor in floors] == ["2", "", "2"]
-    world.down.add("2")
+    world.stopped.add("2")
     await world.run(6)
     assert "proxy a1" not in floors[0].proxies and "proxy c1" in floors[0].proxies
 
--- a/tests/system/registry/test_home_regions.py
+++ b/tests/system/registry/test_home_regions.py
@@ -16,7 +16,7 @@
 )
 from ambershift.system.state_machine import NS_PER_SECOND
 from tests.support.proxy_rig import route
-from tests.support.simulated_exchange import World
+from tests.support.simulated_exchange import SimulatedExchange
 
 ALL, BOUND = host_counter_name("h.example", ()), host_counter_name("h.example", ("b", "a"))
 
@@ -88,14 +88,14 @@
 
 def test_directory_returns_home_proxies_while_two_are_ready() -> None:
     async def play() -> None:
-        world = World("a1", "b1", "c1")
+        world = SimulatedExchange("a1", "b1", "c1")
         find = world.nodes["3"].registry.proxy_addresses
         for name, ip, zone in (("p", "1", "a1"), ("q", "2", "b1"), ("r", "3", "c1")):
-            world.proxy(name, ip, zone, **{ALL: 50, BOUND: 40})
+            world.connect_proxy(name, ip, zone, **{ALL: 50, BOUND: 40})
         await world.run(6)
         assert sorted(find("c", "c1", "h.example")) == sorted(find("", "c1", "h.example")) == ["p:80", "q:80"]
         assert find("a", "a1", "h.example") == ["p:80"] and find("c", "c1", "other") == ["r:80"]
-        world.proxy("q", "2", "b1", leaving=True)
+        world.connect_proxy("q", "2", "b1", leaving=True)
         await world.run(0.3)
         assert find("c", "c1", "h.example") == ["r:80"]
 
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -42,31 +42,31 @@
 from ambershift.system.transport import links
 from ambershift.system.transport.link_path import CONTROL_NODE, Caller
 from tests.support import proxy_rig
-from tests.support.simulated_exchange import NS_PER_SECOND, ZONES, Node, World
+from tests.support.simulated_exchange import NS_PER_SECOND, ZONES, ControlNode, SimulatedExchange
 
 NOW = 1000 * NS_PER_SECOND
-ONE = Instance("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * NS_PER_SECOND)
+INSTANCE_ONE = Instance("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * NS_PER_SECOND)
 
 
-def kept(world: World, ip: str) -> bytes:
+def snapshot_of(world: SimulatedExchange, ip: str) -> bytes:
     registry = world.nodes[ip].registry
     return encode_snapshot(
         ip, world.now, registry.state_machine.max_proxies(world.now), list(registry.endpoints().values())
     )
 
 
-async def worn(cold: int = 0) -> tuple[World, dict[str, bytes]]:
+async def run_cluster(cold: int = 0) -> tuple[SimulatedExchange, dict[str, bytes]]:
     """A world that has run, and what its control nodes hold on disk when all end."""
-    world = World("a1", "b1", "c1")
+    world = SimulatedExchange("a1", "b1", "c1")
     for ip, zone in world.zones.items():
         for number in range(3):
-            world.backend(f"{zone}-{number}", f"s{number % 2}", zone, ip)
-    world.backend("cold", "s0", "a1", "1", ColdRemainingMs=cold)
+            world.add_backend(f"{zone}-{number}", f"s{number % 2}", zone, ip)
+    world.add_backend("cold", "s0", "a1", "1", ColdRemainingMs=cold)
     await world.run(5)
-    return world, {ip: kept(world, ip) for ip in world.nodes}
+    return world, {ip: snapshot_of(world, ip) for ip in world.nodes}
 
 
-def again(world: World, sheets: dict[str, bytes]) -> None:
+def restart_all(world: SimulatedExchange, sheets: dict[str, bytes]) -> None:
     for ip in world.zones:
         world.start(ip)
     for ip, data in sheets.items():
@@ -75,17 +75,17 @@
 
 def test_snapshot_is_served_at_once_and_lost_instances_time_out() -> None:
     async def run() -> None:
-        world, sheets = await worn()
-        here = set(world.beating)
-        lost = {id: world.beating.pop(id) for id in ("a1-1", "b1-2")}
-        beating, world.beating = world.beating, {}
-        again(world, sheets)
-        told = world.proxy("proxy", "2", "b1")
+        world, sheets = await run_cluster()
+        here = set(world.backends)
+        lost = {id: world.backends.pop(id) for id in ("a1-1", "b1-2")}
+        beating, world.backends = world.backends, {}
+        restart_all(world, sheets)
+        told = world.connect_proxy("proxy", "2", "b1")
         await world.run(0.5)
         first = next(one for one in told if isinstance(one, BackendUpdate))
         assert {one.id for one in first.updated} == here and not first.complete
         assert all(one.unconfirmed for one in first.updated)
-        world.beating = beating
+        world.backends = beating
         await world.run(1.5)  # A beat makes sure of those that beat, and proxies are told.
         sure = {
             one.id
@@ -94,22 +94,22 @@
             for one in list.updated
             if not one.unconfirmed
         }
-        assert sure == set(world.beating)
-        assert all(node.shown() == here for node in world.nodes.values())
+        assert sure == set(world.backends)
+        assert all(node.ready_ids() == here for node in world.nodes.values())
         await world.run(5)
-        assert all(node.shown() == here - lost.keys() for node in world.nodes.values())
+        assert all(node.ready_ids() == here - lost.keys() for node in world.nodes.values())
 
     asyncio.run(run())
 
 
 def test_snapshot_restores_the_number_of_proxies() -> None:
     async def run() -> None:
-        world, _ = await worn()
+        world, _ = await run_cluster()
         for number in range(7):
-            world.proxy(f"proxy{number}", "1", "a1")
+            world.connect_proxy(f"proxy{number}", "1", "a1")
         await world.run(0.3)
-        sheet, usual = kept(world, "2"), world.nodes["2"].registry.max_proxies()
-        again(world, {"2": sheet})
+        sheet, usual = snapshot_of(world, "2"), world.nodes["2"].registry.max_proxies()
+        restart_all(world, {"2": sheet})
         assert world.nodes["2"].registry.max_proxies() == usual < PROXIES_WHILE_INCOMPLETE
         assert world.nodes["1"].registry.max_proxies() == PROXIES_WHILE_INCOMPLETE  # Nothing is known here.
 
@@ -118,67 +118,69 @@
 
 def test_control_node_without_contact_keeps_its_snapshot() -> None:
     async def run() -> None:
-        world, sheets = await worn()
-        world.beating = {}
-        again(world, sheets)
-        world.down |= {"2", "3"}
+        world, sheets = await run_cluster()
+        world.backends = {}
+        restart_all(world, sheets)
+        world.stopped |= {"2", "3"}
         await world.run(20)
-        world.down.clear()
-        world.backend("s0", "s0", "a1", "1")  # Where a service has one that beats, the silent ones go.
+        world.stopped.clear()
+        world.add_backend("s0", "s0", "a1", "1")  # Where a service has one that beats, the silent ones go.
         await world.run(4)
-        assert len(world.nodes["1"].shown()) == 11
+        assert len(world.nodes["1"].ready_ids()) == 11
         await world.run(2)
-        assert "a1-0" not in world.nodes["1"].shown()
+        assert "a1-0" not in world.nodes["1"].ready_ids()
 
     asyncio.run(run())
 
 
 def test_tombstones_and_reused_addresses_win_over_the_snapshot() -> None:
     async def run() -> None:
-        world, sheets = await worn()
-        world.beating = {}
-        again(world, {})
+        world, sheets = await run_cluster()
+        world.backends = {}
+        restart_all(world, {})
         for ip in world.zones:  # As items that its disk has: nobody is told of these.
-            world.nodes[ip].ledger.held |= {
+            world.nodes[ip].replicated_state.stored |= {
                 (INSTANCE, id): Item(INSTANCE, id, (version, ""), b"{}")
                 for id, version in (("a1-0", 2), ("a1-1", 1))
             }
             world.nodes[ip].registry.load_snapshot(sheets[ip])
         lives = world.nodes["1"].registry.endpoints()
         assert "a1-0" not in lives and lives["a1-1"].draining  # Before any tick.
-        world.backend("new", "s9", "b1", "1", address="b1-1:80")
-        await world.beat("new")
+        world.add_backend("new", "s9", "b1", "1", address="b1-1:80")
+        await world.send_heartbeat("new")
         await world.run(0.5)
-        assert all("b1-1" not in node.shown() and "new" in node.shown() for node in world.nodes.values())
+        assert all(
+            "b1-1" not in node.ready_ids() and "new" in node.ready_ids() for node in world.nodes.values()
+        )
 
     asyncio.run(run())
 
 
 def test_newer_instance_keeps_its_address_from_one_in_the_snapshot() -> None:
     async def run() -> None:
-        world, _ = await worn()
-        world.backend("old", "s9", "a1", "1")
+        world, _ = await run_cluster()
+        world.add_backend("old", "s9", "a1", "1")
         await world.run(0.3)
-        sheet = kept(world, "1")
-        world.down.add("1")
-        world.beating.pop("old")
+        sheet = snapshot_of(world, "1")
+        world.stopped.add("1")
+        world.backends.pop("old")
         # Heard elsewhere for longer than the old one had been, by its own control node's list.
-        world.backend("new", "s9", "b1", "2", address="old:80")
+        world.add_backend("new", "s9", "b1", "2", address="old:80")
         await world.run(4)
         world.start("1")
         world.nodes["1"].registry.load_snapshot(sheet)
         await world.run(1)
-        assert "new" in world.nodes["1"].shown() and "old" not in world.nodes["1"].shown()
+        assert "new" in world.nodes["1"].ready_ids() and "old" not in world.nodes["1"].ready_ids()
 
     asyncio.run(run())
 
 
 def test_heartbeat_wins_over_the_snapshot_at_any_sequence() -> None:
     async def run() -> None:
-        world, sheets = await worn()
-        again(world, {"1": sheets["1"]})
-        world.beating["b1-0"][1]["Condition"]["Sequence"] = -1
-        await world.beat("b1-0", "1", ColdRemainingMs=9000)
+        world, sheets = await run_cluster()
+        restart_all(world, {"1": sheets["1"]})
+        world.backends["b1-0"][1]["Condition"]["Sequence"] = -1
+        await world.send_heartbeat("b1-0", "1", ColdRemainingMs=9000)
         life = world.nodes["1"].registry.endpoints()["b1-0"]
         assert life.warming_until > world.now and not life.unconfirmed
 
@@ -187,10 +189,10 @@
 
 def test_snapshot_keeps_the_warm_up_time_left() -> None:
     async def run() -> None:
-        world, sheets = await worn(cold=8000)
+        world, sheets = await run_cluster(cold=8000)
         before = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
         world.now += 3 * NS_PER_SECOND
-        again(world, sheets)
+        restart_all(world, sheets)
         left = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
         assert before - NS_PER_MS < left <= before
 
@@ -199,7 +201,7 @@
 
 @pytest.mark.parametrize("change", ["torn", "short", "empty", "foreign", "newer", "other"])
 def test_unreadable_snapshot_is_ignored(change: str) -> None:
-    data = encode_snapshot("1", NOW, 9, [ONE])
+    data = encode_snapshot("1", NOW, 9, [INSTANCE_ONE])
     assert [one.id for one in decode_snapshot("1", NOW, data)[1]] == ["one"]
     if change == "newer":
         body = msgspec.msgpack.encode([2, "1", 0, []])
@@ -211,10 +213,10 @@
         data = {"torn": torn, "short": data[:-1], "empty": b"", "foreign": data}[change]
     with pytest.raises(SnapshotError):
         decode_snapshot("9" if change == "foreign" else "1", NOW, data)
-    node = Node(World("a1"), "1")
+    node = ControlNode(SimulatedExchange("a1"), "1")
     node.registry.settings = replace(node.registry.settings, ip="9" if change == "foreign" else "1")
     node.registry.load_snapshot(data)
-    assert node.logs[-1][0] == 305 and not node.registry.endpoints()
+    assert node.log_events[-1][0] == 305 and not node.registry.endpoints()
 
 
 def test_snapshot_is_written_after_changes_and_when_an_instance_is_warm() -> None:
@@ -222,7 +224,7 @@
     assert not keep.due(NOW, 0)
     keep.changed = True
     assert keep.due(NOW, 9)
-    keep.written(NOW, 9, [ONE, replace(ONE, warming_until=NOW + 3 * NS_PER_SECOND)])
+    keep.written(NOW, 9, [INSTANCE_ONE, replace(INSTANCE_ONE, warming_until=NOW + 3 * NS_PER_SECOND)])
     assert not keep.due(NOW + MIN_WRITE_INTERVAL_NS, 9)
     keep.changed = True
     assert not keep.due(NOW + MIN_WRITE_INTERVAL_NS - 1, 9) and keep.due(NOW + MIN_WRITE_INTERVAL_NS, 9)
@@ -247,11 +249,11 @@
 
 def test_only_a_complete_list_is_written_and_a_failed_write_is_repeated() -> None:
     async def run() -> None:
-        world, _ = await worn()
+        world, _ = await run_cluster()
         registry = world.nodes["1"].registry
         registry.cache_file = side = Side()
         await world.run(0.2)
-        assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.beating)
+        assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.backends)
         await world.run(5)
         assert len(side.writes) == 1
         side.failed = True
@@ -259,10 +261,10 @@
         assert len(side.writes) == 2
         # The last of a service stay in use when silent, yet don't come back from the disk.
         for id in ("a1-0", "a1-1", "b1-1", "c1-1"):
-            world.beating.pop(id)
+            world.backends.pop(id)
         await world.run(12)
-        assert "a1-1" in world.nodes["1"].shown()
-        assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.beating)
+        assert "a1-1" in world.nodes["1"].ready_ids()
+        assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.backends)
         world.start("1")
         world.nodes["1"].registry.cache_file = side = Side()
         await world.run(3)
--- a/tests/system/registry/test_tombstone_expiry.py
+++ b/tests/system/registry/test_tombstone_expiry.py
@@ -25,16 +25,16 @@
     TombstoneExpiry,
 )
 from ambershift.system.simulation.world import World as Copies
-from tests.support.simulated_exchange import NS_PER_SECOND, World
+from tests.support.simulated_exchange import NS_PER_SECOND, SimulatedExchange
 
 MINUTE = 60 * NS_PER_SECOND
 
 
-def ended(id: str, version: int = 2) -> Item:
+def tombstone(id: str, version: int = 2) -> Item:
     return Item(INSTANCE, id, (version, ""), b"{}")
 
 
-def cleared(version: int, *ids: str) -> Item:
+def collected(version: int, *ids: str) -> Item:
     return Item(CLEARED, "instances", (version, "1"), msgspec.json.encode(ids))
 
 
@@ -83,7 +83,7 @@
 
 
 @pytest.fixture
-def soon(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_times(monkeypatch: pytest.MonkeyPatch) -> None:
     """All times a hundredth of what they are, but for those of a heartbeat."""
     for where, name, value in (
         (tombstone_expiry, "TOMBSTONE_RETENTION_NS", 18),
@@ -94,47 +94,51 @@
         monkeypatch.setattr(where, name, value * NS_PER_SECOND)
 
 
-def held(world: World) -> list[set[str]]:
-    return [{id for kind, id in node.ledger.held if kind == INSTANCE} for node in world.nodes.values()]
+def stored_tombstones(world: SimulatedExchange) -> list[set[str]]:
+    return [
+        {id for kind, id in node.replicated_state.stored if kind == INSTANCE} for node in world.nodes.values()
+    ]
 
 
-async def three() -> World:
-    world = World("a1", "b1", "c1")
+async def cluster_of_three() -> SimulatedExchange:
+    world = SimulatedExchange("a1", "b1", "c1")
     for zone, ip in (("a1", "1"), ("b1", "2"), ("c1", "3")):
         for number in range(2):
-            world.backend(f"{zone}-{number}", "s0", zone, ip)
+            world.add_backend(f"{zone}-{number}", "s0", zone, ip)
     await world.run(5)
     return world
 
 
-@pytest.mark.usefixtures("soon")
+@pytest.mark.usefixtures("short_times")
 def test_tombstones_are_collected_everywhere_and_a_late_heartbeat_is_rejected() -> None:
     async def playing() -> None:
-        world = await three()
-        body = world.beating.pop("a1-0")[1]
-        world.beating["a1-0"] = "1", body, world.now
-        assert (await world.beat("a1-0", State="draining"))[0] == 200
+        world = await cluster_of_three()
+        body = world.backends.pop("a1-0")[1]
+        world.backends["a1-0"] = "1", body, world.now
+        assert (await world.send_heartbeat("a1-0", State="draining"))[0] == 200
         assert (await world.nodes["2"].registry.deregister("a1-0"))[0] == 200
-        del world.beating["a1-0"]
+        del world.backends["a1-0"]
         # One that only said that it drains, and one that drains on: that one's end is not forgotten.
         for id in ("b1-0", "c1-0"):
-            assert (await world.beat(id, State="draining"))[0] == 200
-        world.beating["c1-0"][1]["Condition"]["State"] = "draining"
-        del world.beating["b1-0"]
+            assert (await world.send_heartbeat(id, State="draining"))[0] == 200
+        world.backends["c1-0"][1]["Condition"]["State"] = "draining"
+        del world.backends["b1-0"]
         await world.run(10)
         # Who is alone can't tell what the others hear: it forgets nothing, and the next one does so for all.
         alone = {("1", ip) for ip in "23"} | {(ip, "1") for ip in "23"}
-        world.cut |= alone
+        world.cut_links |= alone
         await world.run(7)
-        assert held(world) == [{"a1-0", "b1-0", "c1-0"}] * 3
+        assert stored_tombstones(world) == [{"a1-0", "b1-0", "c1-0"}] * 3
         await world.run(10)
-        assert held(world) == [{"a1-0", "b1-0", "c1-0"}, {"c1-0"}, {"c1-0"}]
-        world.cut -= alone
-        world.nodes["1"].ledger.merge(world.nodes["2"].ledger.held.values())
+        assert stored_tombstones(world) == [{"a1-0", "b1-0", "c1-0"}, {"c1-0"}, {"c1-0"}]
+        world.cut_links -= alone
+        world.nodes["1"].replicated_state.merge(world.nodes["2"].replicated_state.stored.values())
         await world.run(20)
-        assert held(world) == [{"c1-0"}] * 3
+        assert stored_tombstones(world) == [{"c1-0"}] * 3
         # One control node has told all.
-        assert [any(one.kind == CLEARED for one in node.ledger.puts) for node in world.nodes.values()] == [
+        assert [
+            any(one.kind == CLEARED for one in node.replicated_state.written) for node in world.nodes.values()
+        ] == [
             False,
             True,
             False,
@@ -150,44 +154,44 @@
         await world.run(0.3)
         assert not any("a1-0" in node.registry.endpoints() for node in world.nodes.values())
         # Another copy that was away with the end brings it back to nobody.
-        world.nodes["3"].ledger.merge([ended("a1-0")])
-        assert held(world) == [{"c1-0"}] * 3
+        world.nodes["3"].replicated_state.merge([tombstone("a1-0")])
+        assert stored_tombstones(world) == [{"c1-0"}] * 3
 
     asyncio.run(playing())
 
 
-@pytest.mark.usefixtures("soon")
+@pytest.mark.usefixtures("short_times")
 @pytest.mark.parametrize("still", [7, 40])
 def test_paused_control_node_revives_no_instance(still: int) -> None:
     """Shorter than the ends are kept, it learns of them; longer, it lets go all that it knew, and takes no
     beat that waited for it."""
 
     async def playing() -> None:
-        world = await three()
-        world.frozen.add("3")
-        world.cut |= {("3", "1"), ("3", "2")}  # Its store merges nothing meanwhile, either.
-        waiting = world.beating["c1-0"][1]
+        world = await cluster_of_three()
+        world.paused.add("3")
+        world.cut_links |= {("3", "1"), ("3", "2")}  # Its store merges nothing meanwhile, either.
+        waiting = world.backends["c1-0"][1]
         for ip in ("1", "2"):
             assert (await world.nodes[ip].registry.deregister("c1-0"))[0] == 200
-        del world.beating["c1-0"]
-        world.beating["c1-1"] = "1", *world.beating["c1-1"][1:]
+        del world.backends["c1-0"]
+        world.backends["c1-1"] = "1", *world.backends["c1-1"][1:]
         await world.run(still)
-        assert ("c1-0" in held(world)[0]) == (still < 18)
-        assert not world.nodes["3"].ledger.held
+        assert ("c1-0" in stored_tombstones(world)[0]) == (still < 18)
+        assert not world.nodes["3"].replicated_state.stored
         node = world.nodes["3"].registry
         for other in "12":
             stacks = world.nodes[other].registry.state_machine
             stacks.endpoint_list.collected = frozenset()  # As if so many had been cleared since.
-        world.frozen.clear()
-        world.cut.clear()
+        world.paused.clear()
+        world.cut_links.clear()
         late = {**waiting, "Condition": {"State": "ready", "Sequence": 99, "ColdRemainingMs": 0}}
         await node.heartbeat("c1-0", late)  # It has waited for the process.
         node.tick()
         await node.heartbeat("c1-0", late)
         for _ in range(20):
             await world.run(0.1)
-            assert not any("c1-0" in world.nodes[ip].shown() for ip in "12")
-        assert {"a1-0", "b1-0", "c1-1"} <= world.nodes["3"].shown()
+            assert not any("c1-0" in world.nodes[ip].ready_ids() for ip in "12")
+        assert {"a1-0", "b1-0", "c1-1"} <= world.nodes["3"].ready_ids()
 
     asyncio.run(playing())
 
@@ -206,17 +210,17 @@
     def replicas() -> list[Replica]:
         return [box.replica for box in world.boxes.values() if box.replica is not None]
 
-    put(ended("old", 1), ended("older"), ended("new"))
+    put(tombstone("old", 1), tombstone("older"), tombstone("new"))
     world.cut |= {(away, ip) for ip in world.boxes} | {(ip, away) for ip in world.boxes}
-    put(cleared(1, "old", "older", "never held"))
-    put(ended("old"))  # Acknowledged, and nothing is held of it.
+    put(collected(1, "old", "older", "never held"))
+    put(tombstone("old"))  # Acknowledged, and nothing is held of it.
     world.cut.clear()
     world.run(4)
     assert [set(one.store.items) for one in replicas()] == [{CLEARED_INSTANCES_KEY, (INSTANCE, "new")}] * 5
     assert len({one.store.buckets.total for one in replicas()}) == 1
     # A later list need not name them any more: whoever still has them gives them back, which does no harm.
     world.kill(away)
-    put(cleared(2, "new"))
+    put(collected(2, "new"))
     world.run(0.5)
     world.start(away)
     world.run(4)
@@ -227,11 +231,11 @@
 
 def test_proxies_and_controllers_drop_the_same_tombstones() -> None:
     pushes = Pushes()
-    sent = pushes.greet("proxy", [ended("a"), ended("b")], BackendUpdate((), (), True))
-    sent += pushes.items([cleared(1, "a"), ended("c")])
+    sent = pushes.greet("proxy", [tombstone("a"), tombstone("b")], BackendUpdate((), (), True))
+    sent += pushes.items([collected(1, "a"), tombstone("c")])
     assert {id for kind, id in pushes.told if kind == INSTANCE} == {"b", "c"}
     routing = Routing()
     for one in sent:
         routing.merge(getattr(one.message, "items", ()))
-    routing.merge([ended("a")])  # From a control node that was away.
+    routing.merge([tombstone("a")])  # From a control node that was away.
     assert {id for kind, id in routing.items if kind == INSTANCE} == {"b", "c"}
