--- a/ambershift/system/consensus/events.py
+++ b/ambershift/system/consensus/events.py
@@ -7,7 +7,7 @@
 
 from ambershift.system.interfaces import ChangeFunction
 from ambershift.system.messages.items import Item
-from ambershift.system.state_machine import MessageReceived, Tick, WriteCompleted
+from ambershift.system.state_machine import MessageReceived, PeerConnected, Tick, WriteCompleted
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,11 +31,4 @@
     timeout_s: float
 
 
-@dataclass(frozen=True, slots=True)
-class PeerConnected:
-    """A link to that machine has come up; what was sent to it before is lost."""
-
-    ip: str
-
-
 Event = MessageReceived | PeerConnected | Tick | WriteCompleted | WriteItems | ReadQuorum | ChangeRegister
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -18,7 +18,7 @@
 from ambershift.system.consensus.anti_entropy import AntiEntropy
 from ambershift.system.consensus.contact_lease import ContactLease
 from ambershift.system.consensus.effect_buffer import EffectBuffer, ItemsUpdated
-from ambershift.system.consensus.events import Event, PeerConnected, ReadQuorum, WriteItems
+from ambershift.system.consensus.events import Event, ReadQuorum, WriteItems
 from ambershift.system.consensus.failure_detector import FailureDetector
 from ambershift.system.consensus.heartbeats import HeartbeatExchange
 from ambershift.system.consensus.item_store import ItemStore
@@ -52,7 +52,14 @@
     VoterConfiguration,
 )
 from ambershift.system.settings.local import Local
-from ambershift.system.state_machine import NS_PER_SECOND, Effect, MessageReceived, Tick, WriteCompleted
+from ambershift.system.state_machine import (
+    NS_PER_SECOND,
+    Effect,
+    MessageReceived,
+    PeerConnected,
+    Tick,
+    WriteCompleted,
+)
 
 PREFETCH_INTERVAL_NS = NS_PER_SECOND
 EVENT_DISK_CREATED = 203
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -15,7 +15,7 @@
 from ambershift.system.consensus.contact_lease import NO_CONTACT_AGE_MS
 from ambershift.system.consensus.disk import Disk, Rows
 from ambershift.system.consensus.effect_buffer import CallSucceeded, ItemsUpdated
-from ambershift.system.consensus.events import ChangeRegister, Event, PeerConnected, ReadQuorum, WriteItems
+from ambershift.system.consensus.events import ChangeRegister, Event, ReadQuorum, WriteItems
 from ambershift.system.consensus.membership_view import (
     MembershipStatus,
     control_node_addresses,
@@ -31,6 +31,7 @@
     CompleteCall,
     LogEvent,
     MessageReceived,
+    PeerConnected,
     ScheduleTick,
     Send,
     Tick,
--- a/ambershift/system/registry/events.py
+++ b/ambershift/system/registry/events.py
@@ -8,7 +8,7 @@
 from ambershift.system.messages.registry_sync import PoolRate
 from ambershift.system.registry.heartbeats import Heartbeat
 from ambershift.system.registry.records import Instance
-from ambershift.system.state_machine import LogEvent, MessageReceived, Send
+from ambershift.system.state_machine import LogEvent, MessageReceived, PeerConnected, Send
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,13 +60,6 @@
     ids: tuple[str, ...]
 
 
-@dataclass(frozen=True, slots=True)
-class PeerConnected:
-    """A link to another control node is up; `peer` is its ip."""
-
-    peer: str
-
-
 @dataclass(frozen=True, slots=True)
 class ProxyConnected:
     """A proxy linked here has said `Hello`, for the first time or again."""
--- a/ambershift/system/registry/service.py
+++ b/ambershift/system/registry/service.py
@@ -35,7 +35,7 @@
 from ambershift.system.registry.state_machine import RegistryStateMachine
 from ambershift.system.registry.tombstones import HttpAnswer, TombstoneWriter
 from ambershift.system.settings.local import Local
-from ambershift.system.state_machine import NS_PER_SECOND, LogEvent, MessageReceived, Send
+from ambershift.system.state_machine import NS_PER_SECOND, LogEvent, MessageReceived, PeerConnected, Send
 
 # Told while some proxies may not have been heard yet: proxies share the load of an instance that warms up by
 # this number, and too few would send it too much.
@@ -210,7 +210,7 @@
 
     def peer_connected(self, ip: str) -> None:
         """Note that a link to another control node is up."""
-        self._step(events.PeerConnected(ip))
+        self._step(PeerConnected(ip))
 
     def proxy_connected(self, hello: Hello) -> None:
         """Note the `Hello` of a proxy that is linked here."""
--- a/ambershift/system/registry/state_machine.py
+++ b/ambershift/system/registry/state_machine.py
@@ -13,7 +13,7 @@
 from ambershift.system.registry.proxy_directory import LinkedProxies, ProxyDirectory
 from ambershift.system.registry.records import ProxyRecord, instance_key, proxy_key, rate_key
 from ambershift.system.registry.tombstone_expiry import TombstoneExpiry
-from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND, LogEvent, MessageReceived
+from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND, LogEvent, MessageReceived, PeerConnected
 
 BATCH_INTERVAL_NS = 100 * NS_PER_MS
 ANNOUNCEMENT_INTERVAL_NS = NS_PER_SECOND
@@ -72,8 +72,8 @@
                 self._on_tick(now, event, effects)
             case MessageReceived():
                 self._on_message(now, event, effects)
-            case events.PeerConnected():
-                effects += self.exchange.announce([event.peer])
+            case PeerConnected():
+                effects += self.exchange.announce([event.ip])
             case events.SnapshotLoaded():
                 self._on_snapshot(now, event)
             case events.TombstonesMerged():
--- a/ambershift/system/state_machine.py
+++ b/ambershift/system/state_machine.py
@@ -24,6 +24,13 @@
     message: msgspec.Struct
 
 
+@dataclass(frozen=True, slots=True)
+class PeerConnected:
+    """A link to another control node, named by its ip, is up; what was sent before may be lost."""
+
+    ip: str
+
+
 @dataclass(frozen=True, slots=True)
 class Tick:
     """Time has passed: a wake that was asked for, or the shell's own beat."""
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -17,7 +17,7 @@
 
 from ambershift.system.consensus import cache_file
 from ambershift.system.consensus.cache_file import CacheFile
-from ambershift.system.consensus.events import PeerConnected, ReadQuorum
+from ambershift.system.consensus.events import ReadQuorum
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.messages import codec
 from ambershift.system.messages.items import INSTANCE, Item
@@ -38,7 +38,7 @@
     encode_snapshot,
 )
 from ambershift.system.settings.local import Bounds, Local
-from ambershift.system.state_machine import NS_PER_MS, Send, WriteCompleted
+from ambershift.system.state_machine import NS_PER_MS, PeerConnected, Send, WriteCompleted
 from ambershift.system.transport import links
 from ambershift.system.transport.link_path import CONTROL_NODE, Caller
 from tests.support import proxy_rig
