--- a/tests/support/simulated_exchange.py
+++ b/tests/support/simulated_exchange.py
@@ -1,4 +1,4 @@
-"""A small simulated exchange: control nodes with real registries and controllers, on one chosen clock."""
+"""Simulated control nodes with real registries and controllers, on one virtual clock."""
 
 from __future__ import annotations
 
@@ -23,25 +23,40 @@
 
 
 class SimulatedReplicatedState:
-    """Items as one control node holds them; `holds` False makes every put fail, `gate` delays it."""
+    """Items as one control node has stored them, in the place of `consensus/`.
+
+    Attributes:
+        stored: Items by key.
+        listeners: Called with each batch of items that has become newer here.
+        written: All items written through this control node.
+        writes_succeed: False makes each write and each quorum read fail.
+        write_gate: While it is cleared, writes and quorum reads wait.
+        quorum_reads: How many there were.
+    """
 
     def __init__(self, world: SimulatedExchange, ip: str) -> None:
-        self.world, self.ip, self.stored = world, ip, dict[Any, Item]()
+        self.world = world
+        self.ip = ip
+        self.stored = dict[Any, Item]()
         self.listeners = list[Callable[..., None]]()
-        self.written, self.writes_succeed, self.write_gate = list[Item](), True, asyncio.Event()
+        self.written = list[Item]()
+        self.writes_succeed = True
+        self.write_gate = asyncio.Event()
         self.quorum_reads = 0
         self.write_gate.set()
 
     def merge(self, items: Iterable[Item]) -> None:
         newer = [
-            one for one in items if (old := self.stored.get(one.key)) is None or newest(old, one) is not old
+            item
+            for item in items
+            if (old := self.stored.get(item.key)) is None or newest(old, item) is not old
         ]
-        self.stored |= {one.key: one for one in newer}
-        cleared = self.stored.get(CLEARED_INSTANCES_KEY)
-        for id in cleared_instances(cleared) if cleared else ():
+        self.stored |= {item.key: item for item in newer}
+        collected = self.stored.get(CLEARED_INSTANCES_KEY)
+        for id in cleared_instances(collected) if collected else ():
             self.stored.pop((INSTANCE, id), None)
-        for heard in self.listeners if newer else ():
-            heard(newer)
+        for listener in self.listeners if newer else ():
+            listener(newer)
 
     async def write(self, items: Sequence[Item], timeout_s: float) -> None:
         await self.write_gate.wait()
@@ -68,13 +83,13 @@
         return [proxy_link.ControlNodeAddress(ip, zone, ZONES[zone]) for ip, zone in self.world.zones.items()]
 
     def settled_voters(self) -> frozenset[str]:
-        return frozenset(core.ip for core in self.control_nodes() if self.is_responsive(core.ip))
+        return frozenset(node.ip for node in self.control_nodes() if self.is_responsive(node.ip))
 
     def is_responsive(self, ip: str) -> bool:
         return self.is_alive(ip)
 
     def is_alive(self, ip: str) -> bool:
-        return ip == self.ip or ip in self.world.zones and self.world.can_receive(self.ip, ip)
+        return ip == self.ip or (ip in self.world.zones and self.world.can_receive(self.ip, ip))
 
     def contact_age_ms(self) -> int:
         return 0 if self.has_quorum_contact() else 1 << 30
@@ -84,28 +99,39 @@
 
 
 class ControlNode:
+    """One control node's registry and controller.
+
+    Attributes:
+        replicated_state: What it has stored.
+        log_events: Number and fields of each event that it has logged.
+        sent_to_proxies: Messages, by the proxy's name.
+        registry: Its registry service.
+        controller: Its controller.
+    """
+
     def __init__(self, world: SimulatedExchange, ip: str) -> None:
         zone = world.zones[ip]
         settings = Local(
-            "",
-            ip,
-            "core",
-            ip,
-            zone,
-            ZONES[zone],
-            True,
-            True,
-            None,
-            (7000, 7001),
-            (),
-            {"Control": f"{ip}:8080"},
-            ZONES,
-            HEARTBEAT_INTERVAL_NS / NS_PER_SECOND,
-            (1, 1, 1),
-            Bounds(),
+            file="",
+            name=ip,
+            machine_class="core",
+            ip=ip,
+            zone=zone,
+            region=ZONES[zone],
+            counted=True,
+            initial=True,
+            folder=None,
+            internal=(7000, 7001),
+            seeds=(),
+            listen={"Control": f"{ip}:8080"},
+            zones=ZONES,
+            heartbeat=HEARTBEAT_INTERVAL_NS / NS_PER_SECOND,
+            tolerated=(1, 1, 1),
+            bounds=Bounds(),
         )
-        self.replicated_state, self.log_events = SimulatedReplicatedState(world, ip), list[tuple[int, Any]]()
-        self.sent_to_proxies: dict[str, list[msgspec.Struct]] = {}  # To proxies.
+        self.replicated_state = SimulatedReplicatedState(world, ip)
+        self.log_events = list[tuple[int, Any]]()
+        self.sent_to_proxies: dict[str, list[msgspec.Struct]] = {}
 
         def log(number: int, fields: Any) -> None:
             self.log_events.append((number, fields))
@@ -125,40 +151,59 @@
         )
 
     def ready_ids(self) -> set[str]:
-        return {id for id, life in self.registry.endpoints().items() if not life.draining}
+        """Return the ids of endpoints that don't drain."""
+        return {id for id, endpoint in self.registry.endpoints().items() if not endpoint.draining}
 
 
 class SimulatedExchange:
-    """Control nodes with ips "1", "2".. in the zones given. Runs in the loop of `asyncio.run`."""
+    """Control nodes with ips "1", "2".. in the zones given. Runs in the loop of `asyncio.run`.
+
+    Attributes:
+        now: Time of all steady clocks (ns).
+        zones: Zone of each control node, by ip.
+        cut_links: Sender and recipient of links that lose all messages.
+        stopped: Ips of control nodes that have ended.
+        paused: Ips of control nodes whose process stands still.
+        in_flight: Arrival (ns), order of sending, sender, recipient and bytes of messages under way.
+        bytes_sent: Between control nodes.
+        reported_mean_ms: Mean response time in the proxies' load reports (ms); 0: they report no backend.
+        backends: By id: the control node of its heartbeats, their body, and when the next is due (ns).
+        proxies: By name: control node, and requests a second for each pool.
+    """
 
     def __init__(self, *zones: str) -> None:
-        self.now, self.seeds, self.order = 1000 * NS_PER_SECOND, count(1), count()
-        self.zones = {str(at): zone for at, zone in enumerate(zones, 1)}
-        self.cut_links, self.stopped, self.paused = set[tuple[str, str]](), set[str](), set[str]()
+        self.now = 1000 * NS_PER_SECOND
+        self.seeds = count(1)
+        self.order = count()
+        self.zones = {str(number): zone for number, zone in enumerate(zones, 1)}
+        self.cut_links = set[tuple[str, str]]()
+        self.stopped = set[str]()
+        self.paused = set[str]()
         self.in_flight: list[tuple[int, int, str, str, bytes]] = []
         self.bytes_sent = 0
-        self.reported_mean_ms = 0  # What proxies tell of answers' times, where not 0.
+        self.reported_mean_ms = 0
         self.nodes: dict[str, ControlNode] = {}
-        self.backends: dict[str, tuple[str, dict[str, Any], int]] = {}  # Lives: keeper, body, next beat.
-        self.proxies: dict[
-            str, tuple[str, dict[str, int]]
-        ] = {}  # Control node; requests a second for each pool.
+        self.backends: dict[str, tuple[str, dict[str, Any], int]] = {}
+        self.proxies: dict[str, tuple[str, dict[str, int]]] = {}
         for ip in self.zones:
             self.start(ip)
 
     def start(self, ip: str) -> None:
-        held = self.nodes[ip].replicated_state.stored if ip in self.nodes else {}
+        """Start or restart the process of a control node; it keeps what it has stored."""
+        stored = self.nodes[ip].replicated_state.stored if ip in self.nodes else {}
         self.nodes[ip] = ControlNode(self, ip)
-        self.nodes[ip].replicated_state.merge(held.values())
+        self.nodes[ip].replicated_state.merge(stored.values())
         self.stopped.discard(ip)
 
     def can_receive(self, recipient: str, sender: str) -> bool:
+        """Tell whether a message would arrive now."""
         return (
             not {recipient, sender} & (self.stopped | self.paused)
             and (sender, recipient) not in self.cut_links
         )
 
     def send(self, sender: str, to: str, message: msgspec.Struct) -> None:
+        """Send a message between control nodes; it takes 20 ms, or is lost."""
         data = codec.encode(message)
         self.bytes_sent += len(data)
         if self.can_receive(to, sender):
@@ -167,6 +212,7 @@
     def add_backend(
         self, id: str, service: str, zone: str, control_node: str, address: str = "", **condition: Any
     ) -> None:
+        """Start a backend that sends heartbeats to this control node; `condition`: fields of theirs."""
         body = {
             "Address": address or f"{id}:80",
             "Information": {"Service": service, "ConfigVersion": "v1", "Zone": zone, "CapacitySlots": 4},
@@ -177,16 +223,26 @@
     async def send_heartbeat(
         self, id: str, control_node: str | None = None, **condition: Any
     ) -> tuple[int, dict[str, Any]]:
-        known, body, _ = self.backends[id]
+        """Send a backend's next heartbeat now, from then on to `control_node` if one is given.
+
+        Returns:
+            HTTP status and body of the answer.
+        """
+        current, body, _ = self.backends[id]
+        control_node = control_node or current
         body["Condition"]["Sequence"] += 1
         body["Condition"] |= condition
-        self.backends[id] = control_node or known, body, self.now + HEARTBEAT_INTERVAL_NS
-        return await self.nodes[control_node or known].registry.heartbeat(id, msgspec.json.encode(body))
+        self.backends[id] = control_node, body, self.now + HEARTBEAT_INTERVAL_NS
+        return await self.nodes[control_node].registry.heartbeat(id, msgspec.json.encode(body))
 
     def connect_proxy(
         self, name: str, ip: str, zone: str, ready: bool = True, leaving: bool = False, **rates: int
     ) -> list[msgspec.Struct]:
-        """A proxy says Hello on a link to a control node. Returns what it will have been sent."""
+        """Let a proxy say `Hello` on a link to a control node.
+
+        Returns:
+            The messages that it is sent, now and later.
+        """
         self.proxies[name] = ip, rates
         hello = proxy_link.Hello(name, "x", zone, f"{name}:80", ready, leaving)
         sent = self.nodes[ip].sent_to_proxies.setdefault(name, [])
@@ -194,6 +250,7 @@
         return sent
 
     def disconnect_proxy(self, name: str) -> None:
+        """End the link of a proxy."""
         ip, _ = self.proxies.pop(name)
         self.nodes[ip].controller.proxy_lost(name)
 
@@ -201,17 +258,18 @@
         for name, (ip, rates) in self.proxies.items():
             if ip not in self.stopped | self.paused:
                 hear = self.nodes[ip].controller.hear_proxy
-                for one in list(self.nodes[ip].sent_to_proxies.get(name, ())):
-                    if isinstance(one, proxy_link.Barrier):
-                        hear(name, one)
+                for message in list(self.nodes[ip].sent_to_proxies.get(name, ())):
+                    if isinstance(message, proxy_link.Barrier):
+                        hear(name, message)
                 if self.now % NS_PER_SECOND == 0:
-                    met = tuple(
+                    loads = tuple(
                         proxy_link.BackendLoad(id, 20, 0, self.reported_mean_ms)
                         for id in list(self.backends)[:1]
                     )
-                    hear(name, proxy_link.LoadReport(1000, rates, met if self.reported_mean_ms else ()))
+                    hear(name, proxy_link.LoadReport(1000, rates, loads if self.reported_mean_ms else ()))
 
     async def run(self, seconds: float) -> None:
+        """Let time pass in ticks of 50 ms."""
         until = self.now + int(seconds * NS_PER_SECOND)
         while self.now < until:
             self.now += 50 * NS_PER_MS
@@ -219,8 +277,8 @@
                 _, _, sender, to, data = heapq.heappop(self.in_flight)
                 if self.can_receive(to, sender):
                     self.nodes[to].registry.receive(sender, codec.decode(data))
-            for id, (keeper, _, due) in list(self.backends.items()):
-                if due <= self.now and keeper not in self.stopped | self.paused:
+            for id, (control_node, _, due) in list(self.backends.items()):
+                if due <= self.now and control_node not in self.stopped | self.paused:
                     await self.send_heartbeat(id)
             self._send_proxy_messages()
             for ip, node in self.nodes.items():
--- a/tests/system/registry/test_home_regions.py
+++ b/tests/system/registry/test_home_regions.py
@@ -1,4 +1,4 @@
-"""Clients of hosts whose requests have to be answered in another region: whom the directory names to them."""
+"""Proxies for clients of hosts whose requests have to be answered in another region."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
         and not homes.regions_for("h.example", "")
     )
     homes.update(rates(1000, 1000 * RETAIN_MIN_SHARE))
-    assert homes.regions_for("h.example", "c")  # Not to and fro for a little.
+    assert homes.regions_for("h.example", "c")  # Hysteresis: a little less changes nothing.
     homes.update(rates(MIN_RATE_PER_100S - 1, 0))
-    assert homes.regions_for("h.example", "c")  # So few tell nothing.
+    assert homes.regions_for("h.example", "c")  # Too few requests decide nothing.
     homes.update(rates(1000, 1000 * RETAIN_MIN_SHARE - 1))
     assert not homes.regions_for("h.example", "c")
     homes.update(rates(1000, 1000 * REDIRECT_MIN_SHARE - 1))
--- a/tests/system/registry/test_registry.py
+++ b/tests/system/registry/test_registry.py
@@ -1,4 +1,4 @@
-"""Backends and proxies as three control nodes know them: beats, sign-offs, silence, the directory."""
+"""Backends and proxies as three control nodes know them: heartbeats, sign-offs, time-outs, the directory."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 def play(test: Scenario) -> Callable[[], None]:
-    """Runs a test in a world of three control nodes, four backends at each, all heard and settled."""
+    """Run a test with three control nodes and four backends at each, once all is known everywhere."""
 
-    async def whole() -> None:
+    async def scenario() -> None:
         world = SimulatedExchange("a1", "b1", "c1")
         for ip, zone in world.zones.items():
             for number in range(4):
@@ -30,7 +30,7 @@
         await test(world)
 
     def run() -> None:
-        asyncio.run(whole())
+        asyncio.run(scenario())
 
     run.__name__ = test.__name__
     return run
@@ -42,21 +42,21 @@
 
 @play
 async def test_draining_is_acknowledged_once_stored_and_reported_at_once(world: SimulatedExchange) -> None:
-    ledger = world.nodes["1"].replicated_state
+    replicated_state = world.nodes["1"].replicated_state
     sent = world.connect_proxy("proxy", "1", "a1")
-    ledger.write_gate.clear()
+    replicated_state.write_gate.clear()
     first = asyncio.ensure_future(world.send_heartbeat("a1-0", State="draining"))
     again = asyncio.ensure_future(world.send_heartbeat("a1-0", State="draining"))
     await world.run(0.3)
     assert not first.done() and not again.done()
     assert is_ready(world, "a1-0") == [False] * 3
-    ledger.write_gate.set()
+    replicated_state.write_gate.set()
     assert [await first, await again] == [(200, {}), (200, {})]
-    assert [one.key for one in ledger.written] == [("instance", "a1-0")]
+    assert [item.key for item in replicated_state.written] == [("instance", "a1-0")]
     assert any(isinstance(one, ItemUpdate) and one.items and one.items[0].version == (1, "") for one in sent)
-    # It stays so for its life, and its later beats are no more puts; another control node puts for itself.
+    # It drains for good, and later heartbeats write nothing; another control node writes for itself.
     await world.run(3)
-    assert is_ready(world, "a1-0") == [False] * 3 and len(ledger.written) == 1
+    assert is_ready(world, "a1-0") == [False] * 3 and len(replicated_state.written) == 1
     assert await world.send_heartbeat("a1-0", "2", State="ready") == (200, {"HeartbeatTarget": "1:8080"})
     await world.run(0.3)
     assert is_ready(world, "a1-0") == [False] * 3 and not world.nodes["2"].replicated_state.written
@@ -73,7 +73,7 @@
     world.nodes["1"].replicated_state.writes_succeed = False
     assert (await world.send_heartbeat("a1-0", State="draining"))[0] == 503
     assert (await world.nodes["1"].registry.deregister("a1-1"))[0] == 503
-    assert (await world.send_heartbeat("a1-0", State="ready"))[0] == 200  # Draining sticks all the same.
+    assert (await world.send_heartbeat("a1-0", State="ready"))[0] == 200  # It drains all the same.
     await world.run(0.3)
     assert is_ready(world, "a1-0") == [False] * 3
     world.nodes["1"].replicated_state.writes_succeed = True
@@ -105,7 +105,7 @@
     body = world.backends["a1-0"][1]
     late = body | {"Condition": body["Condition"] | {"ColdRemainingMs": 9000}}
     await world.send_heartbeat("a1-0")
-    for ip in ("1", "3"):  # Where it beats and where it doesn't.
+    for ip in ("1", "3"):  # Where its heartbeats go, and elsewhere.
         assert (await world.nodes[ip].registry.heartbeat("a1-0", late))[0] == 200
         await world.run(0.4)
         assert cold() == [False] * 3
@@ -133,15 +133,15 @@
 async def test_idle_exchange_costs_few_bytes_and_lost_messages_are_repaired(world: SimulatedExchange) -> None:
     before = world.bytes_sent
     await world.run(4)
-    assert world.bytes_sent - before <= 4 * 6 * 12  # Six ways, a pulse each.
-    world.cut_links |= {("1", "3")}  # What is sent is lost, too short for anybody to be missed.
+    assert world.bytes_sent - before <= 4 * 6 * 12  # Six ways, an announcement each.
+    world.cut_links |= {("1", "3")}  # Messages are lost, for less than any time-out.
     await world.send_heartbeat("a1-0", ColdRemainingMs=4000)
     world.add_backend("new", "s0", "a1", "1")
     await world.run(0.5)
     world.cut_links.clear()
     await world.run(1.2)
-    life = world.nodes["3"].registry.endpoints()["a1-0"]
-    assert "new" in world.nodes["3"].ready_ids() and life.warming_until > world.now + 2 * NS_PER_SECOND
+    instance = world.nodes["3"].registry.endpoints()["a1-0"]
+    assert "new" in world.nodes["3"].ready_ids() and instance.warming_until > world.now + 2 * NS_PER_SECOND
 
 
 @play
@@ -231,7 +231,7 @@
     assert not [id for id in world.nodes["2"].ready_ids() if id.startswith("a1")]
     world.paused.clear()
     late = {id: world.backends.pop(id) for id in list(world.backends) if id.startswith("a1")}
-    world.nodes["1"].registry.tick()  # Before it has read what has come meanwhile.
+    world.nodes["1"].registry.tick()  # Before it has read what has arrived meanwhile.
     assert world.nodes["1"].registry.proxy_addresses("a", "a1") == ["proxy:80"]
     await world.run(1)
     assert len([id for id in world.nodes["1"].ready_ids() if id.startswith("a1")]) == 4 and sent
@@ -260,19 +260,19 @@
         world.connect_proxy(name, ip, zone)
     world.connect_proxy("t", "1", "a1", ready=False)
     await world.run(0.3)
-    assert sorted(find("a", "a1")) == ["p:80", "q:80"]  # One in the zone: the region.
+    assert sorted(find("a", "a1")) == ["p:80", "q:80"]  # There is but one in the zone: those of the region.
     assert sorted(find("b", "b1")) == ["r:80", "s:80"] and len(find("c", "c1")) == 4
     assert len({tuple(find("c", "c1")) for _ in range(20)}) > 1
     assert world.nodes["3"].registry.max_proxies() == 5 + 2 + 6
     world.connect_proxy("s", "3", "b1", leaving=True)
     assert find("b", "b2") == ["r:80"]
-    world.connect_proxy("s", "2", "b1")  # A word that was on its way: this life leaves.
+    world.connect_proxy("s", "2", "b1")  # A message that was on its way: this incarnation drains.
     world.disconnect_proxy("p")
     world.disconnect_proxy("r")
     await world.run(0.5)
     assert find("b", "b1") == ["r:80"] and sorted(find("a", "a1")) == ["p:80", "q:80"]
     world.disconnect_proxy("s")
-    world.connect_proxy("r", "1", "b1", ready=False)  # On another link before it is given up here.
+    world.connect_proxy("r", "1", "b1", ready=False)  # On another link before it is taken for lost here.
     await world.run(0.3)
     assert "r:80" not in find("b", "b1")
     world.connect_proxy("r", "1", "b1")
@@ -285,7 +285,9 @@
     assert find("c", "c1") == []
     world.start("3")
     await world.run(6)
-    assert world.nodes["3"].registry.max_proxies() == 5 + 2 + 6  # The most ever known to any.
+    assert (
+        world.nodes["3"].registry.max_proxies() == 5 + 2 + 6
+    )  # The most that any control node has ever known.
 
 
 @play
@@ -305,7 +307,7 @@
     world.connect_proxy("p", "2", "a1")  # Only its control node was lost.
     await world.run(0.3)
     assert find("a", "a1") == ["p:80"]
-    world.stopped.add("2")  # Of four one is left: that would be too much for it, and those may be there.
+    world.stopped.add("2")  # Of four, one is left. It would be overloaded, and the others may be alive.
     await world.run(0.1)
     assert sorted(find("a", "a1")) == ["p:80", "q:80"]
 
@@ -323,7 +325,7 @@
 
 
 class ExchangeMachine(RuleBasedStateMachine):
-    """Beats that move, crashes, drains, cuts and restarts in any order: after calm lists are what beats."""
+    """Moves, crashes, drains, cuts and restarts in any order: once all is calm, the lists have what runs."""
 
     zones = st.sampled_from(["a1", "b1", "c1"])
     ips = st.sampled_from(["1", "2", "3"])
@@ -378,8 +380,10 @@
         self.run(12)
         services = {body["Information"]["Service"] for _, body, _ in self.world.backends.values()}
         for node in self.world.nodes.values():
-            lives = [life for life in node.registry.endpoints().values() if not life.draining]
-            assert {life.id for life in lives if life.service in services} == set(self.world.backends)
+            ready = [endpoint for endpoint in node.registry.endpoints().values() if not endpoint.draining]
+            assert {endpoint.id for endpoint in ready if endpoint.service in services} == set(
+                self.world.backends
+            )
 
 
 TestExchange = ExchangeMachine.TestCase
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The list of backends on disk: recalled after a loss of all nodes, and thrown away where it is none."""
+"""The snapshot of the endpoint list: loaded after the loss of all control nodes, ignored if unreadable."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 async def run_cluster(cold: int = 0) -> tuple[SimulatedExchange, dict[str, bytes]]:
-    """A world that has run, and what its control nodes hold on disk when all end."""
+    """Run control nodes, and return them with the snapshots that they have on disk when all end."""
     world = SimulatedExchange("a1", "b1", "c1")
     for ip, zone in world.zones.items():
         for number in range(3):
@@ -66,35 +66,35 @@
     return world, {ip: snapshot_of(world, ip) for ip in world.nodes}
 
 
-def restart_all(world: SimulatedExchange, sheets: dict[str, bytes]) -> None:
+def restart_all(world: SimulatedExchange, snapshots: dict[str, bytes]) -> None:
     for ip in world.zones:
         world.start(ip)
-    for ip, data in sheets.items():
+    for ip, data in snapshots.items():
         world.nodes[ip].registry.load_snapshot(data)
 
 
 def test_snapshot_is_served_at_once_and_lost_instances_time_out() -> None:
     async def run() -> None:
-        world, sheets = await run_cluster()
+        world, snapshots = await run_cluster()
         here = set(world.backends)
         lost = {id: world.backends.pop(id) for id in ("a1-1", "b1-2")}
         beating, world.backends = world.backends, {}
-        restart_all(world, sheets)
+        restart_all(world, snapshots)
         told = world.connect_proxy("proxy", "2", "b1")
         await world.run(0.5)
         first = next(one for one in told if isinstance(one, BackendUpdate))
         assert {one.id for one in first.updated} == here and not first.complete
         assert all(one.unconfirmed for one in first.updated)
         world.backends = beating
-        await world.run(1.5)  # A beat makes sure of those that beat, and proxies are told.
-        sure = {
+        await world.run(1.5)  # A heartbeat confirms an instance, and proxies are notified.
+        confirmed = {
             one.id
             for list in told
             if isinstance(list, BackendUpdate)
             for one in list.updated
             if not one.unconfirmed
         }
-        assert sure == set(world.backends)
+        assert confirmed == set(world.backends)
         assert all(node.ready_ids() == here for node in world.nodes.values())
         await world.run(5)
         assert all(node.ready_ids() == here - lost.keys() for node in world.nodes.values())
@@ -108,8 +108,8 @@
         for number in range(7):
             world.connect_proxy(f"proxy{number}", "1", "a1")
         await world.run(0.3)
-        sheet, usual = snapshot_of(world, "2"), world.nodes["2"].registry.max_proxies()
-        restart_all(world, {"2": sheet})
+        snapshot, usual = snapshot_of(world, "2"), world.nodes["2"].registry.max_proxies()
+        restart_all(world, {"2": snapshot})
         assert world.nodes["2"].registry.max_proxies() == usual < PROXIES_WHILE_INCOMPLETE
         assert world.nodes["1"].registry.max_proxies() == PROXIES_WHILE_INCOMPLETE  # Nothing is known here.
 
@@ -118,13 +118,13 @@
 
 def test_control_node_without_contact_keeps_its_snapshot() -> None:
     async def run() -> None:
-        world, sheets = await run_cluster()
+        world, snapshots = await run_cluster()
         world.backends = {}
-        restart_all(world, sheets)
+        restart_all(world, snapshots)
         world.stopped |= {"2", "3"}
         await world.run(20)
         world.stopped.clear()
-        world.add_backend("s0", "s0", "a1", "1")  # Where a service has one that beats, the silent ones go.
+        world.add_backend("s0", "s0", "a1", "1")  # Once a service has a live instance, its silent ones leave.
         await world.run(4)
         assert len(world.nodes["1"].ready_ids()) == 11
         await world.run(2)
@@ -135,17 +135,17 @@
 
 def test_tombstones_and_reused_addresses_win_over_the_snapshot() -> None:
     async def run() -> None:
-        world, sheets = await run_cluster()
+        world, snapshots = await run_cluster()
         world.backends = {}
         restart_all(world, {})
-        for ip in world.zones:  # As items that its disk has: nobody is told of these.
+        for ip in world.zones:  # As items on its disk, which reach no listener.
             world.nodes[ip].replicated_state.stored |= {
                 (INSTANCE, id): Item(INSTANCE, id, (version, ""), b"{}")
                 for id, version in (("a1-0", 2), ("a1-1", 1))
             }
-            world.nodes[ip].registry.load_snapshot(sheets[ip])
-        lives = world.nodes["1"].registry.endpoints()
-        assert "a1-0" not in lives and lives["a1-1"].draining  # Before any tick.
+            world.nodes[ip].registry.load_snapshot(snapshots[ip])
+        endpoints = world.nodes["1"].registry.endpoints()
+        assert "a1-0" not in endpoints and endpoints["a1-1"].draining  # Before any tick.
         world.add_backend("new", "s9", "b1", "1", address="b1-1:80")
         await world.send_heartbeat("new")
         await world.run(0.5)
@@ -161,14 +161,14 @@
         world, _ = await run_cluster()
         world.add_backend("old", "s9", "a1", "1")
         await world.run(0.3)
-        sheet = snapshot_of(world, "1")
+        snapshot = snapshot_of(world, "1")
         world.stopped.add("1")
         world.backends.pop("old")
-        # Heard elsewhere for longer than the old one had been, by its own control node's list.
+        # A peer has known it for longer than the snapshot says of the old one.
         world.add_backend("new", "s9", "b1", "2", address="old:80")
         await world.run(4)
         world.start("1")
-        world.nodes["1"].registry.load_snapshot(sheet)
+        world.nodes["1"].registry.load_snapshot(snapshot)
         await world.run(1)
         assert "new" in world.nodes["1"].ready_ids() and "old" not in world.nodes["1"].ready_ids()
 
@@ -177,22 +177,22 @@
 
 def test_heartbeat_wins_over_the_snapshot_at_any_sequence() -> None:
     async def run() -> None:
-        world, sheets = await run_cluster()
-        restart_all(world, {"1": sheets["1"]})
+        world, snapshots = await run_cluster()
+        restart_all(world, {"1": snapshots["1"]})
         world.backends["b1-0"][1]["Condition"]["Sequence"] = -1
         await world.send_heartbeat("b1-0", "1", ColdRemainingMs=9000)
-        life = world.nodes["1"].registry.endpoints()["b1-0"]
-        assert life.warming_until > world.now and not life.unconfirmed
+        instance = world.nodes["1"].registry.endpoints()["b1-0"]
+        assert instance.warming_until > world.now and not instance.unconfirmed
 
     asyncio.run(run())
 
 
 def test_snapshot_keeps_the_warm_up_time_left() -> None:
     async def run() -> None:
-        world, sheets = await run_cluster(cold=8000)
+        world, snapshots = await run_cluster(cold=8000)
         before = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
         world.now += 3 * NS_PER_SECOND
-        restart_all(world, sheets)
+        restart_all(world, snapshots)
         left = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
         assert before - NS_PER_MS < left <= before
 
@@ -220,19 +220,21 @@
 
 
 def test_snapshot_is_written_after_changes_and_when_an_instance_is_warm() -> None:
-    keep = SnapshotSchedule()
-    assert not keep.due(NOW, 0)
-    keep.changed = True
-    assert keep.due(NOW, 9)
-    keep.written(NOW, 9, [INSTANCE_ONE, replace(INSTANCE_ONE, warming_until=NOW + 3 * NS_PER_SECOND)])
-    assert not keep.due(NOW + MIN_WRITE_INTERVAL_NS, 9)
-    keep.changed = True
-    assert not keep.due(NOW + MIN_WRITE_INTERVAL_NS - 1, 9) and keep.due(NOW + MIN_WRITE_INTERVAL_NS, 9)
-    keep.changed = False
-    assert not keep.due(NOW + MIN_WRITE_INTERVAL_NS, 9) and keep.due(
+    schedule = SnapshotSchedule()
+    assert not schedule.due(NOW, 0)
+    schedule.changed = True
+    assert schedule.due(NOW, 9)
+    schedule.written(NOW, 9, [INSTANCE_ONE, replace(INSTANCE_ONE, warming_until=NOW + 3 * NS_PER_SECOND)])
+    assert not schedule.due(NOW + MIN_WRITE_INTERVAL_NS, 9)
+    schedule.changed = True
+    assert not schedule.due(NOW + MIN_WRITE_INTERVAL_NS - 1, 9) and schedule.due(
+        NOW + MIN_WRITE_INTERVAL_NS, 9
+    )
+    schedule.changed = False
+    assert not schedule.due(NOW + MIN_WRITE_INTERVAL_NS, 9) and schedule.due(
         NOW + MIN_WRITE_INTERVAL_NS, 10
     )  # Another proxy.
-    assert keep.due(NOW + 3 * NS_PER_SECOND, 9)
+    assert schedule.due(NOW + 3 * NS_PER_SECOND, 9)
 
 
 class Side:
@@ -259,7 +261,7 @@
         side.failed = True
         await world.run(0.2)
         assert len(side.writes) == 2
-        # The last of a service stay in use when silent, yet don't come back from the disk.
+        # The last ones of a service stay listed when silent, yet are not in the snapshot.
         for id in ("a1-0", "a1-1", "b1-1", "c1-1"):
             world.backends.pop(id)
         await world.run(12)
--- a/tests/system/registry/test_tombstone_expiry.py
+++ b/tests/system/registry/test_tombstone_expiry.py
@@ -1,4 +1,4 @@
-"""Ends of lives that are long over are forgotten by all, and no late word brings such a life back."""
+"""Old tombstones are collected everywhere, and no late message revives their instances."""
 
 from __future__ import annotations
 
@@ -39,22 +39,24 @@
 
 
 def test_tombstones_stay_bounded_at_ten_times_the_restarts() -> None:
-    """54,000 restarts a day, for two days, each life signed off after it said that it drains."""
-    ends, now, most, told = TombstoneExpiry(), 0, 0, Counter[str]()
+    """54,000 restarts a day for two days; each instance drains, then signs off."""
+    expiry, now, most, collected_ids = TombstoneExpiry(), 0, 0, Counter[str]()
     gap = 86_400 * NS_PER_SECOND // 54_000
     for number in range(2 * 54_000):
         now += gap
-        ends.record(now - 8 * NS_PER_SECOND, f"i-{number}")
-        ends.record(now, f"i-{number}")
-        out = ends.expired(now, lambda id: False)
+        expiry.record(now - 8 * NS_PER_SECOND, f"i-{number}")
+        expiry.record(now, f"i-{number}")
+        out = expiry.expired(now, lambda id: False)
         assert len(out) <= COLLECTION_BATCH
-        told.update(out)
-        ends.remove(out)
-        most = max(most, len(ends.recorded_at))
-    assert most <= (TOMBSTONE_RETENTION_NS + 2 * COLLECTION_INTERVAL_NS) // gap and set(told.values()) == {1}
-    # The ids still refused span more than ten minutes even then, and the item that tells them is bounded.
+        collected_ids.update(out)
+        expiry.remove(out)
+        most = max(most, len(expiry.recorded_at))
+    assert most <= (TOMBSTONE_RETENTION_NS + 2 * COLLECTION_INTERVAL_NS) // gap and set(
+        collected_ids.values()
+    ) == {1}
+    # Even then the ids that are still rejected span more than ten minutes, and the item with them is bounded.
     assert MAX_COLLECTED_IDS * gap > 10 * MINUTE
-    # After hours in which nothing could be cleared all of it goes, the oldest first.
+    # After hours in which nothing could be collected all is, the oldest first.
     late = TombstoneExpiry()
     for number in range(10 * COLLECTION_BATCH):
         late.record(number, f"i-{number:05}")
@@ -72,19 +74,21 @@
 
 
 def test_tombstone_of_a_reported_instance_is_retained_again() -> None:
-    ends, heard = TombstoneExpiry(), {"a"}
-    ends.record(0, "a")
-    ends.record(0, "b")
-    assert ends.expired(TOMBSTONE_RETENTION_NS - 1, heard.__contains__) == []
-    assert ends.expired(TOMBSTONE_RETENTION_NS - 1 + COLLECTION_INTERVAL_NS, heard.__contains__) == ["b"]
-    heard.clear()
-    assert "a" not in ends.expired(2 * TOMBSTONE_RETENTION_NS, heard.__contains__)
-    assert "a" in ends.expired(2 * TOMBSTONE_RETENTION_NS + 2 * COLLECTION_INTERVAL_NS, heard.__contains__)
+    expiry, reported = TombstoneExpiry(), {"a"}
+    expiry.record(0, "a")
+    expiry.record(0, "b")
+    assert expiry.expired(TOMBSTONE_RETENTION_NS - 1, reported.__contains__) == []
+    assert expiry.expired(TOMBSTONE_RETENTION_NS - 1 + COLLECTION_INTERVAL_NS, reported.__contains__) == ["b"]
+    reported.clear()
+    assert "a" not in expiry.expired(2 * TOMBSTONE_RETENTION_NS, reported.__contains__)
+    assert "a" in expiry.expired(
+        2 * TOMBSTONE_RETENTION_NS + 2 * COLLECTION_INTERVAL_NS, reported.__contains__
+    )
 
 
 @pytest.fixture
 def short_times(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All times a hundredth of what they are, but for those of a heartbeat."""
+    """Shorten all times to a hundredth, except those that count in heartbeats."""
     for where, name, value in (
         (tombstone_expiry, "TOMBSTONE_RETENTION_NS", 18),
         (tombstone_expiry, "COLLECTION_INTERVAL_NS", 1),
@@ -118,13 +122,14 @@
         assert (await world.send_heartbeat("a1-0", State="draining"))[0] == 200
         assert (await world.nodes["2"].registry.deregister("a1-0"))[0] == 200
         del world.backends["a1-0"]
-        # One that only said that it drains, and one that drains on: that one's end is not forgotten.
+        # One that drains and stops, and one that goes on draining: its tombstone is not collected.
         for id in ("b1-0", "c1-0"):
             assert (await world.send_heartbeat(id, State="draining"))[0] == 200
         world.backends["c1-0"][1]["Condition"]["State"] = "draining"
         del world.backends["b1-0"]
         await world.run(10)
-        # Who is alone can't tell what the others hear: it forgets nothing, and the next one does so for all.
+        # A control node without contact can't tell what peers receive: it collects
+        # nothing, and the next one does.
         alone = {("1", ip) for ip in "23"} | {(ip, "1") for ip in "23"}
         world.cut_links |= alone
         await world.run(7)
@@ -135,7 +140,7 @@
         world.nodes["1"].replicated_state.merge(world.nodes["2"].replicated_state.stored.values())
         await world.run(20)
         assert stored_tombstones(world) == [{"c1-0"}] * 3
-        # One control node has told all.
+        # One control node has collected for all.
         assert [
             any(one.kind == CLEARED for one in node.replicated_state.written) for node in world.nodes.values()
         ] == [
@@ -144,16 +149,14 @@
             False,
         ]
         for node in world.nodes.values():
-            stacks = node.registry.state_machine
-            assert (
-                set(stacks.endpoint_list.tombstones) == set(stacks.tombstone_expiry.recorded_at) == {"c1-0"}
-            )
-            assert {"a1-0", "b1-0"} <= stacks.endpoint_list.collected
+            state = node.registry.state_machine
+            assert set(state.endpoint_list.tombstones) == set(state.tombstone_expiry.recorded_at) == {"c1-0"}
+            assert {"a1-0", "b1-0"} <= state.endpoint_list.collected
         late = {**body, "Condition": {"State": "ready", "Sequence": 1, "ColdRemainingMs": 0}}
         assert (await world.nodes["3"].registry.heartbeat("a1-0", late))[0] == 200
         await world.run(0.3)
         assert not any("a1-0" in node.registry.endpoints() for node in world.nodes.values())
-        # Another copy that was away with the end brings it back to nobody.
+        # A replica that was away and still has the tombstone doesn't bring it back anywhere.
         world.nodes["3"].replicated_state.merge([tombstone("a1-0")])
         assert stored_tombstones(world) == [{"c1-0"}] * 3
 
@@ -163,13 +166,13 @@
 @pytest.mark.usefixtures("short_times")
 @pytest.mark.parametrize("still", [7, 40])
 def test_paused_control_node_revives_no_instance(still: int) -> None:
-    """Shorter than the ends are kept, it learns of them; longer, it lets go all that it knew, and takes no
-    beat that waited for it."""
+    """After a pause shorter than the retention it learns of the tombstones. After a longer one it drops all
+    that it knew, and ignores heartbeats that have waited for it."""
 
     async def playing() -> None:
         world = await cluster_of_three()
         world.paused.add("3")
-        world.cut_links |= {("3", "1"), ("3", "2")}  # Its store merges nothing meanwhile, either.
+        world.cut_links |= {("3", "1"), ("3", "2")}  # It stores nothing meanwhile, either.
         waiting = world.backends["c1-0"][1]
         for ip in ("1", "2"):
             assert (await world.nodes[ip].registry.deregister("c1-0"))[0] == 200
@@ -180,8 +183,8 @@
         assert not world.nodes["3"].replicated_state.stored
         node = world.nodes["3"].registry
         for other in "12":
-            stacks = world.nodes[other].registry.state_machine
-            stacks.endpoint_list.collected = frozenset()  # As if so many had been cleared since.
+            state = world.nodes[other].registry.state_machine
+            state.endpoint_list.collected = frozenset()  # As if many others had been collected since.
         world.paused.clear()
         world.cut_links.clear()
         late = {**waiting, "Condition": {"State": "ready", "Sequence": 99, "ColdRemainingMs": 0}}
