--- a/ambershift/system/registry/records.py
+++ b/ambershift/system/registry/records.py
@@ -10,6 +10,8 @@
 from ambershift.system.messages.registry_sync import InstanceRecord, PoolRate, ProxyLinkRecord, RegistryDelta
 from ambershift.system.state_machine import NS_PER_MS
 
+# Of an instance's key. Keys travel in `RegistryDelta.removed`: their form is part of the wire.
+INSTANCE_PREFIX = "b"
 # Two remaining warm-up times that differ by at most this count as the same.
 WARM_UP_TOLERANCE_NS = 300 * NS_PER_MS
 
@@ -137,10 +139,6 @@
         return self.pop(key, None)
 
 
-# Keys travel in `RegistryDelta.removed`: their form is part of the wire.
-INSTANCE_PREFIX = "b"
-
-
 def instance_key(id: str) -> str:
     """Key of an instance's record."""
     return INSTANCE_PREFIX + id
--- a/ambershift/system/registry/service.py
+++ b/ambershift/system/registry/service.py
@@ -58,8 +58,8 @@
 
     failed: bool
 
-    def write(self, make: Callable[[], bytes]) -> bool:
-        """Begin to write what `make` returns; False if another write is under way."""
+    def write(self, encode: Callable[[], bytes]) -> bool:
+        """Begin to write what `encode` returns; False if another write is under way."""
         ...
 
 
--- a/tests/system/registry/test_tombstone_expiry.py
+++ b/tests/system/registry/test_tombstone_expiry.py
@@ -166,8 +166,11 @@
 @pytest.mark.usefixtures("short_times")
 @pytest.mark.parametrize("still", [7, 40])
 def test_paused_control_node_revives_no_instance(still: int) -> None:
-    """After a pause shorter than the retention it learns of the tombstones. After a longer one it drops all
-    that it knew, and ignores heartbeats that have waited for it."""
+    """A control node that stood still reports no instance that has ended meanwhile.
+
+    After a pause shorter than the retention it learns of the tombstones. After a longer one it drops all that
+    it knew, and ignores heartbeats that have waited for it.
+    """
 
     async def playing() -> None:
         world = await cluster_of_three()
