--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -11,23 +11,23 @@
 from ambershift.system.node_selection.selector import Choice, current_for
 from ambershift.system.processes.attachment_log import AbandonReason, AttachmentLog
 from ambershift.system.processes.candidate_search import CandidateSearch, Dialer
-from ambershift.system.processes.control_link import ControlLink, OutboxFactory
+from ambershift.system.processes.control_link import ControlLink, SendQueueFactory
 from ambershift.system.processes.locality import LocalityCounter
 from ambershift.system.processes.metrics import Metric
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local
-from ambershift.system.transport.link_path import PROXY, Caller
+from ambershift.system.transport.link_path import PROXY, PeerIdentity
 
 LINK_CHECK_INTERVAL_S = 0.1
 
 
-class ProxyLinks(Dialer, OutboxFactory, Protocol):
+class ProxyLinks(Dialer, SendQueueFactory, Protocol):
     """What an attachment needs of `transport.links.Links`, or of simulated links."""
 
 
-def proxy_identity(settings: Local) -> Caller:
+def proxy_identity(settings: Local) -> PeerIdentity:
     """How this proxy names itself to the nodes it dials; another identity at each start."""
-    return Caller(PROXY, settings.name, secrets.token_hex(4))
+    return PeerIdentity(PROXY, settings.name, secrets.token_hex(4))
 
 
 class Attachment:
--- a/ambershift/system/processes/control_link.py
+++ b/ambershift/system/processes/control_link.py
@@ -19,14 +19,14 @@
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes.attachment_log import AbandonReason, AttachmentLog
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.transport.links import receive
-from ambershift.system.transport.send_queue import Outbox
+from ambershift.system.transport.links import receive_messages
+from ambershift.system.transport.send_queue import SendQueue
 
 
-class OutboxFactory(Protocol):
+class SendQueueFactory(Protocol):
     """What a link needs of `transport.links.Links`, or of simulated links."""
 
-    def outbox(self, connection: Connection, peer: str, masked: bool) -> Outbox:
+    def send_queue(self, connection: Connection, peer: str, masked: bool) -> SendQueue:
         """The send queue of a connection."""
 
 
@@ -40,7 +40,7 @@
         self,
         selector: Choice,
         server: ProxyServer,
-        links: OutboxFactory,
+        links: SendQueueFactory,
         steady: Callable[[], int],
         log: Callable[[int, dict[str, Any]], None],
         events: AttachmentLog,
@@ -55,7 +55,7 @@
             log: Writes an event; for the receiver of the transport.
             events: Writes the events of the attachment.
         """
-        self.outbox: Outbox | None = None  # Of the link in use.
+        self.outbox: SendQueue | None = None  # Of the link in use.
         self.last_hello: Hello | None = None  # The last one sent on it.
         self._selector = selector
         self._server = server
@@ -66,7 +66,7 @@
 
     async def run(self, ip: str, connection: Connection) -> None:
         """Use a connection until it ends or the task is cancelled."""
-        outbox = self._links.outbox(connection, ip, True)
+        outbox = self._links.send_queue(connection, ip, True)
         self.outbox = outbox
         self.last_hello = None
         self._selector.up(self._steady(), ip)
@@ -75,12 +75,12 @@
         self._server.linked()
         self.send_hello()
         try:
-            await receive(connection, lambda message: self.receive(outbox, message), self._log)
+            await receive_messages(connection, lambda message: self.receive(outbox, message), self._log)
         finally:
             writer.cancel()
             self._detach(outbox)
 
-    def receive(self, outbox: Outbox, message: msgspec.Struct) -> None:
+    def receive(self, outbox: SendQueue, message: msgspec.Struct) -> None:
         """Handle a message of the link that `outbox` belongs to."""
         if outbox is not self.outbox:
             return  # The link was given up while messages of it were still waiting.
@@ -96,7 +96,7 @@
         if isinstance(message, ItemUpdate):
             self._apply_items(outbox, message)
 
-    def _apply_items(self, outbox: Outbox, update: ItemUpdate) -> None:
+    def _apply_items(self, outbox: SendQueue, update: ItemUpdate) -> None:
         if self._server.routing.unusable:
             self._events.abandoned(AbandonReason.OUTDATED)
             self._detach(outbox)
@@ -104,9 +104,9 @@
         self._events.configuration_applied(update)
         self.send_hello()
 
-    def _detach(self, outbox: Outbox) -> None:
+    def _detach(self, outbox: SendQueue) -> None:
         """Stop using a link; the selector tries other nodes before this one."""
-        outbox.break_off()
+        outbox.abort()
         if self.outbox is outbox:
             self.outbox = None
             self._server.unlinked()
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -24,9 +24,9 @@
 from ambershift.system.processes.role_process import RoleProcess, background_tasks
 from ambershift.system.registry.service import RegistryIO, RegistryService
 from ambershift.system.settings.local import Local
-from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
+from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, PeerIdentity
 from ambershift.system.transport.links import Links
-from ambershift.system.transport.traffic_meter import Place
+from ambershift.system.transport.traffic_meter import Locality
 
 BACKENDS_CACHE_FILE = "backends.list"  # In the folder of the store.
 LISTEN_NAMES = ("Control", "Directory")
@@ -53,7 +53,7 @@
         super().__init__(settings)
         steady = time.monotonic_ns
         self.links = Links(
-            Caller(CONTROL_NODE, settings.ip, secrets.token_hex(4)),
+            PeerIdentity(CONTROL_NODE, settings.ip, secrets.token_hex(4)),
             settings.internal[0],
             self.receive,
             self.link_up,
@@ -97,7 +97,7 @@
         """Send to a proxy, on the link that it has dialled; without one the message is lost."""
         self.links.reply(PROXY, name, message)
 
-    def locate(self, peer: str) -> Place | None:
+    def locate(self, peer: str) -> Locality | None:
         """Zone and region of a control node (by its ip) or of a proxy linked here (by its name)."""
         if hello := self.controller.hellos.get(peer):
             return hello.zone, self.settings.zones.get(hello.zone, "")
@@ -113,7 +113,7 @@
         await self.store.start()
         snapshot = await asyncio.to_thread(self.cache_file.read) if self.cache_file else None
         self.registry.load_snapshot(snapshot)
-        await self.links.open(self.settings.ip)
+        await self.links.listen(self.settings.ip)
         server = create_server(
             MetricsMiddleware(self.control_api, CONTROL_PORT, self.metrics), KEEP_ALIVE_S, SHUTDOWN_TIMEOUT_S
         )
@@ -143,8 +143,8 @@
         items = store.items()
         versions = [item.version[0] for item in items.values() if item.kind in (ROUTE, SERVICE, LIMITS)]
         members = store.membership_status()
-        outboxes = (*self.links.dialled.values(), *self.links.accepted.values())
-        waiting_bytes = sum(outbox.size for outbox in outboxes)
+        outboxes = (*self.links.dialled_queues.values(), *self.links.accepted_queues.values())
+        waiting_bytes = sum(outbox.pending_bytes for outbox in outboxes)
         return [
             Metric("configuration_version", "highest version of the operator here", max(versions, default=0)),
             Metric("contact_age_seconds", "age of the proof of contact", store.contact_age_ms() / 1000),
@@ -174,7 +174,7 @@
                 except Exception as error:  # noqa: BLE001
                     self.log_fault("tick", error)
             self.log_traffic()
-            self.links.want([*self.settings.seed_ips, *(node.ip for node in self.store.control_nodes())])
+            self.links.set_peers([*self.settings.seed_ips, *(node.ip for node in self.store.control_nodes())])
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def log_fault(self, event: str, error: Exception) -> None:
@@ -184,14 +184,14 @@
             where = f"{Path(frame.f_code.co_filename).name}:{line}"
         self.log(6, {"on": event, "error": repr(error)[:200], "where": where})
 
-    def receive(self, caller: Caller, message: msgspec.Struct) -> None:
+    def receive(self, caller: PeerIdentity, message: msgspec.Struct) -> None:
         """Handle a message; a fault in it must not break the link it came on."""
         try:
             self.dispatch(caller, message)
         except Exception as error:  # noqa: BLE001
             self.log_fault(type(message).__name__, error)
 
-    def dispatch(self, caller: Caller, message: msgspec.Struct) -> None:
+    def dispatch(self, caller: PeerIdentity, message: msgspec.Struct) -> None:
         """Hand a message to the part that its module in `messages` belongs to.
 
         Proxies may only send messages of `proxy_link`; all else of them is dropped.
@@ -208,10 +208,10 @@
             self.registry.receive(caller.name, message)
             self.controller.hear_core(caller.name, message)
 
-    def link_up(self, caller: Caller) -> None:
+    def link_up(self, caller: PeerIdentity) -> None:
         """A node has dialled this one."""
         if caller.kind == CONTROL_NODE:
-            self.links.there(caller.name)
+            self.links.redial_if_stuck(caller.name)
             self.controller.core_linked(caller.name)
         elif caller.kind == PROXY:
             # An earlier link of the same proxy is replaced, and `link_lost` isn't called for it.
@@ -221,7 +221,7 @@
         """A dial to another control node has succeeded."""
         self.store.on_peer_connected(ip)
 
-    def link_lost(self, caller: Caller) -> None:
+    def link_lost(self, caller: PeerIdentity) -> None:
         """A link that a node had dialled has ended."""
         if caller.kind == PROXY:
             self.controller.proxy_lost(caller.name)
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -20,7 +20,7 @@
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local
 from ambershift.system.transport.links import Links
-from ambershift.system.transport.traffic_meter import Place
+from ambershift.system.transport.traffic_meter import Locality
 
 REPORT_INTERVAL_S = 1.0
 KEEP_ALIVE_S = 60
@@ -52,7 +52,7 @@
         )
         self.attachment = Attachment(settings, self.server, self.links, time.monotonic_ns, self.log)
 
-    def locate(self, peer: str) -> Place | None:
+    def locate(self, peer: str) -> Locality | None:
         """Zone and region of a control node, by its ip."""
         nodes = self.attachment.selector.cores
         return next(((node.zone, node.region) for node in nodes if node.ip == peer), None)
@@ -108,7 +108,7 @@
             Metric(
                 "link_waiting_bytes",
                 "bytes that wait for the control node's link",
-                outbox.size if outbox else 0,
+                outbox.pending_bytes if outbox else 0,
             ),
         ]
 
--- a/ambershift/system/processes/role_process.py
+++ b/ambershift/system/processes/role_process.py
@@ -15,7 +15,7 @@
 from ambershift.system.processes.metrics import PORT_TAKEN, Metric
 from ambershift.system.processes.settings_watch import POLL_INTERVAL_S, SettingsFileWatch
 from ambershift.system.settings.local import Local, SettingsError, read_local
-from ambershift.system.transport.traffic_meter import Meter, Place
+from ambershift.system.transport.traffic_meter import Locality, TrafficMeter
 
 
 class RoleProcess(abc.ABC):
@@ -33,7 +33,7 @@
         """Prepare a process; nothing is opened yet."""
         self.settings = settings
         self.log = EventLog(settings.name, time.monotonic_ns)
-        self.traffic_meter = Meter((settings.zone, settings.region), self.locate)
+        self.traffic_meter = TrafficMeter((settings.zone, settings.region), self.locate)
         self.settings_watch = SettingsFileWatch(settings.file)
         self.stop_requested = asyncio.Event()
         self._next_settings_check_s = 0.0  # By `time.monotonic`.
@@ -43,7 +43,7 @@
         """Serve until `stop_requested` is set, then shut down in order."""
 
     @abc.abstractmethod
-    def locate(self, peer: str) -> Place | None:
+    def locate(self, peer: str) -> Locality | None:
         """Zone and region of the other end of a link; None where unknown."""
 
     @abc.abstractmethod
@@ -95,7 +95,7 @@
 
     def log_traffic(self) -> None:
         """Write what links have carried, when it is due."""
-        if (traffic := self.traffic_meter.due(time.monotonic_ns())) is not None:
+        if (traffic := self.traffic_meter.report_if_due(time.monotonic_ns())) is not None:
             self.log(105, {**traffic})
 
 
--- a/ambershift/system/simulation/fleet_links.py
+++ b/ambershift/system/simulation/fleet_links.py
@@ -15,8 +15,8 @@
 from ambershift.system.simulation.observing import observe
 from ambershift.system.simulation.world import Box
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
-from ambershift.system.transport.links import DIAL_LIMIT
-from ambershift.system.transport.send_queue import Outbox
+from ambershift.system.transport.links import DIAL_TIMEOUT_S
+from ambershift.system.transport.send_queue import SendQueue
 
 HELD_UP = 200 * NS_PER_MS  # How often a sender tries again over a path that is cut.
 BYTE = 4000  # ns a byte takes to a proxy: a link of 2 Mbit/s.
@@ -151,7 +151,7 @@
         box = fleet.boxes.get(ip)
         cut = {(self.name, ip), (ip, self.name)} & fleet.cut
         if cut or box is None or box.frozen is not None:
-            await asyncio.sleep(DIAL_LIMIT)
+            await asyncio.sleep(DIAL_TIMEOUT_S)
             raise TimeoutError
         if box.replica is None:
             raise ConnectionRefusedError
@@ -159,5 +159,5 @@
         fleet.step(ip, box.life, Accepted(line))
         return line
 
-    def outbox(self, connection: Any, peer: str, masked: bool) -> Outbox:
-        return Outbox(connection)
+    def send_queue(self, connection: Any, peer: str, masked: bool) -> SendQueue:
+        return SendQueue(connection)
--- a/ambershift/system/testbed/hollow.py
+++ b/ambershift/system/testbed/hollow.py
@@ -29,9 +29,9 @@
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import NotMetError, Rig, until
 from ambershift.system.testbed.settings import CONTROL_NODE, Site
-from ambershift.system.transport.link_path import PROXY, Caller
+from ambershift.system.transport.link_path import PROXY, PeerIdentity
 from ambershift.system.transport.links import Links
-from ambershift.system.transport.send_queue import Outbox
+from ambershift.system.transport.send_queue import SendQueue
 
 REPORT_S, DIALS_AT_ONCE, SETTLE_S, UP_S = 1.0, 32, 6.0, 120.0
 CAME_MEAN = 20  # Requests a second that each hollow proxy reports, spread over the pools.
@@ -56,7 +56,7 @@
 
     async def run(self, gate: asyncio.Semaphore) -> None:
         links = Links(
-            Caller(PROXY, self.name, self.life),
+            PeerIdentity(PROXY, self.name, self.life),
             self.site.ports.internal,
             lambda *_: None,
             lambda _: None,
@@ -72,7 +72,7 @@
                 self.undialled += 1
                 continue
             with contextlib.suppress(OSError, ConnectionClosed, codec.UnreadableError):
-                outbox = Outbox(connection)
+                outbox = SendQueue(connection)
                 tasks = [asyncio.ensure_future(one) for one in (outbox.run(), self.report(outbox))]
                 self.greet(outbox)
                 try:
@@ -83,10 +83,10 @@
                         task.cancel()
             self.breaks += 1
 
-    def greet(self, outbox: Outbox) -> None:
+    def greet(self, outbox: SendQueue) -> None:
         outbox.put(Hello(self.name, self.life, self.zone, self.address, self.complete, False))
 
-    def hear(self, outbox: Outbox, data: bytes) -> None:
+    def hear(self, outbox: SendQueue, data: bytes) -> None:
         message = codec.decode(data)
         self.got[type(message).__name__] += len(data)
         if isinstance(message, Barrier):
@@ -95,7 +95,7 @@
             self.complete = True
             self.greet(outbox)
 
-    async def report(self, outbox: Outbox) -> None:
+    async def report(self, outbox: SendQueue) -> None:
         await asyncio.sleep(self.chance.uniform(0, REPORT_S))
         while True:
             came = dict(Counter(self.chance.choices(self.pools, k=self.chance.randrange(2 * CAME_MEAN))))
--- a/ambershift/system/transport/link_path.py
+++ b/ambershift/system/transport/link_path.py
@@ -17,21 +17,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Caller:
+class PeerIdentity:
     """Who dialled: a control node by its ip, a proxy by its name. `life` is random at each start."""
 
     kind: str
     name: str
-    life: str
+    incarnation: str
 
 
-def path_of(caller: Caller) -> str:
-    return f"/{WIRE}/{caller.kind}/{caller.name}/{caller.life}"
+def format_path(caller: PeerIdentity) -> str:
+    return f"/{WIRE}/{caller.kind}/{caller.name}/{caller.incarnation}"
 
 
-def caller_of(path: str) -> Caller:
+def parse_path(path: str) -> PeerIdentity:
     """Raises `PathError`."""
     parts = path.split("/")
     if len(parts) != 5 or parts[1] != str(WIRE) or parts[2] not in (CONTROL_NODE, PROXY) or not parts[3]:
         raise PathError(path)
-    return Caller(parts[2], parts[3], parts[4])
+    return PeerIdentity(parts[2], parts[3], parts[4])
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -20,18 +20,29 @@
 from websockets.http11 import Request, Response
 
 from ambershift.system.messages import codec
-from ambershift.system.transport.link_path import CONTROL_NODE, Caller, PathError, caller_of, path_of
-from ambershift.system.transport.send_queue import Outbox
-from ambershift.system.transport.socket_options import harden
-from ambershift.system.transport.traffic_meter import Meter
-
-YOUNG = 0.15  # Seconds; a dial that has not lasted for so long may well be about to succeed.
-DIAL_LIMIT, PAUSE_LEAST, PAUSE_MOST = 1.0, 0.1, 0.8  # Seconds.
-FARE = {"compression": None, "ping_interval": None, "close_timeout": 0.2, "max_size": codec.MAX_MESSAGE_BYTES}
-
-Heard = Callable[[Caller, msgspec.Struct], None]
-Turned = Callable[[Caller], None]
-Logged = Callable[[int, dict[str, object]], None]
+from ambershift.system.transport.link_path import (
+    CONTROL_NODE,
+    PathError,
+    PeerIdentity,
+    format_path,
+    parse_path,
+)
+from ambershift.system.transport.send_queue import SendQueue
+from ambershift.system.transport.socket_options import enable_dead_peer_detection
+from ambershift.system.transport.traffic_meter import TrafficMeter
+
+MIN_DIAL_AGE_S = 0.15  # Seconds; a dial that has not lasted for so long may well be about to succeed.
+DIAL_TIMEOUT_S, MIN_REDIAL_BACKOFF_S, MAX_REDIAL_BACKOFF_S = 1.0, 0.1, 0.8  # Seconds.
+WEBSOCKET_OPTIONS = {
+    "compression": None,
+    "ping_interval": None,
+    "close_timeout": 0.2,
+    "max_size": codec.MAX_MESSAGE_BYTES,
+}
+
+MessageHandler = Callable[[PeerIdentity, msgspec.Struct], None]
+LinkHandler = Callable[[PeerIdentity], None]
+EventLog = Callable[[int, dict[str, object]], None]
 
 
 class Links:
@@ -40,147 +51,156 @@
 
     def __init__(
         self,
-        me: Caller,
+        local: PeerIdentity,
         port: int,
-        heard: Heard,
-        up: Turned,
-        down: Turned,
-        log: Logged,
-        meter: Meter | None = None,
-        reached: Callable[[str], None] = lambda ip: None,
+        on_message: MessageHandler,
+        on_link_accepted: LinkHandler,
+        on_link_closed: LinkHandler,
+        log: EventLog,
+        traffic_meter: TrafficMeter | None = None,
+        on_dialled: Callable[[str], None] = lambda ip: None,
     ) -> None:
-        self.me, self.port, self.heard, self.up, self.down, self.log = me, port, heard, up, down, log
-        self.meter, self.reached = meter, reached
-        self.dialled = dict[str, Outbox]()
-        self.accepted = dict[tuple[str, str], Outbox]()
-        self.dialling = dict[str, asyncio.Task[None]]()
-        self.began = dict[str, float]()  # When the dial that is under way was begun.
+        self.local, self.port, self._on_message, self._on_link_accepted, self._on_link_closed, self._log = (
+            local,
+            port,
+            on_message,
+            on_link_accepted,
+            on_link_closed,
+            log,
+        )
+        self._traffic_meter, self._on_dialled = traffic_meter, on_dialled
+        self.dialled_queues = dict[str, SendQueue]()
+        self.accepted_queues = dict[tuple[str, str], SendQueue]()
+        self.dial_tasks = dict[str, asyncio.Task[None]]()
+        self.dial_started_at = dict[str, float]()  # When the dial that is under way was begun.
         self.tasks = set[asyncio.Task[None]]()
 
-    async def open(self, ip: str) -> None:
+    async def listen(self, ip: str) -> None:
         """Listen for others on the internal port."""
         self.server = await serve(
-            self._accept,
+            self._serve_link,
             ip,
             self.port,
-            process_request=self._admit,
+            process_request=self._check_path,
             server_header=None,
-            **FARE,  # type: ignore[arg-type]
+            **WEBSOCKET_OPTIONS,  # type: ignore[arg-type]
         )
 
-    def want(self, ips: Iterable[str]) -> None:
+    def set_peers(self, ips: Iterable[str]) -> None:
         """Keep links dialled to exactly these machines."""
-        wanted = set(ips) - {self.me.name}
-        for ip in self.dialling.keys() - wanted:
-            self.dialling.pop(ip).cancel()
-        for ip in wanted - self.dialling.keys():
-            self.dialling[ip] = asyncio.ensure_future(self._keep(ip))
+        wanted = set(ips) - {self.local.name}
+        for ip in self.dial_tasks.keys() - wanted:
+            self.dial_tasks.pop(ip).cancel()
+        for ip in wanted - self.dial_tasks.keys():
+            self.dial_tasks[ip] = asyncio.ensure_future(self._maintain_link(ip))
 
-    def there(self, ip: str) -> None:
+    def redial_if_stuck(self, ip: str) -> None:
         """It has just dialled us: a dial that hangs since before, or waits its turn, begins anew."""
-        began = self.began.get(ip)
+        began = self.dial_started_at.get(ip)
         if (
-            ip in self.dialling
-            and ip not in self.dialled
-            and (began is None or asyncio.get_running_loop().time() > began + YOUNG)
+            ip in self.dial_tasks
+            and ip not in self.dialled_queues
+            and (began is None or asyncio.get_running_loop().time() > began + MIN_DIAL_AGE_S)
         ):
-            self.dialling.pop(ip).cancel()
-            self.dialling[ip] = asyncio.ensure_future(self._keep(ip))
+            self.dial_tasks.pop(ip).cancel()
+            self.dial_tasks[ip] = asyncio.ensure_future(self._maintain_link(ip))
 
     def send(self, ip: str, message: msgspec.Struct) -> None:
         """To a control node, on the link dialled to it; lost where there is none."""
-        if outbox := self.dialled.get(ip):
+        if outbox := self.dialled_queues.get(ip):
             outbox.put(message)
 
     def reply(self, caller_kind: str, name: str, message: msgspec.Struct) -> None:
         """On a link that we were dialled on; lost where there is none."""
-        if outbox := self.accepted.get((caller_kind, name)):
+        if outbox := self.accepted_queues.get((caller_kind, name)):
             outbox.put(message)
 
-    def outbox(self, connection: Connection, peer: str, masked: bool) -> Outbox:
+    def send_queue(self, connection: Connection, peer: str, masked: bool) -> SendQueue:
         """What waits for a connection; counted, where there is a meter."""
-        if self.meter is None:
-            return Outbox(connection)
-        return Outbox(connection, functools.partial(self.meter.count, peer, masked))
+        if self._traffic_meter is None:
+            return SendQueue(connection)
+        return SendQueue(connection, functools.partial(self._traffic_meter.record, peer, masked))
 
     async def dial(self, ip: str) -> Connection:
         """One link, handed to the caller. Raises OSError where nobody answers in time."""
         try:
             connection = await connect(
-                f"ws://{ip}:{self.port}{path_of(self.me)}",
-                open_timeout=DIAL_LIMIT,
+                f"ws://{ip}:{self.port}{format_path(self.local)}",
+                open_timeout=DIAL_TIMEOUT_S,
                 proxy=None,
                 user_agent_header=None,
-                **FARE,  # type: ignore[arg-type]
+                **WEBSOCKET_OPTIONS,  # type: ignore[arg-type]
             )
         except (InvalidHandshake, InvalidURI, EOFError, ConnectionClosed) as why:
             raise ConnectionError(str(why)) from why
-        harden(connection.transport.get_extra_info("socket"))
+        enable_dead_peer_detection(connection.transport.get_extra_info("socket"))
         return connection
 
-    async def _keep(self, ip: str) -> None:
-        pause = PAUSE_LEAST
+    async def _maintain_link(self, ip: str) -> None:
+        pause = MIN_REDIAL_BACKOFF_S
         while True:
             with contextlib.suppress(OSError):
-                self.began[ip] = asyncio.get_running_loop().time()
+                self.dial_started_at[ip] = asyncio.get_running_loop().time()
                 connection = await self.dial(ip)
-                pause = PAUSE_LEAST
-                outbox = self.dialled[ip] = self.outbox(connection, ip, True)
-                self.log(101, {"peer": ip})
-                self.reached(ip)
+                pause = MIN_REDIAL_BACKOFF_S
+                outbox = self.dialled_queues[ip] = self.send_queue(connection, ip, True)
+                self._log(101, {"peer": ip})
+                self._on_dialled(ip)
                 writer = asyncio.ensure_future(outbox.run())
                 try:
                     await connection.wait_closed()
                 finally:
-                    outbox.break_off()
+                    outbox.abort()
                     writer.cancel()
-                    del self.dialled[ip]
-                    self.log(102, {"peer": ip})
-            self.began.pop(ip, None)
+                    del self.dialled_queues[ip]
+                    self._log(102, {"peer": ip})
+            self.dial_started_at.pop(ip, None)
             await asyncio.sleep(pause)
-            pause = min(2 * pause, PAUSE_MOST)
+            pause = min(2 * pause, MAX_REDIAL_BACKOFF_S)
 
-    def _admit(self, connection: ServerConnection, request: Request) -> Response | None:
+    def _check_path(self, connection: ServerConnection, request: Request) -> Response | None:
         try:
-            caller_of(request.path)
+            parse_path(request.path)
         except PathError as why:
-            self.log(103, {"path": why.path[:80]})
+            self._log(103, {"path": why.path[:80]})
             return connection.respond(404, "not a link of this version\n")
         return None
 
-    async def _accept(self, connection: ServerConnection) -> None:
+    async def _serve_link(self, connection: ServerConnection) -> None:
         assert connection.request is not None  # It has been admitted.
-        caller = caller_of(connection.request.path)
-        harden(connection.transport.get_extra_info("socket"))
-        outbox, key = self.outbox(connection, caller.name, False), (caller.kind, caller.name)
-        if before := self.accepted.get(key):
-            before.break_off()  # Who dials anew has given the old link up.
-        self.accepted[key] = outbox
+        caller = parse_path(connection.request.path)
+        enable_dead_peer_detection(connection.transport.get_extra_info("socket"))
+        outbox, key = self.send_queue(connection, caller.name, False), (caller.kind, caller.name)
+        if before := self.accepted_queues.get(key):
+            before.abort()  # Who dials anew has given the old link up.
+        self.accepted_queues[key] = outbox
         writer = asyncio.ensure_future(outbox.run())
-        self.up(caller)
+        self._on_link_accepted(caller)
         try:
-            await receive(connection, lambda message: self.heard(caller, message), self.log)
+            await receive_messages(connection, lambda message: self._on_message(caller, message), self._log)
         finally:
-            outbox.break_off()
+            outbox.abort()
             writer.cancel()
-            if self.accepted.get(key) is outbox:
-                del self.accepted[key]
-                self.down(caller)
+            if self.accepted_queues.get(key) is outbox:
+                del self.accepted_queues[key]
+                self._on_link_closed(caller)
 
     async def close(self) -> None:
-        for task in self.dialling.values():
+        for task in self.dial_tasks.values():
             task.cancel()
-        for outbox in [*self.dialled.values(), *self.accepted.values()]:
-            outbox.break_off()
+        for outbox in [*self.dialled_queues.values(), *self.accepted_queues.values()]:
+            outbox.abort()
         if server := getattr(self, "server", None):
             server.close(close_connections=False)
 
 
-async def receive(connection: Connection, heard: Callable[[msgspec.Struct], None], log: Logged) -> None:
+async def receive_messages(
+    connection: Connection, on_message: Callable[[msgspec.Struct], None], log: EventLog
+) -> None:
     """Hand on what comes until the connection ends, or brings what can't be read."""
     try:
         async for data in connection:
-            heard(codec.decode(data if isinstance(data, bytes) else data.encode()))
+            on_message(codec.decode(data if isinstance(data, bytes) else data.encode()))
     except ConnectionClosed:
         return
     except codec.UnreadableError as why:
@@ -188,4 +208,4 @@
         connection.transport.abort()
 
 
-__all__ = ["CONTROL_NODE", "Links", "receive"]
+__all__ = ["CONTROL_NODE", "Links", "receive_messages"]
--- a/ambershift/system/transport/send_queue.py
+++ b/ambershift/system/transport/send_queue.py
@@ -12,26 +12,26 @@
 
 from ambershift.system.messages import codec
 
-WAITING_MOST = 24 << 20  # Bytes. Past this the peer doesn't read: the link begins anew.
+MAX_PENDING_BYTES = 24 << 20  # Bytes. Past this the peer doesn't read: the link begins anew.
 
 
-class Outbox:
-    def __init__(self, connection: Connection, count: Callable[[str, int], None] | None = None) -> None:
+class SendQueue:
+    def __init__(self, connection: Connection, on_written: Callable[[str, int], None] | None = None) -> None:
         """`count` is told each message written: its tag and its size."""
-        self.connection, self.count = connection, count
-        self.waiting = deque[tuple[str, bytes]]()
-        self.size = 0
-        self.filled = asyncio.Event()
+        self.connection, self._on_written = connection, on_written
+        self._pending = deque[tuple[str, bytes]]()
+        self.pending_bytes = 0
+        self._has_pending = asyncio.Event()
 
     def put(self, message: msgspec.Struct) -> None:
         data = codec.encode(message)
-        self.waiting.append((str(message.__struct_config__.tag), data))
-        self.size += len(data)
-        self.filled.set()
-        if self.size > WAITING_MOST:
-            self.break_off()
+        self._pending.append((str(message.__struct_config__.tag), data))
+        self.pending_bytes += len(data)
+        self._has_pending.set()
+        if self.pending_bytes > MAX_PENDING_BYTES:
+            self.abort()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection without a farewell: it may be that nobody is there to hear one."""
         self.connection.transport.abort()
 
@@ -39,13 +39,13 @@
         """Write until the connection ends."""
         try:
             while True:
-                await self.filled.wait()
-                self.filled.clear()
-                while self.waiting:
-                    kind, data = self.waiting.popleft()
-                    self.size -= len(data)
+                await self._has_pending.wait()
+                self._has_pending.clear()
+                while self._pending:
+                    kind, data = self._pending.popleft()
+                    self.pending_bytes -= len(data)
                     await self.connection.send(data)
-                    if self.count:
-                        self.count(kind, len(data))
+                    if self._on_written:
+                        self._on_written(kind, len(data))
         except ConnectionClosed:
             return
--- a/ambershift/system/transport/traffic_meter.py
+++ b/ambershift/system/transport/traffic_meter.py
@@ -10,45 +10,45 @@
 
 from ambershift.system.state_machine import NS_PER_SECOND
 
-TOLD_EACH = 10 * NS_PER_SECOND
+REPORT_INTERVAL_NS = 10 * NS_PER_SECOND
 ZONE, REGION, ABROAD, UNKNOWN = "zone", "region", "abroad", "unknown"
-MASK = 4  # Bytes that only the dialling end's frames have.
+MASK_BYTES = 4  # Bytes that only the dialling end's frames have.
 
-Place = tuple[str, str]  # Zone and region.
+Locality = tuple[str, str]  # Zone and region.
 
 
-def reach(own: Place, other: Place | None) -> str:
+def traffic_scope(local: Locality, peer: Locality | None) -> str:
     """How far it is: within a zone, a region, abroad."""
-    if other is None:
+    if peer is None:
         return UNKNOWN
-    return ZONE if other[0] == own[0] else REGION if other[1] == own[1] else ABROAD
+    return ZONE if peer[0] == local[0] else REGION if peer[1] == local[1] else ABROAD
 
 
-def frame(size: int, masked: bool) -> int:
+def frame_bytes(size: int, masked: bool) -> int:
     """Bytes of a websocket message of so many bytes."""
     head = 2 if size < 126 else 4 if size < 1 << 16 else 10
-    return size + head + (MASK if masked else 0)
+    return size + head + (MASK_BYTES if masked else 0)
 
 
-class Meter:
+class TrafficMeter:
     """`where` gives a peer's place, or None where it isn't known yet."""
 
-    def __init__(self, own: Place, where: Callable[[str], Place | None]) -> None:
-        self.own, self.where = own, where
-        self.counts = defaultdict[tuple[str, str], list[int]](lambda: [0, 0])
-        self.told_at = 0
+    def __init__(self, local: Locality, locality_of: Callable[[str], Locality | None]) -> None:
+        self._local, self._locality_of = local, locality_of
+        self._counts = defaultdict[tuple[str, str], list[int]](lambda: [0, 0])
+        self._reported_at = 0
 
-    def count(self, peer: str, masked: bool, kind: str, size: int) -> None:
-        one = self.counts[reach(self.own, self.where(peer)), kind]
+    def record(self, peer: str, masked: bool, kind: str, size: int) -> None:
+        one = self._counts[traffic_scope(self._local, self._locality_of(peer)), kind]
         one[0] += 1
-        one[1] += frame(size, masked)
+        one[1] += frame_bytes(size, masked)
 
-    def due(self, now: int) -> Mapping[str, dict[str, list[int]]] | None:
+    def report_if_due(self, now: int) -> Mapping[str, dict[str, list[int]]] | None:
         """Every ten seconds: by reach and kind of message, how many and how many bytes, since the start."""
-        if now < self.told_at + TOLD_EACH:
+        if now < self._reported_at + REPORT_INTERVAL_NS:
             return None
-        self.told_at = now
+        self._reported_at = now
         told = defaultdict[str, dict[str, list[int]]](dict)
-        for (far, kind), (times, size) in sorted(self.counts.items()):
+        for (far, kind), (times, size) in sorted(self._counts.items()):
             told[far][kind] = [times, size]
         return told
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -19,7 +19,7 @@
 from ambershift.replication.heard.words import Kind as HeardKind
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import WORDS
-from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller, caller_of, path_of
+from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, PeerIdentity, format_path, parse_path
 from tests.compatibility.encoded_forms import GROUP, SYSTEM, Form
 from tests.compatibility.struct_layout import differences, layout, tags
 
@@ -88,8 +88,8 @@
     ("kind", "path"), [(CONTROL_NODE, "/2/control/10.0.0.1/ab12"), (PROXY, "/2/desk/10.0.0.1/ab12")]
 )
 def test_path_of_a_link_is_that_of_2429538(kind: str, path: str) -> None:
-    caller = Caller(kind, "10.0.0.1", "ab12")
-    assert path_of(caller) == path and caller_of(path) == caller
+    caller = PeerIdentity(kind, "10.0.0.1", "ab12")
+    assert format_path(caller) == path and parse_path(path) == caller
 
 
 def test_numbers_of_frames_and_of_heard_records_are_those_of_2429538() -> None:
--- a/tests/system/consensus/test_tombstone_collector.py
+++ b/tests/system/consensus/test_tombstone_collector.py
@@ -464,5 +464,5 @@
     assert events.abandoned_links == {"outdated": 1}
     assert events.configuration_version == 0 and link.outbox is None
     assert [call.args[0] for call in log.call_args_list] == [112]
-    assert outbox.break_off.called and selector.linked is None
+    assert outbox.abort.called and selector.linked is None
     assert selector.candidates(7 * NS_PER_SECOND)[0] == "b"
--- a/tests/system/processes/test_control_node.py
+++ b/tests/system/processes/test_control_node.py
@@ -10,7 +10,7 @@
 
 from ambershift.system.processes.control_node import ControlNode
 from ambershift.system.processes.http_server import ACCEPTING_SHARE, create_server, response_deadline_s
-from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller
+from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, PeerIdentity
 
 PARTS = ("store", "registry", "controller", "control_api")
 
@@ -29,12 +29,12 @@
 
 def test_links_that_come_and_go_are_told_to_the_controller() -> None:
     made = shell()
-    made.link_up(Caller(PROXY, "proxy-1", "a"))
-    made.link_up(Caller(CONTROL_NODE, "10.0.0.1", "b"))
-    made.link_lost(Caller(PROXY, "proxy-1", "a"))
+    made.link_up(PeerIdentity(PROXY, "proxy-1", "a"))
+    made.link_up(PeerIdentity(CONTROL_NODE, "10.0.0.1", "b"))
+    made.link_lost(PeerIdentity(PROXY, "proxy-1", "a"))
     told = [(name, *args) for name, args, _ in made.controller.method_calls]  # type: ignore[attr-defined]
     assert told == [("proxy_linked", "proxy-1"), ("core_linked", "10.0.0.1"), ("proxy_lost", "proxy-1")]
-    made.links.there.assert_called_once_with("10.0.0.1")  # type: ignore[attr-defined]
+    made.links.redial_if_stuck.assert_called_once_with("10.0.0.1")  # type: ignore[attr-defined]
     made.reached("10.0.0.1")
     made.store.on_peer_connected.assert_called_once_with("10.0.0.1")  # type: ignore[attr-defined]
 
--- a/tests/system/processes/test_metrics.py
+++ b/tests/system/processes/test_metrics.py
@@ -110,7 +110,8 @@
     made.store.membership_status.return_value = SimpleNamespace(epoch=4, voters=(1, 2, 3), complete=2)
     made.registry.endpoints.return_value = {}
     made.links = SimpleNamespace(
-        dialled={"a": SimpleNamespace(size=5)}, accepted={"b": SimpleNamespace(size=7)}
+        dialled_queues={"a": SimpleNamespace(pending_bytes=5)},
+        accepted_queues={"b": SimpleNamespace(pending_bytes=7)},
     )
     found = values(made.metrics())
     assert found["contact_age_seconds"] == 0.25 and found["in_touch"] == 1 and found["epoch"] == 4
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -40,7 +40,7 @@
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_MS, PeerConnected, Send, WriteCompleted
 from ambershift.system.transport import links
-from ambershift.system.transport.link_path import CONTROL_NODE, Caller
+from ambershift.system.transport.link_path import CONTROL_NODE, PeerIdentity
 from tests.support import proxy_rig
 from tests.support.simulated_exchange import NS_PER_SECOND, ZONES, ControlNode, SimulatedExchange
 
@@ -459,10 +459,10 @@
 def test_who_dials_us_is_dialled_anew_where_a_dial_hangs(
     monkeypatch: pytest.MonkeyPatch, young: float, dials: int
 ) -> None:
-    monkeypatch.setattr(links, "YOUNG", young)
+    monkeypatch.setattr(links, "MIN_DIAL_AGE_S", young)
 
     async def run() -> None:
-        made = links.Links(Caller(CONTROL_NODE, "1", "a"), 1, Mock(), Mock(), Mock(), Mock())
+        made = links.Links(PeerIdentity(CONTROL_NODE, "1", "a"), 1, Mock(), Mock(), Mock(), Mock())
         begun = list[str]()
 
         async def dial(ip: str) -> Any:
@@ -470,10 +470,10 @@
             await asyncio.Event().wait()
 
         made.dial = dial  # type: ignore[method-assign]
-        made.want(["2"])
+        made.set_peers(["2"])
         await asyncio.sleep(0)
-        made.there("3")
-        made.there("2")
+        made.redial_if_stuck("3")
+        made.redial_if_stuck("2")
         for _ in range(3):
             await asyncio.sleep(0)
         assert begun == ["2"] * dials
--- a/tests/system/transport/test_links.py
+++ b/tests/system/transport/test_links.py
@@ -29,9 +29,16 @@
 from ambershift.system.testbed.rig import until
 from ambershift.system.testbed.settings import free_ports
 from ambershift.system.transport import send_queue as outboxes
-from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, Caller, PathError, caller_of, path_of
-from ambershift.system.transport.links import Links, receive
-from ambershift.system.transport.send_queue import Outbox
+from ambershift.system.transport.link_path import (
+    CONTROL_NODE,
+    PROXY,
+    PathError,
+    PeerIdentity,
+    format_path,
+    parse_path,
+)
+from ambershift.system.transport.links import Links, receive_messages
+from ambershift.system.transport.send_queue import SendQueue
 
 pytestmark = pytest.mark.timeout(30)
 BLOCKS = itertools.count(os.getpid() % 200 * 200)
@@ -41,10 +48,10 @@
     """One machine's links, and what it saw."""
 
     def __init__(self, ip: str, port: int, life: str = "1") -> None:
-        self.heard, self.ups, self.downs = list[Any](), list[Caller](), list[Caller]()
+        self.heard, self.ups, self.downs = list[Any](), list[PeerIdentity](), list[PeerIdentity]()
         self.logged = list[int]()
         self.links = Links(
-            Caller(CONTROL_NODE, ip, life),
+            PeerIdentity(CONTROL_NODE, ip, life),
             port,
             lambda caller, message: self.heard.append((caller.name, message)),
             self.ups.append,
@@ -61,7 +68,7 @@
         port = free_ports(random.SystemRandom(), 1)[0]
         one, other = (f"127.{20 + block // 250 % 200}.{block % 250}.{at}" for at in (1, 2))
         near, far = End(one, port), End(other, port)
-        await far.links.open(other)
+        await far.links.listen(other)
         try:
             await act(near, far, one, other)
         finally:
@@ -74,20 +81,20 @@
 def test_messages_come_in_order_and_a_broken_link_is_dialled_again() -> None:
     async def act(near: End, far: End, one: str, other: str) -> None:
         near.links.send(other, Barrier(0))  # No link yet: lost without a word.
-        near.links.want([one, other])  # Itself is not dialled.
-        await until("a link", lambda: other in near.links.dialled and bool(far.ups), 5)
+        near.links.set_peers([one, other])  # Itself is not dialled.
+        await until("a link", lambda: other in near.links.dialled_queues and bool(far.ups), 5)
         for number in range(1, 500):
             near.links.send(other, Barrier(number))
         await until("all heard", lambda: len(far.heard) == 499, 5)
         assert far.heard == [(one, Barrier(number)) for number in range(1, 500)]
-        assert list(near.links.dialling) == [other] and not near.heard
-        far.links.accepted[CONTROL_NODE, one].break_off()
-        await until("a link again", lambda: len(far.ups) == 2 and other in near.links.dialled, 5)
-        assert far.downs == [Caller(CONTROL_NODE, one, "1")] and near.logged[:3] == [101, 102, 101]
+        assert list(near.links.dial_tasks) == [other] and not near.heard
+        far.links.accepted_queues[CONTROL_NODE, one].abort()
+        await until("a link again", lambda: len(far.ups) == 2 and other in near.links.dialled_queues, 5)
+        assert far.downs == [PeerIdentity(CONTROL_NODE, one, "1")] and near.logged[:3] == [101, 102, 101]
         near.links.send(other, Barrier(500))
         await until("heard again", lambda: far.heard[-1] == (one, Barrier(500)), 5)
-        near.links.want([])
-        await until("no link left", lambda: not far.links.accepted, 5)
+        near.links.set_peers([])
+        await until("no link left", lambda: not far.links.accepted_queues, 5)
         assert len(far.downs) == 2
 
     pair(act)
@@ -103,12 +110,12 @@
         await first.wait_closed()
         far.links.reply(CONTROL_NODE, one, Barrier(7))
         received = list[msgspec.Struct]()
-        reading = asyncio.ensure_future(receive(second, received.append, lambda *_: None))
+        reading = asyncio.ensure_future(receive_messages(second, received.append, lambda *_: None))
         await until("an answer on the new link", lambda: received == [Barrier(7)], 5)
-        assert not far.downs and (CONTROL_NODE, one) in far.links.accepted
+        assert not far.downs and (CONTROL_NODE, one) in far.links.accepted_queues
         reading.cancel()
         second.transport.abort()
-        await until("the new one's end", lambda: far.downs == [Caller(CONTROL_NODE, one, "2")], 5)
+        await until("the new one's end", lambda: far.downs == [PeerIdentity(CONTROL_NODE, one, "2")], 5)
 
     pair(act)
 
@@ -121,24 +128,24 @@
         await connection.wait_closed()
         await until("the link's end", lambda: bool(far.downs), 5)
         assert far.logged == [104] and not far.heard
-        near.links.want([other])  # And the next one works.
-        await until("a link", lambda: other in near.links.dialled, 5)
+        near.links.set_peers([other])  # And the next one works.
+        await until("a link", lambda: other in near.links.dialled_queues, 5)
 
     pair(act)
 
 
 def test_a_path_of_another_version_is_refused() -> None:
-    caller = Caller(PROXY, "proxy-a-1", "ab12")
-    assert caller_of(path_of(caller)) == caller
+    caller = PeerIdentity(PROXY, "proxy-a-1", "ab12")
+    assert parse_path(format_path(caller)) == caller
 
     async def act(near: End, far: End, one: str, other: str) -> None:
         for path in ("/0/proxy/a/1", "/1/clerk/a/1", "/1/proxy//1", "/1/proxy/a", "/"):
             with pytest.raises(PathError):
-                caller_of(path)
+                parse_path(path)
             with pytest.raises(InvalidStatus):
                 await connect(f"ws://{other}:{far.links.port}{path}", proxy=None)
         assert far.logged == [103] * 5 and not far.ups
-        near.links.me = Caller("clerk", "a", "1")
+        near.links.local = PeerIdentity("clerk", "a", "1")
         with pytest.raises(ConnectionError):  # As whoever dials is told.
             await near.links.dial(other)
 
@@ -146,19 +153,19 @@
 
 
 def test_an_outbox_that_nobody_empties_ends_the_link(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(outboxes, "WAITING_MOST", 1 << 20)
+    monkeypatch.setattr(outboxes, "MAX_PENDING_BYTES", 1 << 20)
 
     async def act(near: End, far: End, one: str, other: str) -> None:
         connection = await near.links.dial(other)
         await until("the link", lambda: bool(far.ups), 5)
         connection.transport.pause_reading()  # A peer that doesn't read.
-        outbox: Outbox = far.links.accepted[CONTROL_NODE, one]
+        outbox: SendQueue = far.links.accepted_queues[CONTROL_NODE, one]
         big = Hello("n" * 60_000, "", "", "", False, False)
         for _ in range(1000):
             far.links.reply(CONTROL_NODE, one, big)
-            if (CONTROL_NODE, one) not in far.links.accepted:
+            if (CONTROL_NODE, one) not in far.links.accepted_queues:
                 break
-            assert outbox.size < (1 << 20) + 100_000
+            assert outbox.pending_bytes < (1 << 20) + 100_000
             await asyncio.sleep(0)
         await until("the link's end", lambda: bool(far.downs), 5)
 
--- a/tests/system/transport/test_traffic_meter.py
+++ b/tests/system/transport/test_traffic_meter.py
@@ -7,15 +7,20 @@
 
 from ambershift.system.messages import codec
 from ambershift.system.messages.proxy_link import Barrier, ItemUpdate
-from ambershift.system.transport.send_queue import Outbox
-from ambershift.system.transport.traffic_meter import TOLD_EACH, Meter, frame, reach
+from ambershift.system.transport.send_queue import SendQueue
+from ambershift.system.transport.traffic_meter import (
+    REPORT_INTERVAL_NS,
+    TrafficMeter,
+    frame_bytes,
+    traffic_scope,
+)
 
 
 def test_frames_and_reach() -> None:
-    assert [frame(size, False) - size for size in (125, 126, 65_535, 65_536)] == [2, 4, 4, 10]
-    assert frame(10, True) == 16
+    assert [frame_bytes(size, False) - size for size in (125, 126, 65_535, 65_536)] == [2, 4, 4, 10]
+    assert frame_bytes(10, True) == 16
     own = ("a1", "a")
-    assert [reach(own, other) for other in (own, ("a2", "a"), ("b1", "b"), None)] == [
+    assert [traffic_scope(own, other) for other in (own, ("a2", "a"), ("b1", "b"), None)] == [
         "zone",
         "region",
         "abroad",
@@ -24,14 +29,17 @@
 
 
 def test_counts_are_told_each_ten_seconds_and_go_on() -> None:
-    meter = Meter(("a1", "a"), {"x": ("b1", "b"), "y": ("a1", "a")}.get)
+    meter = TrafficMeter(("a1", "a"), {"x": ("b1", "b"), "y": ("a1", "a")}.get)
     for peer in ("x", "x", "y", "z"):
-        meter.count(peer, True, "cb", 20)
+        meter.record(peer, True, "cb", 20)
     told = {"abroad": {"cb": [2, 52]}, "unknown": {"cb": [1, 26]}, "zone": {"cb": [1, 26]}}
-    assert meter.due(TOLD_EACH - 1) is None and meter.due(TOLD_EACH) == told
-    assert meter.due(TOLD_EACH + 1) is None
-    meter.count("x", False, "cb", 20)
-    assert (again := meter.due(2 * TOLD_EACH)) and again["abroad"] == {"cb": [3, 74]}
+    assert (
+        meter.report_if_due(REPORT_INTERVAL_NS - 1) is None
+        and meter.report_if_due(REPORT_INTERVAL_NS) == told
+    )
+    assert meter.report_if_due(REPORT_INTERVAL_NS + 1) is None
+    meter.record("x", False, "cb", 20)
+    assert (again := meter.report_if_due(2 * REPORT_INTERVAL_NS)) and again["abroad"] == {"cb": [3, 74]}
 
 
 def test_a_message_counts_once_it_is_written() -> None:
@@ -46,7 +54,7 @@
 
     async def act() -> None:
         counted, connection = list[tuple[str, int]](), Broken()
-        outbox = Outbox(connection, lambda *one: counted.append(one))  # type: ignore[arg-type]
+        outbox = SendQueue(connection, lambda *one: counted.append(one))  # type: ignore[arg-type]
         outbox.put(Barrier(1))
         outbox.put(ItemUpdate((), True))
         with contextlib.suppress(ConnectionResetError):
