--- a/ambershift/system/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -1,8 +1,12 @@
-"""Codes messages for a link: msgpack by msgspec, each a tagged array; long ones deflated.
+"""Encodes and decodes the messages between the programs of the system.
 
-Items are JSON with the same names in each, and whole lists of them go to every proxy and node: deflated
-they take a fifth of that. Short messages are most, and win nothing, but for forwarded calls: their
-JSON repeats what both ends know, and they are a third of the bytes between regions on a quiet day.
+Each message is a msgpack array that begins with the tag of its type. Long messages are deflated, since
+updates for all proxies and control nodes repeat the same JSON names in each item: deflated they take a fifth
+of the bytes. Short messages are sent plain, except for forwarded calls and their responses. Their JSON
+repeats words that both ends know, and they are a third of the bytes between regions on a quiet day, so they
+are deflated (RFC 1951) with the preset dictionary `forwarding.WORDS`.
+
+The first byte tells the form: `ZLIB_FIRST_BYTE`, `DICTIONARY_FIRST_BYTE`, or that of a msgpack array.
 """
 
 from __future__ import annotations
@@ -16,28 +20,31 @@
 
 from ambershift.system.messages import forwarding, proxy_link, registry_sync, replication
 
-WIRE = 2  # Told in the path of each link; another number is another program's and refused.
+# The version of the messages. It is part of each link's path, and a link of another version is refused.
+WIRE = 2
 MAX_MESSAGE_BYTES = 16 << 20
 LARGE_MESSAGE_BYTES, MAX_CACHED_ENCODINGS = 16 << 10, 4  # Bytes; messages.
 DEFLATE_MIN_BYTES, DEFLATE_LEVEL = (
     1 << 10,
     1,
-)  # Bytes from which on a message is deflated, and how hard: more wins little.
-ZLIB_FIRST_BYTE = 0x78  # The first byte of zlib's format; a tagged array never begins so.
-DICTIONARY_FIRST_BYTE = (
-    0xC1  # The first byte of a message deflated by words known to both ends; unused by msgpack.
-)
+)  # Higher levels save few bytes and cost much more time.
+ZLIB_FIRST_BYTE = 0x78  # CMF byte of RFC 1950 with a window of 32 kB; no msgpack array begins with it.
+DICTIONARY_FIRST_BYTE = 0xC1  # The one byte that msgpack never uses.
 
 
 @dataclass(eq=False)
 class UnreadableError(Exception):
-    """Bytes that are no message of this version."""
+    """Bytes that are no message of this version.
+
+    Attributes:
+        reason: What is wrong with them, as the decoder or zlib says it.
+    """
 
     reason: str
 
 
 def message_types() -> tuple[type[msgspec.Struct], ...]:
-    """All tagged structs of the modules of messages, found by their tag so that none is forgotten."""
+    """All tagged structs of the message modules, found by their tag so that none can be left out."""
     return tuple(
         one
         for module in (replication, forwarding, proxy_link, registry_sync)
@@ -65,8 +72,11 @@
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """The bytes of a message, which may not change any more. Of the last large ones they are kept: what goes
-    to hundreds of links is made once, and waits there as one."""
+    """Encode a message, which must not change afterwards.
+
+    The last large messages are cached by identity: an update that goes to hundreds of links is encoded once,
+    and all send queues share the same bytes.
+    """
     for cached_message, data in _recent_large:
         if cached_message is message:
             return data
@@ -84,7 +94,11 @@
 
 
 def decode(data: bytes) -> msgspec.Struct:
-    """Raises `UnreadableError`."""
+    """Decode one message.
+
+    Raises:
+        UnreadableError: The bytes are no message of this version, or inflate to over `MAX_MESSAGE_BYTES`.
+    """
     if data[:1] == bytes((ZLIB_FIRST_BYTE,)):
         data = _inflate(zlib.decompressobj(), data)
     elif data[:1] == bytes((DICTIONARY_FIRST_BYTE,)):
@@ -97,7 +111,7 @@
 
 
 def _inflate(decompressor: Any, data: bytes) -> bytes:
-    """No more of it than a message may have, whatever it claims."""
+    """Inflate at most `MAX_MESSAGE_BYTES`, so that a small message can't fill the memory."""
     try:
         plain: bytes = decompressor.decompress(data, MAX_MESSAGE_BYTES)
     except zlib.error as why:
--- a/ambershift/system/messages/forwarding.py
+++ b/ambershift/system/messages/forwarding.py
@@ -1,10 +1,14 @@
-"""Calls that one control node hands to another, and the outcome. Owned by `control_api/`."""
+"""Calls of applications that one control node forwards to another, and their responses.
+
+Used by `control_api/`. Tags and the order of the fields are the wire format.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-# What their fields are mostly made of, known to both ends so that it need not travel.
+# Preset dictionary (RFC 1950, section 2.2): frequent words of the bodies, known to both ends so that they
+# need not travel. It is part of the wire format: a changed byte makes messages unreadable for other versions.
 WORDS = (
     b'{"Cause":"not in touch with enough machines"}{"Cause":"no clear outcome in time"}{"after":{"AppliesTo":'
     b'{"Holder":"a1.1","fence":{"HoldMs":3000}cells.retrievecells.replacenumberslocks.terminate'
@@ -14,10 +18,16 @@
 
 
 class ForwardedCall(msgspec.Struct, frozen=True, array_like=True, tag="eo"):
-    """A call of an application, for the control node that proposes for the register it is about.
+    """A call of an application, forwarded to the control node that proposes for its register.
 
-    `number` is the sender's own, and with the sender names this call among all that ever were. `name` is
-    the protocol's, `of` the id, `body` JSON. `left` is in ms.
+    Attributes:
+        number: The sender's call number. It starts at a random number with each process, so that with the
+            sender's ip it identifies the call among all that ever were.
+        operation: The name that the protocol gives the call, such as "locks.initiate".
+        subject_id: The id of what the call is about: a lock, a cell, a group.
+        body: The call's JSON body.
+        remaining_ms: Time until the call's deadline, counted from the sending: clocks of two machines have no
+            relation.
     """
 
     number: int
@@ -28,7 +38,13 @@
 
 
 class ForwardedResponse(msgspec.Struct, frozen=True, array_like=True, tag="ed"):
-    """`status` is HTTP's; `body` JSON. `number` is the forwarded call's."""
+    """The response to a forwarded call.
+
+    Attributes:
+        number: The call number of the forwarded call.
+        status: The HTTP status for the application.
+        body: The JSON body for the application.
+    """
 
     number: int
     status: int
@@ -36,7 +52,14 @@
 
 
 class GroupChanged(msgspec.Struct, frozen=True, array_like=True, tag="es"):
-    """A group got puts through a machine that others would not look for them at."""
+    """A group was changed through another machine than the one that usually proposes for it.
+
+    The receiver's watches would not look for the change there, so they are told of it.
+
+    Attributes:
+        group: The group's name.
+        revision: The group's revision after the change.
+    """
 
     group: str
     revision: int
--- a/ambershift/system/messages/proxy_link.py
+++ b/ambershift/system/messages/proxy_link.py
@@ -1,4 +1,9 @@
-"""What a proxy (a program that carries traffic) and the control node that looks after it tell each other."""
+"""Messages between a proxy, which carries traffic, and the control node that it is linked to.
+
+The control node pushes configuration items, backends and weighted tables, much as xDS management servers push
+to Envoy; the proxy reports its state and its load. Messages of one link arrive in order. Tags and the order
+of the fields are the wire format.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +13,13 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="fh"):
-    """Proxy to control node, first on each link. `life` is random at each start of the process.
+    """Proxy to control node: the proxy's state. First on each link, and again whenever it changes.
 
-    `ready` says that the proxy has merged all and serves; `leaving` that it is about to end.
-    `address` is where clients reach it. Sent again whenever `ready` or `leaving` has changed.
+    Attributes:
+        incarnation: Random at each start of the process.
+        address: Where clients reach the proxy, as "ip:port".
+        ready: Whether the proxy has merged the complete configuration and serves requests.
+        draining: Whether the process is about to end.
     """
 
     name: str
@@ -23,7 +31,7 @@
 
 
 class ControlNodeAddress(msgspec.Struct, frozen=True, array_like=True):
-    """A machine that serves control, reached by others at its `ip` on the internal port."""
+    """Where a control node is reached: at its `ip` on the internal port."""
 
     ip: str
     zone: str
@@ -31,14 +39,17 @@
 
 
 class ControlNodeHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="fc"):
-    """Control node to proxy: the sign of life, first on each link and then each 0.4 s.
-
-    `cores`: who serves control; empty where that is as it was told before. `in_touch`: whether this node has
-    heard a majority lately. `proxies`: how many proxies there may be at the most. `age_ms`: how long before
-    the sending the moment was up to which all that was acknowledged has been told on this link, once the
-    proxy has said Hello (`consensus/contact_lease.py`). Nodes of the version before told none, and no sign
-    before a
-    Hello: a proxy doesn't link to them.
+    """Control node to proxy: first on each link, and then every 0.4 s.
+
+    A proxy doesn't link to a node whose heartbeat lacks `staleness_ms`, nor to one that sends another message
+    first: these are nodes of an earlier version.
+
+    Attributes:
+        control_nodes: All control nodes; empty if they are those of the previous heartbeat on this link.
+        has_quorum_contact: Whether this node has received messages from a majority of the voters lately.
+        max_proxies: How many proxies may be running at the most; proxies divide shared budgets by it.
+        staleness_ms: Age of the last moment up to which all acknowledged changes have been sent on this link,
+            once the proxy has said Hello (`consensus/contact_lease.py`).
     """
 
     control_nodes: tuple[ControlNodeAddress, ...]
@@ -48,17 +59,27 @@
 
 
 class ItemUpdate(msgspec.Struct, frozen=True, array_like=True, tag="fi"):
-    """Control node to proxy: items, merged by the proxy one by one. `complete` with the last of all that a
-    majority held after the proxy's Hello: from then on the proxy knows whatever was acknowledged before."""
+    """Control node to proxy: items, which the proxy merges one by one.
+
+    Attributes:
+        complete: Whether the proxy now has all items that a majority stored at the time of its Hello, and
+            with them every change acknowledged before it.
+    """
 
     items: tuple[Item, ...]
     complete: bool
 
 
 class Backend(msgspec.Struct, frozen=True, array_like=True):
-    """One life of a backend. `cold` is how many ms it is still cold, counted from the arrival of this.
-
-    `unsure`: of the control node's disk, not heard since its start. Whoever knows the life knows better."""
+    """One incarnation of a backend.
+
+    Attributes:
+        slots: Requests that it serves at the same time.
+        warm_up_ms: How long it still warms up (slow start), counted from the arrival of this message; 0 if it
+            is warm.
+        unconfirmed: Whether the control node knows it from its disk only and has had no heartbeat of it since
+            its own start. What a proxy knows of this incarnation from elsewhere takes precedence.
+    """
 
     id: str
     service: str
@@ -71,9 +92,10 @@
 
 
 class BackendUpdate(msgspec.Struct, frozen=True, array_like=True, tag="fb"):
-    """Control node to proxy: lives that are new or changed, and ids of those that are gone.
+    """Control node to proxy: incarnations that are new or changed, and ids of those that are gone.
 
-    `whole` where what is not named is gone too (the first of a link).
+    Attributes:
+        complete: Whether backends that aren't in `updated` are gone too, as in the first update of a link.
     """
 
     updated: tuple[Backend, ...]
@@ -82,7 +104,12 @@
 
 
 class TableEntry(msgspec.Struct, frozen=True, array_like=True, tag="fl"):
-    """Control node to proxy: one line of a table; weight 0 takes it out."""
+    """Control node to proxy: a changed entry of a table.
+
+    Attributes:
+        table: The table's number; the entry is ignored if the proxy uses another table for the pool.
+        weight: The backend's weight; 0 removes it from the table.
+    """
 
     pool: str
     table: int
@@ -91,7 +118,12 @@
 
 
 class BindTable(msgspec.Struct, frozen=True, array_like=True, tag="fd"):
-    """Control node to proxy: use this table for the pool from now on; `lines` are all of it."""
+    """Control node to proxy: use this table for the pool from now on.
+
+    Attributes:
+        table: The table's number.
+        entries: All its entries, as pairs of backend id and weight.
+    """
 
     pool: str
     table: int
@@ -99,20 +131,34 @@
 
 
 class EjectBackend(msgspec.Struct, frozen=True, array_like=True, tag="fw"):
-    """Control node to proxy: nothing more to this backend, whatever table has it (or let it in again)."""
+    """Control node to proxy: send no request to this backend, whichever table has it, or end that.
+
+    Attributes:
+        ejected: False to admit the backend again.
+    """
 
     backend_id: str
     ejected: bool
 
 
 class Barrier(msgspec.Struct, frozen=True, array_like=True, tag="fm"):
-    """Control node to proxy, and back: all that was sent on this link before has been taken in."""
+    """Control node to proxy, which returns it: all that was sent on this link before has been applied.
+
+    Attributes:
+        number: The control node's number of the barrier; rises with each.
+    """
 
     number: int
 
 
 class BackendLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What one proxy met at one backend over the report's span."""
+    """A proxy's results at one backend over the interval of a load report.
+
+    Attributes:
+        attempts: Attempts that began within the interval.
+        failures: Attempts that failed within the interval.
+        mean_latency_ms: Time of the attempts that ended within the interval, divided by `attempts`.
+    """
 
     backend_id: str
     attempts: int
@@ -121,7 +167,13 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag="fr"):
-    """Proxy to node, once a second: what came for each pool over the last `span` ms, and what was met."""
+    """Proxy to control node, once a second: requests by pool and results by backend.
+
+    Attributes:
+        interval_ms: The time that the report covers.
+        requests: Requests that came, by the name of a pool or of a host counter.
+        backends: Results at each backend that had an attempt.
+    """
 
     interval_ms: int
     requests: dict[str, int]
@@ -133,23 +185,27 @@
 
 
 def pool_name(service: str, home_regions: tuple[str, ...]) -> str:
-    """The name of a pool: a service's backends within the homes of a route (none: all regions)."""
+    """The name of a pool: a service's backends in the home regions of a route (none: in all regions)."""
     return "|".join((service, *sorted(home_regions)))
 
 
 def parse_pool_name(pool: str) -> tuple[str, tuple[str, ...]]:
+    """The service and the home regions that `pool_name` was given."""
     service, *homes = pool.split("|")
     return service, tuple(homes)
 
 
 def host_counter_name(host: str, home_regions: tuple[str, ...]) -> str:
-    """The name of a sum beside the pools': all requests to a host that has routes with homes (none named), or
-    those on its routes with just these homes. No service's name begins so."""
+    """The name under which a load report counts the requests to a host with home regions.
+
+    Without `home_regions` it counts all of them, else those on its routes with exactly these. No service's
+    name begins with "@", so that it can't be mistaken for a pool.
+    """
     return "|".join(("@" + host, *sorted(home_regions)))
 
 
 def parse_host_counter_name(name: str) -> tuple[str, tuple[str, ...]] | None:
-    """None for a pool's name."""
+    """The host and the home regions of a host counter; None if the name is a pool's."""
     if not name.startswith("@"):
         return None
     host, *homes = name.split("|")
