--- a/ambershift/system/transport/__init__.py
+++ b/ambershift/system/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Links between machines: one message after the other over websockets, dialled again when they break."""
+"""Links between machines: ordered messages over websockets, dialled again when a link breaks."""
--- a/ambershift/system/transport/link_path.py
+++ b/ambershift/system/transport/link_path.py
@@ -1,4 +1,4 @@
-"""What a link's path tells: the version of the messages, who dials, and as what."""
+"""The URL path of a link, by which the dialling end says its message version, its role and its identity."""
 
 from __future__ import annotations
 
@@ -11,14 +11,25 @@
 
 @dataclass(eq=False)
 class PathError(Exception):
-    """A path that is not of this version, or names no kind of program that we know."""
+    """A path of another message version, of an unknown role, or without a name.
+
+    Attributes:
+        path: The path as it was received.
+    """
 
     path: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """Who dialled: a control node by its ip, a proxy by its name. `life` is random at each start."""
+    """The machine at the dialling end of a link.
+
+    Attributes:
+        kind: Its role, `CONTROL_NODE` or `PROXY`.
+        name: A control node's ip, or a proxy's name.
+        incarnation: Random at each start of the process, so that a restarted one can be told from its
+            predecessor.
+    """
 
     kind: str
     name: str
@@ -26,11 +37,16 @@
 
 
 def format_path(caller: PeerIdentity) -> str:
+    """The path that this machine dials: "/VERSION/KIND/NAME/INCARNATION"."""
     return f"/{WIRE}/{caller.kind}/{caller.name}/{caller.incarnation}"
 
 
 def parse_path(path: str) -> PeerIdentity:
-    """Raises `PathError`."""
+    """Read what `format_path` has made.
+
+    Raises:
+        PathError: The path is of another version or of no known role, or lacks a name.
+    """
     parts = path.split("/")
     if len(parts) != 5 or parts[1] != str(WIRE) or parts[2] not in (CONTROL_NODE, PROXY) or not parts[3]:
         raise PathError(path)
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -1,8 +1,8 @@
-"""All links of one machine: those it dials and those it is dialled by.
+"""All links of one machine: those that it dials and those that it accepts.
 
-Messages of one link come in order; what is under way when a link breaks is lost without a word, so whoever
-needs an answer asks again. A control node dials each other one and sends on the link it dialled; a proxy
-dials one control node, and both speak on that link.
+Messages of one link arrive in order. What is in flight when a link breaks is lost without notice, so a sender
+that needs an answer has a time-out and sends again. A control node dials every other one and sends only on
+the links that it dialled; a proxy dials one control node, and both send on that link.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from ambershift.system.transport.socket_options import enable_dead_peer_detection
 from ambershift.system.transport.traffic_meter import TrafficMeter
 
-MIN_DIAL_AGE_S = 0.15  # Seconds; a dial that has not lasted for so long may well be about to succeed.
+MIN_DIAL_AGE_S = 0.15  # A younger dial is left alone, as it may be about to succeed.
 DIAL_TIMEOUT_S, MIN_REDIAL_BACKOFF_S, MAX_REDIAL_BACKOFF_S = 1.0, 0.1, 0.8  # Seconds.
 WEBSOCKET_OPTIONS = {
     "compression": None,
@@ -46,8 +46,17 @@
 
 
 class Links:
-    """`heard` gets each message with its sender, `up` and `down` each change of a link accepted;
-    `reached` the ip of each link dialled."""
+    """Dials a set of peers, accepts links of others, and sends messages on both.
+
+    Attributes:
+        local: The identity that this machine dials with.
+        port: The internal port, the same on all machines.
+        dialled_queues: Send queues of the dialled links that are up, by ip.
+        accepted_queues: Send queues of the accepted links that are up, by kind and name of the peer.
+        dial_tasks: The task that keeps the link to each wanted peer, by ip.
+        dial_started_at: When the dial in progress to an ip began, in seconds of the event loop's clock. An ip
+            in its backoff has no entry.
+    """
 
     def __init__(
         self,
@@ -60,6 +69,18 @@
         traffic_meter: TrafficMeter | None = None,
         on_dialled: Callable[[str], None] = lambda ip: None,
     ) -> None:
+        """Create it without links.
+
+        Args:
+            local: The identity that this machine dials with.
+            port: The internal port, the same on all machines.
+            on_message: Called with each message of an accepted link and its sender.
+            on_link_accepted: Called when a link is accepted, also if it replaces one of the same peer.
+            on_link_closed: Called when an accepted link ends that no newer one has replaced.
+            log: Called with the number and the fields of an event.
+            traffic_meter: Counts the messages written, if there is one.
+            on_dialled: Called with the ip of each link that was dialled.
+        """
         self.local, self.port, self._on_message, self._on_link_accepted, self._on_link_closed, self._log = (
             local,
             port,
@@ -72,11 +93,15 @@
         self.dialled_queues = dict[str, SendQueue]()
         self.accepted_queues = dict[tuple[str, str], SendQueue]()
         self.dial_tasks = dict[str, asyncio.Task[None]]()
-        self.dial_started_at = dict[str, float]()  # When the dial that is under way was begun.
+        self.dial_started_at = dict[str, float]()
         self.tasks = set[asyncio.Task[None]]()
 
     async def listen(self, ip: str) -> None:
-        """Listen for others on the internal port."""
+        """Accept links at this ip on the internal port.
+
+        Raises:
+            OSError: The address is in use or is none of this machine.
+        """
         self.server = await serve(
             self._serve_link,
             ip,
@@ -87,7 +112,7 @@
         )
 
     def set_peers(self, ips: Iterable[str]) -> None:
-        """Keep links dialled to exactly these machines."""
+        """Keep links dialled to exactly these ips; this machine's own is passed over."""
         wanted = set(ips) - {self.local.name}
         for ip in self.dial_tasks.keys() - wanted:
             self.dial_tasks.pop(ip).cancel()
@@ -95,7 +120,10 @@
             self.dial_tasks[ip] = asyncio.ensure_future(self._maintain_link(ip))
 
     def redial_if_stuck(self, ip: str) -> None:
-        """It has just dialled us: a dial that hangs since before, or waits its turn, begins anew."""
+        """Dial at once a peer that has just dialled this machine, if its link is still down.
+
+        The peer is reachable again, so a dial that hangs since before, or a backoff, would only lose time.
+        """
         began = self.dial_started_at.get(ip)
         if (
             ip in self.dial_tasks
@@ -106,23 +134,33 @@
             self.dial_tasks[ip] = asyncio.ensure_future(self._maintain_link(ip))
 
     def send(self, ip: str, message: msgspec.Struct) -> None:
-        """To a control node, on the link dialled to it; lost where there is none."""
+        """Send to a control node on the link dialled to it; dropped if that link is down."""
         if outbox := self.dialled_queues.get(ip):
             outbox.put(message)
 
     def reply(self, caller_kind: str, name: str, message: msgspec.Struct) -> None:
-        """On a link that we were dialled on; lost where there is none."""
+        """Send on an accepted link; dropped if that link is down."""
         if outbox := self.accepted_queues.get((caller_kind, name)):
             outbox.put(message)
 
     def send_queue(self, connection: Connection, peer: str, masked: bool) -> SendQueue:
-        """What waits for a connection; counted, where there is a meter."""
+        """A send queue for a connection, counted by the traffic meter if there is one.
+
+        Args:
+            connection: The connection to write to.
+            peer: The ip or name that the traffic meter looks up.
+            masked: Whether frames are masked, as those of the dialling end are (RFC 6455, section 5.3).
+        """
         if self._traffic_meter is None:
             return SendQueue(connection)
         return SendQueue(connection, functools.partial(self._traffic_meter.record, peer, masked))
 
     async def dial(self, ip: str) -> Connection:
-        """One link, handed to the caller. Raises OSError where nobody answers in time."""
+        """Dial one link and hand it to the caller, who has to close it.
+
+        Raises:
+            OSError: The peer refuses, or doesn't complete the handshake within `DIAL_TIMEOUT_S`.
+        """
         try:
             connection = await connect(
                 f"ws://{ip}:{self.port}{format_path(self.local)}",
@@ -137,6 +175,7 @@
         return connection
 
     async def _maintain_link(self, ip: str) -> None:
+        """Dial this peer again and again, with exponential backoff, and serve the link while it is up."""
         pause = MIN_REDIAL_BACKOFF_S
         while True:
             with contextlib.suppress(OSError):
@@ -159,6 +198,7 @@
             pause = min(2 * pause, MAX_REDIAL_BACKOFF_S)
 
     def _check_path(self, connection: ServerConnection, request: Request) -> Response | None:
+        """Refuse a link of another message version before it is upgraded."""
         try:
             parse_path(request.path)
         except PathError as why:
@@ -167,12 +207,13 @@
         return None
 
     async def _serve_link(self, connection: ServerConnection) -> None:
-        assert connection.request is not None  # It has been admitted.
+        """Receive from an accepted link until it ends."""
+        assert connection.request is not None  # `_check_path` has accepted it.
         caller = parse_path(connection.request.path)
         enable_dead_peer_detection(connection.transport.get_extra_info("socket"))
         outbox, key = self.send_queue(connection, caller.name, False), (caller.kind, caller.name)
         if before := self.accepted_queues.get(key):
-            before.abort()  # Who dials anew has given the old link up.
+            before.abort()  # A peer that dials again has given up its previous link.
         self.accepted_queues[key] = outbox
         writer = asyncio.ensure_future(outbox.run())
         self._on_link_accepted(caller)
@@ -186,6 +227,7 @@
                 self._on_link_closed(caller)
 
     async def close(self) -> None:
+        """Abort all links and stop to listen."""
         for task in self.dial_tasks.values():
             task.cancel()
         for outbox in [*self.dialled_queues.values(), *self.accepted_queues.values()]:
@@ -197,7 +239,7 @@
 async def receive_messages(
     connection: Connection, on_message: Callable[[msgspec.Struct], None], log: EventLog
 ) -> None:
-    """Hand on what comes until the connection ends, or brings what can't be read."""
+    """Pass on each message until the connection ends. One that can't be read aborts it."""
     try:
         async for data in connection:
             on_message(codec.decode(data if isinstance(data, bytes) else data.encode()))
--- a/ambershift/system/transport/send_queue.py
+++ b/ambershift/system/transport/send_queue.py
@@ -1,4 +1,4 @@
-"""What waits to be sent on one link: in order, bounded, written by one task."""
+"""The send queue of one link: ordered, bounded, and written by one task."""
 
 from __future__ import annotations
 
@@ -12,18 +12,30 @@
 
 from ambershift.system.messages import codec
 
-MAX_PENDING_BYTES = 24 << 20  # Bytes. Past this the peer doesn't read: the link begins anew.
+MAX_PENDING_BYTES = 24 << 20  # With more the peer doesn't read: the link is aborted and dialled again.
 
 
 class SendQueue:
+    """Messages that wait to be written to one connection.
+
+    Attributes:
+        pending_bytes: Size of the encoded messages that wait.
+    """
+
     def __init__(self, connection: Connection, on_written: Callable[[str, int], None] | None = None) -> None:
-        """`count` is told each message written: its tag and its size."""
+        """Create an empty queue; `run` has to be started to write it.
+
+        Args:
+            connection: The connection to write to.
+            on_written: Called with the tag and the size in bytes of each message after it was written.
+        """
         self.connection, self._on_written = connection, on_written
         self._pending = deque[tuple[str, bytes]]()
         self.pending_bytes = 0
         self._has_pending = asyncio.Event()
 
     def put(self, message: msgspec.Struct) -> None:
+        """Queue a message; more than `MAX_PENDING_BYTES` abort the connection."""
         data = codec.encode(message)
         self._pending.append((str(message.__struct_config__.tag), data))
         self.pending_bytes += len(data)
@@ -32,11 +44,11 @@
             self.abort()
 
     def abort(self) -> None:
-        """End the connection without a farewell: it may be that nobody is there to hear one."""
+        """End the connection without a closing handshake, since the peer may be unreachable."""
         self.connection.transport.abort()
 
     async def run(self) -> None:
-        """Write until the connection ends."""
+        """Write what is queued until the connection ends."""
         try:
             while True:
                 await self._has_pending.wait()
--- a/ambershift/system/transport/traffic_meter.py
+++ b/ambershift/system/transport/traffic_meter.py
@@ -1,6 +1,6 @@
-"""How many bytes of each kind of message went how far: what an operator pays for, and where it comes from.
+"""Counts messages and bytes by kind and distance, since traffic between regions is what an operator pays for.
 
-Counted as written to links: the message and its frame, without TCP's own headers. No I/O.
+Counted as written to links: the message and its websocket frame, without the headers of TCP and IP. No I/O.
 """
 
 from __future__ import annotations
@@ -12,39 +12,60 @@
 
 REPORT_INTERVAL_NS = 10 * NS_PER_SECOND
 ZONE, REGION, ABROAD, UNKNOWN = "zone", "region", "abroad", "unknown"
-MASK_BYTES = 4  # Bytes that only the dialling end's frames have.
+MASK_BYTES = 4  # The masking key, which only frames of the dialling end have (RFC 6455, section 5.3).
 
 Locality = tuple[str, str]  # Zone and region.
 
 
 def traffic_scope(local: Locality, peer: Locality | None) -> str:
-    """How far it is: within a zone, a region, abroad."""
+    """How far traffic goes: within the zone, within the region, between regions, or unknown."""
     if peer is None:
         return UNKNOWN
     return ZONE if peer[0] == local[0] else REGION if peer[1] == local[1] else ABROAD
 
 
 def frame_bytes(size: int, masked: bool) -> int:
-    """Bytes of a websocket message of so many bytes."""
+    """Size of a websocket frame with a payload of `size` bytes (RFC 6455, section 5.2)."""
     head = 2 if size < 126 else 4 if size < 1 << 16 else 10
     return size + head + (MASK_BYTES if masked else 0)
 
 
 class TrafficMeter:
-    """`where` gives a peer's place, or None where it isn't known yet."""
+    """Counts what one machine sends, since its start."""
 
     def __init__(self, local: Locality, locality_of: Callable[[str], Locality | None]) -> None:
+        """Create it with all counts at zero.
+
+        Args:
+            local: This machine's zone and region.
+            locality_of: Gives a peer's zone and region by its ip or name; None if they aren't known yet.
+        """
         self._local, self._locality_of = local, locality_of
         self._counts = defaultdict[tuple[str, str], list[int]](lambda: [0, 0])
         self._reported_at = 0
 
     def record(self, peer: str, masked: bool, kind: str, size: int) -> None:
+        """Count one message.
+
+        Args:
+            peer: The receiver's ip or name.
+            masked: Whether its frame is masked, as those of the dialling end are.
+            kind: The message's tag.
+            size: Its encoded size in bytes.
+        """
         one = self._counts[traffic_scope(self._local, self._locality_of(peer)), kind]
         one[0] += 1
         one[1] += frame_bytes(size, masked)
 
     def report_if_due(self, now: int) -> Mapping[str, dict[str, list[int]]] | None:
-        """Every ten seconds: by reach and kind of message, how many and how many bytes, since the start."""
+        """The counts since the start, at most every `REPORT_INTERVAL_NS`; None if it isn't time yet.
+
+        Args:
+            now: Steady time in ns.
+
+        Returns:
+            By scope and kind of message a list of how many messages and how many bytes.
+        """
         if now < self._reported_at + REPORT_INTERVAL_NS:
             return None
         self._reported_at = now
