--- a/ambershift/system/messages/__init__.py
+++ b/ambershift/system/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the programs of the system: typed, in one place, and how they are coded."""
+"""Typed messages between the programs of the system, and their encoding."""
--- a/ambershift/system/messages/items.py
+++ b/ambershift/system/messages/items.py
@@ -1,11 +1,12 @@
-"""An item of control state: what is held in common, each with a version of its own."""
+"""Items of replicated control state, each with a version of its own. The higher version wins a merge."""
 
 from __future__ import annotations
 
 import msgspec
 
-# A number that rises, and who made it: AGREED for the operator's versions ("" on disks of earlier programs,
-# which lose a tie: nobody may have acknowledged them), the machine for those we make.
+# A number that rises, and its author: AGREED for the operator's versions, a control node's ip or "" for ours.
+# Disks of earlier programs have "" for the operator's too, which loses a tie, since nobody may have
+# acknowledged that version.
 Version = tuple[int, str]
 AGREED = "agreed"
 Key = tuple[str, str]
@@ -16,12 +17,17 @@
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """`kind` is one of the above. `body` is JSON, None for what is dropped (a tombstone).
+    """One item of control state.
 
-    ZONE is an evacuation: body `true` while nothing is to be sent there, `false` after it was taken back.
-    INSTANCE is a backend's life that ends: version (1, "") draining, (2, "") gone.
-    CLEARED is one item: JSON list of the lives last forgotten. Whoever merges it drops their items and takes
-    none of them.
+    ROUTE, SERVICE and LIMITS are the operator's configuration. ZONE is an evacuation: its body is `true`
+    while nothing is to be sent to the zone, `false` after that was revoked. INSTANCE is a tombstone of a
+    backend's incarnation: version (1, "") says that it drains, (2, "") that it is gone. CLEARED is a single
+    item with a JSON list of the incarnations whose tombstones were collected last: a store that merges it
+    drops these tombstones and accepts them no more.
+
+    Attributes:
+        kind: One of the constants above, or `tombstones.COLLECTED_TOMBSTONES_KIND`.
+        body: JSON; None if the item was dropped (a tombstone).
     """
 
     kind: str
@@ -31,18 +37,20 @@
 
     @property
     def key(self) -> Key:
+        """Identifies the item among all versions of it."""
         return self.kind, self.name
 
     @property
     def rank(self) -> tuple[Version, bool, bytes]:
-        """Of two items with one key the higher rank holds; with equal versions all choose alike."""
+        """Of two items with one key the one of higher rank wins, on every replica alike."""
         return self.version, self.body is None, self.body or b""
 
 
 def cleared_instances(item: Item) -> list[str]:
-    """The lives that a CLEARED item names, in the order of their clearing."""
+    """The incarnations that a CLEARED item lists, in the order of their collection."""
     return msgspec.json.decode(item.body or b"[]", type=list[str])
 
 
 def newest(first: Item, second: Item) -> Item:
+    """The item of the higher rank; `first` if they rank alike."""
     return second if second.rank > first.rank else first
--- a/ambershift/system/messages/replication.py
+++ b/ambershift/system/messages/replication.py
@@ -1,7 +1,9 @@
-"""What control nodes tell each other of items, registers, voters and themselves. Owned by `consensus/`.
+"""Messages of replication between control nodes: heartbeats, items, registers and voters.
 
-Fields that each message carries come first and are small numbers, as bytes between regions are dear. `epoch`
-is that of the voters whose counting the message belongs to, `number` the sender's round; answers repeat both.
+Used by `consensus/`. Each node merges items by version; registers are agreed by CASPaxos (Rystsov, 2018)
+among the voters. Fields that each message carries come first and are small numbers, since bytes between
+regions are dear: `epoch` is that of the voters whose majority is asked, `request_id` the sender's round,
+which replies repeat. Tags and the order of the fields are the wire format.
 """
 
 from __future__ import annotations
@@ -12,13 +14,17 @@
 
 from ambershift.system.messages.items import Item
 
-# Counter, and the life of the proposing process: no process uses a ballot that another life has used.
+# Counter, and the incarnation of the proposing process: no incarnation uses a ballot of another one.
 Ballot = tuple[int, int]
 ZERO_BALLOT: Ballot = (0, 0)
 
 
 class Voter(msgspec.Struct, frozen=True, array_like=True):
-    """A voter. `birth` is its disk's: with an empty disk it comes back as another member."""
+    """A control node that votes.
+
+    Attributes:
+        disk_id: Identifies its disk: a node that returns with an empty disk is another voter.
+    """
 
     ip: str
     zone: str
@@ -27,7 +33,13 @@
 
 
 class VoterConfiguration(msgspec.Struct, frozen=True, array_like=True, tag="cv"):
-    """Who votes in `epoch`, as agreed by the voters before, `before`."""
+    """Who votes.
+
+    Attributes:
+        epoch: Rises by one with each configuration.
+        voters: Those who vote in this epoch.
+        previous_voters: Those of the epoch before, who have agreed on it.
+    """
 
     epoch: int
     voters: tuple[Voter, ...]
@@ -35,9 +47,13 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A control node of itself. `version` rises when it finds another word of itself among others.
+    """A control node, as it describes itself.
 
-    `initial` until it has voted: it belongs to the first set and is taken in without replacing another.
+    Attributes:
+        version: Rises when the node finds an outdated record of itself among its peers.
+        initial: Whether it has not voted yet and belongs to the first voters; it joins without replacing a
+            voter.
+        counted: The setting `SelfEntity.Counted`.
     """
 
     ip: str
@@ -50,11 +66,17 @@
 
     @property
     def voter(self) -> Voter:
+        """The voter that this node would be."""
         return Voter(self.ip, self.zone, self.region, self.disk_id)
 
 
 class Announcement(msgspec.Struct, frozen=True, array_like=True, tag="ck"):
-    """Here I am; `known` is a checksum of all machines that I know."""
+    """Introduces the sender to a peer.
+
+    Attributes:
+        peers_checksum: Checksum of all records of nodes that the sender has. A peer with another one replies
+            with a `PeerList`.
+    """
 
     node: NodeRecord
     epoch: int
@@ -62,6 +84,8 @@
 
 
 class PeerList(msgspec.Struct, frozen=True, array_like=True, tag="cn"):
+    """All records of nodes that the sender has."""
+
     nodes: tuple[NodeRecord, ...]
 
 
@@ -80,8 +104,14 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="cb"):
-    """Sign of life. `items` and `known` are checksums; `silent` are the voters not heard for a while;
-    `state` is the sum of the flags below."""
+    """Sent to each peer at a steady interval.
+
+    Attributes:
+        items_checksum: Checksum of the items that the sender stores.
+        peers_checksum: Checksum of the records of nodes that it has.
+        suspected: Ips of the voters from which it has received nothing for the suspicion time-out.
+        flags: Sum of `HeartbeatFlag` values.
+    """
 
     epoch: int
     items_checksum: int
@@ -91,8 +121,12 @@
 
 
 class MergeItems(msgspec.Struct, frozen=True, array_like=True, tag="cm"):
-    """Merge these, sync, and answer `Acknowledgement`. `tombstone_batch`: the last one of
-    `messages/tombstones.py` that the sender knows."""
+    """Merge these items and sync them to disk; the reply is an `Acknowledgement`.
+
+    Attributes:
+        tombstone_batch: The last batch of collected tombstones that the sender knows
+            (`messages/tombstones.py`).
+    """
 
     epoch: int
     request_id: int
@@ -101,14 +135,18 @@
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, array_like=True, tag="cy"):
-    """Yes to a merge or accept (it is synced), or to a confirm."""
+    """Yes to a `MergeItems` or an `Accept`, which is synced, or to a `ConfirmBallot`."""
 
     epoch: int
     request_id: int
 
 
 class Rejected(msgspec.Struct, frozen=True, array_like=True, tag="cr"):
-    """No: a ballot of this counter was promised."""
+    """No: a higher ballot was promised.
+
+    Attributes:
+        promised_counter: Counter of that ballot.
+    """
 
     epoch: int
     request_id: int
@@ -116,7 +154,11 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="cp"):
-    """`have` is the accepted ballot whose value the proposer holds: it need not be told."""
+    """Phase 1 of Paxos for one register.
+
+    Attributes:
+        known_accepted: The accepted ballot whose value the proposer has, so that it need not be sent.
+    """
 
     epoch: int
     request_id: int
@@ -126,7 +168,13 @@
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag="cq"):
-    """Nothing below the ballot is accepted any more (synced). `value` is None where it need not be told."""
+    """The reply to `Prepare`: no lower ballot will be accepted. The promise is synced.
+
+    Attributes:
+        accepted_ballot: The ballot accepted last.
+        origin_ballot: The ballot of the change that made its value.
+        value: Its value; None if the proposer has it, or if there is none.
+    """
 
     epoch: int
     request_id: int
@@ -136,10 +184,15 @@
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag="ca"):
-    """Accept, sync, and promise the ballot after (counter + 1, same life) to its proposer.
+    """Phase 2 of Paxos: accept, sync, and promise the proposer the next ballot.
+
+    The next ballot has a counter higher by one and the same incarnation, so that a proposer's next change
+    needs no phase 1.
 
-    With a `base`, `body` is the difference from the value accepted there, None for the same value; without,
-    it is the whole value. `origin` is the ballot of the change that made the value (None: this one).
+    Attributes:
+        origin_ballot: The ballot of the change that made the value; None if it is this ballot.
+        base_ballot: The accepted ballot that `value_or_delta` is a difference to; None if it is a full value.
+        value_or_delta: With a base the difference, None if the value is the same.
     """
 
     epoch: int
@@ -152,14 +205,14 @@
 
 
 class MissingBase(msgspec.Struct, frozen=True, array_like=True, tag="cl"):
-    """The base isn't held here: tell the whole value."""
+    """The reply to an `Accept` whose base the acceptor doesn't have: send the full value."""
 
     epoch: int
     request_id: int
 
 
 class ConfirmBallot(msgspec.Struct, frozen=True, array_like=True, tag="ce"):
-    """Is this still the highest ballot promised?"""
+    """Asks whether this is still the highest ballot promised: a quorum read."""
 
     epoch: int
     request_id: int
@@ -168,7 +221,11 @@
 
 
 class AcceptorState(msgspec.Struct, frozen=True, array_like=True):
-    """What an acceptor holds of a register. `origin` is the ballot of the change that made the value."""
+    """What an acceptor stores of a register.
+
+    Attributes:
+        origin_ballot: The ballot of the change that made the value.
+    """
 
     promised_ballot: Ballot
     accepted_ballot: Ballot
@@ -177,8 +234,13 @@
 
 
 class SyncRequest(msgspec.Struct, frozen=True, array_like=True, tag="cs"):
-    """Tell what you hold that differs. `items`: a digest of 8 bytes over all, or of 8 for each bucket.
-    `registers`: the ballots promised and accepted here; None where registers aren't wanted."""
+    """Anti-entropy: asks for what the receiver has that differs.
+
+    Attributes:
+        item_digests: One digest of 8 bytes over all items, or one for each bucket.
+        register_ballots: The ballots promised and accepted here, by register; None if registers aren't
+            wanted.
+    """
 
     epoch: int
     request_id: int
@@ -187,10 +249,16 @@
 
 
 class SyncResponse(msgspec.Struct, frozen=True, array_like=True, tag="ct"):
-    """Items of the buckets that differ and all registers promised or accepted higher, in `parts` messages.
+    """Anti-entropy: the items of the buckets that differ, and the registers with a higher ballot.
 
-    Where only a digest over all was told and differs, `unequal` asks for those of the buckets. `whole`: what
-    was held before that epoch is all here. `batch`: as of a `MergeItems`."""
+    Attributes:
+        complete_epoch: All that was committed before this epoch is stored at the sender.
+        disk_id: The sender's disk.
+        part_index: Number of this message among the `part_count` of the response, from 0.
+        wants_bucket_digests: Whether the one digest over all items differs, so that the request has to be
+            sent again with the digests of the buckets.
+        tombstone_batch: As in `MergeItems`.
+    """
 
     epoch: int
     request_id: int
--- a/ambershift/system/messages/tombstones.py
+++ b/ambershift/system/messages/tombstones.py
@@ -1,12 +1,10 @@
-"""Which of the operator's dropped items all have forgotten: the content of one item.
+"""Tombstones of the operator's configuration that were collected: the content of one item.
 
-That item's key is `COLLECTED_TOMBSTONES_KEY`.
-
-A dropped item is kept as a version without content, so that no copy brings it back. The oldest are forgotten
-in numbered batches (`consensus/tombstone_collector.py`). A copy that knows the batch before `drops`
-begin learns from
-them all that it may still have; one of longer ago can't tell what of it was dropped, and is replaced by what
-others hold.
+That item's key is `COLLECTED_TOMBSTONES_KEY`. A dropped item stays as a tombstone, a version without content,
+so that no replica brings it back. The oldest tombstones are collected in numbered batches
+(`consensus/tombstone_collector.py`). A replica that knows the batch before the listed ones learns from the
+list all that it may still have. One that was away for longer can't tell which of its items were dropped, and
+replaces them by those of others.
 """
 
 from __future__ import annotations
@@ -20,13 +18,18 @@
 
 COLLECTED_TOMBSTONES_KIND = "forgotten"
 COLLECTED_TOMBSTONES_KEY: Key = (COLLECTED_TOMBSTONES_KIND, "configuration")
-CONFIGURATION_KINDS = frozenset((ROUTE, SERVICE, LIMITS))  # The kinds that an operator sets and drops.
-LISTED_TOMBSTONES_MAX = 1024  # Drops that are listed; the last two batches are in any case.
+CONFIGURATION_KINDS = frozenset((ROUTE, SERVICE, LIMITS))
+LISTED_TOMBSTONES_MAX = 1024  # The last `LISTED_BATCHES_MIN` batches are listed even beyond it.
 LISTED_BATCHES_MIN = 2
 
 
 class CollectedTombstone(msgspec.Struct, frozen=True, array_like=True):
-    """An item that was dropped under `version`, and the number of the batch with which it was forgotten."""
+    """A tombstone that was collected.
+
+    Attributes:
+        version: The version under which the item was dropped.
+        batch: Number of the batch with which the tombstone was collected.
+    """
 
     kind: str
     name: str
@@ -35,12 +38,18 @@
 
     @property
     def key(self) -> Key:
+        """The key of the dropped item."""
         return self.kind, self.name
 
 
 class CollectedTombstones(msgspec.Struct, frozen=True, array_like=True):
-    """`batch`: how many batches there were. `floor`: the highest version forgotten. `drops`, oldest first,
-    are those of the last batches, each batch whole."""
+    """What was collected so far.
+
+    Attributes:
+        batch: How many batches there were.
+        highest_version: The highest version collected (collected-up-to version).
+        tombstones: Those of the last batches, oldest first; each listed batch is complete.
+    """
 
     batch: int = 0
     highest_version: int = 0
@@ -48,22 +57,23 @@
 
     @property
     def required_batch(self) -> int:
-        """The batch that a copy must know, to learn from `drops` all that it may still have."""
+        """The batch that a replica must know to learn from the list all that it may still have."""
         return self.tombstones[0].batch - 1 if self.tombstones else 0
 
     @property
     def as_item(self) -> Item:
+        """The item that carries this state."""
         return Item(*COLLECTED_TOMBSTONES_KEY, (self.batch, AGREED), msgspec.json.encode(self))
 
     def versions_by_key(self) -> Mapping[Key, int]:
-        """Up to which version each listed item is gone."""
+        """Up to which version each listed item is dropped."""
         versions: dict[Key, int] = {}
         for drop in self.tombstones:
             versions[drop.key] = max(drop.version, versions.get(drop.key, drop.version))
         return versions
 
     def with_batch(self, tombstones: Iterable[Item]) -> CollectedTombstones:
-        """With one more batch."""
+        """This state and one batch more. Lists are cut to `LISTED_TOMBSTONES_MAX`, by whole batches."""
         batch = self.batch + 1
         collected = tuple(CollectedTombstone(one.kind, one.name, one.version[0], batch) for one in tombstones)
         drops = (*self.tombstones, *collected)
@@ -78,7 +88,7 @@
 
 
 def collected_tombstones_of(item: Item | None) -> CollectedTombstones:
-    """What the item tells; `NO_COLLECTED_TOMBSTONES` where there is none."""
+    """The state that the item carries; `NO_COLLECTED_TOMBSTONES` without an item or its body."""
     return (
         NO_COLLECTED_TOMBSTONES
         if item is None or item.body is None
@@ -88,4 +98,5 @@
 
 @lru_cache(maxsize=4)
 def decode_collected_tombstones(body: bytes) -> CollectedTombstones:
+    """Decode the body of the item."""
     return msgspec.json.decode(body, type=CollectedTombstones)
