--- a/ambershift/system/node_selection/__init__.py
+++ b/ambershift/system/node_selection/__init__.py
@@ -1,1 +1,1 @@
-"""Which control node looks after a proxy: the nearest that reaches the others, else another."""
+"""Which control node a proxy is linked to: the nearest one whose configuration is fresh, else another."""
