--- a/ambershift/system/configuration/__init__.py
+++ b/ambershift/system/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: read, checked by hand, made into items, and written back as it came."""
+"""The operator's configuration: parsed, validated, agreed on, and written back as a document."""
--- a/ambershift/system/configuration/agreement.py
+++ b/ambershift/system/configuration/agreement.py
@@ -1,12 +1,12 @@
 """Agreement on the operator's items: one register decides, call by call, which content each version has.
 
-The register `REGISTER` holds an `Agreement`: the items agreed lately, and how many were agreed before them
-and are in the stores of a majority. A call is judged against what the proposing machine's store holds, with
-these on top. That is the newest state there is, provided that the store has all that is no longer listed:
-a machine whose store may lack some of it is told so (`Behind`), reads a majority's stores and judges again.
-So a call is decided as a whole, and no copy of a machine that was away decides anything.
+The register `REGISTER` has an `Agreement` as its value: the items agreed last, and how many were agreed
+before them and are stored by a majority. A call is decided against what the proposing node stores, with the
+items of the register merged into it. That is the newest state, provided that the node stores all items that
+the register no longer lists. A node that may lack some of them gets `Behind`, reads the stores of a majority
+and decides again. So a call is decided as a whole, and an outdated replica decides nothing.
 
-Only what was agreed here is ever put into a store. No I/O.
+Only items that were agreed here are ever written to a store. No I/O.
 """
 
 from __future__ import annotations
@@ -24,14 +24,18 @@
 from ambershift.system.messages.tombstones import COLLECTED_TOMBSTONES_KEY, collected_tombstones_of
 
 REGISTER = "configuration"
-NOTHING_READ = -1  # Below every count of settled items.
+NOTHING_READ = -1  # Below every number of settled items.
 SUPERSEDED_MOST = 128
 REFUSED_MOST = 64
 DIGEST_SIZE = 8  # Bytes.
 
 
 class Superseded(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A version of an item that a higher one has overtaken, and a digest of the content it stands for."""
+    """A version of an item that a higher version has superseded.
+
+    Attributes:
+        digest: Digest of the content of that version.
+    """
 
     kind: str
     name: str
@@ -40,20 +44,28 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, array_like=True):
-    """A call that was refused: the digest of it, and whether for a conflict."""
+    """A call that was rejected.
+
+    Attributes:
+        digest: Digest of the call.
+        conflict: Whether it was rejected for a conflict, else as invalid.
+    """
 
     digest: bytes
     conflict: bool
 
 
 class Agreement(msgspec.Struct, frozen=True, array_like=True, tag="configuration"):
-    """`recent`, oldest first, follow `settled` items that were agreed before and that a majority stores.
-
-    `superseded`: the versions overtaken last, so that a call under one of them is told what it stands for.
-    One that was overtaken longer ago is acknowledged whatever its content: it changes nothing.
-
-    `refused`: the calls refused last. Another copy of a call may be on its way, and what was not
-    valid may become so: a call whose caller was told that it is refused must not come into force by a copy.
+    """The value of the register.
+
+    Attributes:
+        settled: How many items were agreed before `recent` and are stored by a majority.
+        recent: The items agreed after these, oldest first.
+        superseded: The versions superseded last, so that a call that repeats one of them is checked against
+            its content. A call under an older one is acknowledged whatever its content, as it changes
+            nothing.
+        refused: The calls rejected last. A copy of a call may still be on its way, and what was invalid may
+            become valid: a call that was rejected must not come into force by a copy.
     """
 
     settled: int
@@ -63,14 +75,18 @@
 
     @property
     def end(self) -> int:
-        """How many items were ever agreed. It never falls."""
+        """How many items were agreed so far. It never falls."""
         return self.settled + len(self.recent)
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The call stands. To be acknowledged once `to_store` is in the stores of a majority: from then on
-    the first `end` items agreed are."""
+    """The call is agreed. It is acknowledged once a majority stores `to_store`.
+
+    Attributes:
+        to_store: The items to be written.
+        end: How many of the first agreed items a majority stores after that.
+    """
 
     to_store: tuple[Item, ...]
     end: int
@@ -78,32 +94,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Nothing of the call stands: another content was agreed under a version that it names.
+    """Nothing of the call is agreed: other content was agreed under a version that it names.
 
-    `items` are those of the call that say otherwise; none where it was refused for that before."""
+    Attributes:
+        items: The items of the call that differ; none if the call was rejected for a conflict before.
+    """
 
     items: tuple[Item, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """Nothing of the call stands: against what was agreed before it, it is not valid."""
+    """Nothing of the call is agreed: with the configuration in force it isn't valid."""
 
     faults: tuple[Fault, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Behind:
-    """Not judged: the store here may lack some of the `settled` items. A majority's are to be read now."""
+    """Not decided: the store here may lack some of the `settled` items. Read a majority's and retry."""
 
     settled: int
 
 
 @dataclass(frozen=True, slots=True)
 class BelowFloor:
-    """Not judged, and nothing written: these, or services that they name, may be new or wrong, or dropped so
-    long ago that all have forgotten it (`messages/tombstones.py`). One who asks again, long after it was
-    acknowledged, must not be refused; and what is wrong must not be acknowledged."""
+    """Not decided and nothing written: the call has undecidable items.
+
+    They, or services that they refer to, may be new, or may have been dropped so long ago that the tombstones
+    have been collected (`messages/tombstones.py`). A late copy of an acknowledged call must not be rejected,
+    and an invalid call must not be acknowledged.
+
+    Attributes:
+        items: The undecidable items.
+        floor: The collected-up-to version.
+    """
 
     items: tuple[Item, ...]
     floor: int
@@ -119,43 +144,55 @@
 
 
 def read_agreement(value: bytes | None) -> Agreement:
-    """What the register holds; before its first write, what stores hold counts as agreed."""
+    """Decode the register's value; before its first write what the stores have counts as agreed."""
     return Agreement(0, ()) if value is None else _decode(value)
 
 
 @dataclass(slots=True)
 class Progress:
-    """What one machine knows for certain, in numbers of items agreed.
+    """What one process knows of the stores, as numbers of agreed items. Both numbers never fall.
 
-    `read`: its own store has the first so many. `stored`: the stores of a majority have. Both are of this
-    process's life, and only rise.
+    Attributes:
+        read: The store here has the first so many.
+        stored: The stores of a majority have the first so many.
     """
 
     read: int = NOTHING_READ
     stored: int = 0
 
     def has_read(self, settled: int) -> None:
+        """Record that the store here has read the first `settled` items from a majority."""
         self.read = max(self.read, settled)
 
     def has_stored(self, end: int) -> None:
-        """A put through this machine brought the rest of the first `end` to a majority, its own store too."""
+        """Record that a write through this node has stored the first `end` items at a majority and here."""
         self.stored = max(self.stored, end)
         self.has_read(end)
 
 
 class Proposal:
-    """An order on its way through the register, by one machine; called, it is the register's change.
+    """A change request proposed by one node; called, it is the change function of the register.
 
-    `held` is the view of this machine's store, looked at when the change is judged. The result of the change
-    is an `Outcome`. `tried`: it was judged so that it wrote something. Even if it is judged otherwise later,
-    as another machine's write came between, what it wrote may have been agreed.
+    The result of the change is an `Outcome`.
+
+    Attributes:
+        tried: Whether a run of it was to write something. Even if a later run decides otherwise, since
+            another node's write came between, that value may have been agreed.
     """
 
     def __init__(self, order: Order, progress: Progress, held: Mapping[Key, Item]) -> None:
+        """Create a proposal.
+
+        Args:
+            order: The change request.
+            progress: What this process knows of the stores.
+            held: A view of the items that this node stores, read at each run of the change.
+        """
         self._order, self._progress, self._held = order, progress, held
         self.tried = False
 
     def __call__(self, value: bytes | None, known_since: int, now: int) -> ChangeOutcome:
+        """Decide the request against the register's value; see `interfaces.ChangeFunction`."""
         agreement = read_agreement(value)
         if agreement.settled > self._progress.read:
             return ChangeOutcome(None, Behind(agreement.settled))
@@ -169,7 +206,7 @@
 def decide(
     order: Order, agreement: Agreement, progress: Progress, held: Mapping[Key, Item]
 ) -> tuple[Agreement, Outcome]:
-    """What follows an agreement, and what becomes of the order."""
+    """The agreement after a change request, and the outcome for its caller."""
     digest = digest_of(order)
     refused = next((one for one in agreement.refused if one.digest == digest), None)
     standing = {**held, **_by_key(agreement.recent, held)}
@@ -209,7 +246,7 @@
 
 
 def digest_of(order: Order) -> bytes:
-    """The same for each copy of a call."""
+    """The digest of a change request, equal for each copy of the call."""
     found = blake2b(digest_size=DIGEST_SIZE)
     for one in sorted(map(_superseded, order.items)):
         found.update(_encode(one))
@@ -228,7 +265,7 @@
 
 
 def _by_key(recent: tuple[Item, ...], held: Mapping[Key, Item]) -> dict[Key, Item]:
-    """Of the items agreed lately the newest of each name, unless the store has a newer one already."""
+    """The newest of the recently agreed items of each key, unless the store has a newer one already."""
     found: dict[Key, Item] = {}
     for item in recent:
         known = found.get(item.key) or held.get(item.key)
@@ -240,8 +277,12 @@
 def _accepted(
     order: Order, agreement: Agreement, progress: Progress, standing: Mapping[Key, Item]
 ) -> Accepted:
-    """What has to be stored: all that was agreed and isn't known to be, and what the order finds in its place
-    in the store here, as a disk of an earlier version may hold what no majority has."""
+    """The outcome of an agreed request.
+
+    To be stored is all that was agreed and isn't known to be stored by a majority, and what the request finds
+    in the store here under its own keys, since the disk of an earlier program may have items that no majority
+    stores.
+    """
     recent = agreement.recent[max(0, progress.stored - agreement.settled) :]
     listed = {item.key for item in agreement.recent}
     found = tuple(standing[item.key] for item in order.items if item.key not in listed)
--- a/ambershift/system/configuration/change_request.py
+++ b/ambershift/system/configuration/change_request.py
@@ -1,4 +1,4 @@
-"""Reads a `configuration.modify` body into an order: the items it sets and drops, each with its version."""
+"""Parses a `configuration.modify` body into a change request: the items that it sets and drops."""
 
 from __future__ import annotations
 
@@ -18,16 +18,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """What a valid call asks for. `names` are the services that each route names, to be known still."""
+    """A change request whose items are valid, each by itself.
+
+    Attributes:
+        items: One item for each name, that of the highest version.
+        names: The services that each route refers to, by the route's key.
+    """
 
     items: tuple[Item, ...]
     names: Mapping[Key, tuple[str, ...]]
 
     def unknown(self, held: Mapping[Key, Item]) -> tuple[Fault, ...]:
-        """Routes that name a service which is unknown, or which will have been dropped.
+        """Dangling references: routes that refer to a service that is unknown or is dropped by this request.
+
+        A route that a higher version has superseded changes nothing, so that for it a service that was ever
+        known is enough: rejecting that request would reject a valid one that arrives again.
 
-        A route that a higher version has overtaken changes nothing, so that for it a service that was ever
-        known is enough: refusing such a call would refuse a valid one that arrives again.
+        Args:
+            held: The items in force before this request, dropped ones included.
         """
         after = dict(held)
         for item in self.items:
@@ -45,8 +53,13 @@
     def unclear(
         self, held: Mapping[Key, Item], floor: int, known: Container[tuple[str, str, int]]
     ) -> tuple[Item, ...]:
-        """Items of which it can't be told any more what became of them, as drops up to version `floor` are
-        forgotten. `known`: the overtaken versions (kind, name, version) whose contents are remembered."""
+        """Undecidable items: it can't be known any more whether they are new, superseded or dropped.
+
+        Args:
+            held: The items in force before this request, dropped ones included.
+            floor: The collected-up-to version: tombstones up to it have been collected.
+            known: The superseded versions (kind, name, version) whose contents are remembered.
+        """
         after = {**held, **{item.key: item for item in self.items}}
         return tuple(item for item in self.items if self._is_unclear(item, held, after, floor, known))
 
@@ -67,9 +80,9 @@
         return nameless or (version <= floor and (*item.key, version) not in known)
 
     def _bereft(self, held: Mapping[Key, Item], after: Mapping[Key, Item]) -> Iterator[Fault]:
-        """Services that this call (not one before it) drops though a route that stands names them still.
+        """Services that this request drops though a route that stays refers to them.
 
-        Routes of this call are looked at by `_unknown`, unless a higher version stands in their place.
+        Routes of this request are checked by `_unknown`, unless a higher version of them is in force.
         """
         own = set(self.items)
         dropped = {
@@ -83,6 +96,7 @@
                     yield Fault(f"service {name}", "Name", f"is dropped, but route {route.name} names it")
 
     def _unknown(self, route: Item, held: Mapping[Key, Item], after: Mapping[Key, Item]) -> Iterator[Fault]:
+        """References of one route of this request to services that are unknown or dropped."""
         overtaken = _overtaken(route, held)
         for name in self.names.get(route.key, ()):
             service = after.get((SERVICE, name))
@@ -91,19 +105,24 @@
 
 
 def same_content(one: Item, other: Item) -> bool:
-    """Whether two items ask for the same, in whatever order their fields stand."""
+    """Whether two items have equal content, whatever the order of their fields."""
     if one.body is None or other.body is None:
         return one.body is other.body
     return one.body == other.body or msgspec.json.decode(one.body) == msgspec.json.decode(other.body)
 
 
 def _overtaken(item: Item, held: Mapping[Key, Item]) -> bool:
+    """Whether this version of the item, or a higher one, is in force already."""
     known = held.get(item.key)
     return known is not None and known.version >= item.version
 
 
 def read_order(body: bytes) -> Order:
-    """Raises `InvalidError` with all faults that show without knowing what is held."""
+    """Parse the body of a call.
+
+    Raises:
+        InvalidError: With all faults that show without knowing the configuration in force.
+    """
     try:
         document = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as why:
@@ -139,7 +158,7 @@
 
 
 def _entries(upsert: Mapping[str, Any], remove: Mapping[str, Any]) -> Iterator[tuple[str, Fields, bool]]:
-    """Kind, fields and whether it is dropped, of each item that the call names."""
+    """Kind, fields, and whether it is dropped, of each item in the body."""
     for part, where, dropped in ((upsert, "Upsert", False), (remove, "Remove", True)):
         for name, kind in LISTS:
             for fields in rows(f"{where}.{name}", part.get(name)):
@@ -153,7 +172,7 @@
 
 
 def _item(kind: str, fields: Fields, dropped: bool, found: list[Fault]) -> Item | None:
-    """The item, or None with its faults added to `found`."""
+    """The item; None, with its faults added to `found`, if it is invalid."""
     before = len(found)
     name = LIMITS_NAME if kind == LIMITS else fields.get("Name")
     if not isinstance(name, str) or not name:
--- a/ambershift/system/configuration/check.py
+++ b/ambershift/system/configuration/check.py
@@ -1,4 +1,4 @@
-"""Checks a configuration document without a running system, for the command line."""
+"""Validates a configuration document without a running system, for the command line."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def check_document(body: bytes) -> list[Fault]:
-    """All faults of a `configuration.modify` body, each naming item and field; none if it is valid.
+    """All faults of a `configuration.modify` body; none if it is valid.
 
-    Services named by routes are looked for in the document itself. Where it brings none, it is taken for a
-    change of a configuration that has them, and nothing is said of them.
+    References from routes to services are checked within the document. If the document has no service, it is
+    taken for a change of a configuration that has them, and references aren't checked.
     """
     try:
         order = read_order(body)
--- a/ambershift/system/configuration/field_validation.py
+++ b/ambershift/system/configuration/field_validation.py
@@ -1,4 +1,4 @@
-"""Checks the fields of one item by hand: what no proxy could serve, or what the protocol calls invalid."""
+"""Validates the fields of one item: what no proxy could serve, and what the protocol calls invalid."""
 
 from __future__ import annotations
 
@@ -11,34 +11,40 @@
 ROUTE_TYPES = ("idempotent", "non_idempotent")
 TIMEOUT_MOST = 600_000  # Ten minutes, in ms.
 
-Found = Iterator[tuple[str, str]]  # Field and reason.
+Found = Iterator[tuple[str, str]]  # Pairs of field and reason.
 
 
 def number(value: Any) -> bool:
+    """Whether a JSON value is a number; JSON's `true` and `false` aren't."""
     return isinstance(value, (int, float)) and not isinstance(value, bool)
 
 
 def positive(value: Any) -> bool:
+    """Whether a JSON value is a number above 0."""
     return number(value) and value > 0
 
 
 def not_negative(value: Any) -> bool:
+    """Whether a JSON value is a number from 0."""
     return number(value) and value >= 0
 
 
 def text(value: Any) -> bool:
+    """Whether a JSON value is a string."""
     return isinstance(value, str)
 
 
 def texts(value: Any) -> bool:
+    """Whether a JSON value is a list of strings."""
     return isinstance(value, list) and all(isinstance(one, str) for one in value)
 
 
 def truth(value: Any) -> bool:
+    """Whether a JSON value is `true` or `false`."""
     return isinstance(value, bool)
 
 
-# Fields that may be left out, but are of a kind where they stand. Fields unknown here are passed along.
+# Optional fields, the check of each, and the reason if it fails. Unknown fields are accepted.
 Kinds = tuple[tuple[str, Callable[[Any], bool], str], ...]
 ROUTE_KINDS: Kinds = (
     ("TargetMs", positive, "is not a positive number"),
@@ -61,7 +67,12 @@
 
 
 def faults(kind: str, fields: Fields) -> Found:
-    """All that is wrong within one item, apart from its name and version."""
+    """Field and reason of each fault within one item, except for its name and version.
+
+    Args:
+        kind: ROUTE, SERVICE or LIMITS.
+        fields: The item's fields without null values.
+    """
     if kind == ROUTE:
         yield from _route(fields)
     yield from _kinds({ROUTE: ROUTE_KINDS, SERVICE: SERVICE_KINDS, LIMITS: LIMITS_KINDS}[kind], fields)
@@ -112,7 +123,7 @@
 
 
 def services_of(fields: Fields) -> list[str]:
-    """The services that a checked route names."""
+    """The services that a valid route refers to."""
     named = [one["Service"] for one in fields.get("Distribution") or []]
     if "Service" in fields:
         named.append(fields["Service"])
--- a/ambershift/system/configuration/layout.py
+++ b/ambershift/system/configuration/layout.py
@@ -1,4 +1,4 @@
-"""How items are laid out in documents: Columns and Rows into fields by name, and back again."""
+"""Converts between documents, with tables of Columns and Rows, and items with fields by name."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 Fields = dict[str, Any]
 
-# Documents are read back with the columns in the order in which the protocol shows them; others follow.
+# The columns that the protocol names, in its order. Other columns of a document follow them, sorted.
 COLUMNS: Mapping[str, tuple[str, ...]] = {
     ROUTE: (
         "Name",
@@ -43,13 +43,21 @@
 
 
 def unreadable(where: str, reason: str) -> InvalidError:
+    """The error for a part of the document that has the wrong form."""
     return InvalidError((Fault("", where, reason),))
 
 
 def rows(where: str, found: Any) -> list[Fields]:
-    """The items of a list, null fields left out. Raises `InvalidError` where it can't be read whole.
+    """The items of a list, without their null fields.
 
-    A plain list of objects is taken as well as Columns and Rows.
+    A plain list of objects is accepted as well as Columns and Rows.
+
+    Args:
+        where: Path of the list in the document, for errors.
+        found: The decoded JSON value.
+
+    Raises:
+        InvalidError: The list has another form.
     """
     if found is None:
         return []
@@ -73,11 +81,12 @@
 
 
 def without_null(fields: Mapping[str, Any]) -> Fields:
+    """The fields that aren't null: null stands for an absent field."""
     return {name: value for name, value in fields.items() if value is not None}
 
 
 def write_back(items: Mapping[Key, Item]) -> dict[str, Any]:
-    """All items that stand, laid out as in the first call's set."""
+    """The document of all items that aren't dropped, in the form of a first call's `Upsert`."""
     document: dict[str, Any] = {}
     for name, kind in LISTS:
         standing = sorted(
