--- a/ambershift/system/settings/local.py
+++ b/ambershift/system/settings/local.py
@@ -1,4 +1,4 @@
-"""Reads the settings file (TOML, by `tomllib`) and checks by hand what this program needs of it."""
+"""Reads the settings file (TOML) and checks the keys that this program needs."""
 
 from __future__ import annotations
 
@@ -13,19 +13,26 @@
 
 @dataclass(eq=False)
 class SettingsError(Exception):
-    """The settings can't be used: which file, which key, and what is wrong with it."""
+    """The settings can't be used.
+
+    Attributes:
+        file: The file's path.
+        key: The dotted key; empty if the file can't be read at all.
+        reason: What is wrong, as the predicate of a sentence: "is missing".
+    """
 
     file: str
     key: str
     reason: str
 
     def __str__(self) -> str:
+        """One sentence with file, key and reason."""
         return f"{self.file}: key '{self.key}': {self.reason}"
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The platform's bounds. Times are seconds, whatever unit the file's key has."""
+    """The platform's bounds (`Provisions.TimerBounds`). Times are in seconds, whatever a key's unit."""
 
     contact: float = 4.0
     acknowledge: float = 6.0
@@ -47,7 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Local:
-    """What a process is told. Addresses are "ip:port"; `listen` is by what is served."""
+    """The settings of one process. Addresses are "ip:port".
+
+    Attributes:
+        file: The path that the settings were read from.
+        ip: This machine's ip on the internal network.
+        counted: The setting `SelfEntity.Counted`.
+        initial: Whether this control node belongs to the first voters.
+        folder: The data directory; None if the process stores nothing.
+        internal: The internal ports; links use the first one.
+        seeds: Addresses of control nodes to start from.
+        listen: The address to listen at, by what is served there.
+        zones: The region of each zone.
+        heartbeat: Seconds between the heartbeats of a backend.
+        tolerated: How many machines, zones and regions may be lost at the same time.
+    """
 
     file: str
     name: str
@@ -61,17 +82,18 @@
     internal: tuple[int, int]
     seeds: tuple[str, ...]
     listen: Mapping[str, str]
-    zones: Mapping[str, str]  # The region of each zone.
-    heartbeat: float  # Seconds between a backend's beats.
-    tolerated: tuple[int, int, int]  # Machines, zones, regions that may be lost at once.
+    zones: Mapping[str, str]
+    heartbeat: float
+    tolerated: tuple[int, int, int]
     bounds: Bounds
 
     @property
     def seed_ips(self) -> tuple[str, ...]:
+        """The ips of the seeds."""
         return tuple(seed.rpartition(":")[0] for seed in self.seeds)
 
 
-# The key in `TimerBounds`, our name of it, and what its unit is in seconds (1 also for plain numbers).
+# Key in `TimerBounds`, field of `Bounds`, and the key's unit in seconds (1 also for plain numbers).
 BOUNDS = (
     ("ContactMs", "contact", 1e-3),
     ("AckMs", "acknowledge", 1e-3),
@@ -93,13 +115,22 @@
 
 
 class Reader:
-    """Takes values out of the nested tables, naming file and key where one is missing or of a wrong kind."""
+    """Reads values from nested tables, with file and key in each error."""
 
     def __init__(self, file: str, found: Mapping[str, Any]) -> None:
         self.file, self.found = file, found
 
     def take(self, key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-        """The value at a dotted key; raises `SettingsError` where it is missing without a default."""
+        """The value at a dotted key.
+
+        Args:
+            key: The path through the tables, such as "SelfEntity.Zone".
+            kind: The accepted types. `true` and `false` are no numbers.
+            default: The value if the key is absent; None if it has to be present.
+
+        Raises:
+            SettingsError: The key is absent without a default, or its value has another type.
+        """
         value: Any = self.found
         for part in key.split("."):
             value = value.get(part) if isinstance(value, Mapping) else None
@@ -112,6 +143,11 @@
         return value
 
     def address(self, key: str, value: Any) -> str:
+        """Check an address of the form "ip:port".
+
+        Raises:
+            SettingsError: It has another form.
+        """
         ip, _, port = str(value).rpartition(":")
         if not ip or not port.isdigit() or not 0 < int(port) < 65536:
             raise SettingsError(self.file, key, "is not an address of the form ip:port")
@@ -119,7 +155,11 @@
 
 
 def read_local(file: str) -> Local:
-    """Read and check the file; raises `SettingsError` naming file and key. Unknown keys are passed over."""
+    """Read and check a settings file. Unknown keys are ignored.
+
+    Raises:
+        SettingsError: The file can't be read, or a key is missing or wrong.
+    """
     try:
         found = tomllib.loads(Path(file).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as why:
