--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -66,7 +66,7 @@
 class ControlApi:
     """The ASGI application, and the other control nodes' calls.
 
-    The process calls `tick` many times a second, and hands `handle_message` what other control nodes send.
+    The process calls `tick` many times a second, and `handle_message` with what other control nodes send.
     """
 
     def __init__(
--- a/ambershift/system/control_api/coordination_calls.py
+++ b/ambershift/system/control_api/coordination_calls.py
@@ -87,7 +87,7 @@
         except OutcomeUnknownError as error:
             self._context.log(CALL_OUTCOME_UNKNOWN, {"register": call.register, "reason": error.reason})
             return OUTCOME_UNKNOWN
-        except Exception as error:  # Whatever it was, the caller must be told that the outcome is unknown.
+        except Exception as error:  # Whatever it was, the caller must learn that the outcome is unknown.
             self._context.log(CHANGE_FAILED, {"register": call.register, "reason": repr(error)})
             return OUTCOME_UNKNOWN
         if reply.group is not None:
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -88,8 +88,14 @@
     async def execute(self, call: OutgoingCall, deadline: int, propose: Propose) -> Reply:
         """Have a call carried out, by its proposer or through this node.
 
+        Args:
+            call: The call.
+            deadline: When the caller must have its reply (monotonic clock, ns).
+            propose: Carries the call out through this node.
+
         Returns:
-            503 only where nothing was done by any copy of this call; 504 where that is not certain.
+            The proposer's reply, if its status is final. Else 503, only where nothing was done by any
+            copy of this call, and 504 where that is not certain.
         """
         if not await self.wait_for_contact():
             return NOT_APPLIED
--- a/ambershift/system/coordination/locks.py
+++ b/ambershift/system/coordination/locks.py
@@ -1,10 +1,9 @@
 """Locks: leases with fencing tokens.
 
-A lease's value says for how long it is granted and not until when, as a monotonic clock has a meaning on its
-own machine only. No two values of a register are alike (`sequence` rises), so that a machine knows since when
+A lease's value says for how long it is granted and not until when, as the monotonic clocks of two nodes
+can't be compared. No two values of a register are alike (`sequence` rises), so that a node knows since when
 it has known exactly this value, and counts from there. A holder counts from when it sent its call, which was
-before any machine knew the value: when a machine finds that a lease has expired, its holder has found so
-already.
+before any node knew the value: when a node finds that a lease has expired, its holder has found so already.
 
 Fencing tokens: M. Kleppmann, "How to do distributed locking" (2016); the sequencers of Chubby (Burrows,
 2006).
@@ -21,7 +20,7 @@
 from ambershift.system.interfaces import ChangeFunction, ChangeOutcome
 from ambershift.system.state_machine import NS_PER_MS
 
-CLOCK_DRIFT_MARGIN_NS = 50 * NS_PER_MS  # Monotonic clocks of two machines run at slightly different rates.
+CLOCK_DRIFT_MARGIN_NS = 50 * NS_PER_MS  # The monotonic clocks of two nodes run at slightly different rates.
 MAX_LEASE_MS = 86_400_000
 
 
@@ -45,7 +44,7 @@
     reacquired: bool
 
     def is_expired(self, known_since: int, now: int) -> bool:
-        """Whether the lease is over for its holder too. Times in ns, of this machine's monotonic clock."""
+        """Whether the lease is over for its holder too. Times in ns, of this node's monotonic clock."""
         return now - known_since >= self.duration_ms * NS_PER_MS + CLOCK_DRIFT_MARGIN_NS
 
     def is_held(self, known_since: int, now: int) -> bool:
