--- a/tests/coordinator/admin/test_admin.py
+++ b/tests/coordinator/admin/test_admin.py
@@ -392,7 +392,7 @@
     changed = {server for server, out in wanted.items() if out}
     held.run(10 * S)
     lines = sum(
-        isinstance(order, api.Withdraw) or isinstance(order, api.Share) and bool(order.weight)
+        isinstance(order, api.Withdraw) or (isinstance(order, api.Share) and bool(order.weight))
         for order in held.ordered
     )
     assert lines == len(changed)
--- a/tests/coordinator/cli/test_tools.py
+++ b/tests/coordinator/cli/test_tools.py
@@ -85,7 +85,9 @@
     for folder, above in below.items():
         for place in [*(ROOT / folder).rglob("*.py"), *core]:
             names = re.findall(r"^\s*(?:from|import) ambershift\.(\w+)", place.read_text(), re.MULTILINE)
-            assert not set(names) & set(above) or place in core and folder != "ambershift/coordinator", place
+            assert not set(names) & set(above) or (place in core and folder != "ambershift/coordinator"), (
+                place
+            )
     for place in core:
         names = set(re.findall(r"^\s*from ambershift\.(\w+)", place.read_text(), re.MULTILINE))
         assert names <= {"interface", "terms", "door", "proxies", "policy"}, place
--- a/tests/coordinator/counters/test_counters.py
+++ b/tests/coordinator/counters/test_counters.py
@@ -1,5 +1,6 @@
 """The process that reads counters: files and FIFOs that come and go, and a member that is lost and comes
-back."""
+back.
+"""
 
 import asyncio
 import os
--- a/tests/coordinator/groupsim/test_history.py
+++ b/tests/coordinator/groupsim/test_history.py
@@ -88,7 +88,7 @@
 def test_each_kind_of_lie_is_found_and_nothing_else(good: bool, lines: list[str]) -> None:
     found = check([op(one) for one in lines])
     assert (found is None) == good
-    assert found is None or found.stuck and "register k" in found.lines()[0]
+    assert found is None or (found.stuck and "register k" in found.lines()[0])
     # Another register beside it changes nothing, whatever it is called.
     other = [op("z write q 1..2 done")._replace(key=key) for key in "jl"]
     assert (check([*other, *(op(one) for one in lines)]) is None) == good
@@ -127,7 +127,7 @@
     for _, one in sorted(moments, key=lambda pair: pair[0]):
         if one.kind is Kind.READ:
             one = one._replace(value=register[0])
-        elif one.outcome is DONE or one.outcome is UNKNOWN and rng.random() < 0.5:
+        elif one.outcome is DONE or (one.outcome is UNKNOWN and rng.random() < 0.5):
             register = after(register, one) or register
         history.append(one)
     return history
--- a/tests/coordinator/maintenance/simulated_permits.py
+++ b/tests/coordinator/maintenance/simulated_permits.py
@@ -249,12 +249,8 @@
                     drained.setdefault(permit, set()).add(member.name)
             for permit in self.state.permits:
                 held = member.state.permits.get(permit)
-                if (
-                    held is not None
-                    and held.permit.phase is Phase.RETURNING
-                    or held is None
-                    and permit not in member.out_since
-                    and member.known == len(self.log)
+                if (held is not None and held.permit.phase is Phase.RETURNING) or (
+                    held is None and permit not in member.out_since and member.known == len(self.log)
                 ):
                     let_in.setdefault(permit, set()).add(member.name)
         return Heard(tuple(one.name for one in self.members), {}, drained, let_in)
--- a/tests/coordinator/maintenance/test_maintenance.py
+++ b/tests/coordinator/maintenance/test_maintenance.py
@@ -189,14 +189,10 @@
             local = datetime(2026, 10, 20 if day == 0 else 20, at, minute) + timedelta(days=day)
             if (
                 local < first
-                or "WEEKLY" in rrule
-                and local.weekday() not in (0, 5)
-                or "INTERVAL" in rrule
-                and day % 3
-                or "UNTIL" in rrule
-                and local > datetime(2026, 11, 5)
-                or "COUNT" in rrule
-                and len(starts) >= 9
+                or ("WEEKLY" in rrule and local.weekday() not in (0, 5))
+                or ("INTERVAL" in rrule and day % 3)
+                or ("UNTIL" in rrule and local > datetime(2026, 11, 5))
+                or ("COUNT" in rrule and len(starts) >= 9)
             ):
                 continue
             starts.append(local)
@@ -333,7 +329,7 @@
             away = [
                 name
                 for name, one in mine.items()
-                if name in out or not usable(one, at) and one.trouble is not Trouble.LISTED_OUT
+                if name in out or (not usable(one, at) and one.trouble is not Trouble.LISTED_OUT)
             ]
             assert good >= tenant.agreement.capacity - 1e-6 and len(away) <= tenant.agreement.out_most
     for tenant in found.tenants:
--- a/tests/coordinator/promises/test_steward.py
+++ b/tests/coordinator/promises/test_steward.py
@@ -1,5 +1,6 @@
 """The steward at one moment after the other: each case sets what the leader hears, and looks at what it
-does."""
+does.
+"""
 
 from datetime import UTC, datetime
 
--- a/tests/coordinator/test_network.py
+++ b/tests/coordinator/test_network.py
@@ -480,7 +480,8 @@
 
 async def row_against(answer: Callable[[int], bytes], count: int) -> list[tuple[str, Any]]:
     """Push one reply of so many orders to a relay that answers each call by its number, until it is settled;
-    gives all that the tap was told, and the calls that were heard, in their order."""
+    gives all that the tap was told, and the calls that were heard, in their order.
+    """
     told, calls = list[tuple[str, Any]](), 0
 
     class Told:
@@ -538,7 +539,8 @@
 
 async def calls_heard(read: int | None, answered: int) -> list[str]:
     """What a relay hears that breaks the first connection after so many bytes of the call, or of its answer;
-    two replies of two orders each are pushed."""
+    two replies of two orders each are pushed.
+    """
     heard, broken = list[str](), False
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -757,7 +759,7 @@
                 told.take(place, *sent[at[place] : len(sent)])
                 at[place] = len(sent)
         for event in told.events:
-            assert isinstance(event, api.Joined) or isinstance(event, api.Left) and event.proxy in joined
+            assert isinstance(event, api.Joined) or (isinstance(event, api.Left) and event.proxy in joined)
             joined = joined | {event.proxy} if isinstance(event, api.Joined) else joined - {event.proxy}
         told.events.clear()
         if len(sent) in at:
--- a/tests/modelcheck/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -1,5 +1,6 @@
 """The checker on the machines that run: what holds, what each broken variant is caught by, and the
-checker itself."""
+checker itself.
+"""
 
 import contextlib
 import json
@@ -189,7 +190,8 @@
 
 def test_local_steps_of_the_models_are_what_they_claim_to_be() -> None:
     """They commute with all others, take none away, are seen by no property, and there are none that
-    cycle."""
+    cycle.
+    """
     for model in (Toy(), *models().values()):
         state, rng = model.initial(), random.Random(1)
         for _ in range(60):
--- a/tests/support/operator_model.py
+++ b/tests/support/operator_model.py
@@ -52,7 +52,8 @@
 
     def ready(self) -> set[int]:
         """By the true list, whatever the operator wants: while one is here, no proxy may be left with
-        nothing."""
+        nothing.
+        """
         return {i for i, one in self.true.items() if one.phase == api.Phase.READY and one.weight > 0}
 
 
--- a/tests/support/policy_model.py
+++ b/tests/support/policy_model.py
@@ -177,7 +177,7 @@
                     assert order.again <= api.Again.IF_NOT_RUN, "a flow could run twice"
         ready = self.ready()
         for proxy, tables in self.proxies.items():
-            served = self.terms.slices or tables and all(reached[table] for table in tables.values())
+            served = self.terms.slices or (tables and all(reached[table] for table in tables.values()))
             if served or not ready:
                 self.bare_since[proxy] = self.now
             bare = self.now - self.bare_since.setdefault(proxy, self.now)
--- a/tests/support/simulated_replicas.py
+++ b/tests/support/simulated_replicas.py
@@ -149,7 +149,7 @@
             what()
         self.now = end
 
-    def start(self, name: str, folder: Saved | None | str = "own") -> None:
+    def start(self, name: str, folder: Saved | str | None = "own") -> None:
         host = self.hosts[name]
         if folder != "own":
             host.saved = folder  # type: ignore[assignment]
@@ -220,7 +220,7 @@
         if host.bare and (host.replica is None or host.replica.status is Status.BLANK):
             # One that was blank when the group was born is of it, told or not.
             return any(
-                not one.bare or one.replica and one.replica.status is not Status.BLANK
+                not one.bare or (one.replica and one.replica.status is not Status.BLANK)
                 for other, one in self.hosts.items()
                 if other in self.voters
             )
--- a/tests/system/proxy/test_attempt.py
+++ b/tests/system/proxy/test_attempt.py
@@ -33,7 +33,7 @@
             assert told.turned_away or told.status == 421
         elif came_to is Outcome.GOOD:
             assert told.status not in (408, 429, 503) and told.status < 500
-            assert told.status >= 300 or told.sealed and not told.encoded
+            assert told.status >= 300 or (told.sealed and not told.encoded)
         elif came_to is Outcome.FAILED:
             assert told.status in (500, 502, 504)
 
--- a/tests/system/proxy/test_request_path.py
+++ b/tests/system/proxy/test_request_path.py
@@ -110,7 +110,6 @@
 async def cut(head, body, writer):
     writer.write(answer(head)[:-2])
     await writer.drain()
-    return None
 
 
 async def promise(head, body, writer):
@@ -157,18 +156,15 @@
     await writer.drain()
     await asyncio.sleep(0.01)  # So that the bytes are read before the reset throws them away.
     resets(writer)
-    return None
 
 
 async def reset_at_once(head, body, writer):
     resets(writer)
-    return None
 
 
 async def reset_in_its_head(head, body, writer):
     writer.write(answer(head)[:40])
     await writer.drain()
-    return None
 
 
 async def twice(head, body, writer):
