--- a/tests/coordinator/admin/test_admin.py
+++ b/tests/coordinator/admin/test_admin.py
@@ -251,7 +251,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, reason",
+    ("changes", "reason"),
     [
         ([Change(99, state=DRAIN)], Reason.NO_SUCH_SERVER),
         ([Change(0, weight=Weight(257.0, False))], Reason.WEIGHT_OUT_OF_RANGE),
--- a/tests/coordinator/benchlink/test_wire.py
+++ b/tests/coordinator/benchlink/test_wire.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, record",
+    ("text", "record"),
     [
         (
             "16 00 074a1203 0e000000 01000000 0000000000204840 0000000000408f40 01 52b81e3f",
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    "order, text",
+    ("order", "text"),
     [
         (api.Share(0x75, 0x2C9011F2, 0.75), "12 7500 f211902c 0000403f"),
         (api.Bind(41, 117, 0), "16 2900 7500 0000"),
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    "records, words",
+    ("records", "words"),
     [
         ([b"\x63"], "byte 12: unknown code 99"),
         ([b"\x1c\x29"], "byte 12: record of code 28 is cut short"),
--- a/tests/coordinator/cli/test_tools.py
+++ b/tests/coordinator/cli/test_tools.py
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize(
-    "words, told",
+    ("words", "told"),
     [
         (["bogus"], "No such command"),
         (["ctl", "show", "info"], "Name a socket"),
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, line, key, what",
+    ("text", "line", "key", "what"),
     [
         ('runtime {\n socket "/a" { mode = "0999" }\n}', 2, "runtime.socket[0].mode", "no mode"),
         ('runtime {\n socket "a" {}\n}', 2, "runtime.socket[0].path", "no absolute path"),
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, ns",
+    ("text", "ns"),
     [
         ("500ms", 500_000_000),
         ("2m", 120_000_000_000),
@@ -311,7 +311,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, commands, pattern",
+    ("line", "commands", "pattern"),
     [
         (b"show info", [("show", "info")], None),
         (b" a\tb ;; c ;", [("a", "b"), ("c",)], None),
--- a/tests/coordinator/counters/test_counters.py
+++ b/tests/coordinator/counters/test_counters.py
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize(
-    "extra, jobs, says",
+    ("extra", "jobs", "says"),
     [
         ('interval = "10"', JOB, "x:2: key 'interference.interval'"),
         ('ease_most = "0%"', JOB, "x:2: key 'interference.ease_most'"),
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -448,7 +448,7 @@
 ]
 
 
-@pytest.mark.parametrize("token,answers,words,asked", ANSWERS)
+@pytest.mark.parametrize(("token", "answers", "words", "asked"), ANSWERS)
 def test_answers_say_what_stands(token: str, answers: list[Answer], words: str, asked: int) -> None:
     said = Said(*answers)
     promised = Promised(said, lambda one: f"s{one}")  # type: ignore[arg-type]
@@ -499,7 +499,9 @@
 ]
 
 
-@pytest.mark.parametrize("more,inner,line,key", BAD, ids=[one[3] + str(at) for at, one in enumerate(BAD)])
+@pytest.mark.parametrize(
+    ("more", "inner", "line", "key"), BAD, ids=[one[3] + str(at) for at, one in enumerate(BAD)]
+)
 def test_a_contradiction_in_the_group_names_file_line_and_key(
     more: str, inner: str, line: int, key: str
 ) -> None:
@@ -509,7 +511,7 @@
 
 
 @pytest.mark.parametrize(
-    "old,new,key",
+    ("old", "new", "key"),
     [
         ('me = "a"', 'me = "z"', "group.me"),
         ('127.0.0.1:7101"\n', '0.0.0.0:7101"\n', "group.listen"),
--- a/tests/coordinator/group/test_links.py
+++ b/tests/coordinator/group/test_links.py
@@ -154,7 +154,7 @@
 ]
 
 
-@pytest.mark.parametrize("changes,reason", REFUSED, ids=lambda one: str(one))
+@pytest.mark.parametrize(("changes", "reason"), REFUSED, ids=lambda one: str(one))
 def test_a_hello_is_refused_by_name_and_counted(changes: dict[str, Any], reason: Close) -> None:
     async def act(top: Top) -> None:
         top.links.acceptor.gate.known["b"] = 4, "run"
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize(
-    "data,reason,code", FRAMES, ids=["bad", "broken", "empty", "kind", "counters", "large"]
+    ("data", "reason", "code"), FRAMES, ids=["bad", "broken", "empty", "kind", "counters", "large"]
 )
 def test_a_bad_frame_ends_the_link_by_name_and_costs_no_other(data: bytes, reason: Close, code: int) -> None:
     async def act(top: Top, other: Top) -> None:
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize(
-    "first,text",
+    ("first", "text"),
     [(b"\x91rubbish", False), (bytes(range(64)), False), ("hello", True), (bytes(20_000), False)],
 )
 def test_what_is_no_hello_is_closed(first: Any, text: bool) -> None:
@@ -312,7 +312,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer,reason", [(encode(Welcome("x", "c", 1)), Close.UNREADABLE), (b"rubbish", Close.UNREADABLE)]
+    ("answer", "reason"), [(encode(Welcome("x", "c", 1)), Close.UNREADABLE), (b"rubbish", Close.UNREADABLE)]
 )
 def test_who_answers_as_another_gets_nothing(answer: bytes, reason: Close) -> None:
     async def act(a: Top, b: Top) -> None:
--- a/tests/coordinator/groupsim/test_history.py
+++ b/tests/coordinator/groupsim/test_history.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    "good, lines",
+    ("good", "lines"),
     [
         (True, ["a write x 1..2 done", "b read x 3..4 done"]),
         (True, ["a write x 1..5 done", "b read - 2..3 done", "b read x 3..4 done"]),
--- a/tests/coordinator/interference/test_interference.py
+++ b/tests/coordinator/interference/test_interference.py
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, why",
+    ("change", "why"),
     [
         (lambda t: t.replace("25000000001", "x1"), {"unreadable": 1, "not-counted": 1}),
         (lambda t: t.replace("25000000001,,", "<not counted>,,"), {"not-counted": 1}),
@@ -184,7 +184,7 @@
 ]
 
 
-@pytest.mark.parametrize("but, why", FAULTY)
+@pytest.mark.parametrize(("but", "why"), FAULTY)
 def test_a_sample_that_can_not_be_is_named(but: dict[str, Any], why: Unusable | None) -> None:
     told = Told()
     assert judge(sample(0), NOW, told) is None
--- a/tests/coordinator/program/test_program.py
+++ b/tests/coordinator/program/test_program.py
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize(
-    "pieces, wait, due",
+    ("pieces", "wait", "due"),
     [
         ([], 0.0, b""),
         ([b"agent zone=ea"], 0.0, b""),
@@ -358,7 +358,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, words",
+    ("change", "words"),
     [
         ({"relay": {}}, "'relay.address' is missing"),
         ({"seed": "xyz"}, "'seed'"),
--- a/tests/coordinator/replication/test_replication.py
+++ b/tests/coordinator/replication/test_replication.py
@@ -507,7 +507,7 @@
 
 
 @pytest.mark.parametrize(
-    "answers, source",
+    ("answers", "source"),
     [
         ({"n2": told(2, 1), "n4": told(4, 1)}, ""),  # Too few.
         ({"n2": told(2, 1), "n4": told(4, 0), "n5": told(5, 1)}, "n2"),
--- a/tests/coordinator/runtime/test_runtime.py
+++ b/tests/coordinator/runtime/test_runtime.py
@@ -369,7 +369,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, due",
+    ("data", "due"),
     [
         (b"x" * (2 << 20), b"a line may have"),
         (b"show info" * 3, b""),
@@ -533,7 +533,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, words",
+    ("kind", "words"),
     [
         ("stale", ""),
         ("file", "no socket"),
--- a/tests/coordinator/standins/test_standins.py
+++ b/tests/coordinator/standins/test_standins.py
@@ -68,7 +68,7 @@
     return sum(way.swallowed for breaker in net.breakers.values() for way in (breaker.forward, breaker.back))
 
 
-@pytest.mark.parametrize("sender, receiver, comes", [("a", "b", False), ("b", "a", True)])
+@pytest.mark.parametrize(("sender", "receiver", "comes"), [("a", "b", False), ("b", "a", True)])
 def test_what_is_cut_one_way_is_lost_and_a_connection_that_lost_something_ends_at_the_mending(
     sender: str, receiver: str, comes: bool
 ) -> None:
--- a/tests/coordinator/test_network.py
+++ b/tests/coordinator/test_network.py
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, message",
+    ("text", "message"),
     [
         ("probe", lines.Probe()),
         ("agent zone=a", lines.Agent("a")),
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize(
-    "order, text",
+    ("order", "text"),
     [
         (api.Share(4, 1, 1.5), "put,4,s-b,1.5"),
         (api.Share(4, 0, 0.0), "put,4,s-a,0"),
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, answer",
+    ("line", "answer"),
     [
         (b"OK 2", relay.Done(2)),
         (b"OK 0", relay.Done(0)),
@@ -297,7 +297,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, news",
+    ("line", "news"),
     [
         (b"OK", relay.Following()),
         (b"* hello 17 a 21.5 1", relay.Hello(17, "a", 21.5, True)),
@@ -347,7 +347,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new",
+    ("old", "new"),
     [
         (b"up", b"gone"),
         (b'"s-5be2a07c"', b'"s,1"'),
@@ -775,7 +775,7 @@
 
 
 @pytest.mark.parametrize(
-    "raw, event",
+    ("raw", "event"),
     [
         (b'HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{"util":0.50}', (True, (0.5,))),
         (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", (False, ())),
--- a/tests/modelcheck/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, change",
+    ("name", "change"),
     [
         ("row", None),
         ("collector", None),
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize(
-    "options, word",
+    ("options", "word"),
     [
         (Options(depth=5), "depth 5"),
         (Options(states=300), "300 states"),
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -171,7 +171,7 @@
     assert {order.again for order in plain.levels[plain.proxies[0][READS]].values()} == {api.Again.NEVER}
 
 
-@pytest.mark.parametrize("bad, out", [(12, False), (17, True)])
+@pytest.mark.parametrize(("bad", "out"), [(12, False), (17, True)])
 def test_a_server_whose_answers_are_late_is_left_out_where_few_come(bad: int, out: bool) -> None:
     plain = small()
     for _ in range(3):
--- a/tests/system/proxy/test_limits.py
+++ b/tests/system/proxy/test_limits.py
@@ -307,7 +307,7 @@
 
 
 @pytest.mark.parametrize(
-    "item, found",
+    ("item", "found"),
     [
         ({}, Limits()),
         ({"HeaderBytes": 0, "IdleTimeoutMs": None, "HeaderTimeoutMs": "x"}, Limits()),
--- a/tests/system/proxy/test_request_path.py
+++ b/tests/system/proxy/test_request_path.py
@@ -197,7 +197,7 @@
 MINE = (late, closed, twice)  # Answered by the first one itself, with a body of its own.
 
 
-@pytest.mark.parametrize("bad, repeatable, once", CASES, ids=[case[0].__name__ for case in CASES])
+@pytest.mark.parametrize(("bad", "repeatable", "once"), CASES, ids=[case[0].__name__ for case in CASES])
 def test_each_ending_at_the_first_backend_for_both_kinds_of_request(bad, repeatable, once):
     async def playing():
         first, second = scripted(bad), scripted(good)
