--- a/benchmarks/group.py
+++ b/benchmarks/group.py
@@ -14,6 +14,7 @@
 import tempfile
 import time
 from collections.abc import Awaitable, Callable, Sequence
+from itertools import pairwise
 from pathlib import Path
 from typing import Any
 
@@ -124,7 +125,7 @@
             rig.members[leader].go_on()
         rig.net.heal()
     after = [struck, *[one for one in done if one > struck], time.monotonic()]
-    return max(later - sooner for sooner, later in zip(after[:-1], after[1:], strict=True))
+    return max(later - sooner for sooner, later in pairwise(after))
 
 
 async def measure_leaders(quick: bool) -> None:
--- a/benchmarks/model_checking.py
+++ b/benchmarks/model_checking.py
@@ -49,8 +49,8 @@
         + "| --- " * 7
         + "|"
     )
-    for name, depth in (("row", 10), ("news", 10), ("collector", 7), ("attempt-small", None)):
-        depth = min(depth or 8, 7) if quick else depth
+    for name, full_depth in (("row", 10), ("news", 10), ("collector", 7), ("attempt-small", None)):
+        depth = min(full_depth or 8, 7) if quick else full_depth
         with_it, without = (
             explore(models()[name], Options(depth=depth, symmetry=one)) for one in (True, False)
         )
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -106,7 +106,7 @@
     journal = WriteQueue(EffectBuffer(AT))
     store = ItemStore(EffectBuffer(AT), journal, {})
     store.merge(Item(ROUTE, f"r{at}", (1, AGREED), body(at, 1)) for at in range(items))
-    rows = {key: value for (_, key), value in journal._pending_rows.items() if value is not None}  # noqa: SLF001
+    rows = {key: value for (_, key), value in journal._pending_rows.items() if value is not None}
     began = time.process_time()
     ItemStore(EffectBuffer(AT), WriteQueue(EffectBuffer(AT)), rows)
     return (time.process_time() - began) * NS_PER_SECOND / NS_PER_MS
--- a/tests/coordinator/cli/test_tools.py
+++ b/tests/coordinator/cli/test_tools.py
@@ -43,6 +43,7 @@
 
     return subprocess.run(
         [sys.executable, "-B", "-m", "ambershift", *words],
+        check=False,
         cwd=ROOT,
         input=given,
         capture_output=True,
@@ -62,7 +63,12 @@
         "print(*sorted(sys.modules))"
     )
     done = subprocess.run(
-        [sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, timeout=60, env={"PATH": ""}
+        [sys.executable, "-B", "-c", code],
+        check=False,
+        cwd=ROOT,
+        capture_output=True,
+        timeout=60,
+        env={"PATH": ""},
     )
     told, *loaded = done.stdout.decode().splitlines()
     assert "BALANCER_CONFIG is not set" in told and "ambershift.coordinator.program.assembly" in loaded[0]
@@ -149,7 +155,7 @@
         ("apply", "disable server a/b\n"),
         ("help", None),
     ]
-    with pytest.raises(GrammarError, match="line 1.*END"):
+    with pytest.raises(GrammarError, match=r"line 1.*END"):
         list(batch(b"apply <<END\nx\n"))
 
 
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -5,7 +5,6 @@
 import shutil
 import subprocess
 import sys
-from collections.abc import Iterator
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
@@ -550,7 +549,9 @@
         "'ambershift.replication', 'ambershift.maintenance', 'ambershift.interference', 'aiohttp',"
         "'ambershift.admin', 'ambershift.runtime', 'numpy'))])"
     )
-    found = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
+    found = subprocess.run(
+        [sys.executable, "-c", code], check=False, capture_output=True, text=True, timeout=60
+    )
     assert found.stdout.strip() == "[]", found
 
 
@@ -558,8 +559,8 @@
 
 
 @pytest.fixture
-def place(tmp_path: Path) -> Iterator[Path]:
-    yield tmp_path
+def place(tmp_path: Path) -> Path:
+    return tmp_path
 
 
 def test_three_processes_hold_one_word_through_a_lost_leader(place: Path) -> None:
--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -76,7 +76,7 @@
     assert shown(b, there + S, 103, told) == told == shown(b, there + S, 103, own)
     assert shown(b, there + 2 * S, 103, there + S) == there + S == shown(b, there + 2 * S, 103, there + S)
     if told != own:
-        assert [one.age_ns for one in b.store.all(there + 2 * S, Kind.START) if one.origin == "b"][0] <= S
+        assert next(one.age_ns for one in b.store.all(there + 2 * S, Kind.START) if one.origin == "b") <= S
         b.store.put(there, Kind.STEERS, "", b"x")
     for phase in (api.Phase.DRAINING, api.Phase.GONE):
         assert shown(b, there + 2 * S, 103, own, phase) == own
--- a/tests/coordinator/group/test_links.py
+++ b/tests/coordinator/group/test_links.py
@@ -154,7 +154,7 @@
 ]
 
 
-@pytest.mark.parametrize(("changes", "reason"), REFUSED, ids=lambda one: str(one))
+@pytest.mark.parametrize(("changes", "reason"), REFUSED, ids=str)
 def test_a_hello_is_refused_by_name_and_counted(changes: dict[str, Any], reason: Close) -> None:
     async def act(top: Top) -> None:
         top.links.acceptor.gate.known["b"] = 4, "run"
--- a/tests/coordinator/maintenance/test_maintenance.py
+++ b/tests/coordinator/maintenance/test_maintenance.py
@@ -2,6 +2,7 @@
 
 import random
 from datetime import UTC, datetime, timedelta
+from itertools import pairwise
 from zoneinfo import ZoneInfo
 
 import pytest
@@ -149,7 +150,7 @@
 
     one, two = joined(first), joined(second)
     assert moments(one) == moments(first)
-    assert all(before.closes < after.opens for before, after in zip(one, one[1:], strict=False))
+    assert all(before.closes < after.opens for before, after in pairwise(one))
     assert moments(common(one, two)) == moments(one) & moments(two)
     assert moments(without(one, two)) == moments(one) - moments(two)
 
@@ -186,7 +187,7 @@
     starts = list[datetime]()
     for day in range(60):
         for at in hours:
-            local = datetime(2026, 10, 20 if day == 0 else 20, at, minute) + timedelta(days=day)
+            local = datetime(2026, 10, 20, at, minute) + timedelta(days=day)
             if (
                 local < first
                 or ("WEEKLY" in rrule and local.weekday() not in (0, 5))
@@ -336,7 +337,7 @@
         drains = sorted(
             one.at for one in plan.laid if not tenant.zones or servers[one.server].zone in tenant.zones
         )
-        assert all(b - a >= tenant.agreement.apart_ns for a, b in zip(drains, drains[1:], strict=False))
+        assert all(b - a >= tenant.agreement.apart_ns for a, b in pairwise(drains))
         for one in plan.laid:
             if tenant.zones and servers[one.server].zone not in tenant.zones:
                 continue
--- a/tests/modelcheck/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -182,7 +182,9 @@
 
 
 def test_a_local_step_goes_first_and_hides_nothing() -> None:
-    assert len((explore(Toy(), Options()).fault or pytest.fail()).places) == 4  # None of them goes aside.
+    assert (
+        len((explore(Toy(), Options()).fault or pytest.fail("no fault was found")).places) == 4
+    )  # None of them goes aside.
     reduced, whole = (explore_once(Toy(), Options(reduction=one), None) for one in (True, False))
     assert reduced.fault is not None and whole.fault is not None and reduced.edges < whole.edges
     assert reduced.fault.property == whole.fault.property == "small"
--- a/tests/system/proxy/test_attempt.py
+++ b/tests/system/proxy/test_attempt.py
@@ -191,7 +191,7 @@
     ("before", "status"), [(0, 504), (1_060_000, 504), (2 * NS_PER_MS, 504), (2 * NS_PER_MS + 1, 502)]
 )
 def test_a_timer_that_fires_a_little_early_ends_at_the_deadline_all_the_same(before, status):
-    """uvloop's were measured 1.06 ms early: 127 of 400."""
+    """Timers of uvloop were measured 1.06 ms early: 127 of 400."""
     tries = Tries(False, 2, NS_PER_SECOND)
     tries.begun()
     tries.ended(Stage.SENT, Outcome.MAY_HAVE_RUN)
--- a/tests/system/proxy/test_request_path.py
+++ b/tests/system/proxy/test_request_path.py
@@ -415,7 +415,7 @@
 def test_a_client_that_leaves_ends_the_try_and_a_proxy_that_leaves_says_so():
     async def playing():
         async with Rig(scripted(silent, good)) as rig:
-            reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
+            _, writer = await asyncio.open_connection("127.0.0.1", rig.port)
             writer.write(b"GET /write/ HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a\r\n\r\n")
             while not rig.shelves[0].heads:
                 await asyncio.sleep(0.01)
