--- a/tests/coordinator/group/test_processes.py
+++ b/tests/coordinator/group/test_processes.py
@@ -330,7 +330,8 @@
 
 def test_an_old_folder_put_back_is_refused_by_name_and_set_aside(tmp_path: Path) -> None:
     async def act(rig: Rig) -> None:
-        server, name = title(rig, 0), [one for one in rig.names if one != await rig.leader()][0]
+        server, leader = title(rig, 0), await rig.leader()
+        name = next(one for one in rig.names if one != leader)
         member = rig.members[name]
         await rig.tell(name, f"set weight {server} 3")
         await rig.settled()
--- a/tests/coordinator/program/test_program.py
+++ b/tests/coordinator/program/test_program.py
@@ -471,7 +471,7 @@
                 for gone in range(number + 1):
                     await until(lambda: f"eject,s-{gone}" in stage.relay.carried[before:])  # noqa: B023
                 await until(
-                    lambda: all(  # noqa: B023
+                    lambda: all(
                         any(order.startswith(f"attach,{proxy},") for order in stage.relay.carried[before:])  # noqa: B023
                         for proxy in range(4)
                     )
