--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -10,6 +10,8 @@
 
 import pytest
 
+from ambershift.system.events import EVENTS
+
 ROOT = Path(__file__).parents[2]
 DOCS = ROOT / "docs"
 BASES = (ROOT, *(ROOT / "ambershift" / part for part in ("system", "coordinator", "")), DOCS)
@@ -113,6 +115,14 @@
     assert missing_names("`tests/nowhere.py`, `pages`") == ["tests/nowhere.py", "pages (of no file)"]
 
 
+def test_each_event_number_is_found_in_the_code_as_the_page_says() -> None:
+    catalogue = ROOT / "ambershift/system/events.py"
+    code = "\n".join(
+        path.read_text("utf-8") for path in (ROOT / "ambershift/system").rglob("*.py") if path != catalogue
+    )
+    assert [number for number in EVENTS if not re.search(rf"\b{number}\b", code)] == []
+
+
 def test_glossary_is_sorted_and_has_a_row_a_term() -> None:
     terms = [row[0].casefold() for row in glossary_rows()]
     assert terms == sorted(set(terms))
