--- a/ambershift/group/links/accepted.py
+++ b/ambershift/group/links/accepted.py
@@ -127,10 +127,12 @@
                 else:
                     self.above.heard(hello.name, kind, payload)
             except UnreadableError as error:
-                return await self.end(socket, name, Close.UNREADABLE, str(error))
+                await self.end(socket, name, Close.UNREADABLE, str(error))
+                return
             except Exception as error:  # Of ours: told in full, and the link is dialled anew.
                 failure(self.note, "link", error)
-                return await self.end(socket, name, Close.UNREADABLE, "a failure of this program")
+                await self.end(socket, name, Close.UNREADABLE, "a failure of this program")
+                return
             frames, size = frames + 1, size + len(message.data)
             if frames >= FRAMES_A_TURN or size >= BYTES_A_TURN:
                 frames, size = 0, 0
--- a/ambershift/modelcheck/models/collector.py
+++ b/ambershift/modelcheck/models/collector.py
@@ -175,6 +175,6 @@
         )
 
 
-assert (
-    TABLE[Peer.COLLECTOR].bad_most == 7 and TABLE[Peer.STRANGER].stays == 1.0
-)  # The sentences above say so.
+# The sentences above say so.
+assert TABLE[Peer.COLLECTOR].bad_most == 7
+assert TABLE[Peer.STRANGER].stays == 1.0
--- a/ambershift/modelcheck/models/permits.py
+++ b/ambershift/modelcheck/models/permits.py
@@ -259,7 +259,7 @@
         if promised.pack(after) == world.states[-1]:
             return world
         world = world._replace(
-            states=world.states + (promised.pack(after),), grants=grants, done=done, wrong=wrong
+            states=(*world.states, promised.pack(after)), grants=grants, done=done, wrong=wrong
         )
         if not self.third_learns:
             world = looked(world._replace(knows=(*world.knows[:2], len(world.states) - 1)))
--- a/ambershift/replication/frozen.py
+++ b/ambershift/replication/frozen.py
@@ -18,7 +18,8 @@
 
 
 def freeze(core: Core) -> Frozen:
-    assert not core.out and not core.vouching
+    assert not core.out
+    assert not core.vouching
     return tuple(plain(core, name) for name in names(core))
 
 
--- a/ambershift/replication/leading.py
+++ b/ambershift/replication/leading.py
@@ -42,7 +42,8 @@
 
 def look_ahead(core: Core) -> None:
     """State and answers of what is in the log and not committed."""
-    assert not core.ahead and not core.open
+    assert not core.ahead
+    assert not core.open
     for number in range(core.committed + 1, core.log.top + 1):
         entry = core.log.at(number)
         extend(core, entry)
@@ -59,7 +60,8 @@
 
 
 def propose(core: Core, now: int, token: str, command: bytes) -> int:
-    assert core.leading and not core.doubt
+    assert core.leading
+    assert not core.doubt
     entry = Entry(core.view, core.log.top + 1, now + core.wall, token, command)
     core.log.put(entry)
     extend(core, entry)
--- a/ambershift/replication/log.py
+++ b/ambershift/replication/log.py
@@ -47,7 +47,8 @@
         return tuple(found)
 
     def put(self, entry: Entry) -> None:
-        assert entry.number == self.top + 1 and entry.view >= self.last, (entry.number, self.top)
+        assert entry.number == self.top + 1, (entry.number, self.top)
+        assert entry.view >= self.last, (entry.number, self.top)
         self.entries.append(entry)
         self.size += weight(entry)
 
--- a/ambershift/replication/replica.py
+++ b/ambershift/replication/replica.py
@@ -172,7 +172,8 @@
             core.was = where
             leading.work(core, now)
             compact(core)
-            assert core.log.base <= core.committed <= core.log.top and core.sure <= core.log.top
+            assert core.log.base <= core.committed <= core.log.top
+            assert core.sure <= core.log.top
             wants.serve_reads(core)
         else:
             requests.halt(core)
--- a/ambershift/replication/views.py
+++ b/ambershift/replication/views.py
@@ -103,7 +103,8 @@
 
 def leave_for(core: Core, now: int, view: int) -> None:
     """From here on nothing of an earlier view is accepted."""
-    assert view > core.view and core.fixed.votes
+    assert view > core.view
+    assert core.fixed.votes
     enter(core, now, view)
     core.status = Status.CHANGING
     core.change_at = now + core.fixed.timing.change + core.draw(core.fixed.timing.jitter)
--- a/ambershift/runtime/client.py
+++ b/ambershift/runtime/client.py
@@ -125,7 +125,8 @@
         """The lines of a command that goes on, `show events -w` say, for as long as the caller wants them."""
         if self.writer is None:
             await self.connect()
-        assert self.reader is not None and self.writer is not None
+        assert self.reader is not None
+        assert self.writer is not None
         try:
             self.writer.write(f"{command}\n".encode())
             while line := await self.reader.readline():
--- a/ambershift/standins/processes.py
+++ b/ambershift/standins/processes.py
@@ -115,12 +115,14 @@
             return await self.process.wait()
 
     def stop(self) -> None:
-        assert self.process and self.alive
+        assert self.process
+        assert self.alive
         self.process.send_signal(signal.SIGSTOP)
         self.stopped = True
 
     def go_on(self) -> None:
-        assert self.process and self.alive
+        assert self.process
+        assert self.alive
         self.process.send_signal(signal.SIGCONT)
         self.stopped = False
 
@@ -133,7 +135,8 @@
         return copy
 
     def put_back(self, copy: Path) -> None:
-        assert self.folder and not self.alive
+        assert self.folder
+        assert not self.alive
         shutil.rmtree(self.folder, ignore_errors=True)
         shutil.copytree(copy, self.folder)
 
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -66,18 +66,22 @@
         proxy, asked = self.proxy, self.asked
         arrived = proxy.steady()
         if not asked.attempt:
-            return await self.refuse(400)
+            await self.refuse(400)
+            return
         if not proxy.routing.complete and not await proxy.merged.within(WAIT):
-            return await self.refuse(503, LATER)
+            await self.refuse(503, LATER)
+            return
         route = proxy.routing.find(asked.host, self.scope["raw_path"])
         if route is None:
-            return await self.refuse(404)
+            await self.refuse(404)
+            return
         pool = self.choose(route, arrived)
         for name in (pool.name, *proxy.routing.tallies(route)):
             proxy.came[name] = proxy.came.get(name, 0) + 1
         proxy.budget(pool.service).came(arrived)
         if not proxy.admission.takes(route.priority) or proxy.cut(arrived):
-            return await self.refuse(503, LATER)
+            await self.refuse(503, LATER)
+            return
         left = route.timeout if asked.left is None else min(route.timeout, asked.left)
         try:
             if asked.chunked or asked.length:
@@ -85,9 +89,11 @@
                     async with asyncio.timeout(left / NS_PER_SECOND):
                         status = await self.read_body()
                 except TimeoutError:
-                    return await answer(proxy, self.send, 408, close=True)
+                    await answer(proxy, self.send, 408, close=True)
+                    return
                 if status:
-                    return await self.refuse(status, LATER if status == 503 else None)
+                    await self.refuse(status, LATER if status == 503 else None)
+                    return
             watch = asyncio.get_running_loop().call_later(WATCH_AFTER, self.watch)
             try:
                 await self.serve(route, pool, arrived + left)
@@ -174,7 +180,8 @@
                 came.by.close()
             raise LeftError
         if came is not None and came.reply is not None:
-            return await self.pass_on(came, came.reply)
+            await self.pass_on(came, came.reply)
+            return
         status = course.tries.last_word(self.proxy.steady())
         await self.say(status, (LATER if course.nobody else SOON) if status == 503 else None)
 
@@ -199,7 +206,8 @@
     async def pass_on(self, came: Came, reply: Reply) -> None:
         """An answer of the backend, whole or as it comes. One that breaks off ends the connection."""
         if reply.rest is None:
-            return await self.pass_whole(came.headers, reply)
+            await self.pass_whole(came.headers, reply)
+            return
         if self.proxy.leaving:
             came.headers.append(CLOSE)
         await self.send({"type": "http.response.start", "status": reply.status, "headers": came.headers})
--- a/ambershift/system/proxy/intake.py
+++ b/ambershift/system/proxy/intake.py
@@ -98,13 +98,15 @@
         if self.transport.is_closing():
             return
         if self.deaf and not self.busy:
-            return self.transport.close()
+            self.transport.close()
+            return
         waiting, now = self.waiting, self.steady()
         if waiting.head and self.flow.read_paused:
             waiting.since = now  # It is we who don't read on.
         due = waiting.due(self.limits(), self.busy)
         if due is None or now < due:
-            return self._await()
+            self._await()
+            return
         if not waiting.spared and _unread(self.transport):
             waiting.spared = True
             self._call(SPARE, self.timeout_keep_alive_handler)
--- a/ambershift/system/proxy/pick.py
+++ b/ambershift/system/proxy/pick.py
@@ -80,12 +80,11 @@
         found = next(
             (life for life in usable if life not in warm and not life.choked() and cold(life, now)), None
         )
-    found = (
+    return (
         found
         or _shortest((pool.all,), bearing, waits, chance)
         or _best((pool.near, pool.all), {life for life in resting if not life.choked()}, chance)
     )
-    return found
 
 
 def _shortest(
--- a/ambershift/system/proxy/trying.py
+++ b/ambershift/system/proxy/trying.py
@@ -75,7 +75,8 @@
 
     async def rest(self, reply: Reply) -> AsyncIterator[bytes]:
         """The parts of a large answer that were still to come. Raises `TryError` where it breaks off."""
-        assert reply.rest is not None and self.wire is not None
+        assert reply.rest is not None
+        assert self.wire is not None
         try:
             async for part in reply.rest:
                 yield part
@@ -151,7 +152,8 @@
         """It brought no answer."""
         self._over()
         if self.left or ending is Ending.LEFT:
-            return self.life.given_up()
+            self.life.given_up()
+            return
         now, life = self.steady(), self.life
         dead = life.heard < self.started
         if ending is Ending.LOST and not dead:
--- a/ambershift/system/simulation/scripts_cluster.py
+++ b/ambershift/system/simulation/scripts_cluster.py
@@ -116,7 +116,8 @@
         cluster.freeze(slow)
     else:
         cluster.boxes[slow].held_up = cluster.now + 3 * NS_PER_SECOND
-    assert not order(slow, True) and order(other, False)
+    assert not order(slow, True)
+    assert order(other, False)
     if stopped:
         cluster.thaw(slow)
     cluster.run(4)
--- a/ambershift/system/simulation/scripts_disks.py
+++ b/ambershift/system/simulation/scripts_disks.py
@@ -53,7 +53,10 @@
     world.run(0.7)
     boxes = world.boxes
     one, learner = boxes[first].replica, boxes[fresh].replica
-    assert one is not None and learner is not None and learner.voters.is_voter and not learner.voters.can_vote
+    assert one is not None
+    assert learner is not None
+    assert learner.voters.is_voter
+    assert not learner.voters.can_vote
     world.change("append", first, name)
     world.run(0.4)
     world.late = lambda sender, to, message: (
@@ -63,7 +66,8 @@
     world.run(0.01)
     world.caught = [caught for caught in world.caught if not isinstance(caught[2], SyncResponse)]
     world.run(0.5)
-    assert one._acceptor.state(name).promised_ballot[0] > 0 and alone.told is None
+    assert one._acceptor.state(name).promised_ballot[0] > 0
+    assert alone.told is None
     world.let_go(lambda sender, to, message: isinstance(message, SyncResponse) and sender == other)
     world.run(0.05)
     assert learner.voters.can_vote
--- a/ambershift/system/simulation/scripts_voters.py
+++ b/ambershift/system/simulation/scripts_voters.py
@@ -41,7 +41,8 @@
     ]
     writer = next(ip for ip in sorted(world.boxes) if ip not in asked)
     world.run(0.5)
-    assert len(asked) == 3 and replica._acceptor.state(name).accepted_ballot[0] > high
+    assert len(asked) == 3
+    assert replica._acceptor.state(name).accepted_ballot[0] > high
     world.cut |= {(ip, alone) for ip in world.boxes}
     # One by one the others that promised lose their disks, and are taken in again.
     for ip in asked:
@@ -74,7 +75,8 @@
     world.cut |= {(behind, ip) for ip in ahead} | {(ip, behind) for ip in [between, *ahead]}
     two = world.boxes[between]
     newest = world.boxes[ahead[0]].replica
-    assert two.replica is not None and newest is not None
+    assert two.replica is not None
+    assert newest is not None
     if unsynced:
         while world.now < 5 * NS_PER_SECOND and (
             two.out is not None or two.replica._acceptor.state("@1").value is None
--- a/ambershift/system/testbed/processes.py
+++ b/ambershift/system/testbed/processes.py
@@ -118,7 +118,8 @@
             )
 
     def freeze(self) -> None:
-        assert self.process and self.alive
+        assert self.process
+        assert self.alive
         self.process.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
--- a/benchmarks/capacity/links.py
+++ b/benchmarks/capacity/links.py
@@ -58,7 +58,8 @@
                 }
             )
         after = cost_of(child.pid)
-        assert before is not None and after is not None
+        assert before is not None
+        assert after is not None
     found = {key: sorted(one[key] for one in spans)[SPANS // 2] for key in spans[0]}
     mib = 1.048576
     return found | {
--- a/benchmarks/capacity/requests.py
+++ b/benchmarks/capacity/requests.py
@@ -27,7 +27,8 @@
         [sys.executable, "-m", "benchmarks.capacity.serving", *words], stdout=subprocess.PIPE
     )
     try:
-        assert child.stdout is not None and child.stdout.readline() == b"up\n"
+        assert child.stdout is not None
+        assert child.stdout.readline() == b"up\n"
         yield child.pid
     finally:
         child.kill()
--- a/benchmarks/group_disk.py
+++ b/benchmarks/group_disk.py
@@ -132,7 +132,8 @@
         again = Folder(RealFiles(place), "archive", "n1")
         opened = again.open(WALL)
         took = time.perf_counter() - started
-        assert opened.saved is not None and len(opened.saved.entries) == count
+        assert opened.saved is not None
+        assert len(opened.saved.entries) == count
         started = time.perf_counter()
         again.rewrite()
         anew = time.perf_counter() - started
--- a/benchmarks/model_checking.py
+++ b/benchmarks/model_checking.py
@@ -124,7 +124,8 @@
         if one.property:
             with broken(one):
                 result = explore(models()[one.model], Options())
-            assert result.fault is not None and result.fault.property == one.property, one.name
+            assert result.fault is not None, one.name
+            assert result.fault.property == one.property, one.name
             print(
                 f"| {one.name} | {one.model} | {one.property} | {len(result.fault.places)} | "
                 f"{result.states} | "
