--- a/tests/system/configuration/test_agreement.py
+++ b/tests/system/configuration/test_agreement.py
@@ -45,7 +45,7 @@
     return [(one.name, one.version[0]) for one in items]
 
 
-def test_a_version_has_the_content_that_came_first_and_a_call_is_one_decision() -> None:
+def test_first_content_of_a_version_wins_and_a_call_is_decided_as_a_whole() -> None:
     progress, held = Progress(0), dict[Key, Item]()
     one, outcome = decide(services(a=(5, 1), b=(5, 1)), START, progress, held)
     assert isinstance(outcome, Accepted) and names(outcome.to_store) == [("a", 5), ("b", 5)]
@@ -57,7 +57,7 @@
     assert again == one and same == outcome
 
 
-def test_what_was_overtaken_stands_for_its_content_still() -> None:
+def test_superseded_version_is_still_checked_against_its_content() -> None:
     progress, held = Progress(0), dict[Key, Item]()
     one, _ = decide(services(a=(5, 1)), START, progress, held)
     two, _ = decide(services(a=(7, 2)), one, progress, held)
@@ -70,7 +70,7 @@
     assert isinstance(decide(services(a=(6, None)), three, progress, held)[1], Conflict)
 
 
-def test_a_machine_that_may_lack_settled_items_does_not_judge() -> None:
+def test_node_that_may_lack_settled_items_does_not_decide() -> None:
     value = msgspec.msgpack.encode(Agreement(3, ()))
     progress = Progress()
     change = Proposal(services(a=(5, 1)), progress, {})
@@ -85,7 +85,7 @@
     assert isinstance(change(msgspec.msgpack.encode(Agreement(4, ())), 0, 0).result, Behind) and change.tried
 
 
-def test_items_are_listed_until_a_majority_is_known_to_store_them() -> None:
+def test_items_stay_in_the_register_until_a_majority_stores_them() -> None:
     progress, held = Progress(0), dict[Key, Item]()
     one, first = decide(services(a=(1, 1), b=(1, 1)), START, progress, held)
     two, _ = decide(services(c=(2, 1)), one, progress, held)
@@ -101,7 +101,7 @@
     assert names(fourth.to_store) == [("c", 2), ("d", 3), ("e", 4)]
 
 
-def test_what_a_disk_of_an_earlier_version_holds_counts_as_agreed_and_is_stored_anew() -> None:
+def test_items_on_the_disk_of_an_earlier_version_count_as_agreed_and_are_stored_again() -> None:
     old = services(a=(5, 1)).items[0]
     held = {old.key: old}
     after, outcome = decide(services(a=(5, 1)), START, Progress(0), held)
@@ -113,7 +113,7 @@
         assert agreed.rank > services(a=(5, content)).items[0].rank
 
 
-def test_a_refused_call_stays_refused_and_what_is_remembered_is_bounded() -> None:
+def test_rejected_call_stays_rejected_and_the_memory_of_calls_is_bounded() -> None:
     progress, held = Progress(0), dict[Key, Item]()
     route = {"Name": "r", "Host": "h", "PathPrefix": "/", "RouteType": "idempotent", "Service": "s"}
     call = read_order(msgspec.json.encode({"Upsert": {"Routes": [{**route, "ConfigVersion": "r9"}]}}))
@@ -139,7 +139,7 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(calls=CALLS, storing=st.lists(st.booleans(), min_size=12, max_size=12))
-def test_whatever_is_called_each_version_gets_one_content(calls: list[Any], storing: list[bool]) -> None:
+def test_each_version_gets_one_content_for_any_calls(calls: list[Any], storing: list[bool]) -> None:
     """Two machines in turn, each with a store of its own that is read before it judges."""
     agreement = START
     progresses = (Progress(), Progress())
--- a/tests/system/configuration/test_configuration.py
+++ b/tests/system/configuration/test_configuration.py
@@ -83,7 +83,7 @@
         b"{}",
     ],
 )
-def test_valid(body: bytes) -> None:
+def test_valid_document_is_accepted(body: bytes) -> None:
     assert check_document(body) == []
 
 
@@ -129,11 +129,11 @@
         (b"[" * 100_000, "", ""),
     ],
 )
-def test_invalid(body: bytes, item: str, field: str) -> None:
+def test_invalid_document_is_rejected_with_item_and_field(body: bytes, item: str, field: str) -> None:
     assert (item, field) in [(fault.item, fault.field) for fault in check_document(body)]
 
 
-def test_services_are_looked_for_in_what_is_held() -> None:
+def test_references_to_services_are_resolved_in_the_stored_configuration() -> None:
     held = merged({}, document(ROUTE))
     change = document({**ROUTE, "ConfigVersion": "r8", "Service": "t"}, services=())
     assert read_order(change).unknown({}) and not read_order(change).unknown(held)
@@ -148,7 +148,7 @@
     assert read_order(document({**ROUTE, "Service": "u"}, services=())).unknown(held)
 
 
-def test_a_call_under_an_overtaken_version_does_not_hide_that_a_route_would_lose_its_service() -> None:
+def test_superseded_route_does_not_hide_a_dangling_reference() -> None:
     held = {one.key: one for one in read_order(document({**ROUTE, "ConfigVersion": "r12"})).items}
     drop = {
         "Upsert": {"Routes": [{**ROUTE, "Service": "t"}], "Services": [{"Name": "t", "ConfigVersion": "r7"}]},
@@ -178,7 +178,9 @@
 
 @given(st.lists(st.tuples(ROUTES, st.booleans()), min_size=1, max_size=6), st.permutations(range(1, 7)))
 @settings(max_examples=60, deadline=None, derandomize=True)
-def test_read_back_is_what_was_sent(calls: list[tuple[dict[str, Any], bool]], versions: list[int]) -> None:
+def test_configuration_reads_back_as_it_was_sent(
+    calls: list[tuple[dict[str, Any], bool]], versions: list[int]
+) -> None:
     """Calls come in any order; of each name the highest version holds, set or dropped."""
     held: dict[Key, Item] = {}
     highest: dict[str, tuple[int, Any]] = {}
--- a/tests/system/configuration/test_rival_operators.py
+++ b/tests/system/configuration/test_rival_operators.py
@@ -9,12 +9,12 @@
 
 
 @pytest.mark.parametrize("apart", [0, 5, 50, 500])
-def test_of_two_contents_under_one_version_one_is_agreed_and_the_other_refused(apart: int) -> None:
+def test_one_of_two_contents_of_a_version_is_agreed_and_the_other_rejected(apart: int) -> None:
     for seed in (1, 2, 3):
         assert rivals(seed, apart * NS_PER_MS) == []
 
 
 @pytest.mark.parametrize("way", ["killed", "cut", "frozen"])
-def test_a_machine_that_returns_takes_nothing_by_what_it_knew(way: str) -> None:
+def test_returning_node_with_outdated_state_reverts_nothing(way: str) -> None:
     for seed in (1, 2, 3):
         assert offered_on_return(seed, way) == []
--- a/tests/system/messages/test_codec.py
+++ b/tests/system/messages/test_codec.py
@@ -21,7 +21,7 @@
 
 
 @given(st.integers(0, 300))
-def test_messages_come_back_whatever_their_length(count: int) -> None:
+def test_message_of_any_length_decodes_to_itself(count: int) -> None:
     message = routes(count)
     data = codec.encode(message)
     assert codec.decode(data) == message and codec.encode(message) == data
@@ -37,7 +37,7 @@
     st.binary(max_size=2000),
     st.integers(0, 1 << 31),
 )
-def test_forwarded_calls_come_back_and_are_never_longer(
+def test_forwarded_call_decodes_to_itself_and_is_never_longer_than_plain(
     number: int, name: str, of: str, body: bytes, left: int
 ) -> None:
     for message in (ForwardedCall(number, name, of, body, left), ForwardedResponse(number, 200, body)):
@@ -47,7 +47,7 @@
     assert len(codec.encode(ForwardedResponse(number, 200, told))) < 60
 
 
-def test_what_does_not_inflate_to_a_message_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decode_rejects_what_does_not_inflate_to_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
     data = codec.encode(routes(100))
     flipped = bytes([*data[:40], data[40] ^ 0x55, *data[41:]])
     short = codec.encode(ForwardedResponse(1, 200, b'{"Events":[],"Revision":934}'))
--- a/tests/system/settings/test_settings.py
+++ b/tests/system/settings/test_settings.py
@@ -20,7 +20,7 @@
     return site.of(kind)[0]
 
 
-def test_a_whole_file_is_read(site: Site) -> None:
+def test_complete_file_is_read(site: Site) -> None:
     core, front = machine(site, CONTROL_NODE), machine(site, PROXY)
     read = read_local(str(site.write(core, initial=True)))
     assert (read.name, read.ip, read.zone, read.region) == (core.name, core.ip, core.zone, core.region)
@@ -33,7 +33,7 @@
     assert proxy.folder is None and not proxy.initial and not proxy.counted
 
 
-def test_unknown_fields_are_passed_over_and_missing_bounds_have_defaults(site: Site) -> None:
+def test_unknown_fields_are_ignored_and_missing_bounds_have_defaults(site: Site) -> None:
     tables = site.settings(machine(site, PROXY), initial=False)
     tables["Later"] = {"Field": [1, 2]}
     tables["Provisions"]["TimerBounds"] = {"GraceS": 2.5, "Fenced": True}
@@ -69,7 +69,9 @@
         ("Provisions.TimerBounds.DrainMs", True),
     ],
 )
-def test_a_bad_value_is_named(site: Site, capsys: pytest.CaptureFixture[str], key: str, value: Any) -> None:
+def test_error_names_file_and_key_of_a_bad_value(
+    site: Site, capsys: pytest.CaptureFixture[str], key: str, value: Any
+) -> None:
     tables = site.settings(machine(site, PROXY), initial=False)
     *path, last = key.split(".")
     within = tables
@@ -90,7 +92,7 @@
 
 
 @pytest.mark.parametrize("content", [None, b"[SelfEntity\n", b"\xff\xfe = 1\n"])
-def test_a_file_that_cannot_be_read_is_named(tmp_path: Path, content: bytes | None) -> None:
+def test_error_names_a_file_that_cannot_be_read(tmp_path: Path, content: bytes | None) -> None:
     file = tmp_path / "local.toml"
     if content is not None:
         file.write_bytes(content)
@@ -100,7 +102,7 @@
     assert main(["proxy", "--settings", str(file)]) == 2
 
 
-def test_a_file_that_changes_without_a_signal_is_noticed_once(tmp_path: Path) -> None:
+def test_file_change_without_a_signal_is_noticed_once(tmp_path: Path) -> None:
     file = tmp_path / "local.toml"
     file.write_text("a = 1")
     watched = SettingsFileWatch(str(file))
--- a/tests/system/transport/test_links.py
+++ b/tests/system/transport/test_links.py
@@ -78,7 +78,7 @@
     asyncio.run(whole())
 
 
-def test_messages_come_in_order_and_a_broken_link_is_dialled_again() -> None:
+def test_messages_arrive_in_order_and_a_broken_link_is_redialled() -> None:
     async def act(near: End, far: End, one: str, other: str) -> None:
         near.links.send(other, Barrier(0))  # No link yet: lost without a word.
         near.links.set_peers([one, other])  # Itself is not dialled.
@@ -100,7 +100,7 @@
     pair(act)
 
 
-def test_who_dials_anew_replaces_its_old_link_without_being_lost() -> None:
+def test_redialling_peer_replaces_its_link_without_being_reported_closed() -> None:
     async def act(near: End, far: End, one: str, other: str) -> None:
         first = await near.links.dial(other)
         await until("the first link", lambda: bool(far.ups), 5)
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("data", [b"\xc1", b"\x92\xa2fm\xa1x", "text", b"\x91\xa4none"])
-def test_a_message_that_cannot_be_read_ends_the_link(data: bytes | str) -> None:
+def test_unreadable_message_ends_the_link(data: bytes | str) -> None:
     async def act(near: End, far: End, one: str, other: str) -> None:
         connection = await near.links.dial(other)
         await connection.send(data)
@@ -134,7 +134,7 @@
     pair(act)
 
 
-def test_a_path_of_another_version_is_refused() -> None:
+def test_link_of_another_version_is_refused() -> None:
     caller = PeerIdentity(PROXY, "proxy-a-1", "ab12")
     assert parse_path(format_path(caller)) == caller
 
@@ -152,7 +152,7 @@
     pair(act)
 
 
-def test_an_outbox_that_nobody_empties_ends_the_link(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_send_queue_that_a_peer_does_not_read_ends_the_link(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(outboxes, "MAX_PENDING_BYTES", 1 << 20)
 
     async def act(near: End, far: End, one: str, other: str) -> None:
@@ -191,7 +191,7 @@
     return ControlNodeHeartbeat(cores, in_touch, 1, age_ms)
 
 
-def test_the_nearest_is_first_and_equally_near_ones_are_spread() -> None:
+def test_nearest_node_is_first_and_equally_near_nodes_are_spread_over_proxies() -> None:
     one = choice(seeds=("c9", "c3"))
     assert set(one.candidates(0)) == {"c9", "c3"}  # All that it is told at a start.
     one.up(0, "c3")
@@ -203,7 +203,7 @@
     assert {proxy.candidates(0)[2] for proxy in proxies} == {"c3", "c4"}
 
 
-def test_one_that_is_silent_is_given_up_and_comes_last_for_a_while() -> None:
+def test_silent_node_is_given_up_and_tried_last_until_its_penalty_ends() -> None:
     one = choice()
     one.hear(0, sign())
     one.up(0, "c1")
@@ -215,7 +215,7 @@
     assert one.candidates(2 * SILENT + 1 + PENALTY)[0] == "c1"
 
 
-def test_each_state_of_a_link_and_how_it_is_left() -> None:
+def test_link_turns_stale_at_the_limit_and_fresh_with_a_newer_proof() -> None:
     one = choice()
     one.up(0, "c1")
     one.hear(0, sign(200))
@@ -236,7 +236,7 @@
     assert not one.stale(now) and not one.search(now)
 
 
-def test_searches_that_find_nothing_come_more_seldom_until_all_is_well() -> None:
+def test_searches_back_off_until_the_configuration_is_fresh() -> None:
     one = choice()
     one.up(0, "c1")
     times = [now * NS_PER_MS for now in range(0, 30_000, 10) if one.search(now * NS_PER_MS)]
@@ -247,7 +247,7 @@
     assert one.search(later) and one.search(later + SEARCH_LEAST)
 
 
-def test_a_sign_of_an_earlier_version_tells_no_age_and_is_no_sign() -> None:
+def test_heartbeat_of_an_earlier_version_is_unreadable() -> None:
     """Whoever sends one is not linked to (`Attachment.ask` gives it up)."""
     earlier = msgspec.msgpack.encode(["fc", [], True, 1])
     with pytest.raises(codec.UnreadableError):
@@ -257,7 +257,7 @@
     )
 
 
-def test_others_are_asked_from_the_own_region_and_abroad_in_turn() -> None:
+def test_search_alternates_between_own_and_other_regions() -> None:
     one = choice(seeds=("c9",))
     one.up(0, "c1")
     one.hear(0, sign(cores=(*CORES, ControlNodeAddress("c5", "z5", "r1"))))
@@ -267,7 +267,7 @@
 
 
 @pytest.mark.parametrize("apply", [2.0, 2.5, 3.0, 5.0])
-def test_the_whole_way_to_another_node_is_within_the_bound_on_changes(apply: float) -> None:
+def test_time_to_another_node_is_within_the_bound_on_changes(apply: float) -> None:
     """The budget of `node_selection/selector.py`, summed; what the parts take is the slow network takes."""
     look, dial, told, items = 0.1, 4 * 0.05, 2 * 0.05, 0.4
     bounds = Bounds(config_apply=apply, drain=9, evacuation=9)
@@ -280,7 +280,7 @@
     assert current_for("a", Bounds(config_apply=9, drain=apply, evacuation=9)) <= apply * NS_PER_SECOND / 2
 
 
-def test_a_nearer_one_is_dialled_beside_once_the_link_has_stood() -> None:
+def test_closer_node_is_dialled_once_the_link_has_been_up_long_enough() -> None:
     one = choice()
     one.up(0, "c3")
     one.hear(0, sign())
@@ -293,7 +293,7 @@
     assert far.nearer(2 * NEARER) is None  # c4 is no nearer: no swapping to and fro.
 
 
-def test_seeds_are_exchanged_but_who_is_known_stays_known() -> None:
+def test_new_seeds_replace_old_ones_but_listed_nodes_stay() -> None:
     one = choice(seeds=("old",))
     one.hear(0, sign())
     one.reseed(["new"])
--- a/tests/system/transport/test_traffic_meter.py
+++ b/tests/system/transport/test_traffic_meter.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_frames_and_reach() -> None:
+def test_frame_bytes_and_traffic_scope() -> None:
     assert [frame_bytes(size, False) - size for size in (125, 126, 65_535, 65_536)] == [2, 4, 4, 10]
     assert frame_bytes(10, True) == 16
     own = ("a1", "a")
@@ -28,7 +28,7 @@
     ]
 
 
-def test_counts_are_told_each_ten_seconds_and_go_on() -> None:
+def test_counts_are_reported_each_interval_and_accumulate() -> None:
     meter = TrafficMeter(("a1", "a"), {"x": ("b1", "b"), "y": ("a1", "a")}.get)
     for peer in ("x", "x", "y", "z"):
         meter.record(peer, True, "cb", 20)
@@ -42,7 +42,7 @@
     assert (again := meter.report_if_due(2 * REPORT_INTERVAL_NS)) and again["abroad"] == {"cb": [3, 74]}
 
 
-def test_a_message_counts_once_it_is_written() -> None:
+def test_message_is_counted_only_after_it_is_written() -> None:
     class Broken:
         def __init__(self) -> None:
             self.sent: list[bytes] = []
