--- a/tests/system/configuration/test_agreement.py
+++ b/tests/system/configuration/test_agreement.py
@@ -1,4 +1,4 @@
-"""How calls of operators are decided: one content a version, and each call as a whole."""
+"""Decisions on operators' calls: one content for each version, and each call as a whole."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     assert outcome.end == 2 and {item.version[1] for item in one.recent} == {AGREED}
     after, refused = decide(services(c=(6, 1), a=(5, 2)), one, progress, held)
     assert isinstance(refused, Conflict) and names(refused.items) == [("a", 5)]
-    assert after.recent == one.recent  # Nothing of it, not what would have been new either.
+    assert after.recent == one.recent  # Nothing of the call is agreed, new items neither.
     again, same = decide(services(a=(5, 1), b=(5, 1)), one, progress, held)
     assert again == one and same == outcome
 
@@ -63,7 +63,7 @@
     two, _ = decide(services(a=(7, 2)), one, progress, held)
     assert isinstance(decide(services(a=(5, 1)), two, progress, held)[1], Accepted)
     assert isinstance(decide(services(a=(5, 3)), two, progress, held)[1], Conflict)
-    # A version that came late stands for the content that it came with, though that was never in force.
+    # A version that came late keeps the content that it came with, though that was never in force.
     three, late = decide(services(a=(6, 1)), two, progress, held)
     assert isinstance(late, Accepted) and three.recent == two.recent
     assert isinstance(decide(services(a=(6, 2)), three, progress, held)[1], Conflict)
@@ -81,7 +81,7 @@
     assert not change.tried
     progress.has_read(3)
     assert isinstance(change(value, 0, 0).result, Accepted)
-    # Behind after another one's write: what it wrote itself may have been agreed all the same.
+    # Behind after another node's write: its own write may have been agreed nevertheless.
     assert isinstance(change(msgspec.msgpack.encode(Agreement(4, ())), 0, 0).result, Behind) and change.tried
 
 
@@ -95,7 +95,7 @@
     three, third = decide(services(d=(3, 1)), two, progress, {item.key: item for item in first.to_store})
     assert names(three.recent) == [("c", 2), ("d", 3)] and three.settled == 2 and three.end == 4
     assert isinstance(third, Accepted) and names(third.to_store) == [("c", 2), ("d", 3)]
-    # Another machine, that knows less, stores all that is listed, and keeps it listed.
+    # Another node, which knows less, stores all that is listed, and keeps it listed.
     four, fourth = decide(services(e=(4, 1)), three, Progress(2), {item.key: item for item in first.to_store})
     assert four.settled == 2 and isinstance(fourth, Accepted)
     assert names(fourth.to_store) == [("c", 2), ("d", 3), ("e", 4)]
@@ -107,7 +107,7 @@
     after, outcome = decide(services(a=(5, 1)), START, Progress(0), held)
     assert after == START and outcome == Accepted((old,), 0)
     assert isinstance(decide(services(a=(5, 2)), START, Progress(0), held)[1], Conflict)
-    # One that no majority had was agreed otherwise: then that wins over it, however they compare.
+    # Other content was agreed than the one that no majority stored: it wins, however they compare.
     agreed = msgspec.structs.replace(services(a=(5, None)).items[0], version=(5, AGREED))
     for content in (1, 2, None):
         assert agreed.rank > services(a=(5, content)).items[0].rank
@@ -140,7 +140,7 @@
 @settings(derandomize=True, max_examples=200)
 @given(calls=CALLS, storing=st.lists(st.booleans(), min_size=12, max_size=12))
 def test_each_version_gets_one_content_for_any_calls(calls: list[Any], storing: list[bool]) -> None:
-    """Two machines in turn, each with a store of its own that is read before it judges."""
+    """Two nodes in turn, each with its own store that is read before it decides."""
     agreement = START
     progresses = (Progress(), Progress())
     stored = dict[Key, Item]()
--- a/tests/system/configuration/test_configuration.py
+++ b/tests/system/configuration/test_configuration.py
@@ -1,4 +1,4 @@
-"""Which configurations are taken and which are not, and that what is read back is what was sent."""
+"""Which configurations are valid, and that a configuration reads back as it was sent."""
 
 from __future__ import annotations
 
@@ -138,9 +138,9 @@
     change = document({**ROUTE, "ConfigVersion": "r8", "Service": "t"}, services=())
     assert read_order(change).unknown({}) and not read_order(change).unknown(held)
     drop = document(services=(), remove={"Services": [{"Name": "s", "ConfigVersion": "r9"}]})
-    assert read_order(drop).unknown(held)  # The route that stands would be left without its service.
+    assert read_order(drop).unknown(held)  # The route in force would be left without its service.
     held = merged(merged(held, change), drop)
-    assert not read_order(document(ROUTE, services=())).unknown(held)  # An older one that arrives again.
+    assert not read_order(document(ROUTE, services=())).unknown(held)  # A late copy of an older call.
     dangling = read_order(document({**ROUTE, "ConfigVersion": "r9"}, services=())).items[0]
     assert not read_order(drop).unknown({**held, dangling.key: dangling})  # It is dropped already.
     again = document({**ROUTE, "ConfigVersion": "r10"}, services=())
@@ -181,7 +181,7 @@
 def test_configuration_reads_back_as_it_was_sent(
     calls: list[tuple[dict[str, Any], bool]], versions: list[int]
 ) -> None:
-    """Calls come in any order; of each name the highest version holds, set or dropped."""
+    """Calls come in any order; of each name the highest version is in force, set or dropped."""
     held: dict[Key, Item] = {}
     highest: dict[str, tuple[int, Any]] = {}
     limits = {"HeaderBytes": 16384, "ConfigVersion": "r7"}
--- a/tests/system/configuration/test_rival_operators.py
+++ b/tests/system/configuration/test_rival_operators.py
@@ -1,4 +1,4 @@
-"""Two operators with one version, and a machine that returns with old state: as an operator sees it."""
+"""Two operators with one version, and a node that returns with outdated state, as an operator sees it."""
 
 from __future__ import annotations
 
--- a/tests/system/messages/test_codec.py
+++ b/tests/system/messages/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages as bytes: long ones deflated, and what is no message refused."""
+"""Encoding and decoding of messages: long ones are deflated, unreadable bytes are rejected."""
 
 from __future__ import annotations
 
--- a/tests/system/settings/test_settings.py
+++ b/tests/system/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: a whole one is read; a bad one is refused, and the error names the file and the key."""
+"""The settings file: a complete one is read; the error of a bad one names the file and the key."""
 
 from pathlib import Path
 from typing import Any
--- a/tests/system/transport/test_links.py
+++ b/tests/system/transport/test_links.py
@@ -1,4 +1,4 @@
-"""Links over real websockets on 127.0.0.0/8, and a proxy's choice of the control node that looks after it."""
+"""Links over real websockets on 127.0.0.0/8, and a proxy's selection of its control node."""
 
 import asyncio
 import itertools
@@ -45,7 +45,7 @@
 
 
 class End:
-    """One machine's links, and what it saw."""
+    """One machine's links, and what its callbacks received."""
 
     def __init__(self, ip: str, port: int, life: str = "1") -> None:
         self.heard, self.ups, self.downs = list[Any](), list[PeerIdentity](), list[PeerIdentity]()
@@ -80,8 +80,8 @@
 
 def test_messages_arrive_in_order_and_a_broken_link_is_redialled() -> None:
     async def act(near: End, far: End, one: str, other: str) -> None:
-        near.links.send(other, Barrier(0))  # No link yet: lost without a word.
-        near.links.set_peers([one, other])  # Itself is not dialled.
+        near.links.send(other, Barrier(0))  # No link yet: dropped.
+        near.links.set_peers([one, other])  # Its own ip isn't dialled.
         await until("a link", lambda: other in near.links.dialled_queues and bool(far.ups), 5)
         for number in range(1, 500):
             near.links.send(other, Barrier(number))
@@ -128,7 +128,7 @@
         await connection.wait_closed()
         await until("the link's end", lambda: bool(far.downs), 5)
         assert far.logged == [104] and not far.heard
-        near.links.set_peers([other])  # And the next one works.
+        near.links.set_peers([other])  # The next link works.
         await until("a link", lambda: other in near.links.dialled_queues, 5)
 
     pair(act)
@@ -146,7 +146,7 @@
                 await connect(f"ws://{other}:{far.links.port}{path}", proxy=None)
         assert far.logged == [103] * 5 and not far.ups
         near.links.local = PeerIdentity("clerk", "a", "1")
-        with pytest.raises(ConnectionError):  # As whoever dials is told.
+        with pytest.raises(ConnectionError):  # The error of a refused dial.
             await near.links.dial(other)
 
     pair(act)
@@ -172,7 +172,7 @@
     pair(act)
 
 
-# The choice of a control node, without sockets.
+# Selection of a control node, without sockets.
 CORES = (
     ControlNodeAddress("c1", "z1", "r1"),
     ControlNodeAddress("c2", "z2", "r1"),
@@ -193,7 +193,7 @@
 
 def test_nearest_node_is_first_and_equally_near_nodes_are_spread_over_proxies() -> None:
     one = choice(seeds=("c9", "c3"))
-    assert set(one.candidates(0)) == {"c9", "c3"}  # All that it is told at a start.
+    assert set(one.candidates(0)) == {"c9", "c3"}  # Only the seeds are known at a start.
     one.up(0, "c3")
     one.hear(0, sign())
     assert one.candidates(0)[:2] == ["c1", "c2"] and one.candidates(0)[-1] == "c9"
@@ -207,7 +207,7 @@
     one = choice()
     one.hear(0, sign())
     one.up(0, "c1")
-    one.alive(SILENT)  # Whatever it sends is a sign of life.
+    one.alive(SILENT)  # Any message resets the time-out.
     assert not one.silent(2 * SILENT) and one.silent(2 * SILENT + 1)
     one.fail(2 * SILENT + 1, "c1")
     assert one.linked is None and not one.silent(10 * NS_PER_SECOND)
@@ -224,15 +224,15 @@
     assert not one.search(end)
     one.hear(
         end, sign(one.current_for // NS_PER_MS + 400)
-    )  # The node says so itself; what was proved stays so.
+    )  # A stale node's heartbeat doesn't lower what was proved before.
     assert one.proved == -200 * NS_PER_MS and one.stale(end + 1)
     assert one.search(end + 1)
     now = end + 1
     assert not one.newer(
         now, sign((now + 200 * NS_PER_MS - NEWER) // NS_PER_MS + 1)
-    )  # Not newer enough to be worth it.
+    )  # Newer by too little to change nodes.
     assert one.newer(now, sign((now + 200 * NS_PER_MS - NEWER) // NS_PER_MS - 1))
-    one.hear(now, sign(0))  # Its contact is back before another one was found.
+    one.hear(now, sign(0))  # The node is fresh again before another one was found.
     assert not one.stale(now) and not one.search(now)
 
 
@@ -248,7 +248,7 @@
 
 
 def test_heartbeat_of_an_earlier_version_is_unreadable() -> None:
-    """Whoever sends one is not linked to (`Attachment.ask` gives it up)."""
+    """A proxy doesn't link to a node that sends one."""
     earlier = msgspec.msgpack.encode(["fc", [], True, 1])
     with pytest.raises(codec.UnreadableError):
         codec.decode(earlier)
@@ -268,15 +268,13 @@
 
 @pytest.mark.parametrize("apply", [2.0, 2.5, 3.0, 5.0])
 def test_time_to_another_node_is_within_the_bound_on_changes(apply: float) -> None:
-    """The budget of `node_selection/selector.py`, summed; what the parts take is the slow network takes."""
+    """The sum of the budget of `node_selection/selector.py`, with the times of a slow network."""
     look, dial, told, items = 0.1, 4 * 0.05, 2 * 0.05, 0.4
     bounds = Bounds(config_apply=apply, drain=9, evacuation=9)
     spread = {current_for(f"front-{at}", bounds) for at in range(99)}
-    assert len(spread) > 20 or apply == 2.0  # Not all at one moment, where there is room.
+    assert len(spread) > 20 or apply == 2.0  # Proxies don't search all at once, if the bound allows.
     assert max(spread) / NS_PER_SECOND + look + dial + told + items < apply
-    assert (
-        min(spread) >= NS_PER_SECOND
-    )  # Proofs are told 0.7 s old in a calm time, 0.9 s in a storm of changes.
+    assert min(spread) >= NS_PER_SECOND  # Proofs are 0.7 s old without load, 0.9 s during many changes.
     assert current_for("a", Bounds(config_apply=9, drain=apply, evacuation=9)) <= apply * NS_PER_SECOND / 2
 
 
@@ -290,7 +288,7 @@
     far = choice()
     far.hear(0, sign(cores=CORES[2:]))
     far.up(0, "c3")
-    assert far.nearer(2 * NEARER) is None  # c4 is no nearer: no swapping to and fro.
+    assert far.nearer(2 * NEARER) is None  # c4 isn't nearer: no changing back and forth.
 
 
 def test_new_seeds_replace_old_ones_but_listed_nodes_stay() -> None:
@@ -298,5 +296,5 @@
     one.hear(0, sign())
     one.reseed(["new"])
     assert set(one.candidates(0)) == {"c1", "c2", "c3", "c4", "new"}
-    one.hear(1, sign(cores=()))  # A list that is as it was is not told again.
+    one.hear(1, sign(cores=()))  # An unchanged list is sent empty.
     assert len(one.candidates(1)) == 5
--- a/tests/system/transport/test_traffic_meter.py
+++ b/tests/system/transport/test_traffic_meter.py
@@ -1,4 +1,4 @@
-"""What links carry, counted by reach and kind of message."""
+"""Traffic of links, counted by scope and kind of message."""
 
 from __future__ import annotations
 
