--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -148,6 +148,19 @@
     assert [link for link in links if not (page.parent / link).exists()] == []
 
 
+@pytest.fixture(scope="module")
+def defined() -> frozenset[str]:
+    """All names that modules of the repository define, with those of their classes as `Class.name`."""
+    files = [path for top in ("ambershift", "benchmarks", "tests") for path in (ROOT / top).rglob("*.py")]
+    return frozenset(name for path in files for name in definitions(path))
+
+
+@pytest.mark.parametrize("page", pages(), ids=lambda page: str(page.relative_to(ROOT)))
+def test_each_member_of_a_class_on_a_page_exists(page: Path, defined: frozenset[str]) -> None:
+    members = re.findall(r"`([A-Z]\w+[.][a-z_]\w*)`", page.read_text("utf-8"))
+    assert [name for name in members if name not in defined and not FILE.fullmatch(name)] == []
+
+
 @pytest.mark.parametrize("page", pages(), ids=lambda page: str(page.relative_to(ROOT)))
 def test_each_path_in_code_marks_exists(page: Path) -> None:
     paths = [
