--- a/ambershift/system/consensus/disk.py
+++ b/ambershift/system/consensus/disk.py
@@ -83,6 +83,34 @@
     return connection
 
 
+def _read_rows(connection: sqlite3.Connection, ip: str) -> Rows:
+    """Check a database, make its table if there is none, and read all rows.
+
+    Raises:
+        sqlite3.Error: It can't be read.
+        UnusableDatabaseError: It isn't one that the node with that ip may use.
+    """
+    version = connection.execute("PRAGMA user_version").fetchone()[0]
+    if version > FORMAT_VERSION:
+        raise UnusableDatabaseError(f"written by a newer program (format {version})")
+    if connection.execute("PRAGMA quick_check").fetchall() != [("ok",)]:
+        raise UnusableDatabaseError("damaged")
+    connection.execute(
+        "CREATE TABLE IF NOT EXISTS entries (kind TEXT, name TEXT, value BLOB, "
+        "PRIMARY KEY (kind, name)) WITHOUT ROWID"
+    )
+    connection.execute(f"PRAGMA user_version={FORMAT_VERSION}")
+    rows: Rows = {}
+    for table, key, value in connection.execute("SELECT kind, name, value FROM entries"):
+        rows.setdefault(table, {})[key] = value
+    owner = rows.get("meta", {}).get("ip")
+    if owner is not None and owner != ip.encode():
+        raise UnusableDatabaseError(f"of another machine ({owner.decode(errors='replace')})")
+    if rows and owner is None:
+        raise UnusableDatabaseError("without an owner")
+    return rows
+
+
 def _open_database(path: Path, ip: str) -> tuple[sqlite3.Connection, Rows]:
     """Open a database, or make one, and read all rows.
 
@@ -92,24 +120,7 @@
     """
     connection = _connect(path)
     try:
-        version = connection.execute("PRAGMA user_version").fetchone()[0]
-        if version > FORMAT_VERSION:
-            raise UnusableDatabaseError(f"written by a newer program (format {version})")
-        if connection.execute("PRAGMA quick_check").fetchall() != [("ok",)]:
-            raise UnusableDatabaseError("damaged")
-        connection.execute(
-            "CREATE TABLE IF NOT EXISTS entries (kind TEXT, name TEXT, value BLOB, "
-            "PRIMARY KEY (kind, name)) WITHOUT ROWID"
-        )
-        connection.execute(f"PRAGMA user_version={FORMAT_VERSION}")
-        rows: Rows = {}
-        for table, key, value in connection.execute("SELECT kind, name, value FROM entries"):
-            rows.setdefault(table, {})[key] = value
-        owner = rows.get("meta", {}).get("ip")
-        if owner is not None and owner != ip.encode():
-            raise UnusableDatabaseError(f"of another machine ({owner.decode(errors='replace')})")
-        if rows and owner is None:
-            raise UnusableDatabaseError("without an owner")
+        rows = _read_rows(connection, ip)
     except BaseException:
         connection.close()
         raise
--- a/ambershift/system/consensus/heartbeats.py
+++ b/ambershift/system/consensus/heartbeats.py
@@ -30,6 +30,7 @@
         self,
         effects: EffectBuffer,
         voters: VotingState,
+        *,
         store: ItemStore,
         directory: PeerDirectory,
         failure_detector: FailureDetector,
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -105,11 +105,11 @@
         self._heartbeats = HeartbeatExchange(
             out,
             self._voters,
-            self._store,
-            self._peer_directory,
-            self._failure_detector,
-            self._announcer,
-            self._contact,
+            store=self._store,
+            directory=self._peer_directory,
+            failure_detector=self._failure_detector,
+            announcer=self._announcer,
+            contact_lease=self._contact,
         )
         self._proposer = Proposer(
             out,
