--- a/tests/system/consensus/test_contact_lease.py
+++ b/tests/system/consensus/test_contact_lease.py
@@ -1,4 +1,4 @@
-"""Up to when a copy proves that it has all that was acknowledged: what proves it, and what does not."""
+"""The contact lease: what proves that a copy has all that was acknowledged, and what does not."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 NODES = [f"10.0.0.{at}" for at in range(1, 6)]
 
 
-class Voting:
-    """What is needed of `VotingState`: five, of which this machine may be one."""
+class FakeVotingState:
+    """What the lease reads of `VotingState`: five voters, of which this node may be one."""
 
     def __init__(self, voting: bool = True) -> None:
         self.ips, self.quorum_size, self.can_vote, self.is_voter = frozenset(NODES), 3, voting, voting
@@ -34,11 +34,11 @@
 
 def contact(voting: bool = True) -> tuple[ContactLease, EffectBuffer]:
     out = EffectBuffer(NODES[0])
-    return ContactLease(out, Voting(voting)), out  # type: ignore[arg-type]
+    return ContactLease(out, FakeVotingState(voting)), out  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(("voting", "beats"), [(True, 2), (False, 3)])
-def test_a_majority_of_equal_beats_proves_the_oldest_of_them(voting: bool, beats: int) -> None:
+def test_matching_heartbeats_of_a_majority_prove_the_oldest_of_them(voting: bool, beats: int) -> None:
     one, out = contact(voting)
     others = NODES[1:]
     for at in range(beats):
@@ -53,7 +53,7 @@
     assert one.age_ms() == (out.now - 20 * NS_PER_MS) // NS_PER_MS and one.needs_quorum_read()
 
 
-def test_who_votes_now_must_have_spoken_since_and_what_was_proved_stays_so() -> None:
+def test_only_heartbeats_of_present_voters_count_and_a_proof_never_shrinks() -> None:
     one, out = contact()
     out.now = NS_PER_SECOND
     for ip in NODES[1:]:
@@ -70,7 +70,7 @@
     assert one.proven_until() == 2 * NS_PER_SECOND
 
 
-def test_beats_that_waited_while_the_process_stood_still_prove_nothing() -> None:
+def test_heartbeats_that_waited_during_a_pause_prove_nothing() -> None:
     one, out = contact()
     out.now = 10 * NS_PER_SECOND
     one.record_elapsed(PAUSE_THRESHOLD_NS + 1)
@@ -104,7 +104,7 @@
         (HeartbeatFlag.COMPLETE, 0, 1, False),
     ],
 )
-def test_only_beats_of_complete_voters_of_this_epoch_with_equal_checksums_count(
+def test_only_matching_heartbeats_of_complete_voters_of_this_epoch_count(
     state: int, ahead: int, differs: int, counts: bool
 ) -> None:
     world, replica = settled()
@@ -114,7 +114,7 @@
     assert (replica.contact.proven_until() == now) == counts
 
 
-def test_a_reading_proves_the_moment_at_which_it_was_begun() -> None:
+def test_quorum_read_proves_the_moment_it_was_started() -> None:
     world, replica = settled()
     begun = world.now + RENEWAL_AGE_NS + 200 * NS_PER_MS
     asked = [
--- a/tests/system/consensus/test_disk.py
+++ b/tests/system/consensus/test_disk.py
@@ -1,4 +1,4 @@
-"""The folder of a control node: what was acknowledged stays, what can't be used is set aside."""
+"""The folder of a control node: what was acknowledged stays, what is unusable is quarantined."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         return fault
 
 
-def test_each_commit_survives_loss_of_all_that_came_later(tmp_path: Path) -> None:
+def test_commit_survives_the_loss_of_everything_later(tmp_path: Path) -> None:
     opened = Opened(tmp_path / "live")
     assert opened.write(0, ("meta", "ip", IP.encode())) is None
     sizes = []
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["of another machine", "newer", "damaged", "damaged inside"])
-def test_a_folder_that_cannot_be_used_is_set_aside(tmp_path: Path, trouble: str) -> None:
+def test_unusable_folder_is_quarantined(tmp_path: Path, trouble: str) -> None:
     opened = Opened(tmp_path, "10.0.0.9" if trouble == "of another machine" else IP)
     items = [("items", f"k{number}", b"v" * 900) for number in range(40)]
     opened.write(1, ("meta", "ip", opened.disk._ip.encode()), *items)
@@ -89,7 +89,7 @@
     assert Opened(tmp_path).rows == {"meta": {"ip": IP.encode()}}
 
 
-def test_a_full_disk_refuses_whole_writes_and_takes_them_later(tmp_path: Path) -> None:
+def test_full_disk_rejects_complete_writes_and_accepts_them_later(tmp_path: Path) -> None:
     opened = Opened(tmp_path)
     opened.write(1, ("meta", "ip", IP.encode()))
     assert opened.disk._connection is not None
@@ -101,7 +101,7 @@
     assert len(Opened(tmp_path).rows["items"]) == 21
 
 
-def test_nobody_is_answered_before_failed_rows_are_on_disk_with_newer_ones() -> None:
+def test_callbacks_wait_until_failed_rows_are_on_disk_with_newer_ones() -> None:
     out = EffectBuffer(IP)
     journal = WriteQueue(out)
     told: list[str] = []
@@ -143,7 +143,7 @@
     )
 
 
-def test_a_shelf_keeps_what_it_acknowledged(tmp_path: Path) -> None:
+def test_store_keeps_what_it_acknowledged(tmp_path: Path) -> None:
     def add(value: bytes | None, since: int, now: int) -> ChangeOutcome:
         count = int(value or b"0") + 1
         return ChangeOutcome(str(count).encode(), count)
@@ -180,7 +180,7 @@
     assert asyncio.run(life(False, second)) == 3
 
 
-def test_the_names_of_all_folders_made_are_on_disk_before_anything_is_acknowledged(
+def test_folders_made_are_synced_before_anything_is_acknowledged(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A loss of power takes a name that its folder wasn't synced for, and all that lies below."""
@@ -197,7 +197,7 @@
     assert synced == before
 
 
-def test_folders_above_that_cannot_be_synced_are_passed_over_unless_they_were_made_now(
+def test_parent_folders_that_cannot_be_synced_are_ignored_unless_just_made(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     real, refused = disk.sync_folder, [tmp_path]
@@ -217,7 +217,7 @@
 
 @pytest.mark.parametrize("lost", [DATABASE_FILE, f"{DATABASE_FILE}-wal", "both"])
 @pytest.mark.parametrize("writes", [3, 400])
-def test_a_folder_that_lost_one_of_its_names_holds_all_or_is_not_this_machine_s(
+def test_folder_that_lost_a_file_is_read_without_gaps_or_starts_empty(
     tmp_path: Path, lost: str, writes: int
 ) -> None:
     """Killed without an end, and then a name is gone: whatever is read has an owner and no holes in it."""
--- a/tests/system/consensus/test_lost_contact.py
+++ b/tests/system/consensus/test_lost_contact.py
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize("state", STATES, ids=lambda one: one.__name__)
-def test_without_contact_nothing_old_is_told_and_nothing_is_taken_alone(
+def test_node_without_contact_answers_nothing_stale_and_commits_nothing_alone(
     state: Callable[[Story], None],
 ) -> None:
     for call in CALLS:
--- a/tests/system/consensus/test_membership.py
+++ b/tests/system/consensus/test_membership.py
@@ -1,4 +1,4 @@
-"""Who votes: seats of lost and leaving voters, sets that shrink and grow, two losses one after the other."""
+"""Membership changes: seats of lost and leaving voters, sets that shrink and grow, two losses in a row."""
 
 from __future__ import annotations
 
@@ -70,18 +70,18 @@
         (".....", (6,), "1 2 3 4 5"),
     ],
 )
-def test_who_should_vote(states: str, learners: tuple[int, ...], after: str) -> None:
+def test_plan_of_the_next_voters(states: str, learners: tuple[int, ...], after: str) -> None:
     assert planned(states, *learners) == after
 
 
-def test_learners_are_not_taken_in_where_a_region_would_hold_the_majority() -> None:
+def test_plan_adds_no_learners_that_would_give_one_region_the_majority() -> None:
     voters = [VoterView(member(number)) for number in (1, 2, 3)]
     found = plan_voters(voters, [learner(4), learner(7)], TOLERATED)  # Both of the region of the first.
     assert not found.grows and len(found.voters) == 3
     assert plan_voters(voters, [learner(4), learner(5)], TOLERATED).grows
 
 
-def test_a_set_changes_only_for_a_better_one_and_never_into_one_that_stands_still() -> None:
+def test_plan_changes_voters_only_to_tolerate_more_losses() -> None:
     for size in range(3, 8):
         for states in itertools.product(".LGES", repeat=size):
             kept = [int(number) for number in planned("".join(states)).split()]
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_three_of_six_leave_for_good_and_the_rest_goes_on(told: bool) -> None:
+def test_cluster_goes_on_after_three_of_six_nodes_left_for_good(told: bool) -> None:
     world = Lists(5, loss=0, count=6)
     world.run(2.5)
     for ip in sorted(world.boxes)[:3]:
@@ -140,7 +140,7 @@
     world.cut |= {pair for a in apart for b in others for pair in ((a, b), (b, a))}
 
 
-def test_halves_keep_their_voters_and_a_smaller_part_never_makes_itself_a_set() -> None:
+def test_partitioned_halves_keep_their_voters_and_a_minority_forms_no_set() -> None:
     world = Lists(6, loss=0, count=6)
     world.run(2.5)
     before = epochs(world)
@@ -161,7 +161,7 @@
     assert world.judge() == []
 
 
-def test_the_next_change_waits_until_copies_are_complete() -> None:
+def test_next_change_waits_until_replicas_are_complete() -> None:
     world = Lists(8, loss=0, count=6)
     world.run(2.5)
     replica = world.boxes["10.0.0.1"].replica
@@ -176,7 +176,7 @@
     )  # One more lost would leave no majority of complete ones: change now.
 
 
-def test_a_learner_that_comes_and_goes_is_not_taken_in() -> None:
+def test_learner_that_comes_and_goes_is_not_added() -> None:
     world = Lists(9, loss=0, count=4)
     world.run(2.5)
     world.boxes["10.0.0.5"] = Box("10.0.0.5", initial=False)
@@ -193,20 +193,20 @@
 
 @pytest.mark.parametrize("count", [5, 6])
 @pytest.mark.parametrize("first", LOSSES)
-def test_a_second_loss_at_any_moment_after_the_first_is_borne(first: str, count: int) -> None:
+def test_second_loss_at_any_moment_after_the_first_is_tolerated(first: str, count: int) -> None:
     for second, moment in itertools.product(LOSSES, MOMENTS):
         outcome = play_pair(Pair(first, second, moment, count))
         assert outcome.broken == [] and outcome.wrote, (second, moment)
 
 
 @pytest.mark.parametrize("first", LOSSES)
-def test_a_region_lost_in_between_changes_nothing_of_that(first: str) -> None:
+def test_two_losses_are_tolerated_with_a_region_lost_in_between(first: str) -> None:
     for second in LOSSES:
         outcome = play_pair(Pair(first, second, "later", 6, between=True))
         assert outcome.broken == [] and outcome.wrote, second
 
 
-def test_two_that_end_while_two_others_have_just_died_are_not_left_out_for_the_dead() -> None:
+def test_leaving_voters_are_not_removed_while_others_have_just_died() -> None:
     """They are back in a second, and with the fifth they are the majority."""
     world = Lists(5, loss=0, count=5)
     world.run(2.5)
@@ -225,7 +225,7 @@
     assert written(world, ["10.0.0.1", "10.0.0.2", "10.0.0.3"])
 
 
-def test_seats_of_two_that_end_are_not_both_handed_to_learners_that_have_just_died() -> None:
+def test_seats_of_leaving_voters_are_not_all_given_to_learners_that_just_died() -> None:
     """Found by seed 470: two of five leave the voters and are taken out for good, and within a second two of
     the three that are left are told to end. They are back in a second; the two learners never are."""
     world = Lists(5, loss=0, count=5)
