--- a/ambershift/system/simulation/fleet_links.py
+++ b/ambershift/system/simulation/fleet_links.py
@@ -45,7 +45,7 @@
 
 
 class ProxyLink:
-    """A connection of a proxy with one life of a control node; to `Outbox` and `receive` a websocket."""
+    """A connection of a proxy with one incarnation of a control node, in place of a websocket."""
 
     def __init__(self, fleet: FleetNetwork, proxy: str, ip: str, life: int) -> None:
         self.fleet, self.proxy, self.ip, self.life = fleet, proxy, ip, life
