--- a/ambershift/admin/adopt.py
+++ b/ambershift/coordinator/admin/adopt.py
@@ -8,12 +8,12 @@
 
 from rpds import HashTrieMap
 
-from ambershift.admin.ledger import Ledger
-from ambershift.admin.mirror import Mirror
-from ambershift.admin.pace import Pace
-from ambershift.admin.pending import Told, Waiting
-from ambershift.admin.words import Standing
-from ambershift.admin.world import World
+from ambershift.coordinator.admin.ledger import Ledger
+from ambershift.coordinator.admin.mirror import Mirror
+from ambershift.coordinator.admin.pace import Pace
+from ambershift.coordinator.admin.pending import Told, Waiting
+from ambershift.coordinator.admin.words import Standing
+from ambershift.coordinator.admin.world import World
 
 
 class Adopting:
--- a/ambershift/admin/coverage.py
+++ b/ambershift/coordinator/admin/coverage.py
@@ -12,8 +12,8 @@
 from rpds import HashTrieMap
 
 from ambershift import interface as api
-from ambershift.admin.words import Reason, Refused
-from ambershift.admin.world import World
+from ambershift.coordinator.admin.words import Reason, Refused
+from ambershift.coordinator.admin.world import World
 
 # Lent servers go back only once others have carried the traffic for so long: a list that flaps would else
 # have each proxy told twice for every flap.
--- a/ambershift/admin/desk.py
+++ b/ambershift/coordinator/admin/desk.py
@@ -11,16 +11,16 @@
 from rpds import HashTrieMap
 
 from ambershift import interface as api
-from ambershift.admin.adopt import Adopting
-from ambershift.admin.coverage import Lender, Warmth, heir_is_away
-from ambershift.admin.ledger import Ledger
-from ambershift.admin.mirror import NEVER_SHUT, Mirror
-from ambershift.admin.overlay import effective, lower, warms_at
-from ambershift.admin.pace import Pace
-from ambershift.admin.pending import Told, Waiting, drained, stage
-from ambershift.admin.view import View
-from ambershift.admin.weigh import weigh
-from ambershift.admin.words import (
+from ambershift.coordinator.admin.adopt import Adopting
+from ambershift.coordinator.admin.coverage import Lender, Warmth, heir_is_away
+from ambershift.coordinator.admin.ledger import Ledger
+from ambershift.coordinator.admin.mirror import NEVER_SHUT, Mirror
+from ambershift.coordinator.admin.overlay import effective, lower, warms_at
+from ambershift.coordinator.admin.pace import Pace
+from ambershift.coordinator.admin.pending import Told, Waiting, drained, stage
+from ambershift.coordinator.admin.view import View
+from ambershift.coordinator.admin.weigh import weigh
+from ambershift.coordinator.admin.words import (
     AS_LISTED,
     Accepted,
     Change,
@@ -30,7 +30,7 @@
     Stage,
     Standing,
 )
-from ambershift.admin.world import EMPTY, World
+from ambershift.coordinator.admin.world import EMPTY, World
 
 # Wishes that may be on their way at once. Beyond it the relay has been away for long, or somebody scripts
 # badly.
--- a/ambershift/admin/overlay.py
+++ b/ambershift/coordinator/admin/overlay.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from ambershift import interface as api
-from ambershift.admin.coverage import Warmth
-from ambershift.admin.world import World
+from ambershift.coordinator.admin.coverage import Warmth
+from ambershift.coordinator.admin.world import World
 
 
 def effective(world: World, server: int, warmth: Warmth, now: int) -> api.Entry:
--- a/ambershift/admin/pending.py
+++ b/ambershift/coordinator/admin/pending.py
@@ -11,8 +11,8 @@
 from rpds import HashTrieMap
 
 from ambershift import interface as api
-from ambershift.admin.mirror import NEVER_SHUT, NOTHING_MET, Picture
-from ambershift.admin.words import Stage
+from ambershift.coordinator.admin.mirror import NEVER_SHUT, NOTHING_MET, Picture
+from ambershift.coordinator.admin.words import Stage
 
 # A server counts as drained once no report of the last so many report periods tells of a try there.
 QUIET_PERIODS = 2
--- a/ambershift/admin/view.py
+++ b/ambershift/coordinator/admin/view.py
@@ -4,10 +4,10 @@
 
 from typing import NamedTuple
 
-from ambershift.admin.mirror import Picture
-from ambershift.admin.pending import Waiting, stage
-from ambershift.admin.words import Stage
-from ambershift.admin.world import World
+from ambershift.coordinator.admin.mirror import Picture
+from ambershift.coordinator.admin.pending import Waiting, stage
+from ambershift.coordinator.admin.words import Stage
+from ambershift.coordinator.admin.world import World
 
 
 class View(NamedTuple):
--- a/ambershift/admin/wants.py
+++ b/ambershift/coordinator/admin/wants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.admin.words import Change, Standing
+from ambershift.coordinator.admin.words import Change, Standing
 
 # HAProxy's bounds: 0 to 256, of the listed weight 0 to 100 percent.
 WEIGHT_MOST, PART_MOST = 256.0, 1.0
--- a/ambershift/admin/weigh.py
+++ b/ambershift/coordinator/admin/weigh.py
@@ -6,10 +6,10 @@
 
 from collections.abc import Sequence
 
-from ambershift.admin.coverage import Warmth, uncovered
-from ambershift.admin.wants import wanted, weighable
-from ambershift.admin.words import AS_LISTED, Change, Origin, Reason, Refused
-from ambershift.admin.world import World
+from ambershift.coordinator.admin.coverage import Warmth, uncovered
+from ambershift.coordinator.admin.wants import wanted, weighable
+from ambershift.coordinator.admin.words import AS_LISTED, Change, Origin, Reason, Refused
+from ambershift.coordinator.admin.world import World
 
 
 def weigh(
--- a/ambershift/admin/world.py
+++ b/ambershift/coordinator/admin/world.py
@@ -12,7 +12,7 @@
 from rpds import HashTrieMap, HashTrieSet
 
 from ambershift import interface as api
-from ambershift.admin.words import AS_LISTED, Origin, Standing, State
+from ambershift.coordinator.admin.words import AS_LISTED, Origin, Standing, State
 
 
 class World(NamedTuple):
--- a/ambershift/group/at_desk.py
+++ b/ambershift/group/at_desk.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from ambershift import interface as api
-from ambershift.admin.desk import Desk
-from ambershift.admin.words import AS_LISTED, Standing
+from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.admin.words import AS_LISTED, Standing
 from ambershift.door import Door
 from ambershift.promises.state import EMPTY, Promises
 from ambershift.promises.unconfirmed import SoonerEnd
--- a/ambershift/group/front.py
+++ b/ambershift/group/front.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ambershift.admin.words import Refused
+from ambershift.coordinator.admin.words import Refused
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import BadStartError
 from ambershift.group.at_desk import AtDesk
--- a/ambershift/group/guard.py
+++ b/ambershift/group/guard.py
@@ -10,11 +10,11 @@
 
 from rpds import HashTrieMap
 
-from ambershift.admin.coverage import uncovered
-from ambershift.admin.desk import Desk
-from ambershift.admin.weigh import weigh
-from ambershift.admin.words import NEVER, Refused
-from ambershift.admin.world import World
+from ambershift.coordinator.admin.coverage import uncovered
+from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.admin.weigh import weigh
+from ambershift.coordinator.admin.words import NEVER, Refused
+from ambershift.coordinator.admin.world import World
 from ambershift.door import Door
 from ambershift.maintenance.words import Phase, Refusal
 from ambershift.promises.answers import Outcome, refused
--- a/ambershift/group/promise.py
+++ b/ambershift/group/promise.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ambershift.admin.words import Change
+from ambershift.coordinator.admin.words import Change
 from ambershift.group.member import Member
 from ambershift.group.rows import member_rows, permit_rows
 from ambershift.promises.answers import Outcome, read_answer
--- a/ambershift/group/standings.py
+++ b/ambershift/group/standings.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from ambershift import interface as api
-from ambershift.admin.desk import Desk
-from ambershift.admin.mirror import NEVER_SHUT
+from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.admin.mirror import NEVER_SHUT
 from ambershift.door import Door
 from ambershift.maintenance.words import Standing, Trouble
 
--- a/ambershift/modelcheck/models/admin.py
+++ b/ambershift/modelcheck/models/admin.py
@@ -12,8 +12,8 @@
 from typing import Any, NamedTuple
 
 from ambershift import interface as api
-from ambershift.admin.desk import Desk
-from ambershift.admin.words import Accepted, Change, State
+from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.admin.words import Accepted, Change, State
 from ambershift.coordinator.protocol import relay as codec
 from ambershift.coordinator.routing.row import Call, Row
 from ambershift.modelcheck.model import Base, Step, prop
--- a/ambershift/modelcheck/mutants/admin.py
+++ b/ambershift/modelcheck/mutants/admin.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ambershift.admin import coverage, desk, pace, weigh
-from ambershift.admin.words import Stage
+from ambershift.coordinator.admin import coverage, desk, pace, weigh
+from ambershift.coordinator.admin.words import Stage
 from ambershift.coordinator.routing.row import Row
 from ambershift.modelcheck.mutants.words import Mutant
 
--- a/ambershift/promises/machine.py
+++ b/ambershift/promises/machine.py
@@ -8,8 +8,8 @@
 import msgspec
 from rpds import HashTrieMap
 
-from ambershift.admin.wants import wanted, weighable
-from ambershift.admin.words import AS_LISTED, NEVER, Change, Health, Origin, Reason, State, Weight
+from ambershift.coordinator.admin.wants import wanted, weighable
+from ambershift.coordinator.admin.words import AS_LISTED, NEVER, Change, Health, Origin, Reason, State, Weight
 from ambershift.maintenance.sound import unsound
 from ambershift.maintenance.words import Phase, Refusal
 from ambershift.promises.answers import (
--- a/ambershift/promises/state.py
+++ b/ambershift/promises/state.py
@@ -7,7 +7,7 @@
 import msgspec
 from rpds import HashTrieMap
 
-from ambershift.admin.words import AS_LISTED, Health, Origin, Standing, State, Weight
+from ambershift.coordinator.admin.words import AS_LISTED, Health, Origin, Standing, State, Weight
 from ambershift.maintenance.words import Declared, Permit, Phase
 
 VERSION = 1
--- a/ambershift/runtime/changes.py
+++ b/ambershift/runtime/changes.py
@@ -4,9 +4,9 @@
 
 import re
 
-from ambershift.admin.view import View
-from ambershift.admin.wants import PART_MOST, WEIGHT_MOST
-from ambershift.admin.words import Change, Health, Reason, Refused, State, Weight
+from ambershift.coordinator.admin.view import View
+from ambershift.coordinator.admin.wants import PART_MOST, WEIGHT_MOST
+from ambershift.coordinator.admin.words import Change, Health, Reason, Refused, State, Weight
 from ambershift.runtime.scene import Scene
 
 STATES = {"ready": State.READY, "drain": State.DRAIN, "maint": State.MAINT}
--- a/ambershift/runtime/changing.py
+++ b/ambershift/runtime/changing.py
@@ -7,8 +7,8 @@
 import orjson
 
 from ambershift import interface as api
-from ambershift.admin.ledger import Reused
-from ambershift.admin.words import Change, Refused
+from ambershift.coordinator.admin.ledger import Reused
+from ambershift.coordinator.admin.words import Change, Refused
 from ambershift.runtime import lookup
 from ambershift.runtime.changes import BadCommandError, named, read_changes, tell_refused
 from ambershift.runtime.common import Common
--- a/ambershift/runtime/front.py
+++ b/ambershift/runtime/front.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from functools import partial
 
-from ambershift.admin.desk import Desk
+from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import BadStartError
 from ambershift.coordinator.routing.tap import Tap
--- a/ambershift/runtime/reading.py
+++ b/ambershift/runtime/reading.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from ambershift.admin.ledger import Record
-from ambershift.admin.view import View
+from ambershift.coordinator.admin.ledger import Record
+from ambershift.coordinator.admin.view import View
 from ambershift.runtime import figures, show, stat
 from ambershift.runtime.changes import BadCommandError, named
 from ambershift.runtime.common import Common, Rows
--- a/ambershift/runtime/scene.py
+++ b/ambershift/runtime/scene.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple
 
 from ambershift import interface as api
-from ambershift.admin.desk import Desk
-from ambershift.admin.overlay import effective
-from ambershift.admin.view import View
-from ambershift.admin.words import State
+from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.admin.overlay import effective
+from ambershift.coordinator.admin.view import View
+from ambershift.coordinator.admin.words import State
 from ambershift.door import Door
 from ambershift.runtime.common import Common
 from ambershift.terms import Names
--- a/ambershift/runtime/serving.py
+++ b/ambershift/runtime/serving.py
@@ -6,9 +6,9 @@
 import contextlib
 from collections.abc import Callable, Iterable
 
-from ambershift.admin.desk import Desk
-from ambershift.admin.ledger import Ledger
-from ambershift.admin.pace import QUIET
+from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.admin.ledger import Ledger
+from ambershift.coordinator.admin.pace import QUIET
 from ambershift.coordinator.transport.endings import EndedError, Ending
 from ambershift.coordinator.transport.link import Link
 from ambershift.coordinator.transport.listener import Listener
--- a/ambershift/runtime/show.py
+++ b/ambershift/runtime/show.py
@@ -8,9 +8,9 @@
 import orjson
 
 from ambershift import interface as api
-from ambershift.admin.mirror import NEVER_SHUT
-from ambershift.admin.view import View
-from ambershift.admin.words import Health, Stage
+from ambershift.coordinator.admin.mirror import NEVER_SHUT
+from ambershift.coordinator.admin.view import View
+from ambershift.coordinator.admin.words import Health, Stage
 from ambershift.runtime.figures import (
     SECOND,
     Field,
--- a/ambershift/runtime/stat.py
+++ b/ambershift/runtime/stat.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from ambershift import interface as api
-from ambershift.admin.mirror import NEVER_SHUT, NOTHING_MET
-from ambershift.admin.view import View
-from ambershift.admin.words import Health, State
+from ambershift.coordinator.admin.mirror import NEVER_SHUT, NOTHING_MET
+from ambershift.coordinator.admin.view import View
+from ambershift.coordinator.admin.words import Health, State
 from ambershift.runtime.figures import (
     SECOND,
     Field,
--- a/ambershift/runtime/tap.py
+++ b/ambershift/runtime/tap.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from ambershift import interface as api
-from ambershift.admin.desk import Desk
+from ambershift.coordinator.admin.desk import Desk
 
 
 class DeskTap:
--- a/tests/coordinator/admin/test_admin.py
+++ b/tests/coordinator/admin/test_admin.py
@@ -6,13 +6,13 @@
 import pytest
 
 from ambershift import interface as api
-from ambershift.admin import pace
-from ambershift.admin.coverage import LENT_SPELL
-from ambershift.admin.desk import WAITING_MOST
-from ambershift.admin.ledger import Ledger, Reused
-from ambershift.admin.overlay import effective
-from ambershift.admin.pending import Told
-from ambershift.admin.words import Accepted, Change, Health, Reason, Refused, Stage, State, Weight
+from ambershift.coordinator.admin import pace
+from ambershift.coordinator.admin.coverage import LENT_SPELL
+from ambershift.coordinator.admin.desk import WAITING_MOST
+from ambershift.coordinator.admin.ledger import Ledger, Reused
+from ambershift.coordinator.admin.overlay import effective
+from ambershift.coordinator.admin.pending import Told
+from ambershift.coordinator.admin.words import Accepted, Change, Health, Reason, Refused, Stage, State, Weight
 from tests.support.operator_model import Operated, some_changes
 from tests.support.policy_model import S, entry, make_terms
 
--- a/tests/coordinator/cli/test_tools.py
+++ b/tests/coordinator/cli/test_tools.py
@@ -31,7 +31,7 @@
     "rpds",
     "structlog",
     "prompt_toolkit",
-    "ambershift.admin",
+    "ambershift.coordinator.admin",
     "ambershift.runtime",
     "ambershift.settings",
     "ambershift.cli",
@@ -80,7 +80,7 @@
 def test_layers_import_downwards_only() -> None:
     below = {
         "ambershift/coordinator": ("admin", "runtime", "settings", "cli", "benchlink"),
-        "ambershift/admin": ("runtime", "settings", "cli", "coordinator", "benchlink"),
+        "ambershift/coordinator/admin": ("runtime", "settings", "cli", "coordinator", "benchlink"),
         "ambershift/settings": ("runtime", "cli", "coordinator", "admin", "benchlink"),
         "ambershift/runtime": ("cli", "settings", "benchlink"),
     }
@@ -100,7 +100,7 @@
 
 
 def test_the_desk_does_no_io() -> None:
-    for place in (ROOT / "ambershift/admin").glob("*.py"):
+    for place in (ROOT / "ambershift/coordinator/admin").glob("*.py"):
         names = set(re.findall(r"^\s*(?:from|import) (\w+)", place.read_text(), re.MULTILINE))
         assert not names & {"asyncio", "socket", "time", "random", "os", "threading", "pathlib"}, place
 
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ambershift import interface as api
-from ambershift.admin.words import NEVER, Change, Health, Origin, Reason, Standing, State, Weight
+from ambershift.coordinator.admin.words import NEVER, Change, Health, Origin, Reason, Standing, State, Weight
 from ambershift.door import Door
 from ambershift.group.at_desk import AtDesk
 from ambershift.group.clocks import LASTS, Clocks
@@ -547,7 +547,7 @@
         "import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
         "print([one for one in sys.modules if one.startswith(('ambershift.group', 'ambershift.promises',"
         "'ambershift.replication', 'ambershift.maintenance', 'ambershift.interference', 'aiohttp',"
-        "'ambershift.admin', 'ambershift.runtime', 'numpy'))])"
+        "'ambershift.coordinator.admin', 'ambershift.runtime', 'numpy'))])"
     )
     found = subprocess.run(
         [sys.executable, "-c", code], check=False, capture_output=True, text=True, timeout=60
--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ambershift import interface as api
-from ambershift.admin.mirror import BLANK
+from ambershift.coordinator.admin.mirror import BLANK
 from ambershift.group.evidence import SAMPLE, SPLIT, Row, Sum, notable, rows, sample
 from ambershift.group.learned import AGE_MOST, GIVEN_MOST, TRIES_MOST, Learned
 from ambershift.replication.heard import Kind
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from ambershift.admin.words import State, Weight
+from ambershift.coordinator.admin.words import State, Weight
 from ambershift.group.counting import Counting
 from ambershift.group.disk.folder import DiskError, Folder
 from ambershift.group.gossip import Steers
--- a/tests/support/operator_model.py
+++ b/tests/support/operator_model.py
@@ -5,8 +5,8 @@
 import random
 
 from ambershift import interface as api
-from ambershift.admin.desk import Desk
-from ambershift.admin.words import Accepted, Change, Refused
+from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.admin.words import Accepted, Change, Refused
 from tests.support.policy_model import Plain, S
 
 RELAYED = (api.Share, api.Clear, api.Withdraw, api.Level, api.Bind, api.Mark)
@@ -59,7 +59,7 @@
 
 def some_changes(rng: random.Random, count: int) -> list[Change]:
     """One to three changes of servers below `count`, as an operator in a hurry makes them."""
-    from ambershift.admin.words import Health, State, Weight
+    from ambershift.coordinator.admin.words import Health, State, Weight
 
     makers = [
         lambda s: Change(s, state=rng.choice(list(State))),
