--- a/ambershift/__main__.py
+++ b/ambershift/__main__.py
@@ -14,7 +14,7 @@
 
         return coordinator()
     try:
-        from ambershift.cli.commands import main as tools
+        from ambershift.coordinator.cli.commands import main as tools
     except ModuleNotFoundError as error:
         print(
             f"ambershift: the command line needs {error.name}: pip install 'ambershift[tools]'",
--- a/ambershift/cli/commands.py
+++ b/ambershift/coordinator/cli/commands.py
@@ -11,11 +11,23 @@
 DONE, FAILED, BAD_INPUT = 0, 1, 2
 # Name, module and what it is for: help is shown without loading any of them.
 LAZY = {
-    "run": ("ambershift.cli.run", "Run a coordinator, with the fronts that a settings file turns on."),
-    "ctl": ("ambershift.cli.ctl", "Send commands to the runtime API of one or more coordinators."),
-    "check-settings": ("ambershift.cli.check_settings", "Check a settings file without running anything."),
-    "check-model": ("ambershift.cli.check_model", "Explore the state machines that run, in the small."),
-    "version": ("ambershift.cli.version", "Show the version."),
+    "run": (
+        "ambershift.coordinator.cli.run",
+        "Run a coordinator, with the fronts that a settings file turns on.",
+    ),
+    "ctl": (
+        "ambershift.coordinator.cli.ctl",
+        "Send commands to the runtime API of one or more coordinators.",
+    ),
+    "check-settings": (
+        "ambershift.coordinator.cli.check_settings",
+        "Check a settings file without running anything.",
+    ),
+    "check-model": (
+        "ambershift.coordinator.cli.check_model",
+        "Explore the state machines that run, in the small.",
+    ),
+    "version": ("ambershift.coordinator.cli.version", "Show the version."),
 }
 
 
--- a/ambershift/cli/run.py
+++ b/ambershift/coordinator/cli/run.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ambershift.cli.logs import make
+from ambershift.coordinator.cli.logs import make
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import PLACE, BadStartError, read
 from ambershift.coordinator.program.log import LogWriter
--- a/benchmarks/timed_run.py
+++ b/benchmarks/timed_run.py
@@ -16,8 +16,8 @@
 from hdrh.histogram import HdrHistogram
 
 from ambershift import interface as api
-from ambershift.cli.commands import main
 from ambershift.coordinator.admin import pace
+from ambershift.coordinator.cli.commands import main
 from ambershift.policy import TableManager
 
 LONGEST_US = 10_000_000
--- a/tests/coordinator/cli/test_tools.py
+++ b/tests/coordinator/cli/test_tools.py
@@ -11,9 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ambershift.cli.commands import LAZY
-from ambershift.cli.ctl import batch
-from ambershift.cli.logs import make
+from ambershift.coordinator.cli.commands import LAZY
+from ambershift.coordinator.cli.ctl import batch
+from ambershift.coordinator.cli.logs import make
 from ambershift.runtime import catalogue, document, lookup
 from ambershift.runtime.execute import Executor
 from ambershift.runtime.grammar import Command, GrammarError, quote, read
@@ -34,7 +34,7 @@
     "ambershift.coordinator.admin",
     "ambershift.runtime",
     "ambershift.settings",
-    "ambershift.cli",
+    "ambershift.coordinator.cli",
 )
 
 
