--- a/ambershift/counters/__main__.py
+++ b/ambershift/coordinator/counters/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ambershift.counters --settings F`: reads perf's figures beside the coordinator."""
+"""`python -m ambershift.coordinator.counters --settings F`: reads perf's figures beside the coordinator."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import aiohttp
 import orjson
 
-from ambershift.counters.sources import Sources
+from ambershift.coordinator.counters.sources import Sources
 from ambershift.group.links.wire import (
     HELLO_MOST,
     WIRE,
@@ -138,7 +138,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m ambershift.counters", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m ambershift.coordinator.counters", description=__doc__)
     parser.add_argument("--settings", required=True, help="our own settings, in HCL")
     try:
         root = read_file(parser.parse_args().settings)
--- a/ambershift/counters/sources.py
+++ b/ambershift/coordinator/counters/sources.py
@@ -7,7 +7,7 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-from ambershift.counters.follow import Follower
+from ambershift.coordinator.counters.follow import Follower
 from ambershift.interference.perfcsv import Job, PerfReader
 from ambershift.interference.words import Sample
 from ambershift.settings.interference import Interference
--- a/ambershift/counters/standin.py
+++ b/ambershift/coordinator/counters/standin.py
@@ -1,4 +1,4 @@
-"""`python -m ambershift.counters.standin`: writes perf's interval CSV for a planted world, in place of perf.
+"""`python -m ambershift.coordinator.counters.standin`: writes perf's interval CSV for a planted world, in place of perf.
 
 --folder D  one file a job, D/NODE.JOB.csv    --interval 1s    --speed 1 (slots a second of that interval)
 """
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from ambershift.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
+from ambershift.coordinator.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
 from ambershift.interference.words import Sample
 from ambershift.settings.checks import duration
 
@@ -68,7 +68,9 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m ambershift.counters.standin", description=__doc__)
+    parser = argparse.ArgumentParser(
+        prog="python -m ambershift.coordinator.counters.standin", description=__doc__
+    )
     parser.add_argument("--folder", required=True, type=Path)
     parser.add_argument("--interval", default="10s")
     parser.add_argument("--seed", type=int, default=1)
--- a/ambershift/standins/counting.py
+++ b/ambershift/standins/counting.py
@@ -8,7 +8,7 @@
 import sys
 from pathlib import Path
 
-from ambershift.counters.worlds import Plan, World
+from ambershift.coordinator.counters.worlds import Plan, World
 from ambershift.standins.processes import ROOT, Member
 from ambershift.standins.rig import Rig
 
@@ -42,7 +42,7 @@
 
     async def start(self) -> None:
         self.writer = await self.run(
-            "ambershift.counters.standin",
+            "ambershift.coordinator.counters.standin",
             "--folder",
             str(self.folder),
             "--interval",
@@ -74,7 +74,7 @@
         """A reader beside this member."""
         member: Member = self.rig.members[name]
         self.readers[name] = await self.run(
-            "ambershift.counters", "--settings", str(Path(member.place) / "run.hcl")
+            "ambershift.coordinator.counters", "--settings", str(Path(member.place) / "run.hcl")
         )
 
     async def lose(self, name: str) -> None:
--- a/benchmarks/interference.py
+++ b/benchmarks/interference.py
@@ -16,7 +16,7 @@
 
 import numpy as np
 
-from ambershift.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
+from ambershift.coordinator.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
 from ambershift.interference.engine import Engine
 from ambershift.interference.records import Put
 from ambershift.interference.suspects import BLOCK
--- a/tests/coordinator/counters/test_counters.py
+++ b/tests/coordinator/counters/test_counters.py
@@ -15,10 +15,10 @@
 import pytest
 from aiohttp import WSMsgType, web
 
-from ambershift.counters import sources as kept
-from ambershift.counters.sources import Sources
-from ambershift.counters.standin import rows
-from ambershift.counters.worlds import SLOT_NS
+from ambershift.coordinator.counters import sources as kept
+from ambershift.coordinator.counters.sources import Sources
+from ambershift.coordinator.counters.standin import rows
+from ambershift.coordinator.counters.worlds import SLOT_NS
 from ambershift.group.links.wire import Kind, Refused, Role, Welcome, encode, read_frame, read_hello
 from ambershift.interference.records import read_samples
 from ambershift.interference.words import Sample
@@ -192,7 +192,7 @@
         file.touch()
         place.write_text(SETTINGS.format(port=member.port, file=file))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ambershift.counters", "--settings", str(place), stderr=-1
+            sys.executable, "-m", "ambershift.coordinator.counters", "--settings", str(place), stderr=-1
         )
         try:
             await until(lambda: bool(member.links))
--- a/tests/coordinator/interference/planted_worlds.py
+++ b/tests/coordinator/interference/planted_worlds.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from ambershift.counters.worlds import EPOCH, SLOT_NS, Plan, World
+from ambershift.coordinator.counters.worlds import EPOCH, SLOT_NS, Plan, World
 from ambershift.interference.engine import Engine
 from ambershift.interference.records import Put
 from ambershift.replication.heard import Record
--- a/tests/coordinator/interference/test_interference.py
+++ b/tests/coordinator/interference/test_interference.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ambershift.counters.standin import rows, written
-from ambershift.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
+from ambershift.coordinator.counters.standin import rows, written
+from ambershift.coordinator.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
 from ambershift.interference import records
 from ambershift.interference.engine import Bounds, Engine
 from ambershift.interference.normal import CAP, Gatherer, Sketch, liars, merge, normal, sound
