--- a/ambershift/coordinator/cli/run.py
+++ b/ambershift/coordinator/cli/run.py
@@ -81,7 +81,7 @@
     coordinator = Coordinator(start, book, signals, runtime.max_connections + talk)
     given = coordinator, spots, runtime.max_connections, idle, VERSION
     if root and group:
-        from ambershift.group.front import GroupFront
+        from ambershift.coordinator.group.front import GroupFront
 
         coordinator.attach(GroupFront(*given, root, group))
     else:
--- a/ambershift/coordinator/counters/__main__.py
+++ b/ambershift/coordinator/counters/__main__.py
@@ -13,7 +13,7 @@
 import orjson
 
 from ambershift.coordinator.counters.sources import Sources
-from ambershift.group.links.wire import (
+from ambershift.coordinator.group.links.wire import (
     HELLO_MOST,
     WIRE,
     Hello,
--- a/ambershift/group/asking.py
+++ b/ambershift/coordinator/group/asking.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.group.spec import Spec
+from ambershift.coordinator.group.spec import Spec
 from ambershift.promises.answers import encode
 from ambershift.promises.state import EMPTY, Promises
 from ambershift.promises.words import Command
--- a/ambershift/group/counting.py
+++ b/ambershift/coordinator/group/counting.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from ambershift.group.gossip import Gossip
-from ambershift.group.links.wire import UnreadableError
-from ambershift.group.links.words import failure
+from ambershift.coordinator.group.gossip import Gossip
+from ambershift.coordinator.group.links.wire import UnreadableError
+from ambershift.coordinator.group.links.words import failure
 from ambershift.interference.words import Sample
 from ambershift.replication.heard.words import Kind, Record
 
--- a/ambershift/group/disk/folder.py
+++ b/ambershift/coordinator/group/disk/folder.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.group.disk.files import Files, Handle
+from ambershift.coordinator.group.disk.files import Files, Handle
 from ambershift.replication.records import (
     PREAMBLE,
     SLOT_BYTES,
--- a/ambershift/group/disk/worker.py
+++ b/ambershift/coordinator/group/disk/worker.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 from typing import Protocol
 
-from ambershift.group.disk.folder import DiskError, Folder
+from ambershift.coordinator.group.disk.folder import DiskError, Folder
 from ambershift.replication.words import Write
 
 # Beyond it the disk hangs: a replica bounds what waits for promises far below.
--- a/ambershift/group/front.py
+++ b/ambershift/coordinator/group/front.py
@@ -8,19 +8,19 @@
 from typing import TYPE_CHECKING
 
 from ambershift.coordinator.admin.words import Refused
+from ambershift.coordinator.group.at_desk import AtDesk
+from ambershift.coordinator.group.counting import Counting
+from ambershift.coordinator.group.guard import Guard
+from ambershift.coordinator.group.learned import Learned
+from ambershift.coordinator.group.life import NoFolderError
+from ambershift.coordinator.group.member import Member
+from ambershift.coordinator.group.promise import Promises
+from ambershift.coordinator.group.spec import spec_of
+from ambershift.coordinator.group.standings import Others, standings
+from ambershift.coordinator.group.tap import GroupTap, Known
+from ambershift.coordinator.group.upkeep import Upkeep
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import BadStartError
-from ambershift.group.at_desk import AtDesk
-from ambershift.group.counting import Counting
-from ambershift.group.guard import Guard
-from ambershift.group.learned import Learned
-from ambershift.group.life import NoFolderError
-from ambershift.group.member import Member
-from ambershift.group.promise import Promises
-from ambershift.group.spec import spec_of
-from ambershift.group.standings import Others, standings
-from ambershift.group.tap import GroupTap, Known
-from ambershift.group.upkeep import Upkeep
 from ambershift.maintenance.limits import Limits
 from ambershift.maintenance.words import Standing
 from ambershift.promises.machine import PromisesMachine
--- a/ambershift/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ambershift.group.clocks import Clocks
-from ambershift.group.links.wire import Kind, UnreadableError
-from ambershift.group.links.words import failure
+from ambershift.coordinator.group.clocks import Clocks
+from ambershift.coordinator.group.links.wire import Kind, UnreadableError
+from ambershift.coordinator.group.links.words import failure
 from ambershift.maintenance.words import Phase
 from ambershift.promises.state import Held
 from ambershift.replication.heard import messages
@@ -21,7 +21,7 @@
 from ambershift.replication.heard.words import Record
 
 if TYPE_CHECKING:
-    from ambershift.group.member import Member
+    from ambershift.coordinator.group.member import Member
 
 SECOND = 1_000_000_000
 # One digest to each member a beat: what is new has reached all within two. One's own is said again each
--- a/ambershift/group/learned.py
+++ b/ambershift/coordinator/group/learned.py
@@ -14,7 +14,17 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.mirror import Picture
-from ambershift.group.evidence import SECOND, SPLIT, Row, Sum, Sums, newest, notable, sample, troubled
+from ambershift.coordinator.group.evidence import (
+    SECOND,
+    SPLIT,
+    Row,
+    Sum,
+    Sums,
+    newest,
+    notable,
+    sample,
+    troubled,
+)
 from ambershift.replication.heard.store import Store
 from ambershift.replication.heard.words import BODY_MOST, KEY_MOST, Kind, Record, longest
 
--- a/ambershift/group/life.py
+++ b/ambershift/coordinator/group/life.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ambershift.group.disk.files import LockedError, RealFiles
-from ambershift.group.disk.folder import DiskError, Folder, RefusedError
-from ambershift.group.spec import Spec
+from ambershift.coordinator.group.disk.files import LockedError, RealFiles
+from ambershift.coordinator.group.disk.folder import DiskError, Folder, RefusedError
+from ambershift.coordinator.group.spec import Spec
 from ambershift.promises.answers import encode
 from ambershift.promises.machine import PromisesMachine
 from ambershift.promises.words import Nothing
--- a/ambershift/group/links/accepted.py
+++ b/ambershift/coordinator/group/links/accepted.py
@@ -11,8 +11,8 @@
 
 from aiohttp import WSCloseCode, WSMsgType, web
 
-from ambershift.group.links.gate import Gate, refused
-from ambershift.group.links.wire import (
+from ambershift.coordinator.group.links.gate import Gate, refused
+from ambershift.coordinator.group.links.wire import (
     HELLO_MOST,
     MESSAGE_MOST,
     Close,
@@ -25,7 +25,7 @@
     read_frame,
     read_hello,
 )
-from ambershift.group.links.words import Above, Tally, failure
+from ambershift.coordinator.group.links.words import Above, Tally, failure
 from ambershift.version import VERSION
 
 HELLO_WITHIN, HEARTBEAT, END_WITHIN = 2.0, 8.0, 0.3
@@ -48,7 +48,7 @@
         app = web.Application(client_max_size=HELLO_MOST)
         app.router.add_get("/", self.serve)
         # A link that breaks inside the handshake is no error of ours, and standard error is no place for it.
-        silent = logging.getLogger("ambershift.group.links")
+        silent = logging.getLogger("ambershift.coordinator.group.links")
         silent.addHandler(logging.NullHandler())
         silent.propagate = False
         self.runner = web.AppRunner(app, access_log=None, logger=silent, shutdown_timeout=END_WITHIN)
--- a/ambershift/group/links/dialled.py
+++ b/ambershift/coordinator/group/links/dialled.py
@@ -9,9 +9,9 @@
 import aiohttp
 from aiohttp import ClientWebSocketResponse, WSMsgType
 
-from ambershift.group.links.accepted import Note, hang_up
-from ambershift.group.links.queue import FullError, Queue
-from ambershift.group.links.wire import (
+from ambershift.coordinator.group.links.accepted import Note, hang_up
+from ambershift.coordinator.group.links.queue import FullError, Queue
+from ambershift.coordinator.group.links.wire import (
     HELLO_MOST,
     WIRE,
     Close,
@@ -24,7 +24,7 @@
     frame,
     read_reply,
 )
-from ambershift.group.links.words import Above, Peer, Tally
+from ambershift.coordinator.group.links.words import Above, Peer, Tally
 from ambershift.version import VERSION
 
 DIAL_LIMIT, REPLY_LIMIT, WRITE_LIMIT = 1.0, 1.0, 2.0
--- a/ambershift/group/links/gate.py
+++ b/ambershift/coordinator/group/links/gate.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ambershift.group.links.wire import WIRE, Close, Hello, Refused, Role
+from ambershift.coordinator.group.links.wire import WIRE, Close, Hello, Refused, Role
 
 
 class Mine(NamedTuple):
--- a/ambershift/group/links/links.py
+++ b/ambershift/coordinator/group/links/links.py
@@ -8,10 +8,10 @@
 
 import aiohttp
 
-from ambershift.group.links.accepted import Acceptor, Note
-from ambershift.group.links.dialled import Dialled
-from ambershift.group.links.wire import Kind
-from ambershift.group.links.words import Above, Peer, Tally
+from ambershift.coordinator.group.links.accepted import Acceptor, Note
+from ambershift.coordinator.group.links.dialled import Dialled
+from ambershift.coordinator.group.links.wire import Kind
+from ambershift.coordinator.group.links.words import Above, Peer, Tally
 
 
 class Links:
--- a/ambershift/group/links/queue.py
+++ b/ambershift/coordinator/group/links/queue.py
@@ -6,7 +6,7 @@
 
 from collections import deque
 
-from ambershift.group.links.wire import Kind
+from ambershift.coordinator.group.links.wire import Kind
 
 FRAMES_MOST, BYTES_MOST = 4_096, 16 << 20
 # Heard state comes again by itself, so it leaves most of the room to the replica.
--- a/ambershift/group/links/source.py
+++ b/ambershift/coordinator/group/links/source.py
@@ -9,10 +9,10 @@
 
 import aiohttp
 
-from ambershift.group.links.dialled import Dialled
-from ambershift.group.links.gate import Mine
-from ambershift.group.links.wire import Kind, Refused, Role
-from ambershift.group.links.words import Peer, Tally
+from ambershift.coordinator.group.links.dialled import Dialled
+from ambershift.coordinator.group.links.gate import Mine
+from ambershift.coordinator.group.links.wire import Kind, Refused, Role
+from ambershift.coordinator.group.links.words import Peer, Tally
 
 
 class Source:
--- a/ambershift/group/links/words.py
+++ b/ambershift/coordinator/group/links/words.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from ambershift.group.links.gate import Mine
-from ambershift.group.links.wire import Kind, Refused
+from ambershift.coordinator.group.links.gate import Mine
+from ambershift.coordinator.group.links.wire import Kind, Refused
 
 
 class Above(Protocol):
--- a/ambershift/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -7,17 +7,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.group.asking import Asking
-from ambershift.group.at_desk import AtDesk
-from ambershift.group.disk.worker import Disk
-from ambershift.group.gossip import Gossip
-from ambershift.group.life import Life, Note, begin, replica_of
-from ambershift.group.links.gate import Mine
-from ambershift.group.links.links import Links
-from ambershift.group.links.wire import Close, Kind, Refused, UnreadableError
-from ambershift.group.links.words import failure
-from ambershift.group.offloop import off_loop
-from ambershift.group.spec import Spec
+from ambershift.coordinator.group.asking import Asking
+from ambershift.coordinator.group.at_desk import AtDesk
+from ambershift.coordinator.group.disk.worker import Disk
+from ambershift.coordinator.group.gossip import Gossip
+from ambershift.coordinator.group.life import Life, Note, begin, replica_of
+from ambershift.coordinator.group.links.gate import Mine
+from ambershift.coordinator.group.links.links import Links
+from ambershift.coordinator.group.links.wire import Close, Kind, Refused, UnreadableError
+from ambershift.coordinator.group.links.words import failure
+from ambershift.coordinator.group.offloop import off_loop
+from ambershift.coordinator.group.spec import Spec
 from ambershift.promises.answers import decode, read_answer
 from ambershift.promises.machine import PromisesMachine
 from ambershift.promises.state import Promises
--- a/ambershift/group/promise.py
+++ b/ambershift/coordinator/group/promise.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from ambershift.coordinator.admin.words import Change
-from ambershift.group.member import Member
-from ambershift.group.rows import member_rows, permit_rows
+from ambershift.coordinator.group.member import Member
+from ambershift.coordinator.group.rows import member_rows, permit_rows
 from ambershift.promises.answers import Outcome, read_answer
 from ambershift.promises.words import Answered, Wishes, WishOne
 from ambershift.replication.words import Answer as Reply
--- a/ambershift/group/rows.py
+++ b/ambershift/coordinator/group/rows.py
@@ -7,7 +7,7 @@
 from ambershift.promises.state import Promises
 
 if TYPE_CHECKING:
-    from ambershift.group.member import Member
+    from ambershift.coordinator.group.member import Member
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # Who was not heard for so long is told as away, and leads nobody here: beats come twenty times a second.
--- a/ambershift/group/spec.py
+++ b/ambershift/coordinator/group/spec.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ambershift.group.links.words import Peer
+from ambershift.coordinator.group.links.words import Peer
 from ambershift.settings.checks import duration
 from ambershift.settings.group import Group, clock_ahead
 
--- a/ambershift/group/tap.py
+++ b/ambershift/coordinator/group/tap.py
@@ -6,9 +6,9 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.group.at_desk import AtDesk
+from ambershift.coordinator.group.learned import Learned
 from ambershift.coordinator.routing.admit import Admit
-from ambershift.group.at_desk import AtDesk
-from ambershift.group.learned import Learned
 from ambershift.runtime.tap import DeskTap
 
 
--- a/ambershift/group/upkeep.py
+++ b/ambershift/coordinator/group/upkeep.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from ambershift.group.links.words import failure
-from ambershift.group.member import Member
+from ambershift.coordinator.group.links.words import failure
+from ambershift.coordinator.group.member import Member
 from ambershift.maintenance.limits import Limits
 from ambershift.maintenance.permits import Heard, Steers
 from ambershift.maintenance.words import Declared, Standing
--- a/benchmarks/group_disk.py
+++ b/benchmarks/group_disk.py
@@ -14,10 +14,10 @@
 import tempfile
 import time
 
-from ambershift.group.disk import worker
-from ambershift.group.disk.files import RealFiles
-from ambershift.group.disk.folder import Folder
-from ambershift.group.disk.worker import Disk
+from ambershift.coordinator.group.disk import worker
+from ambershift.coordinator.group.disk.files import RealFiles
+from ambershift.coordinator.group.disk.folder import Folder
+from ambershift.coordinator.group.disk.worker import Disk
 from ambershift.replication.words import Entry, Snapshot, Write
 
 WALL = 1_800_000_000_000_000_000
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from ambershift import interface as api
-from ambershift.group.learned import Learned
+from ambershift.coordinator.group.learned import Learned
 from ambershift.replication.heard.messages import Message, decode, encode
 from ambershift.replication.heard.store import Store
 from tests.support.operator_model import Operated
--- a/tests/compatibility/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from ambershift.group import evidence, gossip
-from ambershift.group.links import wire as links
+from ambershift.coordinator.group import evidence, gossip
+from ambershift.coordinator.group.links import wire as links
 from ambershift.interference import records as interference
 from ambershift.interference.words import Sample
 from ambershift.promises import answers
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -15,8 +15,8 @@
 import msgspec
 import pytest
 
-from ambershift.group.disk.files import RealFiles
-from ambershift.group.disk.folder import Folder
+from ambershift.coordinator.group.disk.files import RealFiles
+from ambershift.coordinator.group.disk.folder import Folder
 from ambershift.promises.machine import PromisesMachine
 from ambershift.replication.heard import messages as heard
 from ambershift.replication.heard.store import Store
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from ambershift.group.links.wire import Kind as FrameKind
-from ambershift.group.links.wire import frame
+from ambershift.coordinator.group.links.wire import Kind as FrameKind
+from ambershift.coordinator.group.links.wire import frame
 from ambershift.replication.heard.words import Kind as HeardKind
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import WORDS
--- a/tests/coordinator/counters/test_counters.py
+++ b/tests/coordinator/counters/test_counters.py
@@ -19,7 +19,15 @@
 from ambershift.coordinator.counters.sources import Sources
 from ambershift.coordinator.counters.standin import rows
 from ambershift.coordinator.counters.worlds import SLOT_NS
-from ambershift.group.links.wire import Kind, Refused, Role, Welcome, encode, read_frame, read_hello
+from ambershift.coordinator.group.links.wire import (
+    Kind,
+    Refused,
+    Role,
+    Welcome,
+    encode,
+    read_frame,
+    read_hello,
+)
 from ambershift.interference.records import read_samples
 from ambershift.interference.words import Sample
 from ambershift.settings.interference import CounterJob, Interference, Source
--- a/tests/coordinator/group/test_disk.py
+++ b/tests/coordinator/group/test_disk.py
@@ -13,10 +13,10 @@
 import msgspec
 import pytest
 
-from ambershift.group.disk import folder as folders
-from ambershift.group.disk.files import LockedError, RealFiles
-from ambershift.group.disk.folder import DiskError, Folder, Opened, RefusedError
-from ambershift.group.disk.worker import Disk
+from ambershift.coordinator.group.disk import folder as folders
+from ambershift.coordinator.group.disk.files import LockedError, RealFiles
+from ambershift.coordinator.group.disk.folder import DiskError, Folder, Opened, RefusedError
+from ambershift.coordinator.group.disk.worker import Disk
 from ambershift.replication import records
 from ambershift.replication.vouched import ContradictionError, Held
 from ambershift.replication.words import Entry, Saved, Snapshot, Write
@@ -354,7 +354,7 @@
     mine = RealFiles(f"{tmp_path}/n1")
     Folder(mine, "archive", "n1").open(WALL)
     code = (
-        "from ambershift.group.disk.files import RealFiles, LockedError\n"
+        "from ambershift.coordinator.group.disk.files import RealFiles, LockedError\n"
         "try: RealFiles({0!r}).lock(); print('open')\nexcept LockedError as e: print('locked')"
     )
     ask = [sys.executable, "-c", code.format(f"{tmp_path}/n1")]
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -14,13 +14,13 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.words import NEVER, Change, Health, Origin, Reason, Standing, State, Weight
+from ambershift.coordinator.group.at_desk import AtDesk
+from ambershift.coordinator.group.clocks import LASTS, Clocks
+from ambershift.coordinator.group.gossip import LET_IN, NEITHER, Gossip
+from ambershift.coordinator.group.guard import Guard
+from ambershift.coordinator.group.promise import Promises as Promised
+from ambershift.coordinator.group.standings import Others, standings
 from ambershift.door import Door
-from ambershift.group.at_desk import AtDesk
-from ambershift.group.clocks import LASTS, Clocks
-from ambershift.group.gossip import LET_IN, NEITHER, Gossip
-from ambershift.group.guard import Guard
-from ambershift.group.promise import Promises as Promised
-from ambershift.group.standings import Others, standings
 from ambershift.maintenance.words import Declared, Permit, Phase, Trouble, Work
 from ambershift.promises.answers import Outcome, encode, encode_answer, read_answer, refused
 from ambershift.promises.machine import PromisesMachine
@@ -526,7 +526,7 @@
 
 
 def test_a_good_group_is_read_and_leaders_follow_from_names() -> None:
-    from ambershift.group.spec import spec_of
+    from ambershift.coordinator.group.spec import spec_of
 
     root = read_text(
         GROUP
@@ -545,7 +545,7 @@
 def test_the_platforms_run_loads_nothing_of_a_group() -> None:
     code = (
         "import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
-        "print([one for one in sys.modules if one.startswith(('ambershift.group', 'ambershift.promises',"
+        "print([one for one in sys.modules if one.startswith(('ambershift.coordinator.group', 'ambershift.promises',"
         "'ambershift.replication', 'ambershift.maintenance', 'ambershift.interference', 'aiohttp',"
         "'ambershift.coordinator.admin', 'ambershift.runtime', 'numpy'))])"
     )
--- a/tests/coordinator/group/test_links.py
+++ b/tests/coordinator/group/test_links.py
@@ -10,13 +10,13 @@
 import msgspec
 import pytest
 
-from ambershift.group.counting import Counting
-from ambershift.group.links import accepted, dialled
-from ambershift.group.links.gate import Gate, Mine
-from ambershift.group.links.links import Links
-from ambershift.group.links.queue import FullError, Queue
-from ambershift.group.links.source import Source
-from ambershift.group.links.wire import (
+from ambershift.coordinator.group.counting import Counting
+from ambershift.coordinator.group.links import accepted, dialled
+from ambershift.coordinator.group.links.gate import Gate, Mine
+from ambershift.coordinator.group.links.links import Links
+from ambershift.coordinator.group.links.queue import FullError, Queue
+from ambershift.coordinator.group.links.source import Source
+from ambershift.coordinator.group.links.wire import (
     MESSAGE_MOST,
     WIRE,
     Close,
@@ -30,7 +30,7 @@
     frame,
     read_reply,
 )
-from ambershift.group.links.words import Peer
+from ambershift.coordinator.group.links.words import Peer
 from ambershift.standins.rig import own_host
 from ambershift.standins.world import until
 
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -9,15 +9,15 @@
 import pytest
 
 from ambershift.coordinator.admin.words import State, Weight
-from ambershift.group.counting import Counting
-from ambershift.group.disk.folder import DiskError, Folder
-from ambershift.group.gossip import Steers
-from ambershift.group.life import NoFolderError
-from ambershift.group.links.wire import Close, Kind, Refused, UnreadableError
-from ambershift.group.links.words import Peer
-from ambershift.group.member import Member
-from ambershift.group.rows import member_rows
-from ambershift.group.spec import Spec
+from ambershift.coordinator.group.counting import Counting
+from ambershift.coordinator.group.disk.folder import DiskError, Folder
+from ambershift.coordinator.group.gossip import Steers
+from ambershift.coordinator.group.life import NoFolderError
+from ambershift.coordinator.group.links.wire import Close, Kind, Refused, UnreadableError
+from ambershift.coordinator.group.links.words import Peer
+from ambershift.coordinator.group.member import Member
+from ambershift.coordinator.group.rows import member_rows
+from ambershift.coordinator.group.spec import Spec
 from ambershift.interference.records import Put
 from ambershift.promises.answers import encode as encode_command
 from ambershift.promises.answers import read_answer
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -66,7 +66,7 @@
 }
 
 KNOWN_CYCLES = {
-    frozenset({"ambershift.group.gossip", "ambershift.group.member"}),
+    frozenset({"ambershift.coordinator.group.gossip", "ambershift.coordinator.group.member"}),
     frozenset(
         f"ambershift.groupsim.{name}"
         for name in ("clients", "faults", "judge", "network", "process", "world")
