--- a/ambershift/groupsim/clients.py
+++ b/ambershift/coordinator/groupsim/clients.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from ambershift.groupsim.chance import Chance
-from ambershift.groupsim.history import Kind, Operation, Outcome
-from ambershift.groupsim.judge import WrongError
-from ambershift.groupsim.plan import CALM_AT, MS, SECOND
+from ambershift.coordinator.groupsim.chance import Chance
+from ambershift.coordinator.groupsim.history import Kind, Operation, Outcome
+from ambershift.coordinator.groupsim.judge import WrongError
+from ambershift.coordinator.groupsim.plan import CALM_AT, MS, SECOND
 from ambershift.replication.words import Answer, Reason
 
 if TYPE_CHECKING:
-    from ambershift.groupsim.world import World
+    from ambershift.coordinator.groupsim.world import World
 
 KEYS = "ab"
 WITHIN = 4 * SECOND  # After all faults ended, each operation is done within this.
--- a/ambershift/groupsim/faults.py
+++ b/ambershift/coordinator/groupsim/faults.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from ambershift.groupsim.folder import Folder
-from ambershift.groupsim.plan import SECOND, Fault, Trouble
+from ambershift.coordinator.groupsim.folder import Folder
+from ambershift.coordinator.groupsim.plan import SECOND, Fault, Trouble
 from ambershift.replication.words import Status
 
 if TYPE_CHECKING:
-    from ambershift.groupsim.process import Process
-    from ambershift.groupsim.world import World
+    from ambershift.coordinator.groupsim.process import Process
+    from ambershift.coordinator.groupsim.world import World
 
 
 class Faults:
--- a/ambershift/groupsim/judge.py
+++ b/ambershift/coordinator/groupsim/judge.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from ambershift.groupsim.history import Kind, Operation, Outcome, check
-from ambershift.groupsim.register import Registers
+from ambershift.coordinator.groupsim.history import Kind, Operation, Outcome, check
+from ambershift.coordinator.groupsim.register import Registers
 from ambershift.replication.words import Applied, Restored, Status
 
 if TYPE_CHECKING:
-    from ambershift.groupsim.process import Process
-    from ambershift.groupsim.world import World
+    from ambershift.coordinator.groupsim.process import Process
+    from ambershift.coordinator.groupsim.world import World
 
 
 NEWBORN = "newborn"  # Whoever answered knew of no entry yet, and so of no group's id.
--- a/ambershift/groupsim/network.py
+++ b/ambershift/coordinator/groupsim/network.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ambershift.groupsim.chance import Chance
-from ambershift.groupsim.plan import CALM, MS, Weather
+from ambershift.coordinator.groupsim.chance import Chance
+from ambershift.coordinator.groupsim.plan import CALM, MS, Weather
 from ambershift.replication import messages
 
 if TYPE_CHECKING:
-    from ambershift.groupsim.process import Process
-    from ambershift.groupsim.world import World
+    from ambershift.coordinator.groupsim.process import Process
+    from ambershift.coordinator.groupsim.world import World
 
 LEAST = MS // 10
 
--- a/ambershift/groupsim/plan.py
+++ b/ambershift/coordinator/groupsim/plan.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from ambershift.groupsim.chance import Chance
+from ambershift.coordinator.groupsim.chance import Chance
 
 MS = 1_000_000
 SECOND = 1000 * MS
--- a/ambershift/groupsim/process.py
+++ b/ambershift/coordinator/groupsim/process.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ambershift.groupsim.chance import Chance
-from ambershift.groupsim.folder import Folder
-from ambershift.groupsim.plan import MS, SECOND
-from ambershift.groupsim.register import RegisterMachine
+from ambershift.coordinator.groupsim.chance import Chance
+from ambershift.coordinator.groupsim.folder import Folder
+from ambershift.coordinator.groupsim.plan import MS, SECOND
+from ambershift.coordinator.groupsim.register import RegisterMachine
 from ambershift.replication.replica import Replica
 from ambershift.replication.timing import Timing
 from ambershift.replication.words import (
@@ -24,7 +24,7 @@
 )
 
 if TYPE_CHECKING:
-    from ambershift.groupsim.world import World
+    from ambershift.coordinator.groupsim.world import World
 
 START = 1_700_000_000 * SECOND
 INBOX_MOST = 64
--- a/ambershift/groupsim/shrink.py
+++ b/ambershift/coordinator/groupsim/shrink.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterator
 
-from ambershift.groupsim.plan import CALM, Plan
-from ambershift.groupsim.world import Verdict, run
+from ambershift.coordinator.groupsim.plan import CALM, Plan
+from ambershift.coordinator.groupsim.world import Verdict, run
 
 TRIES_MOST = 400
 
--- a/ambershift/groupsim/world.py
+++ b/ambershift/coordinator/groupsim/world.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ambershift.groupsim.chance import Chance
-from ambershift.groupsim.clients import Client
-from ambershift.groupsim.faults import Faults
-from ambershift.groupsim.history import Operation
-from ambershift.groupsim.judge import Judge, WrongError
-from ambershift.groupsim.network import Network
-from ambershift.groupsim.plan import CALM_AT, MS, SECOND, Plan, plan
-from ambershift.groupsim.process import Process
+from ambershift.coordinator.groupsim.chance import Chance
+from ambershift.coordinator.groupsim.clients import Client
+from ambershift.coordinator.groupsim.faults import Faults
+from ambershift.coordinator.groupsim.history import Operation
+from ambershift.coordinator.groupsim.judge import Judge, WrongError
+from ambershift.coordinator.groupsim.network import Network
+from ambershift.coordinator.groupsim.plan import CALM_AT, MS, SECOND, Plan, plan
+from ambershift.coordinator.groupsim.process import Process
 
 START = 1_700_000_000 * SECOND  # The wall clock when a world begins.
 END = CALM_AT + 8 * SECOND
--- a/ambershift/modelcheck/models/replication_table.py
+++ b/ambershift/modelcheck/models/replication_table.py
@@ -9,8 +9,8 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from ambershift.groupsim.folder import Folder
-from ambershift.groupsim.register import RegisterMachine
+from ambershift.coordinator.groupsim.folder import Folder
+from ambershift.coordinator.groupsim.register import RegisterMachine
 from ambershift.replication.log import Log
 from ambershift.replication.replica import Replica
 from ambershift.replication.timing import STILL
--- a/ambershift/standins/histories.py
+++ b/ambershift/standins/histories.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from ambershift.groupsim.history import Kind, Operation, Outcome, Violation, check
+from ambershift.coordinator.groupsim.history import Kind, Operation, Outcome, Violation, check
 from ambershift.runtime.client import ClientError, Reply
 from ambershift.standins.rig import Rig
 
--- a/benchmarks/group_schedules.py
+++ b/benchmarks/group_schedules.py
@@ -13,9 +13,9 @@
 import time
 from collections import Counter
 
-from ambershift.groupsim.plan import plan
-from ambershift.groupsim.shrink import shrink, told
-from ambershift.groupsim.world import Verdict, run_seed
+from ambershift.coordinator.groupsim.plan import plan
+from ambershift.coordinator.groupsim.shrink import shrink, told
+from ambershift.coordinator.groupsim.world import Verdict, run_seed
 from ambershift.modelcheck.mutants import broken, by_name, simulated
 
 CHUNK = 50
--- a/tests/coordinator/groupsim/test_groupsim.py
+++ b/tests/coordinator/groupsim/test_groupsim.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from ambershift.groupsim.chance import Chance
-from ambershift.groupsim.folder import ContradictionError, Folder
-from ambershift.groupsim.plan import CALM, Plan, Trouble, plan
-from ambershift.groupsim.shrink import shrink, told
-from ambershift.groupsim.world import World, run, run_seed
+from ambershift.coordinator.groupsim.chance import Chance
+from ambershift.coordinator.groupsim.folder import ContradictionError, Folder
+from ambershift.coordinator.groupsim.plan import CALM, Plan, Trouble, plan
+from ambershift.coordinator.groupsim.shrink import shrink, told
+from ambershift.coordinator.groupsim.world import World, run, run_seed
 from ambershift.modelcheck.mutants import SIMULATED, Mutant, broken, simulated
 from ambershift.replication.words import Entry, Snapshot, Write
 from tests.coordinator.cli.test_tools import ambershift
--- a/tests/coordinator/groupsim/test_history.py
+++ b/tests/coordinator/groupsim/test_history.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from ambershift.groupsim.history import Kind, Operation, Outcome, after, check, matters
+from ambershift.coordinator.groupsim.history import Kind, Operation, Outcome, after, check, matters
 
 DONE, REFUSED, UNKNOWN = Outcome.DONE, Outcome.REFUSED, Outcome.UNKNOWN
 
--- a/tests/coordinator/standins/test_standins.py
+++ b/tests/coordinator/standins/test_standins.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ambershift.groupsim.history import Outcome
+from ambershift.coordinator.groupsim.history import Outcome
 from ambershift.runtime.client import Reply
 from ambershift.standins.breaker import Breaker, Net
 from ambershift.standins.fleet import Fleet
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -68,7 +68,7 @@
 KNOWN_CYCLES = {
     frozenset({"ambershift.coordinator.group.gossip", "ambershift.coordinator.group.member"}),
     frozenset(
-        f"ambershift.groupsim.{name}"
+        f"ambershift.coordinator.groupsim.{name}"
         for name in ("clients", "faults", "judge", "network", "process", "world")
     ),
 }
