--- a/ambershift/coordinator/counters/__main__.py
+++ b/ambershift/coordinator/counters/__main__.py
@@ -25,7 +25,7 @@
     frame,
     read_reply,
 )
-from ambershift.interference import records
+from ambershift.coordinator.interference import records
 from ambershift.settings.checks import duration
 from ambershift.settings.group import Group
 from ambershift.settings.interference import Interference
--- a/ambershift/coordinator/counters/sources.py
+++ b/ambershift/coordinator/counters/sources.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from ambershift.coordinator.counters.follow import Follower
-from ambershift.interference.perfcsv import Job, PerfReader
-from ambershift.interference.words import Sample
+from ambershift.coordinator.interference.perfcsv import Job, PerfReader
+from ambershift.coordinator.interference.words import Sample
 from ambershift.settings.interference import Interference
 
 KEPT_MOST = 20_000
--- a/ambershift/coordinator/counters/standin.py
+++ b/ambershift/coordinator/counters/standin.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from ambershift.coordinator.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
-from ambershift.interference.words import Sample
+from ambershift.coordinator.interference.words import Sample
 from ambershift.settings.checks import duration
 
 SECOND = 1_000_000_000
--- a/ambershift/coordinator/counters/worlds.py
+++ b/ambershift/coordinator/counters/worlds.py
@@ -13,7 +13,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from ambershift.interference.words import Sample
+from ambershift.coordinator.interference.words import Sample
 
 SLOT_NS = 10_000_000_000
 EPOCH = 1_700_000_000 * 1_000_000_000 // SLOT_NS // 30 * 30  # Slot in which worlds begin.
--- a/ambershift/coordinator/group/counting.py
+++ b/ambershift/coordinator/group/counting.py
@@ -14,11 +14,11 @@
 from ambershift.coordinator.group.gossip import Gossip
 from ambershift.coordinator.group.links.wire import UnreadableError
 from ambershift.coordinator.group.links.words import failure
-from ambershift.interference.words import Sample
+from ambershift.coordinator.interference.words import Sample
 from ambershift.replication.heard.words import Kind, Record
 
 if TYPE_CHECKING:
-    from ambershift.interference.engine import Engine
+    from ambershift.coordinator.interference.engine import Engine
 
 SAMPLES = msgspec.msgpack.Decoder(list[Sample])
 SAMPLES_MOST = 8_192  # Of one message.
--- a/ambershift/coordinator/group/front.py
+++ b/ambershift/coordinator/group/front.py
@@ -35,7 +35,7 @@
 from ambershift.settings.model import Root
 
 if TYPE_CHECKING:
-    from ambershift.interference.engine import Engine
+    from ambershift.coordinator.interference.engine import Engine
 
 LEARN_EVERY = 1_000_000_000
 OPEN_WAIT = 3.0
@@ -146,7 +146,9 @@
 
 
 def engine(me: str, block: Interference) -> Engine:
-    from ambershift.interference.engine import Engine  # Its libraries take tens of MB; few groups count.
+    from ambershift.coordinator.interference.engine import (
+        Engine,  # Its libraries take tens of MB; few groups count.
+    )
 
     return Engine(me, block.ease, part(block.ease_most) or 0.0, duration(block.interval) or 0)
 
--- a/ambershift/interference/engine.py
+++ b/ambershift/coordinator/interference/engine.py
@@ -11,14 +11,14 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from ambershift.interference import records
-from ambershift.interference.held import Held
-from ambershift.interference.node import SLOT_NS, Node
-from ambershift.interference.normal import liars
-from ambershift.interference.pooled import NODES_LEAST, lost, pairs, scores
-from ambershift.interference.records import Baseline, Evidence, Put, UnreadableError
-from ambershift.interference.sift import judge
-from ambershift.interference.words import Sample, Score, Unusable
+from ambershift.coordinator.interference import records
+from ambershift.coordinator.interference.held import Held
+from ambershift.coordinator.interference.node import SLOT_NS, Node
+from ambershift.coordinator.interference.normal import liars
+from ambershift.coordinator.interference.pooled import NODES_LEAST, lost, pairs, scores
+from ambershift.coordinator.interference.records import Baseline, Evidence, Put, UnreadableError
+from ambershift.coordinator.interference.sift import judge
+from ambershift.coordinator.interference.words import Sample, Score, Unusable
 from ambershift.replication.heard import Kind, Record
 
 BEAT_NS = 1_000_000_000
--- a/ambershift/interference/held.py
+++ b/ambershift/coordinator/interference/held.py
@@ -4,10 +4,10 @@
 
 from collections import Counter
 
-from ambershift.interference import records
-from ambershift.interference.normal import Normal, Sketch, normal
-from ambershift.interference.pooled import median
-from ambershift.interference.records import Baseline, Evidence
+from ambershift.coordinator.interference import records
+from ambershift.coordinator.interference.normal import Normal, Sketch, normal
+from ambershift.coordinator.interference.pooled import median
+from ambershift.coordinator.interference.records import Baseline, Evidence
 from ambershift.replication.heard import Kind
 
 
--- a/ambershift/interference/node.py
+++ b/ambershift/coordinator/interference/node.py
@@ -9,11 +9,11 @@
 import numpy as np
 import numpy.typing as npt
 
-from ambershift.interference import records, victims
-from ambershift.interference.normal import Gatherer, Normal
-from ambershift.interference.sift import Told
-from ambershift.interference.suspects import BLOCK, Finding, findings, present, swings
-from ambershift.interference.words import Sample, Unusable
+from ambershift.coordinator.interference import records, victims
+from ambershift.coordinator.interference.normal import Gatherer, Normal
+from ambershift.coordinator.interference.sift import Told
+from ambershift.coordinator.interference.suspects import BLOCK, Finding, findings, present, swings
+from ambershift.coordinator.interference.words import Sample, Unusable
 
 SLOT_NS = 10_000_000_000
 BLOCKS = 12  # An hour of evidence.
--- a/ambershift/interference/perfcsv.py
+++ b/ambershift/coordinator/interference/perfcsv.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from ambershift.interference.words import Sample, Unusable
+from ambershift.coordinator.interference.words import Sample, Unusable
 
 SECOND = 1_000_000_000
 LINE_MOST = 1_024
--- a/ambershift/interference/pooled.py
+++ b/ambershift/coordinator/interference/pooled.py
@@ -16,8 +16,8 @@
 
 from scipy.special import stdtr, stdtrit  # type: ignore[import-untyped]
 
-from ambershift.interference.records import BUSY, ERROR, FREEDOM, SLOPE, Evidence, Met
-from ambershift.interference.words import Score
+from ambershift.coordinator.interference.records import BUSY, ERROR, FREEDOM, SLOPE, Evidence, Met
+from ambershift.coordinator.interference.words import Score
 
 ALPHA = 0.001  # For all pairs of a look; looks that share no sample come every hour.
 EFFECT_LEAST = 0.03  # Less than this part of a job's speed is not worth a move.
--- a/ambershift/interference/records.py
+++ b/ambershift/coordinator/interference/records.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from ambershift.interference.normal import Sketch, sound
-from ambershift.interference.words import Sample
+from ambershift.coordinator.interference.normal import Sketch, sound
+from ambershift.coordinator.interference.words import Sample
 from ambershift.replication.heard import Kind
 
 VERSION = 1
--- a/ambershift/interference/sift.py
+++ b/ambershift/coordinator/interference/sift.py
@@ -4,7 +4,7 @@
 
 import math
 
-from ambershift.interference.words import Sample, Unusable
+from ambershift.coordinator.interference.words import Sample, Unusable
 
 SECOND = 1_000_000_000
 SPAN_LEAST, SPAN_MOST = 0.05, 1.5  # Of a slot.
--- a/ambershift/interference/victims.py
+++ b/ambershift/coordinator/interference/victims.py
@@ -11,7 +11,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from ambershift.interference.normal import Normal
+from ambershift.coordinator.interference.normal import Normal
 
 SLOTS_A_MINUTE = 6
 MINUTES, OUT_LEAST = 5, 3
--- a/benchmarks/interference.py
+++ b/benchmarks/interference.py
@@ -17,9 +17,9 @@
 import numpy as np
 
 from ambershift.coordinator.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
-from ambershift.interference.engine import Engine
-from ambershift.interference.records import Put
-from ambershift.interference.suspects import BLOCK
+from ambershift.coordinator.interference.engine import Engine
+from ambershift.coordinator.interference.records import Put
+from ambershift.coordinator.interference.suspects import BLOCK
 
 SECOND = 1_000_000_000
 PLANTS = Plant("batch", "games", 0.08), Plant("crawl", "chat", 0.12)
--- a/tests/compatibility/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -15,8 +15,8 @@
 
 from ambershift.coordinator.group import evidence, gossip
 from ambershift.coordinator.group.links import wire as links
-from ambershift.interference import records as interference
-from ambershift.interference.words import Sample
+from ambershift.coordinator.interference import records as interference
+from ambershift.coordinator.interference.words import Sample
 from ambershift.promises import answers
 from ambershift.promises.state import Packed
 from ambershift.promises.words import Command
--- a/tests/coordinator/counters/test_counters.py
+++ b/tests/coordinator/counters/test_counters.py
@@ -28,8 +28,8 @@
     read_frame,
     read_hello,
 )
-from ambershift.interference.records import read_samples
-from ambershift.interference.words import Sample
+from ambershift.coordinator.interference.records import read_samples
+from ambershift.coordinator.interference.words import Sample
 from ambershift.settings.interference import CounterJob, Interference, Source
 from ambershift.settings.model import read_text
 from ambershift.settings.tree import SettingsError
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -546,7 +546,7 @@
     code = (
         "import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
         "print([one for one in sys.modules if one.startswith(('ambershift.coordinator.group', 'ambershift.promises',"
-        "'ambershift.replication', 'ambershift.maintenance', 'ambershift.interference', 'aiohttp',"
+        "'ambershift.replication', 'ambershift.maintenance', 'ambershift.coordinator.interference', 'aiohttp',"
         "'ambershift.coordinator.admin', 'ambershift.runtime', 'numpy'))])"
     )
     found = subprocess.run(
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -18,7 +18,7 @@
 from ambershift.coordinator.group.member import Member
 from ambershift.coordinator.group.rows import member_rows
 from ambershift.coordinator.group.spec import Spec
-from ambershift.interference.records import Put
+from ambershift.coordinator.interference.records import Put
 from ambershift.promises.answers import encode as encode_command
 from ambershift.promises.answers import read_answer
 from ambershift.promises.machine import PromisesMachine
--- a/tests/coordinator/interference/test_interference.py
+++ b/tests/coordinator/interference/test_interference.py
@@ -12,14 +12,14 @@
 
 from ambershift.coordinator.counters.standin import rows, written
 from ambershift.coordinator.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
-from ambershift.interference import records
-from ambershift.interference.engine import Bounds, Engine
-from ambershift.interference.normal import CAP, Gatherer, Sketch, liars, merge, normal, sound
-from ambershift.interference.perfcsv import LINE_MOST, Job, PerfReader
-from ambershift.interference.pooled import Found, pool, scores
-from ambershift.interference.sift import Told, judge
-from ambershift.interference.suspects import BLOCK, findings, present, swings
-from ambershift.interference.words import Sample, Unusable
+from ambershift.coordinator.interference import records
+from ambershift.coordinator.interference.engine import Bounds, Engine
+from ambershift.coordinator.interference.normal import CAP, Gatherer, Sketch, liars, merge, normal, sound
+from ambershift.coordinator.interference.perfcsv import LINE_MOST, Job, PerfReader
+from ambershift.coordinator.interference.pooled import Found, pool, scores
+from ambershift.coordinator.interference.sift import Told, judge
+from ambershift.coordinator.interference.suspects import BLOCK, findings, present, swings
+from ambershift.coordinator.interference.words import Sample, Unusable
 from ambershift.replication.heard import Kind
 from tests.coordinator.interference.planted_worlds import Played, due, play, record
 
