--- a/ambershift/coordinator/group/clocks.py
+++ b/ambershift/coordinator/group/clocks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.maintenance.permits import clock_apart
+from ambershift.coordinator.maintenance.permits import clock_apart
 
 # A word of a clock counts for so long; of several the latest-looking one, as its way makes it look early.
 LASTS = 10_000_000_000
--- a/ambershift/coordinator/group/front.py
+++ b/ambershift/coordinator/group/front.py
@@ -19,10 +19,10 @@
 from ambershift.coordinator.group.standings import Others, standings
 from ambershift.coordinator.group.tap import GroupTap, Known
 from ambershift.coordinator.group.upkeep import Upkeep
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.words import Standing
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import BadStartError
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.words import Standing
 from ambershift.promises.machine import PromisesMachine
 from ambershift.runtime.changes import why_refused
 from ambershift.runtime.front import RuntimeFront
--- a/ambershift/coordinator/group/guard.py
+++ b/ambershift/coordinator/group/guard.py
@@ -15,8 +15,8 @@
 from ambershift.coordinator.admin.weigh import weigh
 from ambershift.coordinator.admin.words import NEVER, Refused
 from ambershift.coordinator.admin.world import World
+from ambershift.coordinator.maintenance.words import Phase, Refusal
 from ambershift.door import Door
-from ambershift.maintenance.words import Phase, Refusal
 from ambershift.promises.answers import Outcome, refused
 from ambershift.promises.machine import change_of
 from ambershift.promises.state import Promises
--- a/ambershift/coordinator/group/standings.py
+++ b/ambershift/coordinator/group/standings.py
@@ -8,8 +8,8 @@
 from ambershift import interface as api
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.admin.mirror import NEVER_SHUT
+from ambershift.coordinator.maintenance.words import Standing, Trouble
 from ambershift.door import Door
-from ambershift.maintenance.words import Standing, Trouble
 
 
 class Others(NamedTuple):
--- a/ambershift/coordinator/group/upkeep.py
+++ b/ambershift/coordinator/group/upkeep.py
@@ -12,9 +12,9 @@
 
 from ambershift.coordinator.group.links.words import failure
 from ambershift.coordinator.group.member import Member
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.permits import Heard, Steers
-from ambershift.maintenance.words import Declared, Standing
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.permits import Heard, Steers
+from ambershift.coordinator.maintenance.words import Declared, Standing
 from ambershift.promises.answers import read_answer
 from ambershift.promises.steward import Steward
 from ambershift.promises.words import Command, Declare
--- a/ambershift/maintenance/agreements.py
+++ b/ambershift/coordinator/maintenance/agreements.py
@@ -10,7 +10,7 @@
 from math import ceil
 from typing import NamedTuple
 
-from ambershift.maintenance.words import Permit, Refusal, Standing, Tenant, Trouble
+from ambershift.coordinator.maintenance.words import Permit, Refusal, Standing, Tenant, Trouble
 
 # Weights are summed as whole millionths: sums that are taken apart again end where they began, and members
 # that sum in another order agree.
--- a/ambershift/maintenance/board.py
+++ b/ambershift/coordinator/maintenance/board.py
@@ -12,10 +12,10 @@
 from heapq import heapify, heappop, heappush
 from typing import NamedTuple
 
-from ambershift.maintenance.agreements import Binds, Room, Users, usable, worth
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.windows import DAY, Span, common, tenant_spans
-from ambershift.maintenance.words import Declared, Refusal, Standing, Tenant, Work
+from ambershift.coordinator.maintenance.agreements import Binds, Room, Users, usable, worth
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.windows import DAY, Span, common, tenant_spans
+from ambershift.coordinator.maintenance.words import Declared, Refusal, Standing, Tenant, Work
 
 WAVE_MOST = 256  # A grant is one entry of the log.
 TRIES_MOST = 64  # Servers of a group that are looked at past one that weighs too much.
--- a/ambershift/maintenance/permits.py
+++ b/ambershift/coordinator/maintenance/permits.py
@@ -11,8 +11,8 @@
 from collections.abc import Set as AbstractSet
 from typing import NamedTuple
 
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.words import Permit, Phase, Standing, Trouble
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.words import Permit, Phase, Standing, Trouble
 
 
 class Steers(NamedTuple):
--- a/ambershift/maintenance/sound.py
+++ b/ambershift/coordinator/maintenance/sound.py
@@ -4,7 +4,7 @@
 
 from math import isfinite
 
-from ambershift.maintenance.words import Declared
+from ambershift.coordinator.maintenance.words import Declared
 
 YEAR = 366 * 86_400 * 1_000_000_000
 AMOUNT_MOST = 1e12
--- a/ambershift/maintenance/waves.py
+++ b/ambershift/coordinator/maintenance/waves.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from ambershift.maintenance.agreements import Binds, Room
-from ambershift.maintenance.board import NEVER, Board, Group, Job, Spans, make_groups
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.windows import Span, tenant_spans
-from ambershift.maintenance.words import Declared, Permit, Refusal, Standing, Work
+from ambershift.coordinator.maintenance.agreements import Binds, Room
+from ambershift.coordinator.maintenance.board import NEVER, Board, Group, Job, Spans, make_groups
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.windows import Span, tenant_spans
+from ambershift.coordinator.maintenance.words import Declared, Permit, Refusal, Standing, Work
 
 # Plans are for people to read; beyond it the rest is told as not laid.
 STEPS_MOST = 100_000
--- a/ambershift/maintenance/windows.py
+++ b/ambershift/coordinator/maintenance/windows.py
@@ -16,7 +16,7 @@
 
 from dateutil.rrule import rrulestr
 
-from ambershift.maintenance.words import Tenant, Window
+from ambershift.coordinator.maintenance.words import Tenant, Window
 
 SECOND = 1_000_000_000
 DAY = 86_400 * SECOND
--- a/ambershift/modelcheck/models/permits.py
+++ b/ambershift/modelcheck/models/permits.py
@@ -10,9 +10,9 @@
 from datetime import UTC, datetime
 from typing import Any, NamedTuple
 
-from ambershift.maintenance.limits import SECOND, Limits
-from ambershift.maintenance.permits import Heard, Steers, clock_apart
-from ambershift.maintenance.words import Agreement, Declared, Standing, Tenant, Window, Work
+from ambershift.coordinator.maintenance.limits import SECOND, Limits
+from ambershift.coordinator.maintenance.permits import Heard, Steers, clock_apart
+from ambershift.coordinator.maintenance.words import Agreement, Declared, Standing, Tenant, Window, Work
 from ambershift.modelcheck.model import Base, Step
 from ambershift.modelcheck.models.replication import broken
 from ambershift.promises import state as promised
--- a/ambershift/modelcheck/mutants/permits.py
+++ b/ambershift/modelcheck/mutants/permits.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.words import Phase
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.words import Phase
 from ambershift.modelcheck.mutants.words import Mutant
 from ambershift.promises import machine, steward
 from ambershift.promises.state import Held, Promises
--- a/ambershift/promises/machine.py
+++ b/ambershift/promises/machine.py
@@ -10,8 +10,8 @@
 
 from ambershift.coordinator.admin.wants import wanted, weighable
 from ambershift.coordinator.admin.words import AS_LISTED, NEVER, Change, Health, Origin, Reason, State, Weight
-from ambershift.maintenance.sound import unsound
-from ambershift.maintenance.words import Phase, Refusal
+from ambershift.coordinator.maintenance.sound import unsound
+from ambershift.coordinator.maintenance.words import Phase, Refusal
 from ambershift.promises.answers import (
     COMMAND_MOST,
     Outcome,
--- a/ambershift/promises/rows.py
+++ b/ambershift/promises/rows.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from ambershift.maintenance.agreements import Binds
-from ambershift.maintenance.waves import Plan
-from ambershift.maintenance.words import Refusal
+from ambershift.coordinator.maintenance.agreements import Binds
+from ambershift.coordinator.maintenance.waves import Plan
+from ambershift.coordinator.maintenance.words import Refusal
 from ambershift.promises.state import Promises
 
 SERVERS_NAMED = 8
--- a/ambershift/promises/state.py
+++ b/ambershift/promises/state.py
@@ -8,7 +8,7 @@
 from rpds import HashTrieMap
 
 from ambershift.coordinator.admin.words import AS_LISTED, Health, Origin, Standing, State, Weight
-from ambershift.maintenance.words import Declared, Permit, Phase
+from ambershift.coordinator.maintenance.words import Declared, Permit, Phase
 
 VERSION = 1
 NOTHING_DECLARED = Declared(0, (), ())
--- a/ambershift/promises/steward.py
+++ b/ambershift/promises/steward.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from ambershift.maintenance.agreements import Room, Users, usable, worth
-from ambershift.maintenance.board import Board, Spans, make_groups
-from ambershift.maintenance.limits import MINUTE, SECOND, Limits
-from ambershift.maintenance.permits import Heard, all_drained, all_let_in, clock_apart, is_back
-from ambershift.maintenance.waves import Open, Plan, lay
-from ambershift.maintenance.windows import DAY
-from ambershift.maintenance.words import Permit, Phase, Standing, Tenant, Trouble, Work
+from ambershift.coordinator.maintenance.agreements import Room, Users, usable, worth
+from ambershift.coordinator.maintenance.board import Board, Spans, make_groups
+from ambershift.coordinator.maintenance.limits import MINUTE, SECOND, Limits
+from ambershift.coordinator.maintenance.permits import Heard, all_drained, all_let_in, clock_apart, is_back
+from ambershift.coordinator.maintenance.waves import Open, Plan, lay
+from ambershift.coordinator.maintenance.windows import DAY
+from ambershift.coordinator.maintenance.words import Permit, Phase, Standing, Tenant, Trouble, Work
 from ambershift.promises.rows import Row, permit_rows, plan_rows, stopped_row
 from ambershift.promises.state import NOTHING_DECLARED, Held, Promises
 from ambershift.promises.words import Command, Grant, Move
--- a/ambershift/promises/unconfirmed.py
+++ b/ambershift/promises/unconfirmed.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from ambershift.maintenance.words import Phase
+from ambershift.coordinator.maintenance.words import Phase
 from ambershift.promises.answers import decode
 from ambershift.promises.words import Move
 from ambershift.replication.words import Entry
--- a/ambershift/promises/words.py
+++ b/ambershift/promises/words.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ambershift.maintenance.words import Declared, Permit, Phase
+from ambershift.coordinator.maintenance.words import Declared, Permit, Phase
 
 
 class WishOne(msgspec.Struct, frozen=True, array_like=True):
--- a/ambershift/settings/maintenance.py
+++ b/ambershift/settings/maintenance.py
@@ -24,9 +24,9 @@
 
 import msgspec
 
-from ambershift.maintenance.sound import AMOUNT_MOST
-from ambershift.maintenance.windows import BadWindowError, occurrences, read_day, zone_of
-from ambershift.maintenance.words import Agreement, Declared, Tenant, Window, Work
+from ambershift.coordinator.maintenance.sound import AMOUNT_MOST
+from ambershift.coordinator.maintenance.windows import BadWindowError, occurrences, read_day, zone_of
+from ambershift.coordinator.maintenance.words import Agreement, Declared, Tenant, Window, Work
 from ambershift.settings.checks import Complaint, duration
 
 NAME = re.compile(r"[A-Za-z0-9_.-]{1,64}")
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -14,13 +14,13 @@
 from math import log
 from typing import NamedTuple
 
-from ambershift.maintenance.agreements import Users, usable
-from ambershift.maintenance.board import Spans
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.permits import Heard, Steers
-from ambershift.maintenance.waves import lay
-from ambershift.maintenance.windows import Span
-from ambershift.maintenance.words import (
+from ambershift.coordinator.maintenance.agreements import Users, usable
+from ambershift.coordinator.maintenance.board import Spans
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.permits import Heard, Steers
+from ambershift.coordinator.maintenance.waves import lay
+from ambershift.coordinator.maintenance.windows import Span
+from ambershift.coordinator.maintenance.words import (
     Agreement,
     Declared,
     Standing,
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -20,8 +20,8 @@
 from ambershift.coordinator.group.guard import Guard
 from ambershift.coordinator.group.promise import Promises as Promised
 from ambershift.coordinator.group.standings import Others, standings
+from ambershift.coordinator.maintenance.words import Declared, Permit, Phase, Trouble, Work
 from ambershift.door import Door
-from ambershift.maintenance.words import Declared, Permit, Phase, Trouble, Work
 from ambershift.promises.answers import Outcome, encode, encode_answer, read_answer, refused
 from ambershift.promises.machine import PromisesMachine
 from ambershift.promises.state import EMPTY, Held
@@ -546,7 +546,7 @@
     code = (
         "import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
         "print([one for one in sys.modules if one.startswith(('ambershift.coordinator.group', 'ambershift.promises',"
-        "'ambershift.replication', 'ambershift.maintenance', 'ambershift.coordinator.interference', 'aiohttp',"
+        "'ambershift.replication', 'ambershift.coordinator.maintenance', 'ambershift.coordinator.interference', 'aiohttp',"
         "'ambershift.coordinator.admin', 'ambershift.runtime', 'numpy'))])"
     )
     found = subprocess.run(
--- a/tests/coordinator/maintenance/simulated_permits.py
+++ b/tests/coordinator/maintenance/simulated_permits.py
@@ -7,9 +7,9 @@
 import random
 from datetime import UTC, datetime
 
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.permits import Heard, Steers, clock_apart
-from ambershift.maintenance.words import (
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.permits import Heard, Steers, clock_apart
+from ambershift.coordinator.maintenance.words import (
     Agreement,
     Declared,
     Phase,
--- a/tests/coordinator/maintenance/test_maintenance.py
+++ b/tests/coordinator/maintenance/test_maintenance.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ambershift.maintenance.agreements import Room, usable
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.permits import clock_apart
-from ambershift.maintenance.waves import Plan, lay
-from ambershift.maintenance.windows import (
+from ambershift.coordinator.maintenance.agreements import Room, usable
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.permits import clock_apart
+from ambershift.coordinator.maintenance.waves import Plan, lay
+from ambershift.coordinator.maintenance.windows import (
     BadWindowError,
     Span,
     common,
@@ -24,7 +24,7 @@
     tenant_spans,
     without,
 )
-from ambershift.maintenance.words import (
+from ambershift.coordinator.maintenance.words import (
     Agreement,
     Declared,
     Refusal,
--- a/tests/coordinator/maintenance/test_maintenance_faults.py
+++ b/tests/coordinator/maintenance/test_maintenance_faults.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ambershift.maintenance.words import Phase, Refusal
+from ambershift.coordinator.maintenance.words import Phase, Refusal
 from ambershift.promises.answers import encode
 from ambershift.promises.steward import Steward
 from ambershift.promises.words import Declare
--- a/tests/coordinator/promises/test_promises.py
+++ b/tests/coordinator/promises/test_promises.py
@@ -6,7 +6,16 @@
 import pytest
 
 from ambershift.coordinator.admin.words import AS_LISTED, NEVER, Health, State, Weight
-from ambershift.maintenance.words import Agreement, Declared, Permit, Phase, Refusal, Tenant, Window, Work
+from ambershift.coordinator.maintenance.words import (
+    Agreement,
+    Declared,
+    Permit,
+    Phase,
+    Refusal,
+    Tenant,
+    Window,
+    Work,
+)
 from ambershift.promises.answers import Outcome, Why, decode, encode, read_answer, refused
 from ambershift.promises.machine import KEPT_MOST, WISHES_MOST, PromisesMachine
 from ambershift.promises.state import EMPTY, Promises, UnreadableStateError, pack, unpack
--- a/tests/coordinator/promises/test_steward.py
+++ b/tests/coordinator/promises/test_steward.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from ambershift.maintenance.limits import Limits
-from ambershift.maintenance.permits import Heard, Steers
-from ambershift.maintenance.words import (
+from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.permits import Heard, Steers
+from ambershift.coordinator.maintenance.words import (
     Agreement,
     Declared,
     Phase,
