--- a/ambershift/coordinator/group/asking.py
+++ b/ambershift/coordinator/group/asking.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from ambershift.coordinator.group.spec import Spec
-from ambershift.promises.answers import encode
-from ambershift.promises.state import EMPTY, Promises
-from ambershift.promises.words import Command
+from ambershift.coordinator.promises.answers import encode
+from ambershift.coordinator.promises.state import EMPTY, Promises
+from ambershift.coordinator.promises.words import Command
 from ambershift.replication.replica import Replica
 from ambershift.replication.words import Answer, Reason
 
--- a/ambershift/coordinator/group/at_desk.py
+++ b/ambershift/coordinator/group/at_desk.py
@@ -7,9 +7,9 @@
 from ambershift import interface as api
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.admin.words import AS_LISTED, Standing
+from ambershift.coordinator.promises.state import EMPTY, Promises
+from ambershift.coordinator.promises.unconfirmed import SoonerEnd
 from ambershift.door import Door
-from ambershift.promises.state import EMPTY, Promises
-from ambershift.promises.unconfirmed import SoonerEnd
 
 
 class AtDesk:
--- a/ambershift/coordinator/group/front.py
+++ b/ambershift/coordinator/group/front.py
@@ -23,7 +23,7 @@
 from ambershift.coordinator.maintenance.words import Standing
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import BadStartError
-from ambershift.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.runtime.changes import why_refused
 from ambershift.runtime.front import RuntimeFront
 from ambershift.runtime.places import TcpPlace, UnixPlace
--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -14,7 +14,7 @@
 from ambershift.coordinator.group.links.wire import Kind, UnreadableError
 from ambershift.coordinator.group.links.words import failure
 from ambershift.coordinator.maintenance.words import Phase
-from ambershift.promises.state import Held
+from ambershift.coordinator.promises.state import Held
 from ambershift.replication.heard import messages
 from ambershift.replication.heard.store import Store
 from ambershift.replication.heard.words import Kind as Heard
--- a/ambershift/coordinator/group/guard.py
+++ b/ambershift/coordinator/group/guard.py
@@ -16,11 +16,11 @@
 from ambershift.coordinator.admin.words import NEVER, Refused
 from ambershift.coordinator.admin.world import World
 from ambershift.coordinator.maintenance.words import Phase, Refusal
+from ambershift.coordinator.promises.answers import Outcome, refused
+from ambershift.coordinator.promises.machine import change_of
+from ambershift.coordinator.promises.state import Promises
+from ambershift.coordinator.promises.words import Command, Grant, Wishes
 from ambershift.door import Door
-from ambershift.promises.answers import Outcome, refused
-from ambershift.promises.machine import change_of
-from ambershift.promises.state import Promises
-from ambershift.promises.words import Command, Grant, Wishes
 
 
 class Guard:
--- a/ambershift/coordinator/group/life.py
+++ b/ambershift/coordinator/group/life.py
@@ -9,9 +9,9 @@
 from ambershift.coordinator.group.disk.files import LockedError, RealFiles
 from ambershift.coordinator.group.disk.folder import DiskError, Folder, RefusedError
 from ambershift.coordinator.group.spec import Spec
-from ambershift.promises.answers import encode
-from ambershift.promises.machine import PromisesMachine
-from ambershift.promises.words import Nothing
+from ambershift.coordinator.promises.answers import encode
+from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.words import Nothing
 from ambershift.replication.replica import Replica
 from ambershift.replication.words import Saved
 
--- a/ambershift/coordinator/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -18,11 +18,11 @@
 from ambershift.coordinator.group.links.words import failure
 from ambershift.coordinator.group.offloop import off_loop
 from ambershift.coordinator.group.spec import Spec
-from ambershift.promises.answers import decode, read_answer
-from ambershift.promises.machine import PromisesMachine
-from ambershift.promises.state import Promises
-from ambershift.promises.unconfirmed import sooner_ends
-from ambershift.promises.words import Command, Wishes
+from ambershift.coordinator.promises.answers import decode, read_answer
+from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.state import Promises
+from ambershift.coordinator.promises.unconfirmed import sooner_ends
+from ambershift.coordinator.promises.words import Command, Wishes
 from ambershift.replication import messages, words
 from ambershift.replication.replica import Replica
 from ambershift.replication.words import Answer, Applied, Halt, Reason, Restored, Send, Write
--- a/ambershift/coordinator/group/promise.py
+++ b/ambershift/coordinator/group/promise.py
@@ -9,8 +9,8 @@
 from ambershift.coordinator.admin.words import Change
 from ambershift.coordinator.group.member import Member
 from ambershift.coordinator.group.rows import member_rows, permit_rows
-from ambershift.promises.answers import Outcome, read_answer
-from ambershift.promises.words import Answered, Wishes, WishOne
+from ambershift.coordinator.promises.answers import Outcome, read_answer
+from ambershift.coordinator.promises.words import Answered, Wishes, WishOne
 from ambershift.replication.words import Answer as Reply
 from ambershift.replication.words import Reason
 from ambershift.runtime.changing import BAD_COMMAND
--- a/ambershift/coordinator/group/rows.py
+++ b/ambershift/coordinator/group/rows.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ambershift.promises.state import Promises
+from ambershift.coordinator.promises.state import Promises
 
 if TYPE_CHECKING:
     from ambershift.coordinator.group.member import Member
--- a/ambershift/coordinator/group/upkeep.py
+++ b/ambershift/coordinator/group/upkeep.py
@@ -15,9 +15,9 @@
 from ambershift.coordinator.maintenance.limits import Limits
 from ambershift.coordinator.maintenance.permits import Heard, Steers
 from ambershift.coordinator.maintenance.words import Declared, Standing
-from ambershift.promises.answers import read_answer
-from ambershift.promises.steward import Steward
-from ambershift.promises.words import Command, Declare
+from ambershift.coordinator.promises.answers import read_answer
+from ambershift.coordinator.promises.steward import Steward
+from ambershift.coordinator.promises.words import Command, Declare
 from ambershift.replication.words import Status
 
 SECOND = 1_000_000_000
--- a/ambershift/promises/answers.py
+++ b/ambershift/coordinator/promises/answers.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ambershift.promises.words import Command
+from ambershift.coordinator.promises.words import Command
 
 COMMAND_MOST = 1 << 20  # A thousand wishes take about 30 KB; whatever is larger was not made by this program.
 
--- a/ambershift/promises/machine.py
+++ b/ambershift/coordinator/promises/machine.py
@@ -12,7 +12,7 @@
 from ambershift.coordinator.admin.words import AS_LISTED, NEVER, Change, Health, Origin, Reason, State, Weight
 from ambershift.coordinator.maintenance.sound import unsound
 from ambershift.coordinator.maintenance.words import Phase, Refusal
-from ambershift.promises.answers import (
+from ambershift.coordinator.promises.answers import (
     COMMAND_MOST,
     Outcome,
     Why,
@@ -20,8 +20,17 @@
     encode_answer,
     refused,
 )
-from ambershift.promises.state import EMPTY, Held, Kept, Past, Promises, pack, unpack
-from ambershift.promises.words import Answered, Command, Declare, Grant, Move, Nothing, Wishes, WishOne
+from ambershift.coordinator.promises.state import EMPTY, Held, Kept, Past, Promises, pack, unpack
+from ambershift.coordinator.promises.words import (
+    Answered,
+    Command,
+    Declare,
+    Grant,
+    Move,
+    Nothing,
+    Wishes,
+    WishOne,
+)
 from ambershift.replication.words import Entry
 
 WISHES_MOST = 20_000  # As many as the desk lets wait; a fleet has fewer servers.
--- a/ambershift/promises/rows.py
+++ b/ambershift/coordinator/promises/rows.py
@@ -7,7 +7,7 @@
 from ambershift.coordinator.maintenance.agreements import Binds
 from ambershift.coordinator.maintenance.waves import Plan
 from ambershift.coordinator.maintenance.words import Refusal
-from ambershift.promises.state import Promises
+from ambershift.coordinator.promises.state import Promises
 
 SERVERS_NAMED = 8
 TEXTS = {
--- a/ambershift/promises/steward.py
+++ b/ambershift/coordinator/promises/steward.py
@@ -18,9 +18,9 @@
 from ambershift.coordinator.maintenance.waves import Open, Plan, lay
 from ambershift.coordinator.maintenance.windows import DAY
 from ambershift.coordinator.maintenance.words import Permit, Phase, Standing, Tenant, Trouble, Work
-from ambershift.promises.rows import Row, permit_rows, plan_rows, stopped_row
-from ambershift.promises.state import NOTHING_DECLARED, Held, Promises
-from ambershift.promises.words import Command, Grant, Move
+from ambershift.coordinator.promises.rows import Row, permit_rows, plan_rows, stopped_row
+from ambershift.coordinator.promises.state import NOTHING_DECLARED, Held, Promises
+from ambershift.coordinator.promises.words import Command, Grant, Move
 
 SEND_AGAIN = 3 * SECOND  # A command that is lost is sent again; it stands once, whatever comes of it.
 # Who may go next is looked for so often where nothing changed; each look goes through the whole fleet, so
--- a/ambershift/promises/unconfirmed.py
+++ b/ambershift/coordinator/promises/unconfirmed.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from ambershift.coordinator.maintenance.words import Phase
-from ambershift.promises.answers import decode
-from ambershift.promises.words import Move
+from ambershift.coordinator.promises.answers import decode
+from ambershift.coordinator.promises.words import Move
 from ambershift.replication.words import Entry
 
 
--- a/ambershift/modelcheck/models/permits.py
+++ b/ambershift/modelcheck/models/permits.py
@@ -13,14 +13,14 @@
 from ambershift.coordinator.maintenance.limits import SECOND, Limits
 from ambershift.coordinator.maintenance.permits import Heard, Steers, clock_apart
 from ambershift.coordinator.maintenance.words import Agreement, Declared, Standing, Tenant, Window, Work
+from ambershift.coordinator.promises import state as promised
+from ambershift.coordinator.promises.answers import decode, encode
+from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.state import EMPTY, Promises
+from ambershift.coordinator.promises.steward import Steward
+from ambershift.coordinator.promises.words import Declare, Grant, Move
 from ambershift.modelcheck.model import Base, Step
 from ambershift.modelcheck.models.replication import broken
-from ambershift.promises import state as promised
-from ambershift.promises.answers import decode, encode
-from ambershift.promises.machine import PromisesMachine
-from ambershift.promises.state import EMPTY, Promises
-from ambershift.promises.steward import Steward
-from ambershift.promises.words import Declare, Grant, Move
 from ambershift.replication.words import Entry
 
 START = int(datetime(2026, 12, 2, 3, 0, tzinfo=UTC).timestamp()) * SECOND
--- a/ambershift/modelcheck/mutants/permits.py
+++ b/ambershift/modelcheck/mutants/permits.py
@@ -8,11 +8,11 @@
 
 from ambershift.coordinator.maintenance.limits import Limits
 from ambershift.coordinator.maintenance.words import Phase
+from ambershift.coordinator.promises import machine, steward
+from ambershift.coordinator.promises.state import Held, Promises
+from ambershift.coordinator.promises.steward import Steward
+from ambershift.coordinator.promises.words import Grant, Move
 from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.promises import machine, steward
-from ambershift.promises.state import Held, Promises
-from ambershift.promises.steward import Steward
-from ambershift.promises.words import Grant, Move
 
 
 def judged_by_anything(real: Any) -> Any:
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -29,11 +29,11 @@
     Window,
     Work,
 )
-from ambershift.promises.answers import encode
-from ambershift.promises.machine import PromisesMachine
-from ambershift.promises.state import EMPTY, Promises
-from ambershift.promises.steward import Steward
-from ambershift.promises.words import Declare
+from ambershift.coordinator.promises.answers import encode
+from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.state import EMPTY, Promises
+from ambershift.coordinator.promises.steward import Steward
+from ambershift.coordinator.promises.words import Declare
 from ambershift.replication.words import Entry
 
 S = 1_000_000_000
--- a/tests/compatibility/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -17,9 +17,9 @@
 from ambershift.coordinator.group.links import wire as links
 from ambershift.coordinator.interference import records as interference
 from ambershift.coordinator.interference.words import Sample
-from ambershift.promises import answers
-from ambershift.promises.state import Packed
-from ambershift.promises.words import Command
+from ambershift.coordinator.promises import answers
+from ambershift.coordinator.promises.state import Packed
+from ambershift.coordinator.promises.words import Command
 from ambershift.replication import messages as group_messages
 from ambershift.replication import records
 from ambershift.replication.heard import messages as heard
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -17,7 +17,7 @@
 
 from ambershift.coordinator.group.disk.files import RealFiles
 from ambershift.coordinator.group.disk.folder import Folder
-from ambershift.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.replication.heard import messages as heard
 from ambershift.replication.heard.store import Store
 from ambershift.replication.words import Entry, Write
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -21,12 +21,12 @@
 from ambershift.coordinator.group.promise import Promises as Promised
 from ambershift.coordinator.group.standings import Others, standings
 from ambershift.coordinator.maintenance.words import Declared, Permit, Phase, Trouble, Work
+from ambershift.coordinator.promises.answers import Outcome, encode, encode_answer, read_answer, refused
+from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.state import EMPTY, Held
+from ambershift.coordinator.promises.unconfirmed import SoonerEnd, sooner_ends
+from ambershift.coordinator.promises.words import Answered, Command, Declare, Grant, Move, Wishes, WishOne
 from ambershift.door import Door
-from ambershift.promises.answers import Outcome, encode, encode_answer, read_answer, refused
-from ambershift.promises.machine import PromisesMachine
-from ambershift.promises.state import EMPTY, Held
-from ambershift.promises.unconfirmed import SoonerEnd, sooner_ends
-from ambershift.promises.words import Answered, Command, Declare, Grant, Move, Wishes, WishOne
 from ambershift.replication.words import Answer, Entry
 from ambershift.replication.words import Reason as Why
 from ambershift.settings.model import read_text
@@ -545,7 +545,7 @@
 def test_the_platforms_run_loads_nothing_of_a_group() -> None:
     code = (
         "import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
-        "print([one for one in sys.modules if one.startswith(('ambershift.coordinator.group', 'ambershift.promises',"
+        "print([one for one in sys.modules if one.startswith(('ambershift.coordinator.group', 'ambershift.coordinator.promises',"
         "'ambershift.replication', 'ambershift.coordinator.maintenance', 'ambershift.coordinator.interference', 'aiohttp',"
         "'ambershift.coordinator.admin', 'ambershift.runtime', 'numpy'))])"
     )
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -19,10 +19,10 @@
 from ambershift.coordinator.group.rows import member_rows
 from ambershift.coordinator.group.spec import Spec
 from ambershift.coordinator.interference.records import Put
-from ambershift.promises.answers import encode as encode_command
-from ambershift.promises.answers import read_answer
-from ambershift.promises.machine import PromisesMachine
-from ambershift.promises.words import Grant, Wishes, WishOne
+from ambershift.coordinator.promises.answers import encode as encode_command
+from ambershift.coordinator.promises.answers import read_answer
+from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.words import Grant, Wishes, WishOne
 from ambershift.replication.heard.messages import encode
 from ambershift.replication.heard.store import Store
 from ambershift.replication.heard.words import Kind as Heard
--- a/tests/coordinator/maintenance/test_maintenance.py
+++ b/tests/coordinator/maintenance/test_maintenance.py
@@ -34,7 +34,7 @@
     Window,
     Work,
 )
-from ambershift.promises.rows import plan_rows
+from ambershift.coordinator.promises.rows import plan_rows
 from ambershift.settings.maintenance import declared
 from ambershift.settings.model import read_text
 from ambershift.settings.tree import SettingsError
--- a/tests/coordinator/maintenance/test_maintenance_faults.py
+++ b/tests/coordinator/maintenance/test_maintenance_faults.py
@@ -5,9 +5,9 @@
 import pytest
 
 from ambershift.coordinator.maintenance.words import Phase, Refusal
-from ambershift.promises.answers import encode
-from ambershift.promises.steward import Steward
-from ambershift.promises.words import Declare
+from ambershift.coordinator.promises.answers import encode
+from ambershift.coordinator.promises.steward import Steward
+from ambershift.coordinator.promises.words import Declare
 from tests.coordinator.maintenance.simulated_permits import OPENS, Group, S, Server, some_world
 
 CLOCKS = [[0, 0, 0], [-1, 0, 1], [0, -1, 0], [1, 0, 0]]
--- a/tests/coordinator/promises/test_promises.py
+++ b/tests/coordinator/promises/test_promises.py
@@ -16,10 +16,10 @@
     Window,
     Work,
 )
-from ambershift.promises.answers import Outcome, Why, decode, encode, read_answer, refused
-from ambershift.promises.machine import KEPT_MOST, WISHES_MOST, PromisesMachine
-from ambershift.promises.state import EMPTY, Promises, UnreadableStateError, pack, unpack
-from ambershift.promises.words import Command, Declare, Grant, Move, Nothing, Wishes, WishOne
+from ambershift.coordinator.promises.answers import Outcome, Why, decode, encode, read_answer, refused
+from ambershift.coordinator.promises.machine import KEPT_MOST, WISHES_MOST, PromisesMachine
+from ambershift.coordinator.promises.state import EMPTY, Promises, UnreadableStateError, pack, unpack
+from ambershift.coordinator.promises.words import Command, Declare, Grant, Move, Nothing, Wishes, WishOne
 from ambershift.replication.words import Entry
 
 WORK = Work("kernel", ("a", "b", "c"), 600, 10_000, 0)
--- a/tests/coordinator/promises/test_steward.py
+++ b/tests/coordinator/promises/test_steward.py
@@ -19,11 +19,11 @@
     Window,
     Work,
 )
-from ambershift.promises.answers import Outcome, encode, read_answer
-from ambershift.promises.machine import PromisesMachine
-from ambershift.promises.state import EMPTY
-from ambershift.promises.steward import Steward
-from ambershift.promises.words import Command, Declare, Grant, Move
+from ambershift.coordinator.promises.answers import Outcome, encode, read_answer
+from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.state import EMPTY
+from ambershift.coordinator.promises.steward import Steward
+from ambershift.coordinator.promises.words import Command, Declare, Grant, Move
 from ambershift.replication.words import Entry
 
 S = 1_000_000_000
