--- a/ambershift/coordinator/group/disk/folder.py
+++ b/ambershift/coordinator/group/disk/folder.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ambershift.coordinator.group.disk.files import Files, Handle
-from ambershift.replication.records import (
+from ambershift.coordinator.replication.records import (
     PREAMBLE,
     SLOT_BYTES,
     Fault,
@@ -22,8 +22,8 @@
     preamble,
     slot,
 )
-from ambershift.replication.vouched import ContradictionError, Held, Reading, read
-from ambershift.replication.words import Saved, Write
+from ambershift.coordinator.replication.vouched import ContradictionError, Held, Reading, read
+from ambershift.coordinator.replication.words import Saved, Write
 
 LOG, MARK, NEW = "log", "mark", ".new"
 # A log is written anew, without what later writes made void, once it is so many times the size it was then.
--- a/ambershift/coordinator/group/life.py
+++ b/ambershift/coordinator/group/life.py
@@ -12,8 +12,8 @@
 from ambershift.coordinator.promises.answers import encode
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.words import Nothing
-from ambershift.replication.replica import Replica
-from ambershift.replication.words import Saved
+from ambershift.coordinator.replication.replica import Replica
+from ambershift.coordinator.replication.words import Saved
 
 Note = Callable[..., None]
 
--- a/ambershift/coordinator/group/promise.py
+++ b/ambershift/coordinator/group/promise.py
@@ -11,8 +11,8 @@
 from ambershift.coordinator.group.rows import member_rows, permit_rows
 from ambershift.coordinator.promises.answers import Outcome, read_answer
 from ambershift.coordinator.promises.words import Answered, Wishes, WishOne
-from ambershift.replication.words import Answer as Reply
-from ambershift.replication.words import Reason
+from ambershift.coordinator.replication.words import Answer as Reply
+from ambershift.coordinator.replication.words import Reason
 from ambershift.runtime.changing import BAD_COMMAND
 from ambershift.runtime.outcomes import Answer, error
 from ambershift.runtime.session import Severity
--- a/ambershift/coordinator/groupsim/network.py
+++ b/ambershift/coordinator/groupsim/network.py
@@ -6,7 +6,7 @@
 
 from ambershift.coordinator.groupsim.chance import Chance
 from ambershift.coordinator.groupsim.plan import CALM, MS, Weather
-from ambershift.replication import messages
+from ambershift.coordinator.replication import messages
 
 if TYPE_CHECKING:
     from ambershift.coordinator.groupsim.process import Process
--- a/ambershift/coordinator/groupsim/process.py
+++ b/ambershift/coordinator/groupsim/process.py
@@ -8,9 +8,9 @@
 from ambershift.coordinator.groupsim.folder import Folder
 from ambershift.coordinator.groupsim.plan import MS, SECOND
 from ambershift.coordinator.groupsim.register import RegisterMachine
-from ambershift.replication.replica import Replica
-from ambershift.replication.timing import Timing
-from ambershift.replication.words import (
+from ambershift.coordinator.replication.replica import Replica
+from ambershift.coordinator.replication.timing import Timing
+from ambershift.coordinator.replication.words import (
     Answer,
     Applied,
     Effect,
--- a/ambershift/replication/applying.py
+++ b/ambershift/coordinator/replication/applying.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from ambershift.replication.core import GROUP, Core
-from ambershift.replication.tokens import Tokens
-from ambershift.replication.words import Applied, Entry, Reason, Restored, Snapshot
+from ambershift.coordinator.replication.core import GROUP, Core
+from ambershift.coordinator.replication.tokens import Tokens
+from ambershift.coordinator.replication.words import Applied, Entry, Reason, Restored, Snapshot
 
 
 def append(core: Core, entries: tuple[Entry, ...]) -> bool:
--- a/ambershift/replication/birth.py
+++ b/ambershift/coordinator/replication/birth.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from ambershift.replication.core import Core, Fetching
-from ambershift.replication.knowing import all_lives, all_rows, learn_lives, learn_rows
-from ambershift.replication.leading import start_leading
-from ambershift.replication.messages import Ask, Blank, Lives, Told
-from ambershift.replication.words import Reason, Status
+from ambershift.coordinator.replication.core import Core, Fetching
+from ambershift.coordinator.replication.knowing import all_lives, all_rows, learn_lives, learn_rows
+from ambershift.coordinator.replication.leading import start_leading
+from ambershift.coordinator.replication.messages import Ask, Blank, Lives, Told
+from ambershift.coordinator.replication.words import Reason, Status
 
 
 def others(core: Core) -> list[str]:
--- a/ambershift/replication/core.py
+++ b/ambershift/coordinator/replication/core.py
@@ -4,11 +4,11 @@
 
 from typing import Any, NamedTuple
 
-from ambershift.replication.log import Log
-from ambershift.replication.messages import Lives, Message, Vouch
-from ambershift.replication.timing import Timing
-from ambershift.replication.tokens import Tokens
-from ambershift.replication.words import (
+from ambershift.coordinator.replication.log import Log
+from ambershift.coordinator.replication.messages import Lives, Message, Vouch
+from ambershift.coordinator.replication.timing import Timing
+from ambershift.coordinator.replication.tokens import Tokens
+from ambershift.coordinator.replication.words import (
     Effect,
     Halt,
     Machine,
--- a/ambershift/replication/frozen.py
+++ b/ambershift/coordinator/replication/frozen.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from ambershift.replication.core import Core
-from ambershift.replication.log import Log
-from ambershift.replication.tokens import Tokens
-from ambershift.replication.words import Status
+from ambershift.coordinator.replication.core import Core
+from ambershift.coordinator.replication.log import Log
+from ambershift.coordinator.replication.tokens import Tokens
+from ambershift.coordinator.replication.words import Status
 
 Frozen = tuple[Any, ...]  # In the order of the attributes of Core.
 LEFT_OUT = ("fixed", "out", "vouching", "ahead", "open", "serving")  # Empty, or told by the rest.
--- a/ambershift/replication/heard/store.py
+++ b/ambershift/coordinator/replication/heard/store.py
@@ -11,10 +11,18 @@
 
 from collections.abc import Iterator
 
-from ambershift.replication.heard.ages import Ages
-from ambershift.replication.heard.messages import DELTA_MOST, Delta, Digest, Message, Part, Place, Row
-from ambershift.replication.heard.origin import Held, Origin, size
-from ambershift.replication.heard.words import BODY_MOST, KEY_MOST, Bounds, Record, longest
+from ambershift.coordinator.replication.heard.ages import Ages
+from ambershift.coordinator.replication.heard.messages import (
+    DELTA_MOST,
+    Delta,
+    Digest,
+    Message,
+    Part,
+    Place,
+    Row,
+)
+from ambershift.coordinator.replication.heard.origin import Held, Origin, size
+from ambershift.coordinator.replication.heard.words import BODY_MOST, KEY_MOST, Bounds, Record, longest
 
 
 class Store:
--- a/ambershift/replication/keeping.py
+++ b/ambershift/coordinator/replication/keeping.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ambershift.replication.core import Core
-from ambershift.replication.words import Effect, Status, Write
+from ambershift.coordinator.replication.core import Core
+from ambershift.coordinator.replication.words import Effect, Status, Write
 
 
 def finish(core: Core) -> list[Effect]:
--- a/ambershift/replication/knowing.py
+++ b/ambershift/coordinator/replication/knowing.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from ambershift.replication.core import NEVER, Core
-from ambershift.replication.messages import Lives, Vouch
-from ambershift.replication.words import Reason, Status
+from ambershift.coordinator.replication.core import NEVER, Core
+from ambershift.coordinator.replication.messages import Lives, Vouch
+from ambershift.coordinator.replication.words import Reason, Status
 
 
 def own_row(core: Core) -> Vouch:
--- a/ambershift/replication/replica.py
+++ b/ambershift/coordinator/replication/replica.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ambershift.replication import birth, following, leading, messages, requests, views, wants
-from ambershift.replication.applying import commit_to, compact, install
-from ambershift.replication.core import NEVER, Core, Fixed
-from ambershift.replication.frozen import Frozen, freeze, thaw
-from ambershift.replication.keeping import finish, on_synced
-from ambershift.replication.knowing import all_rows, learn_life
-from ambershift.replication.log import Log
-from ambershift.replication.messages import Message
-from ambershift.replication.timing import PLAIN, Timing
-from ambershift.replication.words import Effect, Machine, MemberRow, Restored, Saved, Status
+from ambershift.coordinator.replication import birth, following, leading, messages, requests, views, wants
+from ambershift.coordinator.replication.applying import commit_to, compact, install
+from ambershift.coordinator.replication.core import NEVER, Core, Fixed
+from ambershift.coordinator.replication.frozen import Frozen, freeze, thaw
+from ambershift.coordinator.replication.keeping import finish, on_synced
+from ambershift.coordinator.replication.knowing import all_rows, learn_life
+from ambershift.coordinator.replication.log import Log
+from ambershift.coordinator.replication.messages import Message
+from ambershift.coordinator.replication.timing import PLAIN, Timing
+from ambershift.coordinator.replication.words import Effect, Machine, MemberRow, Restored, Saved, Status
 
 HANDLERS: dict[type, Callable[[Core, int, str, Any], None]] = {
     messages.Ask: birth.on_ask,
--- a/ambershift/replication/wants.py
+++ b/ambershift/coordinator/replication/wants.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ambershift.replication.core import NEVER, Core, Want
-from ambershift.replication.messages import Answered, ReadAt
-from ambershift.replication.words import Answer, Reason
+from ambershift.coordinator.replication.core import NEVER, Core, Want
+from ambershift.coordinator.replication.messages import Answered, ReadAt
+from ambershift.coordinator.replication.words import Answer, Reason
 
 FINAL = {Reason.TOKEN_REUSED.value, Reason.TOO_LARGE.value}
 
--- a/ambershift/replication/words.py
+++ b/ambershift/coordinator/replication/words.py
@@ -113,7 +113,7 @@
 
 class Send(NamedTuple):
     to: str
-    message: Any  # One of ambershift.replication.messages.Message.
+    message: Any  # One of ambershift.coordinator.replication.messages.Message.
 
 
 class Applied(NamedTuple, Generic[State]):
--- a/ambershift/modelcheck/models/permits.py
+++ b/ambershift/modelcheck/models/permits.py
@@ -19,9 +19,9 @@
 from ambershift.coordinator.promises.state import EMPTY, Promises
 from ambershift.coordinator.promises.steward import Steward
 from ambershift.coordinator.promises.words import Declare, Grant, Move
+from ambershift.coordinator.replication.words import Entry
 from ambershift.modelcheck.model import Base, Step
 from ambershift.modelcheck.models.replication import broken
-from ambershift.replication.words import Entry
 
 START = int(datetime(2026, 12, 2, 3, 0, tzinfo=UTC).timestamp()) * SECOND
 LIMITS = Limits(
--- a/ambershift/modelcheck/models/replication.py
+++ b/ambershift/modelcheck/models/replication.py
@@ -11,6 +11,8 @@
 from collections.abc import Iterator
 from functools import partial
 
+from ambershift.coordinator.replication.replica import Replica
+from ambershift.coordinator.replication.words import Status
 from ambershift.modelcheck.model import Base, Property, Step
 from ambershift.modelcheck.models.replication_table import (
     ALL,
@@ -27,8 +29,6 @@
     packed,
     thawed,
 )
-from ambershift.replication.replica import Replica
-from ambershift.replication.words import Status
 
 
 def broken(name: str, sentence: str) -> Property:
--- a/ambershift/modelcheck/models/replication_table.py
+++ b/ambershift/modelcheck/models/replication_table.py
@@ -11,11 +11,20 @@
 
 from ambershift.coordinator.groupsim.folder import Folder
 from ambershift.coordinator.groupsim.register import RegisterMachine
-from ambershift.replication.log import Log
-from ambershift.replication.replica import Replica
-from ambershift.replication.timing import STILL
-from ambershift.replication.tokens import Tokens
-from ambershift.replication.words import Answer, Applied, Effect, Halt, Reason, Restored, Send, Write
+from ambershift.coordinator.replication.log import Log
+from ambershift.coordinator.replication.replica import Replica
+from ambershift.coordinator.replication.timing import STILL
+from ambershift.coordinator.replication.tokens import Tokens
+from ambershift.coordinator.replication.words import (
+    Answer,
+    Applied,
+    Effect,
+    Halt,
+    Reason,
+    Restored,
+    Send,
+    Write,
+)
 
 VOTERS = ("n1", "n2", "n3")
 PLACES = range(len(VOTERS))
--- a/ambershift/modelcheck/mutants/replication.py
+++ b/ambershift/modelcheck/mutants/replication.py
@@ -4,8 +4,7 @@
 
 from typing import Any
 
-from ambershift.modelcheck.mutants.words import Mutant
-from ambershift.replication import (
+from ambershift.coordinator.replication import (
     birth,
     following,
     knowing,
@@ -16,9 +15,10 @@
     views,
     wants,
 )
-from ambershift.replication.core import Core
-from ambershift.replication.tokens import Tokens
-from ambershift.replication.words import Status
+from ambershift.coordinator.replication.core import Core
+from ambershift.coordinator.replication.tokens import Tokens
+from ambershift.coordinator.replication.words import Status
+from ambershift.modelcheck.mutants.words import Mutant
 
 
 def born_at_once(real: Any) -> Any:
--- a/ambershift/replication/heard/__init__.py
+++ /dev/null
@@ -1,4 +0,0 @@
-"""Heard state: what members tell each other without promise, by origin, with version and age. No I/O."""
-
-from ambershift.replication.heard.words import Kind as Kind
-from ambershift.replication.heard.words import Record as Record
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -12,10 +12,10 @@
 from collections import deque
 from typing import Any
 
-from ambershift.replication.messages import decode, encode
-from ambershift.replication.replica import Replica
-from ambershift.replication.timing import MS, PLAIN
-from ambershift.replication.words import Answer, Entry, Send, Status, Write
+from ambershift.coordinator.replication.messages import decode, encode
+from ambershift.coordinator.replication.replica import Replica
+from ambershift.coordinator.replication.timing import MS, PLAIN
+from ambershift.coordinator.replication.words import Answer, Entry, Send, Status, Write
 from tests.support.simulated_replicas import SECOND, WALL, Counting, Sim
 
 
--- a/tests/compatibility/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -20,9 +20,9 @@
 from ambershift.coordinator.promises import answers
 from ambershift.coordinator.promises.state import Packed
 from ambershift.coordinator.promises.words import Command
-from ambershift.replication import messages as group_messages
-from ambershift.replication import records
-from ambershift.replication.heard import messages as heard
+from ambershift.coordinator.replication import messages as group_messages
+from ambershift.coordinator.replication import records
+from ambershift.coordinator.replication.heard import messages as heard
 from ambershift.system.configuration.agreement import Agreement
 from ambershift.system.consensus.membership_view import MembershipStatus
 from ambershift.system.coordination.groups import Group
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -26,9 +26,9 @@
 from ambershift.coordinator.promises.state import EMPTY, Held
 from ambershift.coordinator.promises.unconfirmed import SoonerEnd, sooner_ends
 from ambershift.coordinator.promises.words import Answered, Command, Declare, Grant, Move, Wishes, WishOne
+from ambershift.coordinator.replication.words import Answer, Entry
+from ambershift.coordinator.replication.words import Reason as Why
 from ambershift.door import Door
-from ambershift.replication.words import Answer, Entry
-from ambershift.replication.words import Reason as Why
 from ambershift.settings.model import read_text
 from ambershift.settings.tree import SettingsError
 from ambershift.standins.processes import Member as Process
@@ -546,7 +546,7 @@
     code = (
         "import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
         "print([one for one in sys.modules if one.startswith(('ambershift.coordinator.group', 'ambershift.coordinator.promises',"
-        "'ambershift.replication', 'ambershift.coordinator.maintenance', 'ambershift.coordinator.interference', 'aiohttp',"
+        "'ambershift.coordinator.replication', 'ambershift.coordinator.maintenance', 'ambershift.coordinator.interference', 'aiohttp',"
         "'ambershift.coordinator.admin', 'ambershift.runtime', 'numpy'))])"
     )
     found = subprocess.run(
--- a/tests/coordinator/replication/test_replication.py
+++ b/tests/coordinator/replication/test_replication.py
@@ -8,12 +8,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ambershift.replication import birth, knowing, messages
-from ambershift.replication.log import Log
-from ambershift.replication.messages import Chunk, Have, Told, UnreadableError, Vouch, decode, encode
-from ambershift.replication.replica import Replica
-from ambershift.replication.timing import MS, PLAIN
-from ambershift.replication.words import (
+from ambershift.coordinator.replication import birth, knowing, messages
+from ambershift.coordinator.replication.log import Log
+from ambershift.coordinator.replication.messages import (
+    Chunk,
+    Have,
+    Told,
+    UnreadableError,
+    Vouch,
+    decode,
+    encode,
+)
+from ambershift.coordinator.replication.replica import Replica
+from ambershift.coordinator.replication.timing import MS, PLAIN
+from ambershift.coordinator.replication.words import (
     Answer,
     Applied,
     Entry,
--- a/tests/support/simulated_replicas.py
+++ b/tests/support/simulated_replicas.py
@@ -7,10 +7,10 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from ambershift.replication.messages import decode, encode
-from ambershift.replication.replica import Replica
-from ambershift.replication.timing import MS, PLAIN, Timing
-from ambershift.replication.words import (
+from ambershift.coordinator.replication.messages import decode, encode
+from ambershift.coordinator.replication.replica import Replica
+from ambershift.coordinator.replication.timing import MS, PLAIN, Timing
+from ambershift.coordinator.replication.words import (
     Answer,
     Applied,
     Entry,
