--- a/ambershift/coordinator/cli/ctl.py
+++ b/ambershift/coordinator/cli/ctl.py
@@ -13,8 +13,8 @@
 import click
 import orjson
 
-from ambershift.runtime.client import Client, ClientError, Reply
-from ambershift.runtime.grammar import GrammarError, read
+from ambershift.coordinator.runtime.client import Client, ClientError, Reply
+from ambershift.coordinator.runtime.grammar import GrammarError, read
 
 PLACE = "AMBERSHIFT_SOCKET"
 HISTORY = "~/.ambershift_history"
@@ -158,8 +158,8 @@
 
     def limit(self, text: str) -> float | None:
         """A wait answers when it is over, which may be long after any other answer."""
-        from ambershift.runtime.changes import BadCommandError
-        from ambershift.runtime.converse import SECOND, read_delay
+        from ambershift.coordinator.runtime.changes import BadCommandError
+        from ambershift.coordinator.runtime.converse import SECOND, read_delay
 
         words = text.split()
         if len(words) > 1 and words[0] == "wait":
@@ -190,7 +190,7 @@
         from prompt_toolkit.completion import WordCompleter
         from prompt_toolkit.history import FileHistory, InMemoryHistory
 
-        from ambershift.runtime.catalogue import TABLE
+        from ambershift.coordinator.runtime.catalogue import TABLE
 
         place = Path(HISTORY).expanduser()
         history = FileHistory(str(place)) if os.access(place.parent, os.W_OK) else InMemoryHistory()
--- a/ambershift/coordinator/cli/run.py
+++ b/ambershift/coordinator/cli/run.py
@@ -64,9 +64,9 @@
     if runtime is None or not (runtime.socket or runtime.tcp or group):
         await Coordinator(start, book, signals).run()
         return
-    from ambershift.runtime.front import RuntimeFront
-    from ambershift.runtime.places import TcpPlace, UnixPlace
-    from ambershift.runtime.session import Level
+    from ambershift.coordinator.runtime.front import RuntimeFront
+    from ambershift.coordinator.runtime.places import TcpPlace, UnixPlace
+    from ambershift.coordinator.runtime.session import Level
     from ambershift.settings.checks import duration
 
     spots: list[UnixPlace | TcpPlace] = [
--- a/ambershift/coordinator/group/front.py
+++ b/ambershift/coordinator/group/front.py
@@ -24,10 +24,10 @@
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import BadStartError
 from ambershift.coordinator.promises.machine import PromisesMachine
-from ambershift.runtime.changes import why_refused
-from ambershift.runtime.front import RuntimeFront
-from ambershift.runtime.places import TcpPlace, UnixPlace
-from ambershift.runtime.scene import Scene
+from ambershift.coordinator.runtime.changes import why_refused
+from ambershift.coordinator.runtime.front import RuntimeFront
+from ambershift.coordinator.runtime.places import TcpPlace, UnixPlace
+from ambershift.coordinator.runtime.scene import Scene
 from ambershift.settings.checks import duration
 from ambershift.settings.group import Group
 from ambershift.settings.interference import Interference, part
--- a/ambershift/coordinator/group/promise.py
+++ b/ambershift/coordinator/group/promise.py
@@ -13,9 +13,9 @@
 from ambershift.coordinator.promises.words import Answered, Wishes, WishOne
 from ambershift.coordinator.replication.words import Answer as Reply
 from ambershift.coordinator.replication.words import Reason
-from ambershift.runtime.changing import BAD_COMMAND
-from ambershift.runtime.outcomes import Answer, error
-from ambershift.runtime.session import Severity
+from ambershift.coordinator.runtime.changing import BAD_COMMAND
+from ambershift.coordinator.runtime.outcomes import Answer, error
+from ambershift.coordinator.runtime.session import Severity
 
 SECOND = 1_000_000_000
 Rows = list[dict[str, Any]]
--- a/ambershift/coordinator/group/tap.py
+++ b/ambershift/coordinator/group/tap.py
@@ -9,7 +9,7 @@
 from ambershift.coordinator.group.at_desk import AtDesk
 from ambershift.coordinator.group.learned import Learned
 from ambershift.coordinator.routing.admit import Admit
-from ambershift.runtime.tap import DeskTap
+from ambershift.coordinator.runtime.tap import DeskTap
 
 
 class GroupTap(DeskTap):
--- a/ambershift/runtime/catalogue.py
+++ b/ambershift/coordinator/runtime/catalogue.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from ambershift.runtime.session import Level
+from ambershift.coordinator.runtime.session import Level
 
 
 class Kind(StrEnum):
--- a/ambershift/runtime/changes.py
+++ b/ambershift/coordinator/runtime/changes.py
@@ -7,7 +7,7 @@
 from ambershift.coordinator.admin.view import View
 from ambershift.coordinator.admin.wants import PART_MOST, WEIGHT_MOST
 from ambershift.coordinator.admin.words import Change, Health, Reason, Refused, State, Weight
-from ambershift.runtime.scene import Scene
+from ambershift.coordinator.runtime.scene import Scene
 
 STATES = {"ready": State.READY, "drain": State.DRAIN, "maint": State.MAINT}
 HEALTHS = {"up": Health.UP, "stopping": Health.STOPPING, "down": Health.DOWN}
--- a/ambershift/runtime/changing.py
+++ b/ambershift/coordinator/runtime/changing.py
@@ -9,14 +9,14 @@
 from ambershift import interface as api
 from ambershift.coordinator.admin.ledger import Reused
 from ambershift.coordinator.admin.words import Change, Refused
-from ambershift.runtime import lookup
-from ambershift.runtime.changes import BadCommandError, named, read_changes, tell_refused
-from ambershift.runtime.common import Common
-from ambershift.runtime.converse import read_delay
-from ambershift.runtime.grammar import Command, GrammarError, quote, read
-from ambershift.runtime.outcomes import DONE, WAIT, Answer, Outcome, Promise, Wait, error
-from ambershift.runtime.scene import Scene
-from ambershift.runtime.session import Session
+from ambershift.coordinator.runtime import lookup
+from ambershift.coordinator.runtime.changes import BadCommandError, named, read_changes, tell_refused
+from ambershift.coordinator.runtime.common import Common
+from ambershift.coordinator.runtime.converse import read_delay
+from ambershift.coordinator.runtime.grammar import Command, GrammarError, quote, read
+from ambershift.coordinator.runtime.outcomes import DONE, WAIT, Answer, Outcome, Promise, Wait, error
+from ambershift.coordinator.runtime.scene import Scene
+from ambershift.coordinator.runtime.session import Session
 
 TOKEN_MOST = 64
 BAD_COMMAND = "bad-command"  # Under a token, a refusal that is told as it is, without its name.
--- a/ambershift/runtime/client.py
+++ b/ambershift/coordinator/runtime/client.py
@@ -8,9 +8,9 @@
 from collections.abc import AsyncIterator
 from typing import NamedTuple
 
-from ambershift.runtime import lookup
-from ambershift.runtime.changing import ONCE
-from ambershift.runtime.grammar import GrammarError, quote, read
+from ambershift.coordinator.runtime import lookup
+from ambershift.coordinator.runtime.changing import ONCE
+from ambershift.coordinator.runtime.grammar import GrammarError, quote, read
 
 DIAL_LIMIT, ANSWER_MOST, TRIES, PAUSE = 2.0, 64 << 20, 3, 0.1
 PREPARE = b"prompt i;set severity-output number\n"
--- a/ambershift/runtime/common.py
+++ b/ambershift/coordinator/runtime/common.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from ambershift.coordinator.admin.words import Change
-from ambershift.runtime.outcomes import Answer
+from ambershift.coordinator.runtime.outcomes import Answer
 
 Rows = list[dict[str, Any]]
 
--- a/ambershift/runtime/converse.py
+++ b/ambershift/coordinator/runtime/converse.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from ambershift.runtime import catalogue
-from ambershift.runtime.changes import BadCommandError
-from ambershift.runtime.grammar import Command
-from ambershift.runtime.outcomes import DONE, Answer, End, error
-from ambershift.runtime.scene import Scene
-from ambershift.runtime.session import Level, Session, Shown
+from ambershift.coordinator.runtime import catalogue
+from ambershift.coordinator.runtime.changes import BadCommandError
+from ambershift.coordinator.runtime.grammar import Command
+from ambershift.coordinator.runtime.outcomes import DONE, Answer, End, error
+from ambershift.coordinator.runtime.scene import Scene
+from ambershift.coordinator.runtime.session import Level, Session, Shown
 
 MS, SECOND = 1_000_000, 1_000_000_000
 UNITS = {"us": 1_000, "ms": MS, "s": SECOND, "m": 60 * SECOND, "h": 3_600 * SECOND, "d": 86_400 * SECOND}
--- a/ambershift/runtime/document.py
+++ b/ambershift/coordinator/runtime/document.py
@@ -1,4 +1,4 @@
-"""Writes the table of commands into docs/runtime-api.md: `python -m ambershift.runtime.document`.
+"""Writes the table of commands into docs/runtime-api.md: `python -m ambershift.coordinator.runtime.document`.
 
 The table between the two marks is made from the catalogue, and a test fails where they differ.
 """
@@ -8,7 +8,7 @@
 import sys
 from pathlib import Path
 
-from ambershift.runtime.catalogue import TABLE
+from ambershift.coordinator.runtime.catalogue import TABLE
 
 BEGIN, END = "<!-- commands: made from the catalogue -->\n", "<!-- end of commands -->\n"
 PLACE = "docs/runtime-api.md"
--- a/ambershift/runtime/execute.py
+++ b/ambershift/coordinator/runtime/execute.py
@@ -4,16 +4,16 @@
 
 from collections.abc import Callable
 
-from ambershift.runtime import lookup
-from ambershift.runtime.catalogue import Kind
-from ambershift.runtime.changes import BadCommandError
-from ambershift.runtime.changing import Changing
-from ambershift.runtime.converse import Converse, usage
-from ambershift.runtime.grammar import Command
-from ambershift.runtime.outcomes import Answer, Outcome, error
-from ambershift.runtime.reading import Reading
-from ambershift.runtime.scene import Scene
-from ambershift.runtime.session import Session, Severity
+from ambershift.coordinator.runtime import lookup
+from ambershift.coordinator.runtime.catalogue import Kind
+from ambershift.coordinator.runtime.changes import BadCommandError
+from ambershift.coordinator.runtime.changing import Changing
+from ambershift.coordinator.runtime.converse import Converse, usage
+from ambershift.coordinator.runtime.grammar import Command
+from ambershift.coordinator.runtime.outcomes import Answer, Outcome, error
+from ambershift.coordinator.runtime.reading import Reading
+from ambershift.coordinator.runtime.scene import Scene
+from ambershift.coordinator.runtime.session import Session, Severity
 
 Handler = Callable[[Session, Command, tuple[str, ...]], Outcome]
 
--- a/ambershift/runtime/front.py
+++ b/ambershift/coordinator/runtime/front.py
@@ -11,16 +11,16 @@
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import BadStartError
 from ambershift.coordinator.routing.tap import Tap
+from ambershift.coordinator.runtime import places
+from ambershift.coordinator.runtime.execute import Executor
+from ambershift.coordinator.runtime.places import Bound, PlaceError, TcpPlace, UnixPlace
+from ambershift.coordinator.runtime.scene import Place, Relaying, Scene
+from ambershift.coordinator.runtime.serving import SECOND, Serving
+from ambershift.coordinator.runtime.session import Session
+from ambershift.coordinator.runtime.tap import DeskTap
 from ambershift.coordinator.transport.buffers import Pool
 from ambershift.coordinator.transport.link import Link
 from ambershift.coordinator.transport.listener import Listener
-from ambershift.runtime import places
-from ambershift.runtime.execute import Executor
-from ambershift.runtime.places import Bound, PlaceError, TcpPlace, UnixPlace
-from ambershift.runtime.scene import Place, Relaying, Scene
-from ambershift.runtime.serving import SECOND, Serving
-from ambershift.runtime.session import Session
-from ambershift.runtime.tap import DeskTap
 
 BUFFER, BUFFERS_A_CLIENT = 16_384, 2
 END_WAIT = 0.3
--- a/ambershift/runtime/lookup.py
+++ b/ambershift/coordinator/runtime/lookup.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.runtime.catalogue import TABLE, Entry
+from ambershift.coordinator.runtime.catalogue import TABLE, Entry
 
 
 class Node:
--- a/ambershift/runtime/outcomes.py
+++ b/ambershift/coordinator/runtime/outcomes.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import NamedTuple
 
-from ambershift.runtime.session import Severity
+from ambershift.coordinator.runtime.session import Severity
 
 
 class Answer(NamedTuple):
--- a/ambershift/runtime/places.py
+++ b/ambershift/coordinator/runtime/places.py
@@ -10,7 +10,7 @@
 import struct
 from typing import NamedTuple
 
-from ambershift.runtime.session import Level
+from ambershift.coordinator.runtime.session import Level
 
 # The kernel's bound on the path of a Unix socket, less the byte that ends it.
 PATH_MOST = 107
--- a/ambershift/runtime/reading.py
+++ b/ambershift/coordinator/runtime/reading.py
@@ -9,13 +9,13 @@
 
 from ambershift.coordinator.admin.ledger import Record
 from ambershift.coordinator.admin.view import View
-from ambershift.runtime import figures, show, stat
-from ambershift.runtime.changes import BadCommandError, named
-from ambershift.runtime.common import Common, Rows
-from ambershift.runtime.grammar import Command
-from ambershift.runtime.outcomes import WAIT, Answer, Outcome, Promise, Stream, error
-from ambershift.runtime.scene import Scene
-from ambershift.runtime.session import Session
+from ambershift.coordinator.runtime import figures, show, stat
+from ambershift.coordinator.runtime.changes import BadCommandError, named
+from ambershift.coordinator.runtime.common import Common, Rows
+from ambershift.coordinator.runtime.grammar import Command
+from ambershift.coordinator.runtime.outcomes import WAIT, Answer, Outcome, Promise, Stream, error
+from ambershift.coordinator.runtime.scene import Scene
+from ambershift.coordinator.runtime.session import Session
 
 SECOND = 1_000_000_000
 MEMBER_COLUMNS = ("name", "state", "leader", "votes", "incarnation", "committed", "heard_ms", "link", "why")
--- a/ambershift/runtime/scene.py
+++ b/ambershift/coordinator/runtime/scene.py
@@ -10,8 +10,8 @@
 from ambershift.coordinator.admin.overlay import effective
 from ambershift.coordinator.admin.view import View
 from ambershift.coordinator.admin.words import State
+from ambershift.coordinator.runtime.common import Common
 from ambershift.door import Door
-from ambershift.runtime.common import Common
 from ambershift.terms import Names
 
 NO_ZONE = "-"  # The zone of servers for which the settings know none.
--- a/ambershift/runtime/serving.py
+++ b/ambershift/coordinator/runtime/serving.py
@@ -9,16 +9,16 @@
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.admin.ledger import Ledger
 from ambershift.coordinator.admin.pace import QUIET
+from ambershift.coordinator.runtime import places
+from ambershift.coordinator.runtime.execute import Executor
+from ambershift.coordinator.runtime.grammar import Command, GrammarError
+from ambershift.coordinator.runtime.outcomes import Answer, End, Promise, Stream, Wait
+from ambershift.coordinator.runtime.places import TcpPlace, UnixPlace
+from ambershift.coordinator.runtime.scene import Scene
+from ambershift.coordinator.runtime.session import LINE_MOST, Session, Severity
 from ambershift.coordinator.transport.endings import EndedError, Ending
 from ambershift.coordinator.transport.link import Link
 from ambershift.coordinator.transport.listener import Listener
-from ambershift.runtime import places
-from ambershift.runtime.execute import Executor
-from ambershift.runtime.grammar import Command, GrammarError
-from ambershift.runtime.outcomes import Answer, End, Promise, Stream, Wait
-from ambershift.runtime.places import TcpPlace, UnixPlace
-from ambershift.runtime.scene import Scene
-from ambershift.runtime.session import LINE_MOST, Session, Severity
 
 SECOND = 1_000_000_000
 CHUNK, WRITE_LIMIT, LINE_WITHIN = 32_768, 5.0, 30.0
--- a/ambershift/runtime/session.py
+++ b/ambershift/coordinator/runtime/session.py
@@ -6,7 +6,7 @@
 
 from enum import IntEnum, StrEnum
 
-from ambershift.runtime.grammar import Command, GrammarError, decode, read
+from ambershift.coordinator.runtime.grammar import Command, GrammarError, decode, read
 
 # As HAProxy's buffer by default; a payload may be longer than a line, as it comes in lines.
 LINE_MOST, PAYLOAD_MOST, ROW_MOST = 16_384, 262_144, 1_024
--- a/ambershift/runtime/show.py
+++ b/ambershift/coordinator/runtime/show.py
@@ -11,7 +11,7 @@
 from ambershift.coordinator.admin.mirror import NEVER_SHUT
 from ambershift.coordinator.admin.view import View
 from ambershift.coordinator.admin.words import Health, Stage
-from ambershift.runtime.figures import (
+from ambershift.coordinator.runtime.figures import (
     SECOND,
     Field,
     figure,
@@ -19,7 +19,7 @@
     typed_object,
     word,
 )
-from ambershift.runtime.scene import Scene
+from ambershift.coordinator.runtime.scene import Scene
 
 
 def info(scene: Scene) -> list[Field]:
--- a/ambershift/standins/__main__.py
+++ b/ambershift/standins/__main__.py
@@ -11,7 +11,7 @@
 import time
 from pathlib import Path
 
-from ambershift.runtime.client import ClientError
+from ambershift.coordinator.runtime.client import ClientError
 from ambershift.standins.histories import History
 from ambershift.standins.rig import Rig
 
--- a/ambershift/standins/histories.py
+++ b/ambershift/standins/histories.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 
 from ambershift.coordinator.groupsim.history import Kind, Operation, Outcome, Violation, check
-from ambershift.runtime.client import ClientError, Reply
+from ambershift.coordinator.runtime.client import ClientError, Reply
 from ambershift.standins.rig import Rig
 
 PAUSE = 0.02
--- a/ambershift/standins/processes.py
+++ b/ambershift/standins/processes.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from ambershift.runtime.client import Client, ClientError, Reply
+from ambershift.coordinator.runtime.client import Client, ClientError, Reply
 
 ROOT = Path(__file__).parent.parent.parent
 
--- a/ambershift/standins/rig.py
+++ b/ambershift/standins/rig.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from ambershift.runtime.client import ClientError, Reply
+from ambershift.coordinator.runtime.client import ClientError, Reply
 from ambershift.standins.agents import Agent
 from ambershift.standins.breaker import Net
 from ambershift.standins.discovery import Discovery
--- a/benchmarks/group.py
+++ b/benchmarks/group.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from ambershift.runtime.client import Client, ClientError
+from ambershift.coordinator.runtime.client import Client, ClientError
 from ambershift.standins.rig import Rig
 
 PROBE = str(Path(__file__).parent / "probe")
--- a/benchmarks/runtime_socket.py
+++ b/benchmarks/runtime_socket.py
@@ -23,7 +23,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ambershift.runtime.client import Client
+from ambershift.coordinator.runtime.client import Client
 from tests.support.coordinator_process import SETTINGS, Discovery, Relay, configure, listing, until
 from tests.support.policy_model import free_port
 
--- a/tests/coordinator/cli/test_tools.py
+++ b/tests/coordinator/cli/test_tools.py
@@ -14,10 +14,10 @@
 from ambershift.coordinator.cli.commands import LAZY
 from ambershift.coordinator.cli.ctl import batch
 from ambershift.coordinator.cli.logs import make
-from ambershift.runtime import catalogue, document, lookup
-from ambershift.runtime.execute import Executor
-from ambershift.runtime.grammar import Command, GrammarError, quote, read
-from ambershift.runtime.session import PAYLOAD_MOST, Level, Session
+from ambershift.coordinator.runtime import catalogue, document, lookup
+from ambershift.coordinator.runtime.execute import Executor
+from ambershift.coordinator.runtime.grammar import Command, GrammarError, quote, read
+from ambershift.coordinator.runtime.session import PAYLOAD_MOST, Level, Session
 from ambershift.settings.model import Root, duration, read_file, read_text
 from ambershift.settings.tree import SettingsError
 from ambershift.version import VERSION
@@ -32,7 +32,7 @@
     "structlog",
     "prompt_toolkit",
     "ambershift.coordinator.admin",
-    "ambershift.runtime",
+    "ambershift.coordinator.runtime",
     "ambershift.settings",
     "ambershift.coordinator.cli",
 )
@@ -82,7 +82,7 @@
         "ambershift/coordinator": ("admin", "runtime", "settings", "cli", "benchlink"),
         "ambershift/coordinator/admin": ("runtime", "settings", "cli", "coordinator", "benchlink"),
         "ambershift/settings": ("runtime", "cli", "coordinator", "admin", "benchlink"),
-        "ambershift/runtime": ("cli", "settings", "benchlink"),
+        "ambershift/coordinator/runtime": ("cli", "settings", "benchlink"),
     }
     core = [
         *(ROOT / "ambershift/policy").glob("*.py"),
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -547,7 +547,7 @@
         "import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
         "print([one for one in sys.modules if one.startswith(('ambershift.coordinator.group', 'ambershift.coordinator.promises',"
         "'ambershift.coordinator.replication', 'ambershift.coordinator.maintenance', 'ambershift.coordinator.interference', 'aiohttp',"
-        "'ambershift.coordinator.admin', 'ambershift.runtime', 'numpy'))])"
+        "'ambershift.coordinator.admin', 'ambershift.coordinator.runtime', 'numpy'))])"
     )
     found = subprocess.run(
         [sys.executable, "-c", code], check=False, capture_output=True, text=True, timeout=60
@@ -646,9 +646,9 @@
 
 
 def test_without_a_group_its_commands_are_unknown_and_unlisted() -> None:
-    from ambershift.runtime.execute import Executor
-    from ambershift.runtime.grammar import Command as Said_
-    from ambershift.runtime.session import Level, Session
+    from ambershift.coordinator.runtime.execute import Executor
+    from ambershift.coordinator.runtime.grammar import Command as Said_
+    from ambershift.coordinator.runtime.session import Level, Session
 
     for common, known in ((None, False), (object(), True)):
         executor = Executor(SimpleNamespace(common=common))  # type: ignore[arg-type]
--- a/tests/coordinator/group/test_processes.py
+++ b/tests/coordinator/group/test_processes.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ambershift.runtime.client import Client, ClientError, Reply
+from ambershift.coordinator.runtime.client import Client, ClientError, Reply
 from ambershift.standins.histories import History
 from ambershift.standins.rig import Rig
 
--- a/tests/coordinator/runtime/test_runtime.py
+++ b/tests/coordinator/runtime/test_runtime.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from ambershift.runtime.client import Client, ClientError, Reply
-from ambershift.runtime.session import LINE_MOST
+from ambershift.coordinator.runtime.client import Client, ClientError, Reply
+from ambershift.coordinator.runtime.session import LINE_MOST
 from tests.support.coordinator_process import SETTINGS, Stage, configure, listing, play, server, until
 
 Act = Callable[[Stage, str], Awaitable[None]]
--- a/tests/coordinator/standins/test_standins.py
+++ b/tests/coordinator/standins/test_standins.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ambershift.coordinator.groupsim.history import Outcome
-from ambershift.runtime.client import Reply
+from ambershift.coordinator.runtime.client import Reply
 from ambershift.standins.breaker import Breaker, Net
 from ambershift.standins.fleet import Fleet
 from ambershift.standins.histories import judge, weight, wished
