--- a/ambershift/coordinator/cli/check_settings.py
+++ b/ambershift/coordinator/cli/check_settings.py
@@ -7,8 +7,8 @@
 import click
 import msgspec
 
-from ambershift.settings.model import read_file
-from ambershift.settings.tree import SettingsError
+from ambershift.coordinator.settings.model import read_file
+from ambershift.coordinator.settings.tree import SettingsError
 
 
 @click.command("check-settings")
--- a/ambershift/coordinator/cli/run.py
+++ b/ambershift/coordinator/cli/run.py
@@ -19,7 +19,7 @@
 from ambershift.version import VERSION
 
 if TYPE_CHECKING:
-    from ambershift.settings.model import Root
+    from ambershift.coordinator.settings.model import Root
 
 LINKS_OF_GROUP = 64  # Descriptors left to links and folder.
 
@@ -35,8 +35,8 @@
     signals, root = Signals(), None
     if file:
         # Readers of settings and fronts take memory that a coordinator without them needs not.
-        from ambershift.settings.model import read_file
-        from ambershift.settings.tree import SettingsError
+        from ambershift.coordinator.settings.model import read_file
+        from ambershift.coordinator.settings.tree import SettingsError
 
         try:
             root = read_file(file)
@@ -67,7 +67,7 @@
     from ambershift.coordinator.runtime.front import RuntimeFront
     from ambershift.coordinator.runtime.places import TcpPlace, UnixPlace
     from ambershift.coordinator.runtime.session import Level
-    from ambershift.settings.checks import duration
+    from ambershift.coordinator.settings.checks import duration
 
     spots: list[UnixPlace | TcpPlace] = [
         UnixPlace(one.path, int(one.mode, 8), Level[one.level.upper()]) for one in runtime.socket
--- a/ambershift/coordinator/counters/__main__.py
+++ b/ambershift/coordinator/counters/__main__.py
@@ -26,11 +26,11 @@
     read_reply,
 )
 from ambershift.coordinator.interference import records
-from ambershift.settings.checks import duration
-from ambershift.settings.group import Group
-from ambershift.settings.interference import Interference
-from ambershift.settings.model import read_file
-from ambershift.settings.tree import SettingsError
+from ambershift.coordinator.settings.checks import duration
+from ambershift.coordinator.settings.group import Group
+from ambershift.coordinator.settings.interference import Interference
+from ambershift.coordinator.settings.model import read_file
+from ambershift.coordinator.settings.tree import SettingsError
 from ambershift.version import VERSION
 
 POLL, PAUSE_LEAST, PAUSE_MOST, LIMIT = 0.25, 0.25, 5.0, 2.0
--- a/ambershift/coordinator/counters/sources.py
+++ b/ambershift/coordinator/counters/sources.py
@@ -10,7 +10,7 @@
 from ambershift.coordinator.counters.follow import Follower
 from ambershift.coordinator.interference.perfcsv import Job, PerfReader
 from ambershift.coordinator.interference.words import Sample
-from ambershift.settings.interference import Interference
+from ambershift.coordinator.settings.interference import Interference
 
 KEPT_MOST = 20_000
 BATCH = 512
--- a/ambershift/coordinator/counters/standin.py
+++ b/ambershift/coordinator/counters/standin.py
@@ -13,7 +13,7 @@
 
 from ambershift.coordinator.counters.worlds import EPOCH, SLOT_NS, Plan, Plant, World
 from ambershift.coordinator.interference.words import Sample
-from ambershift.settings.checks import duration
+from ambershift.coordinator.settings.checks import duration
 
 SECOND = 1_000_000_000
 
--- a/ambershift/coordinator/group/front.py
+++ b/ambershift/coordinator/group/front.py
@@ -28,11 +28,11 @@
 from ambershift.coordinator.runtime.front import RuntimeFront
 from ambershift.coordinator.runtime.places import TcpPlace, UnixPlace
 from ambershift.coordinator.runtime.scene import Scene
-from ambershift.settings.checks import duration
-from ambershift.settings.group import Group
-from ambershift.settings.interference import Interference, part
-from ambershift.settings.maintenance import MaintenanceBlock, declared
-from ambershift.settings.model import Root
+from ambershift.coordinator.settings.checks import duration
+from ambershift.coordinator.settings.group import Group
+from ambershift.coordinator.settings.interference import Interference, part
+from ambershift.coordinator.settings.maintenance import MaintenanceBlock, declared
+from ambershift.coordinator.settings.model import Root
 
 if TYPE_CHECKING:
     from ambershift.coordinator.interference.engine import Engine
--- a/ambershift/coordinator/group/spec.py
+++ b/ambershift/coordinator/group/spec.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 from ambershift.coordinator.group.links.words import Peer
-from ambershift.settings.checks import duration
-from ambershift.settings.group import Group, clock_ahead
+from ambershift.coordinator.settings.checks import duration
+from ambershift.coordinator.settings.group import Group, clock_ahead
 
 
 class Spec(NamedTuple):
--- a/ambershift/settings/checks.py
+++ b/ambershift/coordinator/settings/checks.py
@@ -6,7 +6,7 @@
 import re
 from collections.abc import Callable
 
-from ambershift.settings.tree import SettingsError
+from ambershift.coordinator.settings.tree import SettingsError
 
 UNITS_NS = {"ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3_600_000_000_000}
 Complaint = Callable[[str, str], SettingsError]
--- a/ambershift/settings/group.py
+++ b/ambershift/coordinator/settings/group.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from ambershift.settings.checks import Complaint, duration, split
+from ambershift.coordinator.settings.checks import Complaint, duration, split
 
 NAME = re.compile(r"[A-Za-z0-9_.-]{1,64}")
 VOTERS = (1, 3, 5, 7)
--- a/ambershift/settings/interference.py
+++ b/ambershift/coordinator/settings/interference.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from ambershift.settings.checks import Complaint, duration
+from ambershift.coordinator.settings.checks import Complaint, duration
 
 NAME = re.compile(r"[^|\x00-\x1f]{1,128}")
 SOURCES_MOST, JOBS_MOST = 64, 32
--- a/ambershift/settings/maintenance.py
+++ b/ambershift/coordinator/settings/maintenance.py
@@ -27,7 +27,7 @@
 from ambershift.coordinator.maintenance.sound import AMOUNT_MOST
 from ambershift.coordinator.maintenance.windows import BadWindowError, occurrences, read_day, zone_of
 from ambershift.coordinator.maintenance.words import Agreement, Declared, Tenant, Window, Work
-from ambershift.settings.checks import Complaint, duration
+from ambershift.coordinator.settings.checks import Complaint, duration
 
 NAME = re.compile(r"[A-Za-z0-9_.-]{1,64}")
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
--- a/ambershift/settings/model.py
+++ b/ambershift/coordinator/settings/model.py
@@ -18,10 +18,10 @@
 
 import msgspec
 
-from ambershift.settings.checks import Complaint, duration, split, taken
-from ambershift.settings.group import Group, check_group
-from ambershift.settings.interference import Interference, check_interference
-from ambershift.settings.maintenance import (
+from ambershift.coordinator.settings.checks import Complaint, duration, split, taken
+from ambershift.coordinator.settings.group import Group, check_group
+from ambershift.coordinator.settings.interference import Interference, check_interference
+from ambershift.coordinator.settings.maintenance import (
     Blocks,
     MaintenanceBlock,
     TenantBlock,
@@ -29,7 +29,7 @@
     WorkBlock,
     check_maintenance,
 )
-from ambershift.settings.tree import Block, SettingsError, Value, parse
+from ambershift.coordinator.settings.tree import Block, SettingsError, Value, parse
 
 LevelName = Literal["user", "operator", "admin"]
 FILE_MOST = 1 << 20
--- a/tests/coordinator/cli/test_tools.py
+++ b/tests/coordinator/cli/test_tools.py
@@ -18,8 +18,8 @@
 from ambershift.coordinator.runtime.execute import Executor
 from ambershift.coordinator.runtime.grammar import Command, GrammarError, quote, read
 from ambershift.coordinator.runtime.session import PAYLOAD_MOST, Level, Session
-from ambershift.settings.model import Root, duration, read_file, read_text
-from ambershift.settings.tree import SettingsError
+from ambershift.coordinator.settings.model import Root, duration, read_file, read_text
+from ambershift.coordinator.settings.tree import SettingsError
 from ambershift.version import VERSION
 from tests.support.coordinator_process import ROOT, configure, listing
 
@@ -33,7 +33,7 @@
     "prompt_toolkit",
     "ambershift.coordinator.admin",
     "ambershift.coordinator.runtime",
-    "ambershift.settings",
+    "ambershift.coordinator.settings",
     "ambershift.coordinator.cli",
 )
 
@@ -81,7 +81,7 @@
     below = {
         "ambershift/coordinator": ("admin", "runtime", "settings", "cli", "benchlink"),
         "ambershift/coordinator/admin": ("runtime", "settings", "cli", "coordinator", "benchlink"),
-        "ambershift/settings": ("runtime", "cli", "coordinator", "admin", "benchlink"),
+        "ambershift/coordinator/settings": ("runtime", "cli", "coordinator", "admin", "benchlink"),
         "ambershift/coordinator/runtime": ("cli", "settings", "benchlink"),
     }
     core = [
--- a/tests/coordinator/counters/test_counters.py
+++ b/tests/coordinator/counters/test_counters.py
@@ -30,9 +30,9 @@
 )
 from ambershift.coordinator.interference.records import read_samples
 from ambershift.coordinator.interference.words import Sample
-from ambershift.settings.interference import CounterJob, Interference, Source
-from ambershift.settings.model import read_text
-from ambershift.settings.tree import SettingsError
+from ambershift.coordinator.settings.interference import CounterJob, Interference, Source
+from ambershift.coordinator.settings.model import read_text
+from ambershift.coordinator.settings.tree import SettingsError
 
 SECOND = 1_000_000_000
 
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -28,9 +28,9 @@
 from ambershift.coordinator.promises.words import Answered, Command, Declare, Grant, Move, Wishes, WishOne
 from ambershift.coordinator.replication.words import Answer, Entry
 from ambershift.coordinator.replication.words import Reason as Why
+from ambershift.coordinator.settings.model import read_text
+from ambershift.coordinator.settings.tree import SettingsError
 from ambershift.door import Door
-from ambershift.settings.model import read_text
-from ambershift.settings.tree import SettingsError
 from ambershift.standins.processes import Member as Process
 from ambershift.standins.rig import Rig
 from ambershift.standins.world import until
--- a/tests/coordinator/maintenance/test_maintenance.py
+++ b/tests/coordinator/maintenance/test_maintenance.py
@@ -35,9 +35,9 @@
     Work,
 )
 from ambershift.coordinator.promises.rows import plan_rows
-from ambershift.settings.maintenance import declared
-from ambershift.settings.model import read_text
-from ambershift.settings.tree import SettingsError
+from ambershift.coordinator.settings.maintenance import declared
+from ambershift.coordinator.settings.model import read_text
+from ambershift.coordinator.settings.tree import SettingsError
 
 S = 1_000_000_000
 H = 3600 * S
