--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 # Three coordinators that hold things in common, among stand-ins, of which one is lost with its folder.
 try: build
 	$(PYTHON) -m pip -q --disable-pip-version-check install -r requirements-tools.txt
-	$(PYTHON) -m ambershift.standins
+	$(PYTHON) -m ambershift.coordinator.standins
 
 # The whole system as processes on this machine, among stand-ins; a proxy is killed, another ended in order.
 rehearse: build
--- a/ambershift/standins/__main__.py
+++ b/ambershift/coordinator/standins/__main__.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from ambershift.coordinator.runtime.client import ClientError
-from ambershift.standins.histories import History
-from ambershift.standins.rig import Rig
+from ambershift.coordinator.standins.histories import History
+from ambershift.coordinator.standins.rig import Rig
 
 DRAINED, SETTLE = "east/s-0", 10.0
 
@@ -152,7 +152,7 @@
 
 
 if __name__ == "__main__":
-    words = argparse.ArgumentParser(prog="python -m ambershift.standins", description=__doc__)
+    words = argparse.ArgumentParser(prog="python -m ambershift.coordinator.standins", description=__doc__)
     words.add_argument("--seconds", type=float, default=60.0, help="How long to run; 60 unless given.")
     words.add_argument("--members", type=int, default=3, choices=(3, 5, 7))
     words.add_argument("--seed", type=int, default=1)
--- a/ambershift/standins/agents.py
+++ b/ambershift/coordinator/standins/agents.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections import Counter
 
-from ambershift.standins.fleet import Fleet
+from ambershift.coordinator.standins.fleet import Fleet
 
 PERIOD, RETRY = 1.0, 0.2
 
--- a/ambershift/standins/counting.py
+++ b/ambershift/coordinator/standins/counting.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from ambershift.coordinator.counters.worlds import Plan, World
-from ambershift.standins.processes import ROOT, Member
-from ambershift.standins.rig import Rig
+from ambershift.coordinator.standins.processes import ROOT, Member
+from ambershift.coordinator.standins.rig import Rig
 
 
 class Counting:
--- a/ambershift/standins/discovery.py
+++ b/ambershift/coordinator/standins/discovery.py
@@ -7,7 +7,7 @@
 import json
 from typing import Any
 
-from ambershift.standins.world import listing
+from ambershift.coordinator.standins.world import listing
 
 
 class Discovery:
--- a/ambershift/standins/fleet.py
+++ b/ambershift/coordinator/standins/fleet.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from ambershift.standins.relay import Relay
+from ambershift.coordinator.standins.relay import Relay
 
 TICK = 0.05
 EVERY = "*"
--- a/ambershift/standins/histories.py
+++ b/ambershift/coordinator/standins/histories.py
@@ -11,7 +11,7 @@
 
 from ambershift.coordinator.groupsim.history import Kind, Operation, Outcome, Violation, check
 from ambershift.coordinator.runtime.client import ClientError, Reply
-from ambershift.standins.rig import Rig
+from ambershift.coordinator.standins.rig import Rig
 
 PAUSE = 0.02
 # By these names alone a member may not know; by all others nothing was written.
--- a/ambershift/standins/keeping.py
+++ b/ambershift/coordinator/standins/keeping.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from ambershift.standins.fleet import Fleet
+from ambershift.coordinator.standins.fleet import Fleet
 
 
 class Breach(NamedTuple):
--- a/ambershift/standins/relay.py
+++ b/ambershift/coordinator/standins/relay.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.standins.channel import Channel
-from ambershift.standins.world import SETTINGS
+from ambershift.coordinator.standins.channel import Channel
+from ambershift.coordinator.standins.world import SETTINGS
 
 # Orders as they were taken, the proxies that were joined, and the seconds until the last line has left.
 Carried = Callable[[list[str], list[int], float], None]
--- a/ambershift/standins/rig.py
+++ b/ambershift/coordinator/standins/rig.py
@@ -12,13 +12,13 @@
 from typing import Any
 
 from ambershift.coordinator.runtime.client import ClientError, Reply
-from ambershift.standins.agents import Agent
-from ambershift.standins.breaker import Net
-from ambershift.standins.discovery import Discovery
-from ambershift.standins.fleet import Fleet
-from ambershift.standins.processes import Member
-from ambershift.standins.relay import Relay
-from ambershift.standins.world import SETTINGS, listing, server, until
+from ambershift.coordinator.standins.agents import Agent
+from ambershift.coordinator.standins.breaker import Net
+from ambershift.coordinator.standins.discovery import Discovery
+from ambershift.coordinator.standins.fleet import Fleet
+from ambershift.coordinator.standins.processes import Member
+from ambershift.coordinator.standins.relay import Relay
+from ambershift.coordinator.standins.world import SETTINGS, listing, server, until
 
 SETTINGS_OF_RIG: dict[str, Any] = {**SETTINGS, "limits": {"may_probe": False, "dial_timeout": 250.0}}
 RELAY, AGENTS, TALK, CLONE, DISCOVERY, BREAKERS = 6400, 7300, 7100, 7190, 8500, 20000
--- a/ambershift/standins/schedules.py
+++ b/ambershift/coordinator/standins/schedules.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from ambershift.standins.histories import History
-from ambershift.standins.rig import Rig
+from ambershift.coordinator.standins.histories import History
+from ambershift.coordinator.standins.rig import Rig
 
 STEPS_MOST, PAUSE_MOST = 6, 1.5
 KINDS = {
--- a/benchmarks/group.py
+++ b/benchmarks/group.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from ambershift.coordinator.runtime.client import Client, ClientError
-from ambershift.standins.rig import Rig
+from ambershift.coordinator.standins.rig import Rig
 
 PROBE = str(Path(__file__).parent / "probe")
 
--- a/benchmarks/group_processes.py
+++ b/benchmarks/group_processes.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from ambershift.standins import schedules
-from ambershift.standins.rig import Rig
+from ambershift.coordinator.standins import schedules
+from ambershift.coordinator.standins.rig import Rig
 
 LIMIT = 120.0
 
--- a/tests/coordinator/group/test_counters_of_members.py
+++ b/tests/coordinator/group/test_counters_of_members.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from ambershift.standins import __main__ as trying
-from ambershift.standins.counting import Counting
-from ambershift.standins.rig import Rig
+from ambershift.coordinator.standins import __main__ as trying
+from ambershift.coordinator.standins.counting import Counting
+from ambershift.coordinator.standins.rig import Rig
 from tests.coordinator.group.test_processes import group, holds, title
 
 pytestmark = pytest.mark.timeout(150)
@@ -63,7 +63,7 @@
 
 def test_try_tells_what_was_promised_and_who_holds_it(tmp_path: Path) -> None:
     told = subprocess.run(
-        [sys.executable, "-m", "ambershift.standins", "--seconds", "5"],
+        [sys.executable, "-m", "ambershift.coordinator.standins", "--seconds", "5"],
         timeout=140,
         cwd=Path(__file__).parents[3],
         capture_output=True,
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -30,10 +30,10 @@
 from ambershift.coordinator.replication.words import Reason as Why
 from ambershift.coordinator.settings.model import read_text
 from ambershift.coordinator.settings.tree import SettingsError
+from ambershift.coordinator.standins.processes import Member as Process
+from ambershift.coordinator.standins.rig import Rig
+from ambershift.coordinator.standins.world import until
 from ambershift.door import Door
-from ambershift.standins.processes import Member as Process
-from ambershift.standins.rig import Rig
-from ambershift.standins.world import until
 from tests.support.operator_model import Operated, some_changes
 from tests.support.policy_model import S, entry, make_terms
 
--- a/tests/coordinator/group/test_links.py
+++ b/tests/coordinator/group/test_links.py
@@ -31,8 +31,8 @@
     read_reply,
 )
 from ambershift.coordinator.group.links.words import Peer
-from ambershift.standins.rig import own_host
-from ambershift.standins.world import until
+from ambershift.coordinator.standins.rig import own_host
+from ambershift.coordinator.standins.world import until
 
 VOTERS = ("a", "b", "c")
 PORTS = itertools.count(7000)
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -27,7 +27,7 @@
 from ambershift.coordinator.replication.heard.store import Store
 from ambershift.coordinator.replication.heard.words import Kind as Heard
 from ambershift.coordinator.replication.words import Applied, Entry, Halt, Note, Reason
-from ambershift.standins.world import until
+from ambershift.coordinator.standins.world import until
 from tests.coordinator.group.test_group import Member as Virtual
 from tests.coordinator.group.test_group import declare, out, permit
 
--- a/tests/coordinator/group/test_processes.py
+++ b/tests/coordinator/group/test_processes.py
@@ -10,8 +10,8 @@
 import pytest
 
 from ambershift.coordinator.runtime.client import Client, ClientError, Reply
-from ambershift.standins.histories import History
-from ambershift.standins.rig import Rig
+from ambershift.coordinator.standins.histories import History
+from ambershift.coordinator.standins.rig import Rig
 
 Act = Callable[[Rig], Awaitable[None]]
 ROUNDS = 5
--- a/tests/coordinator/group/test_waves.py
+++ b/tests/coordinator/group/test_waves.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from ambershift.standins.keeping import Keeper
-from ambershift.standins.rig import Rig
+from ambershift.coordinator.standins.keeping import Keeper
+from ambershift.coordinator.standins.rig import Rig
 from tests.coordinator.group.test_processes import group, holds, title
 
 pytestmark = pytest.mark.timeout(150)
--- a/tests/coordinator/standins/test_standins.py
+++ b/tests/coordinator/standins/test_standins.py
@@ -10,13 +10,13 @@
 
 from ambershift.coordinator.groupsim.history import Outcome
 from ambershift.coordinator.runtime.client import Reply
-from ambershift.standins.breaker import Breaker, Net
-from ambershift.standins.fleet import Fleet
-from ambershift.standins.histories import judge, weight, wished
-from ambershift.standins.keeping import Keeper
-from ambershift.standins.relay import Relay
-from ambershift.standins.rig import Rig, own_host
-from ambershift.standins.world import server, until
+from ambershift.coordinator.standins.breaker import Breaker, Net
+from ambershift.coordinator.standins.fleet import Fleet
+from ambershift.coordinator.standins.histories import judge, weight, wished
+from ambershift.coordinator.standins.keeping import Keeper
+from ambershift.coordinator.standins.relay import Relay
+from ambershift.coordinator.standins.rig import Rig, own_host
+from ambershift.coordinator.standins.world import server, until
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Dial = Callable[[], Awaitable[Streams]]
--- a/tests/support/coordinator_process.py
+++ b/tests/support/coordinator_process.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from ambershift.standins.discovery import Discovery
-from ambershift.standins.relay import Relay
-from ambershift.standins.world import SETTINGS, listing, server, until
+from ambershift.coordinator.standins.discovery import Discovery
+from ambershift.coordinator.standins.relay import Relay
+from ambershift.coordinator.standins.world import SETTINGS, listing, server, until
 from tests.support.policy_model import free_port
 
 __all__ = ["SETTINGS", "Discovery", "Relay", "Stage", "listing", "server", "until"]
