--- a/ambershift/system/consensus/failure_detector.py
+++ b/ambershift/system/consensus/failure_detector.py
@@ -87,8 +87,8 @@
             self._had_quorum_contact = not self._had_quorum_contact
             self._effects.log(
                 EVENT_QUORUM_CONTACT,
-                in_touch=self._had_quorum_contact,
-                unheard=list(self.suspected_voters()),
+                quorum_contact=self._had_quorum_contact,
+                suspected=list(self.suspected_voters()),
             )
         is_settled = (
             self._local_ip not in self.leaving
--- a/ambershift/system/consensus/item_store.py
+++ b/ambershift/system/consensus/item_store.py
@@ -148,7 +148,9 @@
                 self._delete(key)
             self.resets += 1
             needed = collected.required_batch
-            self._out.log(EVENT_CONFIGURATION_RESET, known=known_batch, needed=needed, items=len(old_keys))
+            self._out.log(
+                EVENT_CONFIGURATION_RESET, known_batch=known_batch, required_batch=needed, items=len(old_keys)
+            )
 
     def stored(self, keys: Iterable[Key]) -> tuple[Item, ...]:
         """The items with these keys that are stored: what was cleared isn't."""
--- a/ambershift/system/consensus/membership.py
+++ b/ambershift/system/consensus/membership.py
@@ -179,7 +179,7 @@
             self._last_logged_counts = counts
             epoch, voters, present, complete = counts
             self._effects.log(
-                EVENT_REPLICA_COUNT, epoch=epoch, voters=voters, present=present, complete=complete
+                EVENT_REPLICA_COUNT, epoch=epoch, voters=voters, reachable=present, complete=complete
             )
 
     # Changes.
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -183,7 +183,7 @@
         if "birth" not in meta:
             journal.put("meta", "ip", settings.ip.encode())
             journal.put("meta", "birth", str(birth).encode())
-            out.log(EVENT_DISK_CREATED, birth=birth, founding=founding)
+            out.log(EVENT_DISK_CREATED, disk_incarnation=birth, founding=founding)
         if founding:
             self._voters.bootstrap(settings.seed_ips)
         if self._voters.is_voter:
--- a/ambershift/system/consensus/tombstone_collector.py
+++ b/ambershift/system/consensus/tombstone_collector.py
@@ -111,5 +111,5 @@
 
     def _write_batch(self, agreed: CollectedTombstones) -> None:
         """The third step: a majority stores the batch, so that a quorum read brings it."""
-        self._out.log(EVENT_TOMBSTONES_COLLECTED, batch=agreed.batch, floor=agreed.highest_version)
+        self._out.log(EVENT_TOMBSTONES_COLLECTED, batch=agreed.batch, highest_version=agreed.highest_version)
         self._quorum_writer.write([agreed.as_item], self._out.now + STEP_TIMEOUT_NS, lambda outcome: None)
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -42,12 +42,12 @@
         try:
             await self._store.write([item], self._remaining_s(deadline))
         except OutcomeUnknownError as error:
-            fields = {"zone": zone, "out": evacuated, "reason": error.reason}
+            fields = {"zone": zone, "evacuated": evacuated, "reason": error.reason}
             self._log(log_events.EVACUATION_OUTCOME_UNKNOWN, fields)
             return OUTCOME_UNKNOWN
         except NotAppliedError:
             return NOT_APPLIED
-        self._log(log_events.EVACUATION_APPLIED, {"zone": zone, "out": evacuated})
+        self._log(log_events.EVACUATION_APPLIED, {"zone": zone, "evacuated": evacuated})
         return json_reply(HTTPStatus.OK)
 
     def _remaining_s(self, deadline: int) -> float:
--- a/ambershift/system/control_api/forwarding.py
+++ b/ambershift/system/control_api/forwarding.py
@@ -132,7 +132,7 @@
                     self.proposers.suspect(proposer)
                 return response.result()
             self.proposers.suspect(proposer)
-            self._log(PROPOSER_UNRESPONSIVE, {"owner": proposer, "register": call.register})
+            self._log(PROPOSER_UNRESPONSIVE, {"proposer": proposer, "register": call.register})
             return OUTCOME_UNKNOWN
         finally:
             response.cancel()
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -111,7 +111,7 @@
         if known and known.incarnation == hello.incarnation and known != hello:
             self.hellos[hello.name] = hello
             return  # The link goes on; only what it says of itself has changed.
-        self.log(PROXY_LINKED, {"proxy": hello.name, "life": hello.incarnation, "ready": hello.ready})
+        self.log(PROXY_LINKED, {"proxy": hello.name, "incarnation": hello.incarnation, "ready": hello.ready})
         self._unlink(hello.name)
         self.hellos[hello.name] = hello
         self.settled = self.settled or self.registry.is_complete()
--- a/ambershift/system/events.py
+++ b/ambershift/system/events.py
@@ -1,58 +1,159 @@
-"""The catalogue of numbered log events: what each number means. `docs/system-events.md` tells what to do."""
+"""The catalogue of numbered log events. `docs/system-events.md` tells operators what to do about each.
+
+Numbers stay for good. A field that was renamed has its earlier name in `earlier_names`, for searches in logs
+of earlier versions; the page gives it too.
+"""
 
 from __future__ import annotations
 
-INFO, WARNING, ERROR = "info", "warning", "error"
-
-EVENTS: dict[int, tuple[str, str]] = {
-    1: (INFO, "started"),
-    2: (INFO, "told to end"),
-    3: (INFO, "ended"),
-    4: (INFO, "settings read again"),
-    5: (ERROR, "settings can't be used"),
-    6: (ERROR, "a part failed on an event"),
-    7: (WARNING, "the port for metrics is taken: no figures are told"),
-    101: (INFO, "link up"),
-    102: (INFO, "link down"),
-    103: (WARNING, "link refused: not of this version"),
-    104: (WARNING, "message that can't be read"),
-    105: (INFO, "what links carried"),
-    111: (INFO, "attached to a control node"),
-    112: (WARNING, "control node given up"),
-    113: (WARNING, "no control node answers"),
-    114: (INFO, "ready"),
-    115: (INFO, "bound to a table"),
-    116: (INFO, "where requests went"),
-    117: (INFO, "configuration in force"),
-    118: (WARNING, "no control node proves a newer configuration than the one here"),
-    201: (ERROR, "the disk refuses a write: nothing is acknowledged here"),
-    202: (INFO, "the disk takes writes again"),
-    203: (INFO, "born: without a past on disk"),
-    204: (INFO, "voters"),
-    205: (INFO, "voting: all that was acknowledged is merged here"),
-    206: (WARNING, "folder set aside: foreign, newer or damaged"),
-    207: (ERROR, "no disk could be opened"),
-    208: (INFO, "complete copies among the voters"),
-    209: (INFO, "about to end: whether the voters do without this machine"),
-    210: (WARNING, "contact with a majority of the voters: lost, or there again"),
-    211: (INFO, "items dropped long ago are forgotten by all"),
-    212: (WARNING, "configuration here thrown away and read anew: of before drops that are forgotten"),
-    301: (WARNING, "backend missing: its beats have stopped"),
-    302: (WARNING, "control node lost: what it told is let go"),
-    303: (WARNING, "most backends here silent at once: waiting for others to hear them"),
-    304: (INFO, "backends recalled from disk: used until they beat or stay silent"),
-    305: (WARNING, "the list of backends on disk can't be used"),
-    321: (INFO, "proxy linked"),
-    322: (INFO, "proxy lost"),
-    601: (INFO, "configuration taken"),
-    602: (WARNING, "configuration refused: invalid"),
-    603: (WARNING, "configuration without a clear outcome"),
-    604: (INFO, "evacuation taken"),
-    605: (WARNING, "evacuation without a clear outcome"),
-    606: (WARNING, "configuration refused: another content was agreed under its version"),
-    610: (WARNING, "call without a clear outcome"),
-    611: (INFO, "call refused: not done"),
-    612: (WARNING, "no outcome from the machine that a call was handed to"),
-    613: (WARNING, "was stopped for a while; calls that waited are refused"),
-    614: (ERROR, "the ledger failed on a call"),
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+
+INFO = "info"
+WARNING = "warning"
+ERROR = "error"
+
+
+@dataclass(frozen=True, slots=True)
+class EventDescription:
+    """What an event's number stands for.
+
+    Attributes:
+        level: `INFO`, `WARNING` or `ERROR`.
+        message: The sentence that the log line has as `event`.
+        fields: Names of the line's fields, besides `n`, `at` and `node`.
+        earlier_names: Earlier names of fields, by their present names.
+    """
+
+    level: str
+    message: str
+    fields: tuple[str, ...] = ()
+    earlier_names: Mapping[str, str] = field(default_factory=dict)
+
+
+REACH = ("zone", "region", "abroad", "unknown")
+LOCALITY = ("same_zone", "same_region", "other_region")
+EARLIER_LOCALITY = {"same_zone": "own_zone", "same_region": "own_region", "other_region": "abroad"}
+
+EVENTS: dict[int, EventDescription] = {
+    1: EventDescription(INFO, "the process has started", ("role", "zone", "initial")),
+    2: EventDescription(INFO, "the process was told to stop"),
+    3: EventDescription(INFO, "the process has stopped in order"),
+    4: EventDescription(INFO, "the settings file was read again", ("seeds",)),
+    5: EventDescription(ERROR, "the settings file can't be used; earlier settings stay", ("reason",)),
+    6: EventDescription(ERROR, "a part of the program failed on an event", ("on", "error", "where")),
+    7: EventDescription(WARNING, "the port for metrics is taken; none are served", ("address",)),
+    101: EventDescription(INFO, "the link to a control node is up", ("peer",)),
+    102: EventDescription(INFO, "the link to a control node is down", ("peer",)),
+    103: EventDescription(WARNING, "a link was rejected: it isn't of this version", ("path",)),
+    104: EventDescription(WARNING, "a message couldn't be decoded; its link is closed", ("reason",)),
+    105: EventDescription(INFO, "traffic that links have carried since the start", REACH),
+    111: EventDescription(INFO, "the proxy is attached to a control node", ("peer",)),
+    112: EventDescription(
+        WARNING,
+        "the proxy has left its control node",
+        ("peer", "reason", "configuration_age_ms"),
+        {"reason": "why", "configuration_age_ms": "age_ms"},
+    ),
+    113: EventDescription(
+        WARNING, "no control node answers the proxy", ("candidates",), {"candidates": "tried"}
+    ),
+    114: EventDescription(INFO, "the proxy is ready"),
+    115: EventDescription(
+        INFO, "the proxy uses another table", ("pool", "table", *LOCALITY), EARLIER_LOCALITY
+    ),
+    116: EventDescription(
+        INFO,
+        "where the proxy's attempts went",
+        ("attempts", "failures", *LOCALITY),
+        {"attempts": "tries", "failures": "bad", **EARLIER_LOCALITY},
+    ),
+    117: EventDescription(INFO, "configuration is in force at the proxy", ("peer", "items", "version")),
+    118: EventDescription(
+        WARNING,
+        "no control node proves a newer configuration than the proxy has",
+        ("candidates", "configuration_age_ms"),
+        {"candidates": "asked", "configuration_age_ms": "age_ms"},
+    ),
+    201: EventDescription(ERROR, "the disk rejects a write; nothing is acknowledged here", ("fault",)),
+    202: EventDescription(INFO, "the disk accepts writes again"),
+    203: EventDescription(
+        INFO,
+        "the control node starts without data on disk",
+        ("disk_incarnation", "founding"),
+        {"disk_incarnation": "birth"},
+    ),
+    204: EventDescription(INFO, "the voters have changed", ("epoch", "voters")),
+    205: EventDescription(
+        INFO, "the control node votes: it has merged all that was acknowledged", ("epoch",)
+    ),
+    206: EventDescription(
+        WARNING, "the folder was set aside: another node's, of a newer version, or damaged", ("reason",)
+    ),
+    207: EventDescription(ERROR, "the control node has no disk that could be opened", ("reason",)),
+    208: EventDescription(
+        INFO,
+        "how many voters have a complete replica",
+        ("epoch", "voters", "reachable", "complete"),
+        {"reachable": "present"},
+    ),
+    209: EventDescription(INFO, "the control node stops, and has left the voters or not", ("left",)),
+    210: EventDescription(
+        WARNING,
+        "the control node has lost or regained contact with a majority of the voters",
+        ("quorum_contact", "suspected"),
+        {"quorum_contact": "in_touch", "suspected": "unheard"},
+    ),
+    211: EventDescription(
+        INFO,
+        "the tombstones of a batch of deleted items were collected",
+        ("batch", "highest_version"),
+        {"highest_version": "floor"},
+    ),
+    212: EventDescription(
+        WARNING,
+        "the configuration here is discarded and read again: it may hold items whose tombstones are gone",
+        ("known_batch", "required_batch", "items"),
+        {"known_batch": "known", "required_batch": "needed"},
+    ),
+    301: EventDescription(WARNING, "a backend is missing: its heartbeats have stopped", ("id", "service")),
+    302: EventDescription(WARNING, "a control node is lost; what only it reported is forgotten", ("peer",)),
+    303: EventDescription(
+        WARNING,
+        "most backends here fell silent at once; waiting for reports of other control nodes",
+        ("monitored",),
+        {"monitored": "heard"},
+    ),
+    304: EventDescription(INFO, "backends were loaded from disk", ("instances",), {"instances": "lives"}),
+    305: EventDescription(WARNING, "the list of backends on disk can't be used", ("reason",)),
+    321: EventDescription(
+        INFO,
+        "a proxy is linked to this control node",
+        ("proxy", "incarnation", "ready"),
+        {"incarnation": "life"},
+    ),
+    322: EventDescription(INFO, "the link of a proxy to this control node is lost", ("proxy",)),
+    601: EventDescription(INFO, "a configuration change was committed", ("items",)),
+    602: EventDescription(WARNING, "a configuration change was rejected: it is invalid", ("reason",)),
+    603: EventDescription(WARNING, "the outcome of a configuration change is unknown", ("reason", "items")),
+    604: EventDescription(INFO, "an evacuation was committed", ("zone", "evacuated"), {"evacuated": "out"}),
+    605: EventDescription(
+        WARNING,
+        "the outcome of an evacuation is unknown",
+        ("zone", "evacuated", "reason"),
+        {"evacuated": "out"},
+    ),
+    606: EventDescription(
+        WARNING, "a configuration change was rejected: its version has another content", ("reason",)
+    ),
+    610: EventDescription(WARNING, "the outcome of a call is unknown", ("register", "reason")),
+    611: EventDescription(INFO, "a call was rejected and not applied", ("register", "reason")),
+    612: EventDescription(
+        WARNING,
+        "the control node that a call was forwarded to gave no outcome",
+        ("proposer", "register"),
+        {"proposer": "owner"},
+    ),
+    613: EventDescription(WARNING, "the process was paused; waiting calls are rejected", ("stopped_ms",)),
+    614: EventDescription(ERROR, "the store failed on a call", ("register", "reason")),
 }
--- a/ambershift/system/processes/attachment_log.py
+++ b/ambershift/system/processes/attachment_log.py
@@ -59,14 +59,14 @@
             112,
             {
                 "peer": self._selector.linked,
-                "why": str(reason),
-                "age_ms": self.configuration_age_ms(),
+                "reason": str(reason),
+                "configuration_age_ms": self.configuration_age_ms(),
             },
         )
 
-    def no_node_answered(self, tried: int) -> None:
+    def no_node_answered(self, candidates: int) -> None:
         """None of the candidates answered."""
-        self._log(113, {"tried": tried})
+        self._log(113, {"candidates": candidates})
 
     def ready(self) -> None:
         """The proxy has all that was acknowledged, and serves."""
@@ -99,9 +99,9 @@
                 {"peer": self._selector.linked, "items": len(versions), "version": max(versions)},
             )
 
-    def no_newer_configuration(self, asked: int) -> None:
+    def no_newer_configuration(self, candidates: int) -> None:
         """The configuration may be stale, and no control node asked proves a newer one."""
-        self._log(118, {"asked": asked, "age_ms": self.configuration_age_ms()})
+        self._log(118, {"candidates": candidates, "configuration_age_ms": self.configuration_age_ms()})
 
     def configuration_age_ms(self) -> int | None:
         """Upper bound of the configuration's age; None before the first proof."""
--- a/ambershift/system/processes/locality.py
+++ b/ambershift/system/processes/locality.py
@@ -54,9 +54,9 @@
         own_region = sum(backend.region == self.region for backend in known)
         own_zone = sum(backend.zone == self.zone for backend in known)
         return {
-            "own_zone": own_zone,
-            "own_region": own_region - own_zone,
-            "abroad": len(table.entries) - own_region,
+            "same_zone": own_zone,
+            "same_region": own_region - own_zone,
+            "other_region": len(table.entries) - own_region,
         }
 
     def is_due(self) -> bool:
@@ -66,11 +66,11 @@
     def take_fields(self) -> dict[str, object]:
         """The log fields of the attempts counted; counting starts again at zero."""
         fields: dict[str, object] = {
-            "tries": self.attempts,
-            "bad": self.failures,
-            "own_zone": self.own_zone,
-            "own_region": self.own_region - self.own_zone,
-            "abroad": self.attempts - self.own_region,
+            "attempts": self.attempts,
+            "failures": self.failures,
+            "same_zone": self.own_zone,
+            "same_region": self.own_region - self.own_zone,
+            "other_region": self.attempts - self.own_region,
         }
         self._reset()
         return fields
--- a/ambershift/system/processes/logs.py
+++ b/ambershift/system/processes/logs.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from ambershift.system.events import EVENTS, WARNING
+from ambershift.system.events import EVENTS, WARNING, EventDescription
 from ambershift.system.state_machine import NS_PER_SECOND
 
 # Per event number: a storm of one event tells nothing more, and each line costs processor time.
@@ -50,5 +50,7 @@
         self._line_counts[number] += 1
         if self._line_counts[number] > MAX_LINES_PER_SECOND:
             return
-        level, message = EVENTS.get(number, (WARNING, f"event {number}"))
-        getattr(self._logger, level)(message, n=number, at=round(now / NS_PER_SECOND, 3), **fields)
+        description = EVENTS.get(number) or EventDescription(WARNING, f"event {number}")
+        getattr(self._logger, description.level)(
+            description.message, n=number, at=round(now / NS_PER_SECOND, 3), **fields
+        )
--- a/ambershift/system/registry/service.py
+++ b/ambershift/system/registry/service.py
@@ -178,7 +178,7 @@
         except SnapshotError as error:
             self._io.log(SNAPSHOT_UNREADABLE_EVENT, {"reason": error.reason})
             return
-        self._io.log(SNAPSHOT_LOADED_EVENT, {"lives": len(instances)})
+        self._io.log(SNAPSHOT_LOADED_EVENT, {"instances": len(instances)})
         self._snapshot_counts_proxies = max_proxies > 0
         self._step(events.SnapshotLoaded(max_proxies, tuple(instances)))
 
--- a/ambershift/system/registry/state_machine.py
+++ b/ambershift/system/registry/state_machine.py
@@ -189,7 +189,7 @@
         was_mass_failure = monitor.mass_failure
         timed_out = monitor.timed_out(now, healthy_since, reported_by_peers)
         if monitor.mass_failure and not was_mass_failure:
-            effects.append(LogEvent(MASS_FAILURE_EVENT, {"heard": len(monitor.instances)}))
+            effects.append(LogEvent(MASS_FAILURE_EVENT, {"monitored": len(monitor.instances)}))
         for id in timed_out:
             if id not in reported_by_peers:
                 fields = {"id": id, "service": monitor.instances[id].service}
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -130,7 +130,7 @@
         late = {**ROUTE, "Name": "r-2", "PathPrefix": "/r-2/", "TimeoutMs": 1500, "ConfigVersion": "r7"}
         assert node.rpc("configuration.modify", body={"Upsert": {"Routes": [late]}})[0] == 503
         events = node.events()
-    assert [one["lives"] for one in events if one["n"] == 304] == [2]  # The list of backends.
+    assert [one["instances"] for one in events if one["n"] == 304] == [2]  # The list of backends.
     assert not [one for one in events if one["n"] in (6, 203, 206, 207, 305)], events
     assert not (folder / "aside").exists()
 
--- a/tests/system/processes/test_metrics.py
+++ b/tests/system/processes/test_metrics.py
@@ -107,7 +107,7 @@
     made.store, made.registry, made.controller = Mock(), Mock(), SimpleNamespace(hellos={"p": 1})
     made.store.items.return_value = {1: Item(ROUTE, "r", (12, "agreed"), b"{}")}
     made.store.contact_age_ms.return_value, made.store.has_quorum_contact.return_value = 250, True
-    made.store.membership_status.return_value = SimpleNamespace(epoch=4, voters=(1, 2, 3), complete=2)
+    made.store.membership_status.return_value = SimpleNamespace(epoch=4, voters=(1, 2, 3), complete_count=2)
     made.registry.endpoints.return_value = {}
     made.links = SimpleNamespace(
         dialled_queues={"a": SimpleNamespace(pending_bytes=5)},
