--- a/ambershift/system/processes/attachment_log.py
+++ b/ambershift/system/processes/attachment_log.py
@@ -114,14 +114,19 @@
         return [
             Metric(
                 "configuration_version",
-                "highest version of the operator in force",
+                "Highest version of the operator's configuration in force.",
                 self.configuration_version,
             ),
             Metric(
                 "configuration_age_seconds",
-                "how old it may be (-1: nobody has told)",
+                "Upper bound of the configuration's age; -1 before the first proof.",
                 -1.0 if age_ms is None else age_ms / 1000,
             ),
-            Metric("linked", "whether a control node is linked", float(linked)),
-            Metric("links_left", "links given up since the start", label="why", values=self.abandoned_links),
+            Metric("control_node_linked", "Whether a control node is linked (1) or not (0).", float(linked)),
+            Metric(
+                "abandoned_links_total",
+                "Links given up since the start, by reason.",
+                label="reason",
+                values=self.abandoned_links,
+            ),
         ]
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -146,18 +146,32 @@
         outboxes = (*self.links.dialled_queues.values(), *self.links.accepted_queues.values())
         waiting_bytes = sum(outbox.pending_bytes for outbox in outboxes)
         return [
-            Metric("configuration_version", "highest version of the operator here", max(versions, default=0)),
-            Metric("contact_age_seconds", "age of the proof of contact", store.contact_age_ms() / 1000),
-            Metric("in_touch", "whether a majority was heard lately", float(store.has_quorum_contact())),
-            Metric("epoch", "epoch of the voters", members.epoch if members else 0),
-            Metric("voters", "voters of this epoch", len(members.voters) if members else 0),
             Metric(
-                "copies_complete", "voters known to be complete", members.complete_count if members else 0
+                "configuration_version",
+                "Highest version of the operator's configuration stored here.",
+                max(versions, default=0),
             ),
-            Metric("items", "items held here", len(items)),
-            Metric("proxies_linked", "proxies that this node looks after", len(self.controller.hellos)),
-            Metric("backends", "backends on the list", len(self.registry.endpoints())),
-            Metric("links_waiting_bytes", "bytes that wait for all links", waiting_bytes),
+            Metric(
+                "quorum_contact_age_seconds",
+                "Age of the last proof of contact with a majority.",
+                store.contact_age_ms() / 1000,
+            ),
+            Metric(
+                "quorum_contact",
+                "Whether a majority of the voters is in contact (1) or not (0).",
+                float(store.has_quorum_contact()),
+            ),
+            Metric("membership_epoch", "Epoch of the voters.", members.epoch if members else 0),
+            Metric("voters", "Voters of this epoch.", len(members.voters) if members else 0),
+            Metric(
+                "complete_replicas",
+                "Voters known to have a complete replica.",
+                members.complete_count if members else 0,
+            ),
+            Metric("stored_items", "Configuration items stored here.", len(items)),
+            Metric("linked_proxies", "Proxies linked to this control node.", len(self.controller.hellos)),
+            Metric("backends", "Backends on the endpoint list.", len(self.registry.endpoints())),
+            Metric("links_send_queue_bytes", "Bytes queued for all links.", waiting_bytes),
         ]
 
     def apply_settings(self) -> None:
--- a/ambershift/system/processes/metrics.py
+++ b/ambershift/system/processes/metrics.py
@@ -20,10 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Metric:
-    """A gauge, with one value or a value for each value of a label.
+    """A gauge or counter, with one value or a value for each value of a label.
 
     Attributes:
-        name: Without the prefix `ambershift_`; with its base unit at the end.
+        name: Without the prefix `ambershift_`; with its base unit at the end. A name that ends in `_total` is
+            a counter, all others are gauges (https://prometheus.io/docs/practices/naming/).
         help_text: What it tells, for `# HELP`.
         value: The value of a gauge without a label.
         label: Name of the label; empty for none.
@@ -39,20 +40,35 @@
 
 def render(metrics: Iterable[Metric]) -> bytes:
     """The metrics in Prometheus' text format."""
-    from prometheus_client import CollectorRegistry, Gauge, generate_latest
+    from prometheus_client import CollectorRegistry, generate_latest
+    from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-    registry = CollectorRegistry()
+    families: list[CounterMetricFamily | GaugeMetricFamily] = []
     for metric in metrics:
-        label_names = [metric.label] if metric.label else []
-        gauge = Gauge(f"ambershift_{metric.name}", metric.help_text, label_names, registry=registry)
+        name = f"ambershift_{metric.name}"
+        family_type = CounterMetricFamily if metric.name.endswith("_total") else GaugeMetricFamily
+        family = family_type(name, metric.help_text, labels=[metric.label] if metric.label else [])
         if not metric.label:
-            gauge.set(metric.value)
+            family.add_metric([], metric.value)
         for label_value, value in metric.values.items():
-            gauge.labels(label_value).set(value)
+            family.add_metric([label_value], value)
+        families.append(family)
+    registry = CollectorRegistry()
+    registry.register(_Scrape(families))
     text: bytes = generate_latest(registry)
     return text
 
 
+class _Scrape:
+    """A collector, by Prometheus' client library, of metrics that are already taken."""
+
+    def __init__(self, families: Iterable[Any]) -> None:
+        self._families = families
+
+    def collect(self) -> Iterable[Any]:
+        return self._families
+
+
 class MetricsMiddleware:
     """An ASGI application that answers requests on the metrics port and hands all others on."""
 
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -101,13 +101,17 @@
         server, outbox = self.server, self.attachment.link.outbox
         return [
             *self.attachment.metrics(),
-            Metric("ready", "whether this proxy serves", float(server.ready and not server.leaving)),
-            Metric("requests_in_flight", "requests under way", server.admission.flying),
-            Metric("routes", "routes in force", server.routing.routes),
-            Metric("backends", "backends known", len(server.backend_view.lives)),
             Metric(
-                "link_waiting_bytes",
-                "bytes that wait for the control node's link",
+                "ready",
+                "Whether this proxy accepts requests (1) or not (0).",
+                float(server.ready and not server.leaving),
+            ),
+            Metric("requests_in_flight", "Requests in flight.", server.admission.flying),
+            Metric("routes", "Routes in force.", server.routing.routes),
+            Metric("backends", "Backends known to this proxy.", len(server.backend_view.lives)),
+            Metric(
+                "link_send_queue_bytes",
+                "Bytes queued for the link to the control node.",
                 outbox.pending_bytes if outbox else 0,
             ),
         ]
--- a/tests/system/processes/test_metrics.py
+++ b/tests/system/processes/test_metrics.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import re
 import subprocess
 import sys
 import tomllib
@@ -16,6 +17,7 @@
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.messages.proxy_link import ControlNodeHeartbeat, ItemUpdate
 from ambershift.system.node_selection.selector import Choice
+from ambershift.system.processes import metrics
 from ambershift.system.processes.attachment_log import AttachmentLog
 from ambershift.system.processes.control_node import ControlNode
 from ambershift.system.processes.http_server import bind_listener, try_bind_listener
@@ -59,8 +61,11 @@
 
 
 def test_a_figure_may_have_a_value_for_each_label() -> None:
-    body = render([Metric("links_left", "left", label="why", values={"stale": 2, "silent": 1})])
-    assert b'ambershift_links_left{why="stale"} 2.0' in body and b'{why="silent"} 1.0' in body
+    body = render([Metric("abandoned_links_total", "left", label="reason", values={"stale": 2, "silent": 1})])
+    assert (
+        b'ambershift_abandoned_links_total{reason="stale"} 2.0' in body and b'{reason="silent"} 1.0' in body
+    )
+    assert b"# TYPE ambershift_abandoned_links_total counter\n" in body and b"_created" not in body
 
 
 def test_the_library_is_not_loaded_before_somebody_asks() -> None:
@@ -114,6 +119,18 @@
         accepted_queues={"b": SimpleNamespace(pending_bytes=7)},
     )
     found = values(made.metrics())
-    assert found["contact_age_seconds"] == 0.25 and found["in_touch"] == 1 and found["epoch"] == 4
-    assert found["copies_complete"] == 2 and found["links_waiting_bytes"] == 12
-    assert found["proxies_linked"] == 1 and found["configuration_version"] == 12
+    assert (
+        found["quorum_contact_age_seconds"] == 0.25
+        and found["quorum_contact"] == 1
+        and found["membership_epoch"] == 4
+    )
+    assert found["complete_replicas"] == 2 and found["links_send_queue_bytes"] == 12
+    assert found["linked_proxies"] == 1 and found["configuration_version"] == 12
+
+
+def test_page_lists_the_metrics_that_are_served() -> None:
+    page = (DEPLOY.parents[1] / "docs/system.md").read_text("utf-8").partition("## Metrics")[2]
+    listed = set(re.findall(r"^\| [a-z, ]+ \| `(\w+)` \|", page, re.M))
+    sources = Path(metrics.__file__).parent.glob("*.py")
+    served = {name for file in sources for name in re.findall(r'Metric\(\s*"(\w+)"', file.read_text("utf-8"))}
+    assert served and listed == served
