--- a/ambershift/__main__.py
+++ b/ambershift/__main__.py
@@ -1,6 +1,4 @@
-"""`python -m ambershift`: one real coordinator as the platform runs it; with words behind it, the
-command line.
-"""
+"""`python -m ambershift`: a coordinator as the platform runs it; with arguments, the command line."""
 
 from __future__ import annotations
 
@@ -8,6 +6,7 @@
 
 
 def main() -> int:
+    """Run the coordinator, or the command line if there are arguments; return the exit code."""
     if len(sys.argv) == 1:
         # Nothing of the tools is loaded here: on the platform memory is scarce and starts are frequent.
         from ambershift.coordinator.program.assembly import main as coordinator
--- a/ambershift/attempt/machine.py
+++ b/ambershift/attempt/machine.py
@@ -26,10 +26,13 @@
 
 
 class Bearing(NamedTuple):
-    """What a traffic group bears: `everywhere` tells that all servers know each other's flows by their keys,
-    `window` for how long, from the sending of the first try that may have run; `way` how long a try may be
-    under
-    way before it runs. Times are ns.
+    """What repeats a traffic group tolerates.
+
+    Attributes:
+        repeat: Whether a flow may run twice, or is deduplicated by its key.
+        everywhere: Whether all servers know each other's keys.
+        window: For how long keys are known, ns from the sending of the first attempt that may have run.
+        way: How long an attempt may travel before it runs, ns.
     """
 
     repeat: Repeat
@@ -39,9 +42,12 @@
 
 
 class Attempt(NamedTuple):
-    """The tries of one flow so far. `first` is the server of the first try that may have run, `since` when
-    it was
-    sent; -1 where none may have.
+    """The attempts of one flow so far.
+
+    Attributes:
+        tries: How many were sent.
+        first: The server of the first attempt that may have run; -1 if none may have.
+        since: When that one was sent, ns; -1 if none may have run.
     """
 
     tries: int = 0
@@ -49,6 +55,7 @@
     since: int = -1
 
     def sent(self) -> Attempt:
+        """One more attempt was sent."""
         return self._replace(tries=self.tries + 1)
 
     def failed(self, evidence: Evidence, server: int, sent_at: int) -> Attempt:
--- a/ambershift/door.py
+++ b/ambershift/door.py
@@ -19,6 +19,7 @@
         self.next = 0
 
     def index(self, one: Id) -> int:
+        """Return the index of an id, a new one if it has none yet."""
         if one not in self.indices:
             self.indices[one] = self.next
             self.ids[self.next] = one
@@ -26,8 +27,10 @@
         return self.indices[one]
 
     def known(self, one: Id) -> int | None:
+        """Return the index of an id, None if it has none."""
         return self.indices.get(one)
 
     def forget(self, index: int) -> None:
+        """Drop an index and its id; the index is never used again."""
         if index in self.ids:
             del self.indices[self.ids.pop(index)]
--- a/ambershift/system/__main__.py
+++ b/ambershift/system/__main__.py
@@ -15,6 +15,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line."""
     made = argparse.ArgumentParser(
         prog="python3 -m ambershift.system",
         description="A global load balancer: its two programs and its checks.",
@@ -49,6 +50,7 @@
 
 
 def run_role(verb: str, settings: Local) -> int:
+    """Run a program until it is told to end; return the exit code."""
     # Each role imports only what it runs: memory counts, and so does the time of a start.
     for name in UNUSED:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
@@ -65,6 +67,7 @@
 
 
 def check_configuration(file: str) -> int:
+    """Print the faults of a configuration file; return 0, 1 with faults, 2 if it can't be read."""
     from ambershift.system.configuration.check import check_document
 
     try:
@@ -95,6 +98,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Run a command; return its exit code."""
     asked = parser().parse_args(arguments)
     if asked.verb == "members":
         return show_members(asked.address)
--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -50,6 +50,8 @@
 
 
 class Assigner:
+    """Feeds one pool's decision module and translates its orders."""
+
     def __init__(self, pool: str, terms: api.Terms, seed: int) -> None:
         self.pool, self.module = pool, TableManager()
         self.events: list[api.Event] = [api.Born(seed, terms)]
@@ -78,6 +80,7 @@
             self.busy = self.listed = True
 
     def join(self, proxy: str, zone: int, here: bool) -> None:
+        """Add a proxy; `here` if it is linked to this node."""
         self.proxies[index_of(proxy)] = proxy
         self.bound.pop(proxy, None)
         (self.local.add if here else self.local.discard)(proxy)
@@ -85,6 +88,7 @@
         self.busy = True
 
     def leave(self, proxy: str) -> None:
+        """Remove a proxy."""
         self.proxies.pop(index_of(proxy), None)
         self.bound.pop(proxy, None)
         self.local.discard(proxy)
@@ -109,6 +113,7 @@
             )
 
     def applied(self, mark: int, proxy: str, took: int) -> None:
+        """Note that a proxy has applied what was sent before a mark; `took` is ns from sending to answer."""
         self.events.append(api.Applied(mark, took, index_of(proxy)))
         self.busy = True
 
--- a/ambershift/system/distribution/flows.py
+++ b/ambershift/system/distribution/flows.py
@@ -14,6 +14,8 @@
 
 
 class Flows:
+    """Reports of the proxies linked here, and the sums that were last published."""
+
     def __init__(self) -> None:
         self.came = defaultdict[str, deque[tuple[int, int, dict[str, int]]]](deque)  # Of proxies.
         self.zones: dict[str, str] = {}
@@ -21,10 +23,12 @@
         self.told_at = 0
 
     def report(self, now: int, proxy: str, zone: str, span: int, came: dict[str, int]) -> None:
+        """Add a proxy's report: requests by pool over a span (ns)."""
         self.zones[proxy] = zone
         self.came[proxy].append((now, span, came))
 
     def leave(self, proxy: str) -> None:
+        """Drop a proxy's reports."""
         self.zones.pop(proxy, None)
         self.came.pop(proxy, None)
 
--- a/ambershift/system/distribution/pool_loads.py
+++ b/ambershift/system/distribution/pool_loads.py
@@ -23,6 +23,8 @@
 
 
 class PoolLoads:
+    """The pools, their backends and proxies; feeds each pool's assigner."""
+
     def __init__(self, zones: Mapping[str, str], seed: int) -> None:
         self.regions, self.chance = zones, random.Random(seed)
         self.zones = {zone: at for at, zone in enumerate(zones_of(zones))}
@@ -78,6 +80,7 @@
                 assigner.join(name, self.zones.get(zone, -1), not keeper)
 
     def leave(self, name: str) -> None:
+        """Remove a proxy from all pools."""
         if self.proxies.pop(name, None):
             for assigner in self.assigners.values():
                 assigner.leave(name)
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -21,6 +21,8 @@
 
 
 class Pushes:
+    """What the linked proxies have been sent of items and of the endpoint list, and what they still lack."""
+
     def __init__(self) -> None:
         self.told: dict[Key, Item] = {}  # What every proxy that has said Hello has been sent.
         self._forgot = False  # Whether `told` may have what all have forgotten since.
@@ -42,6 +44,7 @@
         return [*newer, Send(name, self._all), Send(name, backends)]
 
     def lose(self, name: str) -> None:
+        """Drop a proxy whose link has ended."""
         self.proxies.pop(name, None)
 
     def items(self, items: Iterable[Item]) -> list[Send]:
@@ -74,6 +77,7 @@
         return sends
 
     def listed(self, put: Iterable[Backend], gone: Iterable[str]) -> None:
+        """Note changes of the endpoint list, to be sent with the next flush."""
         for one in put:
             self.put[one.id] = one
             self.gone.discard(one.id)
--- a/ambershift/system/distribution/strain.py
+++ b/ambershift/system/distribution/strain.py
@@ -20,6 +20,8 @@
 
 
 class Strain:
+    """Rates and service time of one pool's traffic, and the threshold of overload that follows."""
+
     def __init__(self, limit: float) -> None:
         self.limit = limit
         self.rates: dict[str, float] = {}  # Requests a second, by proxy.
@@ -34,6 +36,7 @@
             self.rates[proxy] = rate if known is None else known + part * (rate - known)
 
     def leave(self, proxy: str) -> None:
+        """Drop a proxy's rate."""
         self.rates.pop(proxy, None)
 
     def took(self, mean: float) -> None:
--- a/ambershift/terms.py
+++ b/ambershift/terms.py
@@ -29,16 +29,27 @@
 
 
 def to_ns(ms: float) -> int:
+    """Convert ms to whole ns; 0 for what isn't finite."""
     return round(ms * NS_PER_MS) if math.isfinite(ms) else 0
 
 
 def needed(found: Mapping[str, Any], key: str, where: str = "") -> Any:
+    """Return the value of a key.
+
+    Raises:
+        TermsError: It is missing.
+    """
     if key not in found:
         raise TermsError(f"settings: key '{where}{key}' is missing")
     return found[key]
 
 
 def number(found: Mapping[str, Any], key: str, default: float | None = None, where: str = "") -> float:
+    """Return a finite number; a key without a default must be there.
+
+    Raises:
+        TermsError: It is missing or no number.
+    """
     value = needed(found, key, where) if default is None else found.get(key, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
         raise TermsError(f"settings: key '{where}{key}' is not a number")
@@ -46,6 +57,11 @@
 
 
 def positive(found: Mapping[str, Any], key: str, default: float | None = None, where: str = "") -> float:
+    """Return a number above 0.
+
+    Raises:
+        TermsError: It is missing, no number, or not above 0.
+    """
     value = number(found, key, default, where)
     if value <= 0:
         raise TermsError(f"settings: key '{where}{key}' is not above 0")
@@ -53,6 +69,11 @@
 
 
 def section(found: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+    """Return a nested object, empty if the key is missing.
+
+    Raises:
+        TermsError: It is no object.
+    """
     value = found.get(key, {})
     if not isinstance(value, dict):
         raise TermsError(f"settings: key '{key}' is not an object")
@@ -60,6 +81,11 @@
 
 
 def filled_list(found: Mapping[str, Any], key: str) -> list[Any]:
+    """Return a list that has entries.
+
+    Raises:
+        TermsError: It is missing, no list, or empty.
+    """
     value = needed(found, key)
     if not isinstance(value, list) or not value:
         raise TermsError(f"settings: key '{key}' must be a list that is not empty")
