--- a/tests/system/consensus/test_disk.py
+++ b/tests/system/consensus/test_disk.py
@@ -3,11 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-import queue
 import shutil
 import sqlite3
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -15,7 +14,7 @@
 import pytest
 
 from ambershift.system.consensus import disk
-from ambershift.system.consensus.disk import DATABASE_FILE, QUARANTINE_FOLDER, Disk, Rows
+from ambershift.system.consensus.disk import DATABASE_FILE, QUARANTINE_FOLDER
 from ambershift.system.consensus.effect_buffer import EffectBuffer
 from ambershift.system.consensus.replicated_store import ReplicatedStore
 from ambershift.system.consensus.write_queue import WriteQueue
@@ -23,52 +22,45 @@
 from ambershift.system.messages.items import Item
 from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_SECOND, Write
+from tests.system.consensus.conftest import IP, OpenedDisk
 
-IP = "10.0.0.1"
+OpenDisk = Callable[..., OpenedDisk]
+LAST_WRITE = 39
 
 
-class Opened:
-    """A disk on the folder, with its answers in a queue."""
-
-    def __init__(self, folder: Path, ip: str = IP) -> None:
-        self.told: queue.Queue[tuple[int, str | None]] = queue.Queue()
-        self.disk = Disk(str(folder), ip, lambda token, fault: self.told.put((token, fault)))
-        self.rows: Rows = self.disk.open()
-
-    def write(self, token: int, *rows: tuple[str, str, bytes | None]) -> str | None:
-        self.disk.write(Write(token, rows))
-        told, fault = self.told.get(timeout=10)
-        assert told == token
-        return fault
-
-
-def test_commit_survives_the_loss_of_everything_later(tmp_path: Path) -> None:
-    opened = Opened(tmp_path / "live")
+@pytest.fixture(scope="module")
+def written_folder(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Path, list[int]]]:
+    """A folder in use after `LAST_WRITE` writes, and how long its log was after each."""
+    folder = tmp_path_factory.mktemp("live")
+    opened = OpenedDisk(folder)
     assert opened.write(0, ("meta", "ip", IP.encode())) is None
     sizes = []
-    for number in range(1, 40):
+    for number in range(1, LAST_WRITE + 1):
         assert opened.write(number, ("items", f"k{number % 7}", bytes([number]) * 900)) is None
-        sizes.append((tmp_path / "live" / f"{DATABASE_FILE}-wal").stat().st_size)
-    files = [one for one in (tmp_path / "live").iterdir() if one.is_file()]
-    for number in range(1, 40, 5):  # Power is lost with the next write torn at some byte.
-        lost = tmp_path / f"lost{number}"
-        lost.mkdir()
-        for one in files:
-            shutil.copy(one, lost / one.name)
-        with open(lost / f"{DATABASE_FILE}-wal", "r+b") as log:
-            log.truncate(sizes[number - 1] + 37 * number)
-            log.seek(-min(20, 37 * number), 2)
-            log.write(b"torn"[: min(20, 37 * number)])
-        again = Opened(lost)
-        found = max(value[0] for value in again.rows["items"].values())
-        assert found >= number
-        again.disk.close()
+        sizes.append((folder / f"{DATABASE_FILE}-wal").stat().st_size)
+    yield folder, sizes
     opened.disk.close()
 
 
+@pytest.mark.parametrize("number", range(1, LAST_WRITE + 1, 5))
+def test_commit_survives_the_loss_of_everything_later(
+    number: int, written_folder: tuple[Path, list[int]], open_disk: OpenDisk, tmp_path: Path
+) -> None:
+    folder, sizes = written_folder
+    for file in folder.iterdir():
+        if file.is_file():
+            shutil.copy(file, tmp_path / file.name)
+    with (tmp_path / f"{DATABASE_FILE}-wal").open("r+b") as log:  # The next write is torn at some byte.
+        log.truncate(sizes[number - 1] + 37 * number)
+        log.seek(-min(20, 37 * number), 2)
+        log.write(b"torn"[: min(20, 37 * number)])
+    again = open_disk(tmp_path)
+    assert max(value[0] for value in again.rows["items"].values()) >= number
+
+
 @pytest.mark.parametrize("trouble", ["of another machine", "newer", "damaged", "damaged inside"])
-def test_unusable_folder_is_quarantined(tmp_path: Path, trouble: str) -> None:
-    opened = Opened(tmp_path, "10.0.0.9" if trouble == "of another machine" else IP)
+def test_unusable_folder_is_quarantined(tmp_path: Path, open_disk: OpenDisk, trouble: str) -> None:
+    opened = open_disk(tmp_path, "10.0.0.9" if trouble == "of another machine" else IP)
     items = [("items", f"k{number}", b"v" * 900) for number in range(40)]
     opened.write(1, ("meta", "ip", opened.disk._ip.encode()), *items)
     opened.disk.close()
@@ -81,16 +73,18 @@
         at = 0 if trouble == "damaged" else 3 * 4096
         data[at : at + 2000] = bytes(2000)
         (tmp_path / DATABASE_FILE).write_bytes(data)
-    again = Opened(tmp_path)
+    again = open_disk(tmp_path)
     assert again.rows == {} and again.disk.quarantine_reason
     assert (tmp_path / QUARANTINE_FOLDER / DATABASE_FILE).exists()
     assert again.write(2, ("meta", "ip", IP.encode())) is None
     again.disk.close()
-    assert Opened(tmp_path).rows == {"meta": {"ip": IP.encode()}}
+    assert open_disk(tmp_path).rows == {"meta": {"ip": IP.encode()}}
 
 
-def test_full_disk_rejects_complete_writes_and_accepts_them_later(tmp_path: Path) -> None:
-    opened = Opened(tmp_path)
+def test_full_disk_rejects_complete_writes_and_accepts_them_later(
+    tmp_path: Path, open_disk: OpenDisk
+) -> None:
+    opened = open_disk(tmp_path)
     opened.write(1, ("meta", "ip", IP.encode()))
     assert opened.disk._connection is not None
     opened.disk._connection.execute("PRAGMA max_page_count=6")
@@ -98,7 +92,7 @@
     assert opened.write(2, ("items", "small", b"v"), *rows) == "full"
     assert opened.write(3, ("items", "small", b"v"), *rows) is None  # Opened anew, without the bound.
     opened.disk.close()
-    assert len(Opened(tmp_path).rows["items"]) == 21
+    assert len(open_disk(tmp_path).rows["items"]) == 21
 
 
 def test_callbacks_wait_until_failed_rows_are_on_disk_with_newer_ones() -> None:
@@ -181,24 +175,24 @@
 
 
 def test_folders_made_are_synced_before_anything_is_acknowledged(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, open_disk: OpenDisk, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A loss of power takes a name that its folder wasn't synced for, and all that lies below."""
     synced: list[Path] = []
     monkeypatch.setattr(disk, "sync_folder", synced.append)
     folder = tmp_path / "a" / "b" / "c"
-    opened = Opened(folder)
+    opened = open_disk(folder)
     assert {tmp_path, tmp_path / "a", tmp_path / "a" / "b", folder} <= set(synced)
     assert (folder / DATABASE_FILE).exists() and synced[-1] == folder
     opened.disk.close()
     before = synced.copy()
     synced.clear()
-    Opened(folder).disk.close()  # The one before may have been killed when it had made them.
+    open_disk(folder).disk.close()  # The one before may have been killed when it had made them.
     assert synced == before
 
 
 def test_parent_folders_that_cannot_be_synced_are_ignored_unless_just_made(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, open_disk: OpenDisk, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     real, refused = disk.sync_folder, [tmp_path]
 
@@ -209,19 +203,19 @@
 
     monkeypatch.setattr(disk, "sync_folder", sync)
     with pytest.raises(PermissionError):
-        Opened(tmp_path / "a" / "b")  # The name of `a` may be lost.
-    Opened(tmp_path / "a" / "b").disk.close()
+        open_disk(tmp_path / "a" / "b")  # The name of `a` may be lost.
+    open_disk(tmp_path / "a" / "b").disk.close()
     refused.append(tmp_path / "a")
-    Opened(tmp_path / "a" / "b").disk.close()
+    open_disk(tmp_path / "a" / "b").disk.close()
 
 
 @pytest.mark.parametrize("lost", [DATABASE_FILE, f"{DATABASE_FILE}-wal", "both"])
 @pytest.mark.parametrize("writes", [3, 400])
 def test_folder_that_lost_a_file_is_read_without_gaps_or_starts_empty(
-    tmp_path: Path, lost: str, writes: int
+    tmp_path: Path, open_disk: OpenDisk, lost: str, writes: int
 ) -> None:
     """Killed without an end, and then a name is gone: whatever is read has an owner and no holes in it."""
-    opened = Opened(tmp_path / "live")
+    opened = open_disk(tmp_path / "live")
     assert opened.write(0, ("meta", "ip", IP.encode()), ("meta", "birth", b"7")) is None
     for number in range(1, writes):
         assert opened.write(number, ("items", f"k{number}", b"v" * 900)) is None
@@ -230,11 +224,9 @@
     for name in {DATABASE_FILE, f"{DATABASE_FILE}-wal"} - {lost}:
         if lost != "both":
             shutil.copy(tmp_path / "live" / name, left / name)
-    again = Opened(left)
+    again = open_disk(left)
     numbers = sorted(int(name[1:]) for name in again.rows.get("items", {}))
     assert numbers == list(range(1, len(numbers) + 1))
     assert not numbers or again.rows["meta"] == {"ip": IP.encode(), "birth": b"7"}
     # At the least as an empty one it goes on.
     assert again.write(writes, ("meta", "ip", IP.encode())) is None
-    for one in (again, opened):
-        one.disk.close()
--- a/tests/system/consensus/test_guards.py
+++ b/tests/system/consensus/test_guards.py
@@ -23,7 +23,7 @@
     return (await world.call(at, "POST", "/ambershift/numbers/n"))[0]
 
 
-def test_an_owner_that_gives_no_outcomes_is_passed_over_for_a_second_although_its_beats_come() -> None:
+def test_unresponsive_proposer_is_skipped_for_a_second_despite_heartbeats() -> None:
     async def story(world: FakeCluster) -> None:
         owner, other, entry = proposer_ranking("n/n")
         world.stores[entry].is_responsive = lambda ip: True  # type: ignore[method-assign]
@@ -42,7 +42,7 @@
     run_story(story)
 
 
-def test_a_watch_moves_back_with_its_owner() -> None:
+def test_watch_moves_back_to_preferred_proposer() -> None:
     """Puts through the first choice are told to nobody: a watch must wait there."""
 
     async def story(world: FakeCluster) -> None:
@@ -61,7 +61,7 @@
     run_story(story)
 
 
-def test_an_outcome_counts_only_from_whom_the_call_was_handed_to_last() -> None:
+def test_outcome_counts_only_from_last_node_forwarded_to() -> None:
     async def story() -> None:
         open_calls = PendingCalls(lambda to, message: None, 7)
         at = open_calls.next_number()
@@ -138,7 +138,7 @@
             self.proposer.receive_reply(ip, Acknowledgement(epoch or accept.epoch, accept.request_id))
 
 
-def test_a_lease_of_an_epoch_before_writes_nothing() -> None:
+def test_proposer_lease_ends_with_its_epoch() -> None:
     world = Proposing()
     accept = world.promise(world.call(b"one"))
     world.agree(accept)
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("other", [1, 3])
-def test_a_vote_counts_in_its_own_epoch_only(other: int) -> None:
+def test_proposer_ignores_votes_of_other_epochs(other: int) -> None:
     world = Proposing()
     world.voters.epoch = 2
     prepare = world.call(b"one")
--- a/tests/system/consensus/test_histories.py
+++ b/tests/system/consensus/test_histories.py
@@ -9,32 +9,33 @@
 from ambershift.system.simulation.histories import play_lists as play
 from ambershift.system.simulation.lists import Lists as World
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
+from tests.system.consensus.conftest import StartedLists
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_history_of_seed_is_explained_by_some_order(seed: int) -> None:
+def test_random_history_is_linearizable(seed: int) -> None:
     assert play(seed, seconds=8).broken == []
 
 
 @pytest.mark.parametrize("first", [False, True])
-def test_a_value_accepted_alone_under_earlier_voters_never_comes_up_over_later_ones(first: bool) -> None:
+def test_value_accepted_alone_in_earlier_epoch_never_replaces_later_ones(first: bool) -> None:
     assert scripts_voters.accepted_alone(first) == []
 
 
 @pytest.mark.parametrize("unsynced", [False, True])
 @pytest.mark.parametrize("seed", [1, 3])
-def test_voters_that_were_left_behind_hold_nothing(seed: int, unsynced: bool) -> None:
+def test_voters_of_earlier_epoch_form_no_quorum(seed: int, unsynced: bool) -> None:
     assert scripts_voters.left_behind(seed, unsynced) == []
 
 
-def test_a_proposer_that_forgot_its_ballots_uses_none_of_them_again() -> None:
-    assert [scripts_voters.forgetful(seed) for seed in (1, 3, 4, 8)] == [[]] * 4
+@pytest.mark.parametrize("seed", [1, 3, 4, 8])
+def test_proposer_without_memory_reuses_no_ballot(seed: int) -> None:
+    assert scripts_voters.forgetful(seed) == []
 
 
-def test_a_voter_is_not_chosen_again_with_the_disk_that_it_lost() -> None:
+def test_voter_is_not_chosen_again_with_its_lost_disk(started_lists: StartedLists) -> None:
     """One that had part in the change, but hasn't yet heard from the machine itself that its disk is new."""
-    world = World(7, loss=0, count=3)
-    world.run(2.5)
+    world = started_lists(7, 3)
     stale, lost, _ = sorted(world.boxes)
     behind = world.boxes[stale].replica
     assert behind is not None
@@ -61,7 +62,7 @@
     assert set(epochs) == {epoch + 1}
 
 
-def test_a_voter_is_settled_once_it_has_been_back_for_a_while() -> None:
+def test_returned_voter_is_settled_after_a_while() -> None:
     world = World(5, loss=0, count=5)
     one, two = sorted(world.boxes)[:2]
 
@@ -96,9 +97,8 @@
     assert two not in settled(one) and two not in settled(two)
 
 
-def test_a_register_is_taken_over_in_two_trips() -> None:
-    world = World(7, loss=0, count=6)
-    world.run(6)
+def test_register_is_taken_over_in_two_round_trips(started_lists: StartedLists) -> None:
+    world = started_lists(7, 6, 6)
     for _ in range(30):
         world.change("append", "10.0.0.1", "list/0")
         world.run(0.2)
@@ -119,40 +119,36 @@
     assert world.judge() == []
 
 
-def test_a_lease_of_long_ago_costs_a_trip_and_no_pause() -> None:
-    for seed in range(6):
-        world = World(seed, loss=0, count=6)
-        world.run(6)
-        for ip in ("10.0.0.1", "10.0.0.2", "10.0.0.1"):
-            op = world.change("append", ip, "list/0")
-            world.run(1)
-        assert (
-            isinstance(op.told, CallSucceeded)
-            and op.ended is not None
-            and op.ended - op.begun < 170 * NS_PER_MS
-        )
+@pytest.mark.parametrize("seed", range(6))
+def test_expired_proposer_lease_costs_one_round_trip_and_no_backoff(
+    seed: int, started_lists: StartedLists
+) -> None:
+    world = started_lists(seed, 6, 6)
+    for ip in ("10.0.0.1", "10.0.0.2", "10.0.0.1"):
+        op = world.change("append", ip, "list/0")
+        world.run(1)
+    assert (
+        isinstance(op.told, CallSucceeded) and op.ended is not None and op.ended - op.begun < 170 * NS_PER_MS
+    )
 
 
-def test_a_read_is_confirmed_by_voters_that_took_no_part() -> None:
-    for seed in range(6):
-        world = World(seed, loss=0, count=6)
-        world.run(6)
-        for _ in range(3):
-            world.change("append", "10.0.0.1", "list/0")
-            world.run(0.5)
-        world.kill(
-            next(
-                ip
-                for ip, box in world.boxes.items()
-                if box.replica and ip != "10.0.0.1" and box.replica._acceptor.state("list/0").value
-            )
-        )
-        prepared = len(world.sent["Prepare"])
-        op = world.change("read", "10.0.0.1", "list/0")
-        world.run(1)
-        assert (
-            isinstance(op.told, CallSucceeded)
-            and op.ended is not None
-            and op.ended - op.begun < 200 * NS_PER_MS
+@pytest.mark.parametrize("seed", range(6))
+def test_read_is_confirmed_by_voters_that_missed_the_write(seed: int, started_lists: StartedLists) -> None:
+    world = started_lists(seed, 6, 6)
+    for _ in range(3):
+        world.change("append", "10.0.0.1", "list/0")
+        world.run(0.5)
+    world.kill(
+        next(
+            ip
+            for ip, box in world.boxes.items()
+            if box.replica and ip != "10.0.0.1" and box.replica._acceptor.state("list/0").value
         )
-        assert len(world.sent["Prepare"]) == prepared + 2 and world.judge() == []
+    )
+    prepared = len(world.sent["Prepare"])
+    op = world.change("read", "10.0.0.1", "list/0")
+    world.run(1)
+    assert (
+        isinstance(op.told, CallSucceeded) and op.ended is not None and op.ended - op.begun < 200 * NS_PER_MS
+    )
+    assert len(world.sent["Prepare"]) == prepared + 2 and world.judge() == []
--- a/tests/system/consensus/test_lost_contact.py
+++ b/tests/system/consensus/test_lost_contact.py
@@ -244,13 +244,13 @@
     story.cluster.run(4)
 
 
-@pytest.mark.parametrize("state", STATES, ids=lambda one: one.__name__)
+@pytest.mark.parametrize("call", CALLS, ids=lambda call: call.__name__)
+@pytest.mark.parametrize("state", STATES, ids=lambda state: state.__name__)
 def test_node_without_contact_answers_nothing_stale_and_commits_nothing_alone(
-    state: Callable[[Story], None],
+    state: Callable[[Story], None], call: Callable[[Story], None]
 ) -> None:
-    for call in CALLS:
-        story = Story()
-        story.before()
-        state(story)
-        call(story)
-        assert story.cluster.failed == [], call.__name__
+    story = Story()
+    story.before()
+    state(story)
+    call(story)
+    assert story.cluster.failed == []
--- a/tests/system/consensus/test_membership.py
+++ b/tests/system/consensus/test_membership.py
@@ -14,6 +14,7 @@
 from ambershift.system.simulation.lists import Lists
 from ambershift.system.simulation.loss_pairs import LOSSES, MOMENTS, Pair, play_pair
 from ambershift.system.simulation.world import Box
+from tests.system.consensus.conftest import StartedLists
 
 TOLERATED = (1, 1, 1)
 
@@ -81,16 +82,16 @@
     assert plan_voters(voters, [learner(4), learner(5)], TOLERATED).grows
 
 
-def test_plan_changes_voters_only_to_tolerate_more_losses() -> None:
-    for size in range(3, 8):
-        for states in itertools.product(".LGES", repeat=size):
-            kept = [int(number) for number in planned("".join(states)).split()]
-            there = states.count(".")
-            present = sum(states[number - 1] == "." for number in kept)
-            assert len(kept) >= MIN_VOTERS and present == there  # Nobody who is there loses its vote.
-            if len(kept) < size:
-                assert loss_tolerance(present, len(kept)) > loss_tolerance(there, size)
-                assert loss_tolerance(present, len(kept)) >= 0
+@pytest.mark.parametrize("size", range(3, 8))
+def test_plan_changes_voters_only_to_tolerate_more_losses(size: int) -> None:
+    for states in itertools.product(".LGES", repeat=size):
+        kept = [int(number) for number in planned("".join(states)).split()]
+        there = states.count(".")
+        present = sum(states[number - 1] == "." for number in kept)
+        assert len(kept) >= MIN_VOTERS and present == there  # Nobody who is there loses its vote.
+        if len(kept) < size:
+            assert loss_tolerance(present, len(kept)) > loss_tolerance(there, size)
+            assert loss_tolerance(present, len(kept)) >= 0
 
 
 def written(world: Lists, ips: list[str]) -> bool:
@@ -100,9 +101,10 @@
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_cluster_goes_on_after_three_of_six_nodes_left_for_good(told: bool) -> None:
-    world = Lists(5, loss=0, count=6)
-    world.run(2.5)
+def test_cluster_goes_on_after_three_of_six_nodes_left_for_good(
+    told: bool, started_lists: StartedLists
+) -> None:
+    world = started_lists(5, 6)
     for ip in sorted(world.boxes)[:3]:
         if told:
             world.retire(ip)
@@ -140,9 +142,10 @@
     world.cut |= {pair for a in apart for b in others for pair in ((a, b), (b, a))}
 
 
-def test_partitioned_halves_keep_their_voters_and_a_minority_forms_no_set() -> None:
-    world = Lists(6, loss=0, count=6)
-    world.run(2.5)
+def test_partitioned_halves_keep_their_voters_and_a_minority_forms_no_set(
+    started_lists: StartedLists,
+) -> None:
+    world = started_lists(6, 6)
     before = epochs(world)
     cut_off(world, {"10.0.0.1", "10.0.0.2", "10.0.0.3"})
     world.run(20)
@@ -161,9 +164,8 @@
     assert world.judge() == []
 
 
-def test_next_change_waits_until_replicas_are_complete() -> None:
-    world = Lists(8, loss=0, count=6)
-    world.run(2.5)
+def test_next_change_waits_until_replicas_are_complete(started_lists: StartedLists) -> None:
+    world = started_lists(8, 6)
     replica = world.boxes["10.0.0.1"].replica
     assert replica is not None
     watching, members = replica.failure_detector, replica._membership
@@ -176,9 +178,8 @@
     )  # One more lost would leave no majority of complete ones: change now.
 
 
-def test_learner_that_comes_and_goes_is_not_added() -> None:
-    world = Lists(9, loss=0, count=4)
-    world.run(2.5)
+def test_learner_that_comes_and_goes_is_not_added(started_lists: StartedLists) -> None:
+    world = started_lists(9, 4)
     world.boxes["10.0.0.5"] = Box("10.0.0.5", initial=False)
     for _ in range(4):
         world.start("10.0.0.5")
@@ -193,23 +194,27 @@
 
 @pytest.mark.parametrize("count", [5, 6])
 @pytest.mark.parametrize("first", LOSSES)
-def test_second_loss_at_any_moment_after_the_first_is_tolerated(first: str, count: int) -> None:
-    for second, moment in itertools.product(LOSSES, MOMENTS):
-        outcome = play_pair(Pair(first, second, moment, count))
-        assert outcome.broken == [] and outcome.wrote, (second, moment)
+@pytest.mark.parametrize("second", LOSSES)
+@pytest.mark.parametrize("moment", MOMENTS)
+def test_second_loss_at_any_moment_after_the_first_is_tolerated(
+    first: str, second: str, moment: str, count: int
+) -> None:
+    outcome = play_pair(Pair(first, second, moment, count))
+    assert outcome.broken == [] and outcome.wrote
 
 
 @pytest.mark.parametrize("first", LOSSES)
-def test_two_losses_are_tolerated_with_a_region_lost_in_between(first: str) -> None:
-    for second in LOSSES:
-        outcome = play_pair(Pair(first, second, "later", 6, between=True))
-        assert outcome.broken == [] and outcome.wrote, second
+@pytest.mark.parametrize("second", LOSSES)
+def test_two_losses_are_tolerated_with_a_region_lost_in_between(first: str, second: str) -> None:
+    outcome = play_pair(Pair(first, second, "later", 6, between=True))
+    assert outcome.broken == [] and outcome.wrote
 
 
-def test_leaving_voters_are_not_removed_while_others_have_just_died() -> None:
+def test_leaving_voters_are_not_removed_while_others_have_just_died(
+    started_lists: StartedLists,
+) -> None:
     """They are back in a second, and with the fifth they are the majority."""
-    world = Lists(5, loss=0, count=5)
-    world.run(2.5)
+    world = started_lists(5, 5)
     for ip in ("10.0.0.4", "10.0.0.5"):
         world.remove(ip)
     world.run(0.8)
@@ -225,11 +230,12 @@
     assert written(world, ["10.0.0.1", "10.0.0.2", "10.0.0.3"])
 
 
-def test_seats_of_leaving_voters_are_not_all_given_to_learners_that_just_died() -> None:
+def test_seats_of_leaving_voters_are_not_all_given_to_learners_that_just_died(
+    started_lists: StartedLists,
+) -> None:
     """Found by seed 470: two of five leave the voters and are taken out for good, and within a second two of
     the three that are left are told to end. They are back in a second; the two learners never are."""
-    world = Lists(5, loss=0, count=5)
-    world.run(2.5)
+    world = started_lists(5, 5)
     for ip in ("10.0.0.2", "10.0.0.3"):
         world.retire(ip)
     world.run(1)
--- a/tests/system/consensus/test_tombstone_collector.py
+++ b/tests/system/consensus/test_tombstone_collector.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Coroutine, Iterator
+from collections.abc import Coroutine
 from typing import Any
 from unittest.mock import Mock
 
@@ -64,7 +64,7 @@
 # What is listed.
 
 
-def test_batches_are_listed_whole_and_the_last_two_in_any_case(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_complete_batches_are_listed_and_always_the_last_two(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(tombstones, "LISTED_TOMBSTONES_MAX", 3)
     told = CollectedTombstones()
     assert told.required_batch == 0 and collected_tombstones_of(None) == told
@@ -78,7 +78,7 @@
 
 
 @given(st.lists(st.integers(1, 5), max_size=12), st.integers(1, 8))
-def test_a_copy_that_knows_enough_learns_of_all_it_may_have(sizes: list[int], listed: int) -> None:
+def test_replica_at_required_batch_learns_of_all_later_tombstones(sizes: list[int], listed: int) -> None:
     told, all_told = CollectedTombstones(), [CollectedTombstones()]
     drops: list[list[Key]] = [[]]
     with pytest.MonkeyPatch.context() as patch:
@@ -96,12 +96,6 @@
 # Control nodes.
 
 
-@pytest.fixture
-def soon() -> Iterator[None]:
-    with forgetting_soon():
-        yield
-
-
 def put(world: World, *items: Item, at: str = "10.0.0.1") -> None:
     told: list[object] = []
     world.call(at, lambda call: WriteItems(call, items, 2.5), told.append)
@@ -124,7 +118,8 @@
     return world
 
 
-def test_all_copies_and_disks_forget_what_was_dropped_and_keep_the_rest(soon: None) -> None:
+@pytest.mark.usefixtures("early_collection")
+def test_replicas_and_disks_collect_tombstones_and_keep_other_items() -> None:
     world = started()
     for at in range(1, 6):
         put(world, drop(f"r{at}", 10 + at))
@@ -162,7 +157,8 @@
     world.run(6)
 
 
-def test_one_that_was_away_for_long_brings_nothing_back_and_loses_nothing(soon: None) -> None:
+@pytest.mark.usefixtures("early_collection")
+def test_long_absent_replica_revives_nothing_and_loses_nothing() -> None:
     world = started()
     away_while_all_forget(world)
     standing = {(ROUTE, "r6"), (ROUTE, "r7"), (ROUTE, "r8"), COLLECTED_TOMBSTONES_KEY}
@@ -174,8 +170,9 @@
     assert told == [CallSucceeded(None)]
 
 
+@pytest.mark.usefixtures("early_collection")
 @pytest.mark.parametrize("variant", ["old-copies-are-merged", "old-configuration-is-kept"])
-def test_an_old_copy_that_is_believed_is_found(soon: None, variant: str) -> None:
+def test_merging_an_outdated_replica_is_detected(variant: str) -> None:
     world = started()
     with broken(BY_NAME[variant]):
         away_while_all_forget(world)
@@ -204,7 +201,8 @@
     return lacking
 
 
-def test_a_reading_counts_nothing_that_was_thrown_away_since(soon: None) -> None:
+@pytest.mark.usefixtures("early_collection")
+def test_quorum_read_counts_no_response_from_before_a_reset() -> None:
     """Some answers were asked for before the list of drops came."""
     assert read_by_one_that_comes_back() == set()
     with broken(BY_NAME["fetched-parts-outlive-a-replacement"]):
@@ -227,7 +225,8 @@
     return min(holding, default=5)
 
 
-def test_a_put_of_one_that_comes_back_is_acknowledged_once_it_is_held(soon: None) -> None:
+@pytest.mark.usefixtures("early_collection")
+def test_write_of_returned_replica_is_acknowledged_once_a_quorum_stores_it() -> None:
     assert put_by_one_that_comes_back() >= 3
     with broken(BY_NAME["puts-of-old-copies-are-acknowledged"]):
         assert put_by_one_that_comes_back() < 3
@@ -255,13 +254,14 @@
     return max(missed)
 
 
-def test_no_voter_misses_two_batches(soon: None) -> None:
+@pytest.mark.usefixtures("early_collection")
+def test_no_voter_misses_two_batches_of_tombstones() -> None:
     assert misses_at_the_most() <= 1
     with broken(BY_NAME["batches-not-put-on-all"]):
         assert misses_at_the_most() > 1
 
 
-def test_two_that_propose_a_batch_at_once_agree_on_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_concurrent_proposals_of_a_batch_agree_on_one(monkeypatch: pytest.MonkeyPatch) -> None:
     agreed: list[CollectedTombstones] = []
     monkeypatch.setattr(TombstoneCollector, "_write_batch", lambda self, one: agreed.append(one))
     world = started()
@@ -272,7 +272,8 @@
     assert len(agreed) == 3 and len(set(agreed)) == 1 and agreed[0].batch == 1
 
 
-def test_nothing_is_forgotten_while_a_voter_may_have_it_still(soon: None) -> None:
+@pytest.mark.usefixtures("early_collection")
+def test_tombstone_is_kept_while_a_voter_may_lack_it() -> None:
     world = started()
     world.cut |= cut_off(world)
     put(world, drop("r1", 11))
@@ -283,7 +284,7 @@
         assert replicas(world)["10.0.0.1"].store.collected.batch == 1
 
 
-def test_many_drops_are_kept_and_what_is_beyond_them_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_kept_tombstones_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """The bounds as they are: ten times as many drops leave no more behind."""
     world = World(5, loss=0, count=3)
     world.run(3)
@@ -298,12 +299,14 @@
         assert len(one.store.collected.tombstones) <= 1024 + 256 and len(one.store.items) < 1300
 
 
+@pytest.mark.usefixtures("early_collection")
 @pytest.mark.parametrize("seed", [1, 29, 78, 187, 242])
-def test_what_operators_were_told_holds_though_drops_are_forgotten(soon: None, seed: int) -> None:
+def test_answers_to_operators_hold_while_tombstones_are_collected(seed: int) -> None:
     assert play_cluster(seed).broken == []
 
 
-def test_late_calls_judged_without_the_floor_are_found(soon: None) -> None:
+@pytest.mark.usefixtures("early_collection")
+def test_late_calls_accepted_below_the_version_floor_are_detected() -> None:
     with broken(BY_NAME["late-calls-judged-without-the-floor"]):
         assert play_cluster(29).broken
 
@@ -341,7 +344,7 @@
         (drop("kept", 42), Accepted),
     ],
 )
-def test_a_call_of_which_nobody_knows_any_more_is_neither_taken_nor_refused(
+def test_change_below_the_version_floor_is_neither_accepted_nor_rejected(
     item: Item, kind: type[Outcome]
 ) -> None:
     assert type(decided([SERVICE_S, route("kept", 40)], item)) is kind
@@ -350,7 +353,7 @@
 # Proxies.
 
 
-def test_a_proxy_forgets_with_its_node() -> None:
+def test_proxy_collects_tombstones_with_its_control_node() -> None:
     pushes, routing = Pushes(), Routing()
     told = CollectedTombstones().with_batch([drop("r1", 11)])
     routing.begin_link()
@@ -379,7 +382,7 @@
         return told
 
 
-def test_a_proxy_that_was_away_for_long_serves_only_what_it_is_told() -> None:
+def test_long_absent_proxy_serves_only_items_of_the_new_link() -> None:
     routing, told = Routing(), many()
     routing.begin_link()
     routing.merge([route("r1", 1), route("r9", 9), route("late", 99)])
@@ -395,7 +398,7 @@
     assert routing.find(b"h", b"/r1") is None and routing.routes == 2
 
 
-def test_a_node_that_was_away_for_longer_than_the_proxy_is_left() -> None:
+def test_proxy_leaves_a_control_node_with_older_items() -> None:
     routing = Routing()
     routing.begin_link()
     routing.merge([many().as_item, route("r9", 9)])
@@ -409,7 +412,7 @@
     assert not routing.unusable and routing.items[ROUTE, "r9"].version[0] == 10
 
 
-def test_what_a_node_told_before_it_was_replaced_itself_is_void() -> None:
+def test_items_received_before_the_control_node_was_reset_are_discarded() -> None:
     routing = Routing()
     routing.begin_link()
     routing.merge([route("r1", 1), route("r9", 9)])
@@ -423,7 +426,8 @@
     assert routing.complete and routing.items.keys() == {(ROUTE, "r9"), COLLECTED_TOMBSTONES_KEY}
 
 
-def test_a_proxy_comes_back_to_nodes_that_have_forgotten(soon: None) -> None:
+@pytest.mark.usefixtures("early_collection")
+def test_returned_proxy_drops_items_whose_tombstones_were_collected() -> None:
     """As they run: cut off from all control nodes while five routes are dropped and forgotten."""
     fleet = Fleet(1)
     streets = Streets(fleet, 1)
@@ -451,7 +455,7 @@
     assert not fleet.failed
 
 
-def test_a_link_that_cannot_tell_what_stands_is_left_and_its_items_are_not_told_as_in_force() -> None:
+def test_link_with_outdated_items_is_left_and_its_items_are_not_reported_as_applied() -> None:
     selector, server, log = Choice("p", "z", "r", ("a", "b")), Mock(), Mock()
     events = AttachmentLog(selector, Mock(), lambda: 7 * NS_PER_SECOND, log)
     link = ControlLink(selector, server, Mock(), lambda: 7 * NS_PER_SECOND, log, events)
