--- a/tests/system/processes/test_metrics.py
+++ b/tests/system/processes/test_metrics.py
@@ -14,12 +14,12 @@
 
 import pytest
 
+from ambershift.system.consensus.membership_view import MembershipStatus, VoterStatus
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.messages.proxy_link import ControlNodeHeartbeat, ItemUpdate
 from ambershift.system.node_selection.selector import Choice
 from ambershift.system.processes import metrics
 from ambershift.system.processes.attachment_log import AttachmentLog
-from ambershift.system.processes.control_node import ControlNode
 from ambershift.system.processes.http_server import bind_listener, try_bind_listener
 from ambershift.system.processes.metrics import (
     CONTROL_PORT,
@@ -107,18 +107,20 @@
     assert found["configuration_version"] == 12 and found["configuration_age_seconds"] == 1.5
 
 
-def test_a_control_node_tells_its_contact_and_copies() -> None:
-    made: Any = object.__new__(ControlNode)
-    made.store, made.registry, made.controller = Mock(), Mock(), SimpleNamespace(hellos={"p": 1})
-    made.store.items.return_value = {1: Item(ROUTE, "r", (12, "agreed"), b"{}")}
-    made.store.contact_age_ms.return_value, made.store.has_quorum_contact.return_value = 250, True
-    made.store.membership_status.return_value = SimpleNamespace(epoch=4, voters=(1, 2, 3), complete_count=2)
-    made.registry.endpoints.return_value = {}
-    made.links = SimpleNamespace(
+def test_a_control_node_tells_its_contact_and_copies(stubbed_control_node: Any) -> None:
+    node = stubbed_control_node
+    node.controller.hellos = {"p": 1}
+    node.store.items.return_value = {1: Item(ROUTE, "r", (12, "agreed"), b"{}")}
+    node.store.contact_age_ms.return_value = 250
+    node.store.has_quorum_contact.return_value = True
+    voters = tuple(VoterStatus(ip, "z", True, True, False) for ip in ("a", "b", "c"))
+    node.store.membership_status.return_value = MembershipStatus(4, voters, 2, 0, ())
+    node.registry.endpoints.return_value = {}
+    node.links = SimpleNamespace(
         dialled_queues={"a": SimpleNamespace(pending_bytes=5)},
         accepted_queues={"b": SimpleNamespace(pending_bytes=7)},
     )
-    found = values(made.metrics())
+    found = values(node.metrics())
     assert (
         found["quorum_contact_age_seconds"] == 0.25
         and found["quorum_contact"] == 1
@@ -126,6 +128,7 @@
     )
     assert found["complete_replicas"] == 2 and found["links_send_queue_bytes"] == 12
     assert found["linked_proxies"] == 1 and found["configuration_version"] == 12
+    assert (found["voters"], found["backends"]) == (3, 0)
 
 
 def test_page_lists_the_metrics_that_are_served() -> None:
