--- a/tests/support/fake_control_nodes.py
+++ b/tests/support/fake_control_nodes.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import selectors
-from collections.abc import Callable, Coroutine, Sequence
+from collections.abc import Callable, Sequence
 from typing import Any
 
 import msgspec
@@ -53,18 +53,6 @@
         return self.now
 
 
-def run_story(main: Callable[[FakeCluster], Coroutine[Any, Any, None]]) -> None:
-    """Run a test's story in a cluster of its own."""
-    loop = VirtualTimeLoop()
-    try:
-        loop.run_until_complete(main(FakeCluster(loop)))
-        for task in asyncio.all_tasks(loop):
-            task.cancel()
-        loop.run_until_complete(asyncio.sleep(0))
-    finally:
-        loop.close()
-
-
 class FakeCluster:
     """Three control nodes.
 
--- a/tests/system/consensus/test_guards.py
+++ b/tests/system/consensus/test_proposer.py
@@ -1,8 +1,7 @@
-"""Guards that others nearly make up for: each alone, just where it is the one that counts."""
+"""Votes and leases of earlier or later epochs, by the proposer alone."""
 
 from __future__ import annotations
 
-import asyncio
 import random
 from typing import Any
 
@@ -11,71 +10,9 @@
 from ambershift.system.consensus.acceptor import EMPTY_STATE
 from ambershift.system.consensus.effect_buffer import CallSucceeded, EffectBuffer
 from ambershift.system.consensus.proposer import Proposer
-from ambershift.system.control_api.pending_calls import PendingCalls
 from ambershift.system.interfaces import ChangeOutcome
-from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse
 from ambershift.system.messages.replication import Accept, Acknowledgement, Prepare, Promise
 from ambershift.system.state_machine import NS_PER_SECOND
-from tests.support.fake_control_nodes import ONE_WAY_DELAY_S, FakeCluster, proposer_ranking, run_story
-
-
-async def number(world: FakeCluster, at: str) -> int:
-    return (await world.call(at, "POST", "/ambershift/numbers/n"))[0]
-
-
-def test_unresponsive_proposer_is_skipped_for_a_second_despite_heartbeats() -> None:
-    async def story(world: FakeCluster) -> None:
-        owner, other, entry = proposer_ranking("n/n")
-        world.stores[entry].is_responsive = lambda ip: True  # type: ignore[method-assign]
-        world.partition(owner)
-        assert await number(world, entry) == 504
-        begun = world.loop.now
-        assert [await number(world, entry) for _ in range(3)] == [200] * 3
-        assert world.loop.now - begun < 0.5 and world.stores[other].rounds == 3
-        world.partition()
-        await asyncio.sleep(1.1)
-        assert await number(world, entry) == 200 and world.stores[owner].rounds == 1
-        # One that answers, but that it is out of touch.
-        world.stores[owner].has_contact = False
-        assert await number(world, entry) == 200 and world.stores[other].rounds == 4
-
-    run_story(story)
-
-
-def test_watch_moves_back_to_preferred_proposer() -> None:
-    """Puts through the first choice are told to nobody: a watch must wait there."""
-
-    async def story(world: FakeCluster) -> None:
-        owner, other, entry = proposer_ranking("g/g.")
-        assert (await world.rpc(entry, "cells.replace", "g.a", {"Value": "a", "AppliesTo": 0}))[0] == 200
-        world.partition(owner)
-        await asyncio.sleep(0.4)
-        watch = asyncio.ensure_future(world.call(entry, "GET", "/ambershift/watch/g.?after=1&WaitMs=9000"))
-        await asyncio.sleep(0.3)
-        world.partition()
-        await asyncio.sleep(0.8)
-        assert (await world.rpc(other, "cells.replace", "g.b", {"Value": "b", "AppliesTo": 0}))[0] == 200
-        await asyncio.sleep(2 * ONE_WAY_DELAY_S)
-        assert watch.done() and watch.result()[1]["Revision"] == 2
-
-    run_story(story)
-
-
-def test_outcome_counts_only_from_last_node_forwarded_to() -> None:
-    async def story() -> None:
-        open_calls = PendingCalls(lambda to, message: None, 7)
-        at = open_calls.next_number()
-        open_calls.forward("a", ForwardedCall(at, "numbers", "n", b"", 100)).cancel()
-        await asyncio.sleep(0)
-        second = open_calls.forward("b", ForwardedCall(at, "numbers", "n", b"", 100))
-        open_calls.complete(
-            "a", ForwardedResponse(at, 503, b"")
-        )  # Late: the forwarded call is with the other now.
-        assert not second.done()
-        open_calls.complete("b", ForwardedResponse(at, 200, b"{}"))
-        assert (await second).status == 200
-
-    asyncio.run(story())
 
 
 class Voters:
--- a/tests/system/distribution/test_distribution.py
+++ b/tests/system/distribution/test_distribution.py
@@ -4,8 +4,6 @@
 
 import asyncio
 from collections import defaultdict
-from collections.abc import Callable, Coroutine
-from typing import Any
 
 import msgspec
 
@@ -27,17 +25,6 @@
 from tests.support.simulated_exchange import NS_PER_MS, NS_PER_SECOND, ZONES, SimulatedExchange
 
 KEEPERS = {"a": "1", "b": "2", "c": "3"}
-Play = Callable[[SimulatedExchange], Coroutine[Any, Any, None]]
-
-
-def play(test: Play) -> Callable[[], None]:
-    """Runs a test in a world of six zones in three regions, each region with a control node."""
-
-    def run() -> None:
-        asyncio.run(test(SimulatedExchange("a1", "b1", "c1")))
-
-    run.__name__ = test.__name__
-    return run
 
 
 async def route(world: SimulatedExchange, service: str, *homes: str, name: str = "r") -> None:
@@ -88,7 +75,6 @@
     return dict(counts)
 
 
-@play
 async def test_zones_keep_their_own_and_lend_in_their_region_first(world: SimulatedExchange) -> None:
     # The counts of a real service: b1 and c1 have one to spare; a2 and b2 one of two, for a2 too little.
     await serve(world, {"a1": 2, "a2": 1, "b1": 3, "b2": 1, "c1": 3, "c2": 2}, b2=18)
@@ -112,7 +98,6 @@
     assert {weight for _, weight in weights} == {4.0}  # As listed.
 
 
-@play
 async def test_traffic_of_all_proxies_makes_the_shares_and_one_answer_everywhere(
     world: SimulatedExchange,
 ) -> None:
@@ -123,7 +108,6 @@
     assert sorted(id for ids in found.values() for id in ids) == sorted(world.backends)
 
 
-@play
 async def test_a_zone_far_over_its_due_sends_all_to_the_table_of_all(world: SimulatedExchange) -> None:
     # Due 1.83 each: a pair that lost one is no reason yet, or each drain would send half of all abroad.
     await serve(world, dict.fromkeys(ZONES, 2) | {"a1": 1})
@@ -136,7 +120,6 @@
     assert len(tables(world)["a1"]) == 1
 
 
-@play
 async def test_homes_bound_a_pool_and_zones_outside_them_borrow(world: SimulatedExchange) -> None:
     await serve(world, dict.fromkeys(ZONES, 3), "a", "b")
     found = {zone: zones_in(ids) for zone, ids in tables(world).items()}
@@ -145,7 +128,6 @@
     assert sum(found["c1"].values()) >= 1 and sum(found["c2"].values()) >= 1
 
 
-@play
 async def test_a_backend_is_in_tables_only_while_it_is_warm_and_its_zone_is_open(
     world: SimulatedExchange,
 ) -> None:
@@ -166,7 +148,6 @@
     )
 
 
-@play
 async def test_a_hello_is_answered_with_items_the_list_and_then_binds(world: SimulatedExchange) -> None:
     ledger = world.nodes["1"].replicated_state
     await serve(world, dict.fromkeys(ZONES, 2))
@@ -193,7 +174,6 @@
     assert sum(isinstance(one, BackendUpdate) for one in sent) == 3
 
 
-@play
 async def test_the_sign_that_all_is_merged_is_for_links_that_asked_before(world: SimulatedExchange) -> None:
     await world.run(4)
     ledger = world.nodes["1"].replicated_state
@@ -208,7 +188,6 @@
     assert ledger.quorum_reads == 2
 
 
-@play
 async def test_freshening_goes_on_until_enough_answer(world: SimulatedExchange) -> None:
     world.nodes["1"].replicated_state.writes_succeed = False
     sent = world.connect_proxy("new", "1", "a1", ready=False)
@@ -219,7 +198,6 @@
     assert any(isinstance(one, ItemUpdate) and one.complete for one in sent)
 
 
-@play
 async def test_a_draining_backend_is_withdrawn_before_lines_and_the_mark(world: SimulatedExchange) -> None:
     await serve(world, dict.fromkeys(ZONES, 2), full=0.3)
     await route(world, "s", "a", name="second")  # Another pool with the same backend.
@@ -236,7 +214,6 @@
     assert TableEntry("s", 0, "a1.0", 0.0) in told and isinstance(told[-1], Barrier)
 
 
-@play
 async def test_a_new_control_node_takes_nothing_from_proxies_until_it_has_heard_all(
     world: SimulatedExchange,
 ) -> None:
@@ -254,7 +231,6 @@
     assert tables(world)["a1"] == {"a1.0", "a1.1"}
 
 
-@play
 async def test_a_proxy_that_changes_its_control_node_counts_once_and_gets_its_table(
     world: SimulatedExchange,
 ) -> None:
--- a/tests/system/registry/test_home_regions.py
+++ b/tests/system/registry/test_home_regions.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
-
 from ambershift.system.distribution.flows import Flows
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.messages.proxy_link import host_counter_name, parse_host_counter_name
@@ -86,17 +84,14 @@
     assert sorted(gone) == sorted([("a1", ALL), ("a1", BOUND)])
 
 
-def test_directory_returns_home_proxies_while_two_are_ready() -> None:
-    async def play() -> None:
-        world = SimulatedExchange("a1", "b1", "c1")
-        find = world.nodes["3"].registry.proxy_addresses
-        for name, ip, zone in (("p", "1", "a1"), ("q", "2", "b1"), ("r", "3", "c1")):
-            world.connect_proxy(name, ip, zone, **{ALL: 50, BOUND: 40})
-        await world.run(6)
-        assert sorted(find("c", "c1", "h.example")) == sorted(find("", "c1", "h.example")) == ["p:80", "q:80"]
-        assert find("a", "a1", "h.example") == ["p:80"] and find("c", "c1", "other") == ["r:80"]
-        world.connect_proxy("q", "2", "b1", leaving=True)
-        await world.run(0.3)
-        assert find("c", "c1", "h.example") == ["r:80"]
-
-    asyncio.run(play())
+async def test_directory_returns_home_proxies_while_two_are_ready() -> None:
+    world = SimulatedExchange("a1", "b1", "c1")
+    find = world.nodes["3"].registry.proxy_addresses
+    for name, ip, zone in (("p", "1", "a1"), ("q", "2", "b1"), ("r", "3", "c1")):
+        world.connect_proxy(name, ip, zone, **{ALL: 50, BOUND: 40})
+    await world.run(6)
+    assert sorted(find("c", "c1", "h.example")) == sorted(find("", "c1", "h.example")) == ["p:80", "q:80"]
+    assert find("a", "a1", "h.example") == ["p:80"] and find("c", "c1", "other") == ["r:80"]
+    world.connect_proxy("q", "2", "b1", leaving=True)
+    await world.run(0.3)
+    assert find("c", "c1", "h.example") == ["r:80"]
--- a/tests/system/registry/test_registry.py
+++ b/tests/system/registry/test_registry.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Coroutine
 from typing import Any
 
 import pytest
@@ -14,33 +13,11 @@
 from ambershift.system.messages.proxy_link import ItemUpdate
 from tests.support.simulated_exchange import NS_PER_SECOND, SimulatedExchange
 
-Scenario = Callable[[SimulatedExchange], Coroutine[Any, Any, None]]
-
-
-def play(test: Scenario) -> Callable[[], None]:
-    """Run a test with three control nodes and four backends at each, once all is known everywhere."""
-
-    async def scenario() -> None:
-        world = SimulatedExchange("a1", "b1", "c1")
-        for ip, zone in world.zones.items():
-            for number in range(4):
-                world.add_backend(f"{zone}-{number}", f"s{number % 2}", zone, ip)
-        await world.run(5)
-        assert all(node.ready_ids() == set(world.backends) for node in world.nodes.values())
-        await test(world)
-
-    def run() -> None:
-        asyncio.run(scenario())
-
-    run.__name__ = test.__name__
-    return run
-
 
 def is_ready(world: SimulatedExchange, id: str) -> list[bool]:
     return [id in node.ready_ids() for ip, node in world.nodes.items() if ip not in world.stopped]
 
 
-@play
 async def test_draining_is_acknowledged_once_stored_and_reported_at_once(world: SimulatedExchange) -> None:
     replicated_state = world.nodes["1"].replicated_state
     sent = world.connect_proxy("proxy", "1", "a1")
@@ -68,7 +45,6 @@
     assert all("a1-0" not in node.registry.endpoints() for node in world.nodes.values())
 
 
-@play
 async def test_tombstone_that_is_not_stored_is_not_acknowledged(world: SimulatedExchange) -> None:
     world.nodes["1"].replicated_state.writes_succeed = False
     assert (await world.send_heartbeat("a1-0", State="draining"))[0] == 503
@@ -97,7 +73,6 @@
     assert status == 400 and answer["Error"].startswith(f"{field}: ")
 
 
-@play
 async def test_newest_heartbeat_wins_at_any_control_node(world: SimulatedExchange) -> None:
     def cold() -> list[bool]:
         return [node.registry.endpoints()["a1-0"].warming_until > world.now for node in world.nodes.values()]
@@ -117,7 +92,6 @@
     assert cold() == [False] * 3
 
 
-@play
 async def test_heartbeat_is_redirected_to_the_nearest_live_control_node(world: SimulatedExchange) -> None:
     assert await world.send_heartbeat("b1-0", "1") == (200, {"HeartbeatTarget": "2:8080"})
     assert await world.send_heartbeat("b1-0", "2") == (200, {})
@@ -129,7 +103,6 @@
     assert await world.send_heartbeat("b2-0") == (200, {})
 
 
-@play
 async def test_idle_exchange_costs_few_bytes_and_lost_messages_are_repaired(world: SimulatedExchange) -> None:
     before = world.bytes_sent
     await world.run(4)
@@ -144,7 +117,6 @@
     assert "new" in world.nodes["3"].ready_ids() and instance.warming_until > world.now + 2 * NS_PER_SECOND
 
 
-@play
 async def test_silent_backend_times_out_and_returns(world: SimulatedExchange) -> None:
     kept = world.backends.pop("a1-0")
     await world.run(4.4)
@@ -157,7 +129,6 @@
     assert is_ready(world, "a1-0") == [True] * 3
 
 
-@play
 async def test_mass_failure_extends_the_timeout(world: SimulatedExchange) -> None:
     silent = {id: world.backends.pop(id) for id in ("a1-0", "a1-1", "a1-2")}
     await world.run(6.2)
@@ -168,7 +139,6 @@
     assert [is_ready(world, id) for id in silent] == [[True] * 3, [False] * 3, [False] * 3]
 
 
-@play
 async def test_backends_of_a_lost_control_node_have_time_to_move(world: SimulatedExchange) -> None:
     world.stopped.add("1")
     lost = {id: world.backends.pop(id) for id in list(world.backends) if id.startswith("a1")}
@@ -181,7 +151,6 @@
     assert [is_ready(world, id) for id in lost] == [[True] * 2, *[[False] * 2] * 3]
 
 
-@play
 async def test_backends_of_a_restarted_control_node_stay_listed(world: SimulatedExchange) -> None:
     kept = {id: world.backends.pop(id) for id in list(world.backends) if id.startswith("a1")}
     world.start("1")
@@ -193,7 +162,6 @@
     assert [is_ready(world, id)[1:] for id in sorted(kept)] == [[False] * 2, [True] * 2, *[[False] * 2] * 2]
 
 
-@play
 async def test_control_node_without_contact_rejects_heartbeats_and_times_out_nobody(
     world: SimulatedExchange,
 ) -> None:
@@ -212,7 +180,6 @@
     assert world.nodes["1"].ready_ids() == set(world.backends)
 
 
-@play
 async def test_timeouts_never_empty_a_service(world: SimulatedExchange) -> None:
     for id in [id for id in world.backends if id[-1] in "02"]:  # All of service s0.
         del world.backends[id]
@@ -223,7 +190,6 @@
     assert world.nodes["3"].ready_ids() == set(world.backends)
 
 
-@play
 async def test_paused_process_does_not_time_out_everybody(world: SimulatedExchange) -> None:
     sent = world.connect_proxy("proxy", "1", "a1")
     world.paused.add("1")
@@ -240,7 +206,6 @@
     assert world.nodes["2"].ready_ids() == set(world.backends)
 
 
-@play
 async def test_address_belongs_to_the_instance_seen_last(world: SimulatedExchange) -> None:
     old = world.backends.pop("a1-0")
     world.add_backend("b1-new", "s9", "b1", "2", address="a1-0:80")
@@ -252,7 +217,6 @@
     assert is_ready(world, "a1-0") == [False] * 3 and is_ready(world, "b1-new") == [True] * 3
 
 
-@play
 async def test_directory_returns_the_nearest_ready_proxies(world: SimulatedExchange) -> None:
     find = world.nodes["3"].registry.proxy_addresses
     assert find("a", "a1") == []
@@ -290,7 +254,6 @@
     )  # The most that any control node has ever known.
 
 
-@play
 async def test_proxies_of_a_silent_control_node_are_left_out_while_half_remain(
     world: SimulatedExchange,
 ) -> None:
@@ -312,7 +275,6 @@
     assert sorted(find("a", "a1")) == ["p:80", "q:80"]
 
 
-@play
 async def test_silent_proxy_leaves_the_directory_until_its_next_message(world: SimulatedExchange) -> None:
     world.connect_proxy("p", "1", "a1")
     await world.run(0.5)
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -73,130 +73,107 @@
         world.nodes[ip].registry.load_snapshot(data)
 
 
-def test_snapshot_is_served_at_once_and_lost_instances_time_out() -> None:
-    async def run() -> None:
-        world, snapshots = await run_cluster()
-        here = set(world.backends)
-        lost = {id: world.backends.pop(id) for id in ("a1-1", "b1-2")}
-        beating, world.backends = world.backends, {}
-        restart_all(world, snapshots)
-        told = world.connect_proxy("proxy", "2", "b1")
-        await world.run(0.5)
-        first = next(one for one in told if isinstance(one, BackendUpdate))
-        assert {one.id for one in first.updated} == here and not first.complete
-        assert all(one.unconfirmed for one in first.updated)
-        world.backends = beating
-        await world.run(1.5)  # A heartbeat confirms an instance, and proxies are notified.
-        confirmed = {
-            one.id
-            for list in told
-            if isinstance(list, BackendUpdate)
-            for one in list.updated
-            if not one.unconfirmed
+async def test_snapshot_is_served_at_once_and_lost_instances_time_out() -> None:
+    world, snapshots = await run_cluster()
+    here = set(world.backends)
+    lost = {id: world.backends.pop(id) for id in ("a1-1", "b1-2")}
+    beating, world.backends = world.backends, {}
+    restart_all(world, snapshots)
+    told = world.connect_proxy("proxy", "2", "b1")
+    await world.run(0.5)
+    first = next(one for one in told if isinstance(one, BackendUpdate))
+    assert {one.id for one in first.updated} == here and not first.complete
+    assert all(one.unconfirmed for one in first.updated)
+    world.backends = beating
+    await world.run(1.5)  # A heartbeat confirms an instance, and proxies are notified.
+    confirmed = {
+        one.id
+        for list in told
+        if isinstance(list, BackendUpdate)
+        for one in list.updated
+        if not one.unconfirmed
+    }
+    assert confirmed == set(world.backends)
+    assert all(node.ready_ids() == here for node in world.nodes.values())
+    await world.run(5)
+    assert all(node.ready_ids() == here - lost.keys() for node in world.nodes.values())
+
+
+async def test_snapshot_restores_the_number_of_proxies() -> None:
+    world, _ = await run_cluster()
+    for number in range(7):
+        world.connect_proxy(f"proxy{number}", "1", "a1")
+    await world.run(0.3)
+    snapshot, usual = snapshot_of(world, "2"), world.nodes["2"].registry.max_proxies()
+    restart_all(world, {"2": snapshot})
+    assert world.nodes["2"].registry.max_proxies() == usual < PROXIES_WHILE_INCOMPLETE
+    assert world.nodes["1"].registry.max_proxies() == PROXIES_WHILE_INCOMPLETE  # Nothing is known here.
+
+
+async def test_control_node_without_contact_keeps_its_snapshot() -> None:
+    world, snapshots = await run_cluster()
+    world.backends = {}
+    restart_all(world, snapshots)
+    world.stopped |= {"2", "3"}
+    await world.run(20)
+    world.stopped.clear()
+    world.add_backend("s0", "s0", "a1", "1")  # Once a service has a live instance, its silent ones leave.
+    await world.run(4)
+    assert len(world.nodes["1"].ready_ids()) == 11
+    await world.run(2)
+    assert "a1-0" not in world.nodes["1"].ready_ids()
+
+
+async def test_tombstones_and_reused_addresses_win_over_the_snapshot() -> None:
+    world, snapshots = await run_cluster()
+    world.backends = {}
+    restart_all(world, {})
+    for ip in world.zones:  # As items on its disk, which reach no listener.
+        world.nodes[ip].replicated_state.stored |= {
+            (INSTANCE, id): Item(INSTANCE, id, (version, ""), b"{}")
+            for id, version in (("a1-0", 2), ("a1-1", 1))
         }
-        assert confirmed == set(world.backends)
-        assert all(node.ready_ids() == here for node in world.nodes.values())
-        await world.run(5)
-        assert all(node.ready_ids() == here - lost.keys() for node in world.nodes.values())
-
-    asyncio.run(run())
-
-
-def test_snapshot_restores_the_number_of_proxies() -> None:
-    async def run() -> None:
-        world, _ = await run_cluster()
-        for number in range(7):
-            world.connect_proxy(f"proxy{number}", "1", "a1")
-        await world.run(0.3)
-        snapshot, usual = snapshot_of(world, "2"), world.nodes["2"].registry.max_proxies()
-        restart_all(world, {"2": snapshot})
-        assert world.nodes["2"].registry.max_proxies() == usual < PROXIES_WHILE_INCOMPLETE
-        assert world.nodes["1"].registry.max_proxies() == PROXIES_WHILE_INCOMPLETE  # Nothing is known here.
-
-    asyncio.run(run())
-
-
-def test_control_node_without_contact_keeps_its_snapshot() -> None:
-    async def run() -> None:
-        world, snapshots = await run_cluster()
-        world.backends = {}
-        restart_all(world, snapshots)
-        world.stopped |= {"2", "3"}
-        await world.run(20)
-        world.stopped.clear()
-        world.add_backend("s0", "s0", "a1", "1")  # Once a service has a live instance, its silent ones leave.
-        await world.run(4)
-        assert len(world.nodes["1"].ready_ids()) == 11
-        await world.run(2)
-        assert "a1-0" not in world.nodes["1"].ready_ids()
-
-    asyncio.run(run())
-
-
-def test_tombstones_and_reused_addresses_win_over_the_snapshot() -> None:
-    async def run() -> None:
-        world, snapshots = await run_cluster()
-        world.backends = {}
-        restart_all(world, {})
-        for ip in world.zones:  # As items on its disk, which reach no listener.
-            world.nodes[ip].replicated_state.stored |= {
-                (INSTANCE, id): Item(INSTANCE, id, (version, ""), b"{}")
-                for id, version in (("a1-0", 2), ("a1-1", 1))
-            }
-            world.nodes[ip].registry.load_snapshot(snapshots[ip])
-        endpoints = world.nodes["1"].registry.endpoints()
-        assert "a1-0" not in endpoints and endpoints["a1-1"].draining  # Before any tick.
-        world.add_backend("new", "s9", "b1", "1", address="b1-1:80")
-        await world.send_heartbeat("new")
-        await world.run(0.5)
-        assert all(
-            "b1-1" not in node.ready_ids() and "new" in node.ready_ids() for node in world.nodes.values()
-        )
-
-    asyncio.run(run())
-
-
-def test_newer_instance_keeps_its_address_from_one_in_the_snapshot() -> None:
-    async def run() -> None:
-        world, _ = await run_cluster()
-        world.add_backend("old", "s9", "a1", "1")
-        await world.run(0.3)
-        snapshot = snapshot_of(world, "1")
-        world.stopped.add("1")
-        world.backends.pop("old")
-        # A peer has known it for longer than the snapshot says of the old one.
-        world.add_backend("new", "s9", "b1", "2", address="old:80")
-        await world.run(4)
-        world.start("1")
-        world.nodes["1"].registry.load_snapshot(snapshot)
-        await world.run(1)
-        assert "new" in world.nodes["1"].ready_ids() and "old" not in world.nodes["1"].ready_ids()
-
-    asyncio.run(run())
-
-
-def test_heartbeat_wins_over_the_snapshot_at_any_sequence() -> None:
-    async def run() -> None:
-        world, snapshots = await run_cluster()
-        restart_all(world, {"1": snapshots["1"]})
-        world.backends["b1-0"][1]["Condition"]["Sequence"] = -1
-        await world.send_heartbeat("b1-0", "1", ColdRemainingMs=9000)
-        instance = world.nodes["1"].registry.endpoints()["b1-0"]
-        assert instance.warming_until > world.now and not instance.unconfirmed
-
-    asyncio.run(run())
-
-
-def test_snapshot_keeps_the_warm_up_time_left() -> None:
-    async def run() -> None:
-        world, snapshots = await run_cluster(cold=8000)
-        before = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
-        world.now += 3 * NS_PER_SECOND
-        restart_all(world, snapshots)
-        left = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
-        assert before - NS_PER_MS < left <= before
-
-    asyncio.run(run())
+        world.nodes[ip].registry.load_snapshot(snapshots[ip])
+    endpoints = world.nodes["1"].registry.endpoints()
+    assert "a1-0" not in endpoints and endpoints["a1-1"].draining  # Before any tick.
+    world.add_backend("new", "s9", "b1", "1", address="b1-1:80")
+    await world.send_heartbeat("new")
+    await world.run(0.5)
+    assert all("b1-1" not in node.ready_ids() and "new" in node.ready_ids() for node in world.nodes.values())
+
+
+async def test_newer_instance_keeps_its_address_from_one_in_the_snapshot() -> None:
+    world, _ = await run_cluster()
+    world.add_backend("old", "s9", "a1", "1")
+    await world.run(0.3)
+    snapshot = snapshot_of(world, "1")
+    world.stopped.add("1")
+    world.backends.pop("old")
+    # A peer has known it for longer than the snapshot says of the old one.
+    world.add_backend("new", "s9", "b1", "2", address="old:80")
+    await world.run(4)
+    world.start("1")
+    world.nodes["1"].registry.load_snapshot(snapshot)
+    await world.run(1)
+    assert "new" in world.nodes["1"].ready_ids() and "old" not in world.nodes["1"].ready_ids()
+
+
+async def test_heartbeat_wins_over_the_snapshot_at_any_sequence() -> None:
+    world, snapshots = await run_cluster()
+    restart_all(world, {"1": snapshots["1"]})
+    world.backends["b1-0"][1]["Condition"]["Sequence"] = -1
+    await world.send_heartbeat("b1-0", "1", ColdRemainingMs=9000)
+    instance = world.nodes["1"].registry.endpoints()["b1-0"]
+    assert instance.warming_until > world.now and not instance.unconfirmed
+
+
+async def test_snapshot_keeps_the_warm_up_time_left() -> None:
+    world, snapshots = await run_cluster(cold=8000)
+    before = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
+    world.now += 3 * NS_PER_SECOND
+    restart_all(world, snapshots)
+    left = world.nodes["1"].registry.endpoints()["cold"].warming_until - world.now
+    assert before - NS_PER_MS < left <= before
 
 
 @pytest.mark.parametrize("change", ["torn", "short", "empty", "foreign", "newer", "other"])
@@ -249,30 +226,27 @@
         return True
 
 
-def test_only_a_complete_list_is_written_and_a_failed_write_is_repeated() -> None:
-    async def run() -> None:
-        world, _ = await run_cluster()
-        registry = world.nodes["1"].registry
-        registry.cache_file = side = Side()
-        await world.run(0.2)
-        assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.backends)
-        await world.run(5)
-        assert len(side.writes) == 1
-        side.failed = True
-        await world.run(0.2)
-        assert len(side.writes) == 2
-        # The last ones of a service stay listed when silent, yet are not in the snapshot.
-        for id in ("a1-0", "a1-1", "b1-1", "c1-1"):
-            world.backends.pop(id)
-        await world.run(12)
-        assert "a1-1" in world.nodes["1"].ready_ids()
-        assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.backends)
-        world.start("1")
-        world.nodes["1"].registry.cache_file = side = Side()
-        await world.run(3)
-        assert not side.writes
-
-    asyncio.run(run())
+async def test_only_a_complete_list_is_written_and_a_failed_write_is_repeated() -> None:
+    world, _ = await run_cluster()
+    registry = world.nodes["1"].registry
+    registry.cache_file = side = Side()
+    await world.run(0.2)
+    assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.backends)
+    await world.run(5)
+    assert len(side.writes) == 1
+    side.failed = True
+    await world.run(0.2)
+    assert len(side.writes) == 2
+    # The last ones of a service stay listed when silent, yet are not in the snapshot.
+    for id in ("a1-0", "a1-1", "b1-1", "c1-1"):
+        world.backends.pop(id)
+    await world.run(12)
+    assert "a1-1" in world.nodes["1"].ready_ids()
+    assert {one.id for one in decode_snapshot("1", world.now, side.writes[-1])[1]} == set(world.backends)
+    world.start("1")
+    world.nodes["1"].registry.cache_file = side = Side()
+    await world.run(3)
+    assert not side.writes
 
 
 def test_a_proxy_believes_what_was_heard_before_what_is_recalled() -> None:
@@ -385,19 +359,15 @@
     return CandidateSearch(selector, links, lambda: NOW, Mock()), selector
 
 
-def test_a_proxy_dials_the_next_beside_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_proxy_dials_the_next_beside_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
-
-    async def run() -> None:
-        silent, there = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
-        there.up.set()
-        made, selector = search_by_dials({"a": OSError(), "b": silent, "c": there})
-        found = await asyncio.wait_for(made.find_current(["a", "b", "c"]), 10)
-        assert found is not None and found.ip == "c" and not there.transport.abort.called
-        assert list(selector.failed) == ["a"]
-        assert await search_by_dials({"a": OSError()})[0].find_current(["a"]) is None
-
-    asyncio.run(run())
+    silent, there = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
+    there.up.set()
+    made, selector = search_by_dials({"a": OSError(), "b": silent, "c": there})
+    found = await asyncio.wait_for(made.find_current(["a", "b", "c"]), 10)
+    assert found is not None and found.ip == "c" and not there.transport.abort.called
+    assert list(selector.failed) == ["a"]
+    assert await search_by_dials({"a": OSError()})[0].find_current(["a"]) is None
 
 
 def test_without_a_link_one_that_is_current_is_waited_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -434,52 +404,42 @@
     assert ("a" in selector.failed) == (not taken)
 
 
-def test_one_that_answers_too_late_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_one_that_answers_too_late_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
-
-    async def run() -> None:
-        one, other = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
-        asked = candidate_probe.CandidateProbe(
-            search_by_dials({"a": one, "b": other})[0].probe, ["a", "b"], 2
-        )
-        one.up.set()
-        chosen = await asked.next_reply()
-        other.up.set()
-        await asyncio.sleep(0)  # It has come up, but is not told any more.
-        asked.selected = chosen
-        asked.close()
-        for _ in range(5):
-            await asyncio.sleep(0)
-        assert other.transport.abort.called and not one.transport.abort.called
-
-    asyncio.run(run())
+    one, other = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
+    asked = candidate_probe.CandidateProbe(search_by_dials({"a": one, "b": other})[0].probe, ["a", "b"], 2)
+    one.up.set()
+    chosen = await asked.next_reply()
+    other.up.set()
+    await asyncio.sleep(0)  # It has come up, but is not told any more.
+    asked.selected = chosen
+    asked.close()
+    for _ in range(5):
+        await asyncio.sleep(0)
+    assert other.transport.abort.called and not one.transport.abort.called
 
 
 @pytest.mark.parametrize(("young", "dials"), [(0.0, 2), (60.0, 1)])
-def test_who_dials_us_is_dialled_anew_where_a_dial_hangs(
+async def test_who_dials_us_is_dialled_anew_where_a_dial_hangs(
     monkeypatch: pytest.MonkeyPatch, young: float, dials: int
 ) -> None:
     monkeypatch.setattr(links, "MIN_DIAL_AGE_S", young)
+    made = links.Links(PeerIdentity(CONTROL_NODE, "1", "a"), 1, Mock(), Mock(), Mock(), Mock())
+    begun = list[str]()
 
-    async def run() -> None:
-        made = links.Links(PeerIdentity(CONTROL_NODE, "1", "a"), 1, Mock(), Mock(), Mock(), Mock())
-        begun = list[str]()
-
-        async def dial(ip: str) -> Any:
-            begun.append(ip)
-            await asyncio.Event().wait()
-
-        made.dial = dial  # type: ignore[method-assign]
-        made.set_peers(["2"])
+    async def dial(ip: str) -> Any:
+        begun.append(ip)
+        await asyncio.Event().wait()
+
+    made.dial = dial  # type: ignore[method-assign]
+    made.set_peers(["2"])
+    await asyncio.sleep(0)
+    made.redial_if_stuck("3")
+    made.redial_if_stuck("2")
+    for _ in range(3):
         await asyncio.sleep(0)
-        made.redial_if_stuck("3")
-        made.redial_if_stuck("2")
-        for _ in range(3):
-            await asyncio.sleep(0)
-        assert begun == ["2"] * dials
-        await made.close()
-
-    asyncio.run(run())
+    assert begun == ["2"] * dials
+    await made.close()
 
 
 @pytest.mark.parametrize("most", [200, 0])
--- a/tests/system/registry/test_tombstone_expiry.py
+++ b/tests/system/registry/test_tombstone_expiry.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 from collections import Counter
 
 import msgspec
@@ -114,92 +113,85 @@
 
 
 @pytest.mark.usefixtures("short_times")
-def test_tombstones_are_collected_everywhere_and_a_late_heartbeat_is_rejected() -> None:
-    async def playing() -> None:
-        world = await cluster_of_three()
-        body = world.backends.pop("a1-0")[1]
-        world.backends["a1-0"] = "1", body, world.now
-        assert (await world.send_heartbeat("a1-0", State="draining"))[0] == 200
-        assert (await world.nodes["2"].registry.deregister("a1-0"))[0] == 200
-        del world.backends["a1-0"]
-        # One that drains and stops, and one that goes on draining: its tombstone is not collected.
-        for id in ("b1-0", "c1-0"):
-            assert (await world.send_heartbeat(id, State="draining"))[0] == 200
-        world.backends["c1-0"][1]["Condition"]["State"] = "draining"
-        del world.backends["b1-0"]
-        await world.run(10)
-        # A control node without contact can't tell what peers receive: it collects
-        # nothing, and the next one does.
-        alone = {("1", ip) for ip in "23"} | {(ip, "1") for ip in "23"}
-        world.cut_links |= alone
-        await world.run(7)
-        assert stored_tombstones(world) == [{"a1-0", "b1-0", "c1-0"}] * 3
-        await world.run(10)
-        assert stored_tombstones(world) == [{"a1-0", "b1-0", "c1-0"}, {"c1-0"}, {"c1-0"}]
-        world.cut_links -= alone
-        world.nodes["1"].replicated_state.merge(world.nodes["2"].replicated_state.stored.values())
-        await world.run(20)
-        assert stored_tombstones(world) == [{"c1-0"}] * 3
-        # One control node has collected for all.
-        assert [
-            any(one.kind == CLEARED for one in node.replicated_state.written) for node in world.nodes.values()
-        ] == [
-            False,
-            True,
-            False,
-        ]
-        for node in world.nodes.values():
-            state = node.registry.state_machine
-            assert set(state.endpoint_list.tombstones) == set(state.tombstone_expiry.recorded_at) == {"c1-0"}
-            assert {"a1-0", "b1-0"} <= state.endpoint_list.collected
-        late = {**body, "Condition": {"State": "ready", "Sequence": 1, "ColdRemainingMs": 0}}
-        assert (await world.nodes["3"].registry.heartbeat("a1-0", late))[0] == 200
-        await world.run(0.3)
-        assert not any("a1-0" in node.registry.endpoints() for node in world.nodes.values())
-        # A replica that was away and still has the tombstone doesn't bring it back anywhere.
-        world.nodes["3"].replicated_state.merge([tombstone("a1-0")])
-        assert stored_tombstones(world) == [{"c1-0"}] * 3
-
-    asyncio.run(playing())
+async def test_tombstones_are_collected_everywhere_and_a_late_heartbeat_is_rejected() -> None:
+    world = await cluster_of_three()
+    body = world.backends.pop("a1-0")[1]
+    world.backends["a1-0"] = "1", body, world.now
+    assert (await world.send_heartbeat("a1-0", State="draining"))[0] == 200
+    assert (await world.nodes["2"].registry.deregister("a1-0"))[0] == 200
+    del world.backends["a1-0"]
+    # One that drains and stops, and one that goes on draining: its tombstone is not collected.
+    for id in ("b1-0", "c1-0"):
+        assert (await world.send_heartbeat(id, State="draining"))[0] == 200
+    world.backends["c1-0"][1]["Condition"]["State"] = "draining"
+    del world.backends["b1-0"]
+    await world.run(10)
+    # A control node without contact can't tell what peers receive: it collects
+    # nothing, and the next one does.
+    alone = {("1", ip) for ip in "23"} | {(ip, "1") for ip in "23"}
+    world.cut_links |= alone
+    await world.run(7)
+    assert stored_tombstones(world) == [{"a1-0", "b1-0", "c1-0"}] * 3
+    await world.run(10)
+    assert stored_tombstones(world) == [{"a1-0", "b1-0", "c1-0"}, {"c1-0"}, {"c1-0"}]
+    world.cut_links -= alone
+    world.nodes["1"].replicated_state.merge(world.nodes["2"].replicated_state.stored.values())
+    await world.run(20)
+    assert stored_tombstones(world) == [{"c1-0"}] * 3
+    # One control node has collected for all.
+    assert [
+        any(one.kind == CLEARED for one in node.replicated_state.written) for node in world.nodes.values()
+    ] == [
+        False,
+        True,
+        False,
+    ]
+    for node in world.nodes.values():
+        state = node.registry.state_machine
+        assert set(state.endpoint_list.tombstones) == set(state.tombstone_expiry.recorded_at) == {"c1-0"}
+        assert {"a1-0", "b1-0"} <= state.endpoint_list.collected
+    late = {**body, "Condition": {"State": "ready", "Sequence": 1, "ColdRemainingMs": 0}}
+    assert (await world.nodes["3"].registry.heartbeat("a1-0", late))[0] == 200
+    await world.run(0.3)
+    assert not any("a1-0" in node.registry.endpoints() for node in world.nodes.values())
+    # A replica that was away and still has the tombstone doesn't bring it back anywhere.
+    world.nodes["3"].replicated_state.merge([tombstone("a1-0")])
+    assert stored_tombstones(world) == [{"c1-0"}] * 3
 
 
 @pytest.mark.usefixtures("short_times")
 @pytest.mark.parametrize("still", [7, 40])
-def test_paused_control_node_revives_no_instance(still: int) -> None:
+async def test_paused_control_node_revives_no_instance(still: int) -> None:
     """A control node that stood still reports no instance that has ended meanwhile.
 
     After a pause shorter than the retention it learns of the tombstones. After a longer one it drops all that
     it knew, and ignores heartbeats that have waited for it.
     """
-
-    async def playing() -> None:
-        world = await cluster_of_three()
-        world.paused.add("3")
-        world.cut_links |= {("3", "1"), ("3", "2")}  # It stores nothing meanwhile, either.
-        waiting = world.backends["c1-0"][1]
-        for ip in ("1", "2"):
-            assert (await world.nodes[ip].registry.deregister("c1-0"))[0] == 200
-        del world.backends["c1-0"]
-        world.backends["c1-1"] = "1", *world.backends["c1-1"][1:]
-        await world.run(still)
-        assert ("c1-0" in stored_tombstones(world)[0]) == (still < 18)
-        assert not world.nodes["3"].replicated_state.stored
-        node = world.nodes["3"].registry
-        for other in "12":
-            state = world.nodes[other].registry.state_machine
-            state.endpoint_list.collected = frozenset()  # As if many others had been collected since.
-        world.paused.clear()
-        world.cut_links.clear()
-        late = {**waiting, "Condition": {"State": "ready", "Sequence": 99, "ColdRemainingMs": 0}}
-        await node.heartbeat("c1-0", late)  # It has waited for the process.
-        node.tick()
-        await node.heartbeat("c1-0", late)
-        for _ in range(20):
-            await world.run(0.1)
-            assert not any("c1-0" in world.nodes[ip].ready_ids() for ip in "12")
-        assert {"a1-0", "b1-0", "c1-1"} <= world.nodes["3"].ready_ids()
-
-    asyncio.run(playing())
+    world = await cluster_of_three()
+    world.paused.add("3")
+    world.cut_links |= {("3", "1"), ("3", "2")}  # It stores nothing meanwhile, either.
+    waiting = world.backends["c1-0"][1]
+    for ip in ("1", "2"):
+        assert (await world.nodes[ip].registry.deregister("c1-0"))[0] == 200
+    del world.backends["c1-0"]
+    world.backends["c1-1"] = "1", *world.backends["c1-1"][1:]
+    await world.run(still)
+    assert ("c1-0" in stored_tombstones(world)[0]) == (still < 18)
+    assert not world.nodes["3"].replicated_state.stored
+    node = world.nodes["3"].registry
+    for other in "12":
+        state = world.nodes[other].registry.state_machine
+        state.endpoint_list.collected = frozenset()  # As if many others had been collected since.
+    world.paused.clear()
+    world.cut_links.clear()
+    late = {**waiting, "Condition": {"State": "ready", "Sequence": 99, "ColdRemainingMs": 0}}
+    await node.heartbeat("c1-0", late)  # It has waited for the process.
+    node.tick()
+    await node.heartbeat("c1-0", late)
+    for _ in range(20):
+        await world.run(0.1)
+        assert not any("c1-0" in world.nodes[ip].ready_ids() for ip in "12")
+    assert {"a1-0", "b1-0", "c1-1"} <= world.nodes["3"].ready_ids()
 
 
 def test_replicas_converge_after_a_collection_that_one_missed() -> None:
--- a/tests/system/transport/test_traffic_meter.py
+++ b/tests/system/transport/test_traffic_meter.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import contextlib
 
 from ambershift.system.messages import codec
@@ -42,7 +41,7 @@
     assert (again := meter.report_if_due(2 * REPORT_INTERVAL_NS)) and again["abroad"] == {"cb": [3, 74]}
 
 
-def test_message_is_counted_only_after_it_is_written() -> None:
+async def test_message_is_counted_only_after_it_is_written() -> None:
     class Broken:
         def __init__(self) -> None:
             self.sent: list[bytes] = []
@@ -52,13 +51,10 @@
                 raise ConnectionResetError
             self.sent.append(data)
 
-    async def act() -> None:
-        counted, connection = list[tuple[str, int]](), Broken()
-        outbox = SendQueue(connection, lambda *one: counted.append(one))  # type: ignore[arg-type]
-        outbox.put(Barrier(1))
-        outbox.put(ItemUpdate((), True))
-        with contextlib.suppress(ConnectionResetError):
-            await outbox.run()
-        assert counted == [("fm", len(codec.encode(Barrier(1))))] and len(connection.sent) == 1
-
-    asyncio.run(act())
+    counted, connection = list[tuple[str, int]](), Broken()
+    outbox = SendQueue(connection, lambda *one: counted.append(one))  # type: ignore[arg-type]
+    outbox.put(Barrier(1))
+    outbox.put(ItemUpdate((), True))
+    with contextlib.suppress(ConnectionResetError):
+        await outbox.run()
+    assert counted == [("fm", len(codec.encode(Barrier(1))))] and len(connection.sent) == 1
