--- a/tests/system/messages/test_codec.py
+++ b/tests/system/messages/test_codec.py
@@ -47,23 +47,33 @@
     assert len(codec.encode(ForwardedResponse(number, 200, told))) < 60
 
 
-def test_decode_rejects_what_does_not_inflate_to_a_message(monkeypatch: pytest.MonkeyPatch) -> None:
-    data = codec.encode(routes(100))
-    flipped = bytes([*data[:40], data[40] ^ 0x55, *data[41:]])
-    short = codec.encode(ForwardedResponse(1, 200, b'{"Events":[],"Revision":934}'))
-    assert short[0] == codec.DICTIONARY_FIRST_BYTE
-    for bad in (
-        short[:-3],
-        short[:1],
-        b"\xc1\xff\xff",
-        data[:-1],
-        data[:1],
-        flipped,
-        zlib.compress(b"no message" * 200),
-        b"",
-    ):
-        with pytest.raises(codec.UnreadableError):
-            codec.decode(bad)
+DEFLATED = codec.encode(routes(100))
+WITH_DICTIONARY = codec.encode(ForwardedResponse(1, 200, b'{"Events":[],"Revision":934}'))
+
+
+def test_short_answer_is_deflated_with_the_dictionary() -> None:
+    assert WITH_DICTIONARY[0] == codec.DICTIONARY_FIRST_BYTE
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        pytest.param(WITH_DICTIONARY[:-3], id="dictionary, end cut off"),
+        pytest.param(WITH_DICTIONARY[:1], id="dictionary, first byte alone"),
+        pytest.param(b"\xc1\xff\xff", id="dictionary, not deflated"),
+        pytest.param(DEFLATED[:-1], id="deflated, end cut off"),
+        pytest.param(DEFLATED[:1], id="deflated, first byte alone"),
+        pytest.param(bytes([*DEFLATED[:40], DEFLATED[40] ^ 0x55, *DEFLATED[41:]]), id="bits flipped"),
+        pytest.param(zlib.compress(b"no message" * 200), id="no message inside"),
+        pytest.param(b"", id="empty"),
+    ],
+)
+def test_decode_rejects_what_does_not_inflate_to_a_message(data: bytes) -> None:
+    with pytest.raises(codec.UnreadableError):
+        codec.decode(data)
+
+
+def test_message_above_the_size_limit_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(codec, "MAX_MESSAGE_BYTES", 4000)
     with pytest.raises(codec.UnreadableError, match="too large"):
-        codec.decode(data)
+        codec.decode(DEFLATED)
--- a/tests/system/transport/test_links.py
+++ b/tests/system/transport/test_links.py
@@ -130,19 +130,29 @@
     await until("a link", lambda: other in near.links.dialled_queues, 5)
 
 
-async def test_link_of_another_version_is_refused(pair: Pair) -> None:
+def test_peer_identity_is_parsed_from_its_path() -> None:
     caller = PeerIdentity(PROXY, "proxy-a-1", "ab12")
     assert parse_path(format_path(caller)) == caller
+
+
+@pytest.mark.parametrize("path", ["/0/proxy/a/1", "/1/clerk/a/1", "/1/proxy//1", "/1/proxy/a", "/"])
+async def test_link_of_another_version_is_refused(pair: Pair, path: str) -> None:
+    _, far, _, other = pair
+    with pytest.raises(PathError):
+        parse_path(path)
+    with pytest.raises(InvalidStatus):
+        await connect(f"ws://{other}:{far.links.port}{path}", proxy=None)
+    assert far.logged == [103]
+    assert not far.ups
+
+
+async def test_refused_dial_raises_connection_error(pair: Pair) -> None:
     near, far, _, other = pair
-    for path in ("/0/proxy/a/1", "/1/clerk/a/1", "/1/proxy//1", "/1/proxy/a", "/"):
-        with pytest.raises(PathError):
-            parse_path(path)
-        with pytest.raises(InvalidStatus):
-            await connect(f"ws://{other}:{far.links.port}{path}", proxy=None)
-    assert far.logged == [103] * 5 and not far.ups
     near.links.local = PeerIdentity("clerk", "a", "1")
-    with pytest.raises(ConnectionError):  # The error of a refused dial.
+    with pytest.raises(ConnectionError):
         await near.links.dial(other)
+    assert far.logged == [103]
+    assert not far.ups
 
 
 async def test_send_queue_that_a_peer_does_not_read_ends_the_link(
