--- a/tests/system/messages/test_codec.py
+++ b/tests/system/messages/test_codec.py
@@ -73,7 +73,7 @@
         codec.decode(data)
 
 
-def test_message_above_the_size_limit_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_message_above_the_size_limit_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(codec, "MAX_MESSAGE_BYTES", 4000)
     with pytest.raises(codec.UnreadableError, match="too large"):
         codec.decode(DEFLATED)
--- a/tests/system/processes/test_control_node.py
+++ b/tests/system/processes/test_control_node.py
@@ -14,7 +14,7 @@
 PARTS = ("store", "registry", "controller", "control_api")
 
 
-def test_links_that_come_and_go_are_told_to_the_controller(stubbed_control_node: Any) -> None:
+def test_controller_is_notified_of_links_up_and_lost(stubbed_control_node: Any) -> None:
     node = stubbed_control_node
     node.link_up(PeerIdentity(PROXY, "proxy-1", "a"))
     node.link_up(PeerIdentity(CONTROL_NODE, "10.0.0.1", "b"))
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("failing", PARTS)
-def test_each_part_has_its_tick_though_one_fails(stubbed_control_node: Any, failing: str) -> None:
+def test_each_component_ticks_although_one_fails(stubbed_control_node: Any, failing: str) -> None:
     node = stubbed_control_node
     getattr(node, failing).tick.side_effect = ValueError("torn")
 
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("grace", [1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0, 10.0, 30.0])
-def test_a_request_may_be_at_work_until_the_last_sixth_of_the_grace(grace: float) -> None:
+def test_request_may_run_until_the_last_sixth_of_the_grace_period(grace: float) -> None:
     """uvicorn stops waiting so long after it was told to exit, at `TAKES_ON` of the grace."""
     config = create_server(Mock(), 60, response_deadline_s(grace) - ACCEPTING_SHARE * grace).config
     assert config.timeout_graceful_shutdown is not None
--- a/tests/system/processes/test_metrics.py
+++ b/tests/system/processes/test_metrics.py
@@ -50,7 +50,7 @@
     return (sent[0]["status"], sent[1]["body"], behind) if sent else (0, b"", behind)
 
 
-def test_figures_are_told_on_their_own_port_alone() -> None:
+def test_metrics_are_served_on_their_own_port_only() -> None:
     status, body, behind = asked(9000, PATH)
     assert status == 200 and not behind
     assert (
@@ -60,7 +60,7 @@
     assert asked(9001, PATH) == (0, b"", [PATH])
 
 
-def test_a_figure_may_have_a_value_for_each_label() -> None:
+def test_metric_may_have_a_value_for_each_label() -> None:
     body = render([Metric("abandoned_links_total", "left", label="reason", values={"stale": 2, "silent": 1})])
     assert (
         b'ambershift_abandoned_links_total{reason="stale"} 2.0' in body and b'{reason="silent"} 1.0' in body
@@ -68,7 +68,7 @@
     assert b"# TYPE ambershift_abandoned_links_total counter\n" in body and b"_created" not in body
 
 
-def test_the_library_is_not_loaded_before_somebody_asks() -> None:
+def test_prometheus_client_is_not_imported_before_the_first_scrape() -> None:
     code = (
         "import sys; import ambershift.system.processes.proxy, ambershift.system.processes.control_node;"
         "sys.exit('prometheus_client' in sys.modules)"
@@ -76,18 +76,18 @@
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
-def test_the_deploy_file_names_the_ports_that_the_roles_open() -> None:
+def test_deploy_file_names_the_ports_that_the_roles_open() -> None:
     roles = tomllib.loads(DEPLOY.read_text("utf-8"))["roles"]
     assert roles["proxy"]["metrics"] == f"{PROXY_PORT}{PATH}"
     assert roles["control"]["metrics"] == f"{CONTROL_PORT}{PATH}"
 
 
-def test_a_port_that_is_taken_is_done_without() -> None:
+def test_occupied_metrics_port_is_skipped() -> None:
     with bind_listener("127.0.0.1:0") as first:
         first.listen()
         port = first.getsockname()[1]
         assert try_bind_listener(f"127.0.0.1:{port}") is None
-        with pytest.raises(OSError):
+        with pytest.raises(OSError, match="already in use"):
             bind_listener(f"127.0.0.1:{port}")
 
 
@@ -95,7 +95,7 @@
     return {one.name: one.value for one in figures}
 
 
-def test_a_proxy_tells_its_version_and_how_old_it_may_be() -> None:
+def test_proxy_reports_configuration_version_and_age() -> None:
     selector = Choice("p", "z", "r", ())
     made = AttachmentLog(selector, Mock(), lambda: 7 * NS_PER_SECOND, Mock())
     assert values(made.metrics(linked=False))["configuration_age_seconds"] == -1.0
@@ -107,7 +107,7 @@
     assert found["configuration_version"] == 12 and found["configuration_age_seconds"] == 1.5
 
 
-def test_a_control_node_tells_its_contact_and_copies(stubbed_control_node: Any) -> None:
+def test_control_node_reports_contact_and_replicas(stubbed_control_node: Any) -> None:
     node = stubbed_control_node
     node.controller.hellos = {"p": 1}
     node.store.items.return_value = {1: Item(ROUTE, "r", (12, "agreed"), b"{}")}
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -249,7 +249,7 @@
     assert not side.writes
 
 
-def test_a_proxy_believes_what_was_heard_before_what_is_recalled() -> None:
+def test_proxy_prefers_confirmed_instances_to_those_of_a_snapshot() -> None:
     view = BackendView("a", ZONES, lambda service: 3 * NS_PER_SECOND)
     told = Backend("one", "s", "x:1", "a1", 4, False, 2000)
     view.take(NOW, BackendUpdate((told,), (), True))
@@ -285,7 +285,7 @@
         os.sched_yield()
 
 
-def test_a_side_file_is_replaced_as_a_whole_or_stays(
+def test_cache_file_is_replaced_atomically_or_kept(
     side: CacheFile, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert side.read() is None
@@ -303,7 +303,7 @@
     assert side.read() == b"third" and not side.failed
 
 
-def test_nobody_waits_for_a_side_file(side: CacheFile) -> None:
+def test_write_of_cache_file_blocks_nobody(side: CacheFile) -> None:
     gate = threading.Event()
 
     def make() -> bytes:
@@ -317,7 +317,7 @@
     assert side.read() == b"late"
 
 
-def test_on_a_new_link_it_is_shown_and_asked_again_at_once() -> None:
+def test_new_link_gets_announcement_and_pending_sync_requests_at_once() -> None:
     ips = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
     seeds = tuple(f"{ip}:1" for ip in ips)
     settings = Local(
@@ -359,7 +359,7 @@
     return CandidateSearch(selector, links, lambda: NOW, Mock()), selector
 
 
-async def test_a_proxy_dials_the_next_beside_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_proxy_dials_the_next_node_beside_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
     silent, there = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
     there.up.set()
@@ -370,7 +370,7 @@
     assert await search_by_dials({"a": OSError()})[0].find_current(["a"]) is None
 
 
-def test_without_a_link_one_that_is_current_is_waited_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_a_link_a_current_node_is_preferred_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
     old, late = (
         Dialled(ControlNodeHeartbeat((), False, 1, 60_000)),
@@ -395,7 +395,7 @@
 
 
 @pytest.mark.parametrize(("age_ms", "taken"), [(0, True), (60_000, False)])
-def test_a_nearer_one_is_taken_only_where_it_is_current(age_ms: int, taken: bool) -> None:
+def test_nearer_node_is_chosen_only_if_current(age_ms: int, taken: bool) -> None:
     there = Dialled(ControlNodeHeartbeat((), True, 1, age_ms))
     there.up.set()
     made, selector = search_by_dials({"a": there})
@@ -404,7 +404,7 @@
     assert ("a" in selector.failed) == (not taken)
 
 
-async def test_one_that_answers_too_late_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_node_that_answers_too_late_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
     one, other = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
     asked = candidate_probe.CandidateProbe(search_by_dials({"a": one, "b": other})[0].probe, ["a", "b"], 2)
@@ -420,7 +420,7 @@
 
 
 @pytest.mark.parametrize(("young", "dials"), [(0.0, 2), (60.0, 1)])
-async def test_who_dials_us_is_dialled_anew_where_a_dial_hangs(
+async def test_peer_that_dials_us_is_redialled_if_our_dial_hangs(
     monkeypatch: pytest.MonkeyPatch, young: float, dials: int
 ) -> None:
     monkeypatch.setattr(links, "MIN_DIAL_AGE_S", young)
@@ -443,7 +443,7 @@
 
 
 @pytest.mark.parametrize("most", [200, 0])
-def test_a_request_waits_a_moment_for_a_proxy_that_has_just_started(
+def test_request_waits_a_moment_at_a_proxy_that_has_just_started(
     monkeypatch: pytest.MonkeyPatch, most: int
 ) -> None:
     monkeypatch.setattr(handling, "WAIT", 10.0)
