--- a/tests/support/fake_control_nodes.py
+++ b/tests/support/fake_control_nodes.py
@@ -16,8 +16,9 @@
 from ambershift.system.messages.codec import decode, encode
 from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.messages.proxy_link import ControlNodeAddress
-from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_SECOND
+from tests.support.local_settings import control_node_settings
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 ONE_WAY_DELAY_S = 0.035
@@ -244,21 +245,5 @@
 
 
 def _settings_of(ip: str) -> Local:
-    return Local(
-        file="",
-        name=ip,
-        machine_class="core",
-        ip=ip,
-        zone="riga-a",
-        region="riga",
-        counted=True,
-        initial=True,
-        folder=None,
-        internal=(7000, 7001),
-        seeds=(),
-        listen={},
-        zones={"riga-a": "riga", "riga-b": "riga"},
-        heartbeat=1.5,
-        tolerated=(1, 1, 1),
-        bounds=Bounds(),
-    )
+    zones = {"riga-a": "riga", "riga-b": "riga"}
+    return control_node_settings(ip, zone="riga-a", region="riga", zones=zones)
--- a/tests/support/simulated_exchange.py
+++ b/tests/support/simulated_exchange.py
@@ -15,8 +15,8 @@
 from ambershift.system.messages import codec, proxy_link
 from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances, newest
 from ambershift.system.registry.service import RegistryIO, RegistryService
-from ambershift.system.settings.local import Bounds, Local
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
+from tests.support.local_settings import control_node_settings
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 HEARTBEAT_INTERVAL_NS = 1500 * NS_PER_MS
@@ -111,23 +111,13 @@
 
     def __init__(self, world: SimulatedExchange, ip: str) -> None:
         zone = world.zones[ip]
-        settings = Local(
-            file="",
-            name=ip,
-            machine_class="core",
-            ip=ip,
+        settings = control_node_settings(
+            ip,
             zone=zone,
             region=ZONES[zone],
-            counted=True,
-            initial=True,
-            folder=None,
-            internal=(7000, 7001),
-            seeds=(),
             listen={"Control": f"{ip}:8080"},
             zones=ZONES,
             heartbeat=HEARTBEAT_INTERVAL_NS / NS_PER_SECOND,
-            tolerated=(1, 1, 1),
-            bounds=Bounds(),
         )
         self.replicated_state = SimulatedReplicatedState(world, ip)
         self.log_events = list[tuple[int, Any]]()
--- a/tests/system/consensus/conftest.py
+++ b/tests/system/consensus/conftest.py
@@ -10,7 +10,6 @@
 import pytest
 
 from ambershift.system.consensus.disk import Disk, Rows
-from ambershift.system.simulation.forgetting_soon import forgetting_soon
 from ambershift.system.simulation.lists import Lists
 from ambershift.system.state_machine import Write
 
@@ -60,10 +59,3 @@
     yield open_one
     for each in opened:
         each.disk.close()
-
-
-@pytest.fixture
-def early_collection() -> Iterator[None]:
-    """Tombstones are collected after seconds, in small batches."""
-    with forgetting_soon():
-        yield
--- a/tests/system/consensus/test_disk.py
+++ b/tests/system/consensus/test_disk.py
@@ -20,8 +20,9 @@
 from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
-from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_SECOND, Write
+from tests.support.local_settings import control_node_settings
 from tests.system.consensus.conftest import IP, OpenedDisk
 
 OpenDisk = Callable[..., OpenedDisk]
@@ -117,23 +118,8 @@
 
 
 def settings(folder: Path) -> Local:
-    return Local(
-        file="",
-        name="one",
-        machine_class="core",
-        ip=IP,
-        zone="z",
-        region="r",
-        counted=True,
-        initial=True,
-        folder=str(folder),
-        internal=(1, 2),
-        seeds=(f"{IP}:1",),
-        listen={},
-        zones={},
-        heartbeat=1.5,
-        tolerated=(0, 0, 0),
-        bounds=Bounds(),
+    return control_node_settings(
+        IP, name="one", folder=str(folder), internal=(1, 2), seeds=(f"{IP}:1",), tolerated=(0, 0, 0)
     )
 
 
--- a/tests/system/consensus/test_tombstone_collector.py
+++ b/tests/system/consensus/test_tombstone_collector.py
@@ -2,65 +2,32 @@
 
 from __future__ import annotations
 
-from collections.abc import Coroutine
-from typing import Any
-from unittest.mock import Mock
-
 import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from ambershift.modelcheck.mutants.words import broken
-from ambershift.system.configuration.agreement import (
-    Accepted,
-    Agreement,
-    BelowFloor,
-    Conflict,
-    Outcome,
-    Progress,
-    decide,
-)
-from ambershift.system.configuration.change_request import read_order
 from ambershift.system.consensus.effect_buffer import CallSucceeded
 from ambershift.system.consensus.events import ReadQuorum, WriteItems
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.consensus.tombstone_collector import TombstoneCollector
-from ambershift.system.distribution.pushes import Pushes
 from ambershift.system.messages import tombstones
-from ambershift.system.messages.items import AGREED, ROUTE, SERVICE, Item, Key
-from ambershift.system.messages.proxy_link import BackendUpdate, ItemUpdate
+from ambershift.system.messages.items import ROUTE, Item, Key
 from ambershift.system.messages.replication import MergeItems, SyncResponse
 from ambershift.system.messages.tombstones import (
     COLLECTED_TOMBSTONES_KEY,
     CollectedTombstones,
     collected_tombstones_of,
 )
-from ambershift.system.node_selection.selector import Choice
-from ambershift.system.processes.attachment_log import AttachmentLog
-from ambershift.system.processes.control_link import ControlLink
-from ambershift.system.proxy.routing import Routing
-from ambershift.system.simulation.calling import Streets
-from ambershift.system.simulation.fleet import Fleet
-from ambershift.system.simulation.fleet_history import ROUTES, Storm
-from ambershift.system.simulation.forgetting_soon import forgetting_soon
 from ambershift.system.simulation.histories import play_cluster
 from ambershift.system.simulation.variants_forgetting import BY_NAME
 from ambershift.system.simulation.world import World
-from ambershift.system.state_machine import NS_PER_SECOND
+from tests.support.configuration_items import drop, route
 
 AWAY = "10.0.0.6"
 
 
-def route(name: str, version: int) -> Item:
-    body = {"Host": "h", "PathPrefix": f"/{name}", "RouteType": "idempotent", "Service": "s"}
-    return Item(ROUTE, name, (version, AGREED), msgspec.json.encode(body))
-
-
-def drop(name: str, version: int) -> Item:
-    return Item(ROUTE, name, (version, AGREED))
-
-
 # What is listed.
 
 
@@ -309,164 +276,3 @@
 def test_late_calls_accepted_below_the_version_floor_are_detected() -> None:
     with broken(BY_NAME["late-calls-judged-without-the-floor"]):
         assert play_cluster(29).broken
-
-
-# Calls.
-
-
-def decided(held: list[Item], *items: Item, names: tuple[str, ...] = ()) -> Outcome:
-    upsert = [
-        {**msgspec.json.decode(one.body), "Name": one.name, "ConfigVersion": f"r{one.version[0]}"}
-        for one in items
-        if one.body is not None
-    ]
-    remove = [{"Name": one.name, "ConfigVersion": f"r{one.version[0]}"} for one in items if one.body is None]
-    document = {"Upsert": {"Routes": upsert}, "Remove": {"Routes": remove}}
-    order = read_order(msgspec.json.encode(document))
-    told = CollectedTombstones().with_batch([drop("gone", 50)]).as_item
-    store = {one.key: one for one in [*held, told]}
-    return decide(order, Agreement(0, ()), Progress(0), store)[1]
-
-
-SERVICE_S = Item(SERVICE, "s", (1, AGREED), b"{}")
-
-
-@pytest.mark.parametrize(
-    ("item", "kind"),
-    [
-        (route("gone", 40), BelowFloor),  # Dropped, or new: nobody can tell.
-        (drop("gone", 50), BelowFloor),
-        (route("new", 50), BelowFloor),
-        (route("new", 51), Accepted),
-        (route("kept", 41), Accepted),  # It is held: its versions are known.
-        (route("kept", 30), BelowFloor),  # Overtaken, by a content that isn't remembered any more.
-        (drop("kept", 40), Conflict),
-        (drop("kept", 42), Accepted),
-    ],
-)
-def test_change_below_the_version_floor_is_neither_accepted_nor_rejected(
-    item: Item, kind: type[Outcome]
-) -> None:
-    assert type(decided([SERVICE_S, route("kept", 40)], item)) is kind
-
-
-# Proxies.
-
-
-def test_proxy_collects_tombstones_with_its_control_node() -> None:
-    pushes, routing = Pushes(), Routing()
-    told = CollectedTombstones().with_batch([drop("r1", 11)])
-    routing.begin_link()
-    items = {one.key: one for one in (route("r1", 1), route("r2", 2))}
-    for one in pushes.greet("proxy", items.values(), BackendUpdate((), (), True)):
-        routing.merge(getattr(one.message, "items", ()))
-    routing.complete_link()
-    for one in pushes.items([drop("r1", 11)]) + pushes.items([told.as_item]):
-        assert isinstance(one.message, ItemUpdate)
-        routing.merge(one.message.items)
-    assert routing.items.keys() == {(ROUTE, "r2"), COLLECTED_TOMBSTONES_KEY} and routing.routes == 1
-    routing.merge([route("r1", 1)])
-    assert routing.find(b"h", b"/r1") is None and not routing.unusable
-    # A new link is told of nothing that all have forgotten.
-    held = [route("r2", 2), told.as_item]
-    sent = pushes.greet("other", held, BackendUpdate((), (), True))
-    assert [list(one.message.items) for one in sent if isinstance(one.message, ItemUpdate)] == [held]
-
-
-def many(first: int = 1) -> CollectedTombstones:
-    """So many batches that a copy of before the first must be replaced; of routes `r1` and on."""
-    with forgetting_soon():
-        told = CollectedTombstones()
-        for at in range(first, first + 5):
-            told = told.with_batch([drop(f"r{at}", 10 + at)])
-        return told
-
-
-def test_long_absent_proxy_serves_only_items_of_the_new_link() -> None:
-    routing, told = Routing(), many()
-    routing.begin_link()
-    routing.merge([route("r1", 1), route("r9", 9), route("late", 99)])
-    routing.complete_link()
-    routing.begin_link()
-    routing.merge([told.as_item, route("r9", 9)])
-    assert routing.find(b"h", b"/r1") is not None  # It serves on until all has been told.
-    routing.complete_link()
-    assert (
-        routing.items.keys() == {(ROUTE, "r9"), (ROUTE, "late"), COLLECTED_TOMBSTONES_KEY}
-        and not routing.unusable
-    )
-    assert routing.find(b"h", b"/r1") is None and routing.routes == 2
-
-
-def test_proxy_leaves_a_control_node_with_older_items() -> None:
-    routing = Routing()
-    routing.begin_link()
-    routing.merge([many().as_item, route("r9", 9)])
-    routing.complete_link()
-    routing.begin_link()
-    routing.merge([route("r1", 1), route("r9", 10)])
-    assert routing.unusable and not routing.merge([route("r2", 2)])
-    assert routing.items.keys() == {(ROUTE, "r9"), COLLECTED_TOMBSTONES_KEY}
-    routing.begin_link()  # Another one.
-    routing.merge([many().as_item, route("r9", 10)])
-    assert not routing.unusable and routing.items[ROUTE, "r9"].version[0] == 10
-
-
-def test_items_received_before_the_control_node_was_reset_are_discarded() -> None:
-    routing = Routing()
-    routing.begin_link()
-    routing.merge([route("r1", 1), route("r9", 9)])
-    routing.merge([many().as_item])  # It has just heard of it.
-    assert routing.unusable
-    routing.complete_link()
-    assert not routing.complete
-    routing.begin_link()
-    routing.merge([many().as_item, route("r9", 9)])
-    routing.complete_link()
-    assert routing.complete and routing.items.keys() == {(ROUTE, "r9"), COLLECTED_TOMBSTONES_KEY}
-
-
-@pytest.mark.usefixtures("early_collection")
-def test_returned_proxy_drops_items_whose_tombstones_were_collected() -> None:
-    """As they run: cut off from all control nodes while five routes are dropped and forgotten."""
-    fleet = Fleet(1)
-    streets = Streets(fleet, 1)
-    storm = Storm(fleet, streets, 1.0)
-
-    def go(call: Coroutine[Any, Any, Any]) -> None:
-        with streets.loop.current():
-            streets.loop.create_task(call)
-
-    go(storm.begin())
-    fleet.run(4)
-    links = {link for ip in fleet.boxes for link in ((ip, "front-1"), ("front-1", ip))}
-    fleet.cut |= links
-    rows = [{"Name": f"r{at}", "ConfigVersion": f"r{100 + at}"} for at in range(5)]
-    go(streets.rpc("configuration.modify", "", {"Remove": {"Routes": rows}}, 5.0, lost=0))
-    fleet.run(8)
-    batches = {box.replica.store.collected.batch for box in fleet.boxes.values() if box.replica is not None}
-    assert batches == {5}
-    routings = {name: front.server.routing for name, front in fleet.fronts.items()}
-    assert (ROUTE, "r0") in routings["front-1"].items and routings["front-1"].routes == ROUTES
-    fleet.cut -= links
-    fleet.run(6)
-    for routing in routings.values():
-        assert routing.routes == ROUTES - 5 and routing.items == routings["front-2"].items
-    assert not fleet.failed
-
-
-def test_link_with_outdated_items_is_left_and_its_items_are_not_reported_as_applied() -> None:
-    selector, server, log = Choice("p", "z", "r", ("a", "b")), Mock(), Mock()
-    events = AttachmentLog(selector, Mock(), lambda: 7 * NS_PER_SECOND, log)
-    link = ControlLink(selector, server, Mock(), lambda: 7 * NS_PER_SECOND, log, events)
-    server.hear.return_value = []
-    server.routing.unusable = True
-    link.outbox = outbox = Mock()
-    selector.up(7 * NS_PER_SECOND, "a")
-    for _ in range(2):  # What is on the way still is void.
-        link.receive(outbox, ItemUpdate((route("r1", 1),), False))
-    assert events.abandoned_links == {"outdated": 1}
-    assert events.configuration_version == 0 and link.outbox is None
-    assert [call.args[0] for call in log.call_args_list] == [112]
-    assert outbox.abort.called and selector.linked is None
-    assert selector.candidates(7 * NS_PER_SECOND)[0] == "b"
--- a/tests/system/messages/test_codec.py
+++ b/tests/system/messages/test_codec.py
@@ -12,7 +12,11 @@
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse
 from ambershift.system.messages.items import ROUTE, Item
-from ambershift.system.messages.proxy_link import Barrier, ItemUpdate
+from ambershift.system.messages.proxy_link import (
+    Barrier,
+    ControlNodeHeartbeat,
+    ItemUpdate,
+)
 
 
 def routes(count: int) -> ItemUpdate:
@@ -77,3 +81,13 @@
     monkeypatch.setattr(codec, "MAX_MESSAGE_BYTES", 4000)
     with pytest.raises(codec.UnreadableError, match="too large"):
         codec.decode(DEFLATED)
+
+
+def test_heartbeat_of_an_earlier_version_is_unreadable() -> None:
+    """A proxy doesn't link to a node that sends one."""
+    earlier = msgspec.msgpack.encode(["fc", [], True, 1])
+    with pytest.raises(codec.UnreadableError):
+        codec.decode(earlier)
+    assert codec.decode(msgspec.msgpack.encode(["fc", [], True, 1, 0])) == ControlNodeHeartbeat(
+        (), True, 1, 0
+    )
--- a/tests/system/registry/test_snapshot.py
+++ b/tests/system/registry/test_snapshot.py
@@ -2,32 +2,15 @@
 
 from __future__ import annotations
 
-import asyncio
 import hashlib
-import os
-import threading
-from collections.abc import Iterator
 from dataclasses import replace
-from pathlib import Path
 from typing import Any
-from unittest.mock import Mock
 
 import msgspec
 import pytest
 
-from ambershift.system.consensus import cache_file
-from ambershift.system.consensus.cache_file import CacheFile
-from ambershift.system.consensus.events import ReadQuorum
-from ambershift.system.consensus.replica import Replica
-from ambershift.system.messages import codec
 from ambershift.system.messages.items import INSTANCE, Item
-from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ControlNodeHeartbeat, ItemUpdate
-from ambershift.system.messages.replication import Announcement, SyncRequest
-from ambershift.system.node_selection.selector import Choice
-from ambershift.system.processes import candidate_probe, candidate_search
-from ambershift.system.processes.candidate_search import CandidateSearch
-from ambershift.system.proxy import awaited, handling
-from ambershift.system.proxy.backend_view import BackendView
+from ambershift.system.messages.proxy_link import BackendUpdate
 from ambershift.system.registry.records import Instance
 from ambershift.system.registry.service import PROXIES_WHILE_INCOMPLETE
 from ambershift.system.registry.snapshot import (
@@ -37,12 +20,8 @@
     decode_snapshot,
     encode_snapshot,
 )
-from ambershift.system.settings.local import Bounds, Local
-from ambershift.system.state_machine import NS_PER_MS, PeerConnected, Send, WriteCompleted
-from ambershift.system.transport import links
-from ambershift.system.transport.link_path import CONTROL_NODE, PeerIdentity
-from tests.support import proxy_rig
-from tests.support.simulated_exchange import NS_PER_SECOND, ZONES, ControlNode, SimulatedExchange
+from ambershift.system.state_machine import NS_PER_MS
+from tests.support.simulated_exchange import NS_PER_SECOND, ControlNode, SimulatedExchange
 
 NOW = 1000 * NS_PER_SECOND
 INSTANCE_ONE = Instance("one", "s0", "10.9.0.1:80", "a1", 4, 7, False, 0, NOW - 5 * NS_PER_SECOND)
@@ -247,225 +226,3 @@
     world.nodes["1"].registry.cache_file = side = Side()
     await world.run(3)
     assert not side.writes
-
-
-def test_proxy_prefers_confirmed_instances_to_those_of_a_snapshot() -> None:
-    view = BackendView("a", ZONES, lambda service: 3 * NS_PER_SECOND)
-    told = Backend("one", "s", "x:1", "a1", 4, False, 2000)
-    view.take(NOW, BackendUpdate((told,), (), True))
-    until = view.lives["one"].cold_until
-    other = Backend("two", "s", "x:2", "b1", 4, False, 0, True)
-    view.evacuate("b1")
-    view.take_back(NOW, "b1")
-    view.take(NOW + 3 * NS_PER_SECOND, BackendUpdate((replace_cold(told), other), (), False))
-    assert view.lives["one"].cold_until == until
-    assert view.lives["two"].cold_until == NOW + 4 * NS_PER_SECOND  # It may be from before.
-
-
-def replace_cold(told: Backend) -> Backend:
-    return msgspec.structs.replace(told, warm_up_ms=0, unconfirmed=True)
-
-
-@pytest.fixture
-def side(tmp_path: Path) -> Iterator[CacheFile]:
-    made = CacheFile(str(tmp_path), "list")
-    yield made
-    made.close()
-
-
-def write(side: CacheFile, data: bytes) -> None:
-    done = threading.Event()
-
-    def make() -> bytes:
-        done.set()
-        return data
-
-    assert side.write(make) and done.wait(10)
-    while side.is_writing:
-        os.sched_yield()
-
-
-def test_cache_file_is_replaced_atomically_or_kept(
-    side: CacheFile, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    assert side.read() is None
-    write(side, b"first")
-    assert side.read() == b"first" and not side.failed
-
-    def full(handle: int) -> None:
-        raise OSError(28, "No space left on device")
-
-    with monkeypatch.context() as broken:
-        broken.setattr(cache_file.os, "fsync", full)
-        write(side, b"second")
-    assert side.failed and side.read() == b"first" and os.listdir(tmp_path) == ["list"]
-    write(side, b"third")
-    assert side.read() == b"third" and not side.failed
-
-
-def test_write_of_cache_file_blocks_nobody(side: CacheFile) -> None:
-    gate = threading.Event()
-
-    def make() -> bytes:
-        gate.wait(10)
-        return b"late"
-
-    assert side.write(make) and not side.write(lambda: b"more")
-    gate.set()
-    while side.is_writing:
-        os.sched_yield()
-    assert side.read() == b"late"
-
-
-def test_new_link_gets_announcement_and_pending_sync_requests_at_once() -> None:
-    ips = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
-    seeds = tuple(f"{ip}:1" for ip in ips)
-    settings = Local(
-        "", "one", "core", ips[0], "z", "r", True, True, None, (1, 2), seeds, {}, {}, 1.5, (1, 0, 0), Bounds()
-    )
-    replica = Replica(settings, seed=7, delta_codecs=lambda name: None, rows={}, now=NOW)
-    replica.step(NOW, WriteCompleted(1))
-    asked = replica.step(NOW, ReadQuorum(1, 1.0))
-    assert {
-        one.recipient for one in asked if isinstance(one, Send) and isinstance(one.message, SyncRequest)
-    } == set(ips[1:])
-    again = [one for one in replica.step(NOW + NS_PER_MS, PeerConnected(ips[2])) if isinstance(one, Send)]
-    assert {one.recipient for one in again} == {ips[2]}
-    assert [type(one.message) for one in again] == [Announcement, SyncRequest]
-
-
-class Dialled:
-    """What is taken for a connection: it comes up once `up` is set, and then brings `sign`."""
-
-    def __init__(self, sign: ControlNodeHeartbeat) -> None:
-        self.up, self.transport, self.sign = asyncio.Event(), Mock(), sign
-
-    async def recv(self) -> bytes:
-        return codec.encode(self.sign)
-
-
-def search_by_dials(dials: dict[str, OSError | Dialled]) -> tuple[CandidateSearch, Choice]:
-    """One whose dials come to what is given."""
-
-    async def dial(ip: str) -> Any:
-        found = dials[ip]
-        if isinstance(found, OSError):
-            raise found
-        await found.up.wait()
-        return found
-
-    selector, links = Choice("p", "z", "r", ()), Mock()
-    links.dial = dial
-    return CandidateSearch(selector, links, lambda: NOW, Mock()), selector
-
-
-async def test_proxy_dials_the_next_node_beside_a_silent_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
-    silent, there = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
-    there.up.set()
-    made, selector = search_by_dials({"a": OSError(), "b": silent, "c": there})
-    found = await asyncio.wait_for(made.find_current(["a", "b", "c"]), 10)
-    assert found is not None and found.ip == "c" and not there.transport.abort.called
-    assert list(selector.failed) == ["a"]
-    assert await search_by_dials({"a": OSError()})[0].find_current(["a"]) is None
-
-
-def test_without_a_link_a_current_node_is_preferred_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
-    old, late = (
-        Dialled(ControlNodeHeartbeat((), False, 1, 60_000)),
-        Dialled(ControlNodeHeartbeat((), True, 1, 0)),
-    )
-    old.up.set()
-
-    async def run(up: bool) -> str:
-        made, _ = search_by_dials({"a": old, "b": late})
-        if up:
-            asyncio.get_running_loop().call_soon(late.up.set)
-        else:
-            monkeypatch.setattr(candidate_search, "RESERVE_S", 0.0)
-        found = await asyncio.wait_for(made.find_current(["a", "b"]), 10)
-        assert found is not None
-        return found.ip
-
-    assert asyncio.run(run(False)) == "a" and not old.transport.abort.called
-    monkeypatch.undo()
-    monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
-    assert asyncio.run(run(True)) == "b" and old.transport.abort.called
-
-
-@pytest.mark.parametrize(("age_ms", "taken"), [(0, True), (60_000, False)])
-def test_nearer_node_is_chosen_only_if_current(age_ms: int, taken: bool) -> None:
-    there = Dialled(ControlNodeHeartbeat((), True, 1, age_ms))
-    there.up.set()
-    made, selector = search_by_dials({"a": there})
-    found = asyncio.run(made.probe_nearer("a"))
-    assert (found is not None) == taken and there.transport.abort.called == (not taken)
-    assert ("a" in selector.failed) == (not taken)
-
-
-async def test_node_that_answers_too_late_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(candidate_probe, "BESIDE_S", 0.0)
-    one, other = (Dialled(ControlNodeHeartbeat((), True, 1, 0)) for _ in range(2))
-    asked = candidate_probe.CandidateProbe(search_by_dials({"a": one, "b": other})[0].probe, ["a", "b"], 2)
-    one.up.set()
-    chosen = await asked.next_reply()
-    other.up.set()
-    await asyncio.sleep(0)  # It has come up, but is not told any more.
-    asked.selected = chosen
-    asked.close()
-    for _ in range(5):
-        await asyncio.sleep(0)
-    assert other.transport.abort.called and not one.transport.abort.called
-
-
-@pytest.mark.parametrize(("young", "dials"), [(0.0, 2), (60.0, 1)])
-async def test_peer_that_dials_us_is_redialled_if_our_dial_hangs(
-    monkeypatch: pytest.MonkeyPatch, young: float, dials: int
-) -> None:
-    monkeypatch.setattr(links, "MIN_DIAL_AGE_S", young)
-    made = links.Links(PeerIdentity(CONTROL_NODE, "1", "a"), 1, Mock(), Mock(), Mock(), Mock())
-    begun = list[str]()
-
-    async def dial(ip: str) -> Any:
-        begun.append(ip)
-        await asyncio.Event().wait()
-
-    made.dial = dial  # type: ignore[method-assign]
-    made.set_peers(["2"])
-    await asyncio.sleep(0)
-    made.redial_if_stuck("3")
-    made.redial_if_stuck("2")
-    for _ in range(3):
-        await asyncio.sleep(0)
-    assert begun == ["2"] * dials
-    await made.close()
-
-
-@pytest.mark.parametrize("most", [200, 0])
-def test_request_waits_a_moment_at_a_proxy_that_has_just_started(
-    monkeypatch: pytest.MonkeyPatch, most: int
-) -> None:
-    monkeypatch.setattr(handling, "WAIT", 10.0)
-    monkeypatch.setattr(awaited, "MOST", most)
-
-    async def playing() -> None:
-        async def well(head: bytes, body: bytes, writer: Any) -> bytes:
-            return proxy_rig.answer(head)
-
-        async with proxy_rig.Rig(well, items=ItemUpdate(proxy_rig.PLAIN.items, False)) as rig:
-            heads = rig.shelves[0].heads
-            asked = asyncio.ensure_future(rig.ask())
-            if most:
-                while not rig.proxy.admission.flying:
-                    await asyncio.sleep(0)
-                assert not heads
-                rig.proxy.hear(ItemUpdate((), True))
-            status, head, _ = await asked
-            assert (status, b"retry-after" in head) == ((200, False) if most else (503, True))
-            if not most:
-                monkeypatch.setattr(awaited, "MOST", 1)
-                monkeypatch.setattr(handling, "WAIT", 0.0)
-                assert (await rig.ask())[0] == 503 and not heads
-
-    proxy_rig.run(playing)
