--- a/ambershift/system/__init__.py
+++ b/ambershift/system/__init__.py
@@ -1,1 +1,1 @@
-"""The whole global load balancer: proxies that carry traffic, control nodes that hold what all must know."""
+"""The global load balancer: proxies carry the traffic, control nodes hold the state that all must share."""
--- a/ambershift/system/processes/__init__.py
+++ b/ambershift/system/processes/__init__.py
@@ -1,1 +1,1 @@
-"""The two programs: their sockets, clocks and threads around the machines."""
+"""The processes of the two roles: sockets, clocks, signals and threads around the state machines."""
--- a/ambershift/system/state_machine.py
+++ b/ambershift/system/state_machine.py
@@ -1,7 +1,8 @@
-"""What every state machine of the system is made of: it takes an event and returns what is to be done.
+"""Events and effects that the system's state machines share.
 
-`step(now, event) -> list[Effect]`. `now` is the steady clock in whole nanoseconds; a machine knows no socket,
-file, clock or random source of its own (a seed is handed to it). The shell carries the effects out in order.
+A state machine has `step(now, event) -> list[Effect]`. `now` is the steady clock in whole nanoseconds. A
+machine has no socket, file, clock or random source of its own; it gets a seed. Its caller carries the effects
+out in order, so that a simulation can run the same machines.
 """
 
 from __future__ import annotations
@@ -15,10 +16,15 @@
 NS_PER_MS = 1_000_000
 
 
-# Events that all machines know.
+# Events.
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message from another machine, named by its ip; for proxies by their name."""
+    """A message has arrived.
+
+    Attributes:
+        sender: The ip of a control node, or the name of a proxy.
+        message: The decoded message.
+    """
 
     sender: str
     message: msgspec.Struct
@@ -33,12 +39,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed: a wake that was asked for, or the shell's own beat."""
+    """Time has passed: a scheduled tick, or the regular one."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteCompleted:
-    """A write is on disk, synced; or it has failed, and `fault` says how ("full", "stalled", "failed")."""
+    """A write has ended.
+
+    Attributes:
+        token: Of the `Write`.
+        fault: None if the rows are synced to disk; else "full", "stalled" or "failed".
+    """
 
     token: int
     fault: str | None = None
@@ -47,7 +58,12 @@
 # Effects.
 @dataclass(frozen=True, slots=True)
 class Send:
-    """To a control node's ip or a proxy's name. May be lost: whoever needs an answer asks again."""
+    """Send a message. It may be lost: a sender that needs an answer sends it again.
+
+    Attributes:
+        recipient: The ip of a control node, or the name of a proxy.
+        message: The message, not yet encoded.
+    """
 
     recipient: str
     message: msgspec.Struct
@@ -55,7 +71,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Rows (table, key, value; None deletes) for one synced disk transaction, then `WriteCompleted`."""
+    """Write rows to disk in one synced transaction; `WriteCompleted` follows.
+
+    Attributes:
+        token: Names the write in its `WriteCompleted`.
+        rows: Table, key and value of each row; the value None deletes it.
+    """
 
     token: int
     rows: tuple[tuple[str, str, bytes | None], ...]
@@ -63,7 +84,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteCall:
-    """The outcome of a call that an event brought."""
+    """Complete a call that an event started.
+
+    Attributes:
+        call_id: Of the call, as the event gave it.
+        outcome: What the caller gets.
+    """
 
     call_id: int
     outcome: Any
@@ -71,14 +97,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleTick:
-    """A `Tick` at `at_ns` (ns, steady) or soon after."""
+    """Ask for a `Tick`.
+
+    Attributes:
+        at_ns: By the steady clock; the tick comes then or soon after.
+    """
 
     at_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A numbered event for the log, with its fields."""
+    """Write a numbered event to the log.
+
+    Attributes:
+        number: Of the catalogue in `system/events.py`.
+        fields: As the catalogue names them.
+    """
 
     number: int
     fields: dict[str, Any]
