--- a/tests/system/processes/test_control_node.py
+++ b/tests/system/processes/test_control_node.py
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("grace", [1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0, 10.0, 30.0])
 def test_request_may_run_until_the_last_sixth_of_the_grace_period(grace: float) -> None:
-    """uvicorn stops waiting so long after it was told to exit, at `TAKES_ON` of the grace."""
+    """uvicorn stops waiting so long after it was told to exit, at `ACCEPTING_SHARE` of the grace period."""
     config = create_server(Mock(), 60, response_deadline_s(grace) - ACCEPTING_SHARE * grace).config
     assert config.timeout_graceful_shutdown is not None
     cut = ACCEPTING_SHARE * grace + config.timeout_graceful_shutdown
--- a/tests/system/test_events.py
+++ b/tests/system/test_events.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("number", sorted(EVENTS))
-def test_earlier_names_of_fields_are_told_apart(number: int) -> None:
+def test_earlier_field_names_do_not_clash_with_present_ones(number: int) -> None:
     described = EVENTS[number]
     assert len(set(described.fields)) == len(described.fields)
     assert described.earlier_names.keys() <= set(described.fields)
