--- a/ambershift/system/consensus/events.py
+++ b/ambershift/system/consensus/events.py
@@ -1,4 +1,7 @@
-"""What a replica takes beside the events of `steps`: its callers' wishes, and links that come up."""
+"""What a replica handles besides the events of `state_machine`: the calls of its callers.
+
+`call` is the caller's number of a call; the outcome repeats it. Time-outs are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +15,25 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteItems:
+    """Store items on a majority of the voters."""
+
     call: int
     items: Sequence[Item]
-    timeout_s: float  # Seconds.
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class ReadQuorum:
+    """Read what a majority of the voters stores."""
+
     call: int
     timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeRegister:
+    """Run a change on an agreed register."""
+
     call: int
     register: str
     change: ChangeFunction
--- a/ambershift/system/consensus/proposer.py
+++ b/ambershift/system/consensus/proposer.py
@@ -1,6 +1,7 @@
-"""The proposer of registers: queues the changes of each, judges them together, and has the voters agree.
+"""The proposer of registers (CASPaxos): queues the changes of each, applies them together, has them accepted.
 
-One trip for whoever proposed last (each accepted write promises its proposer the next ballot), two otherwise.
+One round trip for the machine that proposed last, as each accepted write promises its proposer the next
+ballot; two otherwise.
 """
 
 from __future__ import annotations
@@ -25,10 +26,10 @@
 )
 from ambershift.system.state_machine import NS_PER_MS
 
-CHANGES_PER_ROUND_MAX = 64  # Calls judged in one round at the most.
+CHANGES_PER_ROUND_MAX = 64
 RETRY_INTERVAL_NS = 250 * NS_PER_MS
-TAKEOVER_COUNTER_STEP = 1000  # A proposer that takes a register over goes so far above what it knows of it.
-BACKOFF_MAX_NS = 600 * NS_PER_MS  # Before the next try of a round that was refused.
+TAKEOVER_COUNTER_STEP = 1000  # A proposer that takes a register over goes this far above what it knows.
+BACKOFF_MAX_NS = 600 * NS_PER_MS  # Before the next attempt of a round that was rejected.
 
 AcceptorReply = Acknowledgement | Promise | Rejected | MissingBase
 
@@ -67,6 +68,15 @@
         deadline_ns: int,
         on_done: Callable[[CallSucceeded | Exception], None],
     ) -> None:
+        """Run a change on a register.
+
+        Args:
+            register_name: Of the register.
+            change: Makes the new value of the newest one; may be called more than once.
+            deadline_ns: When the outcome is given at the latest, steady clock.
+            on_done: Gets `CallSucceeded` with the change's result, the error that the change raised,
+                `OutcomeUnknownError`, or `NotAppliedError`.
+        """
         register = self._registers.get(register_name)
         if register is None:
             register = self._registers[register_name] = ProposerRegister(register_name)
@@ -155,7 +165,7 @@
             register.prepared = PreparedBallot(
                 round_.epoch, next_ballot, ballot, round_.origin_ballot, round_.value
             )
-        if round_.rejected:  # Somebody was promised more: prepare above it next time.
+        if round_.rejected:  # Another proposer was promised a higher ballot: prepare above it next time.
             register.prepared = None
         for pending, result in round_.results:
             pending.on_done(result)
@@ -175,7 +185,7 @@
             self._apply_changes(register, prepared, after_prepare=False)
             return
         register.local_state = self._acceptor.state(register.name)
-        # This copy may be behind by the writes of a while, and to be refused costs a trip and a pause.
+        # This copy may miss the latest writes, and a rejection costs a round trip and a backoff.
         register.highest_counter = (
             max(register.highest_counter, register.local_state.promised_ballot[0]) + TAKEOVER_COUNTER_STEP
         )
@@ -192,11 +202,11 @@
     def _apply_changes(
         self, register: ProposerRegister, prepared: PreparedBallot, after_prepare: bool
     ) -> None:
-        """Judge the calls that wait, one on what the other leaves, and have the outcome agreed.
+        """Apply the queued changes, each to what the one before left, and have the last value accepted.
 
-        On a `fresh` lease, from a prepare, even what changes nothing is written. That all asked have accepted
-        one value doesn't prove that it holds: they may have it from the voters before, and another, higher
-        one may still come up from a machine that wasn't asked.
+        After a prepare even a value that no change altered is written. That all voters asked have accepted it
+        doesn't prove that it is chosen: they may have it from the previous voters, and another, higher one
+        may still come up from a machine that wasn't asked.
         """
         batch, register.queue = register.queue[:CHANGES_PER_ROUND_MAX], register.queue[CHANGES_PER_ROUND_MAX:]
         if not batch:
@@ -279,7 +289,7 @@
             register.round = None
 
     def _abandon_round(self, register: ProposerRegister, paused: bool = True) -> None:
-        """The round can't be completed: its calls are judged anew on what a higher ballot finds."""
+        """The round can't complete: its changes are applied anew to what a higher ballot finds."""
         round_ = register.round
         if round_ is None:
             return
@@ -291,7 +301,7 @@
             self._start_next_round(register)
             return
         register.failed_attempts += 1
-        # Two rounds must fit into a pause, or two proposers take a register from each other for ever.
+        # Two rounds must fit into a backoff, or two proposers take a register from each other for ever.
         most = min(self._fanout.double_round_time_ns << min(register.failed_attempts, 4), BACKOFF_MAX_NS)
         register.backoff_until_ns = self._out.now + self._rng.randrange(most)
         self._out.schedule_tick(register.backoff_until_ns)
@@ -300,6 +310,7 @@
     # Time and voters.
 
     def tick(self) -> None:
+        """Answer callers whose deadline has passed, and retry rounds that wait too long."""
         now = self._out.now
         for name in sorted(self._active):
             register = self._registers[name]
@@ -337,7 +348,7 @@
             register.prepared = None
 
     def epoch_changed(self) -> None:
-        """Rounds and leases of the epoch before count for nothing: prepare anew among the new voters."""
+        """Rounds and prepared ballots of the previous epoch don't count: prepare among the new voters."""
         for name in sorted(self._registers):
             register = self._registers[name]
             register.prepared = None
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -1,7 +1,7 @@
-"""A control node's copy of what all must know: the small machines of this package wired into one (no I/O).
+"""A control node's copy of the replicated state: the components of this package wired into one. No I/O.
 
-Events are those of `steps` and of `events`; effects those of `steps` and `News`. Outcomes of calls are
-`Held(result)` or an error of `contracts`.
+Events are those of `state_machine` and of `events`; effects those of `state_machine` and `ItemsUpdated`.
+Outcomes of calls are `CallSucceeded(result)` or an error of `interfaces`.
 """
 
 from __future__ import annotations
@@ -69,7 +69,10 @@
 
 
 class Replica:
-    """The components of one control node's copy, and the order in which they see each event."""
+    """The components of one control node's copy, and the order in which they handle each event.
+
+    `seed` is that of all random draws, `rows` what is on disk by table and key, `now` the steady clock in ns.
+    """
 
     def __init__(
         self,
@@ -193,6 +196,7 @@
     # Events.
 
     def step(self, now: int, event: Event) -> list[Effect | ItemsUpdated]:
+        """Handle one event at `now` (ns, steady); returns what is to be done, in order."""
         out = self._out
         since, out.now = now - out.now, now
         self._contact.record_elapsed(since)
@@ -230,7 +234,7 @@
         self._heartbeats.tick()
         self._quorum_writer.tick()
         if not self._voters.can_vote and self._out.now >= self._next_prefetch_ns:
-            # Whoever may be made a voter should then lack little.
+            # A learner that is made a voter should then miss little.
             self._next_prefetch_ns = self._out.now + PREFETCH_INTERVAL_NS
             if not self._voters.is_voter and (near := self._failure_detector.nearest_voter()) is not None:
                 self._anti_entropy.repair_from(near)
@@ -246,7 +250,7 @@
             if not self._proposer.receive_reply(sender, message) and isinstance(message, Acknowledgement):
                 self._quorum_writer.acknowledge(sender, message)
         elif isinstance(message, MergeItems):
-            taken = self._merge(message)  # Newer is newer, whoever votes.
+            taken = self._merge(message)  # In any epoch: an item is newer by its version alone.
             if message.request_id and taken:
                 self._vote_requests.handle(sender, message, message.epoch)
         elif isinstance(message, _VOTE_REQUESTS):
@@ -283,29 +287,35 @@
 
     @property
     def store(self) -> ItemStore:
+        """The items of this copy."""
         return self._store
 
     @property
     def voters(self) -> VotingState:
+        """Who votes, and whether this machine may."""
         return self._voters
 
     @property
     def peer_directory(self) -> PeerDirectory:
+        """The control nodes known."""
         return self._peer_directory
 
     @property
     def failure_detector(self) -> FailureDetector:
+        """Which peers are alive."""
         return self._failure_detector
 
     @property
     def contact(self) -> ContactLease:
+        """How old this copy may be."""
         return self._contact
 
     def is_leaving_voters(self) -> bool:
-        """Whether this machine, which tells that it is about to end, is no voter soon, or isn't one now."""
+        """Whether this machine, whose process is about to end, isn't a voter or is about to lose its seat."""
         me = self._voters.local_node
         return not self._voters.is_voter or all(one.ip != me.ip for one in self._membership.plan().voters)
 
     @property
     def is_disk_failing(self) -> bool:
+        """Whether the disk refused the last write, or takes too long over it."""
         return self._journal.is_unhealthy
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -1,4 +1,4 @@
-"""The shell of the replica: its disk, its callers' futures, its messages. Implements `ReplicatedState`."""
+"""The I/O around a `Replica`: its disk, its callers' futures, its messages. Implements `ReplicatedState`."""
 
 from __future__ import annotations
 
@@ -42,24 +42,40 @@
 EVENT_LISTENER_FAILED = 6
 EVENT_DISK_QUARANTINED = 206
 EVENT_DISK_UNAVAILABLE = 207
-DISK_REOPEN_INTERVAL_S = 0.3  # Seconds between tries to open the folder.
-LEAVE_POLL_INTERVAL_S = 0.02  # Seconds between looks whether this machine has left.
+DISK_REOPEN_INTERVAL_S = 0.3  # Between attempts to open the folder.
+LEAVE_POLL_INTERVAL_S = 0.02
 
 
 class StorageBackend(Protocol):
-    """The disk under a store: `disk.Disk`, or a simulated one."""
+    """The disk under a store: `disk.Disk`, or a simulated one.
+
+    Attributes:
+        quarantine_reason: Why the files found at `open` were set aside; None where they weren't.
+    """
 
     quarantine_reason: str | None
 
-    def open(self) -> Rows: ...
+    def open(self) -> Rows:
+        """Read all rows, by table and key.
+
+        Raises:
+            OSError: The folder can't be read or written now.
+            sqlite3.Error: The same, of the database.
+        """
 
-    def write(self, write: Write) -> None: ...
+    def write(self, write: Write) -> None:
+        """Write rows in one transaction; its token is reported once they are synced, or have failed."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """End once what was given to `write` is written."""
 
 
 class ReplicatedStore:
-    """`send(ip, message)` may lose it; `steady` gives ns; `log(number, fields)`. Call `tick` each 50 ms."""
+    """A control node's replicated state. Call `tick` each 50 ms.
+
+    `send(ip, message)` may lose the message, `steady_ns()` is the steady clock, `log(number, fields)` takes a
+    numbered event.
+    """
 
     def __init__(
         self,
@@ -90,13 +106,13 @@
 
     @property
     def replica(self) -> Replica | None:
-        """None before the start and after the end."""
+        """The replica; None before the start and after the end."""
         return self._replica
 
-    # The shell's side.
+    # What the process calls.
 
     async def start(self) -> None:
-        """Read the folder, trying until its disk lets it; without one all is kept in memory only."""
+        """Read the folder, again until that succeeds. Without a folder all is kept in memory only."""
         self._loop = asyncio.get_running_loop()
         rows: Rows = {}
         if self._settings.folder is not None:
@@ -122,25 +138,29 @@
                 await asyncio.sleep(DISK_REOPEN_INTERVAL_S)
 
     def receive_message(self, sender_ip: str, message: msgspec.Struct) -> None:
+        """Handle a message of `messages/replication.py`."""
         self._step(MessageReceived(sender_ip, message))
 
     def on_peer_connected(self, ip: str) -> None:
-        """A link to that one has come up: what was sent before is lost."""
+        """Handle that a link to the peer has come up: what was sent to it before is lost."""
         self._step(PeerConnected(ip))
 
     def tick(self) -> None:
+        """Handle that time has passed."""
         self._step(Tick())
 
     def start_leaving(self) -> None:
-        """The process is about to end: others are told at once to propose for themselves."""
+        """Say that the process is about to end, so that peers propose for themselves at once."""
         if self._replica is not None:
             self._replica.failure_detector.start_leaving()
             self.tick()
 
     async def wait_until_left(self, timeout_s: float) -> bool:
-        """Wait until this machine is no voter and the others are complete without it, at most `within` s.
+        """Wait until this machine is no voter and the others are complete without it.
 
-        False where that was not to be had, as the voters would be worse off without its seat."""
+        Returns:
+            False where that didn't happen in time, or won't: without it the voters would bear fewer losses.
+        """
         end = self._steady_ns() + int(timeout_s * NS_PER_SECOND)
         while self._replica is not None and self._steady_ns() < end:
             if self._replica.failure_detector.has_left():
@@ -151,7 +171,7 @@
         return False
 
     def close(self) -> None:
-        """End the disk's thread once it has written what waits. Calls still out fail."""
+        """End the disk's thread once it has written what waits. Pending calls are cancelled."""
         self._replica = None
         for future in self._calls.values():
             if not future.done():
@@ -222,24 +242,30 @@
         finally:
             self._calls.pop(number, None)
 
-    # The contract's side.
+    # `ReplicatedState`.
 
     async def write(self, items: Sequence[Item], timeout_s: float) -> None:
+        """Store items on a majority; see `ReplicatedState`."""
         await self._call(lambda call: WriteItems(call, items, timeout_s))
 
     async def read_quorum(self, timeout_s: float) -> None:
+        """Merge what a majority stores; see `ReplicatedState`."""
         await self._call(lambda call: ReadQuorum(call, timeout_s))
 
     async def change(self, register: str, change: ChangeFunction, timeout_s: float) -> Any:
+        """Run a change on a register; see `ReplicatedState`."""
         return await self._call(lambda call: ChangeRegister(call, register, change, timeout_s))
 
     def items(self) -> Mapping[Key, Item]:
+        """All items of this copy, tombstones too."""
         return {} if self._replica is None else MappingProxyType(self._replica.store.items)
 
     def subscribe(self, on_items: Callable[[Sequence[Item]], None]) -> None:
+        """Call `on_items` with each batch of items that were just updated here."""
         self._listeners.append(on_items)
 
     def control_nodes(self) -> Sequence[ControlNodeAddress]:
+        """All control nodes known and not known to be gone for good, this one too."""
         return (
             ()
             if self._replica is None
@@ -249,6 +275,7 @@
         )
 
     def membership_status(self) -> MembershipStatus | None:
+        """The voters as this machine sees them; None before the start."""
         return (
             None
             if self._replica is None
@@ -258,16 +285,21 @@
         )
 
     def has_quorum_contact(self) -> bool:
+        """Whether a majority is in contact."""
         return self._replica is not None and self._replica.failure_detector.has_quorum_contact()
 
     def contact_age_ms(self) -> int:
+        """How old this copy may be; `NO_CONTACT_AGE_MS` where that isn't known."""
         return NO_CONTACT_AGE_MS if self._replica is None else self._replica.contact.age_ms()
 
     def is_alive(self, ip: str) -> bool:
+        """Whether that control node is alive."""
         return self._replica is not None and self._replica.failure_detector.is_alive(ip)
 
     def settled_voters(self) -> frozenset[str]:
+        """The voters that have been well for a while."""
         return frozenset() if self._replica is None else self._replica.failure_detector.settled_voters()
 
     def is_responsive(self, ip: str) -> bool:
+        """Whether that control node was heard within its last few heartbeats."""
         return self._replica is not None and self._replica.failure_detector.is_responsive(ip)
--- a/ambershift/system/interfaces.py
+++ b/ambershift/system/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of a control node offer each other. Implementations stand in the packages named."""
+"""What the packages of a control node offer each other: protocols, with the values and errors they use."""
 
 from __future__ import annotations
 
@@ -41,52 +41,70 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeOutcome:
-    """What a change makes of a register: `value` None leaves it as it is. `result` goes to the caller, once
-    it is certain that the value judged was the newest and (where changed) that enough copies hold the new.
+    """What a change makes of a register.
+
+    Attributes:
+        new_value: None leaves the register as it is.
+        result: Goes to the caller, once it is certain that the change saw the newest value and that a
+            majority has accepted the new one, if any.
     """
 
     new_value: bytes | None
     result: Any
 
 
-# Takes the value (None: never written), since when (ns, steady) this machine knows exactly this value, now.
+# Takes the value (None: never written), since when this machine knows it, and now (both ns, steady).
 ChangeFunction = Callable[[bytes | None, int, int], ChangeOutcome]
 
 
 class DeltaCodec(Protocol):
-    """How a register's values are told in differences, so that a large value need not travel whole."""
+    """Makes deltas of a register's values, so that a large value need not be sent complete."""
 
     def diff(self, old: bytes, new: bytes) -> bytes | None:
-        """None where the whole value is no larger."""
+        """The delta from `old` to `new`; None where the complete value is no larger."""
 
-    def patch(self, old: bytes, difference: bytes) -> bytes: ...
+    def patch(self, old: bytes, difference: bytes) -> bytes:
+        """The value that `diff` made the delta for."""
 
 
 class ReplicatedState(Protocol):
-    """`consensus/`: items merged one by one, and agreed registers, each synced on enough copies."""
+    """The state that all control nodes share: items, merged one by one, and agreed registers.
+
+    `consensus/replicated_store.py` implements it. Time-outs are in seconds.
+    """
 
     async def write(self, items: Sequence[Item], timeout_s: float) -> None:
-        """Merge, and return once these or newer are synced on enough copies.
+        """Merge the items, and return once these or newer ones are synced on a majority of the voters.
 
-        Raises `OutcomeUnknownError`, `NotAppliedError`.
+        Raises:
+            OutcomeUnknownError: Too few voters answered in time.
+            NotAppliedError: No voters are known, or the store is closed.
         """
 
     async def read_quorum(self, timeout_s: float) -> None:
-        """Merge what enough copies hold: `items()` then has all acknowledged.
+        """Merge what a majority of the voters stores: `items()` then has all that was acknowledged before.
 
-        Raises `OutcomeUnknownError`.
+        Raises:
+            OutcomeUnknownError: Too few voters answered in time.
+            NotAppliedError: The store is closed.
         """
 
     def items(self) -> Mapping[Key, Item]:
-        """All items merged here, tombstones too."""
+        """All items of this copy, tombstones too."""
 
     def subscribe(self, on_items: Callable[[Sequence[Item]], None]) -> None:
-        """Call `heard` with each batch of items that has just become newer here."""
+        """Call `on_items` with each batch of items that were just updated here."""
 
     async def change(self, register: str, change: ChangeFunction, timeout_s: float) -> Any:
-        """Run a change on a register, through this machine as proposer. Returns the verdict's result.
+        """Run a change on a register, with this machine as proposer.
+
+        Returns:
+            The `result` of the change's outcome.
 
-        Raises `OutcomeUnknownError` (it may hold) or `NotAppliedError` (it never will).
+        Raises:
+            OutcomeUnknownError: Too few voters answered in time; the change may be applied.
+            NotAppliedError: It isn't applied and never will be.
+            Exception: What the change itself raised.
         """
 
     def control_nodes(self) -> Sequence[ControlNodeAddress]:
@@ -96,16 +114,16 @@
         """The voters as this machine sees them (`consensus/membership_view.py`); None before it runs."""
 
     def has_quorum_contact(self) -> bool:
-        """Whether enough of the others were heard within the last second and a half."""
+        """Whether a majority of the voters is in contact, within the last second and a half."""
 
     def contact_age_ms(self) -> int:
-        """How long ago the last moment was before which nothing was acknowledged that isn't held here."""
+        """How old this copy may be: all that was acknowledged longer ago than this is stored here."""
 
     def is_alive(self, ip: str) -> bool:
-        """Whether that control node was heard lately (always for this one)."""
+        """Whether that control node was heard recently; always true of this one."""
 
     def settled_voters(self) -> frozenset[str]:
-        """The voters that have been well for a while, so that all agree on them; none where most are not."""
+        """The voters that have been well for a while, so that all agree on them; none where too few have."""
 
     def is_responsive(self, ip: str) -> bool:
-        """Whether it was heard within two or three of its beats: it may be slow, but it is there."""
+        """Whether it was heard within two or three of its heartbeats: it may be slow, but it is running."""
