--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -185,7 +185,7 @@
             for tick in (self.store.tick, self.registry.tick, self.controller.tick, self.control_api.tick):
                 try:
                     tick()
-                except Exception as error:  # noqa: BLE001
+                except Exception as error:
                     self.log_fault("tick", error)
             self.log_traffic()
             self.links.set_peers([*self.settings.seed_ips, *(node.ip for node in self.store.control_nodes())])
@@ -202,7 +202,7 @@
         """Handle a message; a fault in it must not break the link it came on."""
         try:
             self.dispatch(caller, message)
-        except Exception as error:  # noqa: BLE001
+        except Exception as error:
             self.log_fault(type(message).__name__, error)
 
     def dispatch(self, caller: PeerIdentity, message: msgspec.Struct) -> None:
