--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -1,4 +1,4 @@
-"""One pool's tables: what the decision module is told of names, and what its orders say to proxies by name.
+"""One pool's tables: feeds the decision module (`ambershift/policy/`), and turns its orders into messages.
 
 Orders that proxies have no use for are dropped: levels and masks (a proxy admits and repeats by its routes,
 and by budgets of its own); watches, fetches, probes, tells and notes, which the terms here never ask for; and
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Assigned:
-    """What a step makes: backends withdrawn (before all else), messages to proxies, marks to be answered."""
+    """What a step makes: backends to eject (before all else), messages to proxies, barriers."""
 
     shut: list[str] = field(default_factory=list)
     sends: list[tuple[str, msgspec.Struct]] = field(default_factory=list)
@@ -67,7 +67,7 @@
         self.busy, self.listed, self.dealt_at = True, False, -(1 << 62)
 
     def seat(self, seats: dict[str, Seat]) -> None:
-        """Tell what is new or changed of the pool's backends."""
+        """Add the pool's backends that are new or changed."""
         entries = list[api.Entry]()
         for id, seat in seats.items():
             if seat != self.seats.get(id) and (seat.phase or id in self.seats):
@@ -102,7 +102,7 @@
         self.strain.came(proxy, count, span)
 
     def meet(self, zone: int, met: Told) -> None:
-        """What a proxy of a zone met at a backend; told in sums, one a zone and backend and step."""
+        """A proxy's results at a backend; summed by zone, backend and step."""
         if met.backend_id in self.seats:
             tries, bad, took = self.met.get((zone, met.backend_id), (0, 0, 0))
             good = met.attempts - met.failures
@@ -113,7 +113,7 @@
             )
 
     def applied(self, mark: int, proxy: str, took: int) -> None:
-        """Note that a proxy has applied what was sent before a mark; `took` is ns from sending to answer."""
+        """Note that a proxy has applied what came before a barrier; `took` is ns from sending to answer."""
         self.events.append(api.Applied(mark, took, index_of(proxy)))
         self.busy = True
 
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -1,4 +1,8 @@
-"""The controller's shell: looks after the proxies linked to this node, with tables, list and items."""
+"""Sends the proxies linked to this node their tables, the endpoint list and the items.
+
+Old names in the code: `core` is a control node, `ledger` the replicated store, `sign` a heartbeat to proxies
+(`ControlNodeHeartbeat`), `mark` the number of a `Barrier`, `life` an incarnation of a backend.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +44,7 @@
 
 
 class Controller:
-    """`send_proxy(name, message)` may lose what it is given where the proxy has no link."""
+    """`send_proxy(name, message)` loses the message if the proxy has no link."""
 
     def __init__(
         self,
@@ -71,8 +75,8 @@
 
     # Proxies.
     def proxy_linked(self, name: str) -> None:
-        """A new link of a proxy, before its first message: whatever the old one was told is told again. It
-        gets a sign at once: by that it judges whether to say Hello here.
+        """A new link of a proxy, before its first message: whatever was sent on the old one is sent again. It
+        gets a heartbeat at once: by that it decides whether to send its Hello here.
         """
         self.hellos.pop(name, None)
         self.send_proxy(name, self._sign(self.ledger.control_nodes()))
@@ -93,7 +97,7 @@
             self._applied(name, message.number)
 
     def proxy_lost(self, name: str) -> None:
-        if name in self.hellos:  # Many only ask for a sign.
+        if name in self.hellos:  # Many only wait for a heartbeat (`CandidateProbe`).
             self.log(PROXY_LOST, {"proxy": name})
         self.registry.proxy_disconnected(name)
         self._unlink(name)
@@ -116,14 +120,14 @@
         self.hellos[hello.name] = hello
         self.settled = self.settled or self.registry.is_complete()
         self._send(self.pushes.greet(hello.name, self.ledger.items().values(), self._list()))
-        # Behind the items: from here on the sign's age is that of what the proxy has.
+        # Behind the items: from here on the heartbeat's staleness is that of what the proxy has.
         self.send_proxy(hello.name, self._sign(self.ledger.control_nodes()))
         self.pool_loads.join(hello.name, hello.zone, "", hello.incarnation)
         if self.freshening is None:
             self.freshening = asyncio.ensure_future(self._freshen())
 
     async def _freshen(self) -> None:
-        """Merge what enough hold after a Hello, until each proxy has its sign."""
+        """Read a quorum after a Hello, until each proxy was told that it has all (`ItemUpdate.complete`)."""
         try:
             while asked := self.pushes.wanting():
                 try:
@@ -195,7 +199,7 @@
         if moved or gone:
             self.registry.rates_changed(moved, gone)
         self._send(self.pushes.flush())
-        # Tables dealt from a list heard in part would press all traffic on few.
+        # Tables computed from an incomplete list would send all traffic to few backends.
         if self.settled:
             self._spread(now, self.pool_loads.deal(now))
         if now >= self.signed_at + SIGN_EACH:
@@ -203,7 +207,7 @@
             self._send_signs()
 
     def _spread(self, now: int, turns: Sequence[tuple[str, Assigned]]) -> None:
-        """Withdrawals of all pools first, then lines and binds, then a mark for whoever got any."""
+        """Send ejections of all pools, then table entries and binds, then a barrier to whoever got any."""
         # A backend may be in several pools, and is withdrawn from proxies once.
         for id in {id for _, dealt in turns for id in dealt.shut} - self.withdrawn:
             self.withdrawn.add(id)
--- a/ambershift/system/distribution/flows.py
+++ b/ambershift/system/distribution/flows.py
@@ -1,4 +1,4 @@
-"""Traffic of the proxies linked here, summed by zone and pool, and which sums others are to hear."""
+"""Traffic of the proxies linked here, summed by zone and pool, and which sums the other nodes are sent."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         self.came.pop(proxy, None)
 
     def tell(self, now: int, pools: Collection[str]) -> tuple[list[PoolRate], list[tuple[str, str]]]:
-        """Sums that have moved by a tenth since they were told, and those that are there no more."""
+        """Sums that have moved by a tenth since they were published, and those that are gone."""
         if now < self.told_at + TOLD_EACH:
             return [], []
         self.told_at = now
--- a/ambershift/system/distribution/pool_loads.py
+++ b/ambershift/system/distribution/pool_loads.py
@@ -34,7 +34,7 @@
         self.lives: dict[str, Instance] = {}
         self.evacuated: set[str] = set()
         self.cold: dict[str, int] = {}  # Backends that are cold, until when.
-        self.proxies: dict[str, tuple[str, str, str]] = {}  # Zone, keeper ("": here) and life.
+        self.proxies: dict[str, tuple[str, str, str]] = {}  # Zone, control node ("": here), incarnation.
         self.carried: dict[tuple[str, str], float] = {}  # Parts of requests not yet fed.
         self.fed_at = 0
 
@@ -73,7 +73,7 @@
         self._seat(fresh)
 
     def join(self, name: str, zone: str, keeper: str, life: str) -> None:
-        """A proxy; of those linked elsewhere, that keeper's, only the traffic counts."""
+        """Add a proxy; of one that is linked to another node (`keeper`) only the traffic counts."""
         if self.proxies.get(name) != (zone, keeper, life):
             self.proxies[name] = zone, keeper, life
             for assigner in self.assigners.values():
@@ -110,7 +110,7 @@
                 assigner.meet(zone, met)
 
     def feed(self, now: int, flows: Mapping[tuple[str, str, str], int]) -> None:
-        """What others tell of their traffic (requests per 100 s by node, zone, pool) is usage there."""
+        """The other nodes' traffic (requests per 100 s by node, zone, pool) is usage there."""
         span, self.fed_at = min(now - self.fed_at, 2 * FED_EACH), now
         counts = defaultdict[tuple[str, str], list[str]](list)
         for name, (zone, keeper, _) in self.proxies.items():
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -1,4 +1,4 @@
-"""What proxies are told of items, backends and control nodes: all on a Hello, then what is newer."""
+"""Which items and backends proxies are sent: all on a Hello, then what is newer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Pushed:
-    """A proxy on one link: whether it still wants the sign that all is merged, and a list that is whole."""
+    """A proxy on one link: whether it was told that all is merged, and has a complete endpoint list."""
 
     link: int
     complete: bool = False
@@ -64,7 +64,7 @@
         return [Send(name, change) for name in self.proxies]
 
     def wanting(self) -> dict[str, int]:
-        """Proxies that wait for the sign that all is merged, with their link."""
+        """Proxies that wait to be told that all is merged, with their link."""
         return {name: one.link for name, one in self.proxies.items() if not one.complete}
 
     def complete(self, asked: dict[str, int], items: Iterable[Item]) -> list[Send]:
@@ -94,7 +94,7 @@
         return [Send(name, change) for name in self.proxies]
 
     def settle(self, backends: Sequence[Backend]) -> list[Send]:
-        """By now all have been heard: proxies that were spared a whole list get it."""
+        """The endpoint list is complete by now: send it to proxies that have only an incomplete one."""
         owed = [name for name, one in self.proxies.items() if not one.whole]
         for name in owed:
             self.proxies[name].whole = True
--- a/ambershift/system/events.py
+++ b/ambershift/system/events.py
@@ -1,4 +1,4 @@
-"""The catalogue of numbered log events. `docs/system-events.md` tells operators what to do about each.
+"""The catalogue of numbered log events. `docs/system-events.md` says what to do about each.
 
 Numbers stay for good. A field that was renamed has its earlier name in `earlier_names`, for searches in logs
 of earlier versions; the page gives it too.
--- a/ambershift/system/proxy/attempt.py
+++ b/ambershift/system/proxy/attempt.py
@@ -1,4 +1,4 @@
-"""One request's tries at backends: what each has come to, whether another may follow, and the last word.
+"""One request's attempts at backends: the outcome of each, whether another may follow, and our own status.
 
 No input or output. Widens the idea of `ambershift.attempt` (what a failed try proves) to what a proxy sees.
 """
@@ -13,7 +13,7 @@
 
 
 class Stage(IntEnum):
-    """How far a try got. From `SENDING` on, bytes of the request may have reached the backend."""
+    """How far an attempt got. From `SENDING` on, bytes of the request may have reached the backend."""
 
     NOT_CONNECTED = 0
     CONNECTED = 1
@@ -72,7 +72,7 @@
 
 
 def outcome(stage: Stage, ending: Ending, told: Told | None = None) -> Outcome:
-    """The one outcome of a try that ended so at this stage. Total: every pair has one."""
+    """The one outcome of an attempt that ended so at this stage. Total: every pair has one."""
     if stage <= Stage.CONNECTED:
         return Outcome.NOT_RUN
     if ending is not Ending.ANSWERED or told is None or not told.ours:
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True)
 class Tries:
-    """The tries of one request so far. `deadline` is ns on the steady clock."""
+    """The attempts of one request so far. `deadline` is ns on the steady clock."""
 
     repeatable: bool
     most: int
@@ -111,7 +111,7 @@
         self.under_way += 1
 
     def ended(self, stage: Stage, came_to: Outcome) -> None:
-        """A try under way has ended. Counts the arrival that it may have been."""
+        """An attempt has ended. Count it as an arrival if the request may have reached the backend."""
         self.under_way -= 1
         if stage <= Stage.CONNECTED:
             self.connects += 1
@@ -122,7 +122,7 @@
 
     @property
     def costs(self) -> bool:
-        """Whether the next try draws on the service's budget."""
+        """Whether the next attempt is paid from the service's retry budget."""
         return self.arrivals + self.under_way > 0
 
     def may(self, now: int) -> bool:
--- a/ambershift/system/proxy/backend_view.py
+++ b/ambershift/system/proxy/backend_view.py
@@ -1,4 +1,4 @@
-"""The backends a proxy knows, by life, service and pool, with tables and binds. No input or output."""
+"""The backends a proxy knows, by incarnation, service and pool, with tables and binds. No input or output."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Tier:
-    """Lives to choose among, their weights, and the running sums of these."""
+    """Incarnations to choose among, their weights, and the running sums of these."""
 
     __slots__ = ("lives", "sums", "weights")
 
@@ -31,8 +31,8 @@
 
 
 class Pool:
-    """A service's lives within homes. `listed` are those of the bound table, `near` those of the proxy's own
-    region, `all` every one; each choice goes on to the next where it finds nothing good.
+    """A service's incarnations within the home regions. `listed` are those of the bound table, `near` those
+    of the proxy's own region, `all` every one; each choice goes on to the next where it finds nothing good.
     """
 
     def __init__(self, name: str) -> None:
@@ -49,7 +49,7 @@
 
 
 class BackendView:
-    """Takes in what the control node and the items tell of backends. Times are ns, steady."""
+    """Merges what the control node and the items say of backends. Times are ns, steady."""
 
     def __init__(self, region: str, zones: Mapping[str, str], cold_for: Callable[[str], int]) -> None:
         """`cold_for`: how long, ns, a backend of a service may be cold after a start."""
@@ -121,7 +121,7 @@
             life.ended = True
 
     def forget(self, ids: Iterable[str]) -> None:
-        """These lives ended so long ago that nobody tells of them any more."""
+        """The tombstones of these incarnations were collected: drop them."""
         self._over.difference_update(ids)
 
     def evacuate(self, zone: str) -> None:
--- a/ambershift/system/proxy/connections.py
+++ b/ambershift/system/proxy/connections.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class IdlePool:
-    """Connections to one life. `idle` is used from its end, so that few are kept busy and the others age."""
+    """Connections to one incarnation. `idle` is used from its end, so that few stay busy and others age."""
 
     origin: httpcore.Origin
     idle: list[Wire] = field(default_factory=list)
@@ -34,7 +34,7 @@
 
 
 class Connections:
-    """Idle and busy connections by life; `steady` is the clock, ns."""
+    """Idle and busy connections by incarnation; `steady` is the clock, ns."""
 
     def __init__(self, steady: Callable[[], int]) -> None:
         self._steady = steady
@@ -110,7 +110,7 @@
             pool.strange_until = self._steady() + STRANGE_FOR
 
     def sweep(self) -> None:
-        """Let go of idle ones that the peer has closed or soon will, and of the oldest above the most."""
+        """Close idle ones that the peer has closed or soon will, and of the oldest above the most."""
         now, kept = self._steady(), list[Wire]()
         for life in [life for life in self._pools if life.ended]:
             self.drop(life)
--- a/ambershift/system/proxy/course.py
+++ b/ambershift/system/proxy/course.py
@@ -1,4 +1,4 @@
-"""The course of one request: one try after another, and beside one that stays silent, until an answer."""
+"""All attempts for one request: retries, and a hedged request while a backend is silent, until an answer."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
         return self._left
 
     def _begin(self) -> Try | None:
-        """The next try, if one may be made and a backend is there for it."""
+        """The next attempt, if one is allowed and there is a backend for it."""
         proxy, tries = self.proxy, self.tries
         now = proxy.steady()
         if self._left or not tries.may(now):
@@ -97,8 +97,8 @@
         return came
 
     async def _beside(self, first: Try) -> Came:
-        """A try, and once its backend is silent to everybody a second one elsewhere; the first good answer
-        counts. The other is not broken off: its backend may be at work.
+        """An attempt, and a hedged one elsewhere once its backend is silent to all requests; the first good
+        answer counts. The other is not cancelled: its backend may be at work.
         """
         task: Racing = asyncio.ensure_future(self._see(first))
         await _either(task, first.life.patience() / NS_PER_SECOND)
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/handling.py
@@ -1,4 +1,4 @@
-"""One request at the proxy, from its head to its answer: the thin part between machine and sockets."""
+"""One request at the proxy, from its head to its answer: connects the decisions with the sockets."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 Send = Callable[[Any], Awaitable[None]]
 
 CLOSE = (b"connection", b"close")
-# What is taken off the time handed to a backend, for the way and our own work, ns.
+# Subtracted from the time that a backend is given, for the network and our own work, ns.
 WAY = 4 * NS_PER_MS
 # How long a request waits for a proxy that has just started, s: a moment later it may well be served.
 WAIT = 0.12
@@ -52,7 +52,7 @@
 
 
 class Handling:
-    """Reads one request and sees it through. Knows no rule: route, pick, budget and tries say what to do."""
+    """Serves one request. It has no rules of its own: route, pick, budget and attempts decide."""
 
     def __init__(self, proxy: ProxyState, scope: Any, receive: Receive, send: Send) -> None:
         self.proxy, self.scope, self.receive, self.send = proxy, scope, receive, send
@@ -142,7 +142,7 @@
         return self.proxy.chance.choices(pools, best)[0]
 
     async def read_body(self) -> int:
-        """Reads it whole. Returns the status to refuse it with, or 0."""
+        """Read the complete body. Return the status to refuse it with, or 0."""
         most = self.proxy.routing.limits.body
         parts, size, more = list[bytes](), 0, True
         if (self.asked.length or 0) > most:
@@ -172,7 +172,7 @@
         return True
 
     async def serve(self, route: Route, pool: Pool, deadline: int) -> None:
-        """See it through its tries; then pass on what a backend has answered, or answer by ourselves."""
+        """Make the attempts; then pass on what a backend has answered, or answer by ourselves."""
         course = self.course = Course(self.proxy, route, pool, deadline, self.asked.attempt, self.request)
         came = await course.run()
         if course.left:
@@ -204,7 +204,7 @@
         return httpcore.Request(scope["method"], url, headers=headers, content=self.body or None)
 
     async def pass_on(self, came: Came, reply: Reply) -> None:
-        """An answer of the backend, whole or as it comes. One that breaks off ends the connection."""
+        """Pass on a backend's answer, complete or as a stream. One that breaks off ends the connection."""
         if reply.rest is None:
             await self.pass_whole(came.headers, reply)
             return
--- a/ambershift/system/proxy/isolation.py
+++ b/ambershift/system/proxy/isolation.py
@@ -1,4 +1,4 @@
-"""Tells when the proxy itself is cut off: nobody answers it, whoever is asked."""
+"""Detects that the proxy itself is partitioned: no backend in several zones answers it."""
 
 from __future__ import annotations
 
--- a/ambershift/system/proxy/lives.py
+++ b/ambershift/system/proxy/lives.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of each life of a backend: whether it may be used, how full it is, how it has fared."""
+"""What a proxy knows of each incarnation of a backend: whether it may be used, its load, its failures."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ambershift.system.messages.proxy_link import Backend
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
-# A told load counts for so long, ns.
+# A reported load counts for so long, ns.
 LOAD_FOR = NS_PER_SECOND
 # Pauses after failures grow from the first to the most, ns.
 PAUSE_FIRST, PAUSE_MOST = NS_PER_SECOND // 2, 5 * NS_PER_SECOND
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, eq=False)
 class Life:
-    """One life (`InstanceId`). Times are ns on the steady clock."""
+    """One incarnation of a backend (`InstanceId`). Times are ns on the steady clock."""
 
     id: str
     service: str
@@ -63,7 +63,7 @@
         )
 
     def full(self, now: int) -> bool:
-        """Whether others should be preferred: our own requests fill it, or it has just told of a queue."""
+        """Whether others should be preferred: our own requests fill it, or it has just reported a queue."""
         return (
             self.flying >= self.slots
             or self.flying >= self.room
--- a/ambershift/system/proxy/pick.py
+++ b/ambershift/system/proxy/pick.py
@@ -1,4 +1,4 @@
-"""Picks a backend for one try: two weighted choices inside the bound table, and what to do beyond it."""
+"""Picks a backend for one attempt: two weighted choices inside the bound table, and what to do beyond it."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 def pick(
     pool: Pool, now: int, tried: Collection[Life], chance: Random, cold: ColdMay, left: int
 ) -> Life | None:
-    """The backend for the next try of a request that has been at `tried`, if there is one that may be used
-    and hasn't too much to do. `cold` says whether a cold backend may get one request now; `left` is how long,
+    """The backend for the next attempt of a request that was sent to `tried`, if one may be used
+    and isn't overloaded. `cold` says whether a cold backend may get one request now; `left` is how long,
     ns, the answer may take if all have queues.
     """
     listed = pool.listed
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -108,14 +108,14 @@
         self._outdated = False  # Whether there may be what was dropped and forgotten since.
         self._first = False  # Whether the next items are the first of a link: all that its node has.
         self._told: set[Key] | None = None  # By the link in use, until it has told all.
-        self.unusable = False  # Whether the link in use can't tell what stands: another one is needed.
+        self.unusable = False  # Whether this link's node may lack collected drops: another is needed.
         self.routes = 0
         self._services: dict[str, Service] = {}
         self._routes: dict[str, Route] = {}
         self._hosts: dict[bytes, _Host] = {}
 
     def begin_link(self) -> None:
-        """What comes from here on is told by another control node, or by one that was lost meanwhile."""
+        """A link begins, to another control node or to one that was lost meanwhile."""
         self._first, self._told, self.unusable = True, set(), False
 
     def merge(self, items: Sequence[Item]) -> list[Item]:
@@ -153,8 +153,8 @@
         return fresh
 
     def complete_link(self) -> None:
-        """All that stands has been told on this link. What is as old as forgotten drops and wasn't told was
-        dropped while this proxy was away.
+        """All items in force have come on this link. What is no newer than collected tombstones and didn't
+        come was dropped while this proxy was away.
         """
         if self._outdated and self._told is not None and not self.unusable:
             old = [one for one in self.items.values() if one.kind in CONFIGURATION_KINDS]
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -1,4 +1,4 @@
-"""The proxy server: what control nodes tell goes in, requests come as an ASGI application, reports out."""
+"""The proxy without its sockets: control nodes' messages, clients' requests (ASGI), load reports."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ProxyServer(ProxyState):
-    """One front machine's part in the traffic. `steady` gives ns of a clock that only runs forward."""
+    """One proxy. `steady` gives ns of a clock that only runs forward."""
 
     def __init__(self, settings: Local, steady: Callable[[], int], chance: Random | None = None) -> None:
         super().__init__(settings, steady, chance or Random())
@@ -79,7 +79,7 @@
         )
 
     def report(self, now: int) -> proxy_link.LoadReport:
-        """What came and was met since the last call."""
+        """Requests by pool, and results by backend, since the last call."""
         span, self._reported = (now - self._reported) // NS_PER_MS, now
         met = list[proxy_link.BackendLoad]()
         for life in self.backend_view.lives.values():
--- a/ambershift/system/proxy/state.py
+++ b/ambershift/system/proxy/state.py
@@ -53,7 +53,7 @@
         return found
 
     def cut(self, now: int) -> bool:
-        """Whether nobody answers this proxy, so that a request is better refused at once."""
+        """Whether no backend answers this proxy, so that a request is better refused at once."""
         return self.isolation.cut(now, self.backend_view.lives.values())
 
     def pick(self, pool: Pool, now: int, tried: list[Life], left: int) -> Life | None:
@@ -68,7 +68,7 @@
         return self.cold.may(life, now, self.proxies, rate)
 
     def let_run(self, task: asyncio.Task[Came]) -> None:
-        """A try whose answer is not needed any more goes on to its end by itself."""
+        """Let an attempt whose answer isn't needed any more end by itself."""
 
         def ended(task: asyncio.Task[Came]) -> None:
             self._on_their_own.discard(task)
--- a/ambershift/system/proxy/trying.py
+++ b/ambershift/system/proxy/trying.py
@@ -1,4 +1,4 @@
-"""One try at one backend: a connection, the request on it, the answer judged, the books kept."""
+"""One attempt at one backend: a connection, the request on it, its outcome, and the backend's statistics."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Came:
-    """What a try came to. `reply` where a backend's answer may be passed on, with the headers to pass."""
+    """The result of an attempt. `reply` where a backend's answer may be passed on, with these headers."""
 
     by: Try
     outcome: Outcome
@@ -33,7 +33,7 @@
     def __init__(
         self, connections: Connections, steady: Callable[[], int], life: Life, near: bool, paid: bool
     ) -> None:
-        """`paid`: out of the service's budget of further arrivals."""
+        """`paid`: from the service's retry budget. `near`: in the proxy's own region."""
         self.connections, self.steady, self.life, self.near = connections, steady, life, near
         self.paid = paid
         self.wire: Wire | None = None
@@ -94,7 +94,7 @@
             self.wire.net.give_up()
 
     def close(self) -> None:
-        """Let go, whatever was under way; a try that has ended already is not touched."""
+        """End the attempt, whatever was under way; one that has ended already is not touched."""
         if self._open:
             self._over()
             self.life.given_up()
