--- a/ambershift/modelcheck/models/consensus_table.py
+++ b/ambershift/modelcheck/models/consensus_table.py
@@ -16,7 +16,7 @@
 from ambershift.system.interfaces import ChangeOutcome, NotAppliedError
 from ambershift.system.messages import replication
 from ambershift.system.messages.replication import Voter, VoterConfiguration
-from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.settings.process_settings import ProcessSettings, TimerBounds
 from ambershift.system.simulation.lists import Appending, split
 from ambershift.system.state_machine import (
     NS_PER_SECOND,
@@ -73,8 +73,8 @@
     return Appending()
 
 
-def settings(place: int) -> Local:
-    return Local(
+def settings(place: int) -> ProcessSettings:
+    return ProcessSettings(
         file="",
         name=IPS[place],
         machine_class="core",
@@ -83,14 +83,14 @@
         region=f"r{place}",
         counted=True,
         initial=True,
-        folder="-",
-        internal=(1, 2),
+        data_directory="-",
+        internal_ports=(1, 2),
         seeds=tuple(f"{ip}:1" for ip in IPS),
-        listen={},
+        listen_addresses={},
         zones={},
-        heartbeat=1.5,
-        tolerated=(1, 1, 1),
-        bounds=Bounds(),
+        heartbeat_interval_s=1.5,
+        tolerated_losses=(1, 1, 1),
+        bounds=TimerBounds(),
     )
 
 
--- a/ambershift/system/__main__.py
+++ b/ambershift/system/__main__.py
@@ -11,7 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-from ambershift.system.settings.local import VARIABLE, Local, SettingsError, read_local
+from ambershift.system.settings.process_settings import (
+    VARIABLE,
+    ProcessSettings,
+    SettingsError,
+    read_settings,
+)
 
 
 def parser() -> argparse.ArgumentParser:
@@ -49,12 +54,12 @@
 UNUSED = ("trio", "rich", "colorama", "better_exceptions")
 
 
-def run_role(verb: str, settings: Local) -> int:
+def run_role(verb: str, settings: ProcessSettings) -> int:
     """Run a program until it is told to end; return the exit code."""
     # Each role imports only what it runs: memory counts, and so does the time of a start.
     for name in UNUSED:
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]
-    role: Callable[[Local], Coroutine[Any, Any, None]]
+    role: Callable[[ProcessSettings], Coroutine[Any, Any, None]]
     if verb == "proxy":
         from ambershift.system.processes.proxy import run as role
     else:
@@ -112,7 +117,7 @@
         # It would end a process that is still loading; so it waits, and the file is then read once more.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
-        settings = read_local(file)
+        settings = read_settings(file)
     except SettingsError as why:
         print(why, file=sys.stderr)
         return 1 if asked.verb == "check-settings" else 2
--- a/ambershift/system/consensus/replica.py
+++ b/ambershift/system/consensus/replica.py
@@ -51,7 +51,7 @@
     SyncResponse,
     VoterConfiguration,
 )
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import (
     NS_PER_SECOND,
     Effect,
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        settings: Local,
+        settings: ProcessSettings,
         *,
         seed: int,
         delta_codecs: Callable[[str], DeltaCodec | None],
@@ -171,7 +171,7 @@
             failure_detector=self._failure_detector,
             acceptor=self._acceptor,
             proposer=self._proposer,
-            tolerated=settings.tolerated,
+            tolerated=settings.tolerated_losses,
             on_configuration=self._voter_changes.queue_decided,
         )
         self._tombstone_collector = TombstoneCollector(
--- a/ambershift/system/consensus/replicated_store.py
+++ b/ambershift/system/consensus/replicated_store.py
@@ -25,7 +25,7 @@
 from ambershift.system.interfaces import ChangeFunction, DeltaCodec, NotAppliedError
 from ambershift.system.messages.items import Item, Key
 from ambershift.system.messages.proxy_link import ControlNodeAddress
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import (
     NS_PER_SECOND,
     CompleteCall,
@@ -79,7 +79,7 @@
 
     def __init__(
         self,
-        settings: Local,
+        settings: ProcessSettings,
         *,
         send: Callable[[str, msgspec.Struct], None],
         steady_ns: Callable[[], int],
@@ -115,8 +115,8 @@
         """Read the folder, again until that succeeds. Without a folder all is kept in memory only."""
         self._loop = asyncio.get_running_loop()
         rows: Rows = {}
-        if self._settings.folder is not None:
-            self._disk = self._open_disk(self._settings.folder, self._settings.ip, self._on_written)
+        if self._settings.data_directory is not None:
+            self._disk = self._open_disk(self._settings.data_directory, self._settings.ip, self._on_written)
             rows = await self._read_disk(self._disk)
             if self._disk.quarantine_reason is not None:
                 self._log(EVENT_DISK_QUARANTINED, {"reason": self._disk.quarantine_reason})
--- a/ambershift/system/control_api/application.py
+++ b/ambershift/system/control_api/application.py
@@ -29,7 +29,7 @@
 from ambershift.system.coordination.request_fields import InvalidCallError, parse_body
 from ambershift.system.coordination.revision_ages import RevisionAges
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse, GroupChanged
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 MAX_CONFIGURATION_BYTES = 64 << 20
@@ -70,7 +70,11 @@
     """
 
     def __init__(
-        self, settings: Local, context: NodeContext, registry: Registry, first_call_number: int | None = None
+        self,
+        settings: ProcessSettings,
+        context: NodeContext,
+        registry: Registry,
+        first_call_number: int | None = None,
     ) -> None:
         """Wire the parts.
 
--- a/ambershift/system/control_api/directory_calls.py
+++ b/ambershift/system/control_api/directory_calls.py
@@ -9,7 +9,7 @@
 from ambershift.system.control_api.registry_interface import Registry
 from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.interfaces import ReplicatedState
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 
 MAX_RESOLVED_ADDRESSES = 64
 RESOLUTION_TTL_S = 2.0
@@ -18,7 +18,7 @@
 class DirectoryCalls:
     """Answers from what this node knows; nothing is agreed or forwarded."""
 
-    def __init__(self, settings: Local, store: ReplicatedState, registry: Registry) -> None:
+    def __init__(self, settings: ProcessSettings, store: ReplicatedState, registry: Registry) -> None:
         self._settings = settings
         self._store = store
         self._registry = registry
--- a/ambershift/system/control_api/evacuations.py
+++ b/ambershift/system/control_api/evacuations.py
@@ -11,14 +11,14 @@
 from ambershift.system.coordination.replies import Reply, json_reply
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError
 from ambershift.system.messages.items import ZONE, Item
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import NS_PER_SECOND
 
 
 class Evacuations:
     """Writes one replicated item for each zone; of two writes, the higher version wins."""
 
-    def __init__(self, context: NodeContext, settings: Local) -> None:
+    def __init__(self, context: NodeContext, settings: ProcessSettings) -> None:
         self._settings = settings
         self._store = context.store
         self._monotonic_ns = context.monotonic_ns
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -32,7 +32,7 @@
 from ambershift.system.messages.tombstones import COLLECTED_TOMBSTONES_KIND
 from ambershift.system.registry.records import Instance, backend_of
 from ambershift.system.registry.service import RegistryService
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import NS_PER_MS, Send
 
 SIGN_EACH, PROXIES_EACH = 400 * NS_PER_MS, 250 * NS_PER_MS
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        settings: Local,
+        settings: ProcessSettings,
         ledger: ReplicatedState,
         registry: RegistryService,
         send_proxy: Sending,
--- a/ambershift/system/node_selection/selector.py
+++ b/ambershift/system/node_selection/selector.py
@@ -27,7 +27,7 @@
 from hashlib import blake2b
 
 from ambershift.system.messages.proxy_link import ControlNodeAddress, ControlNodeHeartbeat
-from ambershift.system.settings.local import Bounds
+from ambershift.system.settings.process_settings import TimerBounds
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 SILENT = 1600 * NS_PER_MS  # Time-out of a link without messages: four heartbeats are due within it.
@@ -51,7 +51,7 @@
     return blake2b(f"{name} {ip}".encode(), digest_size=8).digest()
 
 
-def current_for(name: str, bounds: Bounds) -> int:
+def current_for(name: str, bounds: TimerBounds) -> int:
     """How old a proxy's configuration may become before it asks other control nodes, in ns.
 
     It is a share of the shortest bound on acknowledged changes, and depends on the proxy's name, so that not
--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -15,7 +15,7 @@
 from ambershift.system.processes.locality import LocalityCounter
 from ambershift.system.processes.metrics import Metric
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.transport.link_path import PROXY, PeerIdentity
 
 LINK_CHECK_INTERVAL_S = 0.1
@@ -25,7 +25,7 @@
     """What an attachment needs of `transport.links.Links`, or of simulated links."""
 
 
-def proxy_identity(settings: Local) -> PeerIdentity:
+def proxy_identity(settings: ProcessSettings) -> PeerIdentity:
     """How this proxy names itself to the nodes it dials; another identity at each start."""
     return PeerIdentity(PROXY, settings.name, secrets.token_hex(4))
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        settings: Local,
+        settings: ProcessSettings,
         server: ProxyServer,
         links: ProxyLinks,
         steady: Callable[[], int],
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -23,7 +23,7 @@
 from ambershift.system.processes.metrics import CONTROL_PORT, Metric, MetricsMiddleware
 from ambershift.system.processes.role_process import RoleProcess, background_tasks
 from ambershift.system.registry.service import RegistryIO, RegistryService
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, PeerIdentity
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.traffic_meter import Locality
@@ -48,13 +48,13 @@
         control_api: The HTTP calls of operators, applications and backends.
     """
 
-    def __init__(self, settings: Local) -> None:
+    def __init__(self, settings: ProcessSettings) -> None:
         """Prepare the control node; `run` opens its disk and sockets."""
         super().__init__(settings)
         steady = time.monotonic_ns
         self.links = Links(
             PeerIdentity(CONTROL_NODE, settings.ip, secrets.token_hex(4)),
-            settings.internal[0],
+            settings.internal_ports[0],
             self.receive,
             self.link_up,
             self.link_lost,
@@ -72,7 +72,9 @@
             log=self.log,
         )
         self.cache_file = (
-            CacheFile(settings.folder, BACKENDS_CACHE_FILE) if settings.folder is not None else None
+            CacheFile(settings.data_directory, BACKENDS_CACHE_FILE)
+            if settings.data_directory is not None
+            else None
         )
         self.registry = RegistryService(
             settings,
@@ -241,6 +243,6 @@
             self.controller.proxy_lost(caller.name)
 
 
-async def run(settings: Local) -> None:
+async def run(settings: ProcessSettings) -> None:
     """Run a control node until SIGTERM or SIGINT."""
     await ControlNode(settings).run()
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -18,7 +18,7 @@
 from ambershift.system.processes.role_process import RoleProcess, background_tasks
 from ambershift.system.proxy.intake import Intake
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.transport.links import Links
 from ambershift.system.transport.traffic_meter import Locality
 
@@ -37,13 +37,13 @@
         attachment: Keeps a link to a control node.
     """
 
-    def __init__(self, settings: Local) -> None:
+    def __init__(self, settings: ProcessSettings) -> None:
         """Prepare the proxy; `run` opens its sockets."""
         super().__init__(settings)
         self.server = ProxyServer(settings, time.monotonic_ns)
         self.links = Links(
             proxy_identity(settings),
-            settings.internal[0],
+            settings.internal_ports[0],
             lambda *_: None,
             lambda _: None,
             lambda _: None,
@@ -136,6 +136,6 @@
             self.log_traffic()
 
 
-async def run(settings: Local) -> None:
+async def run(settings: ProcessSettings) -> None:
     """Run a proxy until SIGTERM or SIGINT."""
     await Proxy(settings).run()
--- a/ambershift/system/processes/role_process.py
+++ b/ambershift/system/processes/role_process.py
@@ -14,7 +14,7 @@
 from ambershift.system.processes.logs import EventLog
 from ambershift.system.processes.metrics import PORT_TAKEN, Metric
 from ambershift.system.processes.settings_watch import POLL_INTERVAL_S, SettingsFileWatch
-from ambershift.system.settings.local import Local, SettingsError, read_local
+from ambershift.system.settings.process_settings import ProcessSettings, SettingsError, read_settings
 from ambershift.system.transport.traffic_meter import Locality, TrafficMeter
 
 
@@ -29,7 +29,7 @@
         stop_requested: Set by SIGTERM and SIGINT.
     """
 
-    def __init__(self, settings: Local) -> None:
+    def __init__(self, settings: ProcessSettings) -> None:
         """Prepare a process; nothing is opened yet."""
         self.settings = settings
         self.log = EventLog(settings.name, time.monotonic_ns)
@@ -62,7 +62,7 @@
         Raises:
             OSError: Another address is taken.
         """
-        listen = self.settings.listen
+        listen = self.settings.listen_addresses
         sockets = bind_listeners([listen[name] for name in listen_names if name in listen])
         metrics_address = f"{self.settings.ip}:{metrics_port}"
         if (metrics_socket := try_bind_listener(metrics_address)) is not None:
@@ -74,7 +74,7 @@
     def reload_settings(self) -> None:
         """Read the settings file again; one that can't be used changes nothing."""
         try:
-            self.settings = read_local(self.settings.file)
+            self.settings = read_settings(self.settings.file)
         except SettingsError as error:
             self.log(5, {"reason": str(error)})
             return
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -14,7 +14,7 @@
 from ambershift.system.proxy.lives import Life
 from ambershift.system.proxy.state import ProxyState
 from ambershift.system.proxy.wire import HOLD_LEAST, HOLD_MOST
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import NS_PER_MS
 
 READINESS = b"/ambershift/readiness"
@@ -25,11 +25,13 @@
 class ProxyServer(ProxyState):
     """One proxy. `steady` gives ns of a clock that only runs forward."""
 
-    def __init__(self, settings: Local, steady: Callable[[], int], chance: Random | None = None) -> None:
+    def __init__(
+        self, settings: ProcessSettings, steady: Callable[[], int], chance: Random | None = None
+    ) -> None:
         super().__init__(settings, steady, chance or Random())
         self._life = token_hex(8)
         self._reported = steady()
-        readiness = settings.listen.get("Readiness", "")
+        readiness = settings.listen_addresses.get("Readiness", "")
         self._readiness = int(readiness.rpartition(":")[2]) if readiness else -1
 
     @property
@@ -73,7 +75,7 @@
             self.settings.name,
             self._life,
             self.settings.zone,
-            self.settings.listen.get("Front", ""),
+            self.settings.listen_addresses.get("Front", ""),
             self.ready,
             self.leaving,
         )
--- a/ambershift/system/proxy/state.py
+++ b/ambershift/system/proxy/state.py
@@ -17,7 +17,7 @@
 from ambershift.system.proxy.pick import pick
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.proxy.trying import Came
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import NS_PER_SECOND
 
 
@@ -26,7 +26,7 @@
     report, `proxies` is how many proxies there may be at the most.
     """
 
-    def __init__(self, settings: Local, steady: Callable[[], int], chance: Random) -> None:
+    def __init__(self, settings: ProcessSettings, steady: Callable[[], int], chance: Random) -> None:
         self.settings, self.steady, self.chance = settings, steady, chance
         self.routing = Routing()
         self.backend_view = BackendView(
--- a/ambershift/system/registry/heartbeat_redirect.py
+++ b/ambershift/system/registry/heartbeat_redirect.py
@@ -5,11 +5,11 @@
 import hashlib
 
 from ambershift.system.interfaces import ReplicatedState
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 
 
 def nearer_control_node(
-    instance_id: str, zone: str, settings: Local, replicated_state: ReplicatedState
+    instance_id: str, zone: str, settings: ProcessSettings, replicated_state: ReplicatedState
 ) -> str | None:
     """Return the ip of a control node that is nearer to a backend than this one; None if there is none.
 
--- a/ambershift/system/registry/service.py
+++ b/ambershift/system/registry/service.py
@@ -34,7 +34,7 @@
 )
 from ambershift.system.registry.state_machine import RegistryStateMachine
 from ambershift.system.registry.tombstones import HttpAnswer, TombstoneWriter
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import NS_PER_SECOND, LogEvent, MessageReceived, PeerConnected, Send
 
 # Told while some proxies may not have been heard yet: proxies share the load of an instance that warms up by
@@ -91,7 +91,9 @@
         cache_file: For the snapshot; None: it isn't written.
     """
 
-    def __init__(self, settings: Local, replicated_state: ReplicatedState, io: RegistryIO, seed: int) -> None:
+    def __init__(
+        self, settings: ProcessSettings, replicated_state: ReplicatedState, io: RegistryIO, seed: int
+    ) -> None:
         """Make the service of a process that has just begun.
 
         Args:
@@ -103,14 +105,14 @@
         rng = random.Random(seed)
         self.settings = settings
         self.state_machine = RegistryStateMachine(
-            rng.getrandbits(31), int(settings.heartbeat * NS_PER_SECOND)
+            rng.getrandbits(31), int(settings.heartbeat_interval_s * NS_PER_SECOND)
         )
         self.tombstones = TombstoneWriter(replicated_state, settings.ip)
         self.snapshot_schedule = SnapshotSchedule()
         self.cache_file = io.cache_file
         self._replicated_state = replicated_state
         self._io = io
-        self._control_port = settings.listen.get("Control", "").rpartition(":")[2]
+        self._control_port = settings.listen_addresses.get("Control", "").rpartition(":")[2]
         self._home_regions = HomeRegions()
         self._resolver = AddressResolver(settings.zones, rng, self._reachable_proxies)
         self._listeners = list[EndpointsListener]()
--- a/ambershift/system/settings/local.py
+++ b/ambershift/system/settings/process_settings.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class TimerBounds:
     """The platform's bounds (`Provisions.TimerBounds`). Times are in seconds, whatever a key's unit."""
 
     contact: float = 4.0
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Local:
+class ProcessSettings:
     """The settings of one process. Addresses are "ip:port".
 
     Attributes:
@@ -78,14 +78,14 @@
     region: str
     counted: bool
     initial: bool
-    folder: str | None
-    internal: tuple[int, int]
+    data_directory: str | None
+    internal_ports: tuple[int, int]
     seeds: tuple[str, ...]
-    listen: Mapping[str, str]
+    listen_addresses: Mapping[str, str]
     zones: Mapping[str, str]
-    heartbeat: float
-    tolerated: tuple[int, int, int]
-    bounds: Bounds
+    heartbeat_interval_s: float
+    tolerated_losses: tuple[int, int, int]
+    bounds: TimerBounds
 
     @property
     def seed_ips(self) -> tuple[str, ...]:
@@ -154,7 +154,7 @@
         return str(value)
 
 
-def read_local(file: str) -> Local:
+def read_settings(file: str) -> ProcessSettings:
     """Read and check a settings file. Unknown keys are ignored.
 
     Raises:
@@ -179,7 +179,7 @@
         key: reader.address(f"Network.Listen.{key}", value)
         for key, value in take("Network.Listen", dict).items()
     }
-    return Local(
+    return ProcessSettings(
         file=file,
         name=take("SelfEntity.NodeName", str),
         machine_class=take("SelfEntity.MachineClass", str),
@@ -188,16 +188,16 @@
         region=take("SelfEntity.Region", str),
         counted=take("SelfEntity.Counted", bool, False),
         initial=take("SelfEntity.InitialStart", bool, False),
-        folder=take("SelfEntity.DataDirectory", str, "") or None,
-        internal=(ports[0], ports[1]),
+        data_directory=take("SelfEntity.DataDirectory", str, "") or None,
+        internal_ports=(ports[0], ports[1]),
         seeds=tuple(reader.address("Network.SeedNodes", one) for one in take("Network.SeedNodes", list)),
-        listen=listen,
+        listen_addresses=listen,
         zones=dict(take("Network.Zones", dict)),
-        heartbeat=take("Platform.HeartbeatMs", number, 1500) / 1000,
-        tolerated=(
+        heartbeat_interval_s=take("Platform.HeartbeatMs", number, 1500) / 1000,
+        tolerated_losses=(
             take("Provisions.Tolerance.Machines", int, 0),
             take("Provisions.Tolerance.Zones", int, 0),
             take("Provisions.Tolerance.Regions", int, 0),
         ),
-        bounds=Bounds(**bounds),
+        bounds=TimerBounds(**bounds),
     )
--- a/ambershift/system/simulation/cluster.py
+++ b/ambershift/system/simulation/cluster.py
@@ -14,7 +14,7 @@
 from ambershift.system.control_api.context import NodeContext
 from ambershift.system.coordination.value_deltas import value_delta_codec
 from ambershift.system.messages import replication
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
 from ambershift.system.simulation.observing import observe
 from ambershift.system.simulation.sockets import Connection
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place(Local):
+class Place(ProcessSettings):
     """Beside what a process is told, the time of day at its machine; none of the real classes asks for it."""
 
     wall: Callable[[], int]
@@ -118,7 +118,7 @@
         begin, pace = self.clocks[ip]
         return begin + int(self.now * pace)
 
-    def settings(self, box: Box) -> Local:
+    def settings(self, box: Box) -> ProcessSettings:
         local = replace(super().settings(box), zones=ZONES)
         return Place(
             **{one.name: getattr(local, one.name) for one in fields(local)},
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -14,7 +14,7 @@
 from ambershift.system.processes.attachment import Attachment
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.registry.service import RegistryIO, RegistryService
-from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.settings.process_settings import ProcessSettings, TimerBounds
 from ambershift.system.simulation.cluster import ZONES, Cluster
 from ambershift.system.simulation.fleet_links import Accepted, FromProxy, HungUp, ProxyLink, ProxyLinks
 from ambershift.system.simulation.loop import SimulatedLoop, simulated_loop
@@ -29,7 +29,7 @@
 class Front:
     """One proxy: its proxy and attachment as they run."""
 
-    settings: Local
+    settings: ProcessSettings
     loop: SimulatedLoop
     server: ProxyServer
     attachment: Attachment
@@ -40,7 +40,7 @@
     """`proxies` are named front-1 and so on, spread evenly over the zones."""
 
     def __init__(self, seed: int, count: int = 9, proxies: int = 9, config_apply: float = 2.5) -> None:
-        self.bounds = replace(Bounds(), config_apply=config_apply)
+        self.bounds = replace(TimerBounds(), config_apply=config_apply)
         self.controllers: dict[str, tuple[RegistryService, Controller]] = {}
         self.lines: dict[tuple[str, str], ProxyLink] = {}  # By control node and proxy.
         self.dialled = 0
@@ -52,7 +52,7 @@
 
     # Control nodes.
 
-    def settings(self, box: Box) -> Local:
+    def settings(self, box: Box) -> ProcessSettings:
         return replace(super().settings(box), bounds=self.bounds)
 
     def begin(self, box: Box, rows: dict[str, dict[str, bytes]]) -> None:
@@ -152,7 +152,7 @@
             zone=zone,
             region=ZONES[zone],
             zones=ZONES,
-            folder=None,
+            data_directory=None,
             bounds=self.bounds,
         )
         loop = simulated_loop(
--- a/ambershift/system/simulation/world.py
+++ b/ambershift/system/simulation/world.py
@@ -19,7 +19,7 @@
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.interfaces import DeltaCodec
 from ambershift.system.messages import codec
-from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.settings.process_settings import ProcessSettings, TimerBounds
 from ambershift.system.simulation.observing import observe
 from ambershift.system.state_machine import (
     NS_PER_MS,
@@ -91,10 +91,10 @@
 
     # Machines.
 
-    def settings(self, box: Box) -> Local:
+    def settings(self, box: Box) -> ProcessSettings:
         index = int(box.ip.rpartition(".")[2])
         seeds = SEEDS if box.initial else [ip for ip, one in self.boxes.items() if not one.gone][:3]
-        return Local(
+        return ProcessSettings(
             file="",
             name=box.ip,
             machine_class="core",
@@ -103,14 +103,14 @@
             region=f"r{(index - 1) % 3}",
             counted=True,
             initial=box.initial,
-            folder="-",
-            internal=(1, 2),
+            data_directory="-",
+            internal_ports=(1, 2),
             seeds=tuple(f"{ip}:1" for ip in seeds),
-            listen={},
+            listen_addresses={},
             zones={},
-            heartbeat=1.5,
-            tolerated=(1, 1, 1),
-            bounds=Bounds(),
+            heartbeat_interval_s=1.5,
+            tolerated_losses=(1, 1, 1),
+            bounds=TimerBounds(),
         )
 
     def start(self, ip: str) -> None:
--- a/benchmarks/capacity/world.py
+++ b/benchmarks/capacity/world.py
@@ -13,7 +13,7 @@
 from ambershift.system.interfaces import ChangeFunction
 from ambershift.system.messages import proxy_link, registry_sync
 from ambershift.system.messages.items import Item, Key
-from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.settings.process_settings import ProcessSettings, TimerBounds
 from ambershift.system.testbed.book import Route, limits_part, routes_part, services_part
 
 HEARTBEAT, CONTROL_NODES = 1.5, 6
@@ -170,10 +170,10 @@
     )
 
 
-def local(size: Size, at: int = 0, listen: Mapping[str, str] | None = None) -> Local:
+def local(size: Size, at: int = 0, listen: Mapping[str, str] | None = None) -> ProcessSettings:
     """Settings of a control node or (its zone's) proxy."""
     core = cores(size)[at]
-    return Local(
+    return ProcessSettings(
         "",
         f"node{at}",
         "core",
@@ -189,7 +189,7 @@
         size.places,
         HEARTBEAT,
         (1, 1, 1),
-        Bounds(),
+        TimerBounds(),
     )
 
 
--- a/tests/support/fake_control_nodes.py
+++ b/tests/support/fake_control_nodes.py
@@ -16,7 +16,7 @@
 from ambershift.system.messages.codec import decode, encode
 from ambershift.system.messages.items import Item, Key, newest
 from ambershift.system.messages.proxy_link import ControlNodeAddress
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import NS_PER_SECOND
 from tests.support.local_settings import control_node_settings
 
@@ -244,6 +244,6 @@
         return True
 
 
-def _settings_of(ip: str) -> Local:
+def _settings_of(ip: str) -> ProcessSettings:
     zones = {"riga-a": "riga", "riga-b": "riga"}
     return control_node_settings(ip, zone="riga-a", region="riga", zones=zones)
--- a/tests/support/local_settings.py
+++ b/tests/support/local_settings.py
@@ -5,12 +5,12 @@
 from dataclasses import replace
 from typing import Any
 
-from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.settings.process_settings import ProcessSettings, TimerBounds
 
 
-def control_node_settings(ip: str, **changed: Any) -> Local:
+def control_node_settings(ip: str, **changed: Any) -> ProcessSettings:
     """What the control node at `ip` is told; `changed` replaces fields."""
-    plain = Local(
+    plain = ProcessSettings(
         file="",
         name=ip,
         machine_class="core",
@@ -19,13 +19,13 @@
         region="r",
         counted=True,
         initial=True,
-        folder=None,
-        internal=(7000, 7001),
+        data_directory=None,
+        internal_ports=(7000, 7001),
         seeds=(),
-        listen={},
+        listen_addresses={},
         zones={},
-        heartbeat=1.5,
-        tolerated=(1, 1, 1),
-        bounds=Bounds(),
+        heartbeat_interval_s=1.5,
+        tolerated_losses=(1, 1, 1),
+        bounds=TimerBounds(),
     )
     return replace(plain, **changed)
--- a/tests/support/proxy_rig.py
+++ b/tests/support/proxy_rig.py
@@ -16,14 +16,14 @@
 from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ControlNodeHeartbeat, ItemUpdate
 from ambershift.system.proxy.intake import Intake
 from ambershift.system.proxy.server import ProxyServer
-from ambershift.system.settings.local import Bounds, Local
+from ambershift.system.settings.process_settings import ProcessSettings, TimerBounds
 
 ZONES = {"north": "up", "hill": "up", "south": "down"}
 # A script gets the request's head in lower case, its body, and the writer; what it returns is sent.
 Script = Callable[[bytes, bytes, asyncio.StreamWriter], Awaitable[bytes | None]]
 
 
-def settings(**changed: Any) -> Local:
+def settings(**changed: Any) -> ProcessSettings:
     plain: dict[str, Any] = dict(
         file="",
         name="proxy-1",
@@ -33,16 +33,16 @@
         region="up",
         counted=False,
         initial=True,
-        folder=None,
-        internal=(7000, 7001),
+        data_directory=None,
+        internal_ports=(7000, 7001),
         seeds=(),
-        listen={"Front": "127.0.0.1:1", "Readiness": "127.0.0.1:2"},
+        listen_addresses={"Front": "127.0.0.1:1", "Readiness": "127.0.0.1:2"},
         zones=ZONES,
-        heartbeat=1.5,
-        tolerated=(1, 1, 1),
-        bounds=Bounds(retry_slack=64, cold_overrun=1.5, cold_slack=5),
+        heartbeat_interval_s=1.5,
+        tolerated_losses=(1, 1, 1),
+        bounds=TimerBounds(retry_slack=64, cold_overrun=1.5, cold_slack=5),
     )
-    return Local(**{**plain, **changed})
+    return ProcessSettings(**{**plain, **changed})
 
 
 def route(name: str, prefix: str, kind: str = "idempotent", version: int = 1, **more: Any) -> Item:
--- a/tests/support/simulated_exchange.py
+++ b/tests/support/simulated_exchange.py
@@ -115,9 +115,9 @@
             ip,
             zone=zone,
             region=ZONES[zone],
-            listen={"Control": f"{ip}:8080"},
+            listen_addresses={"Control": f"{ip}:8080"},
             zones=ZONES,
-            heartbeat=HEARTBEAT_INTERVAL_NS / NS_PER_SECOND,
+            heartbeat_interval_s=HEARTBEAT_INTERVAL_NS / NS_PER_SECOND,
         )
         self.replicated_state = SimulatedReplicatedState(world, ip)
         self.log_events = list[tuple[int, Any]]()
--- a/tests/system/consensus/test_disk.py
+++ b/tests/system/consensus/test_disk.py
@@ -20,7 +20,7 @@
 from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.interfaces import ChangeOutcome
 from ambershift.system.messages.items import Item
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import NS_PER_SECOND, Write
 from tests.support.local_settings import control_node_settings
 from tests.system.consensus.conftest import IP, OpenedDisk
@@ -117,9 +117,14 @@
     assert told == ["first", "second"] and not journal.is_unhealthy
 
 
-def settings(folder: Path) -> Local:
+def settings(folder: Path) -> ProcessSettings:
     return control_node_settings(
-        IP, name="one", folder=str(folder), internal=(1, 2), seeds=(f"{IP}:1",), tolerated=(0, 0, 0)
+        IP,
+        name="one",
+        data_directory=str(folder),
+        internal_ports=(1, 2),
+        seeds=(f"{IP}:1",),
+        tolerated_losses=(0, 0, 0),
     )
 
 
--- a/tests/system/consensus/test_replica.py
+++ b/tests/system/consensus/test_replica.py
@@ -14,7 +14,9 @@
 def test_new_link_gets_announcement_and_pending_sync_requests_at_once() -> None:
     ips = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
     seeds = tuple(f"{ip}:1" for ip in ips)
-    settings = control_node_settings(ips[0], name="one", internal=(1, 2), seeds=seeds, tolerated=(1, 0, 0))
+    settings = control_node_settings(
+        ips[0], name="one", internal_ports=(1, 2), seeds=seeds, tolerated_losses=(1, 0, 0)
+    )
     replica = Replica(settings, seed=7, delta_codecs=lambda name: None, rows={}, now=NOW)
     replica.step(NOW, WriteCompleted(1))
     asked = replica.step(NOW, ReadQuorum(1, 1.0))
--- a/tests/system/node_selection/test_selector.py
+++ b/tests/system/node_selection/test_selector.py
@@ -15,7 +15,7 @@
     Choice,
     current_for,
 )
-from ambershift.system.settings.local import Bounds
+from ambershift.system.settings.process_settings import TimerBounds
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 CORES = (
@@ -105,12 +105,14 @@
 def test_time_to_another_node_is_within_the_bound_on_changes(apply: float) -> None:
     """The sum of the budget of `node_selection/selector.py`, with the times of a slow network."""
     look, dial, told, items = 0.1, 4 * 0.05, 2 * 0.05, 0.4
-    bounds = Bounds(config_apply=apply, drain=9, evacuation=9)
+    bounds = TimerBounds(config_apply=apply, drain=9, evacuation=9)
     spread = {current_for(f"front-{at}", bounds) for at in range(99)}
     assert len(spread) > 20 or apply == 2.0  # Proxies don't search all at once, if the bound allows.
     assert max(spread) / NS_PER_SECOND + look + dial + told + items < apply
     assert min(spread) >= NS_PER_SECOND  # Proofs are 0.7 s old without load, 0.9 s during many changes.
-    assert current_for("a", Bounds(config_apply=9, drain=apply, evacuation=9)) <= apply * NS_PER_SECOND / 2
+    assert (
+        current_for("a", TimerBounds(config_apply=9, drain=apply, evacuation=9)) <= apply * NS_PER_SECOND / 2
+    )
 
 
 def test_closer_node_is_dialled_once_the_link_has_been_up_long_enough() -> None:
--- a/tests/system/settings/test_settings.py
+++ b/tests/system/settings/test_settings.py
@@ -7,7 +7,7 @@
 
 from ambershift.system.__main__ import main
 from ambershift.system.processes.settings_watch import SettingsFileWatch
-from ambershift.system.settings.local import SettingsError, read_local
+from ambershift.system.settings.process_settings import SettingsError, read_settings
 from ambershift.system.testbed.settings import CONTROL_NODE, PROXY, Machine, Site, toml
 
 
@@ -22,15 +22,15 @@
 
 def test_complete_file_is_read(site: Site) -> None:
     core, front = machine(site, CONTROL_NODE), machine(site, PROXY)
-    read = read_local(str(site.write(core, initial=True)))
+    read = read_settings(str(site.write(core, initial=True)))
     assert (read.name, read.ip, read.zone, read.region) == (core.name, core.ip, core.zone, core.region)
-    assert read.initial and read.counted and read.folder == str(site.data(core))
-    assert read.listen["Control"] == site.control(core) and read.zones == site.zones
-    assert read.heartbeat == 0.5 and read.tolerated == (1, 1, 1)
+    assert read.initial and read.counted and read.data_directory == str(site.data(core))
+    assert read.listen_addresses["Control"] == site.control(core) and read.zones == site.zones
+    assert read.heartbeat_interval_s == 0.5 and read.tolerated_losses == (1, 1, 1)
     assert read.bounds.drain == 1.5 and read.bounds.retry_ratio == 0.2 and read.bounds.ttl_most == 2
     assert read.seed_ips == tuple(one.ip for one in site.of(CONTROL_NODE)[:3])
-    proxy = read_local(str(site.write(front, initial=False)))
-    assert proxy.folder is None and not proxy.initial and not proxy.counted
+    proxy = read_settings(str(site.write(front, initial=False)))
+    assert proxy.data_directory is None and not proxy.initial and not proxy.counted
 
 
 def test_unknown_fields_are_ignored_and_missing_bounds_have_defaults(site: Site) -> None:
@@ -39,8 +39,8 @@
     tables["Provisions"]["TimerBounds"] = {"GraceS": 2.5, "Fenced": True}
     path = site.folder / "more.toml"
     path.write_text(toml(tables))
-    assert read_local(str(path)).bounds.grace == 2.5
-    assert read_local(str(path)).bounds.contact == 4.0
+    assert read_settings(str(path)).bounds.grace == 2.5
+    assert read_settings(str(path)).bounds.contact == 4.0
 
 
 MISSING = object()
@@ -84,7 +84,7 @@
     file = site.folder / "bad.toml"
     file.write_text(toml(tables))
     with pytest.raises(SettingsError) as raised:
-        read_local(str(file))
+        read_settings(str(file))
     assert (raised.value.file, raised.value.key) == (str(file), key) and raised.value.reason
     assert main(["check-settings", str(file)]) == 1
     told = capsys.readouterr().err
@@ -97,7 +97,7 @@
     if content is not None:
         file.write_bytes(content)
     with pytest.raises(SettingsError) as raised:
-        read_local(str(file))
+        read_settings(str(file))
     assert raised.value.file == str(file) and str(file) in str(raised.value)
     assert main(["proxy", "--settings", str(file)]) == 2
 
