--- a/ambershift/system/processes/attachment.py
+++ b/ambershift/system/processes/attachment.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from ambershift.system.messages.proxy_link import LoadReport
-from ambershift.system.node_selection.selector import Choice, current_for
+from ambershift.system.node_selection.selector import ControlNodeSelector, max_configuration_age_ns
 from ambershift.system.processes.attachment_log import AbandonReason, AttachmentLog
 from ambershift.system.processes.candidate_search import CandidateSearch, Dialer
 from ambershift.system.processes.control_link import ControlLink, SendQueueFactory
@@ -50,12 +50,12 @@
             steady: The steady clock, in ns.
             log: Writes an event, by its number and fields.
         """
-        self.selector = Choice(
+        self.selector = ControlNodeSelector(
             settings.name,
             settings.zone,
             settings.region,
             settings.seed_ips,
-            current_for(settings.name, settings.bounds),
+            max_configuration_age_ns(settings.name, settings.bounds),
         )
         locality = LocalityCounter(settings.zone, settings.region)
         self.events = AttachmentLog(self.selector, locality, steady, log)
@@ -75,7 +75,7 @@
 
     async def _maintain_link(self) -> None:
         now = self._steady()
-        if self._link_task is not None and self.selector.silent(now):
+        if self._link_task is not None and self.selector.is_link_silent(now):
             self.events.abandoned(AbandonReason.SILENT)
             self._close_link()
         reply = self.search.take_background_reply()
@@ -95,8 +95,8 @@
             return
         self._link_task.cancel()
         self._link_task = None
-        if self.selector.linked is not None:
-            self.selector.fail(self._steady(), self.selector.linked)
+        if self.selector.linked_ip is not None:
+            self.selector.record_failure(self._steady(), self.selector.linked_ip)
 
     def send_hello(self) -> None:
         """Tell the control node what this proxy is, if that has changed."""
--- a/ambershift/system/processes/attachment_log.py
+++ b/ambershift/system/processes/attachment_log.py
@@ -9,7 +9,7 @@
 
 from ambershift.system.messages.items import LIMITS, ROUTE, SERVICE
 from ambershift.system.messages.proxy_link import BindTable, ItemUpdate, LoadReport
-from ambershift.system.node_selection.selector import Choice
+from ambershift.system.node_selection.selector import ControlNodeSelector
 from ambershift.system.processes.locality import LocalityCounter, Located
 from ambershift.system.processes.metrics import Metric
 from ambershift.system.state_machine import NS_PER_MS
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        selector: Choice,
+        selector: ControlNodeSelector,
         locality: LocalityCounter,
         steady: Callable[[], int],
         log: Callable[[int, dict[str, Any]], None],
@@ -58,7 +58,7 @@
         self._log(
             112,
             {
-                "peer": self._selector.linked,
+                "peer": self._selector.linked_ip,
                 "reason": str(reason),
                 "configuration_age_ms": self.configuration_age_ms(),
             },
@@ -96,7 +96,7 @@
             self.configuration_version = max(self.configuration_version, *versions)
             self._log(
                 117,
-                {"peer": self._selector.linked, "items": len(versions), "version": max(versions)},
+                {"peer": self._selector.linked_ip, "items": len(versions), "version": max(versions)},
             )
 
     def no_newer_configuration(self, candidates: int) -> None:
@@ -105,7 +105,7 @@
 
     def configuration_age_ms(self) -> int | None:
         """Upper bound of the configuration's age; None before the first proof."""
-        proved = self._selector.proved
+        proved = self._selector.proven_as_of
         return None if proved is None else (self._steady() - proved) // NS_PER_MS
 
     def metrics(self, linked: bool) -> list[Metric]:
--- a/ambershift/system/processes/candidate_probe.py
+++ b/ambershift/system/processes/candidate_probe.py
@@ -9,7 +9,7 @@
 from websockets.asyncio.connection import Connection
 
 from ambershift.system.messages.proxy_link import ControlNodeHeartbeat
-from ambershift.system.node_selection.selector import BESIDE_S
+from ambershift.system.node_selection.selector import HEDGE_DELAY_S
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -30,8 +30,9 @@
 class CandidateProbe:
     """Probes control nodes in a given order, several at once, and yields their replies as they arrive.
 
-    Another candidate is probed for each one that fails, or that takes longer than `BESIDE_S`. Use it with
-    `contextlib.closing`: `close` ends the probes in flight and aborts all connections but the selected one.
+    Another candidate is probed for each one that fails, or that takes longer than `HEDGE_DELAY_S`. Use it
+    with `contextlib.closing`: `close` ends the probes in flight and aborts all connections but the selected
+    one.
     """
 
     def __init__(
@@ -83,7 +84,7 @@
 
     def _wait_timeout_s(self) -> float | None:
         """Seconds until another candidate is probed or the deadline passes; None without either."""
-        limits = [BESIDE_S if self._remaining else None, self._time_remaining_s()]
+        limits = [HEDGE_DELAY_S if self._remaining else None, self._time_remaining_s()]
         return min((limit for limit in limits if limit is not None), default=None)
 
     def _time_remaining_s(self) -> float | None:
--- a/ambershift/system/processes/candidate_search.py
+++ b/ambershift/system/processes/candidate_search.py
@@ -12,7 +12,12 @@
 
 from ambershift.system.messages import codec
 from ambershift.system.messages.proxy_link import ControlNodeHeartbeat
-from ambershift.system.node_selection.selector import RESERVE_S, SIGN_S, WIDTH, Choice
+from ambershift.system.node_selection.selector import (
+    CURRENT_REPLY_WAIT_S,
+    FIRST_HEARTBEAT_TIMEOUT_S,
+    SEARCH_CONCURRENCY,
+    ControlNodeSelector,
+)
 from ambershift.system.processes.attachment_log import AbandonReason, AttachmentLog
 from ambershift.system.processes.candidate_probe import CandidateProbe, ProbeReply, cancel_probe
 
@@ -37,7 +42,7 @@
     """
 
     def __init__(
-        self, selector: Choice, dialer: Dialer, steady: Callable[[], int], events: AttachmentLog
+        self, selector: ControlNodeSelector, dialer: Dialer, steady: Callable[[], int], events: AttachmentLog
     ) -> None:
         """Prepare a search; nothing is dialled yet.
 
@@ -60,8 +65,8 @@
             while (reply := await candidates.next_reply()) is not None:
                 if candidates.selected is None:
                     candidates.selected = reply
-                    candidates.limit_wait(RESERVE_S)
-                if self._selector.current(reply.heartbeat):
+                    candidates.limit_wait(CURRENT_REPLY_WAIT_S)
+                if self._selector.is_sender_current(reply.heartbeat):
                     candidates.selected = reply
                     break
         if candidates.selected is None:
@@ -70,9 +75,9 @@
 
     async def find_fresher(self, ips: Sequence[str]) -> ProbeReply | None:
         """With a link whose configuration may be stale: the first of the nodes that proves a newer one."""
-        with contextlib.closing(CandidateProbe(self.probe, ips, WIDTH)) as candidates:
+        with contextlib.closing(CandidateProbe(self.probe, ips, SEARCH_CONCURRENCY)) as candidates:
             while (reply := await candidates.next_reply()) is not None and self._is_stale():
-                if self._selector.newer(self._steady(), reply.heartbeat):
+                if self._selector.has_newer_proof(self._steady(), reply.heartbeat):
                     candidates.selected = reply
                     break
         if candidates.selected is not None:
@@ -84,9 +89,9 @@
     async def probe_nearer(self, ip: str) -> ProbeReply | None:
         """Probe a nearer node; None if it doesn't answer or isn't current."""
         reply = await self.probe(ip)
-        if reply is not None and not self._selector.current(reply.heartbeat):
+        if reply is not None and not self._selector.is_sender_current(reply.heartbeat):
             reply.connection.transport.abort()
-            self._selector.fail(self._steady(), ip)
+            self._selector.record_failure(self._steady(), ip)
             return None
         return reply
 
@@ -95,10 +100,10 @@
         try:
             connection = await self._dialer.dial(ip)
         except OSError:
-            self._selector.fail(self._steady(), ip)
+            self._selector.record_failure(self._steady(), ip)
             return None
         try:
-            async with asyncio.timeout(SIGN_S):
+            async with asyncio.timeout(FIRST_HEARTBEAT_TIMEOUT_S):
                 data = await connection.recv()
             message = codec.decode(data if isinstance(data, bytes) else data.encode())
         except (TimeoutError, ConnectionClosed, codec.UnreadableError):
@@ -109,14 +114,14 @@
         if isinstance(message, ControlNodeHeartbeat):
             return ProbeReply(ip, connection, message)
         connection.transport.abort()
-        self._selector.fail(self._steady(), ip)
+        self._selector.record_failure(self._steady(), ip)
         return None
 
     def start_background(self, now: int) -> None:
         """Start the background probes that the selector asks for at `now` (ns)."""
-        if self._fresher_search is None and self._selector.search(now):
+        if self._fresher_search is None and self._selector.begin_search_if_due(now):
             self._fresher_search = asyncio.ensure_future(self.find_fresher(self._selector.search_order(now)))
-        if self._nearer_probe is None and (nearer := self._selector.nearer(now)) is not None:
+        if self._nearer_probe is None and (nearer := self._selector.nearer_candidate(now)) is not None:
             self._nearer_probe = asyncio.ensure_future(self.probe_nearer(nearer))
 
     def take_background_reply(self) -> ProbeReply | None:
@@ -145,4 +150,4 @@
             await asyncio.sleep(timeout_s)
 
     def _is_stale(self) -> bool:
-        return self._selector.stale(self._steady())
+        return self._selector.is_stale(self._steady())
--- a/ambershift/system/processes/control_link.py
+++ b/ambershift/system/processes/control_link.py
@@ -16,7 +16,7 @@
     ItemUpdate,
     LoadReport,
 )
-from ambershift.system.node_selection.selector import Choice
+from ambershift.system.node_selection.selector import ControlNodeSelector
 from ambershift.system.processes.attachment_log import AbandonReason, AttachmentLog
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.transport.links import receive_messages
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        selector: Choice,
+        selector: ControlNodeSelector,
         server: ProxyServer,
         links: SendQueueFactory,
         steady: Callable[[], int],
@@ -69,7 +69,7 @@
         outbox = self._links.send_queue(connection, ip, True)
         self.outbox = outbox
         self.last_hello = None
-        self._selector.up(self._steady(), ip)
+        self._selector.record_link_up(self._steady(), ip)
         writer = asyncio.ensure_future(outbox.run())
         self._events.attached(ip)
         self._server.linked()
@@ -86,9 +86,9 @@
             return  # The link was given up while messages of it were still waiting.
         now = self._steady()
         if isinstance(message, ControlNodeHeartbeat):
-            self._selector.hear(now, message)
+            self._selector.record_heartbeat(now, message)
         else:
-            self._selector.alive(now)
+            self._selector.record_message(now)
         for reply in self._server.hear(message):
             outbox.put(reply)
         if isinstance(message, BindTable):
@@ -110,8 +110,8 @@
         if self.outbox is outbox:
             self.outbox = None
             self._server.unlinked()
-            if self._selector.linked is not None:
-                self._selector.fail(self._steady(), self._selector.linked)
+            if self._selector.linked_ip is not None:
+                self._selector.record_failure(self._steady(), self._selector.linked_ip)
 
     def send_hello(self) -> None:
         """Send the proxy's Hello if it has changed since the last one on this link."""
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -54,7 +54,7 @@
 
     def locate(self, peer: str) -> Locality | None:
         """Zone and region of a control node, by its ip."""
-        nodes = self.attachment.selector.cores
+        nodes = self.attachment.selector.control_nodes
         return next(((node.zone, node.region) for node in nodes if node.ip == peer), None)
 
     async def run(self) -> None:
@@ -118,7 +118,7 @@
 
     def apply_settings(self) -> None:
         """The attachment dials the new seeds from now on."""
-        self.attachment.selector.reseed(self.settings.seed_ips)
+        self.attachment.selector.set_seeds(self.settings.seed_ips)
 
     async def run_checks(self, server: HttpServer) -> None:
         """Hand on what has changed: readiness, the keep-alive limit, the settings file."""
--- a/ambershift/system/simulation/fleet_history.py
+++ b/ambershift/system/simulation/fleet_history.py
@@ -191,7 +191,7 @@
         bound = int(self.fleet.bounds.contact * NS_PER_SECOND)
         for name, front in self.fleet.fronts.items():
             calm = self.fleet.now - self._disturbed.get(name, -bound) >= bound
-            if calm and (proved := front.attachment.selector.proved) is not None:
+            if calm and (proved := front.attachment.selector.proven_as_of) is not None:
                 self._compare(name, proved, front.server.routing.items)
 
     def _compare(self, machine: str, proved: int, held: Mapping[Key, Item]) -> None:
--- a/ambershift/system/testbed/hollow.py
+++ b/ambershift/system/testbed/hollow.py
@@ -25,7 +25,7 @@
     LoadReport,
     pool_name,
 )
-from ambershift.system.node_selection.selector import Choice
+from ambershift.system.node_selection.selector import ControlNodeSelector
 from ambershift.system.testbed.processes import cost_of
 from ambershift.system.testbed.rig import NotMetError, Rig, until
 from ambershift.system.testbed.settings import CONTROL_NODE, Site
@@ -44,11 +44,11 @@
         self.name, self.zone, self.chance = f"hollow-{number}", zone, chance
         self.site, self.pools = site, pools
         self.life = secrets.token_hex(4)
-        choice = Choice(self.name, zone, site.zones[zone], ())
-        choice.cores = tuple(
+        selector = ControlNodeSelector(self.name, zone, site.zones[zone], ())
+        selector.control_nodes = tuple(
             ControlNodeAddress(one.ip, one.zone, one.region) for one in site.of(CONTROL_NODE)
         )
-        self.ip = choice.candidates(0)[0]
+        self.ip = selector.candidates(0)[0]
         self.address = f"127.{site.block}.{200 + number // 250 % 50}.{1 + number % 250}:{site.ports.front}"
         self.got = Counter[str]()
         self.complete = False
--- a/benchmarks/configuration_age.py
+++ b/benchmarks/configuration_age.py
@@ -63,7 +63,7 @@
     for _ in range(int(SPAN_S / 0.1)):
         fleet.run(0.1)
         for name, front in fleet.fronts.items():
-            if (proved := front.attachment.selector.proved) is not None:
+            if (proved := front.attachment.selector.proven_as_of) is not None:
                 found.ages.append((fleet.steady(name) - proved) / NS_PER_SECOND)
     before = fleet.dialled
     links = {(a, b) for a in fleet.boxes for b in fleet.boxes if a != b and (a in APART or b in APART)}
--- a/tests/system/processes/test_metrics.py
+++ b/tests/system/processes/test_metrics.py
@@ -17,7 +17,7 @@
 from ambershift.system.consensus.membership_view import MembershipStatus, VoterStatus
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.messages.proxy_link import ControlNodeHeartbeat, ItemUpdate
-from ambershift.system.node_selection.selector import Choice
+from ambershift.system.node_selection.selector import ControlNodeSelector
 from ambershift.system.processes import metrics
 from ambershift.system.processes.attachment_log import AttachmentLog
 from ambershift.system.processes.http_server import bind_listener, try_bind_listener
@@ -96,10 +96,10 @@
 
 
 def test_proxy_reports_configuration_version_and_age() -> None:
-    selector = Choice("p", "z", "r", ())
+    selector = ControlNodeSelector("p", "z", "r", ())
     made = AttachmentLog(selector, Mock(), lambda: 7 * NS_PER_SECOND, Mock())
     assert values(made.metrics(linked=False))["configuration_age_seconds"] == -1.0
-    selector.hear(6 * NS_PER_SECOND, ControlNodeHeartbeat((), True, 1, 500))
+    selector.record_heartbeat(6 * NS_PER_SECOND, ControlNodeHeartbeat((), True, 1, 500))
     made.configuration_applied(
         ItemUpdate((Item(ROUTE, "r", (12, "agreed"), b"{}"), Item("zone", "z", (99, "a"))), False)
     )
--- a/tests/system/simulation/test_fleet.py
+++ b/tests/system/simulation/test_fleet.py
@@ -84,23 +84,23 @@
     fleet.run(4)
     for number in (1, 4, 7):
         fleet.freeze(f"10.0.0.{number}")
-    choice, name = fleet.fronts["front-1"].attachment.selector, "front-1"
+    selector, name = fleet.fronts["front-1"].attachment.selector, "front-1"
     ahead = NS_PER_SECOND // 2
-    while choice.linked in (None, "10.0.0.1", "10.0.0.4", "10.0.0.7") or not choice.nearer(
+    while selector.linked_ip in (None, "10.0.0.1", "10.0.0.4", "10.0.0.7") or not selector.nearer_candidate(
         fleet.steady(name) + ahead
     ):
         fleet.run(0.02)
         assert fleet.now < 60 * NS_PER_SECOND
-    left = choice.linked
+    left = selector.linked_ip
     fleet.cut |= {link for ip in fleet.boxes for link in ((ip, left), (left, ip)) if ip != left}
     oldest = 0
     for _ in range(150):
         fleet.run(0.02)
-        assert choice.proved is not None
-        oldest = max(oldest, fleet.steady(name) - choice.proved)
-    assert choice.linked != left
+        assert selector.proven_as_of is not None
+        oldest = max(oldest, fleet.steady(name) - selector.proven_as_of)
+    assert selector.linked_ip != left
     # A look, dials abroad, a sign and its age where nothing has befallen the node.
-    assert oldest < choice.current_for + NS_PER_SECOND // 2
+    assert oldest < selector.max_configuration_age_ns + NS_PER_SECOND // 2
 
 
 def test_a_node_that_is_busy_when_it_is_dialled_has_time_for_its_first_sign() -> None:
@@ -117,7 +117,7 @@
     fleet.cut.clear()
     fleet.run(0.3)
     found = asked.result()
-    assert found is not None and front.attachment.selector.current(found.heartbeat)
+    assert found is not None and front.attachment.selector.is_sender_current(found.heartbeat)
 
 
 def test_a_link_that_ends_is_replaced_though_a_node_that_hangs_is_being_asked() -> None:
@@ -125,15 +125,15 @@
     fleet.run(4)
     for number in (1, 4, 7):
         fleet.freeze(f"10.0.0.{number}")
-    choice = fleet.fronts[name].attachment.selector
-    while choice.linked in (None, "10.0.0.1", "10.0.0.4", "10.0.0.7") or not choice.nearer(
+    selector = fleet.fronts[name].attachment.selector
+    while selector.linked_ip in (None, "10.0.0.1", "10.0.0.4", "10.0.0.7") or not selector.nearer_candidate(
         fleet.steady(name)
     ):
         fleet.run(0.02)
         assert fleet.now < 60 * NS_PER_SECOND
     fleet.run(0.15)  # It is asked, and hangs for a second.
-    left = choice.linked
+    left = selector.linked_ip
     assert left is not None
     fleet.kill(left)
     fleet.run(1.2)  # Three that hang are passed by, 0.25 s each; to wait for the one asked takes 0.7 s more.
-    assert choice.linked not in (None, left)
+    assert selector.linked_ip not in (None, left)
