--- a/benchmarks/same_orders.py
+++ b/benchmarks/same_orders.py
@@ -1,10 +1,11 @@
 """Compares two forms of the decision module order by order: `python -m benchmarks.same_orders OLD [NEW]`.
 
 OLD and NEW are commits of this repository, or `.` for the checkout; both are given the same events, and of
-each step the orders must be the same to the byte. Events are drawn: days in worlds of different terms, with a
-plain model of the channel that carries the orders out. `--tests` also plays what reaches the module while
-tests of this repository run; `--values` changes each tuned value of NEW in turn and tells which of the
-changes no drawn day shows.
+each step the orders must be the same to the byte. Each form runs with the interface of its own commit: events
+and orders are translated by the position of classes in the unions and of fields in classes, and by value, so
+that names may differ. Events are drawn: days in worlds of different terms, with a plain model of the channel
+that carries the orders out. `--tests` also plays what reaches the module while tests of this repository run;
+`--values` changes each tuned value of NEW in turn and tells which of the changes no drawn day shows.
 """
 
 from __future__ import annotations
@@ -15,8 +16,10 @@
 import random
 import sys
 import tempfile
+import typing
 from collections import Counter
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator, Sequence
+from enum import Enum, EnumType
 from pathlib import Path
 from types import ModuleType
 from typing import Any
@@ -30,29 +33,137 @@
 
 S, MS = 1_000_000_000, 1_000_000
 
+Types = dict[type, type]
+
+
+class Form:
+    """The decision module as it is at a commit, loaded beside this checkout with an interface of its own.
+
+    Attributes:
+        package: The modules of `ambershift.policy`, by name.
+        interface: The `ambershift.interface` that these modules import.
+    """
+
+    def __init__(self, revision: str) -> None:
+        """Load it; `.` stands for the checkout."""
+        place = str(ROOT / "ambershift")
+        if revision != ".":
+            place = tempfile.mkdtemp() + "/ambershift"
+            unpack(revision, str(Path(place).parent))
+        with own_modules(place) as loaded:
+            importlib.import_module("ambershift.policy")
+            importlib.import_module("ambershift.interface")
+            modules = loaded()
+        self.interface = modules["ambershift.interface"]
+        self.package = {
+            name: one for name, one in modules.items() if f"{name}.".startswith("ambershift.policy.")
+        }
+        self.types = TypePairs(self.interface)
 
-def policy_at(revision: str) -> dict[str, ModuleType]:
-    """The modules of `ambershift.policy` as they are at a commit, beside the interface of this checkout."""
-    place = str(ROOT / "ambershift")
-    if revision != ".":
-        place = tempfile.mkdtemp() + "/ambershift"
-        unpack(revision, str(Path(place).parent))
-    before, path = loaded(), ambershift.__path__
-    ambershift.__path__ = [place]
+    def manager(self) -> FormManager:
+        """Return an instance that takes events and gives orders in the types of this checkout."""
+        return FormManager(self.package["ambershift.policy"].TableManager(), self.types)
+
+
+class FormManager:
+    """Translates events to the types of a form, and its orders back."""
+
+    def __init__(self, module: Any, types: TypePairs) -> None:
+        self._module, self._types = module, types
+
+    def step(self, now: int, events: list[api.Event]) -> list[api.Order]:
+        orders = self._module.step(now, [translate(event, self._types.to_form) for event in events])
+        return [translate(order, self._types.from_form) for order in orders]
+
+
+@contextlib.contextmanager
+def own_modules(place: str) -> Iterator[Callable[[], dict[str, ModuleType]]]:
+    """Import `ambershift` from another folder for a while; what is imported then is kept apart."""
+
+    def submodules() -> dict[str, ModuleType]:
+        return {name: one for name, one in sys.modules.items() if name.startswith("ambershift.")}
+
+    def attributes() -> dict[str, ModuleType]:
+        return {name: one for name, one in vars(ambershift).items() if isinstance(one, ModuleType)}
+
+    before, attributes_before, path = submodules(), attributes(), ambershift.__path__
     for name in before:
         del sys.modules[name]
+    for name in attributes_before:  # `from ambershift import interface` would take it from here.
+        delattr(ambershift, name)
+    ambershift.__path__ = [place]
     try:
-        importlib.import_module("ambershift.policy")
-        return loaded()
+        yield submodules
     finally:
-        for name in loaded():
+        for name in submodules():
             del sys.modules[name]
+        for name in attributes():
+            delattr(ambershift, name)
         sys.modules.update(before)
+        vars(ambershift).update(attributes_before)
         ambershift.__path__ = path
 
 
-def loaded() -> dict[str, ModuleType]:
-    return {name: one for name, one in sys.modules.items() if f"{name}.".startswith("ambershift.policy.")}
+class TypePairs:
+    """Pairs the types of this checkout's interface with those of another, both ways.
+
+    Classes are paired by their position in the unions `Event` and `Order`, those nested in them by the
+    position of the field; enums by position too, and their values must be the same.
+
+    Raises:
+        SystemExit: The two are not built alike.
+    """
+
+    def __init__(self, interface: ModuleType) -> None:
+        self.to_form, self.from_form, self._interface = Types(), Types(), interface
+        self._pair(api.Event, interface.Event)
+        self._pair(api.Order, interface.Order)
+
+    def _pair(self, ours: Any, theirs: Any) -> None:
+        if hasattr(ours, "_fields") and hasattr(theirs, "_fields"):
+            if self._enter(ours, theirs):
+                self._pair_all(ours, field_types(ours, api), field_types(theirs, self._interface))
+        elif isinstance(ours, EnumType) and isinstance(theirs, EnumType):
+            self._enter(ours, theirs)
+            if [one.value for one in ours] != [one.value for one in theirs]:
+                raise SystemExit(f"{ours.__name__} has other values than {theirs.__name__}")
+        elif typing.get_args(ours) and typing.get_origin(ours) is typing.get_origin(theirs):
+            self._pair_all(ours, typing.get_args(ours), typing.get_args(theirs))
+        elif ours is not theirs:
+            raise SystemExit(f"{ours} of this interface has {theirs} in its place in the other")
+
+    def _enter(self, ours: Any, theirs: Any) -> bool:
+        """Return whether the pair is new."""
+        is_new = ours not in self.to_form and theirs not in self.from_form
+        if is_new:
+            self.to_form[ours], self.from_form[theirs] = theirs, ours
+        elif self.to_form.get(ours) is not theirs:
+            raise SystemExit(f"{ours.__name__} and {theirs.__name__} do not always stand in the same places")
+        return is_new
+
+    def _pair_all(self, place: Any, ours: Sequence[Any], theirs: Sequence[Any]) -> None:
+        if len(ours) != len(theirs):
+            raise SystemExit(f"{place} has {len(ours)} parts, {len(theirs)} in the other interface")
+        for one, other in zip(ours, theirs, strict=True):
+            self._pair(one, other)
+
+
+def field_types(record: Any, interface: ModuleType) -> list[Any]:
+    hints = typing.get_type_hints(record, globalns=vars(interface))
+    return [hints[name] for name in record._fields]
+
+
+def translate(value: Any, types: Types) -> Any:
+    """Return a value with each record and enum member in it as the paired type; all else stays as it is."""
+    kind = type(value)
+    if kind is tuple:
+        return tuple([translate(one, types) for one in value])
+    other = types.get(kind)
+    if other is None:
+        return value
+    if isinstance(value, Enum):
+        return other(value.value)
+    return other(*[translate(one, types) for one in value])
 
 
 class DifferError(Exception):
@@ -62,11 +173,11 @@
 class Both:
     """Stands for the module in the model: both forms take the steps, and their orders are compared."""
 
-    forms: tuple[Any, ...] = ()
+    forms: tuple[Form, ...] = ()
     events, orders, steps = Counter[str](), Counter[str](), 0
 
     def __init__(self) -> None:
-        self.pair = [form() for form in self.forms]
+        self.pair = [form.manager() for form in self.forms]
 
     def step(self, now: int, events: list[api.Event]) -> list[api.Order]:
         told = [outcome(one, now, events) for one in self.pair]
@@ -244,8 +355,8 @@
         seed += 1
 
 
-def use(old: dict[str, ModuleType], new: dict[str, ModuleType]) -> None:
-    Both.forms = tuple(one["ambershift.policy"].TableManager for one in (old, new))
+def use(old: Form, new: Form) -> None:
+    Both.forms = (old, new)
     policy_model.TableManager = Both  # The name that the model starts its module by.
 
 
@@ -324,11 +435,11 @@
     parser.add_argument("--values", nargs="*", help="change each value, or these: what shows it?")
     asked = parser.parse_args()
     rows = recorded(asked.tests) if asked.tests else []
-    old, new = policy_at(asked.old), policy_at(asked.new)
+    old, new = Form(asked.old), Form(asked.new)
     use(old, new)
     if asked.values is not None:
-        for name in asked.values or values(new):
-            print(f"{name}: {shown(new, name, asked)}", flush=True)
+        for name in asked.values or values(new.package):
+            print(f"{name}: {shown(new.package, name, asked)}", flush=True)
         return 0
     try:
         for row in rows:
