--- a/tests/compatibility/plain_values.py
+++ b/tests/compatibility/plain_values.py
@@ -12,7 +12,7 @@
 
 from ambershift.coordinator.program import configuration
 from ambershift.coordinator.settings import model
-from ambershift.system.settings import local
+from ambershift.system.settings import process_settings
 
 
 def plain(value: Any) -> Any:
@@ -37,8 +37,8 @@
     """Read each settings file of a folder by the program that it belongs to."""
     start = configuration.read({"BALANCER_CONFIG": str(folder / "coordinator.json")})
     return {
-        "control": plain(local.read_local(str(folder / "control.toml")))[1:],
-        "proxy": plain(local.read_local(str(folder / "proxy.toml")))[1:],
+        "control": plain(process_settings.read_settings(str(folder / "control.toml")))[1:],
+        "proxy": plain(process_settings.read_settings(str(folder / "proxy.toml")))[1:],
         "coordinator": plain(start),
         "own": plain(model.read_file(str(folder / "coordinator.hcl"))),
     }
