--- a/ambershift/system/configuration/agreement.py
+++ b/ambershift/system/configuration/agreement.py
@@ -20,7 +20,7 @@
 from ambershift.system.configuration.change_request import Order, same_content
 from ambershift.system.configuration.errors import Fault
 from ambershift.system.interfaces import ChangeOutcome
-from ambershift.system.messages.items import AGREED, Item, Key
+from ambershift.system.messages.items import OPERATOR_AUTHOR, Item, Key
 from ambershift.system.messages.tombstones import COLLECTED_TOMBSTONES_KEY, collected_tombstones_of
 
 REGISTER = "configuration"
@@ -218,7 +218,7 @@
     for item in order.items:
         known = standing.get(item.key)
         if known is None or known.version[0] < item.version[0]:
-            fresh.append(msgspec.structs.replace(item, version=(item.version[0], AGREED)))
+            fresh.append(msgspec.structs.replace(item, version=(item.version[0], OPERATOR_AUTHOR)))
             superseded += [_superseded(known)] if known is not None else []
         elif known.version[0] == item.version[0]:
             conflicts += [] if same_content(known, item) else [item]
--- a/ambershift/system/consensus/item_store.py
+++ b/ambershift/system/consensus/item_store.py
@@ -10,12 +10,12 @@
 from ambershift.system.consensus.effect_buffer import EffectBuffer
 from ambershift.system.consensus.write_queue import WriteQueue
 from ambershift.system.messages.items import (
-    CLEARED,
-    CLEARED_INSTANCES_KEY,
+    COLLECTED_INSTANCES_KEY,
+    COLLECTED_INSTANCES_KIND,
     INSTANCE,
     Item,
     Key,
-    cleared_instances,
+    collected_instance_ids,
     newest,
 )
 from ambershift.system.messages.tombstones import (
@@ -59,7 +59,7 @@
         for row in rows.values():
             self._insert(_decode(row))
         self._cleared_keys = frozenset[Key]()
-        if (clearing := self.items.get(CLEARED_INSTANCES_KEY)) is not None:
+        if (clearing := self.items.get(COLLECTED_INSTANCES_KEY)) is not None:
             self._delete_cleared(clearing)
         self.collected = collected_tombstones_of(self.items.get(COLLECTED_TOMBSTONES_KEY))
         self._collected_versions = self.collected.versions_by_key()
@@ -97,7 +97,7 @@
             self._insert(item)
             self._journal.put(ITEMS_TABLE, row_key(item.key), _encode(item))
             merged.append(item)
-            if item.kind == CLEARED:
+            if item.kind == COLLECTED_INSTANCES_KIND:
                 self._delete_cleared(item)
             elif item.kind == COLLECTED_TOMBSTONES_KIND:
                 self._collect(collected_tombstones_of(item))
@@ -114,7 +114,7 @@
 
     def _delete_cleared(self, clearing: Item) -> None:
         """Delete the instances it names. That all copies do so on merging one item keeps them alike."""
-        self._cleared_keys = frozenset((INSTANCE, instance) for instance in cleared_instances(clearing))
+        self._cleared_keys = frozenset((INSTANCE, instance) for instance in collected_instance_ids(clearing))
         for key in self._cleared_keys:
             self._delete(key)
 
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/pushes.py
@@ -5,7 +5,13 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from ambershift.system.messages.items import CLEARED, INSTANCE, Item, Key, cleared_instances
+from ambershift.system.messages.items import (
+    COLLECTED_INSTANCES_KIND,
+    INSTANCE,
+    Item,
+    Key,
+    collected_instance_ids,
+)
 from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ItemUpdate
 from ambershift.system.messages.tombstones import COLLECTED_TOMBSTONES_KIND
 from ambershift.system.state_machine import Send
@@ -57,7 +63,9 @@
         if not newer:
             return []
         self.told |= {one.key: one for one in newer}
-        for id in (id for one in newer if one.kind == CLEARED for id in cleared_instances(one)):
+        for id in (
+            id for one in newer if one.kind == COLLECTED_INSTANCES_KIND for id in collected_instance_ids(one)
+        ):
             self.told.pop((INSTANCE, id), None)
         self._forgot = self._forgot or any(one.kind == COLLECTED_TOMBSTONES_KIND for one in newer)
         self._all, change = None, ItemUpdate(tuple(newer), False)
--- a/ambershift/system/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -4,7 +4,7 @@
 updates for all proxies and control nodes repeat the same JSON names in each item: deflated they take a fifth
 of the bytes. Short messages are sent plain, except for forwarded calls and their responses. Their JSON
 repeats words that both ends know, and they are a third of the bytes between regions on a quiet day, so they
-are deflated (RFC 1951) with the preset dictionary `forwarding.WORDS`.
+are deflated (RFC 1951) with the preset dictionary `forwarding.PRESET_DICTIONARY`.
 
 The first byte tells the form: `ZLIB_FIRST_BYTE`, `DICTIONARY_FIRST_BYTE`, or that of a msgpack array.
 """
@@ -21,7 +21,7 @@
 from ambershift.system.messages import forwarding, proxy_link, registry_sync, replication
 
 # The version of the messages. It is part of each link's path, and a link of another version is refused.
-WIRE = 2
+WIRE_VERSION = 2
 MAX_MESSAGE_BYTES = 16 << 20
 LARGE_MESSAGE_BYTES, MAX_CACHED_ENCODINGS = 16 << 10, 4  # Bytes; messages.
 DEFLATE_MIN_BYTES, DEFLATE_LEVEL = (
@@ -65,8 +65,8 @@
 
 
 _recent_large = deque[tuple[msgspec.Struct, bytes]](maxlen=MAX_CACHED_ENCODINGS)
-_dictionary_compressor = zlib.compressobj(9, zlib.DEFLATED, -9, 1, zlib.Z_FIXED, forwarding.WORDS)
-_dictionary_decompressor = zlib.decompressobj(-9, forwarding.WORDS)
+_dictionary_compressor = zlib.compressobj(9, zlib.DEFLATED, -9, 1, zlib.Z_FIXED, forwarding.PRESET_DICTIONARY)
+_dictionary_decompressor = zlib.decompressobj(-9, forwarding.PRESET_DICTIONARY)
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(_message_union())
 
--- a/ambershift/system/messages/forwarding.py
+++ b/ambershift/system/messages/forwarding.py
@@ -9,7 +9,7 @@
 
 # Preset dictionary (RFC 1950, section 2.2): frequent words of the bodies, known to both ends so that they
 # need not travel. It is part of the wire format: a changed byte makes messages unreadable for other versions.
-WORDS = (
+PRESET_DICTIONARY = (
     b'{"Cause":"not in touch with enough machines"}{"Cause":"no clear outcome in time"}{"after":{"AppliesTo":'
     b'{"Holder":"a1.1","fence":{"HoldMs":3000}cells.retrievecells.replacenumberslocks.terminate'
     b'locks.heartbeatlocks.initiatewatch{"Value":{"fence":{"Revision":{"Value":"","Revision":'
--- a/ambershift/system/messages/items.py
+++ b/ambershift/system/messages/items.py
@@ -4,16 +4,16 @@
 
 import msgspec
 
-# A number that rises, and its author: AGREED for the operator's versions, a control node's ip or "" for ours.
-# Disks of earlier programs have "" for the operator's too, which loses a tie, since nobody may have
-# acknowledged that version.
+# A number that rises, and its author: OPERATOR_AUTHOR for the operator's versions, a control node's ip or ""
+# for those that control nodes make. Disks of earlier programs have "" for the operator's versions too; it
+# loses a tie, since such a version may never have been acknowledged.
 Version = tuple[int, str]
-AGREED = "agreed"
+OPERATOR_AUTHOR = "agreed"
 Key = tuple[str, str]
 
 ROUTE, SERVICE, LIMITS, ZONE, INSTANCE = "route", "service", "limits", "zone", "instance"
-CLEARED = "cleared"
-CLEARED_INSTANCES_KEY: Key = (CLEARED, "instances")
+COLLECTED_INSTANCES_KIND = "cleared"
+COLLECTED_INSTANCES_KEY: Key = (COLLECTED_INSTANCES_KIND, "instances")
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
@@ -21,9 +21,9 @@
 
     ROUTE, SERVICE and LIMITS are the operator's configuration. ZONE is an evacuation: its body is `true`
     while nothing is to be sent to the zone, `false` after that was revoked. INSTANCE is a tombstone of a
-    backend's incarnation: version (1, "") says that it drains, (2, "") that it is gone. CLEARED is a single
-    item with a JSON list of the incarnations whose tombstones were collected last: a store that merges it
-    drops these tombstones and accepts them no more.
+    backend's incarnation: version (1, "") says that it drains, (2, "") that it is gone.
+    COLLECTED_INSTANCES_KIND is a single item with a JSON list of the incarnations whose tombstones were
+    collected last: a store that merges it drops these tombstones and accepts them no more.
 
     Attributes:
         kind: One of the constants above, or `tombstones.COLLECTED_TOMBSTONES_KIND`.
@@ -46,8 +46,8 @@
         return self.version, self.body is None, self.body or b""
 
 
-def cleared_instances(item: Item) -> list[str]:
-    """The incarnations that a CLEARED item lists, in the order of their collection."""
+def collected_instance_ids(item: Item) -> list[str]:
+    """The incarnations that a COLLECTED_INSTANCES_KIND item lists, in the order of their collection."""
     return msgspec.json.decode(item.body or b"[]", type=list[str])
 
 
--- a/ambershift/system/messages/tombstones.py
+++ b/ambershift/system/messages/tombstones.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ambershift.system.messages.items import AGREED, LIMITS, ROUTE, SERVICE, Item, Key
+from ambershift.system.messages.items import LIMITS, OPERATOR_AUTHOR, ROUTE, SERVICE, Item, Key
 
 COLLECTED_TOMBSTONES_KIND = "forgotten"
 COLLECTED_TOMBSTONES_KEY: Key = (COLLECTED_TOMBSTONES_KIND, "configuration")
@@ -63,7 +63,7 @@
     @property
     def as_item(self) -> Item:
         """The item that carries this state."""
-        return Item(*COLLECTED_TOMBSTONES_KEY, (self.batch, AGREED), msgspec.json.encode(self))
+        return Item(*COLLECTED_TOMBSTONES_KEY, (self.batch, OPERATOR_AUTHOR), msgspec.json.encode(self))
 
     def versions_by_key(self) -> Mapping[Key, int]:
         """Up to which version each listed item is dropped."""
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -143,8 +143,8 @@
                 self._services[item.name] = read_service(item)
             elif item.kind == kinds.LIMITS:
                 self.limits = read_limits(_read(item))
-            elif item.kind == kinds.CLEARED:
-                self._cleared = frozenset((kinds.INSTANCE, id) for id in kinds.cleared_instances(item))
+            elif item.kind == kinds.COLLECTED_INSTANCES_KIND:
+                self._cleared = frozenset((kinds.INSTANCE, id) for id in kinds.collected_instance_ids(item))
                 for key in self._cleared:
                     self.items.pop(key, None)
             elif item.kind == COLLECTED_TOMBSTONES_KIND:
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -129,8 +129,8 @@
                     self.backend_view.take_back(now, item.name)
             elif item.kind == items.INSTANCE and item.version[0] >= 1:
                 self.backend_view.is_over(item.name)
-            elif item.kind == items.CLEARED:
-                self.backend_view.forget(items.cleared_instances(item))
+            elif item.kind == items.COLLECTED_INSTANCES_KIND:
+                self.backend_view.forget(items.collected_instance_ids(item))
             elif item.kind == items.SERVICE:
                 self._share_room(self.backend_view.serving(item.name))
         if message.complete:
--- a/ambershift/system/registry/service.py
+++ b/ambershift/system/registry/service.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ambershift.system.interfaces import ReplicatedState
-from ambershift.system.messages.items import CLEARED, INSTANCE, Item, cleared_instances
+from ambershift.system.messages.items import COLLECTED_INSTANCES_KIND, INSTANCE, Item, collected_instance_ids
 from ambershift.system.messages.proxy_link import Hello
 from ambershift.system.messages.registry_sync import (
     FullStateRequest,
@@ -294,8 +294,8 @@
         if versions := tuple((item.name, item.version[0]) for item in items if item.kind == INSTANCE):
             self._step(events.TombstonesMerged(versions))
         for item in items:
-            if item.kind == CLEARED:
-                self._step(events.TombstonesCollected(tuple(cleared_instances(item))))
+            if item.kind == COLLECTED_INSTANCES_KIND:
+                self._step(events.TombstonesCollected(tuple(collected_instance_ids(item))))
 
     def _save_snapshot(self, now: int) -> None:
         # A list with a part of the instances would, after a restart, send all traffic to few of them.
--- a/ambershift/system/registry/tombstones.py
+++ b/ambershift/system/registry/tombstones.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
-from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances
+from ambershift.system.messages.items import COLLECTED_INSTANCES_KEY, INSTANCE, Item, collected_instance_ids
 from ambershift.system.registry.tombstone_expiry import MAX_COLLECTED_IDS
 
 PUT_TIMEOUT_S = 0.8  # A backend waits a second for its acknowledgement.
@@ -65,10 +65,10 @@
         """
         if not ids:
             return
-        last = self._replicated_state.items().get(CLEARED_INSTANCES_KEY)
-        collected = [*(cleared_instances(last) if last else ()), *ids][-MAX_COLLECTED_IDS:]
+        last = self._replicated_state.items().get(COLLECTED_INSTANCES_KEY)
+        collected = [*(collected_instance_ids(last) if last else ()), *ids][-MAX_COLLECTED_IDS:]
         version = last.version[0] + 1 if last else 1
-        item = Item(*CLEARED_INSTANCES_KEY, (version, self._ip), msgspec.json.encode(collected))
+        item = Item(*COLLECTED_INSTANCES_KEY, (version, self._ip), msgspec.json.encode(collected))
         self._collection = asyncio.ensure_future(self._replicated_state.write([item], PUT_TIMEOUT_S))
         # Reads the exception, if any, so that asyncio doesn't report it as unhandled.
         self._collection.add_done_callback(lambda done: done.cancelled() or done.exception())
--- a/ambershift/system/transport/link_path.py
+++ b/ambershift/system/transport/link_path.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ambershift.system.messages.codec import WIRE
+from ambershift.system.messages.codec import WIRE_VERSION
 
 CONTROL_NODE, PROXY = "control", "desk"
 
@@ -38,7 +38,7 @@
 
 def format_path(caller: PeerIdentity) -> str:
     """The path that this machine dials: "/VERSION/KIND/NAME/INCARNATION"."""
-    return f"/{WIRE}/{caller.kind}/{caller.name}/{caller.incarnation}"
+    return f"/{WIRE_VERSION}/{caller.kind}/{caller.name}/{caller.incarnation}"
 
 
 def parse_path(path: str) -> PeerIdentity:
@@ -48,6 +48,11 @@
         PathError: The path is of another version or of no known role, or lacks a name.
     """
     parts = path.split("/")
-    if len(parts) != 5 or parts[1] != str(WIRE) or parts[2] not in (CONTROL_NODE, PROXY) or not parts[3]:
+    if (
+        len(parts) != 5
+        or parts[1] != str(WIRE_VERSION)
+        or parts[2] not in (CONTROL_NODE, PROXY)
+        or not parts[3]
+    ):
         raise PathError(path)
     return PeerIdentity(parts[2], parts[3], parts[4])
--- a/benchmarks/refill.py
+++ b/benchmarks/refill.py
@@ -18,7 +18,7 @@
 from ambershift.system.consensus.events import WriteItems
 from ambershift.system.consensus.item_store import ItemStore
 from ambershift.system.consensus.write_queue import WriteQueue
-from ambershift.system.messages.items import AGREED, ROUTE, Item
+from ambershift.system.messages.items import OPERATOR_AUTHOR, ROUTE, Item
 from ambershift.system.messages.replication import SyncResponse
 from ambershift.system.simulation.world import World
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
@@ -61,7 +61,10 @@
     for first in range(0, changes, A_CALL):
         version += 1
         some = range(first, min(first + A_CALL, changes))
-        put(world, [Item(ROUTE, f"r{at % items}", (version, AGREED), body(at, version)) for at in some])
+        put(
+            world,
+            [Item(ROUTE, f"r{at % items}", (version, OPERATOR_AUTHOR), body(at, version)) for at in some],
+        )
     return version
 
 
@@ -105,7 +108,7 @@
     """How long a start takes to read so many rows."""
     journal = WriteQueue(EffectBuffer(AT))
     store = ItemStore(EffectBuffer(AT), journal, {})
-    store.merge(Item(ROUTE, f"r{at}", (1, AGREED), body(at, 1)) for at in range(items))
+    store.merge(Item(ROUTE, f"r{at}", (1, OPERATOR_AUTHOR), body(at, 1)) for at in range(items))
     rows = {key: value for (_, key), value in journal._pending_rows.items() if value is not None}
     began = time.process_time()
     ItemStore(EffectBuffer(AT), WriteQueue(EffectBuffer(AT)), rows)
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -18,7 +18,7 @@
 from ambershift.coordinator.group.links.wire import frame
 from ambershift.coordinator.replication.heard.words import Kind as HeardKind
 from ambershift.system.messages import codec
-from ambershift.system.messages.forwarding import WORDS
+from ambershift.system.messages.forwarding import PRESET_DICTIONARY
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, PeerIdentity, format_path, parse_path
 from tests.compatibility.encoded_forms import GROUP, SYSTEM, Form
 from tests.compatibility.struct_layout import differences, layout, tags
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize(
     ("name", "first", "window", "dictionary"),
-    [("deflated", 0x78, zlib.MAX_WBITS, b""), ("preset dictionary", 0xC1, -9, WORDS)],
+    [("deflated", 0x78, zlib.MAX_WBITS, b""), ("preset dictionary", 0xC1, -9, PRESET_DICTIONARY)],
 )
 def test_compressed_messages_are_read_and_made_as_before(
     name: str, first: int, window: int, dictionary: bytes
@@ -79,8 +79,8 @@
 
 
 def test_preset_dictionary_and_versions_are_those_of_2429538() -> None:
-    assert hashlib.sha256(WORDS).hexdigest() == WORDS_SHA256
-    assert codec.WIRE == 2
+    assert hashlib.sha256(PRESET_DICTIONARY).hexdigest() == WORDS_SHA256
+    assert codec.WIRE_VERSION == 2
     assert (codec.DEFLATE_MIN_BYTES, codec.MAX_MESSAGE_BYTES) == (1024, 16 << 20)
 
 
--- a/tests/support/configuration_items.py
+++ b/tests/support/configuration_items.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from ambershift.system.messages.items import AGREED, ROUTE, Item
+from ambershift.system.messages.items import OPERATOR_AUTHOR, ROUTE, Item
 
 
 def route(name: str, version: int) -> Item:
     body = {"Host": "h", "PathPrefix": f"/{name}", "RouteType": "idempotent", "Service": "s"}
-    return Item(ROUTE, name, (version, AGREED), msgspec.json.encode(body))
+    return Item(ROUTE, name, (version, OPERATOR_AUTHOR), msgspec.json.encode(body))
 
 
 def drop(name: str, version: int) -> Item:
-    return Item(ROUTE, name, (version, AGREED))
+    return Item(ROUTE, name, (version, OPERATOR_AUTHOR))
--- a/tests/support/simulated_exchange.py
+++ b/tests/support/simulated_exchange.py
@@ -13,7 +13,13 @@
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.interfaces import OutcomeUnknownError
 from ambershift.system.messages import codec, proxy_link
-from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances, newest
+from ambershift.system.messages.items import (
+    COLLECTED_INSTANCES_KEY,
+    INSTANCE,
+    Item,
+    collected_instance_ids,
+    newest,
+)
 from ambershift.system.registry.service import RegistryIO, RegistryService
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 from tests.support.local_settings import control_node_settings
@@ -52,8 +58,8 @@
             if (old := self.stored.get(item.key)) is None or newest(old, item) is not old
         ]
         self.stored |= {item.key: item for item in newer}
-        collected = self.stored.get(CLEARED_INSTANCES_KEY)
-        for id in cleared_instances(collected) if collected else ():
+        collected = self.stored.get(COLLECTED_INSTANCES_KEY)
+        for id in collected_instance_ids(collected) if collected else ():
             self.stored.pop((INSTANCE, id), None)
         for listener in self.listeners if newer else ():
             listener(newer)
--- a/tests/system/configuration/test_agreement.py
+++ b/tests/system/configuration/test_agreement.py
@@ -22,7 +22,7 @@
     read_agreement,
 )
 from ambershift.system.configuration.change_request import Order, read_order
-from ambershift.system.messages.items import AGREED, Item, Key
+from ambershift.system.messages.items import OPERATOR_AUTHOR, Item, Key
 
 START = Agreement(0, ())
 
@@ -49,7 +49,7 @@
     progress, held = Progress(0), dict[Key, Item]()
     one, outcome = decide(services(a=(5, 1), b=(5, 1)), START, progress, held)
     assert isinstance(outcome, Accepted) and names(outcome.to_store) == [("a", 5), ("b", 5)]
-    assert outcome.end == 2 and {item.version[1] for item in one.recent} == {AGREED}
+    assert outcome.end == 2 and {item.version[1] for item in one.recent} == {OPERATOR_AUTHOR}
     after, refused = decide(services(c=(6, 1), a=(5, 2)), one, progress, held)
     assert isinstance(refused, Conflict) and names(refused.items) == [("a", 5)]
     assert after.recent == one.recent  # Nothing of the call is agreed, new items neither.
@@ -108,7 +108,7 @@
     assert after == START and outcome == Accepted((old,), 0)
     assert isinstance(decide(services(a=(5, 2)), START, Progress(0), held)[1], Conflict)
     # Other content was agreed than the one that no majority stored: it wins, however they compare.
-    agreed = msgspec.structs.replace(services(a=(5, None)).items[0], version=(5, AGREED))
+    agreed = msgspec.structs.replace(services(a=(5, None)).items[0], version=(5, OPERATOR_AUTHOR))
     for content in (1, 2, None):
         assert agreed.rank > services(a=(5, content)).items[0].rank
 
--- a/tests/system/configuration/test_version_floor.py
+++ b/tests/system/configuration/test_version_floor.py
@@ -15,7 +15,7 @@
     decide,
 )
 from ambershift.system.configuration.change_request import read_order
-from ambershift.system.messages.items import AGREED, SERVICE, Item
+from ambershift.system.messages.items import OPERATOR_AUTHOR, SERVICE, Item
 from ambershift.system.messages.tombstones import (
     CollectedTombstones,
 )
@@ -36,7 +36,7 @@
     return decide(order, Agreement(0, ()), Progress(0), store)[1]
 
 
-SERVICE_S = Item(SERVICE, "s", (1, AGREED), b"{}")
+SERVICE_S = Item(SERVICE, "s", (1, OPERATOR_AUTHOR), b"{}")
 
 
 @pytest.mark.parametrize(
--- a/tests/system/registry/test_tombstone_expiry.py
+++ b/tests/system/registry/test_tombstone_expiry.py
@@ -12,7 +12,7 @@
 from ambershift.system.consensus.item_store import row_key
 from ambershift.system.consensus.replica import Replica
 from ambershift.system.distribution.pushes import Pushes
-from ambershift.system.messages.items import CLEARED, CLEARED_INSTANCES_KEY, INSTANCE, Item
+from ambershift.system.messages.items import COLLECTED_INSTANCES_KEY, COLLECTED_INSTANCES_KIND, INSTANCE, Item
 from ambershift.system.messages.proxy_link import BackendUpdate
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.registry import endpoint_list, process_health, tombstone_expiry
@@ -34,7 +34,7 @@
 
 
 def collected(version: int, *ids: str) -> Item:
-    return Item(CLEARED, "instances", (version, "1"), msgspec.json.encode(ids))
+    return Item(COLLECTED_INSTANCES_KIND, "instances", (version, "1"), msgspec.json.encode(ids))
 
 
 def test_tombstones_stay_bounded_at_ten_times_the_restarts() -> None:
@@ -140,7 +140,8 @@
     assert stored_tombstones(world) == [{"c1-0"}] * 3
     # One control node has collected for all.
     assert [
-        any(one.kind == CLEARED for one in node.replicated_state.written) for node in world.nodes.values()
+        any(one.kind == COLLECTED_INSTANCES_KIND for one in node.replicated_state.written)
+        for node in world.nodes.values()
     ] == [
         False,
         True,
@@ -214,7 +215,7 @@
     put(tombstone("old"))  # Acknowledged, and nothing is held of it.
     world.cut.clear()
     world.run(4)
-    assert [set(one.store.items) for one in replicas()] == [{CLEARED_INSTANCES_KEY, (INSTANCE, "new")}] * 5
+    assert [set(one.store.items) for one in replicas()] == [{COLLECTED_INSTANCES_KEY, (INSTANCE, "new")}] * 5
     assert len({one.store.buckets.total for one in replicas()}) == 1
     # A later list need not name them any more: whoever still has them gives them back, which does no harm.
     world.kill(away)
@@ -222,9 +223,11 @@
     world.run(0.5)
     world.start(away)
     world.run(4)
-    assert [set(one.store.items) for one in replicas()] == [{CLEARED_INSTANCES_KEY}] * 5
+    assert [set(one.store.items) for one in replicas()] == [{COLLECTED_INSTANCES_KEY}] * 5
     world.run(1)
-    assert [list(box.disk["items"]) for box in world.boxes.values()] == [[row_key(CLEARED_INSTANCES_KEY)]] * 5
+    assert [list(box.disk["items"]) for box in world.boxes.values()] == [
+        [row_key(COLLECTED_INSTANCES_KEY)]
+    ] * 5
 
 
 def test_proxies_and_controllers_drop_the_same_tombstones() -> None:
