--- a/ambershift/coordinator/group/asking.py
+++ b/ambershift/coordinator/group/asking.py
@@ -11,7 +11,7 @@
 from ambershift.coordinator.promises.state import EMPTY, Promises
 from ambershift.coordinator.promises.words import Command
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.words import Answer, Reason
+from ambershift.coordinator.replication.types import Answer, Reason
 
 SECOND = 1_000_000_000
 # Beyond a client's own bound the replica has answered; this is against a loop that was held up.
--- a/ambershift/coordinator/group/counting.py
+++ b/ambershift/coordinator/group/counting.py
@@ -15,7 +15,7 @@
 from ambershift.coordinator.group.links.wire import UnreadableError
 from ambershift.coordinator.group.links.words import failure
 from ambershift.coordinator.interference.words import Sample
-from ambershift.coordinator.replication.heard.words import Kind, Record
+from ambershift.coordinator.replication.gossip.types import Kind, Record
 
 if TYPE_CHECKING:
     from ambershift.coordinator.interference.engine import Engine
--- a/ambershift/coordinator/group/disk/folder.py
+++ b/ambershift/coordinator/group/disk/folder.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from ambershift.coordinator.group.disk.files import Files, Handle
+from ambershift.coordinator.replication.log_recovery import ContradictionError, Held, Reading, read
 from ambershift.coordinator.replication.records import (
     PREAMBLE,
     SLOT_BYTES,
@@ -22,8 +23,7 @@
     preamble,
     slot,
 )
-from ambershift.coordinator.replication.vouched import ContradictionError, Held, Reading, read
-from ambershift.coordinator.replication.words import Saved, Write
+from ambershift.coordinator.replication.types import Saved, Write
 
 LOG, MARK, NEW = "log", "mark", ".new"
 # A log is written anew, without what later writes made void, once it is so many times the size it was then.
--- a/ambershift/coordinator/group/disk/worker.py
+++ b/ambershift/coordinator/group/disk/worker.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from ambershift.coordinator.group.disk.folder import DiskError, Folder
-from ambershift.coordinator.replication.words import Write
+from ambershift.coordinator.replication.types import Write
 
 # Beyond it the disk hangs: a replica bounds what waits for promises far below.
 QUEUE_MOST = 4096
--- a/ambershift/coordinator/group/evidence.py
+++ b/ambershift/coordinator/group/evidence.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from ambershift import interface as api
-from ambershift.coordinator.replication.heard.store import Store
-from ambershift.coordinator.replication.heard.words import Kind, Record
+from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.types import Kind, Record
 
 SECOND = 1_000_000_000
 # Which servers are told one by one: those that fail or are late far more than the middle one. Of the rest a
--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -15,10 +15,10 @@
 from ambershift.coordinator.group.links.words import failure
 from ambershift.coordinator.maintenance.words import Phase
 from ambershift.coordinator.promises.state import Held
-from ambershift.coordinator.replication.heard import messages
-from ambershift.coordinator.replication.heard.store import Store
-from ambershift.coordinator.replication.heard.words import Kind as Heard
-from ambershift.coordinator.replication.heard.words import Record
+from ambershift.coordinator.replication.gossip import messages
+from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.types import Kind as Heard
+from ambershift.coordinator.replication.gossip.types import Record
 
 if TYPE_CHECKING:
     from ambershift.coordinator.group.member import Member
--- a/ambershift/coordinator/group/learned.py
+++ b/ambershift/coordinator/group/learned.py
@@ -25,8 +25,8 @@
     sample,
     troubled,
 )
-from ambershift.coordinator.replication.heard.store import Store
-from ambershift.coordinator.replication.heard.words import BODY_MOST, KEY_MOST, Kind, Record, longest
+from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.types import BODY_MOST, KEY_MOST, Kind, Record, longest
 
 TELL = 2 * SECOND
 # Starts that differ by less are the same start: the way of a word is not counted in its age.
--- a/ambershift/coordinator/group/life.py
+++ b/ambershift/coordinator/group/life.py
@@ -13,7 +13,7 @@
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.words import Nothing
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.words import Saved
+from ambershift.coordinator.replication.types import Saved
 
 Note = Callable[..., None]
 
--- a/ambershift/coordinator/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -23,9 +23,9 @@
 from ambershift.coordinator.promises.state import Promises
 from ambershift.coordinator.promises.unconfirmed import sooner_ends
 from ambershift.coordinator.promises.words import Command, Wishes
-from ambershift.coordinator.replication import messages, words
+from ambershift.coordinator.replication import messages, types
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.words import Answer, Applied, Halt, Reason, Restored, Send, Write
+from ambershift.coordinator.replication.types import Answer, Applied, Halt, Reason, Restored, Send, Write
 
 SECOND, FAILED_PAUSE = 1_000_000_000, 0.2
 
@@ -184,7 +184,7 @@
                     self.at_desk.committed(effect.number)
                 case Answer():
                     self.answered(effect)
-                case words.Note():
+                case types.Note():
                     self.note(effect.event.replace("-", "_"), **effect.fields)
                 case Halt():
                     if effect.reason is Reason.OLD_FOLDER and self.life.folder is not None:
--- a/ambershift/coordinator/group/promise.py
+++ b/ambershift/coordinator/group/promise.py
@@ -11,8 +11,8 @@
 from ambershift.coordinator.group.rows import member_rows, permit_rows
 from ambershift.coordinator.promises.answers import Outcome, read_answer
 from ambershift.coordinator.promises.words import Answered, Wishes, WishOne
-from ambershift.coordinator.replication.words import Answer as Reply
-from ambershift.coordinator.replication.words import Reason
+from ambershift.coordinator.replication.types import Answer as Reply
+from ambershift.coordinator.replication.types import Reason
 from ambershift.coordinator.runtime.changing import BAD_COMMAND
 from ambershift.coordinator.runtime.outcomes import Answer, error
 from ambershift.coordinator.runtime.session import Severity
--- a/ambershift/coordinator/group/upkeep.py
+++ b/ambershift/coordinator/group/upkeep.py
@@ -18,7 +18,7 @@
 from ambershift.coordinator.promises.answers import read_answer
 from ambershift.coordinator.promises.steward import Steward
 from ambershift.coordinator.promises.words import Command, Declare
-from ambershift.coordinator.replication.words import Status
+from ambershift.coordinator.replication.types import Status
 
 SECOND = 1_000_000_000
 EVERY, WAIT = 0.5, 2 * SECOND
--- a/ambershift/coordinator/groupsim/clients.py
+++ b/ambershift/coordinator/groupsim/clients.py
@@ -8,7 +8,7 @@
 from ambershift.coordinator.groupsim.history import Kind, Operation, Outcome
 from ambershift.coordinator.groupsim.judge import WrongError
 from ambershift.coordinator.groupsim.plan import CALM_AT, MS, SECOND
-from ambershift.coordinator.replication.words import Answer, Reason
+from ambershift.coordinator.replication.types import Answer, Reason
 
 if TYPE_CHECKING:
     from ambershift.coordinator.groupsim.world import World
--- a/ambershift/coordinator/groupsim/faults.py
+++ b/ambershift/coordinator/groupsim/faults.py
@@ -6,7 +6,7 @@
 
 from ambershift.coordinator.groupsim.folder import Folder
 from ambershift.coordinator.groupsim.plan import SECOND, Fault, Trouble
-from ambershift.coordinator.replication.words import Status
+from ambershift.coordinator.replication.types import Status
 
 if TYPE_CHECKING:
     from ambershift.coordinator.groupsim.process import Process
--- a/ambershift/coordinator/groupsim/folder.py
+++ b/ambershift/coordinator/groupsim/folder.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.coordinator.replication.words import Entry, Saved, Snapshot, Write
+from ambershift.coordinator.replication.types import Entry, Saved, Snapshot, Write
 
 
 class ContradictionError(Exception):
--- a/ambershift/coordinator/groupsim/judge.py
+++ b/ambershift/coordinator/groupsim/judge.py
@@ -6,7 +6,7 @@
 
 from ambershift.coordinator.groupsim.history import Kind, Operation, Outcome, check
 from ambershift.coordinator.groupsim.register import Registers
-from ambershift.coordinator.replication.words import Applied, Restored, Status
+from ambershift.coordinator.replication.types import Applied, Restored, Status
 
 if TYPE_CHECKING:
     from ambershift.coordinator.groupsim.process import Process
--- a/ambershift/coordinator/groupsim/process.py
+++ b/ambershift/coordinator/groupsim/process.py
@@ -9,8 +9,8 @@
 from ambershift.coordinator.groupsim.plan import MS, SECOND
 from ambershift.coordinator.groupsim.register import RegisterMachine
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.timing import Timing
-from ambershift.coordinator.replication.words import (
+from ambershift.coordinator.replication.tuning import Timing
+from ambershift.coordinator.replication.types import (
     Answer,
     Applied,
     Effect,
--- a/ambershift/coordinator/groupsim/register.py
+++ b/ambershift/coordinator/groupsim/register.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ambershift.coordinator.replication.words import Entry
+from ambershift.coordinator.replication.types import Entry
 
 
 class Registers(NamedTuple):
--- a/ambershift/coordinator/interference/engine.py
+++ b/ambershift/coordinator/interference/engine.py
@@ -19,7 +19,7 @@
 from ambershift.coordinator.interference.records import Baseline, Evidence, Put, UnreadableError
 from ambershift.coordinator.interference.sift import judge
 from ambershift.coordinator.interference.words import Sample, Score, Unusable
-from ambershift.coordinator.replication.heard import Kind, Record
+from ambershift.coordinator.replication.gossip import Kind, Record
 
 BEAT_NS = 1_000_000_000
 SLICE = 4  # Nodes that are looked at in one call of `due`: some 10 ms each.
--- a/ambershift/coordinator/interference/held.py
+++ b/ambershift/coordinator/interference/held.py
@@ -8,7 +8,7 @@
 from ambershift.coordinator.interference.normal import Normal, Sketch, normal
 from ambershift.coordinator.interference.pooled import median
 from ambershift.coordinator.interference.records import Baseline, Evidence
-from ambershift.coordinator.replication.heard import Kind
+from ambershift.coordinator.replication.gossip import Kind
 
 
 class Held:
--- a/ambershift/coordinator/interference/records.py
+++ b/ambershift/coordinator/interference/records.py
@@ -12,7 +12,7 @@
 
 from ambershift.coordinator.interference.normal import Sketch, sound
 from ambershift.coordinator.interference.words import Sample
-from ambershift.coordinator.replication.heard import Kind
+from ambershift.coordinator.replication.gossip import Kind
 
 VERSION = 1
 BODY_MOST = 8_192
--- a/ambershift/coordinator/promises/machine.py
+++ b/ambershift/coordinator/promises/machine.py
@@ -31,7 +31,7 @@
     Wishes,
     WishOne,
 )
-from ambershift.coordinator.replication.words import Entry
+from ambershift.coordinator.replication.types import Entry
 
 WISHES_MOST = 20_000  # As many as the desk lets wait; a fleet has fewer servers.
 KEPT_MOST = 256
--- a/ambershift/coordinator/promises/unconfirmed.py
+++ b/ambershift/coordinator/promises/unconfirmed.py
@@ -8,7 +8,7 @@
 from ambershift.coordinator.maintenance.words import Phase
 from ambershift.coordinator.promises.answers import decode
 from ambershift.coordinator.promises.words import Move
-from ambershift.coordinator.replication.words import Entry
+from ambershift.coordinator.replication.types import Entry
 
 
 class SoonerEnd(NamedTuple):
--- a/ambershift/coordinator/replication/applying.py
+++ b/ambershift/coordinator/replication/applying.py
@@ -8,7 +8,7 @@
 
 from ambershift.coordinator.replication.core import GROUP, Core
 from ambershift.coordinator.replication.tokens import Tokens
-from ambershift.coordinator.replication.words import Applied, Entry, Reason, Restored, Snapshot
+from ambershift.coordinator.replication.types import Applied, Entry, Reason, Restored, Snapshot
 
 
 def append(core: Core, entries: tuple[Entry, ...]) -> bool:
--- a/ambershift/coordinator/replication/birth.py
+++ b/ambershift/coordinator/replication/bootstrap.py
@@ -7,10 +7,10 @@
 from __future__ import annotations
 
 from ambershift.coordinator.replication.core import Core, Fetching
-from ambershift.coordinator.replication.knowing import all_lives, all_rows, learn_lives, learn_rows
 from ambershift.coordinator.replication.leading import start_leading
 from ambershift.coordinator.replication.messages import Ask, Blank, Lives, Told
-from ambershift.coordinator.replication.words import Reason, Status
+from ambershift.coordinator.replication.peers import all_lives, all_rows, learn_lives, learn_rows
+from ambershift.coordinator.replication.types import Reason, Status
 
 
 def others(core: Core) -> list[str]:
--- a/ambershift/coordinator/replication/requests.py
+++ b/ambershift/coordinator/replication/client_requests.py
@@ -6,8 +6,8 @@
 from ambershift.coordinator.replication.core import Core, Want
 from ambershift.coordinator.replication.leading import accept, ask_to_read
 from ambershift.coordinator.replication.messages import Answered, Forward, ReadAsk, ReadAt
-from ambershift.coordinator.replication.wants import settle, take_answer, take_read
-from ambershift.coordinator.replication.words import Answer, Reason, Status
+from ambershift.coordinator.replication.pending_requests import settle, take_answer, take_read
+from ambershift.coordinator.replication.types import Answer, Reason, Status
 
 TAKEN = 64  # Attempts of a member that are told apart; what comes later than so many others is left out.
 LOST = 0  # In place of attempts too many to keep: never refused.
--- a/ambershift/coordinator/replication/core.py
+++ b/ambershift/coordinator/replication/core.py
@@ -6,9 +6,9 @@
 
 from ambershift.coordinator.replication.log import Log
 from ambershift.coordinator.replication.messages import Lives, Message, Vouch
-from ambershift.coordinator.replication.timing import Timing
 from ambershift.coordinator.replication.tokens import Tokens
-from ambershift.coordinator.replication.words import (
+from ambershift.coordinator.replication.tuning import Timing
+from ambershift.coordinator.replication.types import (
     Effect,
     Halt,
     Machine,
--- a/ambershift/coordinator/replication/following.py
+++ b/ambershift/coordinator/replication/following.py
@@ -5,13 +5,13 @@
 import msgspec
 
 from ambershift.coordinator.replication.applying import append, commit_to, install, piece
-from ambershift.coordinator.replication.birth import recovered, start_again, strange
+from ambershift.coordinator.replication.bootstrap import recovered, start_again, strange
 from ambershift.coordinator.replication.core import Core, Fetching
-from ambershift.coordinator.replication.knowing import learn_rows
 from ambershift.coordinator.replication.leading import answer_older, start_leading
 from ambershift.coordinator.replication.messages import Beat, Chunk, Fetch, Have, Prepare
-from ambershift.coordinator.replication.views import follow
-from ambershift.coordinator.replication.words import Entry, Snapshot, Status
+from ambershift.coordinator.replication.peers import learn_rows
+from ambershift.coordinator.replication.types import Entry, Snapshot, Status
+from ambershift.coordinator.replication.view_change import follow
 
 
 def from_leader(core: Core, now: int, sender: str, message: Beat | Prepare) -> bool:
--- a/ambershift/coordinator/replication/frozen.py
+++ b/ambershift/coordinator/replication/frozen.py
@@ -7,7 +7,7 @@
 from ambershift.coordinator.replication.core import Core
 from ambershift.coordinator.replication.log import Log
 from ambershift.coordinator.replication.tokens import Tokens
-from ambershift.coordinator.replication.words import Status
+from ambershift.coordinator.replication.types import Status
 
 Frozen = tuple[Any, ...]  # In the order of the attributes of Core.
 LEFT_OUT = ("fixed", "out", "vouching", "ahead", "open", "serving")  # Empty, or told by the rest.
--- a/ambershift/coordinator/replication/heard/messages.py
+++ b/ambershift/coordinator/replication/gossip/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ambershift.coordinator.replication.heard.words import Body, Count, Key, Name
+from ambershift.coordinator.replication.gossip.types import Body, Count, Key, Name
 
 WIRE = 1
 MESSAGE_MOST = 1 << 20
--- a/ambershift/coordinator/replication/heard/store.py
+++ b/ambershift/coordinator/replication/gossip/store.py
@@ -11,8 +11,8 @@
 
 from collections.abc import Iterator
 
-from ambershift.coordinator.replication.heard.ages import Ages
-from ambershift.coordinator.replication.heard.messages import (
+from ambershift.coordinator.replication.gossip.expiry import Ages
+from ambershift.coordinator.replication.gossip.messages import (
     DELTA_MOST,
     Delta,
     Digest,
@@ -21,8 +21,8 @@
     Place,
     Row,
 )
-from ambershift.coordinator.replication.heard.origin import Held, Origin, size
-from ambershift.coordinator.replication.heard.words import BODY_MOST, KEY_MOST, Bounds, Record, longest
+from ambershift.coordinator.replication.gossip.origin import Held, Origin, size
+from ambershift.coordinator.replication.gossip.types import BODY_MOST, KEY_MOST, Bounds, Record, longest
 
 
 class Store:
--- a/ambershift/coordinator/replication/heard/__init__.py
+++ /dev/null
@@ -1,4 +0,0 @@
-"""Heard state: what members tell each other without promise, by origin, with version and age. No I/O."""
-
-from ambershift.coordinator.replication.heard.words import Kind as Kind
-from ambershift.coordinator.replication.heard.words import Record as Record
--- a/ambershift/coordinator/replication/leading.py
+++ b/ambershift/coordinator/replication/leading.py
@@ -4,10 +4,10 @@
 
 from ambershift.coordinator.replication.applying import commit_to, run
 from ambershift.coordinator.replication.core import GROUP, Core, Reader
-from ambershift.coordinator.replication.knowing import all_rows, learn_row
 from ambershift.coordinator.replication.messages import Beat, Have, Newer, Prepare, Vouch
-from ambershift.coordinator.replication.wants import reply, reply_read
-from ambershift.coordinator.replication.words import Entry, Reason, Status
+from ambershift.coordinator.replication.peers import all_rows, learn_row
+from ambershift.coordinator.replication.pending_requests import reply, reply_read
+from ambershift.coordinator.replication.types import Entry, Reason, Status
 
 
 def start_leading(core: Core, now: int) -> None:
--- a/ambershift/coordinator/replication/log.py
+++ b/ambershift/coordinator/replication/log.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ambershift.coordinator.replication.words import Entry
+from ambershift.coordinator.replication.types import Entry
 
 
 class Log:
--- a/ambershift/coordinator/replication/vouched.py
+++ b/ambershift/coordinator/replication/log_recovery.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ambershift.coordinator.replication.records import Fault, Found, Head, Line, Mark, begin, frames, marks
-from ambershift.coordinator.replication.words import Entry, Saved, Snapshot
+from ambershift.coordinator.replication.types import Entry, Saved, Snapshot
 
 
 class ContradictionError(Exception):
--- a/ambershift/coordinator/replication/messages.py
+++ b/ambershift/coordinator/replication/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ambershift.coordinator.replication.words import Entry
+from ambershift.coordinator.replication.types import Entry
 
 WIRE = 1
 MESSAGE_MOST = 1 << 20  # Bytes; the rest of the program bounds what it asks to stay far below.
--- a/ambershift/coordinator/replication/knowing.py
+++ b/ambershift/coordinator/replication/peers.py
@@ -6,7 +6,7 @@
 
 from ambershift.coordinator.replication.core import NEVER, Core
 from ambershift.coordinator.replication.messages import Lives, Vouch
-from ambershift.coordinator.replication.words import Reason, Status
+from ambershift.coordinator.replication.types import Reason, Status
 
 
 def own_row(core: Core) -> Vouch:
--- a/ambershift/coordinator/replication/wants.py
+++ b/ambershift/coordinator/replication/pending_requests.py
@@ -4,7 +4,7 @@
 
 from ambershift.coordinator.replication.core import NEVER, Core, Want
 from ambershift.coordinator.replication.messages import Answered, ReadAt
-from ambershift.coordinator.replication.words import Answer, Reason
+from ambershift.coordinator.replication.types import Answer, Reason
 
 FINAL = {Reason.TOKEN_REUSED.value, Reason.TOO_LARGE.value}
 
--- a/ambershift/coordinator/replication/keeping.py
+++ b/ambershift/coordinator/replication/persistence.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ambershift.coordinator.replication.core import Core
-from ambershift.coordinator.replication.words import Effect, Status, Write
+from ambershift.coordinator.replication.types import Effect, Status, Write
 
 
 def finish(core: Core) -> list[Effect]:
--- a/ambershift/coordinator/replication/records.py
+++ b/ambershift/coordinator/replication/records.py
@@ -17,7 +17,7 @@
 import google_crc32c
 import msgspec
 
-from ambershift.coordinator.replication.words import Entry, Snapshot, Write
+from ambershift.coordinator.replication.types import Entry, Snapshot, Write
 
 MAGIC, VERSION = b"amberlog", 1
 PREAMBLE = struct.Struct("<8sIQQI")  # Magic, version, generation, bytes synced before its name, checksum.
--- a/ambershift/coordinator/replication/replica.py
+++ b/ambershift/coordinator/replication/replica.py
@@ -5,35 +5,43 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ambershift.coordinator.replication import birth, following, leading, messages, requests, views, wants
+from ambershift.coordinator.replication import (
+    bootstrap,
+    client_requests,
+    following,
+    leading,
+    messages,
+    pending_requests,
+    view_change,
+)
 from ambershift.coordinator.replication.applying import commit_to, compact, install
 from ambershift.coordinator.replication.core import NEVER, Core, Fixed
 from ambershift.coordinator.replication.frozen import Frozen, freeze, thaw
-from ambershift.coordinator.replication.keeping import finish, on_synced
-from ambershift.coordinator.replication.knowing import all_rows, learn_life
 from ambershift.coordinator.replication.log import Log
 from ambershift.coordinator.replication.messages import Message
-from ambershift.coordinator.replication.timing import PLAIN, Timing
-from ambershift.coordinator.replication.words import Effect, Machine, MemberRow, Restored, Saved, Status
+from ambershift.coordinator.replication.peers import all_rows, learn_life
+from ambershift.coordinator.replication.persistence import finish, on_synced
+from ambershift.coordinator.replication.tuning import PLAIN, Timing
+from ambershift.coordinator.replication.types import Effect, Machine, MemberRow, Restored, Saved, Status
 
 HANDLERS: dict[type, Callable[[Core, int, str, Any], None]] = {
-    messages.Ask: birth.on_ask,
-    messages.Blank: birth.on_blank,
-    messages.Told: birth.on_told,
+    messages.Ask: bootstrap.on_ask,
+    messages.Blank: bootstrap.on_blank,
+    messages.Told: bootstrap.on_told,
     messages.Beat: following.on_beat,
     messages.Prepare: following.on_prepare,
     messages.Have: leading.on_have,
     messages.Fetch: following.on_fetch,
     messages.Chunk: following.on_chunk,
-    messages.Suspect: views.on_suspect,
-    messages.Suspected: views.on_suspected,
-    messages.Leave: views.on_leave,
-    messages.Vote: views.on_vote,
-    messages.Newer: views.on_newer,
-    messages.Forward: requests.on_forward,
-    messages.Answered: requests.on_answered,
-    messages.ReadAsk: requests.on_read_ask,
-    messages.ReadAt: requests.on_read_at,
+    messages.Suspect: view_change.on_suspect,
+    messages.Suspected: view_change.on_suspected,
+    messages.Leave: view_change.on_leave,
+    messages.Vote: view_change.on_vote,
+    messages.Newer: view_change.on_newer,
+    messages.Forward: client_requests.on_forward,
+    messages.Answered: client_requests.on_answered,
+    messages.ReadAsk: client_requests.on_read_ask,
+    messages.ReadAt: client_requests.on_read_at,
 }
 
 
@@ -71,7 +79,7 @@
         core.leader_heard = core.ask_at = now
         core.next_start = now
         core.lost = lost
-        views.new_patience(core)
+        view_change.new_patience(core)
         if saved is not None and (saved.view or saved.entries or saved.snapshot or not fixed.votes):
             self.take_saved(core, saved, now)  # One with nothing is as good as blank.
 
@@ -129,19 +137,19 @@
         if core.status is Status.HALTED:
             return []
         on_synced(core, ticket)
-        views.count_leavers(core, now)
+        view_change.count_leavers(core, now)
         following.have(core, 0)
         return self.end(now)
 
     def submit(self, now: int, at: int, ticket: int, token: str, command: bytes, until: int) -> list[Effect]:
         """At any member. `Answer(ticket, ...)` comes once, by `until` at the latest (as `due` is called)."""
         self.core.wall = at - now
-        requests.submit(self.core, now, ticket, token, command, until)
+        client_requests.submit(self.core, now, ticket, token, command, until)
         return self.end(now)
 
     def read(self, now: int, ticket: int, until: int) -> list[Effect]:
         """Answered once the state here has all that was promised when this was called."""
-        requests.read(self.core, now, ticket, until)
+        client_requests.read(self.core, now, ticket, until)
         return self.end(now)
 
     def due(self, now: int, at: int) -> list[Effect]:
@@ -149,16 +157,16 @@
         core = self.core
         core.wall = at - now
         if core.status is not Status.HALTED:
-            birth.ask(core, now)
+            bootstrap.ask(core, now)
             leading.check_quorum(core, now)
-            views.look(core, now)
+            view_change.look(core, now)
             following.keep_fetching(core, now)
-            requests.push_late(core, now)
+            client_requests.push_late(core, now)
         return self.end(now)
 
     def stop(self, now: int) -> list[Effect]:
         """The program ends: all that wait are answered."""
-        requests.stop(self.core)
+        client_requests.stop(self.core)
         return self.end(now)
 
     def end(self, now: int) -> list[Effect]:
@@ -168,16 +176,16 @@
             if core.next_start != NEVER:
                 self.tell_start(core)
             if where != core.was and core.status is Status.NORMAL:
-                requests.push_all(core, now)
+                client_requests.push_all(core, now)
             core.was = where
             leading.work(core, now)
             compact(core)
             assert core.log.base <= core.committed <= core.log.top
             assert core.sure <= core.log.top
-            wants.serve_reads(core)
+            pending_requests.serve_reads(core)
         else:
-            requests.halt(core)
-        wants.expire(core, now)
+            client_requests.halt(core)
+        pending_requests.expire(core, now)
         return finish(core)
 
     @staticmethod
@@ -207,7 +215,7 @@
         if core.leading and not core.doubt:
             times.append(core.beat_at)
         elif core.status is not Status.BLANK and core.fixed.votes:
-            times.append(max(views.suspect_from(core), core.suspect_at))
+            times.append(max(view_change.suspect_from(core), core.suspect_at))
             if core.status is Status.CHANGING:
                 times.append(core.again_at)
         return min(times)
--- a/ambershift/coordinator/replication/views.py
+++ b/ambershift/coordinator/replication/view_change.py
@@ -4,10 +4,10 @@
 
 from ambershift.coordinator.replication.applying import void
 from ambershift.coordinator.replication.core import Core, Fetching
-from ambershift.coordinator.replication.knowing import all_lives, all_rows, learn_lives, learn_rows
 from ambershift.coordinator.replication.leading import start_leading
 from ambershift.coordinator.replication.messages import Leave, Newer, Suspect, Suspected, Vote
-from ambershift.coordinator.replication.words import Status
+from ambershift.coordinator.replication.peers import all_lives, all_rows, learn_lives, learn_rows
+from ambershift.coordinator.replication.types import Status
 
 AT_WORK = (Status.NORMAL, Status.CHANGING)
 
--- a/ambershift/modelcheck/models/permits.py
+++ b/ambershift/modelcheck/models/permits.py
@@ -19,7 +19,7 @@
 from ambershift.coordinator.promises.state import EMPTY, Promises
 from ambershift.coordinator.promises.steward import Steward
 from ambershift.coordinator.promises.words import Declare, Grant, Move
-from ambershift.coordinator.replication.words import Entry
+from ambershift.coordinator.replication.types import Entry
 from ambershift.modelcheck.model import Base, Step
 from ambershift.modelcheck.models.replication import broken
 
--- a/ambershift/modelcheck/models/replication.py
+++ b/ambershift/modelcheck/models/replication.py
@@ -12,7 +12,7 @@
 from functools import partial
 
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.words import Status
+from ambershift.coordinator.replication.types import Status
 from ambershift.modelcheck.model import Base, Property, Step
 from ambershift.modelcheck.models.replication_table import (
     ALL,
--- a/ambershift/modelcheck/models/replication_table.py
+++ b/ambershift/modelcheck/models/replication_table.py
@@ -13,9 +13,9 @@
 from ambershift.coordinator.groupsim.register import RegisterMachine
 from ambershift.coordinator.replication.log import Log
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.timing import STILL
 from ambershift.coordinator.replication.tokens import Tokens
-from ambershift.coordinator.replication.words import (
+from ambershift.coordinator.replication.tuning import STILL
+from ambershift.coordinator.replication.types import (
     Answer,
     Applied,
     Effect,
--- a/ambershift/modelcheck/mutants/replication.py
+++ b/ambershift/modelcheck/mutants/replication.py
@@ -5,19 +5,19 @@
 from typing import Any
 
 from ambershift.coordinator.replication import (
-    birth,
+    bootstrap,
+    client_requests,
     following,
-    knowing,
     leading,
     messages,
+    peers,
+    pending_requests,
     replica,
-    requests,
-    views,
-    wants,
+    view_change,
 )
 from ambershift.coordinator.replication.core import Core
 from ambershift.coordinator.replication.tokens import Tokens
-from ambershift.coordinator.replication.words import Status
+from ambershift.coordinator.replication.types import Status
 from ambershift.modelcheck.mutants.words import Mutant
 
 
@@ -26,7 +26,7 @@
 
     def ask(core: Core, now: int) -> None:
         if core.status is Status.BLANK and core.fixed.votes:
-            birth.be_born(core, now, knowing.all_lives(core))
+            bootstrap.be_born(core, now, peers.all_lives(core))
 
     return ask
 
@@ -34,7 +34,7 @@
 def born_with_a_majority(real: Any) -> Any:
     def on_blank(core: Core, now: int, sender: str, message: messages.Blank) -> None:
         if core.status is Status.BLANK and message.asked == core.incarnation:
-            birth.be_born(core, now, knowing.all_lives(core))
+            bootstrap.be_born(core, now, peers.all_lives(core))
 
     return {**real, messages.Blank: on_blank}
 
@@ -55,7 +55,7 @@
 
     def on_told(core: Core, now: int, sender: str, message: messages.Told) -> None:
         real[messages.Told](core, now, sender, message)
-        counted = birth.crash_consistent(core)
+        counted = bootstrap.crash_consistent(core)
         if core.status is Status.BLANK and core.fetching is None and len(counted) >= core.fixed.majority - 1:
             core.status, core.view = Status.NORMAL, max(core.told[name][1] for name in counted)
 
@@ -76,7 +76,9 @@
         if reader.attempt:
             real(core, reader)
         else:
-            wants.reply_read(core, reader.member, reader.incarnation, reader.ticket, core.committed)
+            pending_requests.reply_read(
+                core, reader.member, reader.incarnation, reader.ticket, core.committed
+            )
 
     return wait_for_round
 
@@ -86,7 +88,7 @@
 
     def read(core: Core, now: int, ticket: int, until: int) -> None:
         real(core, now, ticket, until)
-        wants.take_read(core, ticket, core.committed)
+        pending_requests.take_read(core, ticket, core.committed)
 
     return read
 
@@ -95,7 +97,7 @@
     """Who leads next begins with its own log, older or not."""
 
     def count_votes(core: Core, now: int) -> None:
-        counted = views.current(core, {name: held[0] for name, held in core.votes.items()})
+        counted = view_change.current(core, {name: held[0] for name, held in core.votes.items()})
         if len(counted) >= core.fixed.majority and core.fixed.me in counted and core.fetching is None:
             leading.start_leading(core, now)
 
@@ -180,7 +182,7 @@
         "replication-small",
         ORDER,
         "a blank one takes itself for one that votes",
-        birth,
+        bootstrap,
         "ask",
         born_at_once,
     ),
@@ -216,7 +218,7 @@
         "replication",
         STALE,
         "any member answers reads from what it has",
-        requests,
+        client_requests,
         "read",
         any_member_reads,
     ),
@@ -225,7 +227,7 @@
         "replication-small",
         ORDER,
         "a new leader begins with its own log",
-        views,
+        view_change,
         "count_votes",
         first_log_wins,
     ),
@@ -234,7 +236,7 @@
         "replication-small",
         ORDER,
         "a new leader needs no other vote",
-        views,
+        view_change,
         "count_leavers",
         leaves_alone,
     ),
@@ -261,7 +263,7 @@
         "replication-folders",
         ORDER,
         "a folder behind its member's word is taken",
-        knowing,
+        peers,
         "judge_myself",
         older_life_counts,
     ),
@@ -302,7 +304,7 @@
         "simulation",
         "no order explains",
         "what timed out is told as not written",
-        wants,
+        pending_requests,
         "give_up",
         nothing_was_written,
         71,
--- a/benchmarks/group_disk.py
+++ b/benchmarks/group_disk.py
@@ -18,7 +18,7 @@
 from ambershift.coordinator.group.disk.files import RealFiles
 from ambershift.coordinator.group.disk.folder import Folder
 from ambershift.coordinator.group.disk.worker import Disk
-from ambershift.coordinator.replication.words import Entry, Snapshot, Write
+from ambershift.coordinator.replication.types import Entry, Snapshot, Write
 
 WALL = 1_800_000_000_000_000_000
 
--- a/benchmarks/heard_state.py
+++ b/benchmarks/heard_state.py
@@ -11,9 +11,9 @@
 import time
 import tracemalloc
 
-from ambershift.coordinator.replication.heard.messages import Delta, Message, Part, Row, decode, encode
-from ambershift.coordinator.replication.heard.store import Store
-from ambershift.coordinator.replication.heard.words import Kind
+from ambershift.coordinator.replication.gossip.messages import Delta, Message, Part, Row, decode, encode
+from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.types import Kind
 
 S = 1_000_000_000
 NAMES = ("n1", "n2", "n3")
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -14,8 +14,8 @@
 
 from ambershift.coordinator.replication.messages import decode, encode
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.timing import MS, PLAIN
-from ambershift.coordinator.replication.words import Answer, Entry, Send, Status, Write
+from ambershift.coordinator.replication.tuning import MS, PLAIN
+from ambershift.coordinator.replication.types import Answer, Entry, Send, Status, Write
 from tests.support.simulated_replicas import SECOND, WALL, Counting, Sim
 
 
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -15,8 +15,8 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.group.learned import Learned
-from ambershift.coordinator.replication.heard.messages import Message, decode, encode
-from ambershift.coordinator.replication.heard.store import Store
+from ambershift.coordinator.replication.gossip.messages import Message, decode, encode
+from ambershift.coordinator.replication.gossip.store import Store
 from tests.support.operator_model import Operated
 from tests.support.policy_model import S, entry, make_terms
 
--- a/tests/compatibility/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -22,7 +22,7 @@
 from ambershift.coordinator.promises.words import Command
 from ambershift.coordinator.replication import messages as group_messages
 from ambershift.coordinator.replication import records
-from ambershift.coordinator.replication.heard import messages as heard
+from ambershift.coordinator.replication.gossip import messages as heard
 from ambershift.system.configuration.agreement import Agreement
 from ambershift.system.consensus.membership_view import MembershipStatus
 from ambershift.system.coordination.groups import Group
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -18,9 +18,9 @@
 from ambershift.coordinator.group.disk.files import RealFiles
 from ambershift.coordinator.group.disk.folder import Folder
 from ambershift.coordinator.promises.machine import PromisesMachine
-from ambershift.coordinator.replication.heard import messages as heard
-from ambershift.coordinator.replication.heard.store import Store
-from ambershift.coordinator.replication.words import Entry, Write
+from ambershift.coordinator.replication.gossip import messages as heard
+from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.types import Entry, Write
 from tests.compatibility.control_node_process import IP, control_node
 from tests.compatibility.encoded_forms import STORED, Form
 from tests.compatibility.struct_layout import differences, layout, tags
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -16,7 +16,7 @@
 
 from ambershift.coordinator.group.links.wire import Kind as FrameKind
 from ambershift.coordinator.group.links.wire import frame
-from ambershift.coordinator.replication.heard.words import Kind as HeardKind
+from ambershift.coordinator.replication.gossip.types import Kind as HeardKind
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import WORDS
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, PeerIdentity, format_path, parse_path
--- a/tests/coordinator/group/test_disk.py
+++ b/tests/coordinator/group/test_disk.py
@@ -18,8 +18,8 @@
 from ambershift.coordinator.group.disk.folder import DiskError, Folder, Opened, RefusedError
 from ambershift.coordinator.group.disk.worker import Disk
 from ambershift.coordinator.replication import records
-from ambershift.coordinator.replication.vouched import ContradictionError, Held
-from ambershift.coordinator.replication.words import Entry, Saved, Snapshot, Write
+from ambershift.coordinator.replication.log_recovery import ContradictionError, Held
+from ambershift.coordinator.replication.types import Entry, Saved, Snapshot, Write
 from tests.support import simulated_replicas
 from tests.support.fault_schedules import history
 from tests.support.simulated_disk import CrashError, SimFiles
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -26,8 +26,8 @@
 from ambershift.coordinator.promises.state import EMPTY, Held
 from ambershift.coordinator.promises.unconfirmed import SoonerEnd, sooner_ends
 from ambershift.coordinator.promises.words import Answered, Command, Declare, Grant, Move, Wishes, WishOne
-from ambershift.coordinator.replication.words import Answer, Entry
-from ambershift.coordinator.replication.words import Reason as Why
+from ambershift.coordinator.replication.types import Answer, Entry
+from ambershift.coordinator.replication.types import Reason as Why
 from ambershift.coordinator.settings.model import read_text
 from ambershift.coordinator.settings.tree import SettingsError
 from ambershift.coordinator.standins.processes import Member as Process
--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -11,8 +11,8 @@
 from ambershift.coordinator.admin.mirror import BLANK
 from ambershift.coordinator.group.evidence import SAMPLE, SPLIT, Row, Sum, notable, rows, sample
 from ambershift.coordinator.group.learned import AGE_MOST, GIVEN_MOST, TRIES_MOST, Learned
-from ambershift.coordinator.replication.heard import Kind
-from ambershift.coordinator.replication.heard.store import Store
+from ambershift.coordinator.replication.gossip import Kind
+from ambershift.coordinator.replication.gossip.store import Store
 from benchmarks.takeover import Numbered, Side, Takeover
 from tests.support.policy_model import S, entry, make_terms
 
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -23,10 +23,10 @@
 from ambershift.coordinator.promises.answers import read_answer
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.words import Grant, Wishes, WishOne
-from ambershift.coordinator.replication.heard.messages import encode
-from ambershift.coordinator.replication.heard.store import Store
-from ambershift.coordinator.replication.heard.words import Kind as Heard
-from ambershift.coordinator.replication.words import Applied, Entry, Halt, Note, Reason
+from ambershift.coordinator.replication.gossip.messages import encode
+from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.types import Kind as Heard
+from ambershift.coordinator.replication.types import Applied, Entry, Halt, Note, Reason
 from ambershift.coordinator.standins.world import until
 from tests.coordinator.group.test_group import Member as Virtual
 from tests.coordinator.group.test_group import declare, out, permit
--- a/tests/coordinator/groupsim/test_groupsim.py
+++ b/tests/coordinator/groupsim/test_groupsim.py
@@ -7,7 +7,7 @@
 from ambershift.coordinator.groupsim.plan import CALM, Plan, Trouble, plan
 from ambershift.coordinator.groupsim.shrink import shrink, told
 from ambershift.coordinator.groupsim.world import World, run, run_seed
-from ambershift.coordinator.replication.words import Entry, Snapshot, Write
+from ambershift.coordinator.replication.types import Entry, Snapshot, Write
 from ambershift.modelcheck.mutants import SIMULATED, Mutant, broken, simulated
 from tests.coordinator.cli.test_tools import ambershift
 
--- a/tests/coordinator/interference/planted_worlds.py
+++ b/tests/coordinator/interference/planted_worlds.py
@@ -5,7 +5,7 @@
 from ambershift.coordinator.counters.worlds import EPOCH, SLOT_NS, Plan, World
 from ambershift.coordinator.interference.engine import Engine
 from ambershift.coordinator.interference.records import Put
-from ambershift.coordinator.replication.heard import Record
+from ambershift.coordinator.replication.gossip import Record
 
 SECOND = 1_000_000_000
 
--- a/tests/coordinator/interference/test_interference.py
+++ b/tests/coordinator/interference/test_interference.py
@@ -20,7 +20,7 @@
 from ambershift.coordinator.interference.sift import Told, judge
 from ambershift.coordinator.interference.suspects import BLOCK, findings, present, swings
 from ambershift.coordinator.interference.words import Sample, Unusable
-from ambershift.coordinator.replication.heard import Kind
+from ambershift.coordinator.replication.gossip import Kind
 from tests.coordinator.interference.planted_worlds import Played, due, play, record
 
 SECOND = 1_000_000_000
--- a/tests/coordinator/maintenance/simulated_permits.py
+++ b/tests/coordinator/maintenance/simulated_permits.py
@@ -24,7 +24,7 @@
 from ambershift.coordinator.promises.state import EMPTY, Promises
 from ambershift.coordinator.promises.steward import Steward
 from ambershift.coordinator.promises.words import Command, Declare, Grant
-from ambershift.coordinator.replication.words import Entry
+from ambershift.coordinator.replication.types import Entry
 
 S = 1_000_000_000
 OPENS = int(datetime(2026, 12, 2, 1, 0, tzinfo=UTC).timestamp())
--- a/tests/coordinator/promises/test_promises.py
+++ b/tests/coordinator/promises/test_promises.py
@@ -20,7 +20,7 @@
 from ambershift.coordinator.promises.machine import KEPT_MOST, WISHES_MOST, PromisesMachine
 from ambershift.coordinator.promises.state import EMPTY, Promises, UnreadableStateError, pack, unpack
 from ambershift.coordinator.promises.words import Command, Declare, Grant, Move, Nothing, Wishes, WishOne
-from ambershift.coordinator.replication.words import Entry
+from ambershift.coordinator.replication.types import Entry
 
 WORK = Work("kernel", ("a", "b", "c"), 600, 10_000, 0)
 
--- a/tests/coordinator/promises/test_steward.py
+++ b/tests/coordinator/promises/test_steward.py
@@ -24,7 +24,7 @@
 from ambershift.coordinator.promises.state import EMPTY
 from ambershift.coordinator.promises.steward import Steward
 from ambershift.coordinator.promises.words import Command, Declare, Grant, Move
-from ambershift.coordinator.replication.words import Entry
+from ambershift.coordinator.replication.types import Entry
 
 S = 1_000_000_000
 M = 60 * S
--- a/tests/coordinator/replication/test_heard.py
+++ b/tests/coordinator/replication/test_heard.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ambershift.coordinator.replication.heard import Kind, Record
-from ambershift.coordinator.replication.heard.ages import Ages
-from ambershift.coordinator.replication.heard.messages import (
+from ambershift.coordinator.replication.gossip import Kind, Record
+from ambershift.coordinator.replication.gossip.expiry import Ages
+from ambershift.coordinator.replication.gossip.messages import (
     Delta,
     Digest,
     Message,
@@ -22,9 +22,9 @@
     decode,
     encode,
 )
-from ambershift.coordinator.replication.heard.origin import size
-from ambershift.coordinator.replication.heard.store import Store
-from ambershift.coordinator.replication.heard.words import BODY_MOST, Bounds, longest
+from ambershift.coordinator.replication.gossip.origin import size
+from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.types import BODY_MOST, Bounds, longest
 
 S = 1_000_000_000
 KINDS = [Kind.START, Kind.ILL, Kind.LEVEL, 77]
@@ -114,7 +114,7 @@
 def test_members_know_the_same_after_losses_repeats_and_disorder(
     members: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("ambershift.coordinator.replication.heard.store.Store.delta.__defaults__", (400,))
+    monkeypatch.setattr("ambershift.coordinator.replication.gossip.store.Store.delta.__defaults__", (400,))
     for seed in range(24):
         world = World(seed, members)
         for _ in range(300):
--- a/tests/coordinator/replication/test_replication.py
+++ b/tests/coordinator/replication/test_replication.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ambershift.coordinator.replication import birth, knowing, messages
+from ambershift.coordinator.replication import bootstrap, messages, peers
 from ambershift.coordinator.replication.log import Log
 from ambershift.coordinator.replication.messages import (
     Chunk,
@@ -20,8 +20,8 @@
     encode,
 )
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.timing import MS, PLAIN
-from ambershift.coordinator.replication.words import (
+from ambershift.coordinator.replication.tuning import MS, PLAIN
+from ambershift.coordinator.replication.types import (
     Answer,
     Applied,
     Entry,
@@ -247,10 +247,10 @@
         other = Replica(
             name, sim.voters, [], Counting(), 1, held.core.incarnation + more, None, False, now=sim.now
         )
-        birth.be_born(other.core, sim.now, ())
+        bootstrap.be_born(other.core, sim.now, ())
         found = list[Any]()
         for one in (other, held):
-            row = knowing.own_row(one.core)
+            row = peers.own_row(one.core)
             found += (held if one is other else other).hear(
                 sim.now,
                 leader(sim),
@@ -321,7 +321,7 @@
     assert sim.notes["group-stranger"] >= 1 and one.committed < len(sim.log)
     for other in sim.voters:
         if other != name:
-            birth.strange(one.core, other, "group")
+            bootstrap.strange(one.core, other, "group")
     assert one.status is Status.HALTED
 
 
@@ -600,7 +600,7 @@
 
 def test_a_vote_is_given_once_a_majority_is_known_to_have_left() -> None:
     one = Replica("n3", ["n1", "n2", "n3", "n4", "n5"], [], Counting(), 1, 5, None, False, noop=b"noop")
-    birth.be_born(one.core, 0, ())
+    bootstrap.be_born(one.core, 0, ())
     for name, votes in (("n4", 0), ("n4", 0), ("n5", 1)):
         found = one.hear(0, name, messages.Leave(incarnation=1, view=1, lives=(), rows=()))
         assert [
@@ -632,7 +632,7 @@
 
 def begin(one: Replica) -> None:
     """Born as the leader of the first view, which writes its first entry once a majority follows."""
-    birth.be_born(one.core, 0, ())
+    bootstrap.be_born(one.core, 0, ())
     for name in one.core.fixed.voters[1:]:
         assert one.core.log.top == (1 if len(one.core.have) + 1 >= one.core.fixed.majority else 0)
         one.hear(0, name, Have(incarnation=1, view=0, round=0, number=0, committed=0, status=""))
@@ -647,7 +647,7 @@
         one = sim.hosts[late].replica
         assert one is not None
         lives = {name: 1 for name in sim.voters} | {late: one.core.incarnation}
-        birth.be_born(one.core, sim.now, tuple(lives.items()))
+        bootstrap.be_born(one.core, sim.now, tuple(lives.items()))
         sim.run(5 * SECOND)
         assert leader(sim) and sim.notes["group-unborn"] == 1
         sim.settle()
@@ -670,7 +670,7 @@
 def test_what_a_member_once_vouched_for_is_not_forgotten_when_it_tells_less() -> None:
     core = group().hosts["n1"].replica.core  # type: ignore[union-attr]
     for incarnation, number, kept in ((500, 10, (500, 10)), (501, 3, (500, 10)), (501, 11, (501, 11))):
-        knowing.learn_row(core, messages.Vouch("n3", incarnation, 0, 0, number, 0, ""))
+        peers.learn_row(core, messages.Vouch("n3", incarnation, 0, 0, number, 0, ""))
         assert (core.rows["n3"].incarnation, core.rows["n3"].number) == kept
 
 
--- a/tests/support/fault_schedules.py
+++ b/tests/support/fault_schedules.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from ambershift.coordinator.replication.timing import MS, PLAIN
+from ambershift.coordinator.replication.tuning import MS, PLAIN
 from tests.support.simulated_replicas import Sim
 
 SMALL = PLAIN._replace(snapshot_entries=24, chunk_bytes=200, batch_bytes=300, depth=2)
--- a/tests/support/simulated_replicas.py
+++ b/tests/support/simulated_replicas.py
@@ -9,8 +9,8 @@
 
 from ambershift.coordinator.replication.messages import decode, encode
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.timing import MS, PLAIN, Timing
-from ambershift.coordinator.replication.words import (
+from ambershift.coordinator.replication.tuning import MS, PLAIN, Timing
+from ambershift.coordinator.replication.types import (
     Answer,
     Applied,
     Entry,
