--- a/ambershift/benchlink/host.py
+++ b/ambershift/benchlink/host.py
@@ -37,16 +37,16 @@
                 ),
             )
         match record:
-            case api.Met():
+            case api.ServerReport():
                 return record._replace(server=self.index(record.server), zone=self.zone(record.zone))
-            case api.Probed() | api.Held():
+            case api.Probed() | api.SliceRestored():
                 return record._replace(server=self.index(record.server))
             case api.Joined():
                 return record._replace(zone=self.zone(record.zone))
         return cast(api.Event, record)
 
     def order(self, order: api.Order) -> api.Order:
-        if isinstance(order, (api.Share, api.Withdraw, api.Probe)):
+        if isinstance(order, (api.SetWeight, api.Withdraw, api.Probe)):
             return order._replace(server=self.ids[order.server])
         return order
 
@@ -73,7 +73,7 @@
                 self.doors.pop(instance, None)
                 self.modules.pop(instance, None)
                 gathered.pop(instance, None)
-            elif isinstance(record, api.Born):
+            elif isinstance(record, api.Started):
                 self.doors[instance] = WireDoor(record.terms.zones)
                 self.modules[instance] = policy.TableManager()
                 gathered[instance] = [record]
--- a/ambershift/benchlink/wire.py
+++ b/ambershift/benchlink/wire.py
@@ -98,7 +98,7 @@
         if code == 22:
             zone, server, tries, bad, took, span, count = take(ROUNDUP, frame, at, start)
             loads, at = floats(frame, at + ROUNDUP.size, count, start)
-            return api.Met(zone, server, tries, bad, to_ns(took), to_ns(span), loads), at
+            return api.ServerReport(zone, server, tries, bad, to_ns(took), to_ns(span), loads), at
         if code == 20:
             table, count = take(INVENTORY, frame, at, start)
             body, at = run(frame, at + INVENTORY.size, count * ENTRY.size, start)
@@ -118,11 +118,11 @@
         if code == 16:
             sender, count = take(MAIL, frame, at, start)
             body, at = run(frame, at + MAIL.size, count, start)
-            return api.Mail(sender, body), at
+            return api.PeerMessage(sender, body), at
         if code == 21:
             seed, count = take(BORN, frame, at, start)
             body, at = run(frame, at + BORN.size, count, start)
-            return api.Born(seed, read_settings(body)), at
+            return api.Started(seed, read_settings(body)), at
         raise WireError(f"byte {start}: unknown code {code}")
 
     def plain(self, code: int, fields: tuple[Any, ...], start: int) -> Record:
@@ -145,18 +145,18 @@
                 return Stopped()
             case 25:
                 span, group, bad, proxy, came = fields
-                return api.Usage(proxy, group, came, bad, to_ns(span))
+                return api.DemandReport(proxy, group, came, bad, to_ns(span))
             case 26:
-                return api.Due(fields[0])
+                return api.TimerFired(fields[0])
             case 27:
-                return api.Held(*fields)
+                return api.SliceRestored(*fields)
             case 28:
                 return api.Left(fields[0])
             case 29:
                 slice_, group, came, bad, span = fields
-                return api.Heat(slice_, group, came, bad, to_ns(span))
+                return api.SliceLoad(slice_, group, came, bad, to_ns(span))
             case 30:
-                return api.Given(fields[0]) if fields[1] else api.Taken(fields[0])
+                return api.SliceAssigned(fields[0]) if fields[1] else api.SliceRevoked(fields[0])
             case _:
                 mark, took, proxy = fields
                 return api.Applied(mark, to_ns(took), proxy)
@@ -186,8 +186,8 @@
 
 
 WRITERS: dict[type, Callable[[Any], bytes]] = {
-    api.Share: lambda o: struct.pack("<BHIf", 18, o.table, o.server, o.weight),
-    api.Clear: lambda o: struct.pack("<BH", 23, o.table),
+    api.SetWeight: lambda o: struct.pack("<BHIf", 18, o.table, o.server, o.weight),
+    api.ClearTable: lambda o: struct.pack("<BH", 23, o.table),
     api.Withdraw: lambda o: struct.pack("<BBI", 28, o.out, o.server),
     api.Level: lambda o: struct.pack("<BHBHf", 21, o.mask, o.again, o.table, o.allowance),
     api.Bind: lambda o: struct.pack("<BHHH", 22, o.proxy, o.table, o.mask),
@@ -195,9 +195,11 @@
     api.Probe: lambda o: struct.pack("<BI", 20, o.server),
     api.Watch: lambda o: struct.pack("<BB", 26, o.on),
     api.Fetch: lambda o: b"\x13",
-    api.Tell: lambda o: struct.pack("<BHH", 16, ALL_PEERS if o.peer < 0 else o.peer, len(o.body)) + o.body,
+    api.SendToPeer: lambda o: (
+        struct.pack("<BHH", 16, ALL_PEERS if o.peer < 0 else o.peer, len(o.body)) + o.body
+    ),
     api.Note: lambda o: text(17, o.text),
-    api.Wake: lambda o: struct.pack("<BdQ", 29, o.after / NS_PER_MS, o.token),
+    api.StartTimer: lambda o: struct.pack("<BdQ", 29, o.after / NS_PER_MS, o.token),
 }
 
 
--- a/ambershift/coordinator/admin/mirror.py
+++ b/ambershift/coordinator/admin/mirror.py
@@ -132,7 +132,7 @@
                     seat, reply = seats.get(event.proxy), self.marks.get(event.mark, 0)
                     if seat is not None and reply > seat.answered:
                         seats = seats.insert(event.proxy, seat._replace(answered=reply))
-                case api.Met():
+                case api.ServerReport():
                     tally = met.get(event.server, NOTHING_MET)
                     met = met.insert(
                         event.server,
@@ -153,10 +153,10 @@
         tables, shut, levels, seats = picture.tables, picture.shut, picture.levels, picture.seats
         for order in orders:
             match order:
-                case api.Share():
+                case api.SetWeight():
                     lines = tables.get(order.table, NO_LINES).insert(order.server, Line(order.weight, reply))
                     tables = tables.insert(order.table, lines)
-                case api.Clear():
+                case api.ClearTable():
                     tables = tables.discard(order.table)
                 case api.Withdraw():
                     shut = shut.insert(order.server, Shut(order.out, reply, now))
--- a/ambershift/coordinator/group/evidence.py
+++ b/ambershift/coordinator/group/evidence.py
@@ -48,7 +48,7 @@
     def __init__(self, now: int) -> None:
         self.since, self.sums = now, dict[tuple[int, int], list[int]]()
 
-    def add(self, met: api.Met) -> None:
+    def add(self, met: api.ServerReport) -> None:
         """Thousands come in a step, hence the list."""
         zone, server, tries, bad, mean, _, _ = met
         held = self.sums.get((zone, server))
--- a/ambershift/coordinator/group/learned.py
+++ b/ambershift/coordinator/group/learned.py
@@ -59,7 +59,7 @@
         self.met_at = dict[int, int]()  # When a proxy of one's own last tried a server.
         self.ill = set[tuple[int, int]]()  # Told one by one, and not taken back.
         self.given = dict[tuple[str, str], tuple[int, int]]()  # By zone and server, the word given last.
-        self.handed = dict[int, api.Met]()  # Given to the module and not yet seen to pass.
+        self.handed = dict[int, api.ServerReport]()  # Given to the module and not yet seen to pass.
         self.put = dict[tuple[int, str], tuple[bytes, int]]()
         # Ids of servers that fail for all, and of those that fail for some zones only, by all members' words.
         self.out, self.cut = frozenset[str](), frozenset[str]()
@@ -114,7 +114,7 @@
             own = [event for event in events if self.handed.pop(id(event), None) is not event]
         add, met_at = self.sums.add, self.met_at
         for event in own:
-            if type(event) is api.Met and event.tries:
+            if type(event) is api.ServerReport and event.tries:
                 add(event)
                 met_at[event.server] = now
         return own
@@ -143,9 +143,9 @@
             events += [api.Listed(False, False, told)] if told else []
         return events + list(self.others(now))
 
-    def others(self, now: int) -> list[api.Met]:
+    def others(self, now: int) -> list[api.ServerReport]:
         """What others' proxies met lately at servers that none of one's own has tried: each word once."""
-        found = list[api.Met]()
+        found = list[api.ServerReport]()
         for record, zone, row in newest(self.store, now, AGE_MOST):
             server, at = self.names.index(row.server), self.names.zone_index(zone)
             if server not in self.known or server is None or at is None or len(found) >= GIVEN_MOST:
@@ -159,7 +159,9 @@
             self.given[place] = word
             tries = min(row.tries, TRIES_MOST)
             found.append(
-                api.Met(at, server, tries, round(row.bad * tries / row.tries), row.mean_ns, row.span_ns, ())
+                api.ServerReport(
+                    at, server, tries, round(row.bad * tries / row.tries), row.mean_ns, row.span_ns, ()
+                )
             )
         if len(self.given) > 4 * len(self.known) + GIVEN_MOST:
             self.given.clear()  # Of servers long gone; at worst a word counts twice.
--- a/ambershift/coordinator/program/assembly.py
+++ b/ambershift/coordinator/program/assembly.py
@@ -90,7 +90,7 @@
         loop = asyncio.get_running_loop()
         self.signals.attend()
         loop.set_exception_handler(self.lost)
-        self.route.put(api.Born(self.start.seed, self.start.terms))
+        self.route.put(api.Started(self.start.seed, self.start.terms))
         self.route.put(self.admit.listed(self.start.known, True))
         # Whoever gets `alive` finds a module that is born: the first step runs before the listener opens.
         await asyncio.sleep(0)
--- a/ambershift/coordinator/protocol/relay.py
+++ b/ambershift/coordinator/protocol/relay.py
@@ -11,7 +11,7 @@
 ORDERS_MOST = 60_000
 FOLLOW = b"follow\r\n"
 EVERY_TABLE = 0xFFFF
-RelayOrder = api.Share | api.Clear | api.Withdraw | api.Level | api.Bind | api.Mark
+RelayOrder = api.SetWeight | api.ClearTable | api.Withdraw | api.Level | api.Bind | api.Mark
 
 
 class Busy(NamedTuple):
@@ -72,9 +72,9 @@
 
     def write(self, order: RelayOrder) -> str:
         match order:
-            case api.Share():
+            case api.SetWeight():
                 return f"put,{order.table},{self.server(order.server)},{decimal(order.weight)}"
-            case api.Clear():
+            case api.ClearTable():
                 return f"wipe,{order.table}"
             case api.Bind():
                 return f"attach,{order.proxy},{order.table},{self.mask(order.mask)}"
--- a/ambershift/coordinator/routing/admit.py
+++ b/ambershift/coordinator/routing/admit.py
@@ -59,12 +59,12 @@
         fields = self.names.load_fields
         return tuple(report[name] for name in fields) if all(name in report for name in fields) else ()
 
-    def report(self, message: lines.Outcomes | lines.Demand) -> api.Met | api.Usage:
+    def report(self, message: lines.Outcomes | lines.Demand) -> api.ServerReport | api.DemandReport:
         event = self.known(message)
         self.pace.take()  # Last, so that what is refused anyway takes nobody's turn.
         return event
 
-    def known(self, message: lines.Outcomes | lines.Demand) -> api.Met | api.Usage:
+    def known(self, message: lines.Outcomes | lines.Demand) -> api.ServerReport | api.DemandReport:
         span, demand = to_ns(message.span_ms), isinstance(message, lines.Demand)
         if not SPAN_LEAST <= span <= SPAN_MOST:
             raise RefusedError("a span that can't be")
@@ -75,13 +75,13 @@
             group = self.groups.get(message.group)
             if group is None:
                 raise RefusedError("unknown class")
-            return api.Usage(self.proxy(message.proxy), group, message.tries, message.failed, span)
+            return api.DemandReport(self.proxy(message.proxy), group, message.tries, message.failed, span)
         server = self.door.known(message.server)
         if server is None:
             raise RefusedError("a server that was never listed")
         if message.mean_ms > self.mean_most:
             raise RefusedError("longer than anyone waits")
-        return api.Met(
+        return api.ServerReport(
             self.zone(message.zone),
             server,
             message.tries,
--- a/ambershift/coordinator/routing/send.py
+++ b/ambershift/coordinator/routing/send.py
@@ -25,9 +25,9 @@
         reply, forgotten = list[RelayOrder](), list[int]()
         for order in orders:
             match order:
-                case api.Wake():
+                case api.StartTimer():
                     loop = asyncio.get_running_loop()
-                    loop.call_later(order.after / 1e9, self.route.put, api.Due(order.token))
+                    loop.call_later(order.after / 1e9, self.route.put, api.TimerFired(order.token))
                 case api.Watch():
                     self.watcher.watch(order.on)
                 case api.Fetch():
@@ -38,7 +38,7 @@
                     forgotten.append(order.server)
                 case api.Note():
                     self.book.note("module", text=order.text[:1000])
-                case api.Tell():
+                case api.SendToPeer():
                     self.book.note("untold", why="the protocol has no way from coordinator to coordinator")
                 case _:
                     reply.append(order)
--- a/ambershift/interface.py
+++ b/ambershift/interface.py
@@ -93,7 +93,7 @@
     since: int
 
 
-class Born(NamedTuple):
+class Started(NamedTuple):
     seed: int
     terms: Terms
 
@@ -121,7 +121,7 @@
     proxy: int
 
 
-class Met(NamedTuple):
+class ServerReport(NamedTuple):
     """What the proxies of a zone met at a server over a span that ended some time ago."""
 
     zone: int
@@ -133,7 +133,7 @@
     loads: tuple[float, ...]
 
 
-class Usage(NamedTuple):
+class DemandReport(NamedTuple):
     """Flows of a group that came to a proxy over a span, and those let in but left unanswered."""
 
     proxy: int
@@ -150,7 +150,7 @@
     loads: tuple[float, ...]
 
 
-class Due(NamedTuple):
+class TimerFired(NamedTuple):
     token: int
 
 
@@ -160,20 +160,20 @@
     proxy: int
 
 
-class Mail(NamedTuple):
+class PeerMessage(NamedTuple):
     sender: int
     body: bytes
 
 
-class Given(NamedTuple):
+class SliceAssigned(NamedTuple):
     slice: int
 
 
-class Taken(NamedTuple):
+class SliceRevoked(NamedTuple):
     slice: int
 
 
-class Held(NamedTuple):
+class SliceRestored(NamedTuple):
     """A line that the store already holds for a slice just given."""
 
     slice: int
@@ -181,7 +181,7 @@
     weight: float
 
 
-class Heat(NamedTuple):
+class SliceLoad(NamedTuple):
     slice: int
     group: int
     came: int
@@ -190,31 +190,31 @@
 
 
 Event = (
-    Born
+    Started
     | Listed
     | ListFailed
     | Joined
     | Left
-    | Met
-    | Usage
+    | ServerReport
+    | DemandReport
     | Probed
-    | Due
+    | TimerFired
     | Applied
-    | Mail
-    | Given
-    | Taken
-    | Held
-    | Heat
+    | PeerMessage
+    | SliceAssigned
+    | SliceRevoked
+    | SliceRestored
+    | SliceLoad
 )
 
 
-class Share(NamedTuple):
+class SetWeight(NamedTuple):
     table: int
     server: int
     weight: float
 
 
-class Clear(NamedTuple):
+class ClearTable(NamedTuple):
     table: int
 
 
@@ -255,7 +255,7 @@
     pass
 
 
-class Tell(NamedTuple):
+class SendToPeer(NamedTuple):
     peer: int
     body: bytes
 
@@ -270,9 +270,23 @@
     text: str
 
 
-class Wake(NamedTuple):
+class StartTimer(NamedTuple):
     after: int
     token: int
 
 
-Order = Share | Clear | Withdraw | Level | Bind | Mark | Probe | Watch | Fetch | Tell | Note | Wake | Forget
+Order = (
+    SetWeight
+    | ClearTable
+    | Withdraw
+    | Level
+    | Bind
+    | Mark
+    | Probe
+    | Watch
+    | Fetch
+    | SendToPeer
+    | Note
+    | StartTimer
+    | Forget
+)
--- a/ambershift/modelcheck/models/policy.py
+++ b/ambershift/modelcheck/models/policy.py
@@ -163,7 +163,7 @@
             0,
         )
         entries = tuple(self.entry(world, server) for server in range(self.servers))
-        return self.tell(world, module, [api.Born(7, TERMS), api.Listed(True, True, entries)])
+        return self.tell(world, module, [api.Started(7, TERMS), api.Listed(True, True, entries)])
 
     def key(self, world: World) -> Any:
         return (
@@ -188,7 +188,9 @@
                     yield self.lists(world, server, phase)
         for bad in (False, True):
             mets: list[api.Event] = [
-                api.Met(at % TERMS.zones, server, 10, 10 if bad and not server else 0, 50_000_000, SECOND, ())
+                api.ServerReport(
+                    at % TERMS.zones, server, 10, 10 if bad and not server else 0, 50_000_000, SECOND, ()
+                )
                 for at in range(self.proxies)
                 for server in range(self.servers)
             ]
@@ -222,7 +224,7 @@
             left = [one for one in world.marks if one[0] <= world.written - waiting]
             world = world._replace(marks=world.marks[len(left) :])
             answers = [api.Applied(mark, SECOND, at) for _, mark, at in left]
-            world = self.tell(world, module, [api.Due(world.token), *answers, *events])
+            world = self.tell(world, module, [api.TimerFired(world.token), *answers, *events])
             events = []
         return world
 
@@ -238,10 +240,10 @@
         for order in module.step(world.now, events):
             users = [at for at in range(self.proxies) if world.joined[at]]
             match order:
-                case api.Wake():
+                case api.StartTimer():
                     token = order.token
                     continue
-                case api.Share():
+                case api.SetWeight():
                     tables[order.table, order.server] = order.weight
                     users = [at for at in users if bound[at] == order.table]
                 case api.Withdraw():
--- a/ambershift/policy/manager.py
+++ b/ambershift/policy/manager.py
@@ -6,7 +6,13 @@
 from ambershift.policy import channel, health, shares, slices, tables
 from ambershift.policy.state import BEAT, SECOND, State
 
-PROMPT = (api.Born, api.Listed, api.Joined, api.Due, api.Given)  # Reports can wait for the next beat.
+PROMPT = (
+    api.Started,
+    api.Listed,
+    api.Joined,
+    api.TimerFired,
+    api.SliceAssigned,
+)  # Reports can wait for the next beat.
 
 
 class TableManager(State):
@@ -14,9 +20,9 @@
         self.now, self.orders = now, list[api.Order]()
         for event in events:
             match event:
-                case api.Born():
+                case api.Started():
                     self.start(event.seed, event.terms)
-                    self.orders.append(api.Wake(BEAT, self.token))
+                    self.orders.append(api.StartTimer(BEAT, self.token))
                 case api.Listed():
                     self.watch_gap = SECOND
                     self.hear_list(event)
@@ -30,21 +36,21 @@
                     channel.hear_applied(self, event)
                 case api.Left() if event.proxy in self.joined:
                     self.users[self.joined.pop(event.proxy).table].pop(event.proxy)
-                case api.Met() if event.server in self.servers:
+                case api.ServerReport() if event.server in self.servers:
                     self.servers[event.server].met.append((now, event))
                     self.spans.append(event.span)
                     self.heard = True
-                case api.Usage() if event.proxy in self.proxies:
+                case api.DemandReport() if event.proxy in self.proxies:
                     self.proxies[event.proxy].hear(now, event)
-                case api.Due() if event.token == self.token:
+                case api.TimerFired() if event.token == self.token:
                     self.token += 1
-                    self.orders.append(api.Wake(BEAT, self.token))
-                case api.Given():
+                    self.orders.append(api.StartTimer(BEAT, self.token))
+                case api.SliceAssigned():
                     self.held[event.slice] = {}
-                case api.Taken():
+                case api.SliceRevoked():
                     self.held.pop(event.slice, None)
                     self.stopped.pop(event.slice, None)
-                case api.Held():
+                case api.SliceRestored():
                     self.held.setdefault(event.slice, {})[event.server] = event.weight
         if any(isinstance(event, PROMPT) for event in events):
             self.turn()
--- a/ambershift/policy/slices.py
+++ b/ambershift/policy/slices.py
@@ -23,9 +23,9 @@
         heir = min(ready, key=lambda index: (load[index] / state.servers[index].entry.weight, index))
         if afford(state, everyone, 2 + len(lines), PRESSING):
             load[heir] += 1
-            state.orders.append(api.Share(number, heir, state.servers[heir].entry.weight))
+            state.orders.append(api.SetWeight(number, heir, state.servers[heir].entry.weight))
             if state.stopped.pop(number, None) is not None:
                 state.orders.append(api.Level(number, 0, api.Again.NEVER, 1.0))
             if not terms.single_owner:
-                state.orders += [api.Share(number, index, 0.0) for index in lines if index != heir]
+                state.orders += [api.SetWeight(number, index, 0.0) for index in lines if index != heir]
             state.held[number] = {heir: state.servers[heir].entry.weight}
--- a/ambershift/policy/state.py
+++ b/ambershift/policy/state.py
@@ -27,7 +27,7 @@
 class Server:
     def __init__(self, entry: api.Entry, now: int) -> None:
         self.entry, self.told = entry, now  # And when the list first showed it as it is now.
-        self.met: deque[tuple[int, api.Met]] = deque(maxlen=SAMPLES)
+        self.met: deque[tuple[int, api.ServerReport]] = deque(maxlen=SAMPLES)
         self.doubted = False  # Dropped by a list that doesn't bind, and nothing met bears it out.
         self.ill: Spell | None = None
         self.eased = 1.0, 0  # The part of its line that it is left, and since when.
--- a/ambershift/policy/tables.py
+++ b/ambershift/policy/tables.py
@@ -47,7 +47,7 @@
         for index, weight in laid.items():
             if weight > stands.get(index, weight) and afford(state, state.users[table], 1, GUARDING):
                 laid[index] = stands[index]
-                state.orders.append(api.Share(table, index, stands[index]))
+                state.orders.append(api.SetWeight(table, index, stands[index]))
 
 
 def lay(state: State, table: int, wanted: dict[int, float]) -> None:
@@ -63,7 +63,7 @@
         new = fresh or (index not in state.placed and not state.servers[index].ill)
         if (new or state.idle) and afford(state, users, 1, PRESSING if new else ORDINARY):
             state.edited[table] = state.now
-            state.orders.append(api.Share(table, index, weight))
+            state.orders.append(api.SetWeight(table, index, weight))
             laid[index] = weight
             if not weight:
                 del laid[index]
@@ -102,7 +102,7 @@
         for table, laid in state.laid.items():
             if index in laid and afford(state, state.users[table], 1, ORDINARY):
                 del laid[index]
-                state.orders.append(api.Share(table, index, 0.0))
+                state.orders.append(api.SetWeight(table, index, 0.0))
         if not any(index in laid for laid in state.laid.values()):
             state.orders += [api.Withdraw(index, False)] * (index in state.shut) + [api.Forget(index)]
             state.shut.discard(index)
--- a/ambershift/proxies.py
+++ b/ambershift/proxies.py
@@ -20,7 +20,7 @@
         self.messages: deque[int] = deque(maxlen=SAMPLES)
         self.came = self.span = 0  # Sums over the usage held.
 
-    def hear(self, now: int, event: api.Usage) -> None:
+    def hear(self, now: int, event: api.DemandReport) -> None:
         """Add a usage report."""
         self.usage.append((now, event.came, event.span))
         self.came, self.span = self.came + event.came, self.span + event.span
--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -54,7 +54,7 @@
 
     def __init__(self, pool: str, terms: api.Terms, seed: int) -> None:
         self.pool, self.module = pool, TableManager()
-        self.events: list[api.Event] = [api.Born(seed, terms)]
+        self.events: list[api.Event] = [api.Started(seed, terms)]
         self.names: dict[int, str] = {}  # Of backends.
         self.seats: dict[str, Seat] = {}
         self.proxies: dict[int, str] = {}
@@ -98,7 +98,7 @@
 
     def came(self, proxy: str, count: int, span: int) -> None:
         """Requests of the pool that came to a proxy over a span (ns)."""
-        self.events.append(api.Usage(index_of(proxy), 0, count, 0, span))
+        self.events.append(api.DemandReport(index_of(proxy), 0, count, 0, span))
         self.strain.came(proxy, count, span)
 
     def meet(self, zone: int, met: Told) -> None:
@@ -125,8 +125,8 @@
         span = min(max(now - self.dealt_at, DEALT_WHILE_BUSY), 2 * DEALT_AT_REST)
         for (zone, id), (tries, bad, took) in self.met.items():
             mean = took // (tries - bad) if tries > bad else 0
-            self.events.append(api.Met(zone, index_of(id), tries, bad, mean, span, ()))
-        events = [*self.events, *([api.Due(self.token)] if self.token else ())]
+            self.events.append(api.ServerReport(zone, index_of(id), tries, bad, mean, span, ()))
+        events = [*self.events, *([api.TimerFired(self.token)] if self.token else ())]
         good = sum(tries - bad for tries, bad, _ in self.met.values())
         if good:
             self.strain.took(sum(took for _, _, took in self.met.values()) / good)
@@ -148,14 +148,14 @@
         dealt, written = Assigned(), set[str]()
         for order in orders:
             match order:
-                case api.Wake():
+                case api.StartTimer():
                     self.token = order.token
                 case api.Withdraw():
                     written |= self.local
                     id = self.names[order.server]
                     if order.out and self.seats[id].phase == api.Phase.DRAINING:
                         dealt.shut.append(id)
-                case api.Share():
+                case api.SetWeight():
                     written |= self._line(order, dealt)
                 case api.Bind():
                     written |= self._bind(order, dealt)
@@ -171,7 +171,7 @@
                     self.seats.pop(self.names.pop(order.server, ""), None)
         return dealt
 
-    def _line(self, order: api.Share, dealt: Assigned) -> set[str]:
+    def _line(self, order: api.SetWeight, dealt: Assigned) -> set[str]:
         table = self.tables.setdefault(order.table, {})
         if order.weight:
             table[order.server] = order.weight
--- a/benchmarks/fleet_beat.py
+++ b/benchmarks/fleet_beat.py
@@ -25,6 +25,14 @@
 OLD = "1c4e2ca"
 SECOND, BEAT = 1_000_000_000, 100_000_000
 LINES_PER_S, HEAD = 1200.0, 3.0
+# Names that types of the interface had at older commits.
+FORMER_NAMES = {
+    "Started": "Born",
+    "ServerReport": "Met",
+    "DemandReport": "Usage",
+    "TimerFired": "Due",
+    "SetWeight": "Share",
+}
 
 
 def unpack(revision: str, place: str) -> None:
@@ -48,9 +56,14 @@
         unpack(revision, place)
     sys.path.insert(0, place)
     try:
-        return importlib.import_module("ambershift.policy"), importlib.import_module("ambershift.interface")
+        policy = importlib.import_module("ambershift.policy")
+        interface = importlib.import_module("ambershift.interface")
     finally:
         sys.path.remove(place)
+    for name, former in FORMER_NAMES.items():
+        if not hasattr(interface, name):
+            setattr(interface, name, getattr(interface, former))
+    return policy, interface
 
 
 class Channel:
@@ -67,7 +80,7 @@
         for proxy, table in self.bound.items():
             users.setdefault(table, []).append(proxy)
         for order in orders:
-            if isinstance(order, api.Share):
+            if isinstance(order, api.SetWeight):
                 held = self.tables.setdefault(order.table, set())
                 (held.add if order.weight else held.discard)(order.server)
                 told = users.get(order.table, [])
@@ -139,7 +152,7 @@
         return api.Entry(index, index % 4, phase, 1.0, since)
 
     step(
-        api.Born(7, api.Terms(**{name: terms[name] for name in api.Terms._fields if name in terms})),
+        api.Started(7, api.Terms(*list(terms.values())[: len(api.Terms._fields)])),
         api.Listed(True, True, tuple(entry(index, api.Phase.READY) for index in range(servers))),
     )
     step(*[api.Joined(proxy, proxy % 4, 1.0 + proxy % 7, True) for proxy in range(proxies)])
@@ -149,7 +162,7 @@
         now += BEAT
         events = channel.answers()
         events += [
-            api.Met(
+            api.ServerReport(
                 chance.randrange(4),
                 chance.choice(live),
                 4,
@@ -160,7 +173,9 @@
             )
             for _ in range(20)
         ]
-        events += [api.Usage(chance.randrange(proxies), 0, chance.randrange(6), 0, SECOND) for _ in range(10)]
+        events += [
+            api.DemandReport(chance.randrange(proxies), 0, chance.randrange(6), 0, SECOND) for _ in range(10)
+        ]
         if beat == seconds * 5:
             gone, new = live[: servers // 10], range(servers, servers + servers // 10)
             live = [*live[servers // 10 :], *new]
@@ -174,7 +189,7 @@
                     ),
                 )
             )
-        step(*events, api.Due(module.token))
+        step(*events, api.TimerFired(module.token))
         if not bound_at and len(channel.bound) == proxies:
             bound_at = (beat + 1) / 10
     costs.sort()
--- a/benchmarks/same_orders.py
+++ b/benchmarks/same_orders.py
@@ -201,7 +201,7 @@
         pass
 
     def carry_out(self, order: api.Order) -> list[int]:
-        if isinstance(order, api.Share):  # A slice may be held by a server that was never listed.
+        if isinstance(order, api.SetWeight):  # A slice may be held by a server that was never listed.
             self.listed.setdefault(order.server, policy_model.entry(order.server, 0, api.Phase.GONE))
         return super().carry_out(order)
 
@@ -269,7 +269,7 @@
             tries = rng.randrange(self.tries)
             bad = sum(rng.random() < share for _ in range(tries))
             span = rng.choice([S // 2, S, S, 2 * S, 5 * S]) if rng.random() < 0.1 else S
-            found.append(api.Met(near, server, tries, bad, ms * MS + rng.randrange(MS), span, ()))
+            found.append(api.ServerReport(near, server, tries, bad, ms * MS + rng.randrange(MS), span, ()))
         return found
 
     def joins(self) -> list[api.Event]:
@@ -309,17 +309,17 @@
             del world.way[: rng.randrange(len(world.way))]
         for number in range(self.terms.slices):
             if rng.random() < 0.03:
-                found.append(api.Given(number) if rng.random() < 0.5 else api.Taken(number))
-                if isinstance(found[-1], api.Given) and rng.random() < 0.6:
-                    found.append(api.Held(number, rng.randrange(self.servers), 1.0))
+                found.append(api.SliceAssigned(number) if rng.random() < 0.5 else api.SliceRevoked(number))
+                if isinstance(found[-1], api.SliceAssigned) and rng.random() < 0.6:
+                    found.append(api.SliceRestored(number, rng.randrange(self.servers), 1.0))
         if rng.random() < 0.02:
             found += [
-                api.Due(0),
+                api.TimerFired(0),
                 api.Left(9999),
-                api.Usage(9999, 0, 1, 0, S),
+                api.DemandReport(9999, 0, 1, 0, S),
                 api.Probed(0, True, 1, ()),
-                api.Mail(1, b""),
-                api.Heat(0, 0, 1, 0, S),
+                api.PeerMessage(1, b""),
+                api.SliceLoad(0, 0, 1, 0, S),
             ]
         return found
 
@@ -328,7 +328,9 @@
         for _ in range(rounds):
             self.moods()
             usage = [
-                api.Usage(rng.randrange(self.crowd), 0, rng.randrange(20), 0, rng.choice([S, S, 5 * S]))
+                api.DemandReport(
+                    rng.randrange(self.crowd), 0, rng.randrange(20), 0, rng.choice([S, S, 5 * S])
+                )
                 for _ in range(rng.choice([0, 4, 12]))
             ]
             events = [*self.joins(), *self.lists(), *self.met(), *usage, *self.odd()]
@@ -340,7 +342,7 @@
                 world.run(310 * S)
             if rng.random() < 0.002:
                 world.wakes.clear()
-                world.tell(api.Born(rng.randrange(1 << 30), self.terms))
+                world.tell(api.Started(rng.randrange(1 << 30), self.terms))
 
 
 def drawn(events: int, seed: int, rounds: int) -> Iterator[str]:
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -124,10 +124,10 @@
                 met[proxy % 2, server] = met.get((proxy % 2, server), 0) + 1
             for server, weight in lines.items():
                 expected[server] = expected.get(server, 0.0) + came * weight / total
-            events.append(api.Usage(proxy, 0, came, 0, S))
+            events.append(api.DemandReport(proxy, 0, came, 0, S))
         for (zone, server), tries in met.items():
             bad = tries if server in self.ill else 0
-            events.append(api.Met(zone, server, tries, bad, 50_000_000, S, ()))
+            events.append(api.ServerReport(zone, server, tries, bad, 50_000_000, S, ()))
         if count:
             self.count(side, met, expected)
         return events
--- a/tests/coordinator/admin/test_admin.py
+++ b/tests/coordinator/admin/test_admin.py
@@ -45,7 +45,9 @@
             if rng.random() < 0.05:
                 events.append(rng.choice([api.Joined(proxy, proxy % zones, 3.0, True), api.Left(proxy)]))
         for server in range(count):
-            events.append(api.Met(rng.randrange(zones), server, rng.randrange(15), 0, 50_000_000, S, ()))
+            events.append(
+                api.ServerReport(rng.randrange(zones), server, rng.randrange(15), 0, 50_000_000, S, ())
+            )
         if rng.random() < 0.15:
             events.append(
                 listed(
@@ -62,7 +64,7 @@
     held.away = False
     held.tell(*[api.Joined(proxy, proxy % zones, 3.0, True) for proxy in range(8)])
     for _ in range(30):
-        held.run(S, *[api.Met(0, server, 5, 0, 50_000_000, S, ()) for server in range(count)])
+        held.run(S, *[api.ServerReport(0, server, 5, 0, 50_000_000, S, ()) for server in range(count)])
     view = held.desk.view(held.now)
     for server in view.world.listed:
         wanted = effective(view.world, server, held.desk.warmth, held.now)
@@ -241,9 +243,9 @@
 
 def test_doubt_of_the_list_and_an_operators_drain_together() -> None:
     held = small(only_draining_binds=True)
-    held.run(2 * S, *[api.Met(0, i, 20, 0, 50_000_000, S, ()) for i in range(8)])
+    held.run(2 * S, *[api.ServerReport(0, i, 20, 0, 50_000_000, S, ()) for i in range(8)])
     held.tell(listed(0, api.Phase.GONE))
-    held.run(S, *[api.Met(0, i, 20, 0, 50_000_000, S, ()) for i in range(8)])
+    held.run(S, *[api.ServerReport(0, i, 20, 0, 50_000_000, S, ()) for i in range(8)])
     assert held.module.servers[0].doubted and 0 not in held.shut  # Dropped by the list, and still at work.
     held.operate(Change(0, state=DRAIN))
     held.run(2 * S)
@@ -316,7 +318,7 @@
     held.run(3 * S)
     assert stage() is None and held.desk.applied([0])
     assert held.desk.drained([0], held.now)
-    held.run(S, api.Met(0, 0, 3, 0, 50_000_000, S, ()))
+    held.run(S, api.ServerReport(0, 0, 3, 0, 50_000_000, S, ()))
     assert not held.desk.drained([0], held.now)  # Proxies still report tries there.
     held.run(4 * S)
     assert held.desk.drained([0], held.now) and not held.desk.drained([2], held.now)
@@ -392,7 +394,7 @@
     changed = {server for server, out in wanted.items() if out}
     held.run(10 * S)
     lines = sum(
-        isinstance(order, api.Withdraw) or (isinstance(order, api.Share) and bool(order.weight))
+        isinstance(order, api.Withdraw) or (isinstance(order, api.SetWeight) and bool(order.weight))
         for order in held.ordered
     )
     assert lines == len(changed)
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -186,7 +186,7 @@
     assert member.desk.told[four].phase == api.Phase.DRAINING  # type: ignore[index]
     assert member.desk.told[five].weight == pytest.approx(0.5 * entry(5, 1).weight)  # type: ignore[index]
     assert not any(
-        isinstance(one, api.Share) and one.server == four and one.weight for one in member.ordered
+        isinstance(one, api.SetWeight) and one.server == four and one.weight for one in member.ordered
     ), "it had a line before it was shut out"
     # A server that is forgotten and listed anew has another index, and the same wish.
     member.list_of([4], api.Phase.GONE)
@@ -354,7 +354,7 @@
     told = len(member.ordered)
     member.at_desk.ease({"s0": 0.8, "s2": 0.8, "s4": 0.8})
     member.settle()
-    assert not [one for one in member.ordered[told:] if isinstance(one, api.Share)]
+    assert not [one for one in member.ordered[told:] if isinstance(one, api.SetWeight)]
     member.at_desk.ease({})
     member.settle()
     assert parts() == pytest.approx([1.0, 1.0, 0.5])
@@ -368,7 +368,7 @@
     member.settle()
     member.list_of([3], api.Phase.DRAINING)
     member.list_of([9], since=member.now - S)
-    member.tell(*[api.Met(0, 4, 40, 40, 0, S, ()) for _ in range(3)])
+    member.tell(*[api.ServerReport(0, 4, 40, 40, 0, S, ()) for _ in range(3)])
     member.settle(3)
     found = standings(
         member.desk,
--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -96,15 +96,15 @@
     assert not b.later and set(b.known) == {11}
 
 
-def met(server: int, tries: int, bad: int, zone: int = 0, ms: int = 50) -> api.Met:
-    return api.Met(zone, server, tries, bad, ms * 1_000_000, S, ())
+def met(server: int, tries: int, bad: int, zone: int = 0, ms: int = 50) -> api.ServerReport:
+    return api.ServerReport(zone, server, tries, bad, ms * 1_000_000, S, ())
 
 
 def given(one: Learned, now: int) -> dict[int, tuple[int, int, int]]:
     return {
         event.server: (event.tries, event.bad, event.zone)
         for event in one.due(now, BLANK)
-        if isinstance(event, api.Met)
+        if isinstance(event, api.ServerReport)
     }
 
 
--- a/tests/coordinator/test_network.py
+++ b/tests/coordinator/test_network.py
@@ -210,9 +210,9 @@
 @pytest.mark.parametrize(
     ("order", "text"),
     [
-        (api.Share(4, 1, 1.5), "put,4,s-b,1.5"),
-        (api.Share(4, 0, 0.0), "put,4,s-a,0"),
-        (api.Clear(4), "wipe,4"),
+        (api.SetWeight(4, 1, 1.5), "put,4,s-b,1.5"),
+        (api.SetWeight(4, 0, 0.0), "put,4,s-a,0"),
+        (api.ClearTable(4), "wipe,4"),
         (api.Bind(17, 4, 1), "attach,17,4,play"),
         (api.Bind(17, 4, 0), "attach,17,4,*"),
         (api.Withdraw(0, True), "eject,s-a"),
@@ -220,7 +220,7 @@
         (api.Level(4, 5, api.Again.IF_NOT_RUN, 0.9), "gate,4,play+hot,0.9,1"),
         (api.Level(65535, 0, api.Again.NEVER, 1.0), "gate,*,*,1,0"),
         (api.Mark(905, True), "fence,905,1"),
-        (api.Share(4, 1, 1e-5), "put,4,s-b,0.00001"),
+        (api.SetWeight(4, 1, 1e-5), "put,4,s-b,0.00001"),
     ],
 )
 def test_orders(order: relay.RelayOrder, text: str) -> None:
@@ -501,7 +501,7 @@
     orders = relay.Orders(str, ("play", "slip"))
     row = Relay(Dialler(Pool(1024, 8)), f"127.0.0.1:{port}", orders, silent_book())
     row.tap = Told()
-    row.push([api.Share(1, at, 1.0) for at in range(count)])
+    row.push([api.SetWeight(1, at, 1.0) for at in range(count)])
     task = asyncio.create_task(row.run())
     async with asyncio.timeout(5):
         while ("settled", 1) not in told:
@@ -562,7 +562,7 @@
     place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     row = Relay(Dialler(Pool(1024, 8)), place, relay.Orders(str, ("play", "slip")), silent_book())
     for reply in (1, 2):
-        row.push([api.Share(reply, 0, 1.0), api.Mark(reply, False)])
+        row.push([api.SetWeight(reply, 0, 1.0), api.Mark(reply, False)])
     task = asyncio.create_task(row.run())
     async with asyncio.timeout(5):
         while row.calls:
@@ -591,7 +591,7 @@
     orders = relay.Orders("s-{}".format, ("play",))
     calls = Relay(Dialler(Pool(64, 8)), "127.0.0.1:1", orders, silent_book())
     for turn in range(2000):
-        calls.push([api.Share(turn % 3, turn % 50, 1.0 + turn), api.Mark(turn, False)])
+        calls.push([api.SetWeight(turn % 3, turn % 50, 1.0 + turn), api.Mark(turn, False)])
     waiting = [order for call in calls.calls for order in call.orders]
     assert waiting[:2] == ["put,0,s-0,1", "fence,0,0"] and waiting[-1] == "fence,1999,0"
     assert len(calls.calls) == 2 and len(waiting) == 2 + 150 + 1
--- a/tests/policy/test_fleet_size.py
+++ b/tests/policy/test_fleet_size.py
@@ -34,8 +34,8 @@
 
 
 def reports(plain: Plain, servers: Iterable[int], bad: int = 0, ms: int = 100) -> list[api.Event]:
-    met = [api.Met(zone, i, 5, bad, ms * 1_000_000, S, ()) for i in servers for zone in range(ZONES)]
-    return [*met, *[api.Usage(proxy, READS, 2, 0, S) for proxy in plain.proxies]]
+    met = [api.ServerReport(zone, i, 5, bad, ms * 1_000_000, S, ()) for i in servers for zone in range(ZONES)]
+    return [*met, *[api.DemandReport(proxy, READS, 2, 0, S) for proxy in plain.proxies]]
 
 
 def held(plain: Plain, proxy: int) -> set[int]:
@@ -83,7 +83,7 @@
     for _ in range(6):
         plain.run(S, *reports(plain, range(120)))
     for second in range(5):
-        lost = [api.Met(near, i, 5, 5, 0, S, ()) for i in zone for near in range(ZONES)]
+        lost = [api.ServerReport(near, i, 5, 5, 0, S, ()) for i in zone for near in range(ZONES)]
         change = [api.Listed(False, False, tuple(entry(i, 0, api.Phase.GONE) for i in zone))] * (second == 3)
         plain.run(S, *reports(plain, rest), *lost, *change)
     assert not {i for proxy in plain.proxies for i in held(plain, proxy)} & set(zone)
@@ -132,10 +132,10 @@
         for order in module.step(now, events):
             if isinstance(order, api.Forget):
                 door.forget(order.server)
-            elif isinstance(order, api.Share | api.Withdraw):
+            elif isinstance(order, api.SetWeight | api.Withdraw):
                 assert order.server in door.ids, "an order for what was let go of"
 
-    step(api.Born(7, make_terms(zones=2, lines_per_s=1000.0, waiting_limit=9000.0, message_limit=0)))
+    step(api.Started(7, make_terms(zones=2, lines_per_s=1000.0, waiting_limit=9000.0, message_limit=0)))
     for wave in range(500):
         fresh = [entry(door.index(f"s-{wave}-{i}"), i % 2, since=now) for i in range(20)]
         old = [
@@ -147,9 +147,9 @@
             step(
                 *[api.Left(proxy) for proxy in range(10)],
                 *[api.Joined(proxy, proxy % 2, 1.0, False) for proxy in range(10)],
-                *[api.Met(0, one.server, 5, 1, S // 10, S, ()) for one in (*fresh, *old)],
-                *[api.Usage(proxy, READS, 9, 0, S) for proxy in range(20)],
-                api.Due(module.token),
+                *[api.ServerReport(0, one.server, 5, 1, S // 10, S, ()) for one in (*fresh, *old)],
+                *[api.DemandReport(proxy, READS, 9, 0, S) for proxy in range(20)],
+                api.TimerFired(module.token),
             )
         sizes.append((len(pickle.dumps(vars(module))), len(door.ids) + len(door.indices)))
     assert min(door.ids) > 9000 and len(set(door.ids)) == len(door.indices), "indices are never used again"
@@ -162,7 +162,7 @@
         plain.run(
             chance.choice([S // 10, S, 3 * S]),
             *[
-                api.Met(
+                api.ServerReport(
                     chance.randrange(ZONES),
                     chance.randrange(12),
                     9,
@@ -173,7 +173,7 @@
                 )
                 for _ in range(9)
             ],
-            *[api.Usage(chance.randrange(30), READS, chance.randrange(9), 0, S) for _ in range(9)],
+            *[api.DemandReport(chance.randrange(30), READS, chance.randrange(9), 0, S) for _ in range(9)],
         )
         module = plain.module
         for server in module.servers.values():
@@ -203,7 +203,7 @@
     plain.run(310 * S)
     plain.run(4 * S, api.Listed(False, False, gone))
     for _ in range(8):
-        plain.run(S, *[api.Met(0, 0, 9, 9, S, S, ())])
+        plain.run(S, *[api.ServerReport(0, 0, 9, 9, S, S, ())])
     assert {0, 99} <= plain.module.servers.keys()
     plain.run(310 * S)
     assert not {0, 99} & plain.module.servers.keys()
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -9,12 +9,12 @@
 from tests.support.policy_model import READS, WRITES, Plain, S, entry, group, make_terms
 
 
-def well(bad: int = 0, ms: int = 100) -> list[api.Met]:
+def well(bad: int = 0, ms: int = 100) -> list[api.ServerReport]:
     return [met(i, 20, bad, i % 2, ms) for i in range(8)]
 
 
-def met(server: int, tries: int, bad: int, zone: int = 0, ms: int = 100) -> api.Met:
-    return api.Met(zone, server, tries, bad, ms * 1_000_000, S, ())
+def met(server: int, tries: int, bad: int, zone: int = 0, ms: int = 100) -> api.ServerReport:
+    return api.ServerReport(zone, server, tries, bad, ms * 1_000_000, S, ())
 
 
 def small(count: int = 8, zones: int = 2, **changes: object) -> Plain:
@@ -46,7 +46,7 @@
         for proxy in range(10):
             if rng.random() < 0.05:
                 events.append(rng.choice([api.Joined(proxy, proxy % zones, 3.0, True), api.Left(proxy)]))
-            events.append(api.Usage(proxy, READS, rng.randrange(20), 0, S))
+            events.append(api.DemandReport(proxy, READS, rng.randrange(20), 0, S))
         sick = rng.random()
         for server in range(count):
             tries = rng.randrange(15)
@@ -95,14 +95,14 @@
 
 def test_a_zone_with_more_traffic_borrows_and_a_hopeless_split_falls_back() -> None:
     plain = small(12)
-    plain.run(2 * S, *[api.Usage(proxy, READS, 20 - 10 * (proxy % 2), 0, S) for proxy in range(4)])
+    plain.run(2 * S, *[api.DemandReport(proxy, READS, 20 - 10 * (proxy % 2), 0, S) for proxy in range(4)])
     assert (len(lines(plain, 0)), len(lines(plain, 1))) == (8, 4)
     assert len(lines(small(3, zones=4), 0)) == 3
 
 
 def test_a_share_moves_only_by_a_tenth() -> None:
     plain = small(12)
-    plain.run(2 * S, *[api.Usage(proxy, READS, 21 - 2 * (proxy % 2), 0, S) for proxy in range(4)])
+    plain.run(2 * S, *[api.DemandReport(proxy, READS, 21 - 2 * (proxy % 2), 0, S) for proxy in range(4)])
     assert len(lines(plain, 0)) == 6
 
 
@@ -302,7 +302,11 @@
     plain.tell(api.Listed(False, False, tuple(entry(i, i % 4, since=plain.now) for i in back)))
     for second in range(5):  # Shares that move each second leave the channel no idle moment.
         plain.run(
-            S, *[api.Usage(proxy, READS, 4 + 20 * (proxy % 4 == second % 4), 0, S) for proxy in plain.proxies]
+            S,
+            *[
+                api.DemandReport(proxy, READS, 4 + 20 * (proxy % 4 == second % 4), 0, S)
+                for proxy in plain.proxies
+            ],
         )
     assert not plain.shut
 
@@ -403,7 +407,7 @@
 
 def test_a_zone_dealt_under_three_servers_uses_all() -> None:
     plain = small(12)
-    plain.run(2 * S, *[api.Usage(proxy, READS, 20 - 18 * (proxy % 2), 0, S) for proxy in range(4)])
+    plain.run(2 * S, *[api.DemandReport(proxy, READS, 20 - 18 * (proxy % 2), 0, S) for proxy in range(4)])
     assert len(lines(plain, 0)) == len(lines(plain, 1)) == 12
 
 
@@ -411,7 +415,7 @@
     plain = small()
     plain.run(4 * S)
     assert any(isinstance(order, api.Bind) for order in plain.tell(api.Joined(0, 0, 5.0, False)))
-    plain.tell(api.Left(0), api.Left(0), api.Applied(3, S, 0), api.Due(10**6), met(99, 3, 3))
+    plain.tell(api.Left(0), api.Left(0), api.Applied(3, S, 0), api.TimerFired(10**6), met(99, 3, 3))
 
 
 def test_a_failed_list_call_is_made_again_with_spacing() -> None:
@@ -426,7 +430,7 @@
 
 def test_a_server_that_returns_to_a_site_with_slices_is_let_in_again() -> None:
     plain = Plain(make_terms(slices=2), [entry(0), entry(1)])
-    plain.tell(api.Joined(0, 0, 5.0, True), api.Given(0), api.Held(0, 0, 1.0))
+    plain.tell(api.Joined(0, 0, 5.0, True), api.SliceAssigned(0), api.SliceRestored(0, 0, 1.0))
     plain.tell(api.Listed(False, False, (entry(0, 0, api.Phase.GONE),)))
     assert plain.shut == {0}
     plain.tell(api.Listed(False, False, (entry(0),)))
@@ -435,8 +439,10 @@
 
 def test_a_single_owner_is_moved_only_when_no_write_can_be_in_hand() -> None:
     plain = Plain(make_terms(slices=4, single_owner=True), [entry(0), entry(1)])
-    plain.tell(api.Joined(0, 0, 5.0, True), api.Given(2), api.Held(2, 0, 1.0), api.Given(3))
-    assert [one for one in plain.orders if isinstance(one, api.Share)] == [api.Share(3, 1, 2.0)]
+    plain.tell(
+        api.Joined(0, 0, 5.0, True), api.SliceAssigned(2), api.SliceRestored(2, 0, 1.0), api.SliceAssigned(3)
+    )
+    assert [one for one in plain.orders if isinstance(one, api.SetWeight)] == [api.SetWeight(3, 1, 2.0)]
     plain.tables[2][0] = 1.0
     plain.tell(api.Listed(False, False, (entry(0, 0, api.Phase.DRAINING),)))
     assert api.Level(2, 0, api.Again.NEVER, 0.0) in plain.orders and plain.tables[2] == {0: 1.0}
--- a/tests/support/operator_model.py
+++ b/tests/support/operator_model.py
@@ -9,7 +9,7 @@
 from ambershift.coordinator.admin.words import Accepted, Change, Refused
 from tests.support.policy_model import Plain, S
 
-RELAYED = (api.Share, api.Clear, api.Withdraw, api.Level, api.Bind, api.Mark)
+RELAYED = (api.SetWeight, api.ClearTable, api.Withdraw, api.Level, api.Bind, api.Mark)
 
 
 class Operated(Plain):
--- a/tests/support/policy_model.py
+++ b/tests/support/policy_model.py
@@ -75,7 +75,7 @@
         self.wakes: list[tuple[int, int]] = []
         self.told: dict[int, int] = {}
         self.orders: list[api.Order] = []
-        self.tell(api.Born(7, terms), api.Listed(True, True, tuple(servers)))
+        self.tell(api.Started(7, terms), api.Listed(True, True, tuple(servers)))
 
     def tell(self, *events: api.Event) -> list[api.Order]:
         for event in events:
@@ -108,7 +108,7 @@
     def carry_out(self, order: api.Order) -> list[int]:
         """Give back the proxies that the order writes a line to, once for each line."""
         match order:
-            case api.Share():
+            case api.SetWeight():
                 assert order.server in self.listed and order.weight >= 0
                 if order.weight:
                     if self.terms.single_owner:
@@ -135,7 +135,7 @@
                 lines = self.tables[order.table]
                 cost = 1 + len(lines) + len(self.levels[order.table]) + len(self.shut & lines.keys())
                 return [order.proxy] * cost
-            case api.Wake():
+            case api.StartTimer():
                 self.wakes.append((self.now + order.after, order.token))
         return []
 
@@ -195,7 +195,7 @@
             self.now = at
             left = [one for one in self.way if one[0] <= self.total - self.waiting]
             self.way = self.way[len(left) :]
-            self.tell(api.Due(token), *[one[1] for one in left], *events)
+            self.tell(api.TimerFired(token), *[one[1] for one in left], *events)
             events = ()
         self.now = end
 
