--- a/ambershift/system/processes/control_link.py
+++ b/ambershift/system/processes/control_link.py
@@ -72,7 +72,7 @@
         self._selector.up(self._steady(), ip)
         writer = asyncio.ensure_future(outbox.run())
         self._events.attached(ip)
-        self._server.linked()
+        self._server.link_opened()
         self.send_hello()
         try:
             await receive_messages(connection, lambda message: self.receive(outbox, message), self._log)
@@ -89,15 +89,15 @@
             self._selector.hear(now, message)
         else:
             self._selector.alive(now)
-        for reply in self._server.hear(message):
+        for reply in self._server.handle_message(message):
             outbox.put(reply)
         if isinstance(message, BindTable):
-            self._events.table_bound(message, self._server.backend_view.lives)
+            self._events.table_bound(message, self._server.backend_view.instances)
         if isinstance(message, ItemUpdate):
             self._apply_items(outbox, message)
 
     def _apply_items(self, outbox: SendQueue, update: ItemUpdate) -> None:
-        if self._server.routing.unusable:
+        if self._server.routing.control_node_outdated:
             self._events.abandoned(AbandonReason.OUTDATED)
             self._detach(outbox)
             return
@@ -109,7 +109,7 @@
         outbox.abort()
         if self.outbox is outbox:
             self.outbox = None
-            self._server.unlinked()
+            self._server.link_closed()
             if self._selector.linked is not None:
                 self._selector.fail(self._steady(), self._selector.linked)
 
@@ -126,4 +126,4 @@
         """Send a load report, if there is a link, and count it for the log."""
         if self.outbox:
             self.outbox.put(report)
-        self._events.load_reported(report, self._server.backend_view.lives)
+        self._events.load_reported(report, self._server.backend_view.instances)
--- a/ambershift/system/processes/proxy.py
+++ b/ambershift/system/processes/proxy.py
@@ -16,7 +16,7 @@
 )
 from ambershift.system.processes.metrics import PROXY_PORT, Metric, MetricsMiddleware
 from ambershift.system.processes.role_process import RoleProcess, background_tasks
-from ambershift.system.proxy.intake import Intake
+from ambershift.system.proxy.client_connection import ClientConnection
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Local
 from ambershift.system.transport.links import Links
@@ -80,14 +80,14 @@
             MetricsMiddleware(self.server, PROXY_PORT, self.metrics),
             KEEP_ALIVE_S,
             response_deadline_s(grace_s) - ACCEPTING_SHARE * grace_s,
-            partial(Intake, lambda: self.server.routing.limits, time.monotonic_ns),
+            partial(ClientConnection, lambda: self.server.routing.limits, time.monotonic_ns),
         )
 
     async def _drain(self, server: HttpServer, serving: asyncio.Task[None], grace_s: float) -> None:
         """Announce the end, accept requests for a while, and complete those in flight."""
         began_s = time.monotonic()
         self.log(2, {})
-        self.server.leave()
+        self.server.start_draining()
         self.attachment.send_hello()
         # Clients still arrive by an earlier answer of the directory: each is served and told to go elsewhere.
         await asyncio.sleep(ACCEPTING_SHARE * grace_s)
@@ -104,11 +104,11 @@
             Metric(
                 "ready",
                 "Whether this proxy accepts requests (1) or not (0).",
-                float(server.ready and not server.leaving),
+                float(server.ready and not server.draining),
             ),
-            Metric("requests_in_flight", "Requests in flight.", server.admission.flying),
-            Metric("routes", "Routes in force.", server.routing.routes),
-            Metric("backends", "Backends known to this proxy.", len(server.backend_view.lives)),
+            Metric("requests_in_flight", "Requests in flight.", server.admission.in_flight),
+            Metric("routes", "Routes in force.", server.routing.route_count),
+            Metric("backends", "Backends known to this proxy.", len(server.backend_view.instances)),
             Metric(
                 "link_send_queue_bytes",
                 "Bytes queued for the link to the control node.",
@@ -124,7 +124,7 @@
         """Hand on what has changed: readiness, the keep-alive limit, the settings file."""
         while True:
             self.attachment.send_hello()
-            server.advertise_keep_alive(self.server.routing.limits.told)
+            server.advertise_keep_alive(self.server.routing.limits.advertised_keep_alive_s)
             self.check_settings_file()
             await asyncio.sleep(LINK_CHECK_INTERVAL_S)
 
@@ -132,7 +132,7 @@
         """Report the load to the control node each `REPORT_INTERVAL_S`."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
-            self.attachment.send_report(self.server.report(time.monotonic_ns()))
+            self.attachment.send_report(self.server.take_report(time.monotonic_ns()))
             self.log_traffic()
 
 
--- a/ambershift/system/proxy/admission.py
+++ b/ambershift/system/proxy/admission.py
@@ -12,11 +12,11 @@
 
 class Admission:
     def __init__(self) -> None:
-        self.flying = 0
+        self.in_flight = 0
         self.held = 0
 
     def takes(self, priority: int) -> bool:
-        return self.flying < FLYING_MOST * (1 - PRIORITY_STEP * min(priority, 5))
+        return self.in_flight < FLYING_MOST * (1 - PRIORITY_STEP * min(priority, 5))
 
     def holds(self, more: int) -> bool:
         """Whether so many bytes more may be held; if so, they count from now on."""
--- a/ambershift/system/proxy/trying.py
+++ b/ambershift/system/proxy/backend_attempt.py
@@ -8,11 +8,11 @@
 
 import httpcore
 
-from ambershift.system.proxy.attempt import Ending, Outcome, Stage, Tries, outcome
-from ambershift.system.proxy.connections import Connections, patience
+from ambershift.system.proxy.backend_instance import Life
+from ambershift.system.proxy.connection_pool import Connections, patience
 from ambershift.system.proxy.headers import Headers, load_of, read_answer
-from ambershift.system.proxy.lives import Life
-from ambershift.system.proxy.wire import Reply, TryError, Wire, exchange
+from ambershift.system.proxy.http_exchange import Reply, TryError, Wire, exchange
+from ambershift.system.proxy.retry_policy import Ending, Outcome, Stage, Tries, outcome
 from ambershift.system.state_machine import NS_PER_SECOND
 
 
--- a/ambershift/system/proxy/lives.py
+++ b/ambershift/system/proxy/backend_instance.py
@@ -50,7 +50,7 @@
     pause: int = 0
     recent: list[int] = field(default_factory=lambda: [0, 0])  # Answers and broken ones, fading.
 
-    tries: int = 0
+    attempts: int = 0
     bad: int = 0
     spent: int = 0
     came: int = 0  # Answers that the mean stands for.
@@ -104,7 +104,7 @@
             self.since = now
         self.flying += 1
         self.sent += 1
-        self.tries += 1
+        self.attempts += 1
 
     def ended_well(self, now: int, took: int) -> None:
         """It has answered; what the answer was is another matter."""
--- a/ambershift/system/proxy/backend_view.py
+++ b/ambershift/system/proxy/backend_view.py
@@ -12,7 +12,7 @@
     TableEntry,
     parse_pool_name,
 )
-from ambershift.system.proxy.lives import COLD_MORE, DOUBT, Life, life_of
+from ambershift.system.proxy.backend_instance import COLD_MORE, DOUBT, Life, life_of
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 # What a list says of coldness this long after a zone was taken back, it knew after that, ns.
@@ -54,7 +54,7 @@
     def __init__(self, region: str, zones: Mapping[str, str], cold_for: Callable[[str], int]) -> None:
         """`cold_for`: how long, ns, a backend of a service may be cold after a start."""
         self.region, self.zones, self.cold_for = region, zones, cold_for
-        self.lives: dict[str, Life] = {}
+        self.instances: dict[str, Life] = {}
         self._doubted: dict[str, Life] = {}  # Those that the list of the link in use doesn't name.
         self._services: dict[str, dict[str, Life]] = {}
         self._pools: dict[str, Pool] = {}
@@ -81,11 +81,11 @@
         """Merge a list; returns lives that are gone (connections to them can be dropped)."""
         if backends.complete:
             named = {one.id for one in backends.updated}
-            for life in self.lives.values():
+            for life in self.instances.values():
                 if life.named and life.id not in named:
                     life.named, life.doubt_until = False, now + DOUBT
                     self._doubted[life.id] = life
-        gone = [self.lives[one] for one in backends.removed_ids if one in self.lives]
+        gone = [self.instances[one] for one in backends.removed_ids if one in self.instances]
         gone += [life for life in self._doubted.values() if now >= life.doubt_until]
         for life in gone:
             self._drop(life)
@@ -109,14 +109,14 @@
 
     def withdraw(self, id: str, out: bool) -> None:
         (self._out.add if out else self._out.discard)(id)
-        life = self.lives.get(id)
+        life = self.instances.get(id)
         if life is not None:
             life.withdrawn = out
 
     def is_over(self, id: str) -> None:
         """An item says that this life drains or is gone."""
         self._over.add(id)
-        life = self.lives.get(id)
+        life = self.instances.get(id)
         if life is not None:
             life.ended = True
 
@@ -127,7 +127,7 @@
     def evacuate(self, zone: str) -> None:
         self._emptied.add(zone)
         self._back.pop(zone, None)
-        for life in self.lives.values():
+        for life in self.instances.values():
             if life.zone == zone:
                 life.evacuated = True
 
@@ -137,13 +137,13 @@
         """
         self._emptied.discard(zone)
         self._back[zone] = now
-        for life in self.lives.values():
+        for life in self.instances.values():
             if life.zone == zone:
                 life.evacuated = False
                 self._chill(life)
 
     def _put(self, now: int, backend: Backend) -> None:
-        life = self.lives.get(backend.id)
+        life = self.instances.get(backend.id)
         if backend.unconfirmed and life is not None:
             return  # What we know of it we were told by somebody who had heard it.
         if life is not None and (life.service, life.address) != (backend.service, backend.address):
@@ -151,7 +151,7 @@
             life = None
         if life is None:
             life = life_of(backend, self.zones.get(backend.zone, ""))
-            self.lives[life.id] = life
+            self.instances[life.id] = life
             self._services.setdefault(life.service, {})[life.id] = life
             self._stir(life.service)
             life.ended = life.id in self._over
@@ -169,8 +169,8 @@
         life.cold_until = max(life.cold_until, until)
 
     def _drop(self, life: Life) -> None:
-        if self.lives.get(life.id) is life:
-            del self.lives[life.id]
+        if self.instances.get(life.id) is life:
+            del self.instances[life.id]
             self._doubted.pop(life.id, None)
             del self._services[life.service][life.id]
             self._stir(life.service)
--- a/ambershift/system/proxy/intake.py
+++ b/ambershift/system/proxy/client_connection.py
@@ -9,7 +9,7 @@
 
 from uvicorn.protocols.http.httptools_impl import STATUS_LINE, HttpToolsProtocol
 
-from ambershift.system.proxy.limits import Limits, Waiting
+from ambershift.system.proxy.client_limits import Limits, Waiting
 from ambershift.system.state_machine import NS_PER_SECOND
 
 # What comes after a refusal is still read for so long, s, and dropped: to close on unread bytes resets the
@@ -33,7 +33,7 @@
     return bool(poll.poll(0))
 
 
-class Intake(HttpToolsProtocol):
+class ClientConnection(HttpToolsProtocol):
     """Uses uvicorn's timer of idle connections for a head's time as well: any bytes that come end it.
 
     Never closes on a request that was read whole: where one is being answered, the end comes after its
--- a/ambershift/system/proxy/limits.py
+++ b/ambershift/system/proxy/client_limits.py
@@ -23,7 +23,7 @@
     idle_for: int = 60 * NS_PER_SECOND
 
     @property
-    def told(self) -> int | None:
+    def advertised_keep_alive_s(self) -> int | None:
         """Whole seconds that clients are told to keep idle connections; None if too short to be told."""
         return (
             (self.idle_for - CLIENTS_FIRST) // NS_PER_SECOND or None
--- a/ambershift/system/proxy/cold.py
+++ b/ambershift/system/proxy/cold_start_limiter.py
@@ -4,7 +4,7 @@
 
 from hashlib import blake2b
 
-from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.backend_instance import Life
 from ambershift.system.state_machine import NS_PER_SECOND
 
 # Two sends of one proxy this far apart are never sent within one second.
--- a/ambershift/system/proxy/connections.py
+++ b/ambershift/system/proxy/connection_pool.py
@@ -8,10 +8,10 @@
 
 import httpcore
 
-from ambershift.system.proxy.attempt import Ending, Stage
-from ambershift.system.proxy.lives import Life
-from ambershift.system.proxy.stream import Rest, dial
-from ambershift.system.proxy.wire import HOLD_MOST, KEEP, Headers, TryError, Wire
+from ambershift.system.proxy.backend_instance import Life
+from ambershift.system.proxy.http_exchange import HOLD_MOST, KEEP, Headers, TryError, Wire
+from ambershift.system.proxy.retry_policy import Ending, Stage
+from ambershift.system.proxy.socket_stream import Rest, dial
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 # An idle connection is not used in the last part of the time that the backend keeps it: the close may be
--- a/ambershift/system/proxy/headers.py
+++ b/ambershift/system/proxy/headers.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ambershift.system.proxy.attempt import Told
+from ambershift.system.proxy.retry_policy import Told
 from ambershift.system.state_machine import NS_PER_MS
 
 Headers = list[tuple[bytes, bytes]]
--- a/ambershift/system/proxy/wire.py
+++ b/ambershift/system/proxy/http_exchange.py
@@ -9,8 +9,8 @@
 
 import httpcore
 
-from ambershift.system.proxy.attempt import Ending, Stage
-from ambershift.system.proxy.stream import GivenUpError, Rest, Stream
+from ambershift.system.proxy.retry_policy import Ending, Stage
+from ambershift.system.proxy.socket_stream import GivenUpError, Rest, Stream
 from ambershift.system.state_machine import NS_PER_SECOND
 
 Headers = Sequence[tuple[bytes, bytes]]
--- a/ambershift/system/proxy/isolation.py
+++ b/ambershift/system/proxy/partition_detector.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.backend_instance import Life
 from ambershift.system.state_machine import NS_PER_MS
 
 SILENT = 300 * NS_PER_MS
--- a/ambershift/system/proxy/pick.py
+++ b/ambershift/system/proxy/pick.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Collection, Mapping
 from random import Random
 
+from ambershift.system.proxy.backend_instance import Life
 from ambershift.system.proxy.backend_view import Pool, Tier
-from ambershift.system.proxy.lives import Life
 
 # Of a pool, at most this share is passed over after failures: when all seem to fail, none is avoided.
 RESTING_MOST = 1 / 3
--- a/ambershift/system/proxy/course.py
+++ b/ambershift/system/proxy/request_forwarder.py
@@ -7,13 +7,13 @@
 
 import httpcore
 
-from ambershift.system.proxy.attempt import Outcome, Stage, Tries
+from ambershift.system.proxy.backend_attempt import Came, Try
+from ambershift.system.proxy.backend_instance import Life
 from ambershift.system.proxy.backend_view import Pool
-from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.http_exchange import Wire
+from ambershift.system.proxy.retry_policy import Outcome, Stage, Tries
 from ambershift.system.proxy.routing import Route
 from ambershift.system.proxy.state import ProxyState
-from ambershift.system.proxy.trying import Came, Try
-from ambershift.system.proxy.wire import Wire
 from ambershift.system.state_machine import NS_PER_SECOND
 
 Make = Callable[[Wire, Life, int], httpcore.Request]
--- a/ambershift/system/proxy/handling.py
+++ b/ambershift/system/proxy/request_handler.py
@@ -10,14 +10,14 @@
 import httpcore
 
 from ambershift.system.messages.proxy_link import pool_name
+from ambershift.system.proxy.backend_attempt import Came
+from ambershift.system.proxy.backend_instance import Life
 from ambershift.system.proxy.backend_view import Pool
-from ambershift.system.proxy.course import Course
 from ambershift.system.proxy.headers import Headers, read_request
-from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.http_exchange import Reply, TryError, UnsendableError, Wire
+from ambershift.system.proxy.request_forwarder import Course
 from ambershift.system.proxy.routing import Route
 from ambershift.system.proxy.state import ProxyState
-from ambershift.system.proxy.trying import Came
-from ambershift.system.proxy.wire import Reply, TryError, UnsendableError, Wire
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 Receive = Callable[[], Awaitable[Any]]
@@ -45,7 +45,7 @@
     headers = [(b"content-length", b"0")]
     if again is not None:
         headers.append((b"retry-after", again))
-    if close or proxy.leaving:
+    if close or proxy.draining:
         headers.append(CLOSE)
     await send({"type": "http.response.start", "status": status, "headers": headers})
     await send({"type": "http.response.body", "body": b""})
@@ -76,8 +76,8 @@
             await self.refuse(404)
             return
         pool = self.choose(route, arrived)
-        for name in (pool.name, *proxy.routing.tallies(route)):
-            proxy.came[name] = proxy.came.get(name, 0) + 1
+        for name in (pool.name, *proxy.routing.counter_names(route)):
+            proxy.request_counts[name] = proxy.request_counts.get(name, 0) + 1
         proxy.budget(pool.service).came(arrived)
         if not proxy.admission.takes(route.priority) or proxy.cut(arrived):
             await self.refuse(503, LATER)
@@ -208,7 +208,7 @@
         if reply.rest is None:
             await self.pass_whole(came.headers, reply)
             return
-        if self.proxy.leaving:
+        if self.proxy.draining:
             came.headers.append(CLOSE)
         await self.send({"type": "http.response.start", "status": reply.status, "headers": came.headers})
         try:
@@ -226,7 +226,7 @@
             headers = [pair for pair in headers if pair[0] != b"content-length"]
         elif self.scope["method"] != "HEAD" and not any(name == b"content-length" for name, _ in headers):
             headers.append((b"content-length", b"%d" % len(reply.body)))
-        if self.proxy.leaving:
+        if self.proxy.draining:
             headers.append(CLOSE)
         await self.send({"type": "http.response.start", "status": reply.status, "headers": headers})
         await self.send({"type": "http.response.body", "body": reply.body})
--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -19,7 +19,7 @@
     CollectedTombstones,
     collected_tombstones_of,
 )
-from ambershift.system.proxy.limits import Limits, read_limits
+from ambershift.system.proxy.client_limits import Limits, read_limits
 from ambershift.system.state_machine import NS_PER_MS
 
 
@@ -108,23 +108,25 @@
         self._outdated = False  # Whether there may be what was dropped and forgotten since.
         self._first = False  # Whether the next items are the first of a link: all that its node has.
         self._told: set[Key] | None = None  # By the link in use, until it has told all.
-        self.unusable = False  # Whether this link's node may lack collected drops: another is needed.
-        self.routes = 0
+        self.control_node_outdated = (
+            False  # Whether this link's node may lack collected drops: another is needed.
+        )
+        self.route_count = 0
         self._services: dict[str, Service] = {}
         self._routes: dict[str, Route] = {}
         self._hosts: dict[bytes, _Host] = {}
 
     def begin_link(self) -> None:
         """A link begins, to another control node or to one that was lost meanwhile."""
-        self._first, self._told, self.unusable = True, set(), False
+        self._first, self._told, self.control_node_outdated = True, set(), False
 
     def merge(self, items: Sequence[Item]) -> list[Item]:
         """Those that were newer than what stood here."""
         first, self._first = self._first, False
         if first:
             told = next((item for item in items if item.kind == COLLECTED_TOMBSTONES_KIND), None)
-            self.unusable = collected_tombstones_of(told).batch < self._forgotten.required_batch
-        if self.unusable:
+            self.control_node_outdated = collected_tombstones_of(told).batch < self._forgotten.required_batch
+        if self.control_node_outdated:
             return []
         fresh = []
         for item in items:
@@ -149,27 +151,29 @@
                     self.items.pop(key, None)
             elif item.kind == COLLECTED_TOMBSTONES_KIND:
                 self._forget(collected_tombstones_of(item), first)
-        self.routes = len(self._routes)
+        self.route_count = len(self._routes)
         return fresh
 
     def complete_link(self) -> None:
         """All items in force have come on this link. What is no newer than collected tombstones and didn't
         come was dropped while this proxy was away.
         """
-        if self._outdated and self._told is not None and not self.unusable:
+        if self._outdated and self._told is not None and not self.control_node_outdated:
             old = [one for one in self.items.values() if one.kind in CONFIGURATION_KINDS]
             for item in old:
                 if item.version[0] <= self._forgotten.highest_version and item.key not in self._told:
                     self._drop(item.key)
-            self.routes = len(self._routes)
+            self.route_count = len(self._routes)
             self._outdated = False
         self._told = None
-        self.complete = self.complete or not self.unusable
+        self.complete = self.complete or not self.control_node_outdated
 
     def _forget(self, by: CollectedTombstones, first: bool) -> None:
         if self._forgotten.batch < by.required_batch:
             self._outdated = True
-            self.unusable = not first  # The node itself was outdated until now: what it told before is void.
+            self.control_node_outdated = (
+                not first
+            )  # The node itself was outdated until now: what it told before is void.
         self._forgotten, self._gone = by, by.versions_by_key()
         for key, version in self._gone.items():
             if (held := self.items.get(key)) is not None and held.version[0] <= version:
@@ -192,7 +196,7 @@
             there = self._hosts.get(host.partition(b":")[0].lower())
         return there.find(path) if there is not None else None
 
-    def tallies(self, route: Route) -> list[str]:
+    def counter_names(self, route: Route) -> list[str]:
         """The sums that a request on this route counts in: only hosts that have homes are counted."""
         if not self._hosts[route.host].homed:
             return []
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from ambershift.system.messages import items, proxy_link
-from ambershift.system.proxy.handling import Handling, Receive, Send, answer
-from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.backend_instance import Life
+from ambershift.system.proxy.http_exchange import HOLD_LEAST, HOLD_MOST
+from ambershift.system.proxy.request_handler import Handling, Receive, Send, answer
 from ambershift.system.proxy.state import ProxyState
-from ambershift.system.proxy.wire import HOLD_LEAST, HOLD_MOST
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_MS
 
@@ -35,9 +35,9 @@
     @property
     def ready(self) -> bool:
         """All that was acknowledged before the start is merged, and there is a route to serve."""
-        return self.routing.complete and self.routing.routes > 0
+        return self.routing.complete and self.routing.route_count > 0
 
-    def hear(self, message: msgspec.Struct) -> list[msgspec.Struct]:
+    def handle_message(self, message: msgspec.Struct) -> list[msgspec.Struct]:
         """Take in a message from the control node; returns the replies."""
         now = self.steady()
         match message:
@@ -46,7 +46,7 @@
             case proxy_link.BackendUpdate():
                 for life in self.backend_view.take(now, message):
                     self.connections.drop(life)
-                self._share_room(self.backend_view.lives[one.id] for one in message.updated)
+                self._share_room(self.backend_view.instances[one.id] for one in message.updated)
             case proxy_link.TableEntry():
                 self.backend_view.line(message)
             case proxy_link.BindTable():
@@ -56,16 +56,16 @@
             case proxy_link.ControlNodeHeartbeat():
                 if message.max_proxies != self.proxies:
                     self.proxies = max(1, message.max_proxies)
-                    self._share_room(self.backend_view.lives.values())
+                    self._share_room(self.backend_view.instances.values())
             case proxy_link.Barrier():
                 return [message]
         return []
 
-    def linked(self) -> None:
+    def link_opened(self) -> None:
         """A link to a control node begins. Tables of the old one stay in use until its binds come."""
         self.routing.begin_link()
 
-    def unlinked(self) -> None:
+    def link_closed(self) -> None:
         """The link was lost: the proxy serves on with what it knows."""
 
     def hello(self) -> proxy_link.Hello:
@@ -75,32 +75,32 @@
             self.settings.zone,
             self.settings.listen.get("Front", ""),
             self.ready,
-            self.leaving,
+            self.draining,
         )
 
-    def report(self, now: int) -> proxy_link.LoadReport:
+    def take_report(self, now: int) -> proxy_link.LoadReport:
         """Requests by pool, and results by backend, since the last call."""
         span, self._reported = (now - self._reported) // NS_PER_MS, now
         met = list[proxy_link.BackendLoad]()
-        for life in self.backend_view.lives.values():
-            if life.tries:
+        for life in self.backend_view.instances.values():
+            if life.attempts:
                 met.append(
                     proxy_link.BackendLoad(
-                        life.id, life.tries, life.bad, life.spent // life.tries // NS_PER_MS
+                        life.id, life.attempts, life.bad, life.spent // life.attempts // NS_PER_MS
                     )
                 )
-                life.tries = life.bad = life.spent = 0
-        came, self.came = self.came, {}
+                life.attempts = life.bad = life.spent = 0
+        came, self.request_counts = self.request_counts, {}
         self.connections.sweep()
         return proxy_link.LoadReport(span, came, tuple(met))
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """From now on each answer asks the client to close, and the proxy is not ready."""
-        self.leaving = True
+        self.draining = True
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request is in flight."""
-        return self.admission.flying == 0
+        return self.admission.in_flight == 0
 
     async def __call__(self, scope: Any, receive: Receive, send: Send) -> None:
         """ASGI 3: requests of clients, and on the readiness port the platform's check."""
@@ -108,15 +108,15 @@
             return
         if scope["server"][1] == self._readiness:
             known = scope["raw_path"] == READINESS
-            up = self.ready and not self.leaving
+            up = self.ready and not self.draining
             await answer(self, send, (200 if up else 503) if known else 404)
             return
-        self.admission.flying += 1
-        self.connections.hold = HOLD_MOST if self.admission.flying < MANY else HOLD_LEAST
+        self.admission.in_flight += 1
+        self.connections.hold = HOLD_MOST if self.admission.in_flight < MANY else HOLD_LEAST
         try:
             await Handling(self, scope, receive, send).run()
         finally:
-            self.admission.flying -= 1
+            self.admission.in_flight -= 1
 
     def _merge(self, now: int, message: proxy_link.ItemUpdate) -> None:
         for item in self.routing.merge(message.items):
--- a/ambershift/system/proxy/state.py
+++ b/ambershift/system/proxy/state.py
@@ -7,23 +7,27 @@
 from random import Random
 
 from ambershift.system.proxy.admission import Admission
-from ambershift.system.proxy.awaited import Awaited
+from ambershift.system.proxy.backend_attempt import Came
+from ambershift.system.proxy.backend_instance import Life
 from ambershift.system.proxy.backend_view import BackendView, Pool
-from ambershift.system.proxy.budget import Budget
-from ambershift.system.proxy.cold import ColdGate
-from ambershift.system.proxy.connections import Connections
-from ambershift.system.proxy.isolation import Isolation
-from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.bounded_event import Awaited
+from ambershift.system.proxy.cold_start_limiter import ColdGate
+from ambershift.system.proxy.connection_pool import Connections
+from ambershift.system.proxy.partition_detector import Isolation
 from ambershift.system.proxy.pick import pick
+from ambershift.system.proxy.retry_budget import Budget
 from ambershift.system.proxy.routing import Routing
-from ambershift.system.proxy.trying import Came
 from ambershift.system.settings.local import Local
 from ambershift.system.state_machine import NS_PER_SECOND
 
 
 class ProxyState:
-    """`steady` gives ns of a clock that only runs forward. `came` counts requests by pool since the last
-    report, `proxies` is how many proxies there may be at the most.
+    """The state that the requests of one proxy share.
+
+    Attributes:
+        steady: The steady clock, in ns.
+        request_counts: Requests since the last load report, by pool.
+        proxies: How many proxies there may be at the most.
     """
 
     def __init__(self, settings: Local, steady: Callable[[], int], chance: Random) -> None:
@@ -38,8 +42,8 @@
         self.isolation = Isolation()
         self.merged = Awaited()
         self.proxies = 1
-        self.leaving = False
-        self.came: dict[str, int] = {}
+        self.draining = False
+        self.request_counts: dict[str, int] = {}
         self._on_their_own: set[asyncio.Task[Came]] = set()
         self._budgets: dict[str, Budget] = {}
 
@@ -54,7 +58,7 @@
 
     def cut(self, now: int) -> bool:
         """Whether no backend answers this proxy, so that a request is better refused at once."""
-        return self.isolation.cut(now, self.backend_view.lives.values())
+        return self.isolation.cut(now, self.backend_view.instances.values())
 
     def pick(self, pool: Pool, now: int, tried: list[Life], left: int) -> Life | None:
         found = pick(pool, now, tried, self.chance, self._cold_may, left)
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -182,7 +182,7 @@
     async def _report(self, server: ProxyServer, attachment: Attachment, steady: Any) -> None:
         while True:
             await asyncio.sleep(REPORT_S)
-            attachment.send_report(server.report(steady()))
+            attachment.send_report(server.take_report(steady()))
 
     def _run(self, name: str, handle: asyncio.Handle) -> None:
         front = self.fronts[name]
--- a/benchmarks/capacity/proxy.py
+++ b/benchmarks/capacity/proxy.py
@@ -20,7 +20,7 @@
 
 def heard(proxy: ProxyServer, data: bytes) -> None:
     """As the link hands it on."""
-    proxy.hear(codec.decode(data))
+    proxy.handle_message(codec.decode(data))
 
 
 def told(size: Size) -> list[bytes]:
@@ -93,9 +93,9 @@
 
     def second(at: int) -> None:
         for one in range(95):
-            proxy.came[world.service(one % size.services)] = 1
-        for life in list(proxy.backend_view.lives.values())[:95]:
-            life.tries = 1
-        codec.encode(proxy.report(time.monotonic_ns() + at))
+            proxy.request_counts[world.service(one % size.services)] = 1
+        for life in list(proxy.backend_view.instances.values())[:95]:
+            life.attempts = 1
+        codec.encode(proxy.take_report(time.monotonic_ns() + at))
 
     found["a report of 95 requests|µs"] = micros(second, 60)
--- a/benchmarks/capacity/serving.py
+++ b/benchmarks/capacity/serving.py
@@ -52,10 +52,10 @@
 async def proxy(size: Size, address: str, backend: str) -> None:
     """All items and backends of the size; those of the first service are at one address."""
     made = ProxyServer(world.local(size), time.monotonic_ns, random.Random(1))
-    made.hear(proxy_link.ControlNodeHeartbeat(world.cores(size), True, 1))
-    made.hear(proxy_link.ItemUpdate(world.items(size), True))
+    made.handle_message(proxy_link.ControlNodeHeartbeat(world.cores(size), True, 1))
+    made.handle_message(proxy_link.ItemUpdate(world.items(size), True))
     lives = [world.backend(size, at) for at in range(size.backends)]
-    made.hear(
+    made.handle_message(
         proxy_link.BackendUpdate(
             tuple(
                 proxy_link.Backend(
@@ -74,7 +74,7 @@
         )
     )
     for at in range(size.services):
-        made.hear(world.bind(size, at))
+        made.handle_message(world.bind(size, at))
     await serve(made, address)
 
 
--- a/tests/support/proxy_rig.py
+++ b/tests/support/proxy_rig.py
@@ -14,7 +14,7 @@
 
 from ambershift.system.messages.items import ROUTE, SERVICE, Item
 from ambershift.system.messages.proxy_link import Backend, BackendUpdate, ControlNodeHeartbeat, ItemUpdate
-from ambershift.system.proxy.intake import Intake
+from ambershift.system.proxy.client_connection import ClientConnection
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.settings.local import Bounds, Local
 
@@ -142,13 +142,15 @@
         self.armed: dict[Any, int] = {}  # And was when these timers were first seen.
 
     async def __aenter__(self) -> Rig:
-        self.proxy.hear(ControlNodeHeartbeat((), True, 1, 0))
-        self.proxy.hear(self.items)
+        self.proxy.handle_message(ControlNodeHeartbeat((), True, 1, 0))
+        self.proxy.handle_message(self.items)
         put = tuple(
             [backend(f"i-{number}", await shelf.start()) for number, shelf in enumerate(self.shelves)]
         )
-        self.proxy.hear(BackendUpdate(put, (), True))
-        speaks = partial(Intake, lambda: self.proxy.routing.limits, lambda: time.monotonic_ns() + self.late)
+        self.proxy.handle_message(BackendUpdate(put, (), True))
+        speaks = partial(
+            ClientConnection, lambda: self.proxy.routing.limits, lambda: time.monotonic_ns() + self.late
+        )
         config = uvicorn.Config(
             self.proxy,
             "127.0.0.1",
--- a/tests/system/processes/test_control_link.py
+++ b/tests/system/processes/test_control_link.py
@@ -16,8 +16,8 @@
     selector, server, log = Choice("p", "z", "r", ("a", "b")), Mock(), Mock()
     events = AttachmentLog(selector, Mock(), lambda: 7 * NS_PER_SECOND, log)
     link = ControlLink(selector, server, Mock(), lambda: 7 * NS_PER_SECOND, log, events)
-    server.hear.return_value = []
-    server.routing.unusable = True
+    server.handle_message.return_value = []
+    server.routing.control_node_outdated = True
     link.outbox = outbox = Mock()
     selector.up(7 * NS_PER_SECOND, "a")
     for _ in range(2):  # What is on the way still is void.
--- a/tests/system/proxy/test_attempt.py
+++ b/tests/system/proxy/test_attempt.py
@@ -8,8 +8,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from ambershift.attempt.machine import Evidence
-from ambershift.system.proxy.attempt import TIMER_EARLY, Ending, Outcome, Stage, Told, Tries, outcome
-from ambershift.system.proxy.budget import Budget
+from ambershift.system.proxy.retry_budget import Budget
+from ambershift.system.proxy.retry_policy import TIMER_EARLY, Ending, Outcome, Stage, Told, Tries, outcome
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 STATUSES = (200, 204, 302, 400, 404, 408, 421, 429, 500, 502, 503, 504, 700)
--- a/tests/system/proxy/test_attempt_endings.py
+++ b/tests/system/proxy/test_attempt_endings.py
@@ -61,7 +61,7 @@
         async with Rig(silent, well) as rig:
             for _ in range(20):  # So that the budget allows a further try.
                 rig.proxy.budget("loans").came(rig.proxy.steady())
-            rig.proxy.backend_view.lives["i-1"].flying = 5  # Full: the first one is picked.
+            rig.proxy.backend_view.instances["i-1"].flying = 5  # Full: the first one is picked.
             found, head, body = await rig.ask(path, "PUT", b"x", left=1200)
             assert found == status and arrivals == ([0, 1] if status == 200 else [0])
             assert body == (WANTED if status == 200 else b"")
--- a/tests/system/proxy/test_collected_tombstones.py
+++ b/tests/system/proxy/test_collected_tombstones.py
@@ -33,9 +33,9 @@
     for one in pushes.items([drop("r1", 11)]) + pushes.items([told.as_item]):
         assert isinstance(one.message, ItemUpdate)
         routing.merge(one.message.items)
-    assert routing.items.keys() == {(ROUTE, "r2"), COLLECTED_TOMBSTONES_KEY} and routing.routes == 1
+    assert routing.items.keys() == {(ROUTE, "r2"), COLLECTED_TOMBSTONES_KEY} and routing.route_count == 1
     routing.merge([route("r1", 1)])
-    assert routing.find(b"h", b"/r1") is None and not routing.unusable
+    assert routing.find(b"h", b"/r1") is None and not routing.control_node_outdated
     # A new link is told of nothing that all have forgotten.
     held = [route("r2", 2), told.as_item]
     sent = pushes.greet("other", held, BackendUpdate((), (), True))
@@ -62,9 +62,9 @@
     routing.complete_link()
     assert (
         routing.items.keys() == {(ROUTE, "r9"), (ROUTE, "late"), COLLECTED_TOMBSTONES_KEY}
-        and not routing.unusable
+        and not routing.control_node_outdated
     )
-    assert routing.find(b"h", b"/r1") is None and routing.routes == 2
+    assert routing.find(b"h", b"/r1") is None and routing.route_count == 2
 
 
 def test_proxy_leaves_a_control_node_with_older_items() -> None:
@@ -74,11 +74,11 @@
     routing.complete_link()
     routing.begin_link()
     routing.merge([route("r1", 1), route("r9", 10)])
-    assert routing.unusable and not routing.merge([route("r2", 2)])
+    assert routing.control_node_outdated and not routing.merge([route("r2", 2)])
     assert routing.items.keys() == {(ROUTE, "r9"), COLLECTED_TOMBSTONES_KEY}
     routing.begin_link()  # Another one.
     routing.merge([many().as_item, route("r9", 10)])
-    assert not routing.unusable and routing.items[ROUTE, "r9"].version[0] == 10
+    assert not routing.control_node_outdated and routing.items[ROUTE, "r9"].version[0] == 10
 
 
 def test_items_received_before_the_control_node_was_reset_are_discarded() -> None:
@@ -86,7 +86,7 @@
     routing.begin_link()
     routing.merge([route("r1", 1), route("r9", 9)])
     routing.merge([many().as_item])  # It has just heard of it.
-    assert routing.unusable
+    assert routing.control_node_outdated
     routing.complete_link()
     assert not routing.complete
     routing.begin_link()
@@ -116,9 +116,9 @@
     batches = {box.replica.store.collected.batch for box in fleet.boxes.values() if box.replica is not None}
     assert batches == {5}
     routings = {name: front.server.routing for name, front in fleet.fronts.items()}
-    assert (ROUTE, "r0") in routings["front-1"].items and routings["front-1"].routes == ROUTES
+    assert (ROUTE, "r0") in routings["front-1"].items and routings["front-1"].route_count == ROUTES
     fleet.cut -= links
     fleet.run(6)
     for routing in routings.values():
-        assert routing.routes == ROUTES - 5 and routing.items == routings["front-2"].items
+        assert routing.route_count == ROUTES - 5 and routing.items == routings["front-2"].items
     assert not fleet.failed
--- a/tests/system/proxy/test_limits.py
+++ b/tests/system/proxy/test_limits.py
@@ -9,8 +9,8 @@
 from ambershift.system.messages.items import LIMITS, Item
 from ambershift.system.messages.proxy_link import ItemUpdate
 from ambershift.system.processes.http_server import HttpServer
-from ambershift.system.proxy.intake import _unread
-from ambershift.system.proxy.limits import Limits, Waiting, read_limits
+from ambershift.system.proxy.client_connection import _unread
+from ambershift.system.proxy.client_limits import Limits, Waiting, read_limits
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 from tests.support.proxy_rig import PLAIN, Rig, answer, run
 
@@ -138,7 +138,7 @@
             later(rig, 0.2)
             while connections(rig):
                 await asyncio.sleep(0)
-            assert len(rig.shelves[0].heads) == 5 and rig.proxy.idle()
+            assert len(rig.shelves[0].heads) == 5 and rig.proxy.is_idle()
 
     run(playing)
 
@@ -283,12 +283,12 @@
     async def playing():
         async with Rig(good, items=BOUND) as rig:
             assert await (client := Client(rig).say(head(MOST))).answered() == 200
-            rig.proxy.hear(ItemUpdate((limits(2, HeaderBytes=300, IdleTimeoutMs=4000),), False))
+            rig.proxy.handle_message(ItemUpdate((limits(2, HeaderBytes=300, IdleTimeoutMs=4000),), False))
             assert await client.say(head(300)).answered() == 200
             later(rig, 4.1)
             assert await client.hear() == b""
             assert (await Client(rig).say(head(301)).hear()).startswith(b"HTTP/1.1 431 ")
-            rig.proxy.hear(ItemUpdate((limits(3, HeaderBytes=5000, IdleTimeoutMs=9000),), False))
+            rig.proxy.handle_message(ItemUpdate((limits(3, HeaderBytes=5000, IdleTimeoutMs=9000),), False))
             assert await (client := Client(rig).say(head(5000))).answered() == 200
             later(rig, 8)
             assert await client.say(head(300)).answered() == 200
@@ -322,13 +322,13 @@
 
 
 def test_clients_are_told_to_end_idle_connections_before_we_do():
-    told = [Limits(idle_for=ms * NS_PER_MS).told for ms in (900, 1000, 1999, 2000, 15_500)]
+    told = [Limits(idle_for=ms * NS_PER_MS).advertised_keep_alive_s for ms in (900, 1000, 1999, 2000, 15_500)]
     assert told == [None, None, None, 1, 14]
 
     async def playing():
         async with Rig(good, items=BOUND) as rig:
             rig.server.__class__ = HttpServer
-            rig.server.advertise_keep_alive(rig.proxy.routing.limits.told)
+            rig.server.advertise_keep_alive(rig.proxy.routing.limits.advertised_keep_alive_s)
             await rig.server.on_tick(0)
             assert b"\r\nkeep-alive: timeout=14\r\n" in (await rig.ask())[1]
             rig.server.advertise_keep_alive(None)
--- a/tests/system/proxy/test_pick.py
+++ b/tests/system/proxy/test_pick.py
@@ -14,8 +14,8 @@
     ItemUpdate,
     TableEntry,
 )
-from ambershift.system.proxy.cold import ColdGate
-from ambershift.system.proxy.lives import Life
+from ambershift.system.proxy.backend_instance import Life
+from ambershift.system.proxy.cold_start_limiter import ColdGate
 from ambershift.system.proxy.routing import Routing
 from ambershift.system.proxy.server import ProxyServer
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
@@ -30,16 +30,16 @@
     def __init__(self):
         self.now = 1000 * NS_PER_SECOND
         self.server = ProxyServer(settings(), lambda: self.now, Random(7))
-        self.server.hear(ControlNodeHeartbeat((), True, 3, 0))
-        self.server.hear(PLAIN)
+        self.server.handle_message(ControlNodeHeartbeat((), True, 3, 0))
+        self.server.handle_message(PLAIN)
         self.tell(*(backend(f"i-{at}", zone=zone) for at, zone in enumerate(PLACES)), whole=True)
-        self.server.hear(BindTable("loans", 4, (("i-0", 1.0), ("i-1", 1.0), ("i-2", 2.0))))
+        self.server.handle_message(BindTable("loans", 4, (("i-0", 1.0), ("i-1", 1.0), ("i-2", 2.0))))
 
     def tell(self, *put, gone=(), whole=False):
-        self.server.hear(BackendUpdate(put, gone, whole))
+        self.server.handle_message(BackendUpdate(put, gone, whole))
 
     def life(self, at):
-        return self.server.backend_view.lives[f"i-{at}"]
+        return self.server.backend_view.instances[f"i-{at}"]
 
     def pick(self, pool="loans", tried=()):
         found = self.server.pick(self.server.backend_view.pool(pool), self.now, list(tried), 500 * NS_PER_MS)
@@ -65,15 +65,15 @@
     assert 900 < counts[0] < 1100 and 900 < counts[1] < 1100
     hall.life(2).flying = 3
     assert sum(hall.pick() == 2 for _ in range(1000)) < 350  # Half of the draws meet another one.
-    hall.server.hear(TableEntry("loans", 4, "i-2", 0.0))
-    hall.server.hear(TableEntry("loans", 4, "i-3", 1.0))
-    hall.server.hear(TableEntry("loans", 5, "i-5", 1.0))  # A table that is not bound yet.
+    hall.server.handle_message(TableEntry("loans", 4, "i-2", 0.0))
+    hall.server.handle_message(TableEntry("loans", 4, "i-3", 1.0))
+    hall.server.handle_message(TableEntry("loans", 5, "i-5", 1.0))  # A table that is not bound yet.
     assert hall.picks() == {0, 1, 3}
-    assert hall.server.hear(Barrier(9)) == [Barrier(9)]
+    assert hall.server.handle_message(Barrier(9)) == [Barrier(9)]
 
 
 def test_what_is_full_spills_to_the_region_then_to_short_queues_then_abroad(hall):
-    for life in hall.server.backend_view.lives.values():
+    for life in hall.server.backend_view.instances.values():
         life.work = 100 * NS_PER_MS
     hall.fill(0, 1, 2)
     assert hall.picks() == {3, 4}
@@ -106,26 +106,26 @@
 @pytest.mark.parametrize(
     "leave",
     [
-        lambda hall: hall.server.hear(ItemUpdate((Item(INSTANCE, "i-1", (1, ""), b"{}"),), False)),
+        lambda hall: hall.server.handle_message(ItemUpdate((Item(INSTANCE, "i-1", (1, ""), b"{}"),), False)),
         lambda hall: hall.tell(backend("i-1", draining=True)),
         lambda hall: hall.tell(gone=("i-1",)),
-        lambda hall: hall.server.hear(EjectBackend("i-1", True)),
-        lambda hall: hall.server.hear(ItemUpdate((Item(ZONE, "north", (3, "m"), b"true"),), False)),
+        lambda hall: hall.server.handle_message(EjectBackend("i-1", True)),
+        lambda hall: hall.server.handle_message(ItemUpdate((Item(ZONE, "north", (3, "m"), b"true"),), False)),
     ],
 )
 def test_nothing_goes_to_what_leaves_though_the_table_has_it_alone(hall, leave):
-    hall.server.hear(BindTable("loans", 5, (("i-1", 1.0),)))
+    hall.server.handle_message(BindTable("loans", 5, (("i-1", 1.0),)))
     assert hall.picks() == {1}
     hall.fill(0, 2, 3, 4, 5, 6, 7, flying=7)
     leave(hall)
     assert 1 not in hall.picks() and hall.picks()
-    assert not hall.life(1).open(hall.now) if "i-1" in hall.server.backend_view.lives else True
+    assert not hall.life(1).open(hall.now) if "i-1" in hall.server.backend_view.instances else True
 
 
 def test_a_drained_life_stays_out_when_an_older_word_comes_again(hall):
-    hall.server.hear(ItemUpdate((Item(INSTANCE, "i-1", (2, ""), None),), False))
+    hall.server.handle_message(ItemUpdate((Item(INSTANCE, "i-1", (2, ""), None),), False))
     hall.tell(backend("i-1"), whole=True)
-    hall.server.hear(
+    hall.server.handle_message(
         ItemUpdate(
             (
                 Item(INSTANCE, "i-1", (1, ""), b"{}"),
@@ -145,7 +145,7 @@
     hall.now += 4 * NS_PER_SECOND
     assert hall.picks() == {0}
     hall.tell()
-    assert set(hall.server.backend_view.lives) == {"i-0"}
+    assert set(hall.server.backend_view.instances) == {"i-0"}
 
 
 def test_failures_rest_a_backend_longer_each_time_and_at_most_a_third_of_the_pool(hall):
@@ -190,7 +190,7 @@
 
 def test_a_zone_taken_back_counts_as_cold_until_a_newer_list_says_otherwise(hall):
     for body in (b"true", b"false"):
-        hall.server.hear(ItemUpdate((Item(ZONE, "north", (len(body), "m"), body),), False))
+        hall.server.handle_message(ItemUpdate((Item(ZONE, "north", (len(body), "m"), body),), False))
     hall.now += 1900 * NS_PER_MS
     hall.tell(backend("i-0"))  # May have been said before it was taken back.
     assert hall.picks() == {3, 4}
@@ -232,7 +232,7 @@
     routing.merge((route("d", "/x/", version=8), Item(ROUTE, "b", (8, ""))))
     assert routing.find(b"books.example", b"/x/").name == "d"
     routing.merge(Item(ROUTE, name, (9, "")) for name in "acd")
-    assert routing.find(b"books.example", b"/x/") is None and routing.routes == 0
+    assert routing.find(b"books.example", b"/x/") is None and routing.route_count == 0
 
 
 def test_a_proxy_that_nobody_answers_refuses_but_for_a_trial(hall):
@@ -258,9 +258,9 @@
 def test_ready_only_after_a_complete_merge_with_a_route():
     server = ProxyServer(settings(), lambda: 0)
     assert ZONES and not server.ready
-    server.hear(ItemUpdate((route("r", "/"), *SERVICES), False))
+    server.handle_message(ItemUpdate((route("r", "/"), *SERVICES), False))
     assert not server.hello().ready
-    server.hear(ItemUpdate((), True))
+    server.handle_message(ItemUpdate((), True))
     assert server.hello().ready and not server.hello().draining
-    server.leave()
+    server.start_draining()
     assert server.hello().draining
--- a/tests/system/proxy/test_request_path.py
+++ b/tests/system/proxy/test_request_path.py
@@ -36,7 +36,7 @@
             assert (await rig.ask("/read/", "DELETE", body=b"xyz"))[2] == b"read:xyz"
             assert rig.shelves[0].connections == 1
             assert [(await rig.ask(path))[0] for path in ("/read", "/other/", "/write/x")] == [404, 404, 200]
-            assert rig.proxy.idle() and rig.proxy.report(1 << 62).requests == {"loans": 4}
+            assert rig.proxy.is_idle() and rig.proxy.take_report(1 << 62).requests == {"loans": 4}
 
     run(playing)
 
@@ -54,11 +54,13 @@
     async def playing():
         async with Rig(large) as rig:
             assert len((await rig.ask())[2]) == 1_000_000
-            rig.proxy.admission.flying = 500
+            rig.proxy.admission.in_flight = 500
             assert len((await rig.ask())[2]) == 1_000_000 and rig.proxy.connections.hold < 100_000
-            rig.proxy.admission.flying = 0
+            rig.proxy.admission.in_flight = 0
             assert (await rig.ask("/read/cut"))[0] == 0
-            assert rig.proxy.idle() and not any(life.flying for life in rig.proxy.backend_view.lives.values())
+            assert rig.proxy.is_idle() and not any(
+                life.flying for life in rig.proxy.backend_view.instances.values()
+            )
 
     run(playing)
 
@@ -206,7 +208,7 @@
             for _ in range(20):  # So that the budget allows a repeat.
                 rig.proxy.budget("loans").came(rig.proxy.steady())
             for path, wanted in (("/read/", repeatable), ("/write/", once)):
-                lives = rig.proxy.backend_view.lives
+                lives = rig.proxy.backend_view.instances
                 lives["i-1"].flying, before = 5, len(second.seen)  # Full: the first one is picked.
                 status, head, body = await rig.ask(path, "PUT", b"x", attempt=path.strip("/"), left=400)
                 assert status == wanted, path
@@ -269,7 +271,7 @@
             began = rig.proxy.steady()
             assert (await rig.ask("/write/", "POST", b"x", left=120))[0] == 504
             assert rig.proxy.steady() - began < 400_000_000
-            assert await rig.ask(left=0) and not rig.proxy.backend_view.lives["i-0"].flying
+            assert await rig.ask(left=0) and not rig.proxy.backend_view.instances["i-0"].flying
         async with Rig(good) as rig:
             rig.shelves[0].server.close()
             await rig.shelves[0].server.wait_closed()
@@ -287,15 +289,16 @@
         async with Rig(silent, good) as rig:
             for _ in range(20):
                 rig.proxy.budget("loans").came(rig.proxy.steady())
-            rig.proxy.backend_view.lives["i-1"].flying = 5
+            rig.proxy.backend_view.instances["i-1"].flying = 5
             began = rig.proxy.steady()
             assert (await rig.ask(left=700))[0] == 200
             assert rig.proxy.steady() - began < 500_000_000
-            assert rig.proxy.idle() and not rig.shelves[0].ended.is_set()
+            assert rig.proxy.is_idle() and not rig.shelves[0].ended.is_set()
             await rig.shelves[0].ended.wait()  # At the deadline.
             assert rig.proxy.steady() - began > 600_000_000
             assert (
-                rig.proxy.backend_view.lives["i-0"].pause and not rig.proxy.backend_view.lives["i-0"].flying
+                rig.proxy.backend_view.instances["i-0"].pause
+                and not rig.proxy.backend_view.instances["i-0"].flying
             )
 
     run(playing)
@@ -308,9 +311,9 @@
     async def playing():
         async with Rig(good, items=items) as rig:
             assert {(await rig.ask())[0] for _ in range(5)} == {200}
-            rig.proxy.hear(BackendUpdate((backend("m", service="maps"),), (), False))
+            rig.proxy.handle_message(BackendUpdate((backend("m", service="maps"),), (), False))
             assert {(await rig.ask())[0] for _ in range(5)} == {503}  # Nobody is at that address.
-            assert rig.proxy.report(1 << 62).requests == {"loans": 5, "maps": 5}
+            assert rig.proxy.take_report(1 << 62).requests == {"loans": 5, "maps": 5}
 
     run(playing)
 
@@ -348,7 +351,7 @@
         async with Rig(closing) as rig:
             for _ in range(3):
                 assert (await rig.ask("/write/"))[0] == 200
-            assert not rig.proxy.backend_view.lives["i-0"].bad
+            assert not rig.proxy.backend_view.instances["i-0"].bad
 
     run(playing)
 
@@ -357,17 +360,17 @@
     async def playing():
         second = scripted(good)
         async with Rig(reset, second) as rig:
-            rig.proxy.backend_view.lives["i-1"].flying = 5
+            rig.proxy.backend_view.instances["i-1"].flying = 5
             assert (await rig.ask())[0] == 502 and not second.seen
             budget, now = rig.proxy.budget("loans"), rig.proxy.steady()
             for _ in range(6):
                 budget.came(now)  # Enough for one.
             rig.shelves[1].server.close()
-            rig.proxy.backend_view.lives["i-0"].pause = 0
+            rig.proxy.backend_view.instances["i-0"].pause = 0
             assert (await rig.ask())[0] == 502
             assert budget.take(rig.proxy.steady()) and not budget.take(rig.proxy.steady())
         async with Rig(reset, second) as rig:
-            rig.proxy.backend_view.lives["i-1"].flying = 5
+            rig.proxy.backend_view.instances["i-1"].flying = 5
             for _ in range(6):
                 rig.proxy.budget("loans").came(rig.proxy.steady())
             assert (await rig.ask())[0] == 200 and not rig.proxy.budget("loans").take(rig.proxy.steady())
@@ -379,12 +382,12 @@
     async def playing():
         first, second = scripted(good), scripted(good)
         async with Rig(first, second) as rig:
-            rig.proxy.backend_view.lives["i-1"].flying = 5
+            rig.proxy.backend_view.instances["i-1"].flying = 5
             opening = rig.proxy.connections.open
 
             async def slowly(life, within):
                 wire = await opening(life, within)
-                rig.proxy.hear(ItemUpdate((Item(INSTANCE, "i-0", (1, ""), b"{}"),), False))
+                rig.proxy.handle_message(ItemUpdate((Item(INSTANCE, "i-0", (1, ""), b"{}"),), False))
                 return wire
 
             rig.proxy.connections.open = slowly
@@ -401,7 +404,7 @@
 
     async def playing():
         async with Rig(some) as rig:
-            life = rig.proxy.backend_view.lives["i-0"]
+            life = rig.proxy.backend_view.instances["i-0"]
             slow, lost = await asyncio.gather(rig.ask("/write/slow"), rig.ask("/write/slow/reset"))
             assert (slow[0], lost[0]) == (200, 502) and life.pause == 0 and life.full(rig.proxy.steady())
             # The slow one's watch over its client must not touch the connection that is idle again.
@@ -419,13 +422,13 @@
             writer.write(b"GET /write/ HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a\r\n\r\n")
             while not rig.shelves[0].heads:
                 await asyncio.sleep(0.01)
-            assert not rig.proxy.idle()
+            assert not rig.proxy.is_idle()
             writer.close()
-            while not rig.proxy.idle():
+            while not rig.proxy.is_idle():
                 await asyncio.sleep(0.01)
-            life = rig.proxy.backend_view.lives["i-0"]
+            life = rig.proxy.backend_view.instances["i-0"]
             assert (life.flying, life.pause, life.bad) == (0, 0, 0)
-            rig.proxy.leave()
+            rig.proxy.start_draining()
             status, head, _ = await rig.ask("/read/")
             assert status == 200 and b"\r\nconnection: close" in head
             said = []
@@ -434,7 +437,7 @@
                 said.append(message)
 
             for leaving in (False, True):
-                rig.proxy.leaving = leaving
+                rig.proxy.draining = leaving
                 await rig.proxy(
                     {"type": "http", "server": ("", 2), "raw_path": b"/ambershift/readiness"}, None, send
                 )
--- a/tests/system/proxy/test_startup_wait.py
+++ b/tests/system/proxy/test_startup_wait.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ambershift.system.messages.proxy_link import ItemUpdate
-from ambershift.system.proxy import awaited, handling
+from ambershift.system.proxy import bounded_event, request_handler
 from tests.support import proxy_rig
 
 
@@ -16,8 +16,8 @@
 def test_request_waits_a_moment_at_a_proxy_that_has_just_started(
     monkeypatch: pytest.MonkeyPatch, most: int
 ) -> None:
-    monkeypatch.setattr(handling, "WAIT", 10.0)
-    monkeypatch.setattr(awaited, "MOST", most)
+    monkeypatch.setattr(request_handler, "WAIT", 10.0)
+    monkeypatch.setattr(bounded_event, "MOST", most)
 
     async def playing() -> None:
         async def well(head: bytes, body: bytes, writer: Any) -> bytes:
@@ -27,15 +27,15 @@
             heads = rig.shelves[0].heads
             asked = asyncio.ensure_future(rig.ask())
             if most:
-                while not rig.proxy.admission.flying:
+                while not rig.proxy.admission.in_flight:
                     await asyncio.sleep(0)
                 assert not heads
-                rig.proxy.hear(ItemUpdate((), True))
+                rig.proxy.handle_message(ItemUpdate((), True))
             status, head, _ = await asked
             assert (status, b"retry-after" in head) == ((200, False) if most else (503, True))
             if not most:
-                monkeypatch.setattr(awaited, "MOST", 1)
-                monkeypatch.setattr(handling, "WAIT", 0.0)
+                monkeypatch.setattr(bounded_event, "MOST", 1)
+                monkeypatch.setattr(request_handler, "WAIT", 0.0)
                 assert (await rig.ask())[0] == 503 and not heads
 
     proxy_rig.run(playing)
--- a/tests/system/registry/test_home_regions.py
+++ b/tests/system/registry/test_home_regions.py
@@ -65,13 +65,13 @@
     free, bound = route("free", "/free/"), route("bound", "/bound/", ServingRegions=["b", "a"])
     name, host = "books.example", b"books.example"
     routing.merge([free])
-    assert (found := routing.find(host, b"/free/x")) and routing.tallies(found) == []
+    assert (found := routing.find(host, b"/free/x")) and routing.counter_names(found) == []
     routing.merge([bound])
-    assert routing.tallies(found) == [host_counter_name(name, ())]
+    assert routing.counter_names(found) == [host_counter_name(name, ())]
     assert (late := routing.find(host, b"/bound/x"))
-    assert routing.tallies(late) == [host_counter_name(name, ()), host_counter_name(name, ("a", "b"))]
+    assert routing.counter_names(late) == [host_counter_name(name, ()), host_counter_name(name, ("a", "b"))]
     routing.merge([Item(ROUTE, "bound", (9, ""), None)])
-    assert routing.tallies(found) == []
+    assert routing.counter_names(found) == []
 
 
 def test_host_rates_are_reported_and_withdrawn() -> None:
