--- a/ambershift/system/proxy/state.py
+++ b/ambershift/system/proxy/state.py
@@ -17,7 +17,7 @@
 from ambershift.system.proxy.pick import pick
 from ambershift.system.proxy.retry_budget import Budget
 from ambershift.system.proxy.routing import Routing
-from ambershift.system.settings.local import Local
+from ambershift.system.settings.process_settings import ProcessSettings
 from ambershift.system.state_machine import NS_PER_SECOND
 
 
@@ -30,7 +30,7 @@
         proxies: How many proxies there may be at the most.
     """
 
-    def __init__(self, settings: Local, steady: Callable[[], int], chance: Random) -> None:
+    def __init__(self, settings: ProcessSettings, steady: Callable[[], int], chance: Random) -> None:
         self.settings, self.steady, self.chance = settings, steady, chance
         self.routing = Routing()
         self.backend_view = BackendView(
