--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -17,7 +17,7 @@
 
 from ambershift import interface as api
 from ambershift.policy import TableManager
-from ambershift.system.distribution.strain import CALM, Strain
+from ambershift.system.distribution.overload_threshold import CALM, OverloadThreshold
 from ambershift.system.messages.proxy_link import BackendLoad as Told
 from ambershift.system.messages.proxy_link import BindTable, TableEntry
 from ambershift.system.state_machine import NS_PER_MS
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class PoolBackend:
     """A backend as the pool has it; a weight of 0 keeps it out of tables without a withdrawal."""
 
     zone: int
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Assigned:
+class TableChanges:
     """What a step makes: backends to eject (before all else), messages to proxies, barriers."""
 
     shut: list[str] = field(default_factory=list)
@@ -56,17 +56,17 @@
         self.pool, self.module = pool, TableManager()
         self.events: list[api.Event] = [api.Started(seed, terms)]
         self.names: dict[int, str] = {}  # Of backends.
-        self.seats: dict[str, Seat] = {}
+        self.seats: dict[str, PoolBackend] = {}
         self.proxies: dict[int, str] = {}
         self.local: set[str] = set()  # Proxies linked here; of the others only the traffic counts.
         self.bound: dict[str, int] = {}
         self.tables: dict[int, dict[int, float]] = {}
         self.met: dict[tuple[int, str], tuple[int, int, int]] = {}
-        self.terms, self.strain, self.born = terms, Strain(terms.overload_limit), False
+        self.terms, self.overload_threshold, self.born = terms, OverloadThreshold(terms.overload_limit), False
         self.token = 0
         self.busy, self.listed, self.dealt_at = True, False, -(1 << 62)
 
-    def seat(self, seats: dict[str, Seat]) -> None:
+    def update_backends(self, seats: dict[str, PoolBackend]) -> None:
         """Add the pool's backends that are new or changed."""
         entries = list[api.Entry]()
         for id, seat in seats.items():
@@ -79,7 +79,7 @@
             self.events.append(api.Listed(False, False, tuple(entries)))
             self.busy = self.listed = True
 
-    def join(self, proxy: str, zone: int, here: bool) -> None:
+    def add_proxy(self, proxy: str, zone: int, here: bool) -> None:
         """Add a proxy; `here` if it is linked to this node."""
         self.proxies[index_of(proxy)] = proxy
         self.bound.pop(proxy, None)
@@ -87,21 +87,21 @@
         self.events.append(api.Joined(index_of(proxy), zone, 1.0, True))
         self.busy = True
 
-    def leave(self, proxy: str) -> None:
+    def remove_proxy(self, proxy: str) -> None:
         """Remove a proxy."""
         self.proxies.pop(index_of(proxy), None)
         self.bound.pop(proxy, None)
         self.local.discard(proxy)
-        self.strain.leave(proxy)
+        self.overload_threshold.remove_proxy(proxy)
         self.events.append(api.Left(index_of(proxy)))
         self.busy = True
 
-    def came(self, proxy: str, count: int, span: int) -> None:
+    def record_requests(self, proxy: str, count: int, span: int) -> None:
         """Requests of the pool that came to a proxy over a span (ns)."""
         self.events.append(api.DemandReport(index_of(proxy), 0, count, 0, span))
-        self.strain.came(proxy, count, span)
+        self.overload_threshold.record_requests(proxy, count, span)
 
-    def meet(self, zone: int, met: Told) -> None:
+    def record_results(self, zone: int, met: Told) -> None:
         """A proxy's results at a backend; summed by zone, backend and step."""
         if met.backend_id in self.seats:
             tries, bad, took = self.met.get((zone, met.backend_id), (0, 0, 0))
@@ -112,12 +112,12 @@
                 took + met.mean_latency_ms * NS_PER_MS * good,
             )
 
-    def applied(self, mark: int, proxy: str, took: int) -> None:
+    def record_applied(self, mark: int, proxy: str, took: int) -> None:
         """Note that a proxy has applied what came before a barrier; `took` is ns from sending to answer."""
         self.events.append(api.Applied(mark, took, index_of(proxy)))
         self.busy = True
 
-    def step(self, now: int) -> Assigned | None:
+    def step(self, now: int) -> TableChanges | None:
         """Deal, where it is time to: soon on a change of the list, else at the pace of the channel."""
         pace = DEALT_ON_LIST if self.listed else DEALT_WHILE_BUSY if self.busy else DEALT_AT_REST
         if now < self.dealt_at + pace:
@@ -129,14 +129,14 @@
         events = [*self.events, *([api.TimerFired(self.token)] if self.token else ())]
         good = sum(tries - bad for tries, bad, _ in self.met.values())
         if good:
-            self.strain.took(sum(took for _, _, took in self.met.values()) / good)
+            self.overload_threshold.record_mean_latency(sum(took for _, _, took in self.met.values()) / good)
         self.met, self.events, self.busy, self.listed, self.dealt_at = {}, [], False, False, now
         self._retune()
         return self._carry_out(self.module.step(now, events))
 
     def _retune(self) -> None:
         """The threshold of expected overload follows what the pool has to spare."""
-        limit = self.strain.overload(
+        limit = self.overload_threshold.update(
             sum(seat.weight for seat in self.seats.values() if seat.phase == api.Phase.READY)
         )
         if self.born and limit != self.terms.overload_limit:
@@ -144,8 +144,8 @@
             self.module.terms = self.terms
         self.born = True  # By the step that follows.
 
-    def _carry_out(self, orders: Iterable[api.Order]) -> Assigned:
-        dealt, written = Assigned(), set[str]()
+    def _carry_out(self, orders: Iterable[api.Order]) -> TableChanges:
+        dealt, written = TableChanges(), set[str]()
         for order in orders:
             match order:
                 case api.StartTimer():
@@ -171,7 +171,7 @@
                     self.seats.pop(self.names.pop(order.server, ""), None)
         return dealt
 
-    def _line(self, order: api.SetWeight, dealt: Assigned) -> set[str]:
+    def _line(self, order: api.SetWeight, dealt: TableChanges) -> set[str]:
         table = self.tables.setdefault(order.table, {})
         if order.weight:
             table[order.server] = order.weight
@@ -182,7 +182,7 @@
         dealt.sends += [(proxy, line) for proxy in sorted(users)]
         return users
 
-    def _bind(self, order: api.Bind, dealt: Assigned) -> set[str]:
+    def _bind(self, order: api.Bind, dealt: TableChanges) -> set[str]:
         proxy, table = self.proxies[order.proxy], self.tables.get(order.table, {})
         if proxy not in self.local:
             return set()
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from ambershift.system.distribution.assigner import Assigned
-from ambershift.system.distribution.flows import Flows
-from ambershift.system.distribution.pool_loads import FED_EACH, PoolLoads
-from ambershift.system.distribution.pushes import Pushes
+from ambershift.system.distribution.assigner import TableChanges
+from ambershift.system.distribution.pool_assigners import FED_EACH, PoolAssigners
+from ambershift.system.distribution.proxy_updates import ProxyUpdates
+from ambershift.system.distribution.traffic_rates import TrafficRates
 from ambershift.system.interfaces import NotAppliedError, OutcomeUnknownError, ReplicatedState
 from ambershift.system.messages.items import ROUTE, ZONE, Item
 from ambershift.system.messages.proxy_link import (
@@ -59,7 +59,11 @@
     ) -> None:
         self.ledger, self.registry, self.steady = ledger, registry, steady
         self.send_proxy, self.log = send_proxy, log
-        self.pool_loads, self.pushes, self.flows = PoolLoads(settings.zones, seed), Pushes(), Flows()
+        self.pool_assigners, self.proxy_updates, self.traffic_rates = (
+            PoolAssigners(settings.zones, seed),
+            ProxyUpdates(),
+            TrafficRates(),
+        )
         self.hellos: dict[str, Hello] = {}
         self.withdrawn: set[str] = set()
         # Of each proxy: marks not answered yet, when each was sent, and which pools' marks it stands for.
@@ -69,7 +73,7 @@
         self.cores: tuple[ControlNodeAddress, ...] = ()  # As all linked proxies have been told.
         self.list: BackendUpdate | None = None
         self.list_at = 0
-        self.freshening: asyncio.Task[None] | None = None
+        self.completion_task: asyncio.Task[None] | None = None
         ledger.subscribe(self._items)
         registry.listen(self._listed)
 
@@ -79,9 +83,9 @@
         gets a heartbeat at once: by that it decides whether to send its Hello here.
         """
         self.hellos.pop(name, None)
-        self.send_proxy(name, self._sign(self.ledger.control_nodes()))
+        self.send_proxy(name, self._heartbeat(self.ledger.control_nodes()))
 
-    def hear_proxy(self, name: str, message: msgspec.Struct) -> None:
+    def receive_from_proxy(self, name: str, message: msgspec.Struct) -> None:
         if isinstance(message, Hello):
             self._greet(message)
             return
@@ -89,10 +93,10 @@
         if name not in self.hellos:
             return
         if isinstance(message, LoadReport) and message.interval_ms > 0:
-            self.flows.report(
+            self.traffic_rates.report(
                 self.steady(), name, self.hellos[name].zone, message.interval_ms * NS_PER_MS, message.requests
             )
-            self.pool_loads.report(name, message)
+            self.pool_assigners.record_load(name, message)
         elif isinstance(message, Barrier):
             self._applied(name, message.number)
 
@@ -104,10 +108,10 @@
 
     def _unlink(self, name: str) -> None:
         self.hellos.pop(name, None)
-        self.pushes.lose(name)
-        self.flows.leave(name)
+        self.proxy_updates.remove_proxy(name)
+        self.traffic_rates.remove_proxy(name)
         self.marks.pop(name, None)
-        self.pool_loads.leave(name)
+        self.pool_assigners.remove_proxy(name)
 
     def _greet(self, hello: Hello) -> None:
         known = self.hellos.get(hello.name)
@@ -119,50 +123,50 @@
         self._unlink(hello.name)
         self.hellos[hello.name] = hello
         self.settled = self.settled or self.registry.is_complete()
-        self._send(self.pushes.greet(hello.name, self.ledger.items().values(), self._list()))
+        self._send(self.proxy_updates.add_proxy(hello.name, self.ledger.items().values(), self._list()))
         # Behind the items: from here on the heartbeat's staleness is that of what the proxy has.
-        self.send_proxy(hello.name, self._sign(self.ledger.control_nodes()))
-        self.pool_loads.join(hello.name, hello.zone, "", hello.incarnation)
-        if self.freshening is None:
-            self.freshening = asyncio.ensure_future(self._freshen())
+        self.send_proxy(hello.name, self._heartbeat(self.ledger.control_nodes()))
+        self.pool_assigners.add_proxy(hello.name, hello.zone, "", hello.incarnation)
+        if self.completion_task is None:
+            self.completion_task = asyncio.ensure_future(self._freshen())
 
     async def _freshen(self) -> None:
         """Read a quorum after a Hello, until each proxy was told that it has all (`ItemUpdate.complete`)."""
         try:
-            while asked := self.pushes.wanting():
+            while asked := self.proxy_updates.awaiting_completion():
                 try:
                     await self.ledger.read_quorum(FRESHEN_LIMIT_S)
                 except (OutcomeUnknownError, NotAppliedError):
                     await asyncio.sleep(FRESHEN_PAUSE_S)
                     continue
-                self._send(self.pushes.complete(asked, self.ledger.items().values()))
+                self._send(self.proxy_updates.confirm_complete(asked, self.ledger.items().values()))
         finally:
-            self.freshening = None
+            self.completion_task = None
 
     def _applied(self, name: str, mark: int) -> None:
         marks, now = self.marks[name], self.steady()
         while marks and marks[0][0] <= mark:
             _, sent, parts = marks.popleft()
             for pool, one in parts:
-                if assigner := self.pool_loads.assigners.get(pool):
-                    assigner.applied(one, name, now - sent)
+                if assigner := self.pool_assigners.assigners.get(pool):
+                    assigner.record_applied(one, name, now - sent)
 
     # Other control nodes: the registry keeps all that they tell.
-    def hear_core(self, ip: str, message: msgspec.Struct) -> None:
+    def receive_from_control_node(self, ip: str, message: msgspec.Struct) -> None:
         pass
 
-    def core_linked(self, ip: str) -> None:
+    def control_node_linked(self, ip: str) -> None:
         self.registry.peer_connected(ip)
 
     # What changes.
     def _items(self, items: Sequence[Item]) -> None:
-        self._send(self.pushes.items(items))
+        self._send(self.proxy_updates.update_items(items))
         self.routed &= not any(one.kind in (ROUTE, ZONE, COLLECTED_TOMBSTONES_KIND) for one in items)
 
     def _listed(self, put: Sequence[Instance], gone: Sequence[str]) -> None:
         self.list = None
-        self.pushes.listed(self._backends(put), gone)
-        self.pool_loads.listed(self.steady(), put, gone)
+        self.proxy_updates.record_backends(self._backends(put), gone)
+        self.pool_assigners.update_backends(self.steady(), put, gone)
         self.withdrawn.difference_update(gone)
 
     def _list(self) -> BackendUpdate:
@@ -186,27 +190,29 @@
             self._items(list(self.ledger.items().values()))
         if not self.settled and self.registry.is_complete():
             self.settled = True
-            self._send(self.pushes.settle(self._backends(self.registry.endpoints().values())))
+            self._send(
+                self.proxy_updates.send_complete_list(self._backends(self.registry.endpoints().values()))
+            )
         if not self.routed:
             self.routed = True
-            self.pool_loads.route(self.ledger.items().values())
+            self.pool_assigners.update_routes(self.ledger.items().values())
         if now >= self.proxies_at + PROXIES_EACH:
             self.proxies_at = now
-            self.pool_loads.follow(self.registry.proxies())
-        if now >= self.pool_loads.fed_at + FED_EACH:
-            self.pool_loads.feed(now, self.registry.peer_rates())
-        moved, gone = self.flows.tell(now, self.pool_loads.pools.keys())
+            self.pool_assigners.update_remote_proxies(self.registry.proxies())
+        if now >= self.pool_assigners.fed_at + FED_EACH:
+            self.pool_assigners.record_remote_rates(now, self.registry.peer_rates())
+        moved, gone = self.traffic_rates.take_changes(now, self.pool_assigners.pools.keys())
         if moved or gone:
             self.registry.rates_changed(moved, gone)
-        self._send(self.pushes.flush())
+        self._send(self.proxy_updates.flush())
         # Tables computed from an incomplete list would send all traffic to few backends.
         if self.settled:
-            self._spread(now, self.pool_loads.deal(now))
+            self._spread(now, self.pool_assigners.step(now))
         if now >= self.signed_at + SIGN_EACH:
             self.signed_at = now
             self._send_signs()
 
-    def _spread(self, now: int, turns: Sequence[tuple[str, Assigned]]) -> None:
+    def _spread(self, now: int, turns: Sequence[tuple[str, TableChanges]]) -> None:
         """Send ejections of all pools, then table entries and binds, then a barrier to whoever got any."""
         # A backend may be in several pools, and is withdrawn from proxies once.
         for id in {id for _, dealt in turns for id in dealt.shut} - self.withdrawn:
@@ -227,12 +233,12 @@
 
     def _send_signs(self) -> None:
         cores = tuple(self.ledger.control_nodes())
-        sign = self._sign(() if cores == self.cores else cores)
+        sign = self._heartbeat(() if cores == self.cores else cores)
         self.cores = cores
         for name in self.hellos:
             self.send_proxy(name, sign)
 
-    def _sign(self, cores: Sequence[ControlNodeAddress]) -> ControlNodeHeartbeat:
+    def _heartbeat(self, cores: Sequence[ControlNodeAddress]) -> ControlNodeHeartbeat:
         ledger = self.ledger
         return ControlNodeHeartbeat(
             tuple(cores), ledger.has_quorum_contact(), self.registry.max_proxies(), ledger.contact_age_ms()
--- a/ambershift/system/distribution/strain.py
+++ b/ambershift/system/distribution/overload_threshold.py
@@ -13,13 +13,16 @@
 from ambershift.system.state_machine import NS_PER_SECOND
 
 FULL = 0.8  # Of its slots: past this, queues grow.
-LEAST, MOST = 0.95, 3.0  # At the least, a zone may live on one of the two backends it is due.
+MIN_THRESHOLD, MAX_THRESHOLD = (
+    0.95,
+    3.0,
+)  # At the least, a zone may live on one of the two backends it is due.
 CALM = 0.8  # The threshold is left again under this part of it.
 STEP = 0.15  # A threshold that has moved by less stays: each move may rebind all proxies.
 MEMORY = 10 * NS_PER_SECOND
 
 
-class Strain:
+class OverloadThreshold:
     """Rates and service time of one pool's traffic, and the threshold of overload that follows."""
 
     def __init__(self, limit: float) -> None:
@@ -27,7 +30,7 @@
         self.rates: dict[str, float] = {}  # Requests a second, by proxy.
         self.work = 0.0  # Slot-seconds of a request, as proxies saw it.
 
-    def came(self, proxy: str, count: int, span: int) -> None:
+    def record_requests(self, proxy: str, count: int, span: int) -> None:
         """`span` in ns."""
         if span > 0:
             part = min(1.0, span / MEMORY)
@@ -35,22 +38,22 @@
             known = self.rates.get(proxy)
             self.rates[proxy] = rate if known is None else known + part * (rate - known)
 
-    def leave(self, proxy: str) -> None:
+    def remove_proxy(self, proxy: str) -> None:
         """Drop a proxy's rate."""
         self.rates.pop(proxy, None)
 
-    def took(self, mean: float) -> None:
+    def record_mean_latency(self, mean: float) -> None:
         """Mean time (ns) of good answers over a step."""
         self.work = (
             mean / NS_PER_SECOND if not self.work else self.work + 0.1 * (mean / NS_PER_SECOND - self.work)
         )
 
-    def overload(self, slots: float) -> float:
+    def update(self, slots: float) -> float:
         """The threshold now, with so many slots ready."""
         taken = sum(self.rates.values()) * self.work / slots if slots else 0.0
         if not taken:
             return self.limit  # Nothing is known of what a request takes.
-        fresh = min(MOST, max(LEAST, FULL / taken - 1))
+        fresh = min(MAX_THRESHOLD, max(MIN_THRESHOLD, FULL / taken - 1))
         if abs(fresh - self.limit) > STEP * self.limit:
             self.limit = fresh
         return self.limit
--- a/ambershift/system/distribution/pool_loads.py
+++ b/ambershift/system/distribution/pool_assigners.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from ambershift import interface as api
-from ambershift.system.distribution.assigner import Assigned, Assigner, Seat
-from ambershift.system.distribution.pools import Pool, pools
-from ambershift.system.distribution.terms import terms_for, zones_of
+from ambershift.system.distribution.assigner import Assigner, PoolBackend, TableChanges
+from ambershift.system.distribution.pools import Pool, pools_of_routes
+from ambershift.system.distribution.terms import terms_for, zone_order
 from ambershift.system.messages.items import ZONE, Item
 from ambershift.system.messages.proxy_link import LoadReport
 from ambershift.system.registry.records import Instance, ProxyRecord
@@ -22,12 +22,12 @@
 FED_EACH = NS_PER_SECOND
 
 
-class PoolLoads:
+class PoolAssigners:
     """The pools, their backends and proxies; feeds each pool's assigner."""
 
     def __init__(self, zones: Mapping[str, str], seed: int) -> None:
         self.regions, self.chance = zones, random.Random(seed)
-        self.zones = {zone: at for at, zone in enumerate(zones_of(zones))}
+        self.zones = {zone: at for at, zone in enumerate(zone_order(zones))}
         self.pools: dict[str, Pool] = {}
         self.assigners: dict[str, Assigner] = {}
         self.serving: dict[str, list[Assigner]] = {}  # By service.
@@ -38,10 +38,10 @@
         self.carried: dict[tuple[str, str], float] = {}  # Parts of requests not yet fed.
         self.fed_at = 0
 
-    def route(self, items: Iterable[Item]) -> None:
+    def update_routes(self, items: Iterable[Item]) -> None:
         """Routes or evacuations have changed."""
         known = list(items)
-        self.pools = pools(known)
+        self.pools = pools_of_routes(known)
         self.evacuated = {one.name for one in known if one.kind == ZONE and one.body == b"true"}
         for gone in self.assigners.keys() - self.pools.keys():
             del self.assigners[gone]
@@ -51,13 +51,13 @@
                     name, terms_for(pool, self.regions), self.chance.getrandbits(63)
                 )
                 for proxy, (zone, keeper, _) in self.proxies.items():
-                    assigner.join(proxy, self.zones.get(zone, -1), not keeper)
+                    assigner.add_proxy(proxy, self.zones.get(zone, -1), not keeper)
         self.serving = {}
         for name, pool in self.pools.items():
             self.serving.setdefault(pool.service, []).append(self.assigners[name])
         self._seat(self.lives.values())
 
-    def listed(self, now: int, put: Iterable[Instance], gone: Iterable[str]) -> None:
+    def update_backends(self, now: int, put: Iterable[Instance], gone: Iterable[str]) -> None:
         """The list has changed."""
         fresh = list(put)
         for life in fresh:
@@ -69,24 +69,24 @@
             self.cold.pop(id, None)
             if known := self.lives.pop(id, None):
                 for assigner in self.serving.get(known.service, ()):
-                    assigner.seat({id: Seat(-1, api.Phase.GONE, 0.0)})
+                    assigner.update_backends({id: PoolBackend(-1, api.Phase.GONE, 0.0)})
         self._seat(fresh)
 
-    def join(self, name: str, zone: str, keeper: str, life: str) -> None:
+    def add_proxy(self, name: str, zone: str, keeper: str, life: str) -> None:
         """Add a proxy; of one that is linked to another node (`keeper`) only the traffic counts."""
         if self.proxies.get(name) != (zone, keeper, life):
             self.proxies[name] = zone, keeper, life
             for assigner in self.assigners.values():
-                assigner.join(name, self.zones.get(zone, -1), not keeper)
+                assigner.add_proxy(name, self.zones.get(zone, -1), not keeper)
 
-    def leave(self, name: str) -> None:
+    def remove_proxy(self, name: str) -> None:
         """Remove a proxy from all pools."""
         if self.proxies.pop(name, None):
             for assigner in self.assigners.values():
-                assigner.leave(name)
+                assigner.remove_proxy(name)
             self.carried = {key: part for key, part in self.carried.items() if key[0] != name}
 
-    def follow(self, directory: Mapping[str, tuple[str, ProxyRecord]]) -> None:
+    def update_remote_proxies(self, directory: Mapping[str, tuple[str, ProxyRecord]]) -> None:
         """Take the proxies linked elsewhere from the directory, unless they are linked here."""
         here = {name for name, (_, keeper, _) in self.proxies.items() if not keeper}
         elsewhere = {
@@ -95,21 +95,21 @@
             if keeper and name not in here and not proxy.draining
         }
         for name in self.proxies.keys() - elsewhere.keys() - here:
-            self.leave(name)
+            self.remove_proxy(name)
         for name, (keeper, proxy) in elsewhere.items():
-            self.join(name, proxy.zone, keeper, proxy.incarnation)
+            self.add_proxy(name, proxy.zone, keeper, proxy.incarnation)
 
-    def report(self, name: str, report: LoadReport) -> None:
+    def record_load(self, name: str, report: LoadReport) -> None:
         """What came to a proxy linked here, none where a pool isn't named, and what it met."""
         zone = self.zones.get(self.proxies[name][0], -1)
         for pool, assigner in self.assigners.items():
-            assigner.came(name, report.requests.get(pool, 0), report.interval_ms * NS_PER_MS)
+            assigner.record_requests(name, report.requests.get(pool, 0), report.interval_ms * NS_PER_MS)
         for met in report.backends:
             life = self.lives.get(met.backend_id)
             for assigner in self.serving.get(life.service, ()) if life else ():
-                assigner.meet(zone, met)
+                assigner.record_results(zone, met)
 
-    def feed(self, now: int, flows: Mapping[tuple[str, str, str], int]) -> None:
+    def record_remote_rates(self, now: int, flows: Mapping[tuple[str, str, str], int]) -> None:
         """The other nodes' traffic (requests per 100 s by node, zone, pool) is usage there."""
         span, self.fed_at = min(now - self.fed_at, 2 * FED_EACH), now
         counts = defaultdict[tuple[str, str], list[str]](list)
@@ -124,9 +124,9 @@
                         100 * NS_PER_SECOND * len(names)
                     )
                     self.carried[name, pool] = came - int(came)
-                    assigner.came(name, int(came), span)
+                    assigner.record_requests(name, int(came), span)
 
-    def deal(self, now: int) -> list[tuple[str, Assigned]]:
+    def step(self, now: int) -> list[tuple[str, TableChanges]]:
         """One turn of the pools whose time it is."""
         warm = [id for id, until in self.cold.items() if until <= now]
         for id in warm:
@@ -140,13 +140,15 @@
             by_service[life.service].append(life)
         for name, pool in self.pools.items():
             if seats := self._seats(pool, by_service.get(pool.service, ())):
-                self.assigners[name].seat(seats)
+                self.assigners[name].update_backends(seats)
 
-    def _seats(self, pool: Pool, lives: Sequence[Instance]) -> dict[str, Seat]:
-        seats = dict[str, Seat]()
+    def _seats(self, pool: Pool, lives: Sequence[Instance]) -> dict[str, PoolBackend]:
+        seats = dict[str, PoolBackend]()
         for life in lives:
-            if not pool.homes or self.regions.get(life.zone) in pool.homes:
+            if not pool.home_regions or self.regions.get(life.zone) in pool.home_regions:
                 open = life.id not in self.cold and life.zone not in self.evacuated
                 phase = api.Phase.DRAINING if life.draining else api.Phase.READY
-                seats[life.id] = Seat(self.zones.get(life.zone, -1), phase, life.slots if open else 0.0)
+                seats[life.id] = PoolBackend(
+                    self.zones.get(life.zone, -1), phase, life.slots if open else 0.0
+                )
         return seats
--- a/ambershift/system/distribution/pools.py
+++ b/ambershift/system/distribution/pools.py
@@ -20,11 +20,11 @@
 
     name: str
     service: str
-    homes: tuple[str, ...]
+    home_regions: tuple[str, ...]
     target_ms: int
 
 
-def pools(items: Iterable[Item]) -> dict[str, Pool]:
+def pools_of_routes(items: Iterable[Item]) -> dict[str, Pool]:
     """All pools by name, each with the shortest target of its routes."""
     found = dict[str, Pool]()
     for item in items:
--- a/ambershift/system/distribution/pushes.py
+++ b/ambershift/system/distribution/proxy_updates.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Pushed:
+class LinkedProxy:
     """A proxy on one link: whether it was told that all is merged, and has a complete endpoint list."""
 
     link: int
@@ -26,65 +26,65 @@
     whole: bool = False
 
 
-class Pushes:
+class ProxyUpdates:
     """What the linked proxies have been sent of items and of the endpoint list, and what they still lack."""
 
     def __init__(self) -> None:
-        self.told: dict[Key, Item] = {}  # What every proxy that has said Hello has been sent.
+        self.sent_items: dict[Key, Item] = {}  # What every proxy that has said Hello has been sent.
         self._forgot = False  # Whether `told` may have what all have forgotten since.
         self._all: ItemUpdate | None = None  # The same in one message, for all that link before it changes.
-        self.proxies: dict[str, Pushed] = {}
+        self.proxies: dict[str, LinkedProxy] = {}
         self.links = 0
         self.put: dict[str, Backend] = {}
         self.gone: set[str] = set()
 
-    def greet(self, name: str, items: Iterable[Item], backends: BackendUpdate) -> list[Send]:
+    def add_proxy(self, name: str, items: Iterable[Item], backends: BackendUpdate) -> list[Send]:
         """A new link: all items, then the list. Where we may not have heard all yet it takes nothing away."""
         items = list(items)
-        newer = self.items(items)
+        newer = self.update_items(items)
         if self._forgot:
-            self.told, self._all, self._forgot = {one.key: one for one in items}, None, False
+            self.sent_items, self._all, self._forgot = {one.key: one for one in items}, None, False
         self.links += 1
-        self.proxies[name] = Pushed(self.links, whole=backends.complete)
-        self._all = self._all or ItemUpdate(tuple(self.told.values()), False)
+        self.proxies[name] = LinkedProxy(self.links, whole=backends.complete)
+        self._all = self._all or ItemUpdate(tuple(self.sent_items.values()), False)
         return [*newer, Send(name, self._all), Send(name, backends)]
 
-    def lose(self, name: str) -> None:
+    def remove_proxy(self, name: str) -> None:
         """Drop a proxy whose link has ended."""
         self.proxies.pop(name, None)
 
-    def items(self, items: Iterable[Item]) -> list[Send]:
+    def update_items(self, items: Iterable[Item]) -> list[Send]:
         """Of these, what proxies have not been sent yet."""
         newer = [
             one
             for one in items
-            if (known := self.told.get(one.key)) is not one and (known is None or one.rank > known.rank)
+            if (known := self.sent_items.get(one.key)) is not one and (known is None or one.rank > known.rank)
         ]
         if not newer:
             return []
-        self.told |= {one.key: one for one in newer}
+        self.sent_items |= {one.key: one for one in newer}
         for id in (
             id for one in newer if one.kind == COLLECTED_INSTANCES_KIND for id in collected_instance_ids(one)
         ):
-            self.told.pop((INSTANCE, id), None)
+            self.sent_items.pop((INSTANCE, id), None)
         self._forgot = self._forgot or any(one.kind == COLLECTED_TOMBSTONES_KIND for one in newer)
         self._all, change = None, ItemUpdate(tuple(newer), False)
         return [Send(name, change) for name in self.proxies]
 
-    def wanting(self) -> dict[str, int]:
+    def awaiting_completion(self) -> dict[str, int]:
         """Proxies that wait to be told that all is merged, with their link."""
         return {name: one.link for name, one in self.proxies.items() if not one.complete}
 
-    def complete(self, asked: dict[str, int], items: Iterable[Item]) -> list[Send]:
+    def confirm_complete(self, asked: dict[str, int], items: Iterable[Item]) -> list[Send]:
         """All that was acknowledged before these links' Hellos is merged here."""
-        sends = self.items(items)
+        sends = self.update_items(items)
         for name, link in asked.items():
             if (one := self.proxies.get(name)) and one.link == link:
                 one.complete = True
                 sends.append(Send(name, ItemUpdate((), True)))
         return sends
 
-    def listed(self, put: Iterable[Backend], gone: Iterable[str]) -> None:
+    def record_backends(self, put: Iterable[Backend], gone: Iterable[str]) -> None:
         """Note changes of the endpoint list, to be sent with the next flush."""
         for one in put:
             self.put[one.id] = one
@@ -101,7 +101,7 @@
         self.put, self.gone = {}, set()
         return [Send(name, change) for name in self.proxies]
 
-    def settle(self, backends: Sequence[Backend]) -> list[Send]:
+    def send_complete_list(self, backends: Sequence[Backend]) -> list[Send]:
         """The endpoint list is complete by now: send it to proxies that have only an incomplete one."""
         owed = [name for name, one in self.proxies.items() if not one.whole]
         for name in owed:
--- a/ambershift/system/distribution/terms.py
+++ b/ambershift/system/distribution/terms.py
@@ -11,19 +11,19 @@
 # A service has about two backends a zone, and answers from other regions are the dearest price: a zone may
 # live on one backend, and on one of its two while the other is replaced. A proxy whose table is full goes on
 # to its region by itself. Under 1, so that a zone that got none counts as over. This is where the threshold
-# begins; `strain` moves it once rates and times are known.
+# begins; `overload_threshold.py` moves it once rates and times are known.
 WORTH_LEAST, OVERLOAD_LIMIT, OVERLOAD_CALM = 0.9, 0.95, 0.85
 LINES_PER_S, WAITING_MOST, MESSAGE_COST = 3000.0, 6000.0, 1.0
 
 
-def zones_of(zones: Mapping[str, str]) -> tuple[str, ...]:
+def zone_order(zones: Mapping[str, str]) -> tuple[str, ...]:
     """Zones in the order that all control nodes number them by."""
     return tuple(sorted(zones))
 
 
 def terms_for(pool: Pool, zones: Mapping[str, str]) -> api.Terms:
     """`zones`: the region of each zone. Cold backends are kept out before the module sees them."""
-    names, regions = zones_of(zones), sorted(set(zones.values()))
+    names, regions = zone_order(zones), sorted(set(zones.values()))
     group = api.Group(
         budget=pool.target_ms * NS_PER_MS,
         expiry=4 * pool.target_ms * NS_PER_MS,
--- a/ambershift/system/distribution/flows.py
+++ b/ambershift/system/distribution/traffic_rates.py
@@ -13,7 +13,7 @@
 SMALL = 20  # Requests per 100 s: less than this is no move.
 
 
-class Flows:
+class TrafficRates:
     """Reports of the proxies linked here, and the sums that were last published."""
 
     def __init__(self) -> None:
@@ -27,12 +27,12 @@
         self.zones[proxy] = zone
         self.came[proxy].append((now, span, came))
 
-    def leave(self, proxy: str) -> None:
+    def remove_proxy(self, proxy: str) -> None:
         """Drop a proxy's reports."""
         self.zones.pop(proxy, None)
         self.came.pop(proxy, None)
 
-    def tell(self, now: int, pools: Collection[str]) -> tuple[list[PoolRate], list[tuple[str, str]]]:
+    def take_changes(self, now: int, pools: Collection[str]) -> tuple[list[PoolRate], list[tuple[str, str]]]:
         """Sums that have moved by a tenth since they were published, and those that are gone."""
         if now < self.told_at + TOLD_EACH:
             return [], []
--- a/ambershift/system/processes/control_node.py
+++ b/ambershift/system/processes/control_node.py
@@ -215,20 +215,20 @@
         owner = type(message).__module__
         if caller.kind == PROXY:
             if owner == proxy_link.__name__:
-                self.controller.hear_proxy(caller.name, message)
+                self.controller.receive_from_proxy(caller.name, message)
         elif owner == replication.__name__:
             self.store.receive_message(caller.name, message)
         elif owner == forwarding.__name__:
             self.control_api.handle_message(caller.name, message)
         elif owner == registry_sync.__name__:
             self.registry.receive(caller.name, message)
-            self.controller.hear_core(caller.name, message)
+            self.controller.receive_from_control_node(caller.name, message)
 
     def link_up(self, caller: PeerIdentity) -> None:
         """A node has dialled this one."""
         if caller.kind == CONTROL_NODE:
             self.links.redial_if_stuck(caller.name)
-            self.controller.core_linked(caller.name)
+            self.controller.control_node_linked(caller.name)
         elif caller.kind == PROXY:
             # An earlier link of the same proxy is replaced, and `link_lost` isn't called for it.
             self.controller.proxy_linked(caller.name)
--- a/ambershift/system/simulation/fleet.py
+++ b/ambershift/system/simulation/fleet.py
@@ -106,14 +106,14 @@
                 and type(event.message).__module__ == registry_sync.__name__
             ):
                 registry.receive(event.sender, event.message)
-                controller.hear_core(event.sender, event.message)
+                controller.receive_from_control_node(event.sender, event.message)
                 return
             if isinstance(event, Accepted):
                 self._accept(box.ip, event.line, controller)
                 return
             if isinstance(event, FromProxy):
                 if self.lines.get((box.ip, event.line.proxy)) is event.line:
-                    controller.hear_proxy(event.line.proxy, event.message)
+                    controller.receive_from_proxy(event.line.proxy, event.message)
                 return
             if isinstance(event, HungUp):
                 if self.lines.get((box.ip, event.line.proxy)) is event.line:
--- a/ambershift/system/simulation/variants_fleet.py
+++ b/ambershift/system/simulation/variants_fleet.py
@@ -24,8 +24,8 @@
 
 
 def by_its_word(real: Any) -> Any:
-    def sign(self: controller.Controller, cores: Any) -> ControlNodeHeartbeat:
-        made: ControlNodeHeartbeat = real(self, cores)
+    def heartbeat(self: controller.Controller, control_nodes: Any) -> ControlNodeHeartbeat:
+        made: ControlNodeHeartbeat = real(self, control_nodes)
         return ControlNodeHeartbeat(
             made.control_nodes,
             made.has_quorum_contact,
@@ -33,7 +33,7 @@
             0 if made.has_quorum_contact else NO_CONTACT_AGE_MS,
         )
 
-    return sign
+    return heartbeat
 
 
 VARIANTS: tuple[Mutant, ...] = (
@@ -58,7 +58,7 @@
         "CONFIG",
         "a node tells whether it is in touch, but not how old its proof is",
         controller.Controller,
-        "_sign",
+        "_heartbeat",
         by_its_word,
     ),
     of(
--- a/benchmarks/capacity/assigner.py
+++ b/benchmarks/capacity/assigner.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from ambershift import interface as api
-from ambershift.system.distribution.assigner import Assigner, Seat
+from ambershift.system.distribution.assigner import Assigner, PoolBackend
 from ambershift.system.distribution.pools import Pool
-from ambershift.system.distribution.terms import terms_for, zones_of
+from ambershift.system.distribution.terms import terms_for, zone_order
 from ambershift.system.messages import codec
 from ambershift.system.messages.proxy_link import BackendLoad, BindTable
 from ambershift.system.state_machine import NS_PER_SECOND
@@ -25,19 +25,19 @@
 
     def __init__(self, size: Size, proxies: int) -> None:
         self.size, self.count, self.now = size, proxies, 1000 * NS_PER_SECOND
-        self.zones = {zone: at for at, zone in enumerate(zones_of(size.places))}
+        self.zones = {zone: at for at, zone in enumerate(zone_order(size.places))}
         self.names = [world.proxy_name(at) for at in range(proxies)]
         self.zoned = [self.zones[size.names[at % size.zones]] for at in range(proxies)]
         self.sent, self.tables = 0, set[int]()
         pools = [Pool(world.service(at), world.service(at), (), 500) for at in range(POOLS)]
         self.assigners = [Assigner(one.name, terms_for(one, size.places), 1) for one in pools]
         for pool, assigner in enumerate(self.assigners):
-            assigner.seat({f"i-{pool}-{at}": self.seat(pool, at) for at in range(SEATS)})
+            assigner.update_backends({f"i-{pool}-{at}": self.seat(pool, at) for at in range(SEATS)})
             for at, name in enumerate(self.names):
-                assigner.join(name, self.zoned[at], at % CONTROL_NODES == 0)
+                assigner.add_proxy(name, self.zoned[at], at % CONTROL_NODES == 0)
 
-    def seat(self, pool: int, at: int, weight: float = 6.0) -> Seat:
-        return Seat((pool + at * 7) % self.size.zones, api.Phase.READY, weight)
+    def seat(self, pool: int, at: int, weight: float = 6.0) -> PoolBackend:
+        return PoolBackend((pool + at * 7) % self.size.zones, api.Phase.READY, weight)
 
     def deal(self) -> None:
         for assigner in self.assigners:
@@ -49,7 +49,7 @@
                 assert name
             for mark, names in dealt.marks if dealt else ():
                 for name in names:
-                    assigner.applied(mark, name, NS_PER_SECOND // 20)
+                    assigner.record_applied(mark, name, NS_PER_SECOND // 20)
 
     def due(self, _: int) -> None:
         self.now += NS_PER_SECOND
@@ -59,9 +59,9 @@
         """A second: what came to each proxy, what some met, and the step that is due then."""
         for pool, assigner in enumerate(self.assigners):
             for name in self.names:
-                assigner.came(name, 7, NS_PER_SECOND)
+                assigner.record_requests(name, 7, NS_PER_SECOND)
             for one in range(0, min(self.count, SEATS)):
-                assigner.meet(self.zoned[one], BackendLoad(f"i-{pool}-{one}", 4, 0, 90))
+                assigner.record_results(self.zoned[one], BackendLoad(f"i-{pool}-{one}", 4, 0, 90))
         self.due(at)
 
 
@@ -76,7 +76,7 @@
     found[f"{told}: a second of a pool|ms"] = micros(hall.usual, 3) / 1e3 / POOLS
     hall.sent = 0
     for pool, assigner in enumerate(hall.assigners):
-        assigner.seat({f"i-{pool}-3": hall.seat(pool, 3, 0.0)})
+        assigner.update_backends({f"i-{pool}-3": hall.seat(pool, 3, 0.0)})
     found[f"{told}: step after a change of the list|ms"] = micros(hall.due, 1) / 1e3 / POOLS
     found[f"{told}: tables dealt|number"] = len(hall.tables)
     found[f"{told}: sent for that change, a pool|B"] = hall.sent / POOLS
--- a/benchmarks/capacity/controller.py
+++ b/benchmarks/capacity/controller.py
@@ -59,11 +59,11 @@
             self.now += NS_PER_SECOND // 20
             marks, self.marks = self.marks, []
             for name, mark in marks:
-                self.controller.hear_proxy(name, mark)
+                self.controller.receive_from_proxy(name, mark)
             self.registry.tick()
             self.controller.tick()
             for number in self.proxies[at::20]:
-                self.controller.hear_proxy(world.proxy_name(number), self.report)
+                self.controller.receive_from_proxy(world.proxy_name(number), self.report)
 
     def quiet_second(self) -> None:
         """One in which all own backends beat, too, so that none falls silent."""
@@ -98,7 +98,10 @@
         found[f"{kind} in a quiet second a link|B"] = scene.bytes[kind] / 3 / len(hellos)
     report = scene.report
     found["hear a report|µs"] = micros(
-        lambda at: scene.controller.hear_proxy(world.proxy_name(scene.proxies[at % len(hellos)]), report), 60
+        lambda at: scene.controller.receive_from_proxy(
+            world.proxy_name(scene.proxies[at % len(hellos)]), report
+        ),
+        60,
     )
     scene.step()
     scene.bytes.clear()
@@ -114,7 +117,7 @@
 
 
 def greet(scene: Dealing, hello: Hello) -> None:
-    scene.controller.hear_proxy(hello.name, hello)
+    scene.controller.receive_from_proxy(hello.name, hello)
 
 
 def play(size: Size) -> Found:
--- a/benchmarks/capacity/registry.py
+++ b/benchmarks/capacity/registry.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ambershift.system.distribution.controller import Controller
-from ambershift.system.distribution.flows import Flows
+from ambershift.system.distribution.traffic_rates import TrafficRates
 from ambershift.system.messages import codec, registry_sync
 from ambershift.system.messages.proxy_link import LoadReport
 from ambershift.system.processes import control_node  # All that a control node's process imports counts.
@@ -92,7 +92,7 @@
 
 def reports(size: Size) -> float:
     """What the sums of traffic keep of each proxy linked here."""
-    count, flows, data = 100, Flows(), codec.encode(world.report(size))
+    count, flows, data = 100, TrafficRates(), codec.encode(world.report(size))
     before = megabytes()
     for at in range(15 * count):
         report = codec.decode(data)
@@ -126,17 +126,17 @@
     controller = Controller(
         world.local(size), scene.ledger, registry, coded, scene.send, lambda: scene.now, 1, lambda *_: None
     )
-    controller.freshening = cast(Any, 1)  # No loop runs here.
+    controller.completion_task = cast(Any, 1)  # No loop runs here.
     names = [world.hello(size, at) for at in scene.proxies[:9]]
     found["first words of a first link, coded|ms"] = (
-        micros(lambda at: controller.hear_proxy(names[0].name, names[0]), 1) / 1e3
+        micros(lambda at: controller.receive_from_proxy(names[0].name, names[0]), 1) / 1e3
     )
     found["first words of each other, coded|ms"] = (
-        micros(lambda at: controller.hear_proxy(names[at + 1].name, names[at + 1]), 8) / 1e3
+        micros(lambda at: controller.receive_from_proxy(names[at + 1].name, names[at + 1]), 8) / 1e3
     )
-    controller.pool_loads.route(scene.ledger.items().values())
+    controller.pool_assigners.update_routes(scene.ledger.items().values())
     found["routes looked at again|ms"] = (
-        micros(lambda _: controller.pool_loads.route(scene.ledger.items().values()), 3) / 1e3
+        micros(lambda _: controller.pool_assigners.update_routes(scene.ledger.items().values()), 3) / 1e3
     )
     found["15 s of a proxy's reports|KB"] = reports(size)
     scene.sent = 0
--- a/tests/support/simulated_exchange.py
+++ b/tests/support/simulated_exchange.py
@@ -242,7 +242,7 @@
         self.proxies[name] = ip, rates
         hello = proxy_link.Hello(name, "x", zone, f"{name}:80", ready, leaving)
         sent = self.nodes[ip].sent_to_proxies.setdefault(name, [])
-        self.nodes[ip].controller.hear_proxy(name, hello)
+        self.nodes[ip].controller.receive_from_proxy(name, hello)
         return sent
 
     def disconnect_proxy(self, name: str) -> None:
@@ -253,7 +253,7 @@
     def _send_proxy_messages(self) -> None:
         for name, (ip, rates) in self.proxies.items():
             if ip not in self.stopped | self.paused:
-                hear = self.nodes[ip].controller.hear_proxy
+                hear = self.nodes[ip].controller.receive_from_proxy
                 for message in list(self.nodes[ip].sent_to_proxies.get(name, ())):
                     if isinstance(message, proxy_link.Barrier):
                         hear(name, message)
--- a/tests/system/distribution/test_distribution.py
+++ b/tests/system/distribution/test_distribution.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from ambershift import interface as api
-from ambershift.system.distribution.assigner import Assigner, Seat
-from ambershift.system.distribution.flows import Flows
+from ambershift.system.distribution.assigner import Assigner, PoolBackend
 from ambershift.system.distribution.pools import Pool
 from ambershift.system.distribution.terms import terms_for
+from ambershift.system.distribution.traffic_rates import TrafficRates
 from ambershift.system.messages.items import ROUTE, ZONE, Item
 from ambershift.system.messages.proxy_link import (
     BackendUpdate,
@@ -239,7 +239,7 @@
     sent = world.connect_proxy("proxy a1", "2", "a1", s=20)
     await world.run(3)
     assert [one.table for one in sent if isinstance(one, BindTable)] == [0]
-    floors = [node.controller.pool_loads for node in world.nodes.values()]
+    floors = [node.controller.pool_assigners for node in world.nodes.values()]
     assert all(set(floor.proxies) == set(world.proxies) for floor in floors)
     assert [floor.proxies["proxy a1"][1] for floor in floors] == ["2", "", "2"]
     world.stopped.add("2")
@@ -250,22 +250,24 @@
 def test_the_channel_does_not_wait_for_proxies_of_other_control_nodes() -> None:
     zones = {"a1": "a", "b1": "b"}
     assigner = Assigner("s", terms_for(Pool("s", "s", (), 500), zones), 7)
-    assigner.seat({f"b{number}": Seat(number % 2, api.Phase.READY, 4.0) for number in range(60)})
+    assigner.update_backends(
+        {f"b{number}": PoolBackend(number % 2, api.Phase.READY, 4.0) for number in range(60)}
+    )
     for number in range(400):
-        assigner.join(f"there {number}", number % 2, False)
-    assigner.join("here", 0, True)
+        assigner.add_proxy(f"there {number}", number % 2, False)
+    assigner.add_proxy("here", 0, True)
     sends = [one for at in range(8) if (dealt := assigner.step(at * 250 * NS_PER_MS)) for one in dealt.sends]
     assert any(isinstance(message, BindTable) for _, message in sends)
 
 
 def test_flows_are_told_when_they_have_moved_by_a_tenth() -> None:
-    flows, now = Flows(), 100 * NS_PER_SECOND
+    flows, now = TrafficRates(), 100 * NS_PER_SECOND
     told = list[int]()
     for rate in [50] * 20 + [53] * 20 + [80] * 20:
         now += NS_PER_SECOND
         flows.report(now, "proxy", "a1", 1000 * NS_PER_MS, {"s": rate})
-        told += [flow.rate for flow in flows.tell(now, ["s"])[0]]
+        told += [flow.rate for flow in flows.take_changes(now, ["s"])[0]]
     assert told[0] == 5000 and 3 <= len(told) <= 7 and abs(told[-1] - 8000) <= 800
     assert told[1] > 5500
-    flows.leave("proxy")
-    assert flows.tell(now + 3 * NS_PER_SECOND, ["s"]) == ([], [("a1", "s")])
+    flows.remove_proxy("proxy")
+    assert flows.take_changes(now + 3 * NS_PER_SECOND, ["s"]) == ([], [("a1", "s")])
--- a/tests/system/processes/test_control_node.py
+++ b/tests/system/processes/test_control_node.py
@@ -20,7 +20,11 @@
     node.link_up(PeerIdentity(CONTROL_NODE, "10.0.0.1", "b"))
     node.link_lost(PeerIdentity(PROXY, "proxy-1", "a"))
     told = [(name, *args) for name, args, _ in node.controller.method_calls]
-    assert told == [("proxy_linked", "proxy-1"), ("core_linked", "10.0.0.1"), ("proxy_lost", "proxy-1")]
+    assert told == [
+        ("proxy_linked", "proxy-1"),
+        ("control_node_linked", "10.0.0.1"),
+        ("proxy_lost", "proxy-1"),
+    ]
     node.links.redial_if_stuck.assert_called_once_with("10.0.0.1")
     node.reached("10.0.0.1")
     node.store.on_peer_connected.assert_called_once_with("10.0.0.1")
--- a/tests/system/proxy/test_collected_tombstones.py
+++ b/tests/system/proxy/test_collected_tombstones.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ambershift.system.distribution.pushes import Pushes
+from ambershift.system.distribution.proxy_updates import ProxyUpdates
 from ambershift.system.messages.items import ROUTE
 from ambershift.system.messages.proxy_link import BackendUpdate, ItemUpdate
 from ambershift.system.messages.tombstones import (
@@ -23,14 +23,14 @@
 
 
 def test_proxy_collects_tombstones_with_its_control_node() -> None:
-    pushes, routing = Pushes(), Routing()
+    pushes, routing = ProxyUpdates(), Routing()
     told = CollectedTombstones().with_batch([drop("r1", 11)])
     routing.begin_link()
     items = {one.key: one for one in (route("r1", 1), route("r2", 2))}
-    for one in pushes.greet("proxy", items.values(), BackendUpdate((), (), True)):
+    for one in pushes.add_proxy("proxy", items.values(), BackendUpdate((), (), True)):
         routing.merge(getattr(one.message, "items", ()))
     routing.complete_link()
-    for one in pushes.items([drop("r1", 11)]) + pushes.items([told.as_item]):
+    for one in pushes.update_items([drop("r1", 11)]) + pushes.update_items([told.as_item]):
         assert isinstance(one.message, ItemUpdate)
         routing.merge(one.message.items)
     assert routing.items.keys() == {(ROUTE, "r2"), COLLECTED_TOMBSTONES_KEY} and routing.route_count == 1
@@ -38,7 +38,7 @@
     assert routing.find(b"h", b"/r1") is None and not routing.control_node_outdated
     # A new link is told of nothing that all have forgotten.
     held = [route("r2", 2), told.as_item]
-    sent = pushes.greet("other", held, BackendUpdate((), (), True))
+    sent = pushes.add_proxy("other", held, BackendUpdate((), (), True))
     assert [list(one.message.items) for one in sent if isinstance(one.message, ItemUpdate)] == [held]
 
 
--- a/tests/system/registry/test_home_regions.py
+++ b/tests/system/registry/test_home_regions.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.system.distribution.flows import Flows
+from ambershift.system.distribution.traffic_rates import TrafficRates
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.messages.proxy_link import host_counter_name, parse_host_counter_name
 from ambershift.system.proxy.routing import Routing
@@ -75,12 +75,12 @@
 
 
 def test_host_rates_are_reported_and_withdrawn() -> None:
-    flows = Flows()
+    flows = TrafficRates()
     flows.report(NS_PER_SECOND, "proxy", "a1", NS_PER_SECOND, {"s": 3, ALL: 5, BOUND: 4})
-    moved, gone = flows.tell(2 * NS_PER_SECOND, ["s"])
+    moved, gone = flows.take_changes(2 * NS_PER_SECOND, ["s"])
     assert {one.pool: one.rate for one in moved} == {"s": 300, ALL: 500, BOUND: 400} and not gone
     flows.report(20 * NS_PER_SECOND, "proxy", "a1", NS_PER_SECOND, {})
-    _, gone = flows.tell(20 * NS_PER_SECOND, ["s"])
+    _, gone = flows.take_changes(20 * NS_PER_SECOND, ["s"])
     assert sorted(gone) == sorted([("a1", ALL), ("a1", BOUND)])
 
 
--- a/tests/system/registry/test_tombstone_expiry.py
+++ b/tests/system/registry/test_tombstone_expiry.py
@@ -11,7 +11,7 @@
 from ambershift.system.consensus.events import WriteItems
 from ambershift.system.consensus.item_store import row_key
 from ambershift.system.consensus.replica import Replica
-from ambershift.system.distribution.pushes import Pushes
+from ambershift.system.distribution.proxy_updates import ProxyUpdates
 from ambershift.system.messages.items import COLLECTED_INSTANCES_KEY, COLLECTED_INSTANCES_KIND, INSTANCE, Item
 from ambershift.system.messages.proxy_link import BackendUpdate
 from ambershift.system.proxy.routing import Routing
@@ -231,10 +231,10 @@
 
 
 def test_proxies_and_controllers_drop_the_same_tombstones() -> None:
-    pushes = Pushes()
-    sent = pushes.greet("proxy", [tombstone("a"), tombstone("b")], BackendUpdate((), (), True))
-    sent += pushes.items([collected(1, "a"), tombstone("c")])
-    assert {id for kind, id in pushes.told if kind == INSTANCE} == {"b", "c"}
+    pushes = ProxyUpdates()
+    sent = pushes.add_proxy("proxy", [tombstone("a"), tombstone("b")], BackendUpdate((), (), True))
+    sent += pushes.update_items([collected(1, "a"), tombstone("c")])
+    assert {id for kind, id in pushes.sent_items if kind == INSTANCE} == {"b", "c"}
     routing = Routing()
     for one in sent:
         routing.merge(getattr(one.message, "items", ()))
