--- a/ambershift/coordinator/cli/run.py
+++ b/ambershift/coordinator/cli/run.py
@@ -81,9 +81,9 @@
     coordinator = Coordinator(start, book, signals, runtime.max_connections + talk)
     given = coordinator, spots, runtime.max_connections, idle, VERSION
     if root and group:
-        from ambershift.coordinator.group.front import GroupFront
+        from ambershift.coordinator.group.service import GroupService
 
-        coordinator.attach(GroupFront(*given, root, group))
+        coordinator.attach(GroupService(*given, root, group))
     else:
         coordinator.attach(RuntimeFront(*given))
     await coordinator.run()
--- a/ambershift/coordinator/counters/__main__.py
+++ b/ambershift/coordinator/counters/__main__.py
@@ -16,9 +16,9 @@
 from ambershift.coordinator.group.links.wire import (
     HELLO_MOST,
     WIRE,
+    FrameKind,
     Hello,
-    Kind,
-    Refused,
+    Refusal,
     Role,
     UnreadableError,
     encode,
@@ -90,7 +90,7 @@
             )
             first = await socket.receive()
         answer = read_reply(first.data if first.type is aiohttp.WSMsgType.BINARY else None)
-        if isinstance(answer, Refused):
+        if isinstance(answer, Refusal):
             raise UnreadableError(f"refused: {answer.reason} ({answer.why})")
         self.up = True
         note("member_up", member=answer.name)
@@ -103,7 +103,7 @@
                     continue
                 try:
                     async with asyncio.timeout(LIMIT):
-                        await socket.send_bytes(frame(Kind.COUNTERS, records.encode(batch)))
+                        await socket.send_bytes(frame(FrameKind.COUNTERS, records.encode(batch)))
                 except BaseException:
                     self.sources.again(batch)
                     raise
--- a/ambershift/coordinator/group/asking.py
+++ b/ambershift/coordinator/group/client_calls.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.coordinator.group.spec import Spec
+from ambershift.coordinator.group.spec import MemberSpec
 from ambershift.coordinator.promises.answers import encode
 from ambershift.coordinator.promises.state import EMPTY, Promises
 from ambershift.coordinator.promises.words import Command
@@ -18,14 +18,14 @@
 GRACE = 1.0
 
 
-class Asking:
+class ClientCalls:
     """The part of a member that clients speak to."""
 
     replica: Replica | None
     halted: tuple[str, str] | None
     stopping: bool
     now: Callable[[], int]
-    spec: Spec
+    spec: MemberSpec
 
     def __init__(self) -> None:
         self.asked = dict[int, asyncio.Future[Answer]]()
--- a/ambershift/coordinator/group/clocks.py
+++ b/ambershift/coordinator/group/clock_skew.py
@@ -8,7 +8,7 @@
 LASTS = 10_000_000_000
 
 
-class Clocks:
+class ClockSkew:
     """Times in ns; `wall` of others comes with the age that the word had when it was read."""
 
     def __init__(self, bound: int) -> None:
--- a/ambershift/coordinator/group/guard.py
+++ b/ambershift/coordinator/group/command_validator.py
@@ -23,7 +23,7 @@
 from ambershift.door import Door
 
 
-class Guard:
+class CommandValidator:
     """`tell` puts a refusal of the desk into words; `apart` tells whether this member's clock is."""
 
     def __init__(
--- a/ambershift/coordinator/group/offloop.py
+++ b/ambershift/coordinator/group/daemon_thread.py
@@ -11,7 +11,7 @@
 Made = TypeVar("Made")
 
 
-async def off_loop(call: Callable[..., Made], *given: Any) -> Made:
+async def run_in_daemon_thread(call: Callable[..., Made], *given: Any) -> Made:
     """As asyncio.to_thread, whose threads the interpreter joins when it ends."""
     loop = asyncio.get_running_loop()
     future: asyncio.Future[Made] = loop.create_future()
--- a/ambershift/coordinator/group/at_desk.py
+++ b/ambershift/coordinator/group/desk_applier.py
@@ -12,7 +12,7 @@
 from ambershift.door import Door
 
 
-class AtDesk:
+class DeskApplier:
     """Wishes and permits are held by the servers' ids; what no list has named yet is taken up when one does.
 
     `ahead` is what the member's wall clock is ahead of the desk's, `moved` tells the front to look again.
--- a/ambershift/coordinator/group/disk/folder.py
+++ b/ambershift/coordinator/group/disk/folder.py
@@ -58,7 +58,7 @@
         self.held, self.generation, self.turn = Held(), 0, 0
         self.log: Handle | None = None
         self.mark: Handle | None = None
-        self.incarnation = self.end = self.base = 0
+        self.incarnation = self.log_size = self.base = 0
         self.failed = ""
 
     def open(self, wall: int, void: str = "") -> Opened:
@@ -103,7 +103,7 @@
             # Before the log: a log without any mark is none of ours.
             self.write_beside(MARK, [both_slots(Mark(self.turn, self.generation, 0))])
         self.mark = self.files.open(MARK)
-        self.rewrite()
+        self.compact()
         saved = self.held.saved(before)
         kept = saved is not None and bool(saved.view or saved.entries or saved.snapshot)
         lost = not kept and any(".aside-" in name for name in self.files.names())
@@ -117,21 +117,21 @@
             lines = [line(write) for write in writes]
             for one in lines:
                 self.held.fold(one)
-            if any(one.snapshot for one in lines) or self.end > max(LOG_LEAST, GROWTH * self.base):
-                self.rewrite()
+            if any(one.snapshot for one in lines) or self.log_size > max(LOG_LEAST, GROWTH * self.base):
+                self.compact()
                 return
-            data, at = bytearray(), self.end
+            data, at = bytearray(), self.log_size
             for one in lines:
                 data += frame(msgspec.msgpack.encode(one), self.generation, at + len(data))
             self.log.append(bytes(data))
             self.log.sync()
-            self.end += len(data)
-            self.vouch()
+            self.log_size += len(data)
+            self.advance_mark()
         except (OSError, ContradictionError) as error:
             self.failed = named(error)
             raise DiskError(self.failed) from error
 
-    def rewrite(self) -> None:
+    def compact(self) -> None:
         """All that is held into a new file, which takes the log's name once it is synced."""
         self.generation += 1
         bodies: list[Head | Line] = [Head(self.group_name, self.me, self.incarnation)]
@@ -143,14 +143,14 @@
         old, self.log = self.log, self.write_beside(LOG, [preamble(self.generation, at), *parts], keep=True)
         if old is not None:
             old.close()
-        self.end = self.base = at
-        self.vouch()
+        self.log_size = self.base = at
+        self.advance_mark()
 
-    def vouch(self) -> None:
+    def advance_mark(self) -> None:
         """The log is synced to its end: say so where one fault does not reach both."""
         assert self.mark is not None
         self.turn += 1
-        self.mark.write_at(self.turn % 2 * SLOT_BYTES, slot(Mark(self.turn, self.generation, self.end)))
+        self.mark.write_at(self.turn % 2 * SLOT_BYTES, slot(Mark(self.turn, self.generation, self.log_size)))
         self.mark.sync()
 
     def write_beside(self, name: str, parts: list[bytes], keep: bool = False) -> Handle | None:
--- a/ambershift/coordinator/group/disk/worker.py
+++ b/ambershift/coordinator/group/disk/worker.py
@@ -15,7 +15,7 @@
 # Beyond it the disk hangs: a replica bounds what waits for promises far below.
 QUEUE_MOST = 4096
 # So many writes share a sync at most: what one failed sync leaves unknown stays small.
-SHARED_MOST = 512
+MAX_BATCH_WRITES = 512
 
 
 class Listener(Protocol):
@@ -27,7 +27,7 @@
         """Once, event `disk_failed`: the disk vouches for nothing beyond the last ticket told."""
 
 
-class Disk:
+class DiskWorker:
     """From `start` on the folder belongs to the thread."""
 
     def __init__(
@@ -87,7 +87,7 @@
         with self.wake:
             while not self.queue and not self.ending and not self.over:
                 self.wake.wait()
-            return [self.queue.popleft() for _ in range(min(SHARED_MOST, len(self.queue)))]
+            return [self.queue.popleft() for _ in range(min(MAX_BATCH_WRITES, len(self.queue)))]
 
     def synced(self, ticket: int) -> None:
         if not self.over:
--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ambershift.coordinator.group.clocks import Clocks
-from ambershift.coordinator.group.links.wire import Kind, UnreadableError
-from ambershift.coordinator.group.links.words import failure
+from ambershift.coordinator.group.clock_skew import ClockSkew
+from ambershift.coordinator.group.links.interfaces import failure
+from ambershift.coordinator.group.links.wire import FrameKind, UnreadableError
 from ambershift.coordinator.maintenance.words import Phase
 from ambershift.coordinator.promises.state import Held
 from ambershift.coordinator.replication.heard import messages
@@ -42,7 +42,7 @@
     def __init__(self, member: Member) -> None:
         self.member = member
         self.store = Store(member.spec.me, 0)
-        self.clocks = Clocks(member.spec.clock_bound)
+        self.clocks = ClockSkew(member.spec.clock_bound)
         self.steered: Callable[[], int] = lambda: 0
         # Those who put records of their own, or read what came: called each beat, and with what is new.
         self.beats = list[Callable[[int], None]]()
@@ -86,7 +86,7 @@
 
     def tell(self, payload: bytes) -> None:
         for peer in self.member.spec.peers:
-            self.member.links.send(peer.name, Kind.HEARD, payload)
+            self.member.links.send(peer.name, FrameKind.HEARD, payload)
 
     def say_own(self, now: int) -> None:
         own = Steers(self.steered(), self.member.wall())
@@ -122,7 +122,7 @@
         except messages.UnreadableError as error:
             raise UnreadableError(str(error)) from None
         for answer in answers:
-            self.member.links.send(sender, Kind.HEARD, messages.encode(answer))
+            self.member.links.send(sender, FrameKind.HEARD, messages.encode(answer))
         for record in news:
             if record.kind == Heard.STEERS and record.body and (steers := read_steers(record)) is not None:
                 self.clocks.heard(now, self.member.wall(), record.origin, steers.wall, record.age_ns)
--- a/ambershift/coordinator/group/promise.py
+++ b/ambershift/coordinator/group/group_commands.py
@@ -8,7 +8,7 @@
 
 from ambershift.coordinator.admin.words import Change
 from ambershift.coordinator.group.member import Member
-from ambershift.coordinator.group.rows import member_rows, permit_rows
+from ambershift.coordinator.group.status_rows import member_rows, permit_rows
 from ambershift.coordinator.promises.answers import Outcome, read_answer
 from ambershift.coordinator.promises.words import Answered, Wishes, WishOne
 from ambershift.coordinator.replication.words import Answer as Reply
@@ -22,7 +22,7 @@
 DONE = Answer(("Done.",), Severity.INFO)
 
 
-class Promises:
+class GroupCommands:
     """Implements `runtime.common.Common`; `name` gives a server's id in the list."""
 
     def __init__(self, member: Member, name: Callable[[int], str]) -> None:
--- a/ambershift/coordinator/group/counting.py
+++ b/ambershift/coordinator/group/interference_worker.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from ambershift.coordinator.group.gossip import Gossip
+from ambershift.coordinator.group.links.interfaces import failure
 from ambershift.coordinator.group.links.wire import UnreadableError
-from ambershift.coordinator.group.links.words import failure
 from ambershift.coordinator.interference.words import Sample
 from ambershift.coordinator.replication.heard.words import Kind, Record
 
@@ -38,7 +38,7 @@
 NOTHING = Scores((), {}, {})
 
 
-class Counting:
+class InterferenceWorker:
     """`make` gives the engine: it and its libraries are loaded on the thread, and only once there is
     something to count. `ease` is told, on the loop, which servers keep what part of their weight.
     """
--- a/ambershift/coordinator/group/links/source.py
+++ b/ambershift/coordinator/group/links/counter_source.py
@@ -9,23 +9,25 @@
 
 import aiohttp
 
-from ambershift.coordinator.group.links.dialled import Dialled
-from ambershift.coordinator.group.links.gate import Mine
-from ambershift.coordinator.group.links.wire import Kind, Refused, Role
-from ambershift.coordinator.group.links.words import Peer, Tally
+from ambershift.coordinator.group.links.handshake import LocalIdentity
+from ambershift.coordinator.group.links.interfaces import LinkStatistics, Peer
+from ambershift.coordinator.group.links.outgoing import OutgoingLink
+from ambershift.coordinator.group.links.wire import FrameKind, Refusal, Role
 
 
-class Source:
+class CounterSource:
     """`name` is this process's own, `title` the group's, `to` the member's. Use within `async with`."""
 
     def __init__(self, name: str, title: str, to: Peer, note: Callable[..., None]) -> None:
         self.name, self.title, self.members = name, title, frozenset((to.name,))
-        self.last: Refused | None = None
+        self.last: Refusal | None = None
         self.stands = asyncio.Event()
-        self.link = Dialled(to, secrets.token_hex(8), self, Tally(), note, time.time_ns(), Role.COUNTERS)
+        self.link = OutgoingLink(
+            to, secrets.token_hex(8), self, LinkStatistics(), note, time.time_ns(), Role.COUNTERS
+        )
         self.task: asyncio.Task[None] | None = None
 
-    async def __aenter__(self) -> Source:
+    async def __aenter__(self) -> CounterSource:
         session = aiohttp.ClientSession()
         self.session = session
         self.task = asyncio.create_task(self.link.run(lambda: session))
@@ -40,14 +42,14 @@
 
     def send(self, payload: bytes) -> bool:
         """A msgpack list of samples; False while the link is down, and then it is lost."""
-        return self.link.send(Kind.COUNTERS, payload)
+        return self.link.send(FrameKind.COUNTERS, payload)
 
     # What the link tells
 
-    def mine(self) -> Mine:
-        return Mine(self.name, self.title, (), self.members, 0, "")
+    def mine(self) -> LocalIdentity:
+        return LocalIdentity(self.name, self.title, (), self.members, 0, "")
 
-    def heard(self, sender: str, kind: Kind, payload: bytes) -> None: ...
+    def heard(self, sender: str, kind: FrameKind, payload: bytes) -> None: ...
 
     def counters(self, name: str, payload: bytes) -> None: ...
 
@@ -57,5 +59,5 @@
     def came(self, member: str) -> None:
         self.stands.set()
 
-    def refused(self, member: str, refused: Refused) -> None:
+    def refused(self, member: str, refused: Refusal) -> None:
         self.last = refused
--- a/ambershift/coordinator/group/links/accepted.py
+++ b/ambershift/coordinator/group/links/incoming.py
@@ -11,13 +11,14 @@
 
 from aiohttp import WSCloseCode, WSMsgType, web
 
-from ambershift.coordinator.group.links.gate import Gate, refused
+from ambershift.coordinator.group.links.handshake import HandshakeValidator, refused
+from ambershift.coordinator.group.links.interfaces import LinkListener, LinkStatistics, failure
 from ambershift.coordinator.group.links.wire import (
     HELLO_MOST,
     MESSAGE_MOST,
-    Close,
+    CloseReason,
+    FrameKind,
     Hello,
-    Kind,
     Role,
     UnreadableError,
     Welcome,
@@ -25,7 +26,6 @@
     read_frame,
     read_hello,
 )
-from ambershift.coordinator.group.links.words import Above, Tally, failure
 from ambershift.version import VERSION
 
 HELLO_WITHIN, HEARTBEAT, END_WITHIN = 2.0, 8.0, 0.3
@@ -33,13 +33,13 @@
 SPARE_MOST, COUNTERS_MOST = 32, 16
 # A sender of many frames gives way to the coordinator after so many bytes of one turn, or so many frames.
 FRAMES_A_TURN, BYTES_A_TURN = 16, 256 << 10
-CODES = {Close.TOO_LARGE: WSCloseCode.MESSAGE_TOO_BIG, Close.UNREADABLE: WSCloseCode.INVALID_TEXT}
+CODES = {CloseReason.TOO_LARGE: WSCloseCode.MESSAGE_TOO_BIG, CloseReason.UNREADABLE: WSCloseCode.INVALID_TEXT}
 Note = Callable[..., None]
 
 
-class Acceptor:
-    def __init__(self, above: Above, tally: Tally, note: Note) -> None:
-        self.above, self.tally, self.note, self.gate = above, tally, note, Gate()
+class IncomingLinks:
+    def __init__(self, above: LinkListener, tally: LinkStatistics, note: Note) -> None:
+        self.above, self.tally, self.note, self.gate = above, tally, note, HandshakeValidator()
         self.links = dict[str, web.WebSocketResponse]()
         self.open = set[web.WebSocketResponse]()
         self.runner: web.AppRunner | None = None
@@ -59,14 +59,14 @@
         for socket in list(self.open):
             with contextlib.suppress(TimeoutError, ConnectionError):
                 async with asyncio.timeout(END_WITHIN):
-                    await socket.close(code=WSCloseCode.GOING_AWAY, message=Close.ENDED.encode())
+                    await socket.close(code=WSCloseCode.GOING_AWAY, message=CloseReason.ENDED.encode())
         if self.runner:
             await self.runner.cleanup()
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
         if len(self.open) >= SPARE_MOST + len(self.above.mine().members):
-            self.tally.counts[Close.TOO_MANY] += 1
-            return web.Response(status=503, text=Close.TOO_MANY)
+            self.tally.counts[CloseReason.TOO_MANY] += 1
+            return web.Response(status=503, text=CloseReason.TOO_MANY)
         socket = web.WebSocketResponse(
             max_msg_size=MESSAGE_MOST, compress=False, heartbeat=HEARTBEAT, timeout=END_WITHIN
         )
@@ -84,24 +84,24 @@
                 first = await socket.receive()
             hello = read_hello(first.data if first.type is WSMsgType.BINARY else None)
         except TimeoutError:
-            return await self.end(socket, remote, Close.SILENT, "no hello")
+            return await self.end(socket, remote, CloseReason.SILENT, "no hello")
         except UnreadableError as error:
-            return await self.end(socket, remote, closing(first) or Close.UNREADABLE, str(error))
+            return await self.end(socket, remote, closing(first) or CloseReason.UNREADABLE, str(error))
         counters = [name for name in self.links if name.startswith("counters ")]
         answer = self.gate.judge(self.above.mine(), hello, is_loopback(remote))
         if answer is None and hello.role == Role.COUNTERS and len(counters) >= COUNTERS_MOST:
-            answer = refused(Close.TOO_MANY, f"{COUNTERS_MOST} sources of counters are here already")
+            answer = refused(CloseReason.TOO_MANY, f"{COUNTERS_MOST} sources of counters are here already")
         if answer is not None:
             with contextlib.suppress(ConnectionError):
                 await socket.send_bytes(encode(answer))
-            return await self.end(socket, hello.name[:80], Close(answer.reason), answer.why)
+            return await self.end(socket, hello.name[:80], CloseReason(answer.reason), answer.why)
         mine = self.above.mine()
         name = hello.name if hello.role == Role.MEMBER else f"counters {hello.name[:80]}"
         older, self.links[name] = self.links.get(name), socket
         if older is not None:
             # A link may be half open for long; whoever dials anew has given it up.
-            self.tally.counts[Close.REPLACED] += 1
-            asyncio.get_running_loop().create_task(hang_up(older, Close.REPLACED))
+            self.tally.counts[CloseReason.REPLACED] += 1
+            asyncio.get_running_loop().create_task(hang_up(older, CloseReason.REPLACED))
         try:
             with contextlib.suppress(ConnectionError):
                 await socket.send_bytes(encode(Welcome(VERSION, mine.name, mine.incarnation)))
@@ -120,42 +120,42 @@
                 return
             try:
                 kind, payload = read_frame(message.data)
-                if (kind is Kind.COUNTERS) != (hello.role == Role.COUNTERS):
+                if (kind is FrameKind.COUNTERS) != (hello.role == Role.COUNTERS):
                     raise UnreadableError(f"a frame of kind {kind.name} from a link of {hello.role}")
-                if kind is Kind.COUNTERS:
+                if kind is FrameKind.COUNTERS:
                     self.above.counters(hello.name, payload)
                 else:
                     self.above.heard(hello.name, kind, payload)
             except UnreadableError as error:
-                await self.end(socket, name, Close.UNREADABLE, str(error))
+                await self.end(socket, name, CloseReason.UNREADABLE, str(error))
                 return
             except Exception as error:  # Of ours: told in full, and the link is dialled anew.
                 failure(self.note, "link", error)
-                await self.end(socket, name, Close.UNREADABLE, "a failure of this program")
+                await self.end(socket, name, CloseReason.UNREADABLE, "a failure of this program")
                 return
             frames, size = frames + 1, size + len(message.data)
             if frames >= FRAMES_A_TURN or size >= BYTES_A_TURN:
                 frames, size = 0, 0
                 await asyncio.sleep(0)
 
-    async def end(self, socket: web.WebSocketResponse, who: str, reason: Close, why: str) -> None:
+    async def end(self, socket: web.WebSocketResponse, who: str, reason: CloseReason, why: str) -> None:
         self.tally.counts[reason] += 1
         self.note("link_closed", member=who, reason=reason.value, why=why)
         await hang_up(socket, reason)
 
 
-async def hang_up(socket: Any, reason: Close) -> None:
+async def hang_up(socket: Any, reason: CloseReason) -> None:
     with contextlib.suppress(TimeoutError, ConnectionError):
         async with asyncio.timeout(END_WITHIN):
             await socket.close(code=CODES.get(reason, WSCloseCode.POLICY_VIOLATION), message=reason.encode())
 
 
-def closing(message: Any) -> Close | None:
+def closing(message: Any) -> CloseReason | None:
     """By which name a message that is none ends the link; None for an ordinary end."""
     if message.type is WSMsgType.ERROR:
         code = getattr(message.data, "code", None)
-        return Close.TOO_LARGE if code == WSCloseCode.MESSAGE_TOO_BIG else Close.UNREADABLE
-    return Close.UNREADABLE if message.type is WSMsgType.TEXT else None
+        return CloseReason.TOO_LARGE if code == WSCloseCode.MESSAGE_TOO_BIG else CloseReason.UNREADABLE
+    return CloseReason.UNREADABLE if message.type is WSMsgType.TEXT else None
 
 
 def is_loopback(remote: str) -> bool:
--- a/ambershift/coordinator/group/links/words.py
+++ b/ambershift/coordinator/group/links/interfaces.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from ambershift.coordinator.group.links.gate import Mine
-from ambershift.coordinator.group.links.wire import Kind, Refused
+from ambershift.coordinator.group.links.handshake import LocalIdentity
+from ambershift.coordinator.group.links.wire import FrameKind, Refusal
 
 
-class Above(Protocol):
+class LinkListener(Protocol):
     """Called in the loop's turn; what it raises ends the link as unreadable where the payload is to blame."""
 
-    def mine(self) -> Mine: ...
+    def mine(self) -> LocalIdentity: ...
 
-    def heard(self, sender: str, kind: Kind, payload: bytes) -> None:
+    def heard(self, sender: str, kind: FrameKind, payload: bytes) -> None:
         """A frame of a member that was let in; a `wire.UnreadableError` closes its link by name."""
 
     def gone(self, member: str) -> None:
@@ -25,7 +25,7 @@
     def came(self, member: str) -> None:
         """The way to it stands."""
 
-    def refused(self, member: str, refused: Refused) -> None:
+    def refused(self, member: str, refused: Refusal) -> None:
         """It does not let this member in."""
 
     def counters(self, name: str, payload: bytes) -> None:
@@ -40,7 +40,7 @@
     port: int
 
 
-class Tally:
+class LinkStatistics:
     """Counts by name, and how the way to each member stands."""
 
     def __init__(self) -> None:
--- a/ambershift/coordinator/group/links/links.py
+++ b/ambershift/coordinator/group/links/link_manager.py
@@ -8,22 +8,22 @@
 
 import aiohttp
 
-from ambershift.coordinator.group.links.accepted import Acceptor, Note
-from ambershift.coordinator.group.links.dialled import Dialled
-from ambershift.coordinator.group.links.wire import Kind
-from ambershift.coordinator.group.links.words import Above, Peer, Tally
+from ambershift.coordinator.group.links.incoming import IncomingLinks, Note
+from ambershift.coordinator.group.links.interfaces import LinkListener, LinkStatistics, Peer
+from ambershift.coordinator.group.links.outgoing import OutgoingLink
+from ambershift.coordinator.group.links.wire import FrameKind
 
 
-class Links:
+class LinkManager:
     """Sends only on what it dialled and reads only what it accepted, so that a cut may be one-way."""
 
     def __init__(
-        self, listen: tuple[str, int], peers: Iterable[Peer], above: Above, note: Note, seed: int
+        self, listen: tuple[str, int], peers: Iterable[Peer], above: LinkListener, note: Note, seed: int
     ) -> None:
-        self.listen, self.tally, self.run = listen, Tally(), secrets.token_hex(8)
-        self.acceptor = Acceptor(above, self.tally, note)
+        self.listen, self.tally, self.run = listen, LinkStatistics(), secrets.token_hex(8)
+        self.acceptor = IncomingLinks(above, self.tally, note)
         self.dialled = {
-            peer.name: Dialled(peer, self.run, above, self.tally, note, seed + at)
+            peer.name: OutgoingLink(peer, self.run, above, self.tally, note, seed + at)
             for at, peer in enumerate(peers)
         }
         self.tasks = list[asyncio.Task[None]]()
@@ -49,5 +49,5 @@
         if self.session:
             await self.session.close()
 
-    def send(self, to: str, kind: Kind, payload: bytes) -> bool:
+    def send(self, to: str, kind: FrameKind, payload: bytes) -> bool:
         return self.dialled[to].send(kind, payload) if to in self.dialled else False
--- a/ambershift/coordinator/group/links/dialled.py
+++ b/ambershift/coordinator/group/links/outgoing.py
@@ -9,22 +9,22 @@
 import aiohttp
 from aiohttp import ClientWebSocketResponse, WSMsgType
 
-from ambershift.coordinator.group.links.accepted import Note, hang_up
-from ambershift.coordinator.group.links.queue import FullError, Queue
+from ambershift.coordinator.group.links.incoming import Note, hang_up
+from ambershift.coordinator.group.links.interfaces import LinkListener, LinkStatistics, Peer
+from ambershift.coordinator.group.links.send_queue import FullError, SendQueue
 from ambershift.coordinator.group.links.wire import (
     HELLO_MOST,
     WIRE,
-    Close,
+    CloseReason,
+    FrameKind,
     Hello,
-    Kind,
-    Refused,
+    Refusal,
     Role,
     UnreadableError,
     encode,
     frame,
     read_reply,
 )
-from ambershift.coordinator.group.links.words import Above, Peer, Tally
 from ambershift.version import VERSION
 
 DIAL_LIMIT, REPLY_LIMIT, WRITE_LIMIT = 1.0, 1.0, 2.0
@@ -35,28 +35,28 @@
 MASK = (1 << 64) - 1
 
 
-class Dialled:
+class OutgoingLink:
     """`seed` is for the chance in its pauses, so that members cut off together don't come back together."""
 
     def __init__(
         self,
         peer: Peer,
         run: str,
-        above: Above,
-        tally: Tally,
+        above: LinkListener,
+        tally: LinkStatistics,
         note: Note,
         seed: int,
         role: Role = Role.MEMBER,
     ) -> None:
         self.role, self.peer, self.run_id, self.above = role, peer, run, above
         self.tally, self.note = tally, note
-        self.queue, self.wake, self.state = Queue(), asyncio.Event(), seed & MASK
+        self.queue, self.wake, self.state = SendQueue(), asyncio.Event(), seed & MASK
         self.socket: ClientWebSocketResponse | None = None
         self.up, self.refusal, self.dropped = False, "", False
         self.limit: asyncio.Timeout | None = None  # Of the write under way.
-        tally.ways[peer.name] = Close.AWAY
+        tally.ways[peer.name] = CloseReason.AWAY
 
-    def send(self, kind: Kind, payload: bytes) -> bool:
+    def send(self, kind: FrameKind, payload: bytes) -> bool:
         """Whether it is under way; what is sent while the link is down is lost, as anything may be."""
         if not self.up or self.dropped:
             return False
@@ -74,15 +74,19 @@
     async def run(self, session: Callable[[], aiohttp.ClientSession]) -> None:
         pause = PAUSE_LEAST
         while True:
-            reason, why, stood = Close.AWAY, "", False
+            reason, why, stood = CloseReason.AWAY, "", False
             try:
                 stood = await self.keep(session())
             except TimeoutError:
-                reason, why = (Close.TOO_SLOW, "nothing taken in time") if self.up else (Close.AWAY, "silent")
+                reason, why = (
+                    (CloseReason.TOO_SLOW, "nothing taken in time")
+                    if self.up
+                    else (CloseReason.AWAY, "silent")
+                )
             except FullError:
-                reason, why = Close.TOO_SLOW, "its queue is full"
+                reason, why = CloseReason.TOO_SLOW, "its queue is full"
             except UnreadableError as error:
-                reason, why = Close.UNREADABLE, str(error)
+                reason, why = CloseReason.UNREADABLE, str(error)
             except (aiohttp.ClientError, OSError, RuntimeError) as error:
                 why = str(error)[:200]
             except Exception as error:  # A task that ended unheard would never dial again.
@@ -132,7 +136,7 @@
             )
             first = await socket.receive()
         answer = read_reply(first.data if first.type is WSMsgType.BINARY else None)
-        if isinstance(answer, Refused):
+        if isinstance(answer, Refusal):
             if answer.reason != self.refusal:  # Once; it will be the same each second.
                 self.note("link_refused", member=peer.name, reason=answer.reason, why=answer.why)
             self.refusal = answer.reason
@@ -175,4 +179,4 @@
         self.up = False
         if socket := self.socket:
             with contextlib.suppress(OSError, RuntimeError):
-                await hang_up(socket, Close.ENDED)
+                await hang_up(socket, CloseReason.ENDED)
--- a/ambershift/coordinator/group/links/wire.py
+++ b/ambershift/coordinator/group/links/wire.py
@@ -12,7 +12,7 @@
 HELLO_MOST = 16_384
 
 
-class Close(StrEnum):
+class CloseReason(StrEnum):
     """Why a link is refused or closed. The value is the name in logs, counts and `show group`."""
 
     UNKNOWN_MEMBER = "unknown-member"
@@ -30,7 +30,7 @@
     ENDED = "ended"
 
 
-class Kind(IntEnum):
+class FrameKind(IntEnum):
     """What a frame holds. Numbers stay as they are."""
 
     REPLICA = 1
@@ -66,7 +66,7 @@
     incarnation: int
 
 
-class Refused(msgspec.Struct, frozen=True, tag="refused", array_like=True):
+class Refusal(msgspec.Struct, frozen=True, tag="refused", array_like=True):
     """`known` is the incarnation under which the name is known, 0 where that is not the point."""
 
     reason: str
@@ -75,7 +75,7 @@
 
 
 HELLO = msgspec.msgpack.Decoder(Hello)
-REPLY: msgspec.msgpack.Decoder[Welcome | Refused] = msgspec.msgpack.Decoder(Welcome | Refused)
+REPLY: msgspec.msgpack.Decoder[Welcome | Refusal] = msgspec.msgpack.Decoder(Welcome | Refusal)
 encode = msgspec.msgpack.encode
 
 
@@ -92,7 +92,7 @@
         raise UnreadableError(f"no hello ({error})") from None
 
 
-def read_reply(data: object) -> Welcome | Refused:
+def read_reply(data: object) -> Welcome | Refusal:
     try:
         if not isinstance(data, bytes) or len(data) > HELLO_MOST:
             raise UnreadableError("no answer to a hello")
@@ -101,14 +101,14 @@
         raise UnreadableError(f"no answer to a hello ({error})") from None
 
 
-def frame(kind: Kind, payload: bytes) -> bytes:
+def frame(kind: FrameKind, payload: bytes) -> bytes:
     return bytes((kind,)) + payload
 
 
-def read_frame(data: object) -> tuple[Kind, bytes]:
+def read_frame(data: object) -> tuple[FrameKind, bytes]:
     if not isinstance(data, bytes) or not data:
         raise UnreadableError("an empty frame, or text")
     try:
-        return Kind(data[0]), data[1:]
+        return FrameKind(data[0]), data[1:]
     except ValueError:
         raise UnreadableError(f"a frame of kind {data[0]}") from None
--- a/ambershift/coordinator/group/upkeep.py
+++ b/ambershift/coordinator/group/maintenance_task.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ambershift.coordinator.group.links.words import failure
+from ambershift.coordinator.group.links.interfaces import failure
 from ambershift.coordinator.group.member import Member
 from ambershift.coordinator.maintenance.limits import Limits
 from ambershift.coordinator.maintenance.permits import Heard, Steers
@@ -26,7 +26,7 @@
 FLIGHT_MOST = 64
 
 
-class Upkeep:
+class MaintenanceTask:
     """`look` gives the servers as they stand; `declared` is None where the settings say nothing."""
 
     def __init__(
--- a/ambershift/coordinator/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -7,17 +7,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.coordinator.group.asking import Asking
-from ambershift.coordinator.group.at_desk import AtDesk
-from ambershift.coordinator.group.disk.worker import Disk
+from ambershift.coordinator.group.client_calls import ClientCalls
+from ambershift.coordinator.group.daemon_thread import run_in_daemon_thread
+from ambershift.coordinator.group.desk_applier import DeskApplier
+from ambershift.coordinator.group.disk.worker import DiskWorker
 from ambershift.coordinator.group.gossip import Gossip
-from ambershift.coordinator.group.life import Life, Note, begin, replica_of
-from ambershift.coordinator.group.links.gate import Mine
-from ambershift.coordinator.group.links.links import Links
-from ambershift.coordinator.group.links.wire import Close, Kind, Refused, UnreadableError
-from ambershift.coordinator.group.links.words import failure
-from ambershift.coordinator.group.offloop import off_loop
-from ambershift.coordinator.group.spec import Spec
+from ambershift.coordinator.group.links.handshake import LocalIdentity
+from ambershift.coordinator.group.links.interfaces import failure
+from ambershift.coordinator.group.links.link_manager import LinkManager
+from ambershift.coordinator.group.links.wire import CloseReason, FrameKind, Refusal, UnreadableError
+from ambershift.coordinator.group.spec import MemberSpec
+from ambershift.coordinator.group.startup import Note, StartupState, begin, replica_of
 from ambershift.coordinator.promises.answers import decode, read_answer
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.state import Promises
@@ -30,14 +30,14 @@
 SECOND, FAILED_PAUSE = 1_000_000_000, 0.2
 
 
-class Member(Asking):
+class Member(ClientCalls):
     """`now` never goes back; `wall` is this member's wall clock, what its clock is set ahead included."""
 
     def __init__(
         self,
-        spec: Spec,
+        spec: MemberSpec,
         machine: PromisesMachine,
-        at_desk: AtDesk,
+        at_desk: DeskApplier,
         now: Callable[[], int],
         note: Note,
         seed: int,
@@ -47,10 +47,10 @@
         self.seed = seed
         self.members = frozenset((*spec.voters, *spec.copies))
         self.heard_at = dict[str, int]()  # The last word of each, of whatever kind.
-        self.links = Links(spec.listen, spec.peers, self, note, seed)
+        self.links = LinkManager(spec.listen, spec.peers, self, note, seed)
         self.replica: Replica | None = None
-        self.life = Life(0, None, None, "")
-        self.disk: Disk | None = None
+        self.life = StartupState(0, None, None, "")
+        self.disk: DiskWorker | None = None
         self.halted: tuple[str, str] | None = None
         self.renewed, self.welcomed, self.stopping = False, False, False
         self.timer: asyncio.TimerHandle | None = None
@@ -70,12 +70,12 @@
 
     async def live(self, least: int = 0, void: str = "") -> None:
         """Begin a life: as what the folder vouches for, or blank."""
-        self.life = await off_loop(begin, self.spec, self.note, least, void)
+        self.life = await run_in_daemon_thread(begin, self.spec, self.note, least, void)
         self.halted = ("disk-failed", self.life.failed) if self.life.failed else None
         if self.halted:
             return
         if self.life.folder is not None:
-            self.disk = Disk(self.life.folder, self, asyncio.get_running_loop())
+            self.disk = DiskWorker(self.life.folder, self, asyncio.get_running_loop())
             self.disk.start()
         saved = self.life.saved
         self.at_desk.sooner = sooner_ends(saved.entries, saved.committed) if saved is not None else {}
@@ -108,22 +108,22 @@
 
     async def end_disk(self) -> None:
         disk, self.disk = self.disk, None
-        if disk and not await off_loop(disk.close):
+        if disk and not await run_in_daemon_thread(disk.close):
             self.note("disk_hangs")
 
     # What links tell
 
-    def mine(self) -> Mine:
+    def mine(self) -> LocalIdentity:
         group = self.replica.group if self.replica is not None else ""
-        return Mine(
+        return LocalIdentity(
             self.spec.me, self.spec.title, self.spec.voters, self.members, self.life.incarnation, group
         )
 
-    def heard(self, sender: str, kind: Kind, payload: bytes) -> None:
+    def heard(self, sender: str, kind: FrameKind, payload: bytes) -> None:
         if self.halted or self.stopping or self.replica is None:
             return
         self.heard_at[sender] = self.now()
-        if kind is Kind.HEARD:
+        if kind is FrameKind.HEARD:
             self.gossip.hear(sender, payload)
             return
         try:
@@ -139,10 +139,10 @@
     def came(self, member: str) -> None:
         self.welcomed = True
 
-    def refused(self, member: str, refused: Refused) -> None:
-        if self.halted or refused.reason not in (Close.SUPERSEDED, Close.CLONED):
+    def refused(self, member: str, refused: Refusal) -> None:
+        if self.halted or refused.reason not in (CloseReason.SUPERSEDED, CloseReason.CLONED):
             return
-        if refused.reason == Close.SUPERSEDED and not self.welcomed and not self.renewed:
+        if refused.reason == CloseReason.SUPERSEDED and not self.welcomed and not self.renewed:
             # Its clock went back while it was away: it takes a newer incarnation, once.
             self.renewed = True
             self.start_again(refused.known + 1, "")
@@ -173,7 +173,7 @@
                 self.at_desk.flush()
             match effect:
                 case Send():
-                    self.links.send(effect.to, Kind.REPLICA, messages.encode(effect.message))
+                    self.links.send(effect.to, FrameKind.REPLICA, messages.encode(effect.message))
                 case Write():
                     if self.disk is not None:
                         self.disk.write(effect)
--- a/ambershift/coordinator/group/learned.py
+++ b/ambershift/coordinator/group/observation_exchange.py
@@ -14,12 +14,12 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.mirror import Picture
-from ambershift.coordinator.group.evidence import (
+from ambershift.coordinator.group.observations import (
     SECOND,
     SPLIT,
-    Row,
-    Sum,
-    Sums,
+    ServerObservation,
+    TrafficCounter,
+    TrafficTotals,
     newest,
     notable,
     sample,
@@ -49,13 +49,13 @@
     def zone_index(self, zone: str) -> int | None: ...
 
 
-class Learned:
+class ObservationExchange:
     def __init__(self, store: Store, names: Names, cold: int, now: int) -> None:
         self.store, self.names, self.cold = store, names, cold
         self.known = dict[int, api.Entry]()  # As the own list has them.
         self.later = dict[int, int]()  # Starts that others saw, told to the module in the list's place.
         self.touched = set[int]()  # To be told anew because of what was heard.
-        self.sums, self.told_at = Sums(now), now
+        self.sums, self.told_at = TrafficCounter(now), now
         self.met_at = dict[int, int]()  # When a proxy of one's own last tried a server.
         self.ill = set[tuple[int, int]]()  # Told one by one, and not taken back.
         self.given = dict[tuple[str, str], tuple[int, int]]()  # By zone and server, the word given last.
@@ -66,7 +66,7 @@
 
     # What passes
 
-    def listed(self, now: int, event: api.Listed) -> api.Listed:
+    def process_list(self, now: int, event: api.Listed) -> api.Listed:
         """The list with starts that only others know of; the own list's newer word stands."""
         if event.whole:
             here = {entry.server for entry in event.entries}
@@ -107,7 +107,7 @@
             self.later[own.server] = since
         return since
 
-    def stepped(self, now: int, events: Sequence[api.Event]) -> Sequence[api.Event]:
+    def process_events(self, now: int, events: Sequence[api.Event]) -> Sequence[api.Event]:
         """Gives back those of one's own: what was heard is neither told on nor counted as met here."""
         own = events
         if self.handed:
@@ -119,7 +119,7 @@
                 met_at[event.server] = now
         return own
 
-    def heard(self, now: int, news: Sequence[Record]) -> None:
+    def process_records(self, now: int, news: Sequence[Record]) -> None:
         """Records that are new to the store."""
         for record in news:
             if record.kind == Kind.START and (server := self.names.index(record.key)) in self.known:
@@ -129,7 +129,7 @@
 
     # What is told and given, every second or so
 
-    def due(self, now: int, picture: Picture) -> list[api.Event]:
+    def exchange(self, now: int, picture: Picture) -> list[api.Event]:
         """Tell the others, and give back what the module shall hear, to be put like any other event."""
         if now >= self.told_at + TELL:
             self.told_at = now
@@ -186,11 +186,17 @@
         self.met_at = {server: at for server, at in self.met_at.items() if now - at < OWN_LATE}
 
     def tell_rows(
-        self, now: int, zone: int, key: str, servers: list[int], sums: dict[tuple[int, int], Sum], span: int
+        self,
+        now: int,
+        zone: int,
+        key: str,
+        servers: list[int],
+        sums: dict[tuple[int, int], TrafficTotals],
+        span: int,
     ) -> None:
         name = self.names.zone(zone)
         told = [
-            Row(server, one.tries, one.bad, one.mean_ns, span)
+            ServerObservation(server, one.tries, one.bad, one.mean_ns, span)
             for index in servers
             if (server := self.names.server(index)) is not None and (one := sums[zone, index])
         ]
--- a/ambershift/coordinator/group/evidence.py
+++ b/ambershift/coordinator/group/observations.py
@@ -22,7 +22,7 @@
 SPLIT = "\x1f"  # Between a server's id and a zone's name in a key.
 
 
-class Sum(NamedTuple):
+class TrafficTotals(NamedTuple):
     tries: int
     bad: int
     good_ns: int
@@ -32,7 +32,7 @@
         return self.good_ns // (self.tries - self.bad) if self.tries > self.bad else 0
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class ServerObservation(msgspec.Struct, frozen=True, array_like=True):
     """What proxies of one zone met at one server over `span_ns`."""
 
     server: str
@@ -42,7 +42,7 @@
     span_ns: Annotated[int, msgspec.Meta(ge=1, le=3600 * SECOND)]
 
 
-class Sums:
+class TrafficCounter:
     """Of the time since they were taken last."""
 
     def __init__(self, now: int) -> None:
@@ -59,13 +59,16 @@
             held[1] += bad
             held[2] += mean * (tries - bad)
 
-    def take(self, now: int) -> tuple[dict[tuple[int, int], Sum], int]:
-        sums, span = {place: Sum(*held) for place, held in self.sums.items()}, max(1, now - self.since)
+    def take(self, now: int) -> tuple[dict[tuple[int, int], TrafficTotals], int]:
+        sums, span = (
+            {place: TrafficTotals(*held) for place, held in self.sums.items()},
+            max(1, now - self.since),
+        )
         self.sums, self.since = {}, now
         return sums, span
 
 
-def notable(sums: dict[tuple[int, int], Sum]) -> set[tuple[int, int]]:
+def notable(sums: dict[tuple[int, int], TrafficTotals]) -> set[tuple[int, int]]:
     """The worst first, up to ILL_MOST; none where all are alike, which is an overload."""
     if not sums:
         return set()
@@ -80,7 +83,9 @@
     return set(found[:ILL_MOST])
 
 
-def sample(sums: dict[tuple[int, int], Sum], left_out: set[tuple[int, int]]) -> dict[int, list[int]]:
+def sample(
+    sums: dict[tuple[int, int], TrafficTotals], left_out: set[tuple[int, int]]
+) -> dict[int, list[int]]:
     """For each zone the servers that were met most, those told one by one left out."""
     zones = dict[int, list[int]]()
     for zone, server in sums:
@@ -92,16 +97,16 @@
     }
 
 
-def rows(record: Record) -> tuple[str, tuple[Row, ...]]:
+def rows(record: Record) -> tuple[str, tuple[ServerObservation, ...]]:
     """The zone's name, and what its proxies met; nothing of a body that is no evidence."""
     _, _, zone = record.key.rpartition(SPLIT)
     try:
-        return zone, msgspec.msgpack.decode(record.body, type=tuple[Row, ...])
+        return zone, msgspec.msgpack.decode(record.body, type=tuple[ServerObservation, ...])
     except (ValueError, RecursionError):
         return zone, ()
 
 
-def newest(store: Store, now: int, age_most: int) -> Iterator[tuple[Record, str, Row]]:
+def newest(store: Store, now: int, age_most: int) -> Iterator[tuple[Record, str, ServerObservation]]:
     """Others' evidence, the youngest first for each server and zone; one by one before what is a sample."""
     found = [one for one in store.all(now, Kind.ILL) if one.origin != store.me and one.age_ns <= age_most]
     found.sort(key=lambda one: (one.key.startswith(SPLIT), one.age_ns, one.origin))
--- a/ambershift/coordinator/group/front.py
+++ b/ambershift/coordinator/group/service.py
@@ -8,17 +8,17 @@
 from typing import TYPE_CHECKING
 
 from ambershift.coordinator.admin.words import Refused
-from ambershift.coordinator.group.at_desk import AtDesk
-from ambershift.coordinator.group.counting import Counting
-from ambershift.coordinator.group.guard import Guard
-from ambershift.coordinator.group.learned import Learned
-from ambershift.coordinator.group.life import NoFolderError
+from ambershift.coordinator.group.command_validator import CommandValidator
+from ambershift.coordinator.group.desk_applier import DeskApplier
+from ambershift.coordinator.group.group_commands import GroupCommands
+from ambershift.coordinator.group.interference_worker import InterferenceWorker
+from ambershift.coordinator.group.maintenance_task import MaintenanceTask
 from ambershift.coordinator.group.member import Member
-from ambershift.coordinator.group.promise import Promises
+from ambershift.coordinator.group.observation_exchange import ObservationExchange
 from ambershift.coordinator.group.spec import spec_of
 from ambershift.coordinator.group.standings import Others, standings
-from ambershift.coordinator.group.tap import GroupTap, Known
-from ambershift.coordinator.group.upkeep import Upkeep
+from ambershift.coordinator.group.startup import NoFolderError
+from ambershift.coordinator.group.tap import AdmittedNames, GroupTap
 from ambershift.coordinator.maintenance.limits import Limits
 from ambershift.coordinator.maintenance.words import Standing
 from ambershift.coordinator.program.assembly import Coordinator
@@ -41,7 +41,7 @@
 OPEN_WAIT = 3.0
 
 
-class GroupFront(RuntimeFront):
+class GroupService(RuntimeFront):
     """Steering never waits for the member: what it has not heard of the group yet is as if not wanted."""
 
     def __init__(
@@ -57,30 +57,30 @@
         super().__init__(coordinator, spots, most, idle, version)
         spec = spec_of(group)
         door, note = coordinator.admit.door, coordinator.book.note
-        self.at_desk = AtDesk(self.desk, door, self.now, spec.clock_ahead, self.moved)
-        guard = Guard(self.desk, door, self.now, partial(tell, self.scene), self.apart)
+        self.at_desk = DeskApplier(self.desk, door, self.now, spec.clock_ahead, self.moved)
+        guard = CommandValidator(self.desk, door, self.now, partial(tell, self.scene), self.apart)
         seed = coordinator.start.seed ^ hash_of(spec.me)
         self.member = Member(spec, PromisesMachine(guard), self.at_desk, self.now, note, seed)
         gossip = self.member.gossip
         gossip.steered = lambda: len(self.desk.mirror.picture.seats)
-        self.learned = Learned(
-            gossip.store, Known(coordinator.admit), coordinator.start.terms.cold, self.now()
+        self.learned = ObservationExchange(
+            gossip.store, AdmittedNames(coordinator.admit), coordinator.start.terms.cold, self.now()
         )
         self.learned_at = 0
         self.opening: asyncio.Future[None] | None = None
-        gossip.news.append(self.learned.heard)
+        gossip.news.append(self.learned.process_records)
         gossip.beats.append(self.learn)
-        self.promises = Promises(self.member, door.ids.__getitem__)
+        self.promises = GroupCommands(self.member, door.ids.__getitem__)
         self.scene.common = self.promises
         self.tap = GroupTap(self.desk, self.now, self.moved, self.at_desk, self.learned)
         terms, maintained = coordinator.start.terms, root.maintenance
         limits = Limits(clock_bound=spec.clock_bound, warm=terms.cold)
         if isinstance(maintained, MaintenanceBlock):
             limits = limits._replace(drain=duration(maintained.drain) or limits.drain)
-        self.upkeep = Upkeep(self.member, limits, declared(root.blocks), self.look)
+        self.upkeep = MaintenanceTask(self.member, limits, declared(root.blocks), self.look)
         self.promises.maintained = self.upkeep.rows
         counted = root.interference if isinstance(root.interference, Interference) else Interference()
-        self.counting = Counting(
+        self.counting = InterferenceWorker(
             self.member.gossip,
             partial(engine, spec.me, counted),
             lambda: list(door.indices),
@@ -99,7 +99,7 @@
     def learn(self, now: int) -> None:
         if now >= self.learned_at + LEARN_EVERY and not self.desk.stopping:
             self.learned_at = now
-            for event in self.learned.due(now, self.desk.mirror.picture):
+            for event in self.learned.exchange(now, self.desk.mirror.picture):
                 self.coordinator.route.put(event)
 
     def look(self) -> dict[str, Standing]:
--- a/ambershift/coordinator/group/spec.py
+++ b/ambershift/coordinator/group/spec.py
@@ -4,12 +4,12 @@
 
 from typing import NamedTuple
 
-from ambershift.coordinator.group.links.words import Peer
+from ambershift.coordinator.group.links.interfaces import Peer
 from ambershift.coordinator.settings.checks import duration
 from ambershift.coordinator.settings.group import Group, clock_ahead
 
 
-class Spec(NamedTuple):
+class MemberSpec(NamedTuple):
     """Voters and copies stand in the order of their names, the same at all members: leaders follow from it.
     Times are nanoseconds.
     """
@@ -25,11 +25,11 @@
     clock_ahead: int
 
 
-def spec_of(group: Group) -> Spec:
+def spec_of(group: Group) -> MemberSpec:
     """From settings that were checked."""
     members = sorted(group.member, key=lambda one: one.name)
     peers = [Peer(one.name, *place(one.address)) for one in members if one.name != group.me]
-    return Spec(
+    return MemberSpec(
         group.name,
         group.me,
         place(group.listen),
--- a/ambershift/coordinator/group/life.py
+++ b/ambershift/coordinator/group/startup.py
@@ -8,7 +8,7 @@
 
 from ambershift.coordinator.group.disk.files import LockedError, RealFiles
 from ambershift.coordinator.group.disk.folder import DiskError, Folder, RefusedError
-from ambershift.coordinator.group.spec import Spec
+from ambershift.coordinator.group.spec import MemberSpec
 from ambershift.coordinator.promises.answers import encode
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.words import Nothing
@@ -22,7 +22,7 @@
     """The folder can't be had: another process has it, or it is another member's. A person must look."""
 
 
-class Life(NamedTuple):
+class StartupState(NamedTuple):
     """`folder` None: nothing is kept on disk. `failed`: the disk can't be used, and no part is taken. `lost`:
     an earlier life's folder could not be vouched for.
     """
@@ -34,13 +34,13 @@
     lost: bool = False
 
 
-def begin(spec: Spec, note: Note, least: int = 0, void: str = "") -> Life:
+def begin(spec: MemberSpec, note: Note, least: int = 0, void: str = "") -> StartupState:
     """Waits for the disk. `least` is the lowest incarnation that will do, `void` why a folder counts for
     nothing. Unix time counts incarnations, so that one that lost its folder is newer than it was.
     """
     wall = max(time.time_ns(), least)
     if not spec.folder:
-        return Life(wall, None, None, "")
+        return StartupState(wall, None, None, "")
     folder = Folder(RealFiles(spec.folder), spec.title, spec.me)
     try:
         opened = folder.open(wall, void)
@@ -48,7 +48,7 @@
         raise NoFolderError(str(error)) from None
     except DiskError as error:
         note("disk_failed", why=str(error))
-        return Life(wall, None, None, str(error))
+        return StartupState(wall, None, None, str(error))
     if opened.aside:
         note(
             "folder_set_aside",
@@ -58,10 +58,12 @@
         )
     if opened.torn:
         note("folder_torn", bytes=opened.torn, why="the last write was cut short, and vouched for nothing")
-    return Life(opened.incarnation, opened.saved, folder, "", opened.lost)
+    return StartupState(opened.incarnation, opened.saved, folder, "", opened.lost)
 
 
-def replica_of(spec: Spec, machine: PromisesMachine, life: Life, now: int, seed: int) -> Replica:
+def replica_of(
+    spec: MemberSpec, machine: PromisesMachine, life: StartupState, now: int, seed: int
+) -> Replica:
     given: dict[str, Any] = {"now": now, "noop": encode(Nothing()), "lost": life.lost}
     return Replica(
         spec.me,
--- a/ambershift/coordinator/group/tap.py
+++ b/ambershift/coordinator/group/tap.py
@@ -6,8 +6,8 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.desk import Desk
-from ambershift.coordinator.group.at_desk import AtDesk
-from ambershift.coordinator.group.learned import Learned
+from ambershift.coordinator.group.desk_applier import DeskApplier
+from ambershift.coordinator.group.observation_exchange import ObservationExchange
 from ambershift.coordinator.routing.admit import Admit
 from ambershift.coordinator.runtime.tap import DeskTap
 
@@ -16,21 +16,26 @@
     """Of a server that no list had before, the desk learns first what the group wants of it."""
 
     def __init__(
-        self, desk: Desk, now: Callable[[], int], moved: Callable[[], None], at_desk: AtDesk, learned: Learned
+        self,
+        desk: Desk,
+        now: Callable[[], int],
+        moved: Callable[[], None],
+        at_desk: DeskApplier,
+        learned: ObservationExchange,
     ) -> None:
         super().__init__(desk, now, moved)
         self.at_desk, self.learned = at_desk, learned
 
     def listed(self, event: api.Listed) -> api.Listed:
-        event = self.learned.listed(self.now(), event)
+        event = self.learned.process_list(self.now(), event)
         self.at_desk.before_list(event)
         return super().listed(event)
 
     def stepped(self, now: int, events: Sequence[api.Event]) -> None:
-        super().stepped(now, self.learned.stepped(now, events))
+        super().stepped(now, self.learned.process_events(now, events))
 
 
-class Known:
+class AdmittedNames:
     """The names of `learned.Names`, from those that the coordinator admits."""
 
     def __init__(self, admit: Admit) -> None:
--- a/benchmarks/group_disk.py
+++ b/benchmarks/group_disk.py
@@ -17,7 +17,7 @@
 from ambershift.coordinator.group.disk import worker
 from ambershift.coordinator.group.disk.files import RealFiles
 from ambershift.coordinator.group.disk.folder import Folder
-from ambershift.coordinator.group.disk.worker import Disk
+from ambershift.coordinator.group.disk.worker import DiskWorker
 from ambershift.coordinator.replication.words import Entry, Snapshot, Write
 
 WALL = 1_800_000_000_000_000_000
@@ -30,7 +30,7 @@
 
 
 class Unmarked(Folder):
-    def vouch(self) -> None:
+    def advance_mark(self) -> None:
         pass
 
 
@@ -52,8 +52,8 @@
     folder = kind(RealFiles(place), "archive", "n1")
     folder.open(WALL)
     waiting, loop = Waiting(), asyncio.get_running_loop()
-    worker.SHARED_MOST = shared
-    disk = Disk(folder, waiting, loop)
+    worker.MAX_BATCH_WRITES = shared
+    disk = DiskWorker(folder, waiting, loop)
     disk.start()
     took, held, ticket = list[float](), list[float](), 0
 
@@ -126,7 +126,7 @@
         folder.open(WALL)
         for at in range(10):
             folder.append([write(at + 1, many=count // 10)])
-        size = folder.end
+        size = folder.log_size
         folder.close()
         started = time.perf_counter()
         again = Folder(RealFiles(place), "archive", "n1")
@@ -135,7 +135,7 @@
         assert opened.saved is not None
         assert len(opened.saved.entries) == count
         started = time.perf_counter()
-        again.rewrite()
+        again.compact()
         anew = time.perf_counter() - started
         snapshot = Snapshot(count, 1, os.urandom(size), ())
         started = time.perf_counter()
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from ambershift import interface as api
-from ambershift.coordinator.group.learned import Learned
+from ambershift.coordinator.group.observation_exchange import ObservationExchange
 from ambershift.coordinator.replication.heard.messages import Message, decode, encode
 from ambershift.coordinator.replication.heard.store import Store
 from tests.support.operator_model import Operated
@@ -46,17 +46,18 @@
 
 class Side(Operated):
     def __init__(self, terms: api.Terms, servers: list[api.Entry], store: Store, use: bool, now: int) -> None:
-        self.learned = Learned(store, Numbered(terms.zones), terms.cold, now)
+        self.learned = ObservationExchange(store, Numbered(terms.zones), terms.cold, now)
         self.store, self.use = store, use
         super().__init__(terms, servers, now)
 
     def tell(self, *events: api.Event) -> list[api.Order]:
         if not self.use:
             return super().tell(*events)
-        own = self.learned.stepped(self.now, events)
+        own = self.learned.process_events(self.now, events)
         given = [event for event in events if not any(event is one for one in own)]
         told = [
-            self.learned.listed(self.now, event) if isinstance(event, api.Listed) else event for event in own
+            self.learned.process_list(self.now, event) if isinstance(event, api.Listed) else event
+            for event in own
         ]
         return super().tell(*told, *given)
 
@@ -110,7 +111,7 @@
             for _, to, data in due:
                 if self.sides[to] in alive:
                     answers, news = self.sides[to].store.hear(self.now, decode(data))
-                    self.sides[to].learned.heard(self.now, news)
+                    self.sides[to].learned.process_records(self.now, news)
                     self.send(1 - to, answers)
 
     def reports(self, side: Side, count: bool) -> list[api.Event]:
@@ -146,7 +147,7 @@
         self.now += S
         self.exchange(alive)
         for side in alive:
-            heard = side.learned.due(side.now, side.desk.view(side.now).picture) if side.use else []
+            heard = side.learned.exchange(side.now, side.desk.view(side.now).picture) if side.use else []
             side.run(S, *self.reports(side, count), *heard, *extra)
             side.now = self.now
 
--- a/tests/compatibility/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ambershift.coordinator.group import evidence, gossip
+from ambershift.coordinator.group import gossip, observations
 from ambershift.coordinator.group.links import wire as links
 from ambershift.coordinator.interference import records as interference
 from ambershift.coordinator.interference.words import Sample
@@ -61,9 +61,9 @@
     "replica": Form(group_messages.Message, group_messages.encode, group_messages.decode),
     "heard": Form(heard.Message, heard.encode, heard.decode),
     "link hello": Form(links.Hello, links.encode, links.read_hello),
-    "link reply": Form(links.Welcome | links.Refused, links.encode, links.read_reply),
+    "link reply": Form(links.Welcome | links.Refusal, links.encode, links.read_reply),
     "samples": plain(list[Sample]),
-    "heard body ill": plain(tuple[evidence.Row, ...]),
+    "heard body ill": plain(tuple[observations.ServerObservation, ...]),
     "heard body steers": plain(gossip.Steers),
     "heard body met": Form(interference.Evidence, msgspec.msgpack.encode, interference.READ_EVIDENCE.decode),
     "heard body baseline": Form(
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -14,8 +14,7 @@
 
 import pytest
 
-from ambershift.coordinator.group.links.wire import Kind as FrameKind
-from ambershift.coordinator.group.links.wire import frame
+from ambershift.coordinator.group.links.wire import FrameKind, frame
 from ambershift.coordinator.replication.heard.words import Kind as HeardKind
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import WORDS
--- a/tests/coordinator/counters/test_counters.py
+++ b/tests/coordinator/counters/test_counters.py
@@ -20,8 +20,8 @@
 from ambershift.coordinator.counters.standin import rows
 from ambershift.coordinator.counters.worlds import SLOT_NS
 from ambershift.coordinator.group.links.wire import (
-    Kind,
-    Refused,
+    FrameKind,
+    Refusal,
     Role,
     Welcome,
     encode,
@@ -148,7 +148,7 @@
         await socket.prepare(request)
         self.hellos.append(read_hello((await socket.receive()).data))
         if self.refusing:
-            await socket.send_bytes(encode(Refused("too-many", "enough")))
+            await socket.send_bytes(encode(Refusal("too-many", "enough")))
             await socket.close()
             return socket
         await socket.send_bytes(encode(Welcome("test", "n1", 1)))
@@ -156,7 +156,7 @@
         async for message in socket:
             assert message.type is WSMsgType.BINARY
             kind, payload = read_frame(message.data)
-            assert kind is Kind.COUNTERS
+            assert kind is FrameKind.COUNTERS
             self.samples += read_samples(payload)
         return socket
 
--- a/tests/coordinator/group/test_disk.py
+++ b/tests/coordinator/group/test_disk.py
@@ -16,7 +16,7 @@
 from ambershift.coordinator.group.disk import folder as folders
 from ambershift.coordinator.group.disk.files import LockedError, RealFiles
 from ambershift.coordinator.group.disk.folder import DiskError, Folder, Opened, RefusedError
-from ambershift.coordinator.group.disk.worker import Disk
+from ambershift.coordinator.group.disk.worker import DiskWorker
 from ambershift.coordinator.replication import records
 from ambershift.coordinator.replication.vouched import ContradictionError, Held
 from ambershift.coordinator.replication.words import Entry, Saved, Snapshot, Write
@@ -255,7 +255,7 @@
     folder.open(WALL)
     for at in range(400):
         folder.append([write(at, committed=at)])
-    assert folder.end < 1100
+    assert folder.log_size < 1100
     with pytest.raises(DiskError, match="entry 3 where 1 belongs"):
         folder.append([write(401, new=entries(3, 3))])
     with pytest.raises(ContradictionError):
@@ -306,7 +306,7 @@
         folder = Folder(RealFiles(f"{tmp_path}/n1"), "archive", "n1")
         assert folder.open(WALL) == Opened(None, WALL, None, "", (), 0, False)
         heard = Heard()
-        disk = Disk(folder, heard, asyncio.get_running_loop())
+        disk = DiskWorker(folder, heard, asyncio.get_running_loop())
         for one in WRITES:
             disk.write(one)
         disk.start()
@@ -325,7 +325,7 @@
         files, entered, hold = SimFiles(), threading.Event(), threading.Event()
         folder, heard = Folder(files, "archive", "n1"), Heard()
         folder.open(WALL)
-        disk = Disk(folder, heard, asyncio.get_running_loop(), queue_most=4)
+        disk = DiskWorker(folder, heard, asyncio.get_running_loop(), queue_most=4)
         inner = folder.append
 
         def held(writes: Sequence[Write]) -> None:
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -14,11 +14,11 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.words import NEVER, Change, Health, Origin, Reason, Standing, State, Weight
-from ambershift.coordinator.group.at_desk import AtDesk
-from ambershift.coordinator.group.clocks import LASTS, Clocks
+from ambershift.coordinator.group.clock_skew import LASTS, ClockSkew
+from ambershift.coordinator.group.command_validator import CommandValidator
+from ambershift.coordinator.group.desk_applier import DeskApplier
 from ambershift.coordinator.group.gossip import LET_IN, NEITHER, Gossip
-from ambershift.coordinator.group.guard import Guard
-from ambershift.coordinator.group.promise import Promises as Promised
+from ambershift.coordinator.group.group_commands import GroupCommands as Promised
 from ambershift.coordinator.group.standings import Others, standings
 from ambershift.coordinator.maintenance.words import Declared, Permit, Phase, Trouble, Work
 from ambershift.coordinator.promises.answers import Outcome, encode, encode_answer, read_answer, refused
@@ -46,8 +46,8 @@
     def __init__(self, count: int = 6, zones: int = 2, ahead: int = 0, **terms: Any) -> None:
         self.door, self.held, self.number, self.answers = Door[str](), EMPTY, 0, list[bytes]()
         super().__init__(make_terms(zones=zones, **terms), [])
-        self.at_desk = AtDesk(self.desk, self.door, lambda: self.now, ahead, lambda: None)
-        self.guard = Guard(
+        self.at_desk = DeskApplier(self.desk, self.door, lambda: self.now, ahead, lambda: None)
+        self.guard = CommandValidator(
             self.desk, self.door, lambda: self.now, lambda one: one.reason.value, lambda: self.apart
         )
         self.machine, self.apart, self.ahead = PromisesMachine(self.guard), False, ahead
@@ -390,7 +390,7 @@
 
 
 def test_clocks_apart_from_the_middle() -> None:
-    clocks, now = Clocks(S), 100 * S
+    clocks, now = ClockSkew(S), 100 * S
     assert not clocks.apart(now)  # Alone there is nothing to be apart from.
     clocks.heard(now, 50 * S, "b", 53 * S, 0)
     clocks.heard(now, 50 * S, "c", 45 * S, 8 * S)  # Old on its way, and 3 s ahead by its age.
--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -9,8 +9,21 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.mirror import BLANK
-from ambershift.coordinator.group.evidence import SAMPLE, SPLIT, Row, Sum, notable, rows, sample
-from ambershift.coordinator.group.learned import AGE_MOST, GIVEN_MOST, TRIES_MOST, Learned
+from ambershift.coordinator.group.observation_exchange import (
+    AGE_MOST,
+    GIVEN_MOST,
+    TRIES_MOST,
+    ObservationExchange,
+)
+from ambershift.coordinator.group.observations import (
+    SAMPLE,
+    SPLIT,
+    ServerObservation,
+    TrafficTotals,
+    notable,
+    rows,
+    sample,
+)
 from ambershift.coordinator.replication.heard import Kind
 from ambershift.coordinator.replication.heard.store import Store
 from benchmarks.takeover import Numbered, Side, Takeover
@@ -20,22 +33,24 @@
 NOW = 1000 * S
 
 
-def pair(shift: int = 0) -> tuple[Learned, Learned]:
+def pair(shift: int = 0) -> tuple[ObservationExchange, ObservationExchange]:
     """Two coordinators; the second one's clock and indices differ."""
     return (
-        Learned(Store("a", 1), Numbered(2), COLD, NOW),
-        Learned(Store("b", 1), Numbered(2, shift), COLD, NOW),
+        ObservationExchange(Store("a", 1), Numbered(2), COLD, NOW),
+        ObservationExchange(Store("b", 1), Numbered(2, shift), COLD, NOW),
     )
 
 
-def carry(one: Learned, other: Learned, at: int, there: int) -> None:
+def carry(one: ObservationExchange, other: ObservationExchange, at: int, there: int) -> None:
     """All that one knows comes to the other, whose clock says `there`."""
     known = {place.origin: place for place in other.store.digest().vector}
-    other.heard(there, other.store.hear(there, one.store.delta(at, known))[1])
+    other.process_records(there, other.store.hear(there, one.store.delta(at, known))[1])
 
 
-def shown(one: Learned, now: int, server: int, since: int, phase: api.Phase = api.Phase.READY) -> int:
-    event = one.listed(now, api.Listed(False, False, (entry(server, 0, phase, since),)))
+def shown(
+    one: ObservationExchange, now: int, server: int, since: int, phase: api.Phase = api.Phase.READY
+) -> int:
+    event = one.process_list(now, api.Listed(False, False, (entry(server, 0, phase, since),)))
     return event.entries[0].since
 
 
@@ -67,10 +82,10 @@
         a.store.put(NOW, Kind.START, "s3", b"x", heard_age * S)
     carry(a, b, NOW, there)
     if list_first and told != own:
-        events = b.due(there, BLANK)
+        events = b.exchange(there, BLANK)
         assert [one.entries[0].server for one in events if isinstance(one, api.Listed)] == [103]
     else:
-        assert not b.due(there, BLANK)
+        assert not b.exchange(there, BLANK)
     assert shown(b, there, 103, own) == told
     # What was told once stays, until the own list has a newer word; and it is not told on as one's own.
     assert shown(b, there + S, 103, told) == told == shown(b, there + S, 103, own)
@@ -92,7 +107,7 @@
     carry(a, b, NOW, NOW)
     shown(b, NOW + S, 10, shown(b, NOW + S, 10, 0))
     assert {one.origin for one in b.store.all(NOW, Kind.START)} == {"a"}
-    b.listed(NOW, api.Listed(True, False, (entry(11),)))
+    b.process_list(NOW, api.Listed(True, False, (entry(11),)))
     assert not b.later and set(b.known) == {11}
 
 
@@ -100,10 +115,10 @@
     return api.Met(zone, server, tries, bad, ms * 1_000_000, S, ())
 
 
-def given(one: Learned, now: int) -> dict[int, tuple[int, int, int]]:
+def given(one: ObservationExchange, now: int) -> dict[int, tuple[int, int, int]]:
     return {
         event.server: (event.tries, event.bad, event.zone)
-        for event in one.due(now, BLANK)
+        for event in one.exchange(now, BLANK)
         if isinstance(event, api.Met)
     }
 
@@ -113,7 +128,7 @@
     for server in range(7):
         shown(a, NOW, server, 0)
         shown(b, NOW, server + 100, NOW + S if server == 5 else 0)
-    a.stepped(
+    a.process_events(
         NOW,
         [
             met(0, 200, 200),
@@ -128,7 +143,7 @@
     )
     shown(b, NOW, 106, 0, api.Phase.DRAINING)
     assert not given(a, NOW + 2 * S), "nobody hears oneself"
-    b.stepped(NOW + S, [met(102, 1, 0), met(101, 0, 0)])
+    b.process_events(NOW + S, [met(102, 1, 0), met(101, 0, 0)])
     carry(a, b, NOW + 2 * S, NOW + 2 * S)
     first = given(b, NOW + 3 * S)
     # 102 was tried here, 105 is a new process since, 106 drains, 9 is unknown; 104 was not tried at all.
@@ -136,34 +151,34 @@
     assert not given(b, NOW + 4 * S), "each word once"
     # What was given and passes is neither told on nor taken for one's own.
     b.given.clear()
-    events = b.due(NOW + 4 * S, BLANK)
-    assert b.stepped(NOW + 4 * S, [*events, met(104, 7, 7)]) == [met(104, 7, 7)]
-    b.due(NOW + 6 * S, BLANK)
+    events = b.exchange(NOW + 4 * S, BLANK)
+    assert b.process_events(NOW + 4 * S, [*events, met(104, 7, 7)]) == [met(104, 7, 7)]
+    b.exchange(NOW + 6 * S, BLANK)
     told = [
         row.server for one in b.store.all(NOW + 6 * S, Kind.ILL) if one.origin == "b" for row in rows(one)[1]
     ]
     assert set(told) <= {"s2", "s4"} and "s4" in told
     # One's own tries end it; long after, and too old.
     b.given.clear()
-    b.stepped(NOW + 7 * S, [met(100, 1, 0)])
+    b.process_events(NOW + 7 * S, [met(100, 1, 0)])
     assert 100 not in given(b, NOW + 7 * S)
     b.given.clear()
     assert 100 in given(b, NOW + 13 * S)
     b.given.clear()
     assert not given(b, NOW + 2 * S + AGE_MOST + 1)
     # Well again where it was tried: the word is taken back.
-    a.stepped(NOW + 8 * S, [met(0, 9, 0), met(1, 9, 0), met(2, 9, 0)])
-    a.due(NOW + 8 * S, BLANK)
+    a.process_events(NOW + 8 * S, [met(0, 9, 0), met(1, 9, 0), met(2, 9, 0)])
+    a.exchange(NOW + 8 * S, BLANK)
     ill = {one.key for one in a.store.all(NOW + 8 * S, Kind.ILL) if not one.key.startswith(SPLIT)}
     assert ill == {f"s3{SPLIT}z1"}
-    a.stepped(NOW + 10 * S, [met(3, 9, 0, 1), met(1, 9, 0)])
-    a.due(NOW + 10 * S, BLANK)
+    a.process_events(NOW + 10 * S, [met(3, 9, 0, 1), met(1, 9, 0)])
+    a.exchange(NOW + 10 * S, BLANK)
     assert all(one.key.startswith(SPLIT) for one in a.store.all(NOW + 10 * S, Kind.ILL))
 
 
 def test_who_fails_for_all_is_out_and_who_fails_for_some_zones_is_cut_off() -> None:
     a, b = pair()
-    a.stepped(
+    a.process_events(
         NOW,
         [
             met(0, 9, 5, 0),
@@ -175,27 +190,27 @@
             *[met(at, 9, 0, 0) for at in range(4, 20)],
         ],
     )
-    b.stepped(NOW, [met(5, 9, 9, 1), met(6, 9, 9, 0), *[met(at, 9, 0, 1) for at in range(10, 20)]])
+    b.process_events(NOW, [met(5, 9, 9, 1), met(6, 9, 9, 0), *[met(at, 9, 0, 1) for at in range(10, 20)]])
     for one in (a, b):
-        one.due(NOW + 2 * S, BLANK)
+        one.exchange(NOW + 2 * S, BLANK)
     carry(a, b, NOW + 2 * S, NOW + 2 * S)
-    b.due(NOW + 2 * S, BLANK)
+    b.exchange(NOW + 2 * S, BLANK)
     # 6 is well and fails for the same zone: whose word is right is not known, and out is the careful one.
     assert (b.out, b.cut) == ({"s0", "s6"}, {"s1", "s5"})
-    b.due(NOW + 18 * S, BLANK)
+    b.exchange(NOW + 18 * S, BLANK)
     assert not b.out and not b.cut
 
 
 def test_the_worst_are_told_one_by_one_and_an_overload_is_none_of_them() -> None:
     rng = random.Random(4)
-    usual = {(0, at): Sum(rng.randrange(5, 90), 0, 0) for at in range(200)}
+    usual = {(0, at): TrafficTotals(rng.randrange(5, 90), 0, 0) for at in range(200)}
     sums = {place: one._replace(good_ns=one.tries * 50) for place, one in usual.items()}
     assert notable(sums) == set() == notable({})
     sums |= {
-        (0, 500): Sum(9, 9, 0),
-        (0, 501): Sum(9, 3, 6 * 50),
-        (0, 502): Sum(9, 0, 9 * 120),
-        (0, 503): Sum(2, 2, 0),
+        (0, 500): TrafficTotals(9, 9, 0),
+        (0, 501): TrafficTotals(9, 3, 6 * 50),
+        (0, 502): TrafficTotals(9, 0, 9 * 120),
+        (0, 503): TrafficTotals(2, 2, 0),
     }
     assert notable(sums) == {(0, 500), (0, 501), (0, 502)}
     assert notable({place: one._replace(bad=one.tries // 2 + 1) for place, one in usual.items()}) == set()
@@ -208,22 +223,22 @@
     a, b = pair()
     for server in range(3000):
         shown(b, NOW, server, 0)
-    good = msgspec.msgpack.encode([Row("s1", 5, 5, 1, S)])
+    good = msgspec.msgpack.encode([ServerObservation("s1", 5, 5, 1, S)])
     for key, body in (
         (f"s1{SPLIT}z9", good),
         (f"s1{SPLIT}zz0", b"\xc1"),
         (f"s1{SPLIT}z0", b"\x93\x01\x02"),
-        (f"s2{SPLIT}z0", msgspec.msgpack.encode([Row("s2", 5, 6, 1, S)])),
-        (f"s3{SPLIT}z0", msgspec.msgpack.encode([Row("s3", 0, 0, 1, S)])),
+        (f"s2{SPLIT}z0", msgspec.msgpack.encode([ServerObservation("s2", 5, 6, 1, S)])),
+        (f"s3{SPLIT}z0", msgspec.msgpack.encode([ServerObservation("s3", 0, 0, 1, S)])),
         ("", b"\x80"),
     ):
         a.store.put(NOW, Kind.ILL, key, body)
     a.store.put(NOW, Kind.START, "s9999", b"x")
     b.names = Careful(2)
     carry(a, b, NOW, NOW)
-    assert b.due(NOW, BLANK) == []
+    assert b.exchange(NOW, BLANK) == []
     for start in range(0, 3000, 100):
-        body = msgspec.msgpack.encode([Row(f"s{start + at}", 5, 5, 1, S) for at in range(100)])
+        body = msgspec.msgpack.encode([ServerObservation(f"s{start + at}", 5, 5, 1, S) for at in range(100)])
         a.store.put(NOW, Kind.ILL, f"x{start}{SPLIT}z0", body)
     carry(a, b, NOW, NOW)
     assert len(given(b, NOW)) == GIVEN_MOST and len(given(b, NOW)) == 1000 and not given(b, NOW)
@@ -234,8 +249,8 @@
     for start in range(0, 6000, 500):
         new = tuple(entry(at, 0, since=NOW) for at in range(start, start + 500))
         for one in (a, b):
-            one.listed(NOW, api.Listed(True, False, new))
-        a.stepped(NOW, [met(start + at, 9, 9 if at < 40 else 0) for at in range(200)])
+            one.process_list(NOW, api.Listed(True, False, new))
+        a.process_events(NOW, [met(start + at, 9, 9 if at < 40 else 0) for at in range(200)])
         a.tell_met(NOW + S)
         carry(a, b, NOW + S, NOW + S)
         given(b, NOW + S)
@@ -260,7 +275,7 @@
     side.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(4)])
     for _ in range(4):
         side.run(S)
-        side.learned.due(side.now, side.desk.view(side.now).picture)
+        side.learned.exchange(side.now, side.desk.view(side.now).picture)
     told = {
         (one.kind, one.key): msgspec.msgpack.decode(one.body)
         for kind in (Kind.LEVEL, Kind.SHARE)
@@ -269,7 +284,7 @@
     assert told.keys() == {(kind, zone) for kind in (Kind.LEVEL, Kind.SHARE) for zone in ("z0", "z1")}
     assert told[Kind.LEVEL, "z0"] == [1, 1.0] and told[Kind.SHARE, "z0"][0] >= 4
     version = side.store.origins["a"].upto
-    side.learned.due(side.now + 2 * S, side.desk.view(side.now).picture)
+    side.learned.exchange(side.now + 2 * S, side.desk.view(side.now).picture)
     assert side.store.origins["a"].upto == version, "what stands is not said again at once"
 
 
@@ -287,11 +302,11 @@
     for at in range(40):
         for server in range(8):
             liar.put(side.now, Kind.START, f"s{server}", bytes([at + 1]))
-            body = msgspec.msgpack.encode([Row(f"s{server}", 50, 50, 1, S)])
+            body = msgspec.msgpack.encode([ServerObservation(f"s{server}", 50, 50, 1, S)])
             liar.put(side.now, Kind.ILL, f"s{server}{SPLIT}z{server % 2}", body)
         news = store.hear(side.now, liar.delta(side.now, {"liar": store.digest().vector[-1]} if at else {}))[
             1
         ]
-        side.learned.heard(side.now, news)
-        side.run(S, *side.learned.due(side.now, side.desk.view(side.now).picture))  # Rules are checked.
+        side.learned.process_records(side.now, news)
+        side.run(S, *side.learned.exchange(side.now, side.desk.view(side.now).picture))  # Rules are checked.
     assert all(side.proxies.values())
--- a/tests/coordinator/group/test_links.py
+++ b/tests/coordinator/group/test_links.py
@@ -10,19 +10,20 @@
 import msgspec
 import pytest
 
-from ambershift.coordinator.group.counting import Counting
-from ambershift.coordinator.group.links import accepted, dialled
-from ambershift.coordinator.group.links.gate import Gate, Mine
-from ambershift.coordinator.group.links.links import Links
-from ambershift.coordinator.group.links.queue import FullError, Queue
-from ambershift.coordinator.group.links.source import Source
+from ambershift.coordinator.group.interference_worker import InterferenceWorker
+from ambershift.coordinator.group.links import incoming, outgoing
+from ambershift.coordinator.group.links.counter_source import CounterSource
+from ambershift.coordinator.group.links.handshake import HandshakeValidator, LocalIdentity
+from ambershift.coordinator.group.links.interfaces import Peer
+from ambershift.coordinator.group.links.link_manager import LinkManager
+from ambershift.coordinator.group.links.send_queue import FullError, SendQueue
 from ambershift.coordinator.group.links.wire import (
     MESSAGE_MOST,
     WIRE,
-    Close,
+    CloseReason,
+    FrameKind,
     Hello,
-    Kind,
-    Refused,
+    Refusal,
     Role,
     UnreadableError,
     Welcome,
@@ -30,7 +31,6 @@
     frame,
     read_reply,
 )
-from ambershift.coordinator.group.links.words import Peer
 from ambershift.coordinator.standins.rig import own_host
 from ambershift.coordinator.standins.world import until
 
@@ -42,11 +42,11 @@
     """What stands above the links of one member, and what it was told."""
 
     def __init__(self, name: str, host: str, port: int, others: dict[str, int], **mine: Any) -> None:
-        self.now = Mine(name, "g", VOTERS, frozenset(VOTERS), 5, "G")._replace(**mine)
-        self.got, self.log = list[tuple[str, Kind, bytes]](), list[tuple[str, dict[str, Any]]]()
-        self.gone_from, self.refusals = list[str](), list[tuple[str, Refused]]()
+        self.now = LocalIdentity(name, "g", VOTERS, frozenset(VOTERS), 5, "G")._replace(**mine)
+        self.got, self.log = list[tuple[str, FrameKind, bytes]](), list[tuple[str, dict[str, Any]]]()
+        self.gone_from, self.refusals = list[str](), list[tuple[str, Refusal]]()
         self.samples = list[bytes]()
-        self.links = Links(
+        self.links = LinkManager(
             (host, port),
             [Peer(one, host, at) for one, at in others.items()],
             self,
@@ -54,10 +54,10 @@
             7,
         )
 
-    def mine(self) -> Mine:
+    def mine(self) -> LocalIdentity:
         return self.now
 
-    def heard(self, sender: str, kind: Kind, payload: bytes) -> None:
+    def heard(self, sender: str, kind: FrameKind, payload: bytes) -> None:
         if payload == b"bad":
             raise UnreadableError("no message")
         if payload == b"broken":
@@ -69,11 +69,11 @@
 
     def came(self, member: str) -> None: ...
 
-    def refused(self, member: str, refused: Refused) -> None:
+    def refused(self, member: str, refused: Refusal) -> None:
         self.refusals.append((member, refused))
 
     def counters(self, name: str, payload: bytes) -> None:
-        Counting.counters(self, name, payload)  # type: ignore[arg-type]
+        InterferenceWorker.counters(self, name, payload)  # type: ignore[arg-type]
 
     class waiting:  # noqa: N801 - stands in for the deque of the counting
         extend = staticmethod(lambda samples: None)
@@ -134,32 +134,32 @@
         with contextlib.suppress(ConnectionError, aiohttp.ClientError):  # Closed while it still sends.
             for one in more:
                 await socket.send_bytes(one)
-        if more or isinstance(reply, Refused):
+        if more or isinstance(reply, Refusal):
             ended = await socket.receive(timeout=5)
             assert ended.type in (aiohttp.WSMsgType.CLOSE, aiohttp.WSMsgType.CLOSED), ended
         return reply, socket.close_code
 
 
 REFUSED = [
-    ({"name": "x"}, Close.UNKNOWN_MEMBER),
-    ({"to": "c"}, Close.UNKNOWN_MEMBER),
-    ({"voters": ("a", "b")}, Close.OTHER_MEMBERS),
-    ({"title": "h"}, Close.OTHER_GROUP),
-    ({"group": "H"}, Close.OTHER_GROUP),
-    ({"incarnation": 3}, Close.SUPERSEDED),
-    ({"incarnation": 4, "run": "other"}, Close.CLONED),
-    ({"name": "a"}, Close.CLONED),
-    ({"wire": 9}, Close.UNREADABLE),
-    ({"role": "king"}, Close.UNKNOWN_MEMBER),
+    ({"name": "x"}, CloseReason.UNKNOWN_MEMBER),
+    ({"to": "c"}, CloseReason.UNKNOWN_MEMBER),
+    ({"voters": ("a", "b")}, CloseReason.OTHER_MEMBERS),
+    ({"title": "h"}, CloseReason.OTHER_GROUP),
+    ({"group": "H"}, CloseReason.OTHER_GROUP),
+    ({"incarnation": 3}, CloseReason.SUPERSEDED),
+    ({"incarnation": 4, "run": "other"}, CloseReason.CLONED),
+    ({"name": "a"}, CloseReason.CLONED),
+    ({"wire": 9}, CloseReason.UNREADABLE),
+    ({"role": "king"}, CloseReason.UNKNOWN_MEMBER),
 ]
 
 
 @pytest.mark.parametrize(("changes", "reason"), REFUSED, ids=str)
-def test_a_hello_is_refused_by_name_and_counted(changes: dict[str, Any], reason: Close) -> None:
+def test_a_hello_is_refused_by_name_and_counted(changes: dict[str, Any], reason: CloseReason) -> None:
     async def act(top: Top) -> None:
         top.links.acceptor.gate.known["b"] = 4, "run"
         reply, _ = await by_hand(top, hello(**changes))
-        assert isinstance(reply, Refused) and reply.reason == reason and top.count(reason) == 1
+        assert isinstance(reply, Refusal) and reply.reason == reason and top.count(reason) == 1
         assert reply.known == (4 if changes.get("incarnation") else 5 if changes.get("name") == "a" else 0)
         assert [fields["reason"] for event, fields in top.log if event == "link_closed"] == [reason]
 
@@ -167,38 +167,45 @@
 
 
 def test_who_is_let_in_and_what_counts_as_the_same_life() -> None:
-    mine, gate = Mine("a", "g", VOTERS, frozenset(VOTERS), 5, ""), Gate()
+    mine, gate = LocalIdentity("a", "g", VOTERS, frozenset(VOTERS), 5, ""), HandshakeValidator()
     assert gate.judge(mine, hello(group="H", voters=("c", "b", "a"))) is None  # It knows no group yet.
     assert gate.judge(mine, hello()) is None  # Again: it has dialled anew.
     assert gate.judge(mine, hello(incarnation=12, run="next")) is None
     assert gate.known["b"] == (12, "next")
     assert gate.judge(mine, hello(role=Role.COUNTERS, name="perf", voters=())) is None
     away = gate.judge(mine, hello(role=Role.COUNTERS), loopback=False)
-    assert away is not None and away.reason == Close.UNKNOWN_MEMBER
+    assert away is not None and away.reason == CloseReason.UNKNOWN_MEMBER
 
 
 FRAMES = [
-    (frame(Kind.REPLICA, b"bad"), Close.UNREADABLE, 1007),
-    (frame(Kind.REPLICA, b"broken"), Close.UNREADABLE, 1007),
-    (b"", Close.UNREADABLE, 1007),
-    (b"\x63what", Close.UNREADABLE, 1007),
-    (frame(Kind.COUNTERS, b"\x90"), Close.UNREADABLE, 1007),
-    (bytes(MESSAGE_MOST + 1), Close.TOO_LARGE, 1009),
+    (frame(FrameKind.REPLICA, b"bad"), CloseReason.UNREADABLE, 1007),
+    (frame(FrameKind.REPLICA, b"broken"), CloseReason.UNREADABLE, 1007),
+    (b"", CloseReason.UNREADABLE, 1007),
+    (b"\x63what", CloseReason.UNREADABLE, 1007),
+    (frame(FrameKind.COUNTERS, b"\x90"), CloseReason.UNREADABLE, 1007),
+    (bytes(MESSAGE_MOST + 1), CloseReason.TOO_LARGE, 1009),
 ]
 
 
 @pytest.mark.parametrize(
     ("data", "reason", "code"), FRAMES, ids=["bad", "broken", "empty", "kind", "counters", "large"]
 )
-def test_a_bad_frame_ends_the_link_by_name_and_costs_no_other(data: bytes, reason: Close, code: int) -> None:
+def test_a_bad_frame_ends_the_link_by_name_and_costs_no_other(
+    data: bytes, reason: CloseReason, code: int
+) -> None:
     async def act(top: Top, other: Top) -> None:
         await until(lambda: not top.links.tally.ways["c"])
-        reply, ended = await by_hand(top, hello(), frame(Kind.HEARD, b"good"), data, frame(Kind.HEARD, b"x"))
-        assert isinstance(reply, Welcome) and ended in (code, 1006 if reason is Close.TOO_LARGE else code)
-        assert top.got == [("b", Kind.HEARD, b"good")] and top.count(reason) == 1
+        reply, ended = await by_hand(
+            top, hello(), frame(FrameKind.HEARD, b"good"), data, frame(FrameKind.HEARD, b"x")
+        )
+        assert isinstance(reply, Welcome) and ended in (
+            code,
+            1006 if reason is CloseReason.TOO_LARGE else code,
+        )
+        assert top.got == [("b", FrameKind.HEARD, b"good")] and top.count(reason) == 1
         assert ("failure" in [event for event, _ in top.log]) == data.endswith(b"broken")
-        assert other.links.send("a", Kind.HEARD, b"still there")
-        await until(lambda: ("c", Kind.HEARD, b"still there") in top.got)
+        assert other.links.send("a", FrameKind.HEARD, b"still there")
+        await until(lambda: ("c", FrameKind.HEARD, b"still there") in top.got)
 
     play(act, "a", "c")
 
@@ -210,14 +217,14 @@
 def test_what_is_no_hello_is_closed(first: Any, text: bool) -> None:
     async def act(top: Top) -> None:
         reply, code = await by_hand(top, first, text=text)
-        assert reply is None and code == 1007 and top.count(Close.UNREADABLE) == 1
+        assert reply is None and code == 1007 and top.count(CloseReason.UNREADABLE) == 1
 
     play(act, "a")
 
 
 def test_who_says_nothing_is_closed_and_too_many_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(accepted, "HELLO_WITHIN", 0.3)
-    monkeypatch.setattr(accepted, "SPARE_MOST", 1)
+    monkeypatch.setattr(incoming, "HELLO_WITHIN", 0.3)
+    monkeypatch.setattr(incoming, "SPARE_MOST", 1)
 
     async def act(top: Top) -> None:
         host, port = top.links.listen
@@ -227,26 +234,26 @@
                 await session.ws_connect(f"http://{host}:{port}/")
             for one in silent:
                 assert (await one.receive(timeout=5)).type is aiohttp.WSMsgType.CLOSE
-        assert top.count(Close.SILENT) == 4 and top.count(Close.TOO_MANY) == 1
+        assert top.count(CloseReason.SILENT) == 4 and top.count(CloseReason.TOO_MANY) == 1
 
     play(act, "a")
 
 
 def test_frames_come_whole_and_in_order_and_a_break_is_told() -> None:
     async def act(a: Top, b: Top) -> None:
-        assert not a.links.send("b", Kind.REPLICA, b"too soon")
-        assert not a.links.send("nobody", Kind.REPLICA, b"")
+        assert not a.links.send("b", FrameKind.REPLICA, b"too soon")
+        assert not a.links.send("nobody", FrameKind.REPLICA, b"")
         await until(lambda: not a.links.tally.ways["b"] and not b.links.tally.ways["a"])
         sent = [bytes([at % 251]) * (at * 97 % 5000) for at in range(2000)]
         for one in sent:
-            assert a.links.send("b", Kind.REPLICA, one)
+            assert a.links.send("b", FrameKind.REPLICA, one)
             await asyncio.sleep(0)
         await until(lambda: len(b.got) == len(sent))
         assert [payload for _, _, payload in b.got] == sent
         await b.links.close()
         await until(lambda: a.gone_from == ["b"])
-        assert a.links.tally.ways["b"] and not a.links.send("b", Kind.REPLICA, b"lost")
-        assert a.count(Close.AWAY) + a.count(Close.ENDED) == 1
+        assert a.links.tally.ways["b"] and not a.links.send("b", FrameKind.REPLICA, b"lost")
+        assert a.count(CloseReason.AWAY) + a.count(CloseReason.ENDED) == 1
 
     play(act, "a", "b")
 
@@ -276,8 +283,8 @@
 def test_a_deaf_member_is_dropped_by_name_and_the_loop_goes_on(
     flood: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(dialled, "WRITE_LIMIT", 30.0 if flood else 0.3)
-    monkeypatch.setattr(dialled, "HEARTBEAT", 60.0)
+    monkeypatch.setattr(outgoing, "WRITE_LIMIT", 30.0 if flood else 0.3)
+    monkeypatch.setattr(outgoing, "HEARTBEAT", 60.0)
 
     async def act(a: Top, b: Top) -> None:
         runner = await deaf(*b.links.listen, encode(Welcome("x", "b", 1)))
@@ -287,11 +294,11 @@
         while not a.gone_from:
             started = clock()
             for _ in range(64 if flood else 4):
-                a.links.send("b", Kind.REPLICA, bytes(60_000))
-            a.links.send("b", Kind.HEARD, bytes(60_000))
+                a.links.send("b", FrameKind.REPLICA, bytes(60_000))
+            a.links.send("b", FrameKind.HEARD, bytes(60_000))
             await asyncio.sleep(0)
             turns.append(clock() - started)
-        assert a.count(Close.TOO_SLOW) == 1 and a.gone_from == ["b"] and max(turns) < 1.0
+        assert a.count(CloseReason.TOO_SLOW) == 1 and a.gone_from == ["b"] and max(turns) < 1.0
         assert a.links.dialled["b"].queue.held == 0
         if flood:
             assert a.count("heard-left-out")  # What comes again by itself gave way first.
@@ -301,7 +308,7 @@
 
 
 def test_a_stopped_peer_is_noticed_by_its_missing_pong(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(dialled, "HEARTBEAT", 0.2)
+    monkeypatch.setattr(outgoing, "HEARTBEAT", 0.2)
 
     async def act(a: Top, b: Top) -> None:
         runner = await deaf(*b.links.listen, encode(Welcome("x", "b", 1)))
@@ -312,13 +319,14 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "reason"), [(encode(Welcome("x", "c", 1)), Close.UNREADABLE), (b"rubbish", Close.UNREADABLE)]
+    ("answer", "reason"),
+    [(encode(Welcome("x", "c", 1)), CloseReason.UNREADABLE), (b"rubbish", CloseReason.UNREADABLE)],
 )
-def test_who_answers_as_another_gets_nothing(answer: bytes, reason: Close) -> None:
+def test_who_answers_as_another_gets_nothing(answer: bytes, reason: CloseReason) -> None:
     async def act(a: Top, b: Top) -> None:
         runner = await deaf(*b.links.listen, answer)
         await until(lambda: a.links.tally.ways["b"] == reason)
-        assert not a.links.send("b", Kind.REPLICA, b"secret") and not a.gone_from
+        assert not a.links.send("b", FrameKind.REPLICA, b"secret") and not a.gone_from
         await runner.cleanup()  # type: ignore[attr-defined]
 
     play(act, "a", "b", open_all=False)
@@ -327,9 +335,9 @@
 def test_a_refusal_is_told_once_and_tried_again_until_it_is_mended() -> None:
     async def act(a: Top, b: Top) -> None:
         await until(lambda: len(a.refusals) > 1)
-        assert {one.reason for _, one in a.refusals} == {Close.OTHER_MEMBERS}
+        assert {one.reason for _, one in a.refusals} == {CloseReason.OTHER_MEMBERS}
         assert len([1 for event, _ in a.log if event == "link_refused"]) == 1
-        assert a.links.tally.ways["b"] == Close.OTHER_MEMBERS
+        assert a.links.tally.ways["b"] == CloseReason.OTHER_MEMBERS
         a.now = a.now._replace(voters=VOTERS)
         await until(lambda: not a.links.tally.ways["b"])
 
@@ -346,10 +354,10 @@
             new = await session.ws_connect(f"http://{host}:{port}/")
             await new.send_bytes(encode(hello()))
             await new.receive()
-            await new.send_bytes(frame(Kind.REPLICA, b"now"))
+            await new.send_bytes(frame(FrameKind.REPLICA, b"now"))
             assert (await old.receive(timeout=5)).type is aiohttp.WSMsgType.CLOSE
-            await until(lambda: top.got == [("b", Kind.REPLICA, b"now")])
-        assert top.count(Close.REPLACED) == 1
+            await until(lambda: top.got == [("b", FrameKind.REPLICA, b"now")])
+        assert top.count(CloseReason.REPLACED) == 1
 
     play(act, "a")
 
@@ -357,26 +365,26 @@
 def test_counters_come_in_and_rubbish_of_them_is_closed() -> None:
     async def act(top: Top) -> None:
         host, port = top.links.listen
-        async with Source("perf", "g", Peer("a", host, port), lambda event, **fields: None) as source:
+        async with CounterSource("perf", "g", Peer("a", host, port), lambda event, **fields: None) as source:
             await asyncio.wait_for(source.stands.wait(), 5)
             assert source.send(msgspec.msgpack.encode([]))
             assert source.send(b"\xc1")
             await until(lambda: not source.stands.is_set())
-        assert top.count(Close.UNREADABLE) == 1 and not top.got
+        assert top.count(CloseReason.UNREADABLE) == 1 and not top.got
         assert [fields["member"] for event, fields in top.log if event == "link_closed"] == ["counters perf"]
 
     play(act, "a")
 
 
 def test_a_queue_is_bounded_by_frames_and_bytes_and_heard_gives_way() -> None:
-    queue = Queue(frames=8, size=100)
-    assert queue.put(Kind.HEARD, bytes(20)) and not queue.put(Kind.HEARD, bytes(20))
-    assert queue.put(Kind.REPLICA, bytes(70)) and queue.held == 90
+    queue = SendQueue(frames=8, size=100)
+    assert queue.put(FrameKind.HEARD, bytes(20)) and not queue.put(FrameKind.HEARD, bytes(20))
+    assert queue.put(FrameKind.REPLICA, bytes(70)) and queue.held == 90
     with pytest.raises(FullError):
-        queue.put(Kind.REPLICA, bytes(20))
-    assert len(queue.take()) == 20 and queue.put(Kind.REPLICA, bytes(30)) and queue.held == 100
+        queue.put(FrameKind.REPLICA, bytes(20))
+    assert len(queue.take()) == 20 and queue.put(FrameKind.REPLICA, bytes(30)) and queue.held == 100
     queue.clear()
     for _ in range(8):
-        queue.put(Kind.REPLICA, b"")
+        queue.put(FrameKind.REPLICA, b"")
     with pytest.raises(FullError):
-        queue.put(Kind.REPLICA, b"")
+        queue.put(FrameKind.REPLICA, b"")
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -9,15 +9,15 @@
 import pytest
 
 from ambershift.coordinator.admin.words import State, Weight
-from ambershift.coordinator.group.counting import Counting
 from ambershift.coordinator.group.disk.folder import DiskError, Folder
 from ambershift.coordinator.group.gossip import Steers
-from ambershift.coordinator.group.life import NoFolderError
-from ambershift.coordinator.group.links.wire import Close, Kind, Refused, UnreadableError
-from ambershift.coordinator.group.links.words import Peer
+from ambershift.coordinator.group.interference_worker import InterferenceWorker
+from ambershift.coordinator.group.links.interfaces import Peer
+from ambershift.coordinator.group.links.wire import CloseReason, FrameKind, Refusal, UnreadableError
 from ambershift.coordinator.group.member import Member
-from ambershift.coordinator.group.rows import member_rows
-from ambershift.coordinator.group.spec import Spec
+from ambershift.coordinator.group.spec import MemberSpec
+from ambershift.coordinator.group.startup import NoFolderError
+from ambershift.coordinator.group.status_rows import member_rows
 from ambershift.coordinator.interference.records import Put
 from ambershift.coordinator.promises.answers import encode as encode_command
 from ambershift.coordinator.promises.answers import read_answer
@@ -48,7 +48,7 @@
     async def run() -> None:
         desk, log, loop = Virtual(), list[tuple[str, dict[str, Any]]](), asyncio.get_running_loop()
         peers = tuple(Peer(one, "127.0.0.1", 1) for one in voters if one != "a")
-        spec = Spec("g", "a", ("127.0.0.1", 1), folder, voters or ("a",), (), peers, S, 0)
+        spec = MemberSpec("g", "a", ("127.0.0.1", 1), folder, voters or ("a",), (), peers, S, 0)
         start = loop.time()
 
         def now() -> int:
@@ -93,7 +93,7 @@
     folder: bool, tmp_path: Path
 ) -> None:
     known = 1 << 62
-    refusal = Refused(Close.SUPERSEDED, "newer", known)
+    refusal = Refusal(CloseReason.SUPERSEDED, "newer", known)
 
     async def act(member: Member, desk: Virtual, log: Any) -> None:
         await member.submit("", desk.wish(*out(0)), S // 10)
@@ -110,18 +110,20 @@
         assert [fields["reason"] for event, fields in log if event == "group_halted"] == ["superseded"]
         rows = {row["name"]: row for row in member_rows(member)}
         assert rows["a"]["state"] == "halted" and rows["a"]["why"].startswith("superseded")
-        assert rows["b"]["link"] == Close.AWAY and not any(row["leader"] for row in rows.values())
+        assert rows["b"]["link"] == CloseReason.AWAY and not any(row["leader"] for row in rows.values())
 
     play(act, "a", "b", "c", folder=str(tmp_path / "f") if folder else "")
 
 
-@pytest.mark.parametrize("reason", [Close.SUPERSEDED, Close.CLONED, Close.OTHER_MEMBERS])
-def test_let_in_before_a_refusal_means_a_person_is_wanted(reason: Close) -> None:
+@pytest.mark.parametrize("reason", [CloseReason.SUPERSEDED, CloseReason.CLONED, CloseReason.OTHER_MEMBERS])
+def test_let_in_before_a_refusal_means_a_person_is_wanted(reason: CloseReason) -> None:
     async def act(member: Member, desk: Virtual, log: Any) -> None:
         member.came("b")
-        member.refused("c", Refused(reason, "why", 9))
+        member.refused("c", Refusal(reason, "why", 9))
         # What is wrong in the settings over there may be mended there.
-        assert (member.halted and member.halted[0]) == (None if reason is Close.OTHER_MEMBERS else reason)
+        assert (member.halted and member.halted[0]) == (
+            None if reason is CloseReason.OTHER_MEMBERS else reason
+        )
 
     play(act, "a", "b", "c")
 
@@ -180,9 +182,9 @@
             gossip.beat(now)
         assert not member.at_desk.holds and gossip.said(now, "w/s0/1") == {"a": b"0"}
         with pytest.raises(UnreadableError):
-            member.heard("b", Kind.HEARD, b"rubbish")
+            member.heard("b", FrameKind.HEARD, b"rubbish")
         with pytest.raises(UnreadableError):
-            member.heard("b", Kind.REPLICA, b"rubbish")
+            member.heard("b", FrameKind.REPLICA, b"rubbish")
 
     play(act)
 
@@ -218,7 +220,7 @@
 
     async def act(member: Member, desk: Virtual, log: Any) -> None:
         eased = list[dict[str, float]]()
-        counting = Counting(member.gossip, Fake, lambda: ["s0", "s1"], eased.append, member.note)  # type: ignore
+        counting = InterferenceWorker(member.gossip, Fake, lambda: ["s0", "s1"], eased.append, member.note)  # type: ignore
         counting.open()
         sample = ["n", "m", "s0", "t", 1, 1, 1.0, 1.0, 1.0, 1.0, 1.0]
         assert not Fake.made
