--- a/ambershift/coordinator/counters/__main__.py
+++ b/ambershift/coordinator/counters/__main__.py
@@ -14,16 +14,16 @@
 
 from ambershift.coordinator.counters.sources import Sources
 from ambershift.coordinator.group.links.wire import (
-    HELLO_MOST,
-    WIRE,
+    MAX_HELLO_BYTES,
+    WIRE_VERSION,
     FrameKind,
     Hello,
     Refusal,
     Role,
     UnreadableError,
+    decode_reply,
     encode,
-    frame,
-    read_reply,
+    encode_frame,
 )
 from ambershift.coordinator.interference import records
 from ambershift.coordinator.settings.checks import duration
@@ -70,12 +70,12 @@
         voters = tuple(one.name for one in group.member if one.votes)
         async with asyncio.timeout(LIMIT):
             socket = await session.ws_connect(
-                f"http://{group.listen}/", max_msg_size=HELLO_MOST, heartbeat=4.0
+                f"http://{group.listen}/", max_msg_size=MAX_HELLO_BYTES, heartbeat=4.0
             )
             await socket.send_bytes(
                 encode(
                     Hello(
-                        WIRE,
+                        WIRE_VERSION,
                         VERSION,
                         Role.COUNTERS,
                         self.name,
@@ -89,7 +89,7 @@
                 )
             )
             first = await socket.receive()
-        answer = read_reply(first.data if first.type is aiohttp.WSMsgType.BINARY else None)
+        answer = decode_reply(first.data if first.type is aiohttp.WSMsgType.BINARY else None)
         if isinstance(answer, Refusal):
             raise UnreadableError(f"refused: {answer.reason} ({answer.why})")
         self.up = True
@@ -103,7 +103,7 @@
                     continue
                 try:
                     async with asyncio.timeout(LIMIT):
-                        await socket.send_bytes(frame(FrameKind.COUNTERS, records.encode(batch)))
+                        await socket.send_bytes(encode_frame(FrameKind.COUNTERS, records.encode(batch)))
                 except BaseException:
                     self.sources.again(batch)
                     raise
--- a/ambershift/coordinator/group/links/handshake.py
+++ b/ambershift/coordinator/group/links/handshake.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ambershift.coordinator.group.links.wire import WIRE, CloseReason, Hello, Refusal, Role
+from ambershift.coordinator.group.links.wire import WIRE_VERSION, CloseReason, Hello, Refusal, Role
 
 
 class LocalIdentity(NamedTuple):
@@ -26,8 +26,8 @@
 
     def judge(self, mine: LocalIdentity, hello: Hello, loopback: bool = True) -> Refusal | None:
         """The refusal, or None; then its incarnation is the known one."""
-        if hello.wire != WIRE:
-            return refused(CloseReason.UNREADABLE, f"wire version {hello.wire}, here it is {WIRE}")
+        if hello.wire != WIRE_VERSION:
+            return refused(CloseReason.UNREADABLE, f"wire version {hello.wire}, here it is {WIRE_VERSION}")
         if hello.title != mine.title:
             return refused(
                 CloseReason.OTHER_GROUP, f"it is of group '{hello.title[:80]}', not '{mine.title}'"
--- a/ambershift/coordinator/group/links/incoming.py
+++ b/ambershift/coordinator/group/links/incoming.py
@@ -14,17 +14,17 @@
 from ambershift.coordinator.group.links.handshake import HandshakeValidator, refused
 from ambershift.coordinator.group.links.interfaces import LinkListener, LinkStatistics, failure
 from ambershift.coordinator.group.links.wire import (
-    HELLO_MOST,
-    MESSAGE_MOST,
+    MAX_HELLO_BYTES,
+    MAX_MESSAGE_BYTES,
     CloseReason,
     FrameKind,
     Hello,
     Role,
     UnreadableError,
     Welcome,
+    decode_frame,
+    decode_hello,
     encode,
-    read_frame,
-    read_hello,
 )
 from ambershift.version import VERSION
 
@@ -45,7 +45,7 @@
         self.runner: web.AppRunner | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        app = web.Application(client_max_size=HELLO_MOST)
+        app = web.Application(client_max_size=MAX_HELLO_BYTES)
         app.router.add_get("/", self.serve)
         # A link that breaks inside the handshake is no error of ours, and standard error is no place for it.
         silent = logging.getLogger("ambershift.coordinator.group.links")
@@ -68,7 +68,7 @@
             self.tally.counts[CloseReason.TOO_MANY] += 1
             return web.Response(status=503, text=CloseReason.TOO_MANY)
         socket = web.WebSocketResponse(
-            max_msg_size=MESSAGE_MOST, compress=False, heartbeat=HEARTBEAT, timeout=END_WITHIN
+            max_msg_size=MAX_MESSAGE_BYTES, compress=False, heartbeat=HEARTBEAT, timeout=END_WITHIN
         )
         await socket.prepare(request)
         self.open.add(socket)
@@ -82,7 +82,7 @@
         try:
             async with asyncio.timeout(HELLO_WITHIN):
                 first = await socket.receive()
-            hello = read_hello(first.data if first.type is WSMsgType.BINARY else None)
+            hello = decode_hello(first.data if first.type is WSMsgType.BINARY else None)
         except TimeoutError:
             return await self.end(socket, remote, CloseReason.SILENT, "no hello")
         except UnreadableError as error:
@@ -119,7 +119,7 @@
                     await self.end(socket, name, reason, str(message.data)[:200])
                 return
             try:
-                kind, payload = read_frame(message.data)
+                kind, payload = decode_frame(message.data)
                 if (kind is FrameKind.COUNTERS) != (hello.role == Role.COUNTERS):
                     raise UnreadableError(f"a frame of kind {kind.name} from a link of {hello.role}")
                 if kind is FrameKind.COUNTERS:
--- a/ambershift/coordinator/group/links/outgoing.py
+++ b/ambershift/coordinator/group/links/outgoing.py
@@ -13,17 +13,17 @@
 from ambershift.coordinator.group.links.interfaces import LinkListener, LinkStatistics, Peer
 from ambershift.coordinator.group.links.send_queue import FullError, SendQueue
 from ambershift.coordinator.group.links.wire import (
-    HELLO_MOST,
-    WIRE,
+    MAX_HELLO_BYTES,
+    WIRE_VERSION,
     CloseReason,
     FrameKind,
     Hello,
     Refusal,
     Role,
     UnreadableError,
+    decode_reply,
     encode,
-    frame,
-    read_reply,
+    encode_frame,
 )
 from ambershift.version import VERSION
 
@@ -61,7 +61,7 @@
         if not self.up or self.dropped:
             return False
         try:
-            if not self.queue.put(kind, frame(kind, payload)):
+            if not self.queue.put(kind, encode_frame(kind, payload)):
                 self.tally.counts["heard-left-out"] += 1
                 return False
         except FullError:
@@ -113,7 +113,7 @@
         async with asyncio.timeout(DIAL_LIMIT):
             self.socket = socket = await session.ws_connect(
                 f"http://{peer.host}:{peer.port}/",
-                max_msg_size=HELLO_MOST,
+                max_msg_size=MAX_HELLO_BYTES,
                 heartbeat=HEARTBEAT,
                 autoclose=True,
             )
@@ -121,7 +121,7 @@
             await socket.send_bytes(
                 encode(
                     Hello(
-                        WIRE,
+                        WIRE_VERSION,
                         VERSION,
                         self.role,
                         mine.name,
@@ -135,7 +135,7 @@
                 )
             )
             first = await socket.receive()
-        answer = read_reply(first.data if first.type is WSMsgType.BINARY else None)
+        answer = decode_reply(first.data if first.type is WSMsgType.BINARY else None)
         if isinstance(answer, Refusal):
             if answer.reason != self.refusal:  # Once; it will be the same each second.
                 self.note("link_refused", member=peer.name, reason=answer.reason, why=answer.why)
--- a/ambershift/coordinator/group/links/wire.py
+++ b/ambershift/coordinator/group/links/wire.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-WIRE = 1
+WIRE_VERSION = 1
 # A message that is longer is no message of ours: the largest, a snapshot, is cut into parts far below it.
-MESSAGE_MOST = 2 << 20
-HELLO_MOST = 16_384
+MAX_MESSAGE_BYTES = 2 << 20
+MAX_HELLO_BYTES = 16_384
 
 
 class CloseReason(StrEnum):
@@ -83,29 +83,29 @@
     """Bytes that are no message of this wire."""
 
 
-def read_hello(data: object) -> Hello:
+def decode_hello(data: object) -> Hello:
     try:
-        if not isinstance(data, bytes) or len(data) > HELLO_MOST:
+        if not isinstance(data, bytes) or len(data) > MAX_HELLO_BYTES:
             raise UnreadableError("no hello")
         return HELLO.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise UnreadableError(f"no hello ({error})") from None
 
 
-def read_reply(data: object) -> Welcome | Refusal:
+def decode_reply(data: object) -> Welcome | Refusal:
     try:
-        if not isinstance(data, bytes) or len(data) > HELLO_MOST:
+        if not isinstance(data, bytes) or len(data) > MAX_HELLO_BYTES:
             raise UnreadableError("no answer to a hello")
         return REPLY.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise UnreadableError(f"no answer to a hello ({error})") from None
 
 
-def frame(kind: FrameKind, payload: bytes) -> bytes:
+def encode_frame(kind: FrameKind, payload: bytes) -> bytes:
     return bytes((kind,)) + payload
 
 
-def read_frame(data: object) -> tuple[FrameKind, bytes]:
+def decode_frame(data: object) -> tuple[FrameKind, bytes]:
     if not isinstance(data, bytes) or not data:
         raise UnreadableError("an empty frame, or text")
     try:
--- a/tests/compatibility/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -60,8 +60,8 @@
 GROUP = {
     "replica": Form(group_messages.Message, group_messages.encode, group_messages.decode),
     "heard": Form(heard.Message, heard.encode, heard.decode),
-    "link hello": Form(links.Hello, links.encode, links.read_hello),
-    "link reply": Form(links.Welcome | links.Refusal, links.encode, links.read_reply),
+    "link hello": Form(links.Hello, links.encode, links.decode_hello),
+    "link reply": Form(links.Welcome | links.Refusal, links.encode, links.decode_reply),
     "samples": plain(list[Sample]),
     "heard body ill": plain(tuple[observations.ServerObservation, ...]),
     "heard body steers": plain(gossip.Steers),
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from ambershift.coordinator.group.links.wire import FrameKind, frame
+from ambershift.coordinator.group.links.wire import FrameKind, encode_frame
 from ambershift.coordinator.replication.heard.words import Kind as HeardKind
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import WORDS
@@ -92,5 +92,5 @@
 
 
 def test_numbers_of_frames_and_of_heard_records_are_those_of_2429538() -> None:
-    assert [frame(kind, b"x") for kind in sorted(FrameKind)] == [b"\x01x", b"\x02x", b"\x03x"]
+    assert [encode_frame(kind, b"x") for kind in sorted(FrameKind)] == [b"\x01x", b"\x02x", b"\x03x"]
     assert sorted(HeardKind) == list(range(1, 11))
--- a/tests/coordinator/counters/test_counters.py
+++ b/tests/coordinator/counters/test_counters.py
@@ -24,9 +24,9 @@
     Refusal,
     Role,
     Welcome,
+    decode_frame,
+    decode_hello,
     encode,
-    read_frame,
-    read_hello,
 )
 from ambershift.coordinator.interference.records import read_samples
 from ambershift.coordinator.interference.words import Sample
@@ -146,7 +146,7 @@
     async def serve(self, request: web.Request) -> web.WebSocketResponse:
         socket = web.WebSocketResponse()
         await socket.prepare(request)
-        self.hellos.append(read_hello((await socket.receive()).data))
+        self.hellos.append(decode_hello((await socket.receive()).data))
         if self.refusing:
             await socket.send_bytes(encode(Refusal("too-many", "enough")))
             await socket.close()
@@ -155,7 +155,7 @@
         self.links.append(socket)
         async for message in socket:
             assert message.type is WSMsgType.BINARY
-            kind, payload = read_frame(message.data)
+            kind, payload = decode_frame(message.data)
             assert kind is FrameKind.COUNTERS
             self.samples += read_samples(payload)
         return socket
--- a/tests/coordinator/group/test_links.py
+++ b/tests/coordinator/group/test_links.py
@@ -18,8 +18,8 @@
 from ambershift.coordinator.group.links.link_manager import LinkManager
 from ambershift.coordinator.group.links.send_queue import FullError, SendQueue
 from ambershift.coordinator.group.links.wire import (
-    MESSAGE_MOST,
-    WIRE,
+    MAX_MESSAGE_BYTES,
+    WIRE_VERSION,
     CloseReason,
     FrameKind,
     Hello,
@@ -27,9 +27,9 @@
     Role,
     UnreadableError,
     Welcome,
+    decode_reply,
     encode,
-    frame,
-    read_reply,
+    encode_frame,
 )
 from ambershift.coordinator.standins.rig import own_host
 from ambershift.coordinator.standins.world import until
@@ -114,7 +114,7 @@
 
 def hello(**changes: Any) -> Hello:
     return msgspec.structs.replace(
-        Hello(WIRE, "x", Role.MEMBER, "b", "a", 9, "run", "G", "g", VOTERS), **changes
+        Hello(WIRE_VERSION, "x", Role.MEMBER, "b", "a", 9, "run", "G", "g", VOTERS), **changes
     )
 
 
@@ -130,7 +130,7 @@
         message = await socket.receive(timeout=5)
         if message.type is not aiohttp.WSMsgType.BINARY:
             return None, socket.close_code
-        reply = read_reply(message.data)
+        reply = decode_reply(message.data)
         with contextlib.suppress(ConnectionError, aiohttp.ClientError):  # Closed while it still sends.
             for one in more:
                 await socket.send_bytes(one)
@@ -178,12 +178,12 @@
 
 
 FRAMES = [
-    (frame(FrameKind.REPLICA, b"bad"), CloseReason.UNREADABLE, 1007),
-    (frame(FrameKind.REPLICA, b"broken"), CloseReason.UNREADABLE, 1007),
+    (encode_frame(FrameKind.REPLICA, b"bad"), CloseReason.UNREADABLE, 1007),
+    (encode_frame(FrameKind.REPLICA, b"broken"), CloseReason.UNREADABLE, 1007),
     (b"", CloseReason.UNREADABLE, 1007),
     (b"\x63what", CloseReason.UNREADABLE, 1007),
-    (frame(FrameKind.COUNTERS, b"\x90"), CloseReason.UNREADABLE, 1007),
-    (bytes(MESSAGE_MOST + 1), CloseReason.TOO_LARGE, 1009),
+    (encode_frame(FrameKind.COUNTERS, b"\x90"), CloseReason.UNREADABLE, 1007),
+    (bytes(MAX_MESSAGE_BYTES + 1), CloseReason.TOO_LARGE, 1009),
 ]
 
 
@@ -196,7 +196,7 @@
     async def act(top: Top, other: Top) -> None:
         await until(lambda: not top.links.tally.ways["c"])
         reply, ended = await by_hand(
-            top, hello(), frame(FrameKind.HEARD, b"good"), data, frame(FrameKind.HEARD, b"x")
+            top, hello(), encode_frame(FrameKind.HEARD, b"good"), data, encode_frame(FrameKind.HEARD, b"x")
         )
         assert isinstance(reply, Welcome) and ended in (
             code,
@@ -354,7 +354,7 @@
             new = await session.ws_connect(f"http://{host}:{port}/")
             await new.send_bytes(encode(hello()))
             await new.receive()
-            await new.send_bytes(frame(FrameKind.REPLICA, b"now"))
+            await new.send_bytes(encode_frame(FrameKind.REPLICA, b"now"))
             assert (await old.receive(timeout=5)).type is aiohttp.WSMsgType.CLOSE
             await until(lambda: top.got == [("b", FrameKind.REPLICA, b"now")])
         assert top.count(CloseReason.REPLACED) == 1
