--- a/ambershift/coordinator/promises/machine.py
+++ b/ambershift/coordinator/promises/machine.py
@@ -43,7 +43,7 @@
 
 
 class PromisesMachine:
-    """Implements `replication.words.Machine`."""
+    """Implements `replication.types.Machine`."""
 
     def __init__(self, guard: Guard | None = None) -> None:
         self.guard = guard
--- a/tests/coordinator/counters/test_counters.py
+++ b/tests/coordinator/counters/test_counters.py
@@ -20,13 +20,13 @@
 from ambershift.coordinator.counters.standin import rows
 from ambershift.coordinator.counters.worlds import SLOT_NS
 from ambershift.coordinator.group.links.wire import (
-    Kind,
-    Refused,
+    FrameKind,
+    Refusal,
     Role,
     Welcome,
+    decode_frame,
+    decode_hello,
     encode,
-    read_frame,
-    read_hello,
 )
 from ambershift.coordinator.interference.records import read_samples
 from ambershift.coordinator.interference.words import Sample
@@ -146,17 +146,17 @@
     async def serve(self, request: web.Request) -> web.WebSocketResponse:
         socket = web.WebSocketResponse()
         await socket.prepare(request)
-        self.hellos.append(read_hello((await socket.receive()).data))
+        self.hellos.append(decode_hello((await socket.receive()).data))
         if self.refusing:
-            await socket.send_bytes(encode(Refused("too-many", "enough")))
+            await socket.send_bytes(encode(Refusal("too-many", "enough")))
             await socket.close()
             return socket
         await socket.send_bytes(encode(Welcome("test", "n1", 1)))
         self.links.append(socket)
         async for message in socket:
             assert message.type is WSMsgType.BINARY
-            kind, payload = read_frame(message.data)
-            assert kind is Kind.COUNTERS
+            kind, payload = decode_frame(message.data)
+            assert kind is FrameKind.COUNTERS
             self.samples += read_samples(payload)
         return socket
 
