--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -1,9 +1,11 @@
 """One pool's tables: feeds the decision module (`ambershift/policy/`), and turns its orders into messages.
 
-Orders that proxies have no use for are dropped: levels and masks (a proxy admits and repeats by its routes,
-and by budgets of its own); watches, fetches, probes, tells and notes, which the terms here never ask for; and
-of withdrawals those of missing backends, which leave with the list, and those taken back, since draining is
-for good.
+Orders that proxies of this system have no use for are dropped:
+
+- admission levels and masks: a proxy admits and retries by its routes, and by budgets of its own;
+- watches, fetches, probes, messages to peers and notes, which the terms here never ask for;
+- withdrawals of missing backends, which proxies remove with the endpoint list, and ends of withdrawals, since
+  draining is for good.
 """
 
 from __future__ import annotations
@@ -17,17 +19,25 @@
 
 from ambershift import interface as api
 from ambershift.policy import TableManager
-from ambershift.system.distribution.overload_threshold import CALM, OverloadThreshold
-from ambershift.system.messages.proxy_link import BackendLoad as Told
-from ambershift.system.messages.proxy_link import BindTable, TableEntry
+from ambershift.system.distribution.overload_threshold import CLEAR_FRACTION, OverloadThreshold
+from ambershift.system.messages.proxy_link import BackendLoad, BindTable, TableEntry
 from ambershift.system.state_machine import NS_PER_MS
 
-DEALT_ON_LIST, DEALT_WHILE_BUSY, DEALT_AT_REST = 100 * NS_PER_MS, 250 * NS_PER_MS, 1000 * NS_PER_MS
+# Least time between two steps.
+STEP_INTERVAL_LIST_CHANGED_NS = 100 * NS_PER_MS
+STEP_INTERVAL_BUSY_NS = 250 * NS_PER_MS
+STEP_INTERVAL_IDLE_NS = 1000 * NS_PER_MS
 
 
 @dataclass(frozen=True, slots=True)
 class PoolBackend:
-    """A backend as the pool has it; a weight of 0 keeps it out of tables without a withdrawal."""
+    """A backend as a member of a pool.
+
+    Attributes:
+        zone: The zone's number; -1 if it is unknown.
+        phase: Ready, draining or gone.
+        weight: 0 keeps it out of tables without a withdrawal.
+    """
 
     zone: int
     phase: api.Phase
@@ -36,157 +46,217 @@
 
 @dataclass(slots=True)
 class TableChanges:
-    """What a step makes: backends to eject (before all else), messages to proxies, barriers."""
+    """What a step orders.
+
+    Attributes:
+        ejected_ids: Backends to eject, before all else is sent.
+        messages: Proxy and message, in the order to send them.
+        barriers: Number of a mark of the decision module, and the proxies that have to apply what was sent
+            before it.
+    """
 
-    shut: list[str] = field(default_factory=list)
-    sends: list[tuple[str, msgspec.Struct]] = field(default_factory=list)
-    marks: list[tuple[int, list[str]]] = field(default_factory=list)
+    ejected_ids: list[str] = field(default_factory=list)
+    messages: list[tuple[str, msgspec.Struct]] = field(default_factory=list)
+    barriers: list[tuple[int, list[str]]] = field(default_factory=list)
 
 
 @functools.lru_cache(1 << 16)
 def index_of(name: str) -> int:
-    """A number for a name that is the same at all control nodes, so that all deal in one order."""
+    """A number for a name that is the same at all control nodes, so that all assign in one order."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=7).digest(), "big")
 
 
 class Assigner:
-    """Feeds one pool's decision module and translates its orders."""
+    """Feeds one pool's decision module and translates its orders.
+
+    Attributes:
+        pool: The pool's name.
+        module: The decision module.
+        events: What the module is told with the next step.
+        backend_ids: Ids of the backends, by their numbers (`index_of`).
+        backends: The pool's backends, by id.
+        proxies: Names of all proxies, by their numbers.
+        local_proxies: Names of those linked to this node; of the others only the traffic counts.
+        bound_tables: Number of the table that each local proxy uses.
+        tables: Weight of each backend, by the numbers of the table and of the backend.
+        terms: The module's terms, with the present overload threshold.
+        overload_threshold: Decides that threshold.
+        timer_token: Of the timer that the module has started; 0 if it has none.
+    """
 
     def __init__(self, pool: str, terms: api.Terms, seed: int) -> None:
-        self.pool, self.module = pool, TableManager()
+        """Start without backends and proxies.
+
+        Args:
+            pool: The pool's name.
+            terms: The decision module's terms at the start.
+            seed: The decision module's.
+        """
+        self.pool = pool
+        self.module = TableManager()
         self.events: list[api.Event] = [api.Started(seed, terms)]
-        self.names: dict[int, str] = {}  # Of backends.
-        self.seats: dict[str, PoolBackend] = {}
+        self.backend_ids: dict[int, str] = {}
+        self.backends: dict[str, PoolBackend] = {}
         self.proxies: dict[int, str] = {}
-        self.local: set[str] = set()  # Proxies linked here; of the others only the traffic counts.
-        self.bound: dict[str, int] = {}
+        self.local_proxies: set[str] = set()
+        self.bound_tables: dict[str, int] = {}
         self.tables: dict[int, dict[int, float]] = {}
-        self.met: dict[tuple[int, str], tuple[int, int, int]] = {}
-        self.terms, self.overload_threshold, self.born = terms, OverloadThreshold(terms.overload_limit), False
-        self.token = 0
-        self.busy, self.listed, self.dealt_at = True, False, -(1 << 62)
+        self.terms = terms
+        self.overload_threshold = OverloadThreshold(terms.overload_limit)
+        self.timer_token = 0
+        # By zone number and backend id, since the last step: attempts, failures, time of successes (ns).
+        self._results: dict[tuple[int, str], tuple[int, int, int]] = {}
+        self._started = False  # Whether the module has had its first step.
+        self._busy = True  # Whether something has changed since the last step.
+        self._list_changed = False
+        self._stepped_at = -(1 << 62)
 
-    def update_backends(self, seats: dict[str, PoolBackend]) -> None:
+    def update_backends(self, backends: dict[str, PoolBackend]) -> None:
         """Add the pool's backends that are new or changed."""
         entries = list[api.Entry]()
-        for id, seat in seats.items():
-            if seat != self.seats.get(id) and (seat.phase or id in self.seats):
-                self.seats[id] = seat
+        for id, backend in backends.items():
+            if backend != self.backends.get(id) and (backend.phase or id in self.backends):
+                self.backends[id] = backend
                 index = index_of(id)
-                self.names[index] = id
-                entries.append(api.Entry(index, seat.zone, seat.phase, seat.weight, 0))
+                self.backend_ids[index] = id
+                entries.append(api.Entry(index, backend.zone, backend.phase, backend.weight, 0))
         if entries:
             self.events.append(api.Listed(False, False, tuple(entries)))
-            self.busy = self.listed = True
+            self._busy = self._list_changed = True
+
+    def add_proxy(self, proxy: str, zone: int, is_local: bool) -> None:
+        """Add a proxy.
 
-    def add_proxy(self, proxy: str, zone: int, here: bool) -> None:
-        """Add a proxy; `here` if it is linked to this node."""
+        Args:
+            proxy: Its name.
+            zone: The number of its zone; -1 if it is unknown.
+            is_local: Whether it is linked to this node.
+        """
         self.proxies[index_of(proxy)] = proxy
-        self.bound.pop(proxy, None)
-        (self.local.add if here else self.local.discard)(proxy)
+        self.bound_tables.pop(proxy, None)
+        if is_local:
+            self.local_proxies.add(proxy)
+        else:
+            self.local_proxies.discard(proxy)
         self.events.append(api.Joined(index_of(proxy), zone, 1.0, True))
-        self.busy = True
+        self._busy = True
 
     def remove_proxy(self, proxy: str) -> None:
         """Remove a proxy."""
         self.proxies.pop(index_of(proxy), None)
-        self.bound.pop(proxy, None)
-        self.local.discard(proxy)
+        self.bound_tables.pop(proxy, None)
+        self.local_proxies.discard(proxy)
         self.overload_threshold.remove_proxy(proxy)
         self.events.append(api.Left(index_of(proxy)))
-        self.busy = True
-
-    def record_requests(self, proxy: str, count: int, span: int) -> None:
-        """Requests of the pool that came to a proxy over a span (ns)."""
-        self.events.append(api.DemandReport(index_of(proxy), 0, count, 0, span))
-        self.overload_threshold.record_requests(proxy, count, span)
-
-    def record_results(self, zone: int, met: Told) -> None:
-        """A proxy's results at a backend; summed by zone, backend and step."""
-        if met.backend_id in self.seats:
-            tries, bad, took = self.met.get((zone, met.backend_id), (0, 0, 0))
-            good = met.attempts - met.failures
-            self.met[zone, met.backend_id] = (
-                tries + met.attempts,
-                bad + met.failures,
-                took + met.mean_latency_ms * NS_PER_MS * good,
+        self._busy = True
+
+    def record_requests(self, proxy: str, count: int, span_ns: int) -> None:
+        """Record how many requests of the pool came to a proxy over a span."""
+        self.events.append(api.DemandReport(index_of(proxy), 0, count, 0, span_ns))
+        self.overload_threshold.record_requests(proxy, count, span_ns)
+
+    def record_results(self, zone: int, load: BackendLoad) -> None:
+        """Add the results that a proxy of this zone had at a backend."""
+        if load.backend_id in self.backends:
+            attempts, failures, successes_ns = self._results.get((zone, load.backend_id), (0, 0, 0))
+            successes = load.attempts - load.failures
+            self._results[zone, load.backend_id] = (
+                attempts + load.attempts,
+                failures + load.failures,
+                successes_ns + load.mean_latency_ms * NS_PER_MS * successes,
             )
 
-    def record_applied(self, mark: int, proxy: str, took: int) -> None:
-        """Note that a proxy has applied what came before a barrier; `took` is ns from sending to answer."""
-        self.events.append(api.Applied(mark, took, index_of(proxy)))
-        self.busy = True
+    def record_applied(self, mark: int, proxy: str, elapsed_ns: int) -> None:
+        """Record that a proxy has applied what was sent before a barrier, so long after it was sent."""
+        self.events.append(api.Applied(mark, elapsed_ns, index_of(proxy)))
+        self._busy = True
 
     def step(self, now: int) -> TableChanges | None:
-        """Deal, where it is time to: soon on a change of the list, else at the pace of the channel."""
-        pace = DEALT_ON_LIST if self.listed else DEALT_WHILE_BUSY if self.busy else DEALT_AT_REST
-        if now < self.dealt_at + pace:
+        """Run the decision module if a step is due; None if it isn't.
+
+        A step is due soon after a change of the endpoint list, else at the pace at which proxies apply
+        changes, and once a second if nothing has changed.
+        """
+        if self._list_changed:
+            interval = STEP_INTERVAL_LIST_CHANGED_NS
+        else:
+            interval = STEP_INTERVAL_BUSY_NS if self._busy else STEP_INTERVAL_IDLE_NS
+        if now < self._stepped_at + interval:
             return None
-        span = min(max(now - self.dealt_at, DEALT_WHILE_BUSY), 2 * DEALT_AT_REST)
-        for (zone, id), (tries, bad, took) in self.met.items():
-            mean = took // (tries - bad) if tries > bad else 0
-            self.events.append(api.ServerReport(zone, index_of(id), tries, bad, mean, span, ()))
-        events = [*self.events, *([api.TimerFired(self.token)] if self.token else ())]
-        good = sum(tries - bad for tries, bad, _ in self.met.values())
-        if good:
-            self.overload_threshold.record_mean_latency(sum(took for _, _, took in self.met.values()) / good)
-        self.met, self.events, self.busy, self.listed, self.dealt_at = {}, [], False, False, now
-        self._retune()
+        span_ns = min(max(now - self._stepped_at, STEP_INTERVAL_BUSY_NS), 2 * STEP_INTERVAL_IDLE_NS)
+        for (zone, id), (attempts, failures, successes_ns) in self._results.items():
+            mean_ns = successes_ns // (attempts - failures) if attempts > failures else 0
+            self.events.append(api.ServerReport(zone, index_of(id), attempts, failures, mean_ns, span_ns, ()))
+        events = [*self.events, *([api.TimerFired(self.timer_token)] if self.timer_token else ())]
+        successes = sum(attempts - failures for attempts, failures, _ in self._results.values())
+        if successes:
+            total_ns = sum(successes_ns for _, _, successes_ns in self._results.values())
+            self.overload_threshold.record_mean_latency(total_ns / successes)
+        self._results = {}
+        self.events = []
+        self._busy = self._list_changed = False
+        self._stepped_at = now
+        self._update_terms()
         return self._carry_out(self.module.step(now, events))
 
-    def _retune(self) -> None:
-        """The threshold of expected overload follows what the pool has to spare."""
+    def _update_terms(self) -> None:
+        """Adapt the threshold of expected overload to the pool's spare capacity."""
         limit = self.overload_threshold.update(
-            sum(seat.weight for seat in self.seats.values() if seat.phase == api.Phase.READY)
+            sum(backend.weight for backend in self.backends.values() if backend.phase == api.Phase.READY)
         )
-        if self.born and limit != self.terms.overload_limit:
-            self.terms = self.terms._replace(overload_limit=limit, overload_calm=CALM * limit)
+        if self._started and limit != self.terms.overload_limit:
+            self.terms = self.terms._replace(overload_limit=limit, overload_calm=CLEAR_FRACTION * limit)
             self.module.terms = self.terms
-        self.born = True  # By the step that follows.
+        self._started = True  # By the step that follows.
 
     def _carry_out(self, orders: Iterable[api.Order]) -> TableChanges:
-        dealt, written = TableChanges(), set[str]()
+        changes = TableChanges()
+        affected_proxies = set[str]()  # Those that are sent something in this step, so far.
         for order in orders:
             match order:
                 case api.StartTimer():
-                    self.token = order.token
+                    self.timer_token = order.token
                 case api.Withdraw():
-                    written |= self.local
-                    id = self.names[order.server]
-                    if order.out and self.seats[id].phase == api.Phase.DRAINING:
-                        dealt.shut.append(id)
+                    affected_proxies |= self.local_proxies
+                    id = self.backend_ids[order.server]
+                    if order.out and self.backends[id].phase == api.Phase.DRAINING:
+                        changes.ejected_ids.append(id)
                 case api.SetWeight():
-                    written |= self._line(order, dealt)
+                    affected_proxies |= self._set_weight(order, changes)
                 case api.Bind():
-                    written |= self._bind(order, dealt)
+                    affected_proxies |= self._bind(order, changes)
                 case api.Mark():
-                    dealt.marks.append((order.mark, sorted(written)))
+                    changes.barriers.append((order.mark, sorted(affected_proxies)))
+                    # The module must not wait for proxies that other control nodes send to.
                     self.events += [
                         api.Applied(order.mark, 0, index)
                         for index, proxy in self.proxies.items()
-                        if proxy not in self.local
+                        if proxy not in self.local_proxies
                     ]
-                    self.busy = True
+                    self._busy = True
                 case api.Forget():
-                    self.seats.pop(self.names.pop(order.server, ""), None)
-        return dealt
+                    self.backends.pop(self.backend_ids.pop(order.server, ""), None)
+        return changes
 
-    def _line(self, order: api.SetWeight, dealt: TableChanges) -> set[str]:
+    def _set_weight(self, order: api.SetWeight, changes: TableChanges) -> set[str]:
+        """Change an entry of a table; returns the proxies that use the table."""
         table = self.tables.setdefault(order.table, {})
         if order.weight:
             table[order.server] = order.weight
         else:
             table.pop(order.server, None)
-        users = {proxy for proxy, bound in self.bound.items() if bound == order.table}
-        line = TableEntry(self.pool, order.table, self.names[order.server], order.weight)
-        dealt.sends += [(proxy, line) for proxy in sorted(users)]
+        users = {proxy for proxy, bound in self.bound_tables.items() if bound == order.table}
+        entry = TableEntry(self.pool, order.table, self.backend_ids[order.server], order.weight)
+        changes.messages += [(proxy, entry) for proxy in sorted(users)]
         return users
 
-    def _bind(self, order: api.Bind, dealt: TableChanges) -> set[str]:
-        proxy, table = self.proxies[order.proxy], self.tables.get(order.table, {})
-        if proxy not in self.local:
+    def _bind(self, order: api.Bind, changes: TableChanges) -> set[str]:
+        """Have a local proxy use a table; returns the proxy, or nothing if it isn't linked here."""
+        proxy = self.proxies[order.proxy]
+        table = self.tables.get(order.table, {})
+        if proxy not in self.local_proxies:
             return set()
-        self.bound[proxy] = order.table
-        lines = tuple((self.names[index], weight) for index, weight in sorted(table.items()))
-        dealt.sends.append((proxy, BindTable(self.pool, order.table, lines)))
+        self.bound_tables[proxy] = order.table
+        entries = tuple((self.backend_ids[index], weight) for index, weight in sorted(table.items()))
+        changes.messages.append((proxy, BindTable(self.pool, order.table, entries)))
         return {proxy}
--- a/ambershift/system/distribution/pools.py
+++ b/ambershift/system/distribution/pools.py
@@ -1,4 +1,4 @@
-"""Which pools the operator's routes make: a service's backends within the homes of a route."""
+"""Which pools the operator's routes make: a service's backends within the home regions of a route."""
 
 from __future__ import annotations
 
@@ -11,12 +11,19 @@
 from ambershift.system.messages.items import ROUTE, Item
 from ambershift.system.messages.proxy_link import pool_name
 
-USUAL_MS = 500
+DEFAULT_TARGET_MS = 500
 
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """`homes`: the regions its backends may be in (none: all). `target_ms`: when answers are wanted."""
+    """The backends of a service that certain routes may use.
+
+    Attributes:
+        name: As `pool_name` makes it.
+        service: The service's name.
+        home_regions: The regions that its backends may be in; none stands for all.
+        target_ms: Within which time responses are wanted.
+    """
 
     name: str
     service: str
@@ -26,21 +33,24 @@
 
 def pools_of_routes(items: Iterable[Item]) -> dict[str, Pool]:
     """All pools by name, each with the shortest target of its routes."""
-    found = dict[str, Pool]()
+    pools = dict[str, Pool]()
     for item in items:
         if item.kind != ROUTE or item.body is None:
             continue
-        body = msgspec.json.decode(item.body)
-        homes = tuple(sorted(body.get("ServingRegions") or ()))
-        target = int(body.get("TargetMs") or USUAL_MS)
-        for service in _services(body):
-            name = pool_name(service, homes)
-            known = found.get(name)
-            found[name] = Pool(name, service, homes, min(target, known.target_ms) if known else target)
-    return found
-
-
-def _services(body: dict[str, Any]) -> list[str]:
-    if body.get("Service"):
-        return [body["Service"]]
-    return [part["Service"] for part in body.get("Distribution") or ()]
+        route = msgspec.json.decode(item.body)
+        home_regions = tuple(sorted(route.get("ServingRegions") or ()))
+        target_ms = int(route.get("TargetMs") or DEFAULT_TARGET_MS)
+        for service in _services(route):
+            name = pool_name(service, home_regions)
+            known = pools.get(name)
+            pools[name] = Pool(
+                name, service, home_regions, min(target_ms, known.target_ms) if known else target_ms
+            )
+    return pools
+
+
+def _services(route: dict[str, Any]) -> list[str]:
+    """The services that a route sends requests to: one, or those that it distributes them over."""
+    if route.get("Service"):
+        return [route["Service"]]
+    return [part["Service"] for part in route.get("Distribution") or ()]
--- a/ambershift/system/distribution/terms.py
+++ b/ambershift/system/distribution/terms.py
@@ -1,4 +1,7 @@
-"""The decision module's terms for pools of this system: small tables, our own channel, no cold servers."""
+"""The decision module's terms for pools of this system.
+
+Their tables are small, each control node has links of its own to proxies, and cold backends are left out.
+"""
 
 from __future__ import annotations
 
@@ -8,22 +11,36 @@
 from ambershift.system.distribution.pools import Pool
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
-# A service has about two backends a zone, and answers from other regions are the dearest price: a zone may
-# live on one backend, and on one of its two while the other is replaced. A proxy whose table is full goes on
-# to its region by itself. Under 1, so that a zone that got none counts as over. This is where the threshold
-# begins; `overload_threshold.py` moves it once rates and times are known.
-WORTH_LEAST, OVERLOAD_LIMIT, OVERLOAD_CALM = 0.9, 0.95, 0.85
-LINES_PER_S, WAITING_MOST, MESSAGE_COST = 3000.0, 6000.0, 1.0
+# A service has about two backends a zone, and responses from other regions cost the most: a zone may live on
+# one backend, and on one of its two while the other is replaced. A proxy whose table is full sends requests
+# on to its region by itself.
+MIN_TABLE_BACKENDS = 0.9  # Of a zone's own table, in warm backends.
+# The overload that a zone may expect, as a part of its capacity; `overload_threshold.py` changes it once
+# rates and service times are known. It is under 1, so that a zone without any backend (1.0) is overloaded.
+INITIAL_OVERLOAD_LIMIT = 0.95
+INITIAL_OVERLOAD_CLEAR = 0.85  # Overload ends under it (hysteresis).
+# The channel to the proxies, in table entries.
+ENTRIES_PER_S = 3000.0
+MAX_PENDING_ENTRIES = 6000.0
+MESSAGE_COST = 1.0
 
 
 def zone_order(zones: Mapping[str, str]) -> tuple[str, ...]:
-    """Zones in the order that all control nodes number them by."""
+    """Zones in the order by which all control nodes number them."""
     return tuple(sorted(zones))
 
 
 def terms_for(pool: Pool, zones: Mapping[str, str]) -> api.Terms:
-    """`zones`: the region of each zone. Cold backends are kept out before the module sees them."""
-    names, regions = zone_order(zones), sorted(set(zones.values()))
+    """The terms of one pool.
+
+    Backends that are cold reach the decision module with weight 0, so its own handling of them is off.
+
+    Args:
+        pool: The pool.
+        zones: The region of each zone.
+    """
+    names = zone_order(zones)
+    regions = sorted(set(zones.values()))
     group = api.Group(
         budget=pool.target_ms * NS_PER_MS,
         expiry=4 * pool.target_ms * NS_PER_MS,
@@ -43,9 +60,9 @@
         cold_share=1.0,
         fall_multiple=4.0,
         bare_limit=4 * NS_PER_SECOND,
-        lines_per_s=LINES_PER_S,
+        lines_per_s=ENTRIES_PER_S,
         head=MESSAGE_COST,
-        waiting_limit=WAITING_MOST,
+        waiting_limit=MAX_PENDING_ENTRIES,
         message_limit=0,
         message_span=10 * NS_PER_SECOND,
         way=NS_PER_SECOND // 20,
@@ -57,10 +74,10 @@
         in_hand=NS_PER_SECOND,
         lease=NS_PER_SECOND,
         strikes=5,
-        # Of a zone one part only: another control node would part the same proxies another way.
+        # A zone isn't split into parts, since other control nodes would split the same proxies differently.
         proxies=1.0,
-        worth_least=WORTH_LEAST,
-        overload_limit=OVERLOAD_LIMIT,
-        overload_calm=OVERLOAD_CALM,
+        worth_least=MIN_TABLE_BACKENDS,
+        overload_limit=INITIAL_OVERLOAD_LIMIT,
+        overload_calm=INITIAL_OVERLOAD_CLEAR,
         regions=tuple(regions.index(zones[name]) for name in names),
     )
--- a/benchmarks/capacity/assigner.py
+++ b/benchmarks/capacity/assigner.py
@@ -41,13 +41,13 @@
 
     def deal(self) -> None:
         for assigner in self.assigners:
-            dealt = assigner.step(self.now)
-            for name, message in dealt.sends if dealt else ():
+            changes = assigner.step(self.now)
+            for name, message in changes.messages if changes else ():
                 self.sent += len(codec.encode(message))
                 if isinstance(message, BindTable):
                     self.tables.add(message.table)
                 assert name
-            for mark, names in dealt.marks if dealt else ():
+            for mark, names in changes.barriers if changes else ():
                 for name in names:
                     assigner.record_applied(mark, name, NS_PER_SECOND // 20)
 
@@ -78,7 +78,7 @@
     for pool, assigner in enumerate(hall.assigners):
         assigner.update_backends({f"i-{pool}-3": hall.seat(pool, 3, 0.0)})
     found[f"{told}: step after a change of the list|ms"] = micros(hall.due, 1) / 1e3 / POOLS
-    found[f"{told}: tables dealt|number"] = len(hall.tables)
+    found[f"{told}: tables changes|number"] = len(hall.tables)
     found[f"{told}: sent for that change, a pool|B"] = hall.sent / POOLS
     return found
 
