--- a/ambershift/system/__main__.py
+++ b/ambershift/system/__main__.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from ambershift.system.settings.process_settings import (
-    VARIABLE,
+    SETTINGS_VARIABLE,
     ProcessSettings,
     SettingsError,
     read_settings,
@@ -24,7 +24,7 @@
     made = argparse.ArgumentParser(
         prog="python3 -m ambershift.system",
         description="A global load balancer: its two programs and its checks.",
-        epilog=f"example: {VARIABLE}=/etc/ambershift/local.toml python3 -m ambershift.system proxy",
+        epilog=f"example: {SETTINGS_VARIABLE}=/etc/ambershift/local.toml python3 -m ambershift.system proxy",
     )
     verbs = made.add_subparsers(dest="verb", required=True, metavar="VERB")
     for verb, text in (
@@ -34,9 +34,9 @@
         one = verbs.add_parser(verb, help=text, description=text)
         one.add_argument(
             "--settings",
-            default=os.environ.get(VARIABLE),
+            default=os.environ.get(SETTINGS_VARIABLE),
             metavar="FILE",
-            help=f"the settings file (as {VARIABLE} names it)",
+            help=f"the settings file (as {SETTINGS_VARIABLE} names it)",
         )
     one = verbs.add_parser("check-settings", help="check a settings file, as at a start")
     one.add_argument("file")
@@ -111,7 +111,7 @@
         return check_configuration(asked.file)
     file = asked.file if asked.verb == "check-settings" else asked.settings
     if not file:
-        print(f"no settings file: give --settings FILE or set {VARIABLE}", file=sys.stderr)
+        print(f"no settings file: give --settings FILE or set {SETTINGS_VARIABLE}", file=sys.stderr)
         return 2
     if asked.verb != "check-settings":
         # It would end a process that is still loading; so it waits, and the file is then read once more.
--- a/ambershift/system/settings/process_settings.py
+++ b/ambershift/system/settings/process_settings.py
@@ -8,7 +8,9 @@
 from pathlib import Path
 from typing import Any
 
-VARIABLE = "AMBERSHIFT_SETTINGS"
+SETTINGS_VARIABLE = "AMBERSHIFT_SETTINGS"  # Environment variable with the path of the file.
+MAX_PORT = 65535
+INTERNAL_PORT_COUNT = 2
 
 
 @dataclass(eq=False)
@@ -58,16 +60,18 @@
 
     Attributes:
         file: The path that the settings were read from.
+        name: The setting `SelfEntity.NodeName`.
+        machine_class: The setting `SelfEntity.MachineClass`.
         ip: This machine's ip on the internal network.
         counted: The setting `SelfEntity.Counted`.
         initial: Whether this control node belongs to the first voters.
-        folder: The data directory; None if the process stores nothing.
-        internal: The internal ports; links use the first one.
+        data_directory: The data directory; None if the process stores nothing.
+        internal_ports: The internal ports; links use the first one.
         seeds: Addresses of control nodes to start from.
-        listen: The address to listen at, by what is served there.
+        listen_addresses: The address to listen at, by what is served there.
         zones: The region of each zone.
-        heartbeat: Seconds between the heartbeats of a backend.
-        tolerated: How many machines, zones and regions may be lost at the same time.
+        heartbeat_interval_s: Seconds between the heartbeats of a backend.
+        tolerated_losses: How many machines, zones and regions may be lost at the same time.
     """
 
     file: str
@@ -93,8 +97,9 @@
         return tuple(seed.rpartition(":")[0] for seed in self.seeds)
 
 
-# Key in `TimerBounds`, field of `Bounds`, and the key's unit in seconds (1 also for plain numbers).
-BOUNDS = (
+# Key in `Provisions.TimerBounds`, field of `TimerBounds`, and the key's unit in seconds (1 also for plain
+# numbers).
+TIMER_BOUND_KEYS = (
     ("ContactMs", "contact", 1e-3),
     ("AckMs", "acknowledge", 1e-3),
     ("CatchUpS", "catch_up", 1),
@@ -114,32 +119,39 @@
 )
 
 
-class Reader:
-    """Reads values from nested tables, with file and key in each error."""
+class SettingsReader:
+    """Reads values from nested tables, with file and key in each error.
 
-    def __init__(self, file: str, found: Mapping[str, Any]) -> None:
-        self.file, self.found = file, found
+    Attributes:
+        file: The path of the file.
+        tables: What the file contains.
+    """
 
-    def take(self, key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
+    def __init__(self, file: str, tables: Mapping[str, Any]) -> None:
+        """Read from these tables."""
+        self.file = file
+        self.tables = tables
+
+    def value(self, key: str, accepted: type | tuple[type, ...], default: Any = None) -> Any:
         """The value at a dotted key.
 
         Args:
             key: The path through the tables, such as "SelfEntity.Zone".
-            kind: The accepted types. `true` and `false` are no numbers.
+            accepted: The accepted types. `true` and `false` are no numbers.
             default: The value if the key is absent; None if it has to be present.
 
         Raises:
             SettingsError: The key is absent without a default, or its value has another type.
         """
-        value: Any = self.found
+        value: Any = self.tables
         for part in key.split("."):
             value = value.get(part) if isinstance(value, Mapping) else None
         if value is None:
             if default is None:
                 raise SettingsError(self.file, key, "is missing")
             return default
-        if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-            raise SettingsError(self.file, key, f"is of a wrong kind ({type(value).__name__})")
+        if not isinstance(value, accepted) or (isinstance(value, bool) and accepted is not bool):
+            raise SettingsError(self.file, key, f"has the wrong type ({type(value).__name__})")
         return value
 
     def address(self, key: str, value: Any) -> str:
@@ -149,7 +161,7 @@
             SettingsError: It has another form.
         """
         ip, _, port = str(value).rpartition(":")
-        if not ip or not port.isdigit() or not 0 < int(port) < 65536:
+        if not ip or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
             raise SettingsError(self.file, key, "is not an address of the form ip:port")
         return str(value)
 
@@ -161,43 +173,47 @@
         SettingsError: The file can't be read, or a key is missing or wrong.
     """
     try:
-        found = tomllib.loads(Path(file).read_text(encoding="utf-8"))
+        tables = tomllib.loads(Path(file).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as why:
         raise SettingsError(file, "", str(why)) from why
-    reader = Reader(file, found)
-    take = reader.take
-    ports = take("Network.InternalPorts", list)
-    if len(ports) != 2 or not all(isinstance(port, int) and 0 < port < 65536 for port in ports):
+    reader = SettingsReader(file, tables)
+    value_of = reader.value
+    ports = value_of("Network.InternalPorts", list)
+    if len(ports) != INTERNAL_PORT_COUNT or not all(
+        isinstance(port, int) and 0 < port <= MAX_PORT for port in ports
+    ):
         raise SettingsError(file, "Network.InternalPorts", "is not a pair of ports")
     number = (int, float)
     bounds = {}
-    for key, name, unit in BOUNDS:
-        value = take(f"Provisions.TimerBounds.{key}", number, -1)
+    for key, field_name, unit_s in TIMER_BOUND_KEYS:
+        value = value_of(f"Provisions.TimerBounds.{key}", number, -1)
         if value >= 0:
-            bounds[name] = value * unit
-    listen = {
+            bounds[field_name] = value * unit_s
+    listen_addresses = {
         key: reader.address(f"Network.Listen.{key}", value)
-        for key, value in take("Network.Listen", dict).items()
+        for key, value in value_of("Network.Listen", dict).items()
     }
     return ProcessSettings(
         file=file,
-        name=take("SelfEntity.NodeName", str),
-        machine_class=take("SelfEntity.MachineClass", str),
-        ip=take("SelfEntity.IpAddress", str),
-        zone=take("SelfEntity.Zone", str),
-        region=take("SelfEntity.Region", str),
-        counted=take("SelfEntity.Counted", bool, False),
-        initial=take("SelfEntity.InitialStart", bool, False),
-        data_directory=take("SelfEntity.DataDirectory", str, "") or None,
+        name=value_of("SelfEntity.NodeName", str),
+        machine_class=value_of("SelfEntity.MachineClass", str),
+        ip=value_of("SelfEntity.IpAddress", str),
+        zone=value_of("SelfEntity.Zone", str),
+        region=value_of("SelfEntity.Region", str),
+        counted=value_of("SelfEntity.Counted", bool, False),
+        initial=value_of("SelfEntity.InitialStart", bool, False),
+        data_directory=value_of("SelfEntity.DataDirectory", str, "") or None,
         internal_ports=(ports[0], ports[1]),
-        seeds=tuple(reader.address("Network.SeedNodes", one) for one in take("Network.SeedNodes", list)),
-        listen_addresses=listen,
-        zones=dict(take("Network.Zones", dict)),
-        heartbeat_interval_s=take("Platform.HeartbeatMs", number, 1500) / 1000,
+        seeds=tuple(
+            reader.address("Network.SeedNodes", seed) for seed in value_of("Network.SeedNodes", list)
+        ),
+        listen_addresses=listen_addresses,
+        zones=dict(value_of("Network.Zones", dict)),
+        heartbeat_interval_s=value_of("Platform.HeartbeatMs", number, 1500) / 1000,
         tolerated_losses=(
-            take("Provisions.Tolerance.Machines", int, 0),
-            take("Provisions.Tolerance.Zones", int, 0),
-            take("Provisions.Tolerance.Regions", int, 0),
+            value_of("Provisions.Tolerance.Machines", int, 0),
+            value_of("Provisions.Tolerance.Zones", int, 0),
+            value_of("Provisions.Tolerance.Regions", int, 0),
         ),
         bounds=TimerBounds(**bounds),
     )
--- a/ambershift/system/transport/link_path.py
+++ b/ambershift/system/transport/link_path.py
@@ -6,7 +6,9 @@
 
 from ambershift.system.messages.codec import WIRE_VERSION
 
-CONTROL_NODE, PROXY = "control", "desk"
+CONTROL_NODE = "control"
+PROXY = "desk"
+PATH_PARTS = 5  # Of "/VERSION/KIND/NAME/INCARNATION", split at its slashes.
 
 
 @dataclass(eq=False)
@@ -42,14 +44,14 @@
 
 
 def parse_path(path: str) -> PeerIdentity:
-    """Read what `format_path` has made.
+    """Parse a path that `format_path` has made.
 
     Raises:
         PathError: The path is of another version or of no known role, or lacks a name.
     """
     parts = path.split("/")
     if (
-        len(parts) != 5
+        len(parts) != PATH_PARTS
         or parts[1] != str(WIRE_VERSION)
         or parts[2] not in (CONTROL_NODE, PROXY)
         or not parts[3]
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -32,10 +32,12 @@
 from ambershift.system.transport.traffic_meter import TrafficMeter
 
 MIN_DIAL_AGE_S = 0.15  # A younger dial is left alone, as it may be about to succeed.
-DIAL_TIMEOUT_S, MIN_REDIAL_BACKOFF_S, MAX_REDIAL_BACKOFF_S = 1.0, 0.1, 0.8  # Seconds.
+DIAL_TIMEOUT_S = 1.0
+MIN_REDIAL_BACKOFF_S = 0.1
+MAX_REDIAL_BACKOFF_S = 0.8
 WEBSOCKET_OPTIONS = {
-    "compression": None,
-    "ping_interval": None,
+    "compression": None,  # `codec` deflates.
+    "ping_interval": None,  # Dead peers are detected by TCP (`socket_options`).
     "close_timeout": 0.2,
     "max_size": codec.MAX_MESSAGE_BYTES,
 }
@@ -81,15 +83,14 @@
             traffic_meter: Counts the messages written, if there is one.
             on_dialled: Called with the ip of each link that was dialled.
         """
-        self.local, self.port, self._on_message, self._on_link_accepted, self._on_link_closed, self._log = (
-            local,
-            port,
-            on_message,
-            on_link_accepted,
-            on_link_closed,
-            log,
-        )
-        self._traffic_meter, self._on_dialled = traffic_meter, on_dialled
+        self.local = local
+        self.port = port
+        self._on_message = on_message
+        self._on_link_accepted = on_link_accepted
+        self._on_link_closed = on_link_closed
+        self._log = log
+        self._traffic_meter = traffic_meter
+        self._on_dialled = on_dialled
         self.dialled_queues = dict[str, SendQueue]()
         self.accepted_queues = dict[tuple[str, str], SendQueue]()
         self.dial_tasks = dict[str, asyncio.Task[None]]()
@@ -112,7 +113,7 @@
         )
 
     def set_peers(self, ips: Iterable[str]) -> None:
-        """Keep links dialled to exactly these ips; this machine's own is passed over."""
+        """Keep links dialled to exactly these ips, without this machine's own."""
         wanted = set(ips) - {self.local.name}
         for ip in self.dial_tasks.keys() - wanted:
             self.dial_tasks.pop(ip).cancel()
@@ -122,26 +123,26 @@
     def redial_if_stuck(self, ip: str) -> None:
         """Dial at once a peer that has just dialled this machine, if its link is still down.
 
-        The peer is reachable again, so a dial that hangs since before, or a backoff, would only lose time.
+        The peer is reachable again: to wait for a dial that hangs, or for the backoff, would only lose time.
         """
-        began = self.dial_started_at.get(ip)
+        started_at = self.dial_started_at.get(ip)
         if (
             ip in self.dial_tasks
             and ip not in self.dialled_queues
-            and (began is None or asyncio.get_running_loop().time() > began + MIN_DIAL_AGE_S)
+            and (started_at is None or asyncio.get_running_loop().time() > started_at + MIN_DIAL_AGE_S)
         ):
             self.dial_tasks.pop(ip).cancel()
             self.dial_tasks[ip] = asyncio.ensure_future(self._maintain_link(ip))
 
     def send(self, ip: str, message: msgspec.Struct) -> None:
         """Send to a control node on the link dialled to it; dropped if that link is down."""
-        if outbox := self.dialled_queues.get(ip):
-            outbox.put(message)
+        if queue := self.dialled_queues.get(ip):
+            queue.put(message)
 
     def reply(self, caller_kind: str, name: str, message: msgspec.Struct) -> None:
         """Send on an accepted link; dropped if that link is down."""
-        if outbox := self.accepted_queues.get((caller_kind, name)):
-            outbox.put(message)
+        if queue := self.accepted_queues.get((caller_kind, name)):
+            queue.put(message)
 
     def send_queue(self, connection: Connection, peer: str, masked: bool) -> SendQueue:
         """A send queue for a connection, counted by the traffic meter if there is one.
@@ -175,27 +176,27 @@
         return connection
 
     async def _maintain_link(self, ip: str) -> None:
-        """Dial this peer again and again, with exponential backoff, and serve the link while it is up."""
-        pause = MIN_REDIAL_BACKOFF_S
+        """Keep a link to this peer: dial it with exponential backoff, and write its queue while it is up."""
+        backoff_s = MIN_REDIAL_BACKOFF_S
         while True:
             with contextlib.suppress(OSError):
                 self.dial_started_at[ip] = asyncio.get_running_loop().time()
                 connection = await self.dial(ip)
-                pause = MIN_REDIAL_BACKOFF_S
-                outbox = self.dialled_queues[ip] = self.send_queue(connection, ip, True)
+                backoff_s = MIN_REDIAL_BACKOFF_S
+                queue = self.dialled_queues[ip] = self.send_queue(connection, ip, True)
                 self._log(101, {"peer": ip})
                 self._on_dialled(ip)
-                writer = asyncio.ensure_future(outbox.run())
+                writer = asyncio.ensure_future(queue.run())
                 try:
                     await connection.wait_closed()
                 finally:
-                    outbox.abort()
+                    queue.abort()
                     writer.cancel()
                     del self.dialled_queues[ip]
                     self._log(102, {"peer": ip})
             self.dial_started_at.pop(ip, None)
-            await asyncio.sleep(pause)
-            pause = min(2 * pause, MAX_REDIAL_BACKOFF_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, MAX_REDIAL_BACKOFF_S)
 
     def _check_path(self, connection: ServerConnection, request: Request) -> Response | None:
         """Refuse a link of another message version before it is upgraded."""
@@ -211,27 +212,28 @@
         assert connection.request is not None  # `_check_path` has accepted it.
         caller = parse_path(connection.request.path)
         enable_dead_peer_detection(connection.transport.get_extra_info("socket"))
-        outbox, key = self.send_queue(connection, caller.name, False), (caller.kind, caller.name)
-        if before := self.accepted_queues.get(key):
-            before.abort()  # A peer that dials again has given up its previous link.
-        self.accepted_queues[key] = outbox
-        writer = asyncio.ensure_future(outbox.run())
+        queue = self.send_queue(connection, caller.name, False)
+        key = (caller.kind, caller.name)
+        if previous := self.accepted_queues.get(key):
+            previous.abort()  # A peer that dials again has given up its previous link.
+        self.accepted_queues[key] = queue
+        writer = asyncio.ensure_future(queue.run())
         self._on_link_accepted(caller)
         try:
             await receive_messages(connection, lambda message: self._on_message(caller, message), self._log)
         finally:
-            outbox.abort()
+            queue.abort()
             writer.cancel()
-            if self.accepted_queues.get(key) is outbox:
+            if self.accepted_queues.get(key) is queue:
                 del self.accepted_queues[key]
                 self._on_link_closed(caller)
 
     async def close(self) -> None:
-        """Abort all links and stop to listen."""
+        """Abort all links and stop listening."""
         for task in self.dial_tasks.values():
             task.cancel()
-        for outbox in [*self.dialled_queues.values(), *self.accepted_queues.values()]:
-            outbox.abort()
+        for queue in [*self.dialled_queues.values(), *self.accepted_queues.values()]:
+            queue.abort()
         if server := getattr(self, "server", None):
             server.close(close_connections=False)
 
--- a/ambershift/system/transport/send_queue.py
+++ b/ambershift/system/transport/send_queue.py
@@ -12,7 +12,7 @@
 
 from ambershift.system.messages import codec
 
-MAX_PENDING_BYTES = 24 << 20  # With more the peer doesn't read: the link is aborted and dialled again.
+MAX_PENDING_BYTES = 24 << 20  # Above it the peer isn't reading: the link is aborted and dialled again.
 
 
 class SendQueue:
@@ -29,7 +29,8 @@
             connection: The connection to write to.
             on_written: Called with the tag and the size in bytes of each message after it was written.
         """
-        self.connection, self._on_written = connection, on_written
+        self.connection = connection
+        self._on_written = on_written
         self._pending = deque[tuple[str, bytes]]()
         self.pending_bytes = 0
         self._has_pending = asyncio.Event()
--- a/tests/support/local_settings.py
+++ b/tests/support/local_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a control node, as tests need them."""
+"""Settings of a control node for tests."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 def control_node_settings(ip: str, **changed: Any) -> ProcessSettings:
-    """What the control node at `ip` is told; `changed` replaces fields."""
-    plain = ProcessSettings(
+    """The settings of a control node at `ip`; `changed` replaces fields."""
+    defaults = ProcessSettings(
         file="",
         name=ip,
         machine_class="core",
@@ -28,4 +28,4 @@
         tolerated_losses=(1, 1, 1),
         bounds=TimerBounds(),
     )
-    return replace(plain, **changed)
+    return replace(defaults, **changed)
