--- a/ambershift/system/proxy/admission.py
+++ b/ambershift/system/proxy/admission.py
@@ -1,26 +1,36 @@
-"""Whether a proxy takes one more request: bounds on requests in flight and on bytes held, by priority."""
+"""Whether a proxy admits one more request: limits on requests in flight and on bytes held, by priority."""
 
 from __future__ import annotations
 
-# Requests in flight at one proxy. Each holds a body's part and an answer's, so memory bounds them.
-FLYING_MOST = 1200
-# A request of priority p is taken while fewer than (1 - p x this) of the most are in flight.
+# Requests in flight at one proxy. Each holds parts of a request and of a response, so memory limits them.
+MAX_IN_FLIGHT = 1200
+# A request of priority p is admitted while fewer than (1 - p x this) of the limit are in flight.
 PRIORITY_STEP = 0.1
-# Bytes of request bodies held at once, over all requests.
-BODIES_MOST = 96 << 20
+MAX_PRIORITY = 5
+# Bytes of request bodies held at once, by all requests.
+MAX_BODY_BYTES_HELD = 96 << 20
 
 
 class Admission:
+    """Counts what the requests of a proxy use.
+
+    Attributes:
+        in_flight: Requests in flight.
+        body_bytes_held: Bytes of request bodies that are held.
+    """
+
     def __init__(self) -> None:
+        """Start without requests."""
         self.in_flight = 0
-        self.held = 0
+        self.body_bytes_held = 0
 
-    def takes(self, priority: int) -> bool:
-        return self.in_flight < FLYING_MOST * (1 - PRIORITY_STEP * min(priority, 5))
+    def admits(self, priority: int) -> bool:
+        """Whether a request of that priority is admitted; the higher the number, the sooner it is refused."""
+        return self.in_flight < MAX_IN_FLIGHT * (1 - PRIORITY_STEP * min(priority, MAX_PRIORITY))
 
-    def holds(self, more: int) -> bool:
-        """Whether so many bytes more may be held; if so, they count from now on."""
-        if self.held + more > BODIES_MOST:
+    def reserve_body(self, size: int) -> bool:
+        """Count so many bytes of a body as held, if that many more may be; return whether they may."""
+        if self.body_bytes_held + size > MAX_BODY_BYTES_HELD:
             return False
-        self.held += more
+        self.body_bytes_held += size
         return True
--- a/ambershift/system/proxy/backend_instance.py
+++ b/ambershift/system/proxy/backend_instance.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of each incarnation of a backend: whether it may be used, its load, its failures."""
+"""What a proxy knows of one instance of a backend: whether it may be used, its load, its failures."""
 
 from __future__ import annotations
 
@@ -7,21 +7,57 @@
 from ambershift.system.messages.proxy_link import Backend
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
-# A reported load counts for so long, ns.
-LOAD_FOR = NS_PER_SECOND
-# Pauses after failures grow from the first to the most, ns.
-PAUSE_FIRST, PAUSE_MOST = NS_PER_SECOND // 2, 5 * NS_PER_SECOND
-# One that turns a request away has at least so many waiting for each slot, we assume.
-QUEUED = 2
-# A backend that answers none of our requests for so long, and twice its mean time, is passed over, ns.
-QUIET = 150 * NS_PER_MS
-# A share of broken answers above this, over enough tries, counts as a failing backend.
-BAD_SHARE, BAD_TRIES = 0.5, 12
+LOAD_REPORT_TTL_NS = NS_PER_SECOND  # A reported load counts for so long.
+# How long a backend is avoided after failures: doubled each time, from the initial to the maximal backoff.
+BACKOFF_INITIAL_NS = NS_PER_SECOND // 2
+BACKOFF_MAX_NS = 5 * NS_PER_SECOND
+# A backend that rejects a request is assumed to have at least so many waiting for each slot.
+ASSUMED_QUEUE_PER_SLOT = 2
+# A backend that responds to none of our requests for so long, and twice its mean time, is avoided.
+SILENCE_TIMEOUT_MIN_NS = 150 * NS_PER_MS
+# A share of failures above this, over at least so many recent attempts, counts as a failing backend.
+FAILURE_SHARE_MAX = 0.5
+FAILURE_SAMPLE_MIN = 12
+RECENT_RESULTS_MAX = 4 * FAILURE_SAMPLE_MIN  # Above it, the counts of recent results are halved.
+MEAN_WEIGHT = 8  # Each new response time makes up one part in so many of a moving mean.
+# A list from a control node that has just started may lack instances whose next heartbeat is still due.
+UNLISTED_GRACE_NS = 3 * NS_PER_SECOND
+# Added to a reported warm-up time, which is a little old when it arrives.
+COLD_MARGIN_NS = 300 * NS_PER_MS
 
 
 @dataclass(slots=True, eq=False)
-class Life:
-    """One incarnation of a backend (`InstanceId`). Times are ns on the steady clock."""
+class BackendInstance:
+    """One instance (`InstanceId`) of a backend. Points in time are ns on the monotonic clock.
+
+    Attributes:
+        region: The region of its zone; empty if the zone is unknown.
+        slots: How many requests it executes at once.
+        draining: It is about to end.
+        retired: It drains or is gone, for good.
+        ejected: The control node excludes it for its failures.
+        evacuated: Its zone is being evacuated.
+        is_listed: The list of the link in use has it.
+        usable_until: How long it may be used while it isn't listed.
+        cold_until: Until when it is cold after a start.
+        header_value: Its id as the value of a header.
+        in_flight: Requests of this proxy that it has.
+        last_response_at: When it last responded.
+        waiting_since: Since when its requests wait without a response to any.
+        max_in_flight: How many requests this proxy may have there at once.
+        queue_length: Requests waiting there, as last reported.
+        load_reported_at: When the queue length was reported.
+        sent_since_load_report: Requests of this proxy since then.
+        unqueued_response_ns: Moving mean of the response times while nobody waited there.
+        backoff_until: Until when it is avoided after failures.
+        backoff_ns: The last backoff; 0 after a success.
+        recent_results: Counts of recent attempts and of failures among them.
+        attempts: Attempts since the last load report.
+        failures: Failures since the last load report.
+        total_time_ns: Time of the attempts that ended since the last load report.
+        completed: Attempts that have ended.
+        mean_response_ns: Moving mean of the time of attempts.
+    """
 
     id: str
     service: str
@@ -30,131 +66,155 @@
     region: str
     slots: int
     draining: bool = False
-    ended: bool = False
-    withdrawn: bool = False
+    retired: bool = False
+    ejected: bool = False
     evacuated: bool = False
-    named: bool = True  # By the list of the link in use.
-    doubt_until: int = 0  # While not named: how long it may still be used.
+    is_listed: bool = True
+    usable_until: int = 0
     cold_until: int = 0
-    mark: bytes = b""  # Its id as a header's value.
-
-    flying: int = 0  # Our own requests there.
-    heard: int = 0  # When it last answered.
-    since: int = 0  # Since when requests there wait without it answering any.
-    room: int = 1 << 30  # As many as this proxy may have there at once.
-    waiting: int = 0
-    told_at: int = -LOAD_FOR
-    sent: int = 0  # By us, since the load was told.
-    work: int = 0  # The mean of its answers' times while nobody waited there, ns, fading.
-    paused_until: int = 0
-    pause: int = 0
-    recent: list[int] = field(default_factory=lambda: [0, 0])  # Answers and broken ones, fading.
+    header_value: bytes = b""
+
+    in_flight: int = 0
+    last_response_at: int = 0
+    waiting_since: int = 0
+    max_in_flight: int = 1 << 30
+    queue_length: int = 0
+    load_reported_at: int = -LOAD_REPORT_TTL_NS
+    sent_since_load_report: int = 0
+    unqueued_response_ns: int = 0
+    backoff_until: int = 0
+    backoff_ns: int = 0
+    recent_results: list[int] = field(default_factory=lambda: [0, 0])
 
     attempts: int = 0
-    bad: int = 0
-    spent: int = 0
-    came: int = 0  # Answers that the mean stands for.
-    mean: int = 0  # Of the answers' times, ns, fading.
-
-    def open(self, now: int) -> bool:
-        """Whether anything may be sent there, coldness and failures apart."""
-        return not (self.draining or self.ended or self.withdrawn or self.evacuated) and (
-            self.named or now < self.doubt_until
+    failures: int = 0
+    total_time_ns: int = 0
+    completed: int = 0
+    mean_response_ns: int = 0
+
+    # Whether and how long to use it.
+
+    def is_eligible(self, now: int) -> bool:
+        """Whether requests may be sent to it at all, warm-up and failures apart."""
+        return not (self.draining or self.retired or self.ejected or self.evacuated) and (
+            self.is_listed or now < self.usable_until
         )
 
-    def full(self, now: int) -> bool:
+    def is_full(self, now: int) -> bool:
         """Whether others should be preferred: our own requests fill it, or it has just reported a queue."""
         return (
-            self.flying >= self.slots
-            or self.flying >= self.room
-            or (self.waiting > 0 and now - self.told_at < LOAD_FOR)
+            self.in_flight >= self.slots
+            or self.in_flight >= self.max_in_flight
+            or (self.queue_length > 0 and self._has_recent_load(now))
         )
 
-    def choked(self) -> bool:
-        """Whether one more of ours is too much whatever else there is."""
-        return self.flying >= 2 * self.slots or self.flying >= self.room
+    def is_overloaded(self) -> bool:
+        """Whether one more request of this proxy is too many, whatever the alternatives."""
+        return self.in_flight >= 2 * self.slots or self.in_flight >= self.max_in_flight
+
+    def is_avoided(self, now: int) -> bool:
+        """Whether it is avoided: after failures, or while it leaves all its requests waiting unusually long.
 
-    def resting(self, now: int) -> bool:
-        """Passed over: after failures (after the pause it is tried by one request at a time), or while it
-        keeps all that was sent to it waiting for unusually long.
+        After the backoff, one request at a time is sent to it until one succeeds.
         """
-        if self.pause > 0 and (now < self.paused_until or self.flying > 0):
+        if self.backoff_ns > 0 and (now < self.backoff_until or self.in_flight > 0):
             return True
-        return self.flying > 0 and now - self.since > self.patience()
-
-    def patience(self) -> int:
-        """How long it may stay silent to everybody before others are preferred, ns."""
-        return QUIET + 2 * self.mean
-
-    def quiet(self, since: int) -> bool:
-        """Whether it has answered nobody since then."""
-        return self.heard < since
-
-    def wait(self, now: int) -> int:
-        """How long one more request would wait there for a slot, as far as can be told, ns."""
-        told = now - self.told_at < LOAD_FOR
-        before = self.waiting + self.sent if told else self.flying + 1 - self.slots
-        return max(0, before) * self.work // self.slots
-
-    def load_told(self, now: int, waiting: int) -> None:
-        self.waiting, self.told_at, self.sent = waiting, now, 0
-
-    def started(self, now: int) -> None:
-        if not self.flying:
-            self.since = now
-        self.flying += 1
-        self.sent += 1
+        return self.in_flight > 0 and now - self.waiting_since > self.silence_timeout_ns()
+
+    def silence_timeout_ns(self) -> int:
+        """Return how long it may respond to no request before others are preferred."""
+        return SILENCE_TIMEOUT_MIN_NS + 2 * self.mean_response_ns
+
+    def is_silent_since(self, since: int) -> bool:
+        """Whether it has responded to no request since then."""
+        return self.last_response_at < since
+
+    def expected_wait_ns(self, now: int) -> int:
+        """Estimate how long one more request would wait there for a slot."""
+        if self._has_recent_load(now):
+            requests_ahead = self.queue_length + self.sent_since_load_report
+        else:
+            requests_ahead = self.in_flight + 1 - self.slots
+        return max(0, requests_ahead) * self.unqueued_response_ns // self.slots
+
+    def _has_recent_load(self, now: int) -> bool:
+        return now - self.load_reported_at < LOAD_REPORT_TTL_NS
+
+    # Attempts at it.
+
+    def record_load(self, now: int, queue_length: int) -> None:
+        """It has so many requests waiting for a slot."""
+        self.queue_length, self.load_reported_at, self.sent_since_load_report = queue_length, now, 0
+
+    def record_start(self, now: int) -> None:
+        """An attempt starts."""
+        if not self.in_flight:
+            self.waiting_since = now
+        self.in_flight += 1
+        self.sent_since_load_report += 1
         self.attempts += 1
 
-    def ended_well(self, now: int, took: int) -> None:
-        """It has answered; what the answer was is another matter."""
-        self._over(took)
-        self.heard = self.since = now
-        self.pause = 0
-        if not self.waiting or now - self.told_at >= LOAD_FOR:
-            self.work += (took - self.work) // 8 if self.work else took
-        self.recent[0] += 1
-        self._fade()
-
-    def turned_away(self, now: int, gone: bool) -> None:
-        """It has not run our request: it is full, or (`gone`) another life has its address."""
-        self.flying -= 1
-        self.heard = self.since = now
-        self.ended = self.ended or gone
+    def record_success(self, now: int, time_ns: int) -> None:
+        """An attempt has brought a response, whatever its status."""
+        self._record_end(time_ns)
+        self.last_response_at = self.waiting_since = now
+        self.backoff_ns = 0
+        if not self.queue_length or not self._has_recent_load(now):
+            self.unqueued_response_ns = _moving_mean(self.unqueued_response_ns, time_ns)
+        self.recent_results[0] += 1
+        self._fade_results()
+
+    def record_rejection(self, now: int, gone: bool) -> None:
+        """It has not executed our request: it is full, or (`gone`) another instance has its address."""
+        self.in_flight -= 1
+        self.last_response_at = self.waiting_since = now
+        self.retired = self.retired or gone
         if not gone:
-            self.load_told(now, max(QUEUED * self.slots, self.waiting))
+            self.record_load(now, max(ASSUMED_QUEUE_PER_SLOT * self.slots, self.queue_length))
 
-    def ended_badly(self, now: int, took: int, proof: bool) -> None:
-        """`proof` where one such end is enough to pass it over: no connection, a reset or silence while it
-        answered nobody. Other broken answers count only once they are many.
+    def record_failure(self, now: int, time_ns: int, conclusive: bool) -> None:
+        """An attempt has failed.
+
+        Args:
+            now: The monotonic time.
+            time_ns: How long the attempt took.
+            conclusive: Whether one such failure is enough to avoid it: no connection, or a reset or silence
+                while it responded to no request. Others count only once they are many.
         """
-        self._over(took)
-        self.bad += 1
-        self.recent[0] += 1
-        self.recent[1] += 1
-        many = self.recent[0] >= BAD_TRIES and self.recent[1] > BAD_SHARE * self.recent[0]
-        if (proof or many) and now >= self.paused_until:
-            self.pause = min(PAUSE_MOST, 2 * self.pause) or PAUSE_FIRST
-            self.paused_until = now + self.pause
-        self._fade()
-
-    def given_up(self) -> None:
-        """The try ended for a reason that says nothing of the backend."""
-        self.flying -= 1
-
-    def _over(self, took: int) -> None:
-        self.flying -= 1
-        self.spent += took
-        self.came += 1
-        self.mean += (took - self.mean) // 8 if self.mean else took
-
-    def _fade(self) -> None:
-        if self.recent[0] > 4 * BAD_TRIES:
-            self.recent = [one // 2 for one in self.recent]
-
-
-def life_of(backend: Backend, region: str) -> Life:
-    return Life(
+        self._record_end(time_ns)
+        self.failures += 1
+        self.recent_results[0] += 1
+        self.recent_results[1] += 1
+        attempts, failures = self.recent_results
+        has_many_failures = attempts >= FAILURE_SAMPLE_MIN and failures > FAILURE_SHARE_MAX * attempts
+        if (conclusive or has_many_failures) and now >= self.backoff_until:
+            self.backoff_ns = min(BACKOFF_MAX_NS, 2 * self.backoff_ns) or BACKOFF_INITIAL_NS
+            self.backoff_until = now + self.backoff_ns
+        self._fade_results()
+
+    def record_abandoned(self) -> None:
+        """An attempt has ended for a reason that says nothing of the backend."""
+        self.in_flight -= 1
+
+    def _record_end(self, time_ns: int) -> None:
+        self.in_flight -= 1
+        self.total_time_ns += time_ns
+        self.completed += 1
+        self.mean_response_ns = _moving_mean(self.mean_response_ns, time_ns)
+
+    def _fade_results(self) -> None:
+        if self.recent_results[0] > RECENT_RESULTS_MAX:
+            self.recent_results = [count // 2 for count in self.recent_results]
+
+
+def _moving_mean(mean_ns: int, sample_ns: int) -> int:
+    """Return the mean with one more sample; the first sample is the mean."""
+    return mean_ns + (sample_ns - mean_ns) // MEAN_WEIGHT if mean_ns else sample_ns
+
+
+def instance_from_message(backend: Backend, region: str) -> BackendInstance:
+    """Create the record of an instance that a control node lists."""
+    return BackendInstance(
         backend.id,
         backend.service,
         backend.address,
@@ -162,11 +222,5 @@
         region,
         max(1, backend.slots),
         backend.draining,
-        mark=backend.id.encode("latin-1", "replace"),
+        header_value=backend.id.encode("latin-1", "replace"),
     )
-
-
-# A list from a control node that has just started may lack those whose next beat is still to come.
-DOUBT = 3 * NS_PER_SECOND
-# Told coldness is a little old when it arrives.
-COLD_MORE = 300 * NS_PER_MS
--- a/ambershift/system/proxy/backend_view.py
+++ b/ambershift/system/proxy/backend_view.py
@@ -1,4 +1,4 @@
-"""The backends a proxy knows, by incarnation, service and pool, with tables and binds. No input or output."""
+"""The backends a proxy knows, by instance, service and pool, with their tables. No input or output."""
 
 from __future__ import annotations
 
@@ -12,182 +12,252 @@
     TableEntry,
     parse_pool_name,
 )
-from ambershift.system.proxy.backend_instance import COLD_MORE, DOUBT, Life, life_of
+from ambershift.system.proxy.backend_instance import (
+    COLD_MARGIN_NS,
+    UNLISTED_GRACE_NS,
+    BackendInstance,
+    instance_from_message,
+)
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
-# What a list says of coldness this long after a zone was taken back, it knew after that, ns.
-SURELY_NEWER = 2 * NS_PER_SECOND
+# A list that arrives this long after the end of a zone's evacuation was made after it, so that the warm-up
+# times in it can be relied on.
+EVACUATION_LIST_DELAY_NS = 2 * NS_PER_SECOND
+COLD_AFTER_EVACUATION_MARGIN_NS = NS_PER_SECOND
 
 
 class Tier:
-    """Incarnations to choose among, their weights, and the running sums of these."""
+    """Instances to choose among.
+
+    Attributes:
+        weights: The instances and their weights; those of weight 0 are left out.
+        instances: The instances.
+        cumulative_weights: The running sums of the weights, in the order of `instances`.
+    """
+
+    __slots__ = ("cumulative_weights", "instances", "weights")
 
-    __slots__ = ("lives", "sums", "weights")
+    def __init__(self, weighted: Iterable[tuple[BackendInstance, float]]) -> None:
+        """Create a tier of these instances."""
+        self.weights = {instance: weight for instance, weight in weighted if weight > 0}
+        self.instances = list(self.weights)
+        self.cumulative_weights = list(accumulate(self.weights.values()))
 
-    def __init__(self, weighed: Iterable[tuple[Life, float]]) -> None:
-        self.weights = {life: weight for life, weight in weighed if weight > 0}
-        self.lives = list(self.weights)
-        self.sums = list(accumulate(self.weights.values()))
 
+class BackendPool:
+    """A service's instances within the home regions of a route.
 
-class Pool:
-    """A service's incarnations within the home regions. `listed` are those of the bound table, `near` those
-    of the proxy's own region, `all` every one; each choice goes on to the next where it finds nothing good.
+    A choice goes on to the next tier where it finds no good one: the table, the region, all.
+
+    Attributes:
+        name: The name, as control nodes use it.
+        service: The service.
+        home_regions: The regions whose instances belong to the pool; none where all do.
+        table: The number of the table in use.
+        table_entries: The weights of the table, by instance id.
+        is_stale: Whether the tiers must be built again.
+        table_tier: The instances of the table.
+        region_tier: The instances of the proxy's own region.
+        all_tier: All instances.
     """
 
     def __init__(self, name: str) -> None:
+        """Create a pool without instances."""
         self.name = name
-        self.service, self.homes = parse_pool_name(name)
+        self.service, self.home_regions = parse_pool_name(name)
         self.table: int | None = None
-        self.lines: dict[str, float] = {}
-        self.stale = True
-        self.listed = self.near = self.all = Tier(())
+        self.table_entries: dict[str, float] = {}
+        self.is_stale = True
+        self.table_tier = self.region_tier = self.all_tier = Tier(())
 
-    def alive(self, now: int) -> bool:
-        """Whether anything may be sent to any of its backends."""
-        return any(life.open(now) for life in self.all.lives)
+    def has_eligible(self, now: int) -> bool:
+        """Whether requests may be sent to any of its backends."""
+        return any(instance.is_eligible(now) for instance in self.all_tier.instances)
 
 
 class BackendView:
-    """Merges what the control node and the items say of backends. Times are ns, steady."""
-
-    def __init__(self, region: str, zones: Mapping[str, str], cold_for: Callable[[str], int]) -> None:
-        """`cold_for`: how long, ns, a backend of a service may be cold after a start."""
-        self.region, self.zones, self.cold_for = region, zones, cold_for
-        self.instances: dict[str, Life] = {}
-        self._doubted: dict[str, Life] = {}  # Those that the list of the link in use doesn't name.
-        self._services: dict[str, dict[str, Life]] = {}
-        self._pools: dict[str, Pool] = {}
-        self._by_service: dict[str, list[Pool]] = {}
-        self._over: set[str] = set()  # Lives that drain or are gone, by item: for good.
-        self._emptied: set[str] = set()  # Zones under evacuation.
-        self._back: dict[str, int] = {}  # When zones were taken back.
-        self._out: set[str] = set()
-
-    def pool(self, name: str) -> Pool:
-        """The pool of this name, its tiers up to date."""
+    """Merges what the control node and the items say of backends.
+
+    Attributes:
+        region: The proxy's own region.
+        instances: The instances that the proxy knows, by id.
+    """
+
+    def __init__(self, region: str, zones: Mapping[str, str], cold_duration_ns: Callable[[str], int]) -> None:
+        """Start without backends.
+
+        Args:
+            region: The proxy's own region.
+            zones: The region of each zone.
+            cold_duration_ns: Returns how long a backend of a service may be cold after a start.
+        """
+        self.region = region
+        self.instances: dict[str, BackendInstance] = {}
+        self._zones = zones
+        self._cold_duration_ns = cold_duration_ns
+        self._unlisted: dict[str, BackendInstance] = {}  # Those that the list of the link in use lacks.
+        self._instances_by_service: dict[str, dict[str, BackendInstance]] = {}
+        self._pools: dict[str, BackendPool] = {}
+        self._pools_by_service: dict[str, list[BackendPool]] = {}
+        self._retired: set[str] = set()  # Instances that drain or are gone for good, by their items.
+        self._evacuated_zones: set[str] = set()
+        self._evacuation_ended_at: dict[str, int] = {}  # By zone.
+        self._ejected: set[str] = set()
+
+    def pool(self, name: str) -> BackendPool:
+        """Return the pool of this name, its tiers up to date."""
         pool = self._pools.get(name)
         if pool is None:
-            pool = self._pools[name] = Pool(name)
-            self._by_service.setdefault(pool.service, []).append(pool)
-        if pool.stale:
-            self._lay_out(pool)
+            pool = self._pools[name] = BackendPool(name)
+            self._pools_by_service.setdefault(pool.service, []).append(pool)
+        if pool.is_stale:
+            self._build_tiers(pool)
         return pool
 
-    def serving(self, service: str) -> Iterable[Life]:
-        return self._services.get(service, {}).values()
-
-    def take(self, now: int, backends: BackendUpdate) -> list[Life]:
-        """Merge a list; returns lives that are gone (connections to them can be dropped)."""
-        if backends.complete:
-            named = {one.id for one in backends.updated}
-            for life in self.instances.values():
-                if life.named and life.id not in named:
-                    life.named, life.doubt_until = False, now + DOUBT
-                    self._doubted[life.id] = life
-        gone = [self.instances[one] for one in backends.removed_ids if one in self.instances]
-        gone += [life for life in self._doubted.values() if now >= life.doubt_until]
-        for life in gone:
-            self._drop(life)
-        for backend in backends.updated:
-            self._put(now, backend)
+    def instances_of(self, service: str) -> Iterable[BackendInstance]:
+        """Return the instances of a service."""
+        return self._instances_by_service.get(service, {}).values()
+
+    # Messages of the control node.
+
+    def update(self, now: int, message: BackendUpdate) -> list[BackendInstance]:
+        """Merge a list of backends; return the instances that are gone."""
+        if message.complete:
+            listed_ids = {backend.id for backend in message.updated}
+            for instance in self.instances.values():
+                if instance.is_listed and instance.id not in listed_ids:
+                    instance.is_listed, instance.usable_until = False, now + UNLISTED_GRACE_NS
+                    self._unlisted[instance.id] = instance
+        gone = [self.instances[id] for id in message.removed_ids if id in self.instances]
+        gone += [instance for instance in self._unlisted.values() if now >= instance.usable_until]
+        for instance in gone:
+            self._remove(instance)
+        for backend in message.updated:
+            self._update_instance(now, backend)
         return gone
 
-    def bind(self, bind: BindTable) -> None:
-        pool = self.pool(bind.pool)
-        pool.table, pool.lines, pool.stale = bind.table, dict(bind.entries), True
+    def bind_table(self, message: BindTable) -> None:
+        """Use this table for the pool from now on."""
+        pool = self.pool(message.pool)
+        pool.table, pool.table_entries, pool.is_stale = message.table, dict(message.entries), True
 
-    def line(self, line: TableEntry) -> None:
-        pool = self.pool(line.pool)
-        if pool.table != line.table:
-            return  # Its bind, which has all lines, is still to come.
-        if line.weight > 0:
-            pool.lines[line.backend_id] = line.weight
+    def update_entry(self, message: TableEntry) -> None:
+        """Change an entry of the pool's table."""
+        pool = self.pool(message.pool)
+        if pool.table != message.table:
+            return  # The message that binds this table is still to come, and has all its entries.
+        if message.weight > 0:
+            pool.table_entries[message.backend_id] = message.weight
         else:
-            pool.lines.pop(line.backend_id, None)
-        pool.stale = True
-
-    def withdraw(self, id: str, out: bool) -> None:
-        (self._out.add if out else self._out.discard)(id)
-        life = self.instances.get(id)
-        if life is not None:
-            life.withdrawn = out
-
-    def is_over(self, id: str) -> None:
-        """An item says that this life drains or is gone."""
-        self._over.add(id)
-        life = self.instances.get(id)
-        if life is not None:
-            life.ended = True
-
-    def forget(self, ids: Iterable[str]) -> None:
-        """The tombstones of these incarnations were collected: drop them."""
-        self._over.difference_update(ids)
-
-    def evacuate(self, zone: str) -> None:
-        self._emptied.add(zone)
-        self._back.pop(zone, None)
-        for life in self.instances.values():
-            if life.zone == zone:
-                life.evacuated = True
-
-    def take_back(self, now: int, zone: str) -> None:
-        """The zone's evacuation is over. Its backends may be cold, so they count as cold for as long as that
-        may last, until a list that is surely newer says otherwise.
+            pool.table_entries.pop(message.backend_id, None)
+        pool.is_stale = True
+
+    def set_ejected(self, id: str, ejected: bool) -> None:
+        """Eject an instance, or admit it again."""
+        (self._ejected.add if ejected else self._ejected.discard)(id)
+        instance = self.instances.get(id)
+        if instance is not None:
+            instance.ejected = ejected
+
+    # Items.
+
+    def retire(self, id: str) -> None:
+        """An item says that this instance drains or is gone."""
+        self._retired.add(id)
+        instance = self.instances.get(id)
+        if instance is not None:
+            instance.retired = True
+
+    def forget_retired(self, ids: Iterable[str]) -> None:
+        """The tombstones of these instances were collected: drop them."""
+        self._retired.difference_update(ids)
+
+    def start_evacuation(self, zone: str) -> None:
+        """Send nothing to the zone from now on."""
+        self._evacuated_zones.add(zone)
+        self._evacuation_ended_at.pop(zone, None)
+        for instance in self.instances.values():
+            if instance.zone == zone:
+                instance.evacuated = True
+
+    def end_evacuation(self, now: int, zone: str) -> None:
+        """The zone's evacuation is over.
+
+        Its backends may be cold. They count as cold for as long as that may last, until a list that was made
+        after the evacuation says otherwise.
         """
-        self._emptied.discard(zone)
-        self._back[zone] = now
-        for life in self.instances.values():
-            if life.zone == zone:
-                life.evacuated = False
-                self._chill(life)
-
-    def _put(self, now: int, backend: Backend) -> None:
-        life = self.instances.get(backend.id)
-        if backend.unconfirmed and life is not None:
-            return  # What we know of it we were told by somebody who had heard it.
-        if life is not None and (life.service, life.address) != (backend.service, backend.address):
-            self._drop(life)
-            life = None
-        if life is None:
-            life = life_of(backend, self.zones.get(backend.zone, ""))
-            self.instances[life.id] = life
-            self._services.setdefault(life.service, {})[life.id] = life
-            self._stir(life.service)
-            life.ended = life.id in self._over
-            life.withdrawn = life.id in self._out
-            life.evacuated = life.zone in self._emptied
-        self._doubted.pop(life.id, None)
-        life.named, life.slots, life.draining = True, max(1, backend.slots), backend.draining
-        life.cold_until = now + backend.warm_up_ms * NS_PER_MS + COLD_MORE if backend.warm_up_ms > 0 else 0
-        back = self._back.get(life.zone)
-        if back is not None and (backend.unconfirmed or now < back + SURELY_NEWER or backend.warm_up_ms > 0):
-            self._chill(life)
-
-    def _chill(self, life: Life) -> None:
-        until = self._back[life.zone] + self.cold_for(life.service) + NS_PER_SECOND
-        life.cold_until = max(life.cold_until, until)
-
-    def _drop(self, life: Life) -> None:
-        if self.instances.get(life.id) is life:
-            del self.instances[life.id]
-            self._doubted.pop(life.id, None)
-            del self._services[life.service][life.id]
-            self._stir(life.service)
-        life.ended = True
-
-    def _stir(self, service: str) -> None:
-        for pool in self._by_service.get(service, ()):
-            pool.stale = True
-
-    def _lay_out(self, pool: Pool) -> None:
-        there = [
-            life
-            for life in self._services.get(pool.service, {}).values()
-            if not pool.homes or life.region in pool.homes
-        ]
-        known = {life.id: life for life in there}
-        pool.listed = Tier((known[id], weight) for id, weight in pool.lines.items() if id in known)
-        pool.near = Tier((life, 1.0) for life in there if life.region == self.region)
-        pool.all = Tier((life, 1.0) for life in there)
-        pool.stale = False
+        self._evacuated_zones.discard(zone)
+        self._evacuation_ended_at[zone] = now
+        for instance in self.instances.values():
+            if instance.zone == zone:
+                instance.evacuated = False
+                self._treat_as_cold(instance)
+
+    def _update_instance(self, now: int, backend: Backend) -> None:
+        instance = self.instances.get(backend.id)
+        if backend.unconfirmed and instance is not None:
+            return  # What the proxy knows of it is from a node that had a heartbeat of it.
+        has_moved = instance is not None and (instance.service, instance.address) != (
+            backend.service,
+            backend.address,
+        )
+        if instance is not None and has_moved:
+            self._remove(instance)
+            instance = None
+        if instance is None:
+            instance = self._add(backend)
+        self._unlisted.pop(instance.id, None)
+        instance.is_listed = True
+        instance.slots = max(1, backend.slots)
+        instance.draining = backend.draining
+        instance.cold_until = (
+            now + backend.warm_up_ms * NS_PER_MS + COLD_MARGIN_NS if backend.warm_up_ms > 0 else 0
+        )
+        ended_at = self._evacuation_ended_at.get(instance.zone)
+        if ended_at is not None and (
+            backend.unconfirmed or now < ended_at + EVACUATION_LIST_DELAY_NS or backend.warm_up_ms > 0
+        ):
+            self._treat_as_cold(instance)
+
+    def _add(self, backend: Backend) -> BackendInstance:
+        instance = instance_from_message(backend, self._zones.get(backend.zone, ""))
+        self.instances[instance.id] = instance
+        self._instances_by_service.setdefault(instance.service, {})[instance.id] = instance
+        self._mark_stale(instance.service)
+        instance.retired = instance.id in self._retired
+        instance.ejected = instance.id in self._ejected
+        instance.evacuated = instance.zone in self._evacuated_zones
+        return instance
+
+    def _remove(self, instance: BackendInstance) -> None:
+        if self.instances.get(instance.id) is instance:
+            del self.instances[instance.id]
+            self._unlisted.pop(instance.id, None)
+            del self._instances_by_service[instance.service][instance.id]
+            self._mark_stale(instance.service)
+        instance.retired = True
+
+    def _treat_as_cold(self, instance: BackendInstance) -> None:
+        """Treat an instance of a zone whose evacuation has ended as cold for as long as it may be."""
+        ended_at = self._evacuation_ended_at[instance.zone]
+        until = ended_at + self._cold_duration_ns(instance.service) + COLD_AFTER_EVACUATION_MARGIN_NS
+        instance.cold_until = max(instance.cold_until, until)
+
+    def _mark_stale(self, service: str) -> None:
+        for pool in self._pools_by_service.get(service, ()):
+            pool.is_stale = True
+
+    def _build_tiers(self, pool: BackendPool) -> None:
+        members = {
+            instance.id: instance
+            for instance in self._instances_by_service.get(pool.service, {}).values()
+            if not pool.home_regions or instance.region in pool.home_regions
+        }
+        pool.table_tier = Tier(
+            (members[id], weight) for id, weight in pool.table_entries.items() if id in members
+        )
+        pool.region_tier = Tier(
+            (instance, 1.0) for instance in members.values() if instance.region == self.region
+        )
+        pool.all_tier = Tier((instance, 1.0) for instance in members.values())
+        pool.is_stale = False
--- a/ambershift/system/proxy/bounded_event.py
+++ b/ambershift/system/proxy/bounded_event.py
@@ -1,29 +1,34 @@
-"""Something that comes once, and that several wait for, each for a while."""
+"""An event that happens once, with a limit on how many may wait for it."""
 
 from __future__ import annotations
 
 import asyncio
 
-MOST = 200  # Requests that wait at once; more are told at once to come back.
+MAX_WAITERS = 200  # Any others don't wait.
 
 
-class Awaited:
+class BoundedEvent:
+    """An `asyncio.Event` that is set once, and that at most `MAX_WAITERS` wait for at a time."""
+
     def __init__(self) -> None:
-        self._event, self._waiting = asyncio.Event(), 0
+        """Start unset."""
+        self._event = asyncio.Event()
+        self._waiters = 0
 
-    def come(self) -> None:
+    def set(self) -> None:
+        """The event has happened."""
         self._event.set()
 
-    async def within(self, seconds: float) -> bool:
-        """Whether it comes within that time."""
-        if self._waiting >= MOST:
+    async def wait(self, timeout_s: float) -> bool:
+        """Return whether the event happens within that time; False at once where too many wait already."""
+        if self._waiters >= MAX_WAITERS:
             return False
-        self._waiting += 1
+        self._waiters += 1
         try:
-            async with asyncio.timeout(seconds):
+            async with asyncio.timeout(timeout_s):
                 await self._event.wait()
         except TimeoutError:
             return False
         finally:
-            self._waiting -= 1
+            self._waiters -= 1
         return True
--- a/ambershift/system/proxy/connection_pool.py
+++ b/ambershift/system/proxy/connection_pool.py
@@ -8,142 +8,172 @@
 
 import httpcore
 
-from ambershift.system.proxy.backend_instance import Life
-from ambershift.system.proxy.http_exchange import HOLD_MOST, KEEP, Headers, TryError, Wire
+from ambershift.system.proxy.backend_instance import BackendInstance
+from ambershift.system.proxy.http_exchange import (
+    DEFAULT_KEEP_ALIVE_NS,
+    RESPONSE_BUFFER_MAX,
+    AttemptError,
+    BackendConnection,
+    Headers,
+)
 from ambershift.system.proxy.retry_policy import Ending, Stage
-from ambershift.system.proxy.socket_stream import Rest, dial
+from ambershift.system.proxy.socket_stream import IdleState, dial
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
-# An idle connection is not used in the last part of the time that the backend keeps it: the close may be
-# under way. A request that may run only once is kept further from it.
-MARGIN, MARGIN_ONCE = NS_PER_SECOND // 2, 3 * NS_PER_SECOND // 2
-IDLE_MOST = 1200  # Idle connections kept, whatever the number of backends: descriptors are bounded.
-OUR_LACK = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-STRANGE_FOR = (
-    5 * NS_PER_SECOND
-)  # After answers too many, requests that may run only once get fresh connections.
+# An idle connection is not used in the last part of the time that the backend keeps it: the backend may be
+# closing it. A request that isn't idempotent can't be retried after that, so it gets the larger margin.
+KEEP_ALIVE_MARGIN_NS = NS_PER_SECOND // 2
+KEEP_ALIVE_MARGIN_NON_IDEMPOTENT_NS = 3 * NS_PER_SECOND // 2
+MAX_IDLE_CONNECTIONS = 1200  # To all backends together: file descriptors are limited.
+# After unexpected bytes from a backend, requests that aren't idempotent get new connections for so long.
+UNEXPECTED_BYTES_TTL_NS = 5 * NS_PER_SECOND
+CONNECT_TIMEOUT_LOCAL_NS = 150 * NS_PER_MS  # To a backend of the proxy's own region.
+CONNECT_TIMEOUT_REMOTE_NS = 300 * NS_PER_MS
+# Errors of a connect that are due to this machine's resources, not to the backend.
+LOCAL_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 @dataclass(slots=True)
-class IdlePool:
-    """Connections to one incarnation. `idle` is used from its end, so that few stay busy and others age."""
+class IdleConnections:
+    """Idle connections to one instance.
+
+    Attributes:
+        origin: The address of the instance, as `httpcore` wants it.
+        idle: Those used last are at the end, and used first: few stay busy, and the others age.
+        unexpected_bytes_until: Until when unexpected bytes from there count.
+    """
 
     origin: httpcore.Origin
-    idle: list[Wire] = field(default_factory=list)
-    strange_until: int = 0
+    idle: list[BackendConnection] = field(default_factory=list)
+    unexpected_bytes_until: int = 0
+
 
+class ConnectionPool:
+    """Opens connections to backends, and keeps the idle ones.
 
-class Connections:
-    """Idle and busy connections by incarnation; `steady` is the clock, ns."""
+    Attributes:
+        opened: Connections opened since the start.
+        response_buffer_size: Bytes of a response that are buffered before any of it is passed on.
+    """
 
-    def __init__(self, steady: Callable[[], int]) -> None:
-        self._steady = steady
-        self._pools: dict[Life, IdlePool] = {}
+    def __init__(self, monotonic_ns: Callable[[], int]) -> None:
+        """Start without connections."""
+        self._monotonic_ns = monotonic_ns
+        self._pools: dict[BackendInstance, IdleConnections] = {}
         self.opened = 0
-        self.hold = HOLD_MOST  # Bytes of an answer held up before any of it is passed on.
-
-    def pool(self, life: Life) -> IdlePool:
-        found = self._pools.get(life)
-        if found is None:
-            host, _, port = life.address.rpartition(":")
-            found = self._pools[life] = IdlePool(httpcore.Origin(b"http", host.encode(), int(port)))
-        return found
-
-    def idle_one(self, life: Life, once: bool) -> Wire | None:
-        """An idle connection that is fit for a request, out of its pool. `once`: it may not run twice."""
-        pool = self._pools.get(life)
+        self.response_buffer_size = RESPONSE_BUFFER_MAX
+
+    def _pool(self, instance: BackendInstance) -> IdleConnections:
+        pool = self._pools.get(instance)
+        if pool is None:
+            host, _, port = instance.address.rpartition(":")
+            origin = httpcore.Origin(b"http", host.encode(), int(port))
+            pool = self._pools[instance] = IdleConnections(origin)
+        return pool
+
+    def take_idle(self, instance: BackendInstance, idempotent: bool) -> BackendConnection | None:
+        """Take an idle connection that is fit for such a request out of the pool, if there is one."""
+        pool = self._pools.get(instance)
         if pool is None:
             return None
-        now = self._steady()
-        if once and now < pool.strange_until:
+        now = self._monotonic_ns()
+        if not idempotent and now < pool.unexpected_bytes_until:
             return None
         while pool.idle:
-            wire = pool.idle.pop()
-            rest, left = wire.rests(look=True), wire.idle_since + wire.keep - now
-            if rest is Rest.CLEAN and left > MARGIN:
-                if not once or left > MARGIN_ONCE:
-                    return wire
-                pool.idle.append(wire)  # Still good for a request that may be repeated.
+            connection = pool.idle.pop()
+            state = connection.idle_state(check_socket=True)
+            time_left_ns = connection.idle_since + connection.keep_alive_ns - now
+            if state is IdleState.READY and time_left_ns > KEEP_ALIVE_MARGIN_NS:
+                if idempotent or time_left_ns > KEEP_ALIVE_MARGIN_NON_IDEMPOTENT_NS:
+                    return connection
+                pool.idle.append(connection)  # Still good for an idempotent request.
                 return None
-            if rest is Rest.UNREAD:
-                self.strange(life)
-            wire.net.close()
+            if state is IdleState.UNREAD_DATA:
+                self.record_unexpected_bytes(instance)
+            connection.socket_stream.close()
         return None
 
-    async def open(self, life: Life, within: float) -> Wire:
-        """Raises `TryError`: no connection, so nothing has run."""
+    async def connect(self, instance: BackendInstance, timeout_s: float) -> BackendConnection:
+        """Open a connection.
+
+        Raises:
+            AttemptError: There is no connection, so nothing was executed.
+        """
         try:
-            pool = self.pool(life)
-            stream = await dial(life.address, within)
-        except (OSError, ValueError) as why:
-            ending = Ending.SILENT if isinstance(why, TimeoutError) else Ending.LOST
-            if isinstance(why, OSError) and why.errno in OUR_LACK:
-                ending = Ending.LEFT
-            raise TryError(Stage.NOT_CONNECTED, ending) from why
+            pool = self._pool(instance)
+            stream = await dial(instance.address, timeout_s)
+        except (OSError, ValueError) as error:
+            ending = Ending.TIMED_OUT if isinstance(error, TimeoutError) else Ending.CONNECTION_LOST
+            if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRORS:
+                ending = Ending.ABANDONED
+            raise AttemptError(Stage.NOT_CONNECTED, ending) from error
         self.opened += 1
-        return Wire(pool.origin, stream)
+        return BackendConnection(pool.origin, stream)
 
-    def keep(self, life: Life, wire: Wire, headers: Headers) -> None:
-        """The answer is whole: keep the connection if it may be used again."""
-        close, keep = False, KEEP
+    def release(self, instance: BackendInstance, connection: BackendConnection, headers: Headers) -> None:
+        """A response with these headers is complete: keep the connection if it may be used again."""
+        close, keep_alive_ns = False, DEFAULT_KEEP_ALIVE_NS
         for name, value in headers:
             if name == b"connection":
                 close = close or b"close" in value.lower()
             elif name == b"keep-alive":
-                keep = _told(value)
-        rest = wire.rests(look=False)
-        if rest is Rest.UNREAD:
-            self.strange(life)
-        if close or life.ended or rest is not Rest.CLEAN:
-            wire.net.close()
+                keep_alive_ns = _parse_keep_alive_ns(value)
+        state = connection.idle_state(check_socket=False)
+        if state is IdleState.UNREAD_DATA:
+            self.record_unexpected_bytes(instance)
+        if close or instance.retired or state is not IdleState.READY:
+            connection.socket_stream.close()
             return
-        wire.idle_since, wire.keep = self._steady(), keep
-        pool = self.pool(life)
-        pool.idle.append(wire)
-        if len(pool.idle) + life.flying > life.room:
-            pool.idle.pop(0).net.close()
+        connection.idle_since, connection.keep_alive_ns = self._monotonic_ns(), keep_alive_ns
+        pool = self._pool(instance)
+        pool.idle.append(connection)
+        if len(pool.idle) + instance.in_flight > instance.max_in_flight:
+            pool.idle.pop(0).socket_stream.close()
 
-    def strange(self, life: Life) -> None:
+    def record_unexpected_bytes(self, instance: BackendInstance) -> None:
         """Bytes have come from there that belong to no request."""
-        pool = self._pools.get(life)
+        pool = self._pools.get(instance)
         if pool is not None:
-            pool.strange_until = self._steady() + STRANGE_FOR
+            pool.unexpected_bytes_until = self._monotonic_ns() + UNEXPECTED_BYTES_TTL_NS
 
-    def sweep(self) -> None:
-        """Close idle ones that the peer has closed or soon will, and of the oldest above the most."""
-        now, kept = self._steady(), list[Wire]()
-        for life in [life for life in self._pools if life.ended]:
-            self.drop(life)
+    def close_expired(self) -> None:
+        """Close idle connections that the backend has closed or soon will, and the oldest above the limit."""
+        now, kept = self._monotonic_ns(), list[BackendConnection]()
+        for instance in [instance for instance in self._pools if instance.retired]:
+            self.drop(instance)
         for pool in self._pools.values():
-            old = [
-                wire for wire in pool.idle if wire.net.closed or now - wire.idle_since >= wire.keep - MARGIN
+            expired = [
+                connection
+                for connection in pool.idle
+                if connection.socket_stream.is_closed
+                or now - connection.idle_since >= connection.keep_alive_ns - KEEP_ALIVE_MARGIN_NS
             ]
-            for wire in old:
-                pool.idle.remove(wire)
-                wire.net.close()
+            for connection in expired:
+                pool.idle.remove(connection)
+                connection.socket_stream.close()
             kept += pool.idle
-        if len(kept) > IDLE_MOST:
-            kept.sort(key=lambda wire: wire.idle_since)
-            for wire in kept[: len(kept) - IDLE_MOST]:
-                wire.net.close()  # Found closed, it is let go the next time.
+        if len(kept) > MAX_IDLE_CONNECTIONS:
+            kept.sort(key=lambda connection: connection.idle_since)
+            for connection in kept[: len(kept) - MAX_IDLE_CONNECTIONS]:
+                connection.socket_stream.close()  # The next call finds it closed and removes it.
 
-    def drop(self, life: Life) -> None:
-        """The life is gone: nothing more will be sent there."""
-        pool = self._pools.pop(life, None)
-        for wire in pool.idle if pool is not None else ():
-            wire.net.close()
+    def drop(self, instance: BackendInstance) -> None:
+        """The instance is gone: close the idle connections to it."""
+        pool = self._pools.pop(instance, None)
+        for connection in pool.idle if pool is not None else ():
+            connection.socket_stream.close()
 
 
-def _told(value: bytes) -> int:
-    """The time in a `Keep-Alive` header, ns."""
+def _parse_keep_alive_ns(value: bytes) -> int:
+    """Return the time-out of a `Keep-Alive` header, or the default."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.isdigit():
             return int(number) * NS_PER_SECOND
-    return KEEP
+    return DEFAULT_KEEP_ALIVE_NS
 
 
-def patience(near: bool, connects: int, left: int) -> float:
-    """Seconds to wait for a connection. Grows with each one that has failed in this request."""
-    wait = (150 if near else 300) * NS_PER_MS * (1 + connects)
-    return max(1, min(wait, left)) / NS_PER_SECOND
+def connect_timeout_s(is_local_region: bool, connect_failures: int, time_left_ns: int) -> float:
+    """Return how long to wait for a connection; longer with each one that has failed in this request."""
+    base_ns = CONNECT_TIMEOUT_LOCAL_NS if is_local_region else CONNECT_TIMEOUT_REMOTE_NS
+    return max(1, min(base_ns * (1 + connect_failures), time_left_ns)) / NS_PER_SECOND
--- a/ambershift/system/proxy/http_exchange.py
+++ b/ambershift/system/proxy/http_exchange.py
@@ -1,4 +1,4 @@
-"""One exchange on one connection: `httpcore`'s, on our stream; how it ended, and what it left behind."""
+"""One exchange on one connection, by `httpcore` on our stream: the response, or how far the exchange got."""
 
 from __future__ import annotations
 
@@ -10,20 +10,24 @@
 import httpcore
 
 from ambershift.system.proxy.retry_policy import Ending, Stage
-from ambershift.system.proxy.socket_stream import GivenUpError, Rest, Stream
+from ambershift.system.proxy.socket_stream import ExchangeAbortedError, IdleState, SocketStream
 from ambershift.system.state_machine import NS_PER_SECOND
 
 Headers = Sequence[tuple[bytes, bytes]]
 
-KEEP = 4 * NS_PER_SECOND  # How long a backend keeps an idle connection if it doesn't tell.
-# Bytes that a whole answer is held up to before any of it is passed on; less while many are under way.
-HOLD_MOST, HOLD_LEAST = 256 << 10, 64 << 10
-FOREIGN_MOST = 2  # Answers to earlier requests that are skipped while ours is due.
+DEFAULT_KEEP_ALIVE_NS = 4 * NS_PER_SECOND  # How long a backend keeps an idle connection if it doesn't say.
+# A response is buffered up to this size before any of it is passed on. The lower limit holds while many
+# requests are in flight.
+RESPONSE_BUFFER_MAX = 256 << 10
+RESPONSE_BUFFER_MIN = 64 << 10
+MAX_STALE_RESPONSES = 2  # Responses to earlier requests that are skipped while ours is due.
+
+EXCHANGE_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, ExchangeAbortedError, OSError)
 
 
 @dataclass(eq=False)
-class TryError(Exception):
-    """A try ended without an answer of ours."""
+class AttemptError(Exception):
+    """An attempt ended without a response to it."""
 
     stage: Stage
     ending: Ending
@@ -31,128 +35,181 @@
 
 @dataclass(eq=False)
 class UnsendableError(Exception):
-    """The client's request can't be sent on: its head is not one."""
+    """The client's request can't be sent on: its head is invalid."""
 
     reason: str
 
 
-class Unlocked:
-    """In place of a connection's lock: one exchange at a time has it already, and each turn of a lock by
-    `anyio` costs a turn of the loop (a tenth of a request's processor time).
+class NoLock:
+    """Replaces a connection's lock, which is not needed: only one exchange at a time has the connection.
+
+    `anyio`'s lock costs a turn of the event loop each time, a tenth of a request's processor time.
     """
 
     async def __aenter__(self) -> None:
+        """Do nothing."""
         return
 
     async def __aexit__(self, *_: object) -> None:
+        """Do nothing."""
         return
 
 
-class Wire(httpcore.AsyncHTTP11Connection):
-    """`httpcore`'s connection on our stream, and what a keeper of idle ones has to know of it."""
+class BackendConnection(httpcore.AsyncHTTP11Connection):
+    """`httpcore`'s connection on our stream, with what a pool of idle connections has to know of it.
 
-    def __init__(self, origin: httpcore.Origin, net: Stream) -> None:
-        super().__init__(origin, net)
-        self._state_lock = cast(Any, Unlocked())
-        self.net = net
-        self.goal = origin
+    Attributes:
+        socket_stream: The stream that it is on.
+        origin: The backend's address, as `httpcore` wants it.
+        idle_since: When its last exchange ended, ns on the monotonic clock.
+        keep_alive_ns: How long the backend keeps it while it is idle.
+    """
+
+    def __init__(self, origin: httpcore.Origin, stream: SocketStream) -> None:
+        """Start a connection on a stream that is connected."""
+        super().__init__(origin, stream)
+        self._state_lock = cast(Any, NoLock())
+        self.socket_stream = stream
+        self.origin = origin
         self.idle_since = 0
-        self.keep = KEEP
+        self.keep_alive_ns = DEFAULT_KEEP_ALIVE_NS
 
-    def rests(self, look: bool) -> Rest:
-        """Whether it waits for a request, and nothing more has come than the answers asked for."""
+    def idle_state(self, check_socket: bool) -> IdleState:
+        """Return whether it is ready for a request, with no more received than the responses asked for."""
         if not self.is_idle():
-            return Rest.CLOSED
-        return Rest.UNREAD if self._h11_state.trailing_data[0] else self.net.rests(look)
+            return IdleState.CLOSED
+        if self._h11_state.trailing_data[0]:
+            return IdleState.UNREAD_DATA
+        return self.socket_stream.idle_state(check_socket)
 
 
 @dataclass(slots=True)
-class Reply:
-    """An answer: its head, and its body whole, or the rest of it still to come (`rest`). `foreign`: answers
-    to earlier requests came before it.
+class BackendResponse:
+    """A response to this attempt, or to an earlier one.
+
+    Attributes:
+        status: The HTTP status.
+        headers: The headers, names in lower case.
+        body: The body, or its beginning.
+        remaining_body: The parts of the body that follow; None where `body` is complete.
+        followed_stale: Whether responses to earlier requests came before it.
     """
 
     status: int
     headers: Headers
     body: bytes
-    rest: AsyncIterator[bytes] | None = None
-    foreign: bool = False
+    remaining_body: AsyncIterator[bytes] | None = None
+    followed_stale: bool = False
 
 
 async def exchange(
-    wire: Wire, request: httpcore.Request, attempt: bytes, foreign_wait: float, hold: int
-) -> Reply:
-    """Send the request and take in the answer to this attempt: whole, or the first `hold` bytes and more.
-    After an answer to an earlier request ours is awaited for `foreign_wait` seconds more.
-
-    Raises `TryError` with the stage reached, `UnsendableError` where nothing was sent because the request
-    is not one. The connection is closed then.
+    connection: BackendConnection,
+    request: httpcore.Request,
+    attempt_id: bytes,
+    stale_wait_s: float,
+    buffer_size: int,
+) -> BackendResponse:
+    """Send the request and receive the response to this attempt.
+
+    Args:
+        connection: An idle connection.
+        request: The request.
+        attempt_id: The id that the response echoes.
+        stale_wait_s: How long to wait for the response after one to an earlier request.
+        buffer_size: The response is complete if it has no more bytes; otherwise its end is still to be read.
+
+    Raises:
+        AttemptError: There is no response. The connection is closed.
+        UnsendableError: The request is invalid, and nothing was sent. The connection is closed.
     """
-    wire.net.begin()
-    reply = await _receive(wire, request, hold)
-    return reply if _echoes(reply, attempt) else await _skip(wire, request, attempt, foreign_wait, reply)
-
-
-async def _skip(wire: Wire, request: httpcore.Request, attempt: bytes, wait: float, reply: Reply) -> Reply:
-    timer = asyncio.get_running_loop().call_later(wait, wire.net.give_up)
+    connection.socket_stream.begin_exchange()
+    response = await _receive(connection, request, buffer_size)
+    if _matches_attempt(response, attempt_id):
+        return response
+    return await _skip_stale_responses(connection, request, attempt_id, stale_wait_s, response)
+
+
+async def _skip_stale_responses(
+    connection: BackendConnection,
+    request: httpcore.Request,
+    attempt_id: bytes,
+    wait_s: float,
+    response: BackendResponse,
+) -> BackendResponse:
+    timer = asyncio.get_running_loop().call_later(wait_s, connection.socket_stream.abort_exchange)
     try:
-        for _ in range(FOREIGN_MOST):
-            if _echoes(reply, attempt) or reply.rest is not None or not wire.is_idle():
+        for _ in range(MAX_STALE_RESPONSES):
+            if (
+                _matches_attempt(response, attempt_id)
+                or response.remaining_body is not None
+                or not connection.is_idle()
+            ):
                 break
-            # An answer too many, for an earlier request: ours is still to come. The connection is told that
-            # the request is sent once more, but nothing goes out.
-            wire.net.mute = True
-            reply = await _receive(wire, request, HOLD_MOST)
-            reply.foreign = True
+            # This response was to an earlier request: ours is still to come. `httpcore` reads a further
+            # response only for a further request, so it gets the request once more, but nothing is written.
+            connection.socket_stream.discard_writes = True
+            response = await _receive(connection, request, RESPONSE_BUFFER_MAX)
+            response.followed_stale = True
     finally:
         timer.cancel()
-    return reply
+    return response
 
 
-def _echoes(reply: Reply, attempt: bytes) -> bool:
-    return any(name == b"x-attempt-id" and value == attempt for name, value in reply.headers)
+def _matches_attempt(response: BackendResponse, attempt_id: bytes) -> bool:
+    return any(name == b"x-attempt-id" and value == attempt_id for name, value in response.headers)
 
 
-async def _receive(wire: Wire, request: httpcore.Request, hold: int) -> Reply:
-    stream = wire.net
+async def _receive(
+    connection: BackendConnection, request: httpcore.Request, buffer_size: int
+) -> BackendResponse:
+    stream = connection.socket_stream
     try:
-        response = await wire.handle_async_request(request)
+        response = await connection.handle_async_request(request)
         headers = [(name.lower(), value) for name, value in response.headers]
         parts = aiter(cast(AsyncIterable[bytes], response.stream))
-        held, size = list[bytes](), 0
+        buffered, size = list[bytes](), 0
         async for part in parts:
-            held.append(part)
+            buffered.append(part)
             size += len(part)
-            if size > hold:
-                return Reply(response.status, headers, b"".join(held), _rest(wire, response, parts))
+            if size > buffer_size:
+                remaining = _read_remaining(connection, response, parts)
+                return BackendResponse(response.status, headers, b"".join(buffered), remaining)
         await response.aclose()
-    except httpcore.LocalProtocolError as why:
+    except httpcore.LocalProtocolError as error:
         stream.close()
-        if stream.wrote:
-            raise _failed(stream, why) from why
-        raise UnsendableError(str(why)) from why
-    except (httpcore.NetworkError, httpcore.ProtocolError, GivenUpError, OSError) as why:
+        if stream.has_written:
+            raise _attempt_error(stream, error) from error
+        raise UnsendableError(str(error)) from error
+    except EXCHANGE_ERRORS as error:
         stream.close()
-        raise _failed(stream, why) from why
+        raise _attempt_error(stream, error) from error
     except asyncio.CancelledError:
         stream.close()
         raise
-    return Reply(response.status, headers, b"".join(held))
+    return BackendResponse(response.status, headers, b"".join(buffered))
 
 
-async def _rest(wire: Wire, response: httpcore.Response, parts: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
+async def _read_remaining(
+    connection: BackendConnection, response: httpcore.Response, parts: AsyncIterator[bytes]
+) -> AsyncIterator[bytes]:
     try:
         async for part in parts:
             yield part
         await response.aclose()
-    except (httpcore.NetworkError, httpcore.ProtocolError, GivenUpError, OSError) as why:
-        wire.net.close()
-        raise _failed(wire.net, why) from why
-
-
-def _failed(stream: Stream, why: Exception) -> TryError:
-    stage = Stage.BEGUN if stream.begun else Stage.SENT if stream.wrote else Stage.CONNECTED
-    if isinstance(why, GivenUpError):
-        return TryError(stage, Ending.SILENT)
-    garbled = isinstance(why, httpcore.RemoteProtocolError) and stream.begun and not stream.closed
-    return TryError(stage, Ending.GARBLED if garbled else Ending.LOST)
+    except EXCHANGE_ERRORS as error:
+        connection.socket_stream.close()
+        raise _attempt_error(connection.socket_stream, error) from error
+
+
+def _attempt_error(stream: SocketStream, error: Exception) -> AttemptError:
+    """Return how far the exchange got, and what ended it."""
+    if stream.has_received:
+        stage = Stage.RESPONSE_STARTED
+    else:
+        stage = Stage.SENT if stream.has_written else Stage.CONNECTED
+    if isinstance(error, ExchangeAbortedError):
+        return AttemptError(stage, Ending.TIMED_OUT)
+    is_malformed = (
+        isinstance(error, httpcore.RemoteProtocolError) and stream.has_received and not stream.is_closed
+    )
+    return AttemptError(stage, Ending.MALFORMED if is_malformed else Ending.CONNECTION_LOST)
--- a/ambershift/system/proxy/partition_detector.py
+++ b/ambershift/system/proxy/partition_detector.py
@@ -1,33 +1,44 @@
-"""Detects that the proxy itself is partitioned: no backend in several zones answers it."""
+"""Detects that the proxy itself is partitioned: backends in several zones don't respond to it."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from ambershift.system.proxy.backend_instance import Life
+from ambershift.system.proxy.backend_instance import BackendInstance
 from ambershift.system.state_machine import NS_PER_MS
 
-SILENT = 300 * NS_PER_MS
-# Backends that keep requests waiting for longer than is usual with them, in more than one zone.
-WITNESSES, ZONES = 3, 2
-TRIAL = 100 * NS_PER_MS  # One request in so long still goes out, to see whether it is over.
+SILENCE_THRESHOLD_NS = 300 * NS_PER_MS
+# So many backends, in so many zones, have to leave requests waiting for longer than is usual with them.
+MIN_SILENT_BACKENDS = 3
+MIN_SILENT_ZONES = 2
+TRIAL_INTERVAL_NS = 100 * NS_PER_MS  # One request in this time is let through, to see whether it is over.
 
 
-class Isolation:
-    """While cut off, a request is better refused at once: the client finds another proxy."""
+class PartitionDetector:
+    """While the proxy is partitioned, a request is better rejected at once: the client finds another proxy.
+
+    Attributes:
+        last_response_at: When any backend last responded, ns on the monotonic clock.
+    """
 
     def __init__(self) -> None:
-        self.heard = 0
-        self._trial = 0
+        """Start without a response."""
+        self.last_response_at = 0
+        self._last_trial = 0
 
-    def cut(self, now: int, lives: Iterable[Life]) -> bool:
-        """Whether to refuse a request now. Costs nothing while answers come."""
-        if now - self.heard < SILENT:
+    def should_reject(self, now: int, instances: Iterable[BackendInstance]) -> bool:
+        """Return whether to reject a request now. This is cheap while backends respond."""
+        if now - self.last_response_at < SILENCE_THRESHOLD_NS:
             return False
-        witnesses = [life for life in lives if life.resting(now) and life.quiet(self.heard + 1)]
-        if len(witnesses) < WITNESSES or len({life.zone for life in witnesses}) < ZONES:
+        silent = [
+            instance
+            for instance in instances
+            if instance.is_avoided(now) and instance.is_silent_since(self.last_response_at + 1)
+        ]
+        zones = {instance.zone for instance in silent}
+        if len(silent) < MIN_SILENT_BACKENDS or len(zones) < MIN_SILENT_ZONES:
             return False
-        if now - self._trial >= TRIAL:
-            self._trial = now
+        if now - self._last_trial >= TRIAL_INTERVAL_NS:
+            self._last_trial = now
             return False
         return True
--- a/ambershift/system/proxy/request_forwarder.py
+++ b/ambershift/system/proxy/request_forwarder.py
@@ -1,148 +1,176 @@
-"""All attempts for one request: retries, and a hedged request while a backend is silent, until an answer."""
+"""Forwards one request to backends: attempts, retries, and a hedged attempt while a backend is silent."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 
-import httpcore
-
-from ambershift.system.proxy.backend_attempt import Came, Try
-from ambershift.system.proxy.backend_instance import Life
-from ambershift.system.proxy.backend_view import Pool
-from ambershift.system.proxy.http_exchange import Wire
-from ambershift.system.proxy.retry_policy import Outcome, Stage, Tries
+from ambershift.system.proxy.admission import MAX_PRIORITY
+from ambershift.system.proxy.backend_attempt import Attempt, AttemptResult, RequestBuilder
+from ambershift.system.proxy.backend_instance import BackendInstance
+from ambershift.system.proxy.backend_view import BackendPool
+from ambershift.system.proxy.retry_policy import Outcome, RetryState, Stage
 from ambershift.system.proxy.routing import Route
 from ambershift.system.proxy.state import ProxyState
 from ambershift.system.state_machine import NS_PER_SECOND
 
-Make = Callable[[Wire, Life, int], httpcore.Request]
-Racing = asyncio.Task[Came]
+AttemptTask = asyncio.Task[AttemptResult]
+
+# The share of a route's target time that each step of priority gives up when all backends have queues.
+PRIORITY_TARGET_STEP = 0.1
 
-# Of a request's aim, what each step of priority gives up when all backends have queues.
-YIELDED = 0.1
 
+class RequestForwarder:
+    """Makes the attempts of one request until a response can be passed on, or no further one is allowed.
 
-class Course:
-    """`make` builds the request for a connection, a backend and the time left, ns."""
+    Attributes:
+        retry_state: The attempts so far.
+        no_backend_left: Whether an attempt was allowed, but there was no backend for it.
+        client_disconnected: Whether the client has disconnected.
+    """
 
     def __init__(
-        self, proxy: ProxyState, route: Route, pool: Pool, deadline: int, attempt: bytes, make: Make
+        self,
+        proxy: ProxyState,
+        route: Route,
+        pool: BackendPool,
+        deadline: int,
+        attempt_id: bytes,
+        build_request: RequestBuilder,
     ) -> None:
-        self.proxy, self.pool, self.attempt, self.make = proxy, pool, attempt, make
-        self.tries = Tries(route.repeatable, route.most, deadline)
-        self.budget = proxy.budget(pool.service)
-        self.aim = min(deadline, proxy.steady() + int(route.target * (1 - YIELDED * min(route.priority, 5))))
-        self.nobody = False  # No backend was left to try.
-        self._tried = list[Life]()
-        self._under_way = list[Try]()
-        self._left = False
-
-    async def run(self) -> Came | None:
-        """What is to be passed on to the client; None where that is our own answer. Raises
-        `UnsendableError`.
+        """Prepare to forward; `run` makes the attempts.
+
+        Args:
+            proxy: The state that requests share.
+            route: The route of the request.
+            pool: The backends to choose among.
+            deadline: When the response is due, ns on the monotonic clock.
+            attempt_id: The id that responses have to echo.
+            build_request: Builds the request for each attempt.
         """
-        failure = None
-        while (trying := self._begin()) is not None:
-            if self.tries.repeatable and self.tries.most > 1:
-                came = await self._beside(trying)
+        self.retry_state = RetryState(route.idempotent, route.max_attempts, deadline)
+        self.no_backend_left = False
+        self.client_disconnected = False
+        self._proxy = proxy
+        self._pool = pool
+        self._attempt_id = attempt_id
+        self._build_request = build_request
+        self._budget = proxy.budget(pool.service)
+        target_share = 1 - PRIORITY_TARGET_STEP * min(route.priority, MAX_PRIORITY)
+        self._target = min(deadline, proxy.monotonic_ns() + int(route.target_ns * target_share))
+        self._tried = list[BackendInstance]()
+        self._open_attempts = list[Attempt]()
+
+    async def run(self) -> AttemptResult | None:
+        """Make the attempts.
+
+        Returns:
+            The result whose response is to be passed on; None where the proxy has to respond itself.
+
+        Raises:
+            UnsendableError: The client's request is invalid.
+        """
+        error_response = None
+        while (attempt := self._start_attempt()) is not None:
+            if self.retry_state.idempotent and self.retry_state.max_attempts > 1:
+                result = await self._run_hedged(attempt)
             else:
-                came = await self._see(trying)
-            if self._left or came.outcome is Outcome.GOOD:
-                return came
-            failure = came if came.reply is not None else None
-        return failure
-
-    def leave(self) -> None:
-        """The client has left: end all that is under way, so that the backends may drop it."""
-        self._left = True
-        for trying in self._under_way:
-            trying.leave()
-
-    @property
-    def left(self) -> bool:
-        return self._left
-
-    def _begin(self) -> Try | None:
-        """The next attempt, if one is allowed and there is a backend for it."""
-        proxy, tries = self.proxy, self.tries
-        now = proxy.steady()
-        if self._left or not tries.may(now):
+                result = await self._run_attempt(attempt)
+            if self.client_disconnected or result.outcome is Outcome.SUCCESS:
+                return result
+            error_response = result if result.response is not None else None
+        return error_response
+
+    def handle_disconnect(self) -> None:
+        """The client has disconnected: end all attempts, so that the backends may drop the request."""
+        self.client_disconnected = True
+        for attempt in self._open_attempts:
+            attempt.handle_disconnect()
+
+    def _start_attempt(self) -> Attempt | None:
+        """Start the next attempt, if one is allowed and there is a backend for it."""
+        proxy, retry_state = self._proxy, self.retry_state
+        now = proxy.monotonic_ns()
+        if self.client_disconnected or not retry_state.may_attempt(now):
             return None
-        life = proxy.pick(self.pool, now, self._tried, self.aim - now)
-        if life is None:
-            self.nobody = True
+        instance = proxy.pick(self._pool, now, self._tried, self._target - now)
+        if instance is None:
+            self.no_backend_left = True
             return None
-        paid = tries.costs
-        if paid and not self.budget.take(now):
+        is_charged = retry_state.needs_budget
+        if is_charged and not self._budget.take(now):
             return None
-        tries.begun()
-        self._tried.append(life)
-        trying = Try(proxy.connections, proxy.steady, life, life.region == proxy.settings.region, paid)
-        self._under_way.append(trying)
-        return trying
-
-    async def _see(self, trying: Try) -> Came:
+        retry_state.record_start()
+        self._tried.append(instance)
+        is_local_region = instance.region == proxy.settings.region
+        attempt = Attempt(proxy.connections, proxy.monotonic_ns, instance, is_local_region, is_charged)
+        self._open_attempts.append(attempt)
+        return attempt
+
+    async def _run_attempt(self, attempt: Attempt) -> AttemptResult:
+        """Run an attempt to its end, and record it."""
         try:
-            came = await trying.run(self.tries, self.attempt, self.make)
+            result = await attempt.run(self.retry_state, self._attempt_id, self._build_request)
         finally:
-            self._under_way.remove(trying)
-        if trying.paid and came.stage <= Stage.CONNECTED:
-            self.budget.give_back(self.proxy.steady())
-        self.tries.ended(came.stage, came.outcome)
-        if came.stage is Stage.WHOLE:
-            self.proxy.isolation.heard = self.proxy.steady()
-        if came.outcome is Outcome.GOOD:
-            self._under_way.append(trying)  # A large answer is still to come through it.
-        return came
-
-    async def _beside(self, first: Try) -> Came:
-        """An attempt, and a hedged one elsewhere once its backend is silent to all requests; the first good
-        answer counts. The other is not cancelled: its backend may be at work.
+            self._open_attempts.remove(attempt)
+        if attempt.charged and result.stage <= Stage.CONNECTED:
+            self._budget.give_back(self._proxy.monotonic_ns())
+        self.retry_state.record_end(result.stage, result.outcome)
+        if result.stage is Stage.RESPONSE_COMPLETE:
+            self._proxy.partition_detector.last_response_at = self._proxy.monotonic_ns()
+        if result.outcome is Outcome.SUCCESS:
+            self._open_attempts.append(attempt)  # The end of a large response is still to come.
+        return result
+
+    async def _run_hedged(self, first: Attempt) -> AttemptResult:
+        """Run an attempt, and a hedged one elsewhere once its backend is silent to all requests.
+
+        The first good response counts. The other attempt is not cancelled: its backend may be executing the
+        request.
         """
-        task: Racing = asyncio.ensure_future(self._see(first))
-        await _either(task, first.life.patience() / NS_PER_SECOND)
-        racing = {task}
+        task: AttemptTask = asyncio.ensure_future(self._run_attempt(first))
+        await _wait_for_task(task, first.instance.silence_timeout_ns() / NS_PER_SECOND)
+        pending = {task}
         try:
-            if not task.done() and first.life.quiet(first.started):
-                second = self._begin()
-                if second is not None:
-                    racing.add(asyncio.ensure_future(self._see(second)))
+            if not task.done() and first.instance.is_silent_since(first.started_at):
+                hedged = self._start_attempt()
+                if hedged is not None:
+                    pending.add(asyncio.ensure_future(self._run_attempt(hedged)))
             while True:
-                done = {one for one in racing if one.done()} or (
-                    await asyncio.wait(racing, return_when=asyncio.FIRST_COMPLETED)
-                )[0]
-                racing = racing - done
-                came = [task.result() for task in done]
-                came.sort(key=lambda one: one.outcome is Outcome.GOOD)
-                if came[-1].outcome is Outcome.GOOD or not racing:
-                    for spare in came[:-1]:
-                        spare.by.close()
-                    return came[-1]
+                done = {one for one in pending if one.done()}
+                if not done:
+                    done, _ = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+                pending = pending - done
+                results = [one.result() for one in done]
+                results.sort(key=lambda result: result.outcome is Outcome.SUCCESS)
+                if results[-1].outcome is Outcome.SUCCESS or not pending:
+                    for unused in results[:-1]:
+                        unused.attempt.close()
+                    return results[-1]
         except BaseException:
-            for one in racing:
+            for one in pending:
                 one.cancel()
             raise
         finally:
-            for one in racing:
-                self.proxy.let_run(one)
+            for one in pending:
+                self._proxy.detach(one)
+
 
+async def _wait_for_task(task: AttemptTask, timeout_s: float) -> None:
+    """Wait until the task is done or the time is over.
 
-async def _either(task: Racing, seconds: float) -> None:
-    """Until the task is done or the time is over; a fifth of what `asyncio.wait` takes, and each request
-    comes by here.
+    Each request comes by here, and `asyncio.wait` takes five times as long.
     """
     loop = asyncio.get_running_loop()
-    news: asyncio.Future[None] = loop.create_future()
+    waiter: asyncio.Future[None] = loop.create_future()
 
-    def tell(_: object = None) -> None:
-        if not news.done():
-            news.set_result(None)
+    def wake(_: object = None) -> None:
+        if not waiter.done():
+            waiter.set_result(None)
 
-    timer = loop.call_later(seconds, tell)
-    task.add_done_callback(tell)
+    timer = loop.call_later(timeout_s, wake)
+    task.add_done_callback(wake)
     try:
-        await news
+        await waiter
     except BaseException:
         task.cancel()
         raise
--- a/ambershift/system/proxy/retry_budget.py
+++ b/ambershift/system/proxy/retry_budget.py
@@ -1,49 +1,52 @@
-"""A service's budget of further arrivals: what one proxy may repeat, by its own requests."""
+"""A service's retry budget: how many retries one proxy may send, in proportion to its own requests."""
 
 from __future__ import annotations
 
-SLICES = 20
-# What is left for requests that arrive a little outside the window in which they were counted here.
-SHARE = 0.9
+SLICE_COUNT = 20
+# The share of the ratio that is spent. The rest is left for requests that reach a backend a little outside
+# the window in which they were counted here.
+SPENDABLE_SHARE = 0.9
 
 
-class Budget:
-    """Counts requests and further arrivals in slices of a sliding window of `window` ns.
+class RetryBudget:
+    """Counts requests and retries in the slices of a sliding window.
 
-    Every proxy keeps under the ratio of its own requests, so the sum over all does too, whatever is lost or
-    started anew; the platform's slack stays unspent.
+    Each proxy stays below the ratio of its own requests, so the sum over all proxies does, too, whatever is
+    lost or restarted. The platform's slack (`RetrySlack`) stays unspent.
     """
 
-    def __init__(self, window: int, ratio: float) -> None:
-        self._slice = max(1, window // SLICES)
-        self._ratio = SHARE * ratio
-        # One slice more than the window has for the arrivals (they may not leave early), one less for the
-        # requests (they may not stay long): the borders of slices then never help.
-        self._requests = [0] * (SLICES + 1)
-        self._further = [0] * (SLICES + 1)
-        self._at = 0
-
-    def came(self, now: int) -> None:
+    def __init__(self, window_ns: int, ratio: float) -> None:
+        """Start without requests; at most `ratio` retries a request are allowed within the window."""
+        self._slice_ns = max(1, window_ns // SLICE_COUNT)
+        self._ratio = SPENDABLE_SHARE * ratio
+        # Retries are kept for one slice longer than the window, so that none is forgotten early, and requests
+        # for one slice less, so that none counts too long: the borders of slices then never allow more.
+        self._requests = [0] * (SLICE_COUNT + 1)
+        self._retries = [0] * (SLICE_COUNT + 1)
+        self._current_slice = 0
+
+    def record_request(self, now: int) -> None:
         """A request for the service has come to this proxy."""
-        self._requests[self._turn(now)] += 1
+        self._requests[self._advance(now)] += 1
 
     def take(self, now: int) -> bool:
-        """Take one further arrival out of the budget, if there is one."""
-        at = self._turn(now)
-        oldest = (at + 1) % (SLICES + 1)
-        if sum(self._further) + 1 > self._ratio * (sum(self._requests) - self._requests[oldest]):
+        """Take one retry out of the budget; return whether there was one."""
+        current = self._advance(now)
+        oldest = (current + 1) % (SLICE_COUNT + 1)
+        if sum(self._retries) + 1 > self._ratio * (sum(self._requests) - self._requests[oldest]):
             return False
-        self._further[at] += 1
+        self._retries[current] += 1
         return True
 
     def give_back(self, now: int) -> None:
-        """What was just taken has not gone out."""
-        at = self._turn(now)
-        self._further[at] = max(0, self._further[at] - 1)
-
-    def _turn(self, now: int) -> int:
-        number = now // self._slice
-        for passed in range(max(self._at, number - SLICES - 1) + 1, number + 1):
-            self._requests[passed % (SLICES + 1)] = self._further[passed % (SLICES + 1)] = 0
-        self._at = max(self._at, number)
-        return self._at % (SLICES + 1)
+        """Return a retry that was just taken, but not sent."""
+        current = self._advance(now)
+        self._retries[current] = max(0, self._retries[current] - 1)
+
+    def _advance(self, now: int) -> int:
+        """Clear the slices that have left the window; return the index of the current one."""
+        number = now // self._slice_ns
+        for passed in range(max(self._current_slice, number - SLICE_COUNT - 1) + 1, number + 1):
+            self._requests[passed % (SLICE_COUNT + 1)] = self._retries[passed % (SLICE_COUNT + 1)] = 0
+        self._current_slice = max(self._current_slice, number)
+        return self._current_slice % (SLICE_COUNT + 1)
--- a/ambershift/system/proxy/retry_policy.py
+++ b/ambershift/system/proxy/retry_policy.py
@@ -1,6 +1,6 @@
-"""One request's attempts at backends: the outcome of each, whether another may follow, and our own status.
+"""Retry decisions for one request: what each attempt proves, whether another may follow, the final status.
 
-No input or output. Widens the idea of `ambershift.attempt` (what a failed try proves) to what a proxy sees.
+No input or output. Extends `ambershift.attempt` (what a failed attempt proves) to what a proxy observes.
 """
 
 from __future__ import annotations
@@ -11,6 +11,19 @@
 from ambershift.attempt.machine import Evidence
 from ambershift.system.state_machine import NS_PER_MS
 
+# Timers of the event loop may fire this much before the deadline, since it counts in ms.
+TIMER_TOLERANCE_NS = 2 * NS_PER_MS
+# With less time left, a further attempt can't bring a response before the deadline.
+MIN_TIME_LEFT_NS = 20 * NS_PER_MS
+# Connections that may fail in one request: they prove that nothing was executed, but they take time.
+MAX_CONNECT_FAILURES = 6
+# Statuses by which a server says that it has not executed the request and never will.
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+MISDIRECTED_REQUEST = 421
+REDIRECTION_MIN = 300
+SERVER_ERROR_MIN = 500
+STATUS_LIMIT = 600
+
 
 class Stage(IntEnum):
     """How far an attempt got. From `SENDING` on, bytes of the request may have reached the backend."""
@@ -19,122 +32,129 @@
     CONNECTED = 1
     SENDING = 2
     SENT = 3
-    BEGUN = 4
-    WHOLE = 5
+    RESPONSE_STARTED = 4
+    RESPONSE_COMPLETE = 5
 
 
 class Ending(Enum):
-    """What ended it: the connection was refused, reset or closed; nothing came in time; bytes came that are
-    no answer to this request; the client has left; or the answer was whole.
-    """
+    """What ended an attempt."""
 
-    LOST = "lost"
-    SILENT = "silent"
-    GARBLED = "garbled"
-    LEFT = "left"
-    ANSWERED = "answered"
+    CONNECTION_LOST = "lost"  # Refused, reset or closed.
+    TIMED_OUT = "silent"
+    MALFORMED = "garbled"  # Bytes came that are no response to this request.
+    ABANDONED = "left"  # The client has disconnected, or the proxy could not make the attempt.
+    RESPONDED = "answered"  # The response is complete.
 
 
 class Outcome(Enum):
-    """`NOT_RUN` and `MAY_HAVE_RUN` are evidence; `FAILED` is the backend's own failure answer, which is
-    passed on unless a repeat is worth it; `GOOD` is passed on.
+    """What an attempt came to.
+
+    `NOT_RUN` and `MAY_HAVE_RUN` are evidence only. `ERROR_RESPONSE` is the backend's own error, which is
+    passed on unless a retry is worth it. `SUCCESS` is any other response to this request; it is passed on.
     """
 
     NOT_RUN = "not run"
     MAY_HAVE_RUN = "may have run"
-    FAILED = "failed"
-    GOOD = "good"
+    ERROR_RESPONSE = "failed"
+    SUCCESS = "good"
 
 
-EVIDENCE = {
+EVIDENCE_BY_OUTCOME = {
     Outcome.NOT_RUN: Evidence.NOT_RUN,
     Outcome.MAY_HAVE_RUN: Evidence.MAY_HAVE_RUN,
-    Outcome.FAILED: Evidence.MAY_HAVE_RUN,
-    Outcome.GOOD: Evidence.MAY_HAVE_RUN,
+    Outcome.ERROR_RESPONSE: Evidence.MAY_HAVE_RUN,
+    Outcome.SUCCESS: Evidence.MAY_HAVE_RUN,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What counts of an answer's head: whether it echoes this try's id, bears the server's seal, says that
-    the request was not executed, is encoded although nobody asked for it.
+class ResponseHead:
+    """What the head of a response says that retries depend on.
+
+    Attributes:
+        status: The HTTP status.
+        matches_attempt: Whether it echoes the id of this attempt and is well-formed.
+        sealed: Whether it bears the server's seal.
+        not_executed: Whether it says that the request was not executed.
+        encoded: Whether the body is encoded although nobody asked for it.
     """
 
     status: int
-    ours: bool
+    matches_attempt: bool
     sealed: bool
-    turned_away: bool
+    not_executed: bool
     encoded: bool = False
 
 
-# Statuses that promise that the request has not run and never will.
-PROMISES = (408, 421, 429, 503)
-
-
-def outcome(stage: Stage, ending: Ending, told: Told | None = None) -> Outcome:
-    """The one outcome of an attempt that ended so at this stage. Total: every pair has one."""
+def classify_attempt(stage: Stage, ending: Ending, response: ResponseHead | None = None) -> Outcome:
+    """Return the outcome of an attempt that ended so at this stage. Every combination has exactly one."""
     if stage <= Stage.CONNECTED:
         return Outcome.NOT_RUN
-    if ending is not Ending.ANSWERED or told is None or not told.ours:
+    if ending is not Ending.RESPONDED or response is None or not response.matches_attempt:
         return Outcome.MAY_HAVE_RUN
-    if told.turned_away or told.status == 421:
+    if response.not_executed or response.status == MISDIRECTED_REQUEST:
         return Outcome.NOT_RUN
-    if told.status < 300:
-        return Outcome.GOOD if told.sealed and not told.encoded else Outcome.MAY_HAVE_RUN
-    if told.status in PROMISES or told.status >= 600:
-        return Outcome.MAY_HAVE_RUN  # A promise the backend has not made in full may not be passed on.
-    return Outcome.FAILED if told.status >= 500 else Outcome.GOOD
-
-
-# The event loop counts in ms: a timer of the deadline may fire so much before it, ns.
-TIMER_EARLY = 2 * NS_PER_MS
-# With less left a further try can't bring an answer in time, ns.
-LEAST_LEFT = 20 * NS_PER_MS
-# Connections that may fail in one request: they prove that nothing ran, but they take time.
-CONNECTS_MOST = 6
+    if response.status < REDIRECTION_MIN:
+        return Outcome.SUCCESS if response.sealed and not response.encoded else Outcome.MAY_HAVE_RUN
+    if response.status in NOT_EXECUTED_STATUSES or response.status >= STATUS_LIMIT:
+        # The status promises that the request never runs. Without `X-Not-Executed` it may not be passed on.
+        return Outcome.MAY_HAVE_RUN
+    return Outcome.ERROR_RESPONSE if response.status >= SERVER_ERROR_MIN else Outcome.SUCCESS
 
 
 @dataclass(slots=True)
-class Tries:
-    """The attempts of one request so far. `deadline` is ns on the steady clock."""
+class RetryState:
+    """The attempts of one request so far.
+
+    Attributes:
+        idempotent: Whether the request may be executed more than once.
+        max_attempts: How many attempts may reach a backend.
+        deadline: When the response is due, ns on the monotonic clock.
+        in_progress: Attempts that have not ended.
+        arrivals: Ended attempts whose request may have reached a backend.
+        connect_failures: Ended attempts that sent nothing.
+        evidence: Whether any attempt may have been executed.
+        last_was_error: Whether the attempt that ended last brought the backend's own error.
+    """
 
-    repeatable: bool
-    most: int
+    idempotent: bool
+    max_attempts: int
     deadline: int
-    under_way: int = 0
+    in_progress: int = 0
     arrivals: int = 0
-    connects: int = 0
+    connect_failures: int = 0
     evidence: Evidence = Evidence.NOT_RUN
-    failure: bool = False
+    last_was_error: bool = False
 
-    def begun(self) -> None:
-        self.under_way += 1
+    def record_start(self) -> None:
+        """An attempt has started."""
+        self.in_progress += 1
 
-    def ended(self, stage: Stage, came_to: Outcome) -> None:
-        """An attempt has ended. Count it as an arrival if the request may have reached the backend."""
-        self.under_way -= 1
+    def record_end(self, stage: Stage, outcome: Outcome) -> None:
+        """An attempt has ended; it is an arrival if the request may have reached the backend."""
+        self.in_progress -= 1
         if stage <= Stage.CONNECTED:
-            self.connects += 1
+            self.connect_failures += 1
         else:
             self.arrivals += 1
-        self.failure = came_to is Outcome.FAILED
-        self.evidence = max(self.evidence, EVIDENCE[came_to])
+        self.last_was_error = outcome is Outcome.ERROR_RESPONSE
+        self.evidence = max(self.evidence, EVIDENCE_BY_OUTCOME[outcome])
 
     @property
-    def costs(self) -> bool:
-        """Whether the next attempt is paid from the service's retry budget."""
-        return self.arrivals + self.under_way > 0
+    def needs_budget(self) -> bool:
+        """Whether the next attempt is charged to the service's retry budget."""
+        return self.arrivals + self.in_progress > 0
 
-    def may(self, now: int) -> bool:
-        """Whether another backend may be tried, the budget apart."""
-        if now + LEAST_LEFT >= self.deadline or self.connects >= CONNECTS_MOST:
+    def may_attempt(self, now: int) -> bool:
+        """Whether another backend may be tried, the retry budget apart."""
+        if now + MIN_TIME_LEFT_NS >= self.deadline or self.connect_failures >= MAX_CONNECT_FAILURES:
             return False
-        if self.arrivals + self.under_way >= self.most:
+        if self.arrivals + self.in_progress >= self.max_attempts:
             return False
-        return self.repeatable or self.evidence is Evidence.NOT_RUN
+        return self.idempotent or self.evidence is Evidence.NOT_RUN
 
-    def last_word(self, now: int) -> int:
-        """The status of our own answer when no backend's is passed on."""
+    def final_status(self, now: int) -> int:
+        """Return the status of the proxy's own response, where no backend's is passed on."""
         if self.evidence is Evidence.NOT_RUN:
             return 503
-        return 504 if now + TIMER_EARLY >= self.deadline else 502
+        return 504 if now + TIMER_TOLERANCE_NS >= self.deadline else 502
--- a/ambershift/system/proxy/socket_stream.py
+++ b/ambershift/system/proxy/socket_stream.py
@@ -10,182 +10,226 @@
 
 import httpcore
 
-# Unacknowledged bytes for so long end a connection, ms: a dead machine says nothing.
-USER_TIMEOUT = 1500
-READ_MOST = 256 << 10  # Bytes received and not yet read; above it the peer has to wait.
+# Unacknowledged bytes end a connection after so long: a dead machine doesn't close it.
+TCP_USER_TIMEOUT_MS = 1500
+READ_BUFFER_MAX = 256 << 10  # Bytes received and not yet read; above it the peer has to wait.
+PEEK_FLAGS = socket.MSG_PEEK | socket.MSG_DONTWAIT
 
 
-PEEK = socket.MSG_PEEK | socket.MSG_DONTWAIT
+class IdleState(Enum):
+    """The state of a connection between two exchanges."""
 
+    READY = "clean"  # Fit for an exchange.
+    CLOSED = "closed"  # By the peer, or lost.
+    UNREAD_DATA = "unread"  # Bytes have come that belong to no request.
 
-class Rest(Enum):
-    """A connection between exchanges: fit for one, closed by the peer, or with bytes nobody asked for."""
 
-    CLEAN = "clean"
-    CLOSED = "closed"
-    UNREAD = "unread"
+class ExchangeAbortedError(Exception):
+    """The proxy ended the exchange itself: its time is over, or the client has disconnected."""
 
 
-class GivenUpError(Exception):
-    """We ended the exchange ourselves: its time is over, or the client has left."""
+class SocketStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
+    """A network stream that tells what `httpcore`'s own does not.
 
+    Attributes:
+        has_written: Whether bytes were written in this exchange.
+        has_received: Whether bytes were received in this exchange.
+        discard_writes: Writes are dropped, to read a further response to a request that was already sent.
+    """
 
-class Stream(asyncio.Protocol, httpcore.AsyncNetworkStream):
-    """Says what `httpcore` does not: whether bytes were written, came, lie unread, or the peer closed."""
-
-    def __init__(self, plug: socket.socket) -> None:
-        self._plug = plug
+    def __init__(self, sock: socket.socket) -> None:
+        """Start unconnected; the event loop calls `connection_made`."""
+        self._socket = sock
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._received = bytearray()
-        self._waiter: asyncio.Future[None] | None = None
-        self._free: asyncio.Future[None] | None = None
-        self._held = False
+        self._read_waiter: asyncio.Future[None] | None = None
+        self._write_waiter: asyncio.Future[None] | None = None
+        self._reading_paused = False
         self._eof = False
-        self._broken: Exception | None = None
-        self.wrote = self.begun = False
-        self.mute = False  # Writes go nowhere: a further answer to a request already sent is to be read.
+        self._error: Exception | None = None
+        self.has_written = self.has_received = False
+        self.discard_writes = False
+
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is one, but doesn't derive from it.
+        """The connection is open."""
+        # uvloop's transport is an `asyncio.Transport`, but doesn't derive from it.
+        self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.begun = True
+        """Buffer the bytes; above `READ_BUFFER_MAX`, stop reading."""
+        self.has_received = True
         self._received += data
-        if len(self._received) > READ_MOST and not self._held and self._transport is not None:
-            self._held = True
+        if len(self._received) > READ_BUFFER_MAX and not self._reading_paused and self._transport is not None:
+            self._reading_paused = True
             self._transport.pause_reading()
-        self._awake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
+        """The peer has closed; the transport closes, too."""
         self._eof = True
-        self._awake()
+        self._wake_reader()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is closed, or lost."""
         self._eof = True
-        if exc is not None and self._broken is None:
-            self._broken = httpcore.ReadError(str(exc))
-        self._awake()
-        if self._free is not None and not self._free.done():
-            self._free.set_result(None)
+        if exc is not None and self._error is None:
+            self._error = httpcore.ReadError(str(exc))
+        self._wake_reader()
+        self._wake_writer()
 
     def pause_writing(self) -> None:
-        self._free = self._loop.create_future()
+        """The transport's buffer is full: `write` waits."""
+        self._write_waiter = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        if self._free is not None and not self._free.done():
-            self._free.set_result(None)
-        self._free = None
+        """The transport's buffer has space again."""
+        self._wake_writer()
+        self._write_waiter = None
+
+    def _wake_reader(self) -> None:
+        if self._read_waiter is not None and not self._read_waiter.done():
+            self._read_waiter.set_result(None)
+
+    def _wake_writer(self) -> None:
+        if self._write_waiter is not None and not self._write_waiter.done():
+            self._write_waiter.set_result(None)
+
+    # Exchanges.
 
     @property
-    def closed(self) -> bool:
-        """The peer has closed, or the connection was lost."""
+    def is_closed(self) -> bool:
+        """Whether the peer has closed, or the connection was lost."""
         return self._eof
 
-    def begin(self) -> None:
+    def begin_exchange(self) -> None:
         """A new exchange starts on this connection."""
-        self.wrote = self.begun = self.mute = False
-
-    def give_up(self) -> None:
-        """End the exchange under way from outside: whoever reads gets `GivenUpError`."""
-        self._broken = GivenUpError()
-        self._awake()
-        if self._free is not None and not self._free.done():
-            self._free.set_result(None)
-
-    def rests(self, look: bool = True) -> Rest:
-        """How it stands between exchanges. `look`: at the socket itself, too, since the loop may not have
-        come round to what has arrived.
+        self.has_written = self.has_received = self.discard_writes = False
+
+    def abort_exchange(self) -> None:
+        """End the exchange in progress; who reads or writes gets `ExchangeAbortedError`."""
+        self._error = ExchangeAbortedError()
+        self._wake_reader()
+        self._wake_writer()
+
+    def idle_state(self, check_socket: bool = True) -> IdleState:
+        """Return the state between exchanges.
+
+        Args:
+            check_socket: Look at the socket, too: the event loop may not have read yet what has arrived.
         """
         if self._received:
-            return Rest.UNREAD
-        if self._eof or self._broken is not None:
-            return Rest.CLOSED
-        if not look:
-            return Rest.CLEAN
+            return IdleState.UNREAD_DATA
+        if self._eof or self._error is not None:
+            return IdleState.CLOSED
+        if not check_socket:
+            return IdleState.READY
         try:
-            return Rest.UNREAD if self._plug.recv(1, PEEK) else Rest.CLOSED
+            return IdleState.UNREAD_DATA if self._socket.recv(1, PEEK_FLAGS) else IdleState.CLOSED
         except BlockingIOError:
-            return Rest.CLEAN
+            return IdleState.READY
         except OSError:
-            return Rest.CLOSED
+            return IdleState.CLOSED
+
+    # The interface of `httpcore`.
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        if not self._received and not self._eof and self._broken is None:
-            self._waiter = self._loop.create_future()
-            await self._waiter
-        if self._broken is not None and (isinstance(self._broken, GivenUpError) or not self._received):
-            raise self._broken
+        """Return the next bytes; none where the peer has closed.
+
+        Raises:
+            ExchangeAbortedError: The exchange was aborted.
+            httpcore.ReadError: The connection was lost.
+        """
+        if not self._received and not self._eof and self._error is None:
+            self._read_waiter = self._loop.create_future()
+            await self._read_waiter
+        is_aborted = isinstance(self._error, ExchangeAbortedError)
+        if self._error is not None and (is_aborted or not self._received):
+            raise self._error
         if len(self._received) <= max_bytes:
             data = bytes(self._received)
             self._received.clear()
         else:
             data = bytes(self._received[:max_bytes])
             del self._received[:max_bytes]
-        if self._held and len(self._received) <= READ_MOST // 2 and self._transport is not None:
-            self._held = False
+        has_space = len(self._received) <= READ_BUFFER_MAX // 2
+        if self._reading_paused and has_space and self._transport is not None:
+            self._reading_paused = False
             self._transport.resume_reading()
         return data
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        if not buffer or self.mute:
+        """Write the bytes; return once the transport takes more.
+
+        Raises:
+            ExchangeAbortedError: The exchange was aborted.
+            httpcore.WriteError: The peer has closed.
+        """
+        if not buffer or self.discard_writes:
             return
         if self._transport is None or self._eof or self._transport.is_closing():
             raise httpcore.WriteError("the peer has closed")
-        self.wrote = True
+        self.has_written = True
         self._transport.write(buffer)
-        if self._free is not None:
-            await self._free
-        if isinstance(self._broken, GivenUpError):
-            raise self._broken
+        if self._write_waiter is not None:
+            await self._write_waiter
+        if isinstance(self._error, ExchangeAbortedError):
+            raise self._error
 
     async def aclose(self) -> None:
+        """Close at once."""
         self.close()
 
     def close(self) -> None:
-        """At once, with a reset if need be: what is still to be written is not wanted any more."""
+        """Close at once, with a reset if bytes are left to be written: nobody wants them any more."""
         if self._transport is not None:
             self._transport.abort()
 
     async def start_tls(
         self, ssl_context: ssl.SSLContext, server_hostname: str | None = None, timeout: float | None = None
     ) -> httpcore.AsyncNetworkStream:
+        """Fail: TLS to backends isn't supported."""
         raise NotImplementedError("backends speak plain HTTP/1.1")
 
     def get_extra_info(self, info: str) -> Any:
-        return self.rests() is not Rest.CLEAN if info == "is_readable" else None
-
-    def _awake(self) -> None:
-        if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_result(None)
+        """Return whether a read would return at once, for `is_readable`; None for anything else."""
+        return self.idle_state() is not IdleState.READY if info == "is_readable" else None
 
 
-def _connected(plug: socket.socket) -> bool:
+def _is_connected(sock: socket.socket) -> bool:
     try:
-        plug.getpeername()
+        sock.getpeername()
     except OSError:
         return False
     return True
 
 
-async def dial(address: str, within: float) -> Stream:
-    """Connect within so many seconds; raises `OSError` (also `TimeoutError`): nothing was sent then."""
+async def dial(address: str, timeout_s: float) -> SocketStream:
+    """Connect to `host:port`.
+
+    Raises:
+        OSError: No connection, and nothing was sent; a `TimeoutError` where nobody answered in time.
+        ValueError: The address isn't one.
+    """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    plug = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        plug.setblocking(False)
-        plug.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        plug.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT)
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         try:
-            async with asyncio.timeout(within):
-                await loop.sock_connect(plug, (host, int(port)))
+            async with asyncio.timeout(timeout_s):
+                await loop.sock_connect(sock, (host, int(port)))
         except TimeoutError:
-            if not _connected(plug):  # After a stall of ours it may be, though the loop told the time first.
+            # After a stall of this process the loop may run the timer before it sees the connection.
+            if not _is_connected(sock):
                 raise
-        _, stream = await loop.create_connection(lambda: Stream(plug), sock=plug)
+        _, stream = await loop.create_connection(lambda: SocketStream(sock), sock=sock)
     except BaseException:
-        plug.close()
+        sock.close()
         raise
     return stream
--- a/tests/system/proxy/test_attempt.py
+++ b/tests/system/proxy/test_attempt.py
@@ -8,8 +8,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from ambershift.attempt.machine import Evidence
-from ambershift.system.proxy.retry_budget import Budget
-from ambershift.system.proxy.retry_policy import TIMER_EARLY, Ending, Outcome, Stage, Told, Tries, outcome
+from ambershift.system.proxy.retry_budget import RetryBudget
+from ambershift.system.proxy.retry_policy import (
+    TIMER_TOLERANCE_NS,
+    Ending,
+    Outcome,
+    ResponseHead,
+    RetryState,
+    Stage,
+    classify_attempt,
+)
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 
 STATUSES = (200, 204, 302, 400, 404, 408, 421, 429, 500, 502, 503, 504, 700)
@@ -17,24 +25,24 @@
 
 def heads():
     for status, ours, sealed, turned, encoded in itertools.product(STATUSES, *[(False, True)] * 4):
-        yield Told(status, ours, sealed, turned, encoded)
+        yield ResponseHead(status, ours, sealed, turned, encoded)
 
 
 @pytest.mark.parametrize("stage", Stage)
 @pytest.mark.parametrize("ending", Ending)
 def test_every_stage_and_ending_has_the_outcome_that_the_rules_allow(stage, ending):
     for told in (None, *heads()):
-        came_to = outcome(stage, ending, told)
+        result_outcome = classify_attempt(stage, ending, told)
         if stage <= Stage.CONNECTED:
-            assert came_to is Outcome.NOT_RUN
-        elif ending is not Ending.ANSWERED or told is None or not told.ours:
-            assert came_to is Outcome.MAY_HAVE_RUN  # Also a promise that belongs to another request.
-        elif came_to is Outcome.NOT_RUN:
-            assert told.turned_away or told.status == 421
-        elif came_to is Outcome.GOOD:
+            assert result_outcome is Outcome.NOT_RUN
+        elif ending is not Ending.RESPONDED or told is None or not told.matches_attempt:
+            assert result_outcome is Outcome.MAY_HAVE_RUN  # Also a promise that belongs to another request.
+        elif result_outcome is Outcome.NOT_RUN:
+            assert told.not_executed or told.status == 421
+        elif result_outcome is Outcome.SUCCESS:
             assert told.status not in (408, 429, 503) and told.status < 500
             assert told.status >= 300 or (told.sealed and not told.encoded)
-        elif came_to is Outcome.FAILED:
+        elif result_outcome is Outcome.ERROR_RESPONSE:
             assert told.status in (500, 502, 504)
 
 
@@ -47,10 +55,10 @@
         self.tries, self.over = None, False
 
     @precondition(lambda self: self.tries is None or self.over)
-    @rule(repeatable=st.booleans(), most=st.integers(1, 4))
-    def come(self, repeatable, most):
+    @rule(idempotent=st.booleans(), most=st.integers(1, 4))
+    def come(self, idempotent, most):
         self.arrivals = self.ran = 0
-        self.tries, self.over = Tries(repeatable, most, self.now + 1500 * NS_PER_MS), False
+        self.tries, self.over = RetryState(idempotent, most, self.now + 1500 * NS_PER_MS), False
 
     @precondition(lambda self: self.tries is not None and not self.over)
     @rule(
@@ -60,28 +68,28 @@
         took=st.integers(0, 900),
     )
     def attempt(self, stage, ending, told, took):
-        if not self.tries.may(self.now):
+        if not self.tries.may_attempt(self.now):
             self.over = True
             return
-        assert self.tries.repeatable or not self.ran  # TWICE
-        assert self.now < self.tries.deadline and self.tries.costs == (self.arrivals > 0)
-        came_to = outcome(stage, ending, told)
-        self.tries.begun()
-        assert self.tries.costs and self.arrivals + 1 <= self.tries.most
+        assert self.tries.idempotent or not self.ran  # TWICE
+        assert self.now < self.tries.deadline and self.tries.needs_budget == (self.arrivals > 0)
+        result_outcome = classify_attempt(stage, ending, told)
+        self.tries.record_start()
+        assert self.tries.needs_budget and self.arrivals + 1 <= self.tries.max_attempts
         self.now += took * NS_PER_MS
         self.arrivals += stage > Stage.CONNECTED
-        self.ran += came_to is not Outcome.NOT_RUN
-        self.tries.ended(stage, came_to)
-        self.over = came_to is Outcome.GOOD
+        self.ran += result_outcome is not Outcome.NOT_RUN
+        self.tries.record_end(stage, result_outcome)
+        self.over = result_outcome is Outcome.SUCCESS
 
     @invariant()
     def our_own_answer_promises_only_what_holds(self):
         if self.tries is not None:
-            assert self.arrivals <= self.tries.most
-            said = self.tries.last_word(self.now)
+            assert self.arrivals <= self.tries.max_attempts
+            said = self.tries.final_status(self.now)
             assert (said == 503) == (self.ran == 0)  # REFUSED
-            assert said != 504 or self.now + TIMER_EARLY >= self.tries.deadline
-            assert said != 502 or self.now + TIMER_EARLY < self.tries.deadline
+            assert said != 504 or self.now + TIMER_TOLERANCE_NS >= self.tries.deadline
+            assert said != 502 or self.now + TIMER_TOLERANCE_NS < self.tries.deadline
             assert (self.tries.evidence is Evidence.MAY_HAVE_RUN) == (self.ran > 0)
 
 
@@ -90,14 +98,14 @@
 
     def __init__(self):
         super().__init__()
-        self.budget, self.now = Budget(10 * NS_PER_SECOND, 0.2), 123 * NS_PER_SECOND
+        self.budget, self.now = RetryBudget(10 * NS_PER_SECOND, 0.2), 123 * NS_PER_SECOND
         self.requests, self.further = [], []
 
     @rule(wait=st.integers(0, 4000), count=st.integers(0, 60))
     def come(self, wait, count):
         self.now += wait * NS_PER_MS
         for _ in range(count):
-            self.budget.came(self.now)
+            self.budget.record_request(self.now)
             self.requests.append(self.now)
 
     @rule(wait=st.integers(0, 3000), wanted=st.integers(1, 30), sent=st.booleans())
@@ -121,7 +129,7 @@
         self.now += 30 * NS_PER_SECOND
         for _ in range(count):
             self.now += 8 * NS_PER_SECOND // count
-            self.budget.came(self.now)
+            self.budget.record_request(self.now)
             self.requests.append(self.now)
         spent = 0
         while self.budget.take(self.now):
@@ -138,52 +146,52 @@
 # Ways in which a try ends: how far it got, what ended it, and the head of an answer where there was one.
 TELLING_HEADS = (
     None,
-    Told(200, True, True, False),
-    Told(200, True, False, False),  # Without the seal: some other server's, or cut short.
-    Told(200, False, True, False),  # An answer to another request.
-    Told(503, True, False, True),
-    Told(503, True, False, False),
-    Told(429, False, False, True),
-    Told(421, True, False, False),
-    Told(408, True, False, False),
-    Told(500, True, True, False),
+    ResponseHead(200, True, True, False),
+    ResponseHead(200, True, False, False),  # Without the seal: some other server's, or cut short.
+    ResponseHead(200, False, True, False),  # An answer to another request.
+    ResponseHead(503, True, False, True),
+    ResponseHead(503, True, False, False),
+    ResponseHead(429, False, False, True),
+    ResponseHead(421, True, False, False),
+    ResponseHead(408, True, False, False),
+    ResponseHead(500, True, True, False),
 )
 WAYS = tuple(itertools.product(Stage, Ending, TELLING_HEADS))
 
 
-@pytest.mark.parametrize("repeatable", [True, False])
+@pytest.mark.parametrize("idempotent", [True, False])
 @pytest.mark.parametrize("most", [1, 2, 3])
-def test_what_may_follow_each_way_in_which_a_try_ended_and_each_second_one(repeatable, most):
+def test_what_may_follow_each_way_in_which_a_try_ended_and_each_second_one(idempotent, most):
     """All pairs of ways, by kind of request and attempts that its route allows."""
     followed = 0
     for first, second in itertools.product(WAYS, WAYS):
-        tries = Tries(repeatable, most, 2 * NS_PER_SECOND)
+        tries = RetryState(idempotent, most, 2 * NS_PER_SECOND)
         proofs = []
         for stage, ending, told in (first, second):
-            if not tries.may(0):
+            if not tries.may_attempt(0):
                 break
-            tries.begun()
-            assert not tries.may(0) or tries.arrivals + tries.under_way < most
-            came_to = outcome(stage, ending, told)
-            tries.ended(stage, came_to)
+            tries.record_start()
+            assert not tries.may_attempt(0) or tries.arrivals + tries.in_progress < most
+            result_outcome = classify_attempt(stage, ending, told)
+            tries.record_end(stage, result_outcome)
             # Proof that it has not run: nothing was sent, or this backend says so of this request.
             proofs.append(
                 stage <= Stage.CONNECTED
                 or (
-                    ending is Ending.ANSWERED
+                    ending is Ending.RESPONDED
                     and told is not None
-                    and told.ours
-                    and (told.turned_away or told.status == 421)
+                    and told.matches_attempt
+                    and (told.not_executed or told.status == 421)
                 )
             )
         arrivals = sum(stage > Stage.CONNECTED for stage, _, _ in (first, second)[: len(proofs)])
         assert tries.arrivals == arrivals <= most
-        if tries.may(0):
+        if tries.may_attempt(0):
             followed += 1
-            assert arrivals < most and (repeatable or all(proofs))
+            assert arrivals < most and (idempotent or all(proofs))
         # 503 promises that it has not run; whatever is left open is told as 502, or 504 in the end.
-        assert (tries.last_word(0) == 503) == all(proofs)
-        assert tries.last_word(2 * NS_PER_SECOND) in (503, 504)
+        assert (tries.final_status(0) == 503) == all(proofs)
+        assert tries.final_status(2 * NS_PER_SECOND) in (503, 504)
     assert followed > 0
 
 
@@ -192,7 +200,7 @@
 )
 def test_a_timer_that_fires_a_little_early_ends_at_the_deadline_all_the_same(before, status):
     """Timers of uvloop were measured 1.06 ms early: 127 of 400."""
-    tries = Tries(False, 2, NS_PER_SECOND)
-    tries.begun()
-    tries.ended(Stage.SENT, Outcome.MAY_HAVE_RUN)
-    assert tries.last_word(NS_PER_SECOND - before) == status
+    tries = RetryState(False, 2, NS_PER_SECOND)
+    tries.record_start()
+    tries.record_end(Stage.SENT, Outcome.MAY_HAVE_RUN)
+    assert tries.final_status(NS_PER_SECOND - before) == status
--- a/tests/system/proxy/test_attempt_endings.py
+++ b/tests/system/proxy/test_attempt_endings.py
@@ -60,8 +60,8 @@
         silent, well = counted(0, silent_after(STAGES[stage])), counted(1, good)
         async with Rig(silent, well) as rig:
             for _ in range(20):  # So that the budget allows a further try.
-                rig.proxy.budget("loans").came(rig.proxy.steady())
-            rig.proxy.backend_view.instances["i-1"].flying = 5  # Full: the first one is picked.
+                rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
+            rig.proxy.backend_view.instances["i-1"].in_flight = 5  # Full: the first one is picked.
             found, head, body = await rig.ask(path, "PUT", b"x", left=1200)
             assert found == status and arrivals == ([0, 1] if status == 200 else [0])
             assert body == (WANTED if status == 200 else b"")
@@ -131,7 +131,7 @@
 
         async with Rig(script, script, script, items=ITEMS) as rig:
             for _ in range(40):
-                rig.proxy.budget("loans").came(rig.proxy.steady())
+                rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
             status, _, body = await rig.ask(path, "PUT", b"x", left=1200)
         tried = [first, second]
         wanted, many = 200, 3
@@ -157,7 +157,7 @@
 
         async with Rig(script, script, script, script, items=ITEMS) as rig:
             for _ in range(40):
-                rig.proxy.budget("loans").came(rig.proxy.steady())
+                rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
             found, head, _ = await rig.ask(path, "PUT", b"x", left=1200)
         assert (found, len(arrivals)) == (status, 3) and b"retry-after" in head
 
--- a/tests/system/proxy/test_backend_view.py
+++ b/tests/system/proxy/test_backend_view.py
@@ -15,12 +15,12 @@
 def test_proxy_prefers_confirmed_instances_to_those_of_a_snapshot() -> None:
     view = BackendView("a", ZONES, lambda service: 3 * NS_PER_SECOND)
     told = Backend("one", "s", "x:1", "a1", 4, False, 2000)
-    view.take(NOW, BackendUpdate((told,), (), True))
+    view.update(NOW, BackendUpdate((told,), (), True))
     until = view.instances["one"].cold_until
     other = Backend("two", "s", "x:2", "b1", 4, False, 0, True)
-    view.evacuate("b1")
-    view.take_back(NOW, "b1")
-    view.take(NOW + 3 * NS_PER_SECOND, BackendUpdate((replace_cold(told), other), (), False))
+    view.start_evacuation("b1")
+    view.end_evacuation(NOW, "b1")
+    view.update(NOW + 3 * NS_PER_SECOND, BackendUpdate((replace_cold(told), other), (), False))
     assert view.instances["one"].cold_until == until
     assert view.instances["two"].cold_until == NOW + 4 * NS_PER_SECOND  # It may be from before.
 
--- a/tests/system/proxy/test_limits.py
+++ b/tests/system/proxy/test_limits.py
@@ -1,4 +1,4 @@
-"""What a client may send, and how long it may take or stay idle: `Limits` at a proxy's sockets."""
+"""What a client may send, and how long it may take or stay idle: `ClientLimits` at a proxy's sockets."""
 
 import asyncio
 import socket
@@ -9,8 +9,8 @@
 from ambershift.system.messages.items import LIMITS, Item
 from ambershift.system.messages.proxy_link import ItemUpdate
 from ambershift.system.processes.http_server import HttpServer
-from ambershift.system.proxy.client_connection import _unread
-from ambershift.system.proxy.client_limits import Limits, Waiting, read_limits
+from ambershift.system.proxy.client_connection import _has_unread_data
+from ambershift.system.proxy.client_limits import ClientLimits, HeadTracker, read_limits
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 from tests.support.proxy_rig import PLAIN, Rig, answer, run
 
@@ -61,7 +61,7 @@
     def deaf(self, rig):
         """Whether the proxy hears it no more."""
         there = self.there(rig)
-        return there is not None and there.deaf
+        return there is not None and there.discards_input
 
     def there(self, rig):
         """Its connection at the proxy."""
@@ -80,7 +80,9 @@
 
 async def met(rig, *clients):
     """Until the proxy has read all that these have sent."""
-    while not all((there := client.there(rig)) and not _unread(there.transport) for client in clients):
+    while not all(
+        (there := client.there(rig)) and not _has_unread_data(there.transport) for client in clients
+    ):
         await asyncio.sleep(0)
 
 
@@ -123,12 +125,12 @@
             endless = Client(rig).say(HEAD + b"X-Fill: " + b"x" * MOST)
             await met(rig, endless)
             assert endless.deaf(rig)
-            kept = endless.there(rig).waiting
+            kept = endless.there(rig).head_tracker
             # Its answer isn't lost by a reset, as it would be if bytes were left unread.
             await asyncio.get_running_loop().sock_sendall(endless.plug, b"x" * 3_000_000)
             heard = await endless.hear()
             assert heard.startswith(b"HTTP/1.1 431 ") and not heard.endswith(b"(reset)")
-            assert kept.size < 2 * MOST
+            assert kept.head_bytes < 2 * MOST
             # One that stays all the same is let go.
             staying = Client(rig).say(head(MOST + 1))
             while not staying.deaf(rig):
@@ -309,11 +311,11 @@
 @pytest.mark.parametrize(
     ("item", "found"),
     [
-        ({}, Limits()),
-        ({"HeaderBytes": 0, "IdleTimeoutMs": None, "HeaderTimeoutMs": "x"}, Limits()),
+        ({}, ClientLimits()),
+        ({"HeaderBytes": 0, "IdleTimeoutMs": None, "HeaderTimeoutMs": "x"}, ClientLimits()),
         (
             {"HeaderBytes": 9, "BodyBytes": 8, "HeaderTimeoutMs": 7.5, "IdleTimeoutMs": 6},
-            Limits(8, 9, 7_500_000, 6 * NS_PER_MS),
+            ClientLimits(8, 9, 7_500_000, 6 * NS_PER_MS),
         ),
     ],
 )
@@ -322,7 +324,10 @@
 
 
 def test_clients_are_told_to_end_idle_connections_before_we_do():
-    told = [Limits(idle_for=ms * NS_PER_MS).advertised_keep_alive_s for ms in (900, 1000, 1999, 2000, 15_500)]
+    told = [
+        ClientLimits(idle_timeout_ns=ms * NS_PER_MS).advertised_keep_alive_s
+        for ms in (900, 1000, 1999, 2000, 15_500)
+    ]
     assert told == [None, None, None, 1, 14]
 
     async def playing():
@@ -339,14 +344,14 @@
 
 
 def test_bytes_of_other_messages_are_not_counted_for_a_head():
-    waiting, bounds = Waiting(0), Limits(head=100)
-    waiting.reads(5000, True)  # The end of a body, and a head's first bytes: how many, nobody tells.
-    waiting.head = True
-    waiting.parsed(1, True)
-    assert not waiting.over(bounds)
-    waiting.reads(100, False)
-    waiting.parsed(2, False)
-    assert not waiting.over(bounds) and waiting.due(bounds, True) == 1 + bounds.head_for
-    waiting.reads(1, False)
-    waiting.parsed(3, False)
-    assert waiting.over(bounds)
+    waiting, bounds = HeadTracker(0), ClientLimits(max_head_bytes=100)
+    waiting.record_read(5000, True)  # The end of a body, and a head's first bytes: how many, nobody tells.
+    waiting.has_open_head = True
+    waiting.record_parsed(1, True)
+    assert not waiting.exceeds(bounds)
+    waiting.record_read(100, False)
+    waiting.record_parsed(2, False)
+    assert not waiting.exceeds(bounds) and waiting.deadline(bounds, True) == 1 + bounds.head_timeout_ns
+    waiting.record_read(1, False)
+    waiting.record_parsed(3, False)
+    assert waiting.exceeds(bounds)
--- a/tests/system/proxy/test_request_path.py
+++ b/tests/system/proxy/test_request_path.py
@@ -55,11 +55,14 @@
         async with Rig(large) as rig:
             assert len((await rig.ask())[2]) == 1_000_000
             rig.proxy.admission.in_flight = 500
-            assert len((await rig.ask())[2]) == 1_000_000 and rig.proxy.connections.hold < 100_000
+            assert (
+                len((await rig.ask())[2]) == 1_000_000
+                and rig.proxy.connections.response_buffer_size < 100_000
+            )
             rig.proxy.admission.in_flight = 0
             assert (await rig.ask("/read/cut"))[0] == 0
             assert rig.proxy.is_idle() and not any(
-                life.flying for life in rig.proxy.backend_view.instances.values()
+                instance.in_flight for instance in rig.proxy.backend_view.instances.values()
             )
 
     run(playing)
@@ -173,7 +176,7 @@
     return answer(head, body=b"mine") + answer(head, body=b"again")
 
 
-# What the first backend does: the statuses a repeatable and another request get, with a good one beside it.
+# What the first backend does: the statuses a idempotent and another request get, with a good one beside it.
 CASES = [
     (reset, 200, 502),
     (cut, 200, 502),
@@ -199,24 +202,26 @@
 MINE = (late, closed, twice)  # Answered by the first one itself, with a body of its own.
 
 
-@pytest.mark.parametrize(("bad", "repeatable", "once"), CASES, ids=[case[0].__name__ for case in CASES])
-def test_each_ending_at_the_first_backend_for_both_kinds_of_request(bad, repeatable, once):
+@pytest.mark.parametrize(("bad", "idempotent", "once"), CASES, ids=[case[0].__name__ for case in CASES])
+def test_each_ending_at_the_first_backend_for_both_kinds_of_request(bad, idempotent, once):
     async def playing():
         first, second = scripted(bad), scripted(good)
         async with Rig(first, second) as rig:
             rig.proxy.routing.find(b"books.example", b"/read/")
             for _ in range(20):  # So that the budget allows a repeat.
-                rig.proxy.budget("loans").came(rig.proxy.steady())
-            for path, wanted in (("/read/", repeatable), ("/write/", once)):
-                lives = rig.proxy.backend_view.instances
-                lives["i-1"].flying, before = 5, len(second.seen)  # Full: the first one is picked.
+                rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
+            for path, wanted in (("/read/", idempotent), ("/write/", once)):
+                instances = rig.proxy.backend_view.instances
+                instances["i-1"].in_flight, before = 5, len(second.seen)  # Full: the first one is picked.
                 status, head, body = await rig.ask(path, "PUT", b"x", attempt=path.strip("/"), left=400)
                 assert status == wanted, path
                 assert (status != 200) == (b"x-server-seal" not in head)
                 assert body == {200: b"mine" if bad in MINE else b"read:x", 500: b"own"}.get(status, b"")
                 more = wanted == 200 and bad not in (good, *MINE)
                 assert len(second.seen) - before == more
-                lives["i-0"].pause = lives["i-0"].recent[1] = lives["i-0"].waiting = 0
+                instances["i-0"].backoff_ns = instances["i-0"].recent_results[1] = instances[
+                    "i-0"
+                ].queue_length = 0
 
     run(playing)
 
@@ -264,14 +269,14 @@
 def test_what_nobody_can_serve_is_refused_at_once_and_what_may_have_run_is_not_called_refused():
     async def playing():
         async with Rig(away, away) as rig:
-            rig.proxy.budget("loans").came(0)
+            rig.proxy.budget("loans").record_request(0)
             status, head, _ = await rig.ask("/write/", "POST", b"x")
             assert status == 503 and b"retry-after: 0.1" in head
         async with Rig(silent) as rig:
-            began = rig.proxy.steady()
+            began = rig.proxy.monotonic_ns()
             assert (await rig.ask("/write/", "POST", b"x", left=120))[0] == 504
-            assert rig.proxy.steady() - began < 400_000_000
-            assert await rig.ask(left=0) and not rig.proxy.backend_view.instances["i-0"].flying
+            assert rig.proxy.monotonic_ns() - began < 400_000_000
+            assert await rig.ask(left=0) and not rig.proxy.backend_view.instances["i-0"].in_flight
         async with Rig(good) as rig:
             rig.shelves[0].server.close()
             await rig.shelves[0].server.wait_closed()
@@ -288,17 +293,17 @@
     async def playing():
         async with Rig(silent, good) as rig:
             for _ in range(20):
-                rig.proxy.budget("loans").came(rig.proxy.steady())
-            rig.proxy.backend_view.instances["i-1"].flying = 5
-            began = rig.proxy.steady()
+                rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
+            rig.proxy.backend_view.instances["i-1"].in_flight = 5
+            began = rig.proxy.monotonic_ns()
             assert (await rig.ask(left=700))[0] == 200
-            assert rig.proxy.steady() - began < 500_000_000
+            assert rig.proxy.monotonic_ns() - began < 500_000_000
             assert rig.proxy.is_idle() and not rig.shelves[0].ended.is_set()
             await rig.shelves[0].ended.wait()  # At the deadline.
-            assert rig.proxy.steady() - began > 600_000_000
+            assert rig.proxy.monotonic_ns() - began > 600_000_000
             assert (
-                rig.proxy.backend_view.instances["i-0"].pause
-                and not rig.proxy.backend_view.instances["i-0"].flying
+                rig.proxy.backend_view.instances["i-0"].backoff_ns
+                and not rig.proxy.backend_view.instances["i-0"].in_flight
             )
 
     run(playing)
@@ -324,17 +329,17 @@
 
     async def playing():
         async with Rig(extra) as rig:
-            steady = rig.proxy.steady
+            monotonic_ns = rig.proxy.monotonic_ns
             assert (await rig.ask("/read/extra"))[0] == 200
             assert (await rig.ask("/write/"))[2] == b"read" and rig.shelves[0].connections == 2
             assert (await rig.ask("/write/"))[0] == 200 and rig.shelves[0].connections == 3
-            rig.proxy.connections._steady = lambda: steady() + 6_000_000_000
+            rig.proxy.connections._monotonic_ns = lambda: monotonic_ns() + 6_000_000_000
             assert (await rig.ask("/write/"))[0] == 200 and rig.shelves[0].connections == 4
-            later = steady() + 9_000_000_000
-            rig.proxy.connections._steady = lambda: later  # 3 s old, of 4 that it is kept.
+            later = monotonic_ns() + 9_000_000_000
+            rig.proxy.connections._monotonic_ns = lambda: later  # 3 s old, of 4 that it is kept.
             assert (await rig.ask("/write/"))[0] == 200 and rig.shelves[0].connections == 5
             assert (await rig.ask("/read/"))[0] == 200 and rig.shelves[0].connections == 5
-            rig.proxy.connections._steady = lambda: later + 3_700_000_000
+            rig.proxy.connections._monotonic_ns = lambda: later + 3_700_000_000
             assert (await rig.ask("/read/"))[0] == 200 and rig.shelves[0].connections == 6
 
     run(playing)
@@ -351,7 +356,7 @@
         async with Rig(closing) as rig:
             for _ in range(3):
                 assert (await rig.ask("/write/"))[0] == 200
-            assert not rig.proxy.backend_view.instances["i-0"].bad
+            assert not rig.proxy.backend_view.instances["i-0"].failures
 
     run(playing)
 
@@ -360,20 +365,22 @@
     async def playing():
         second = scripted(good)
         async with Rig(reset, second) as rig:
-            rig.proxy.backend_view.instances["i-1"].flying = 5
+            rig.proxy.backend_view.instances["i-1"].in_flight = 5
             assert (await rig.ask())[0] == 502 and not second.seen
-            budget, now = rig.proxy.budget("loans"), rig.proxy.steady()
+            budget, now = rig.proxy.budget("loans"), rig.proxy.monotonic_ns()
             for _ in range(6):
-                budget.came(now)  # Enough for one.
+                budget.record_request(now)  # Enough for one.
             rig.shelves[1].server.close()
-            rig.proxy.backend_view.instances["i-0"].pause = 0
+            rig.proxy.backend_view.instances["i-0"].backoff_ns = 0
             assert (await rig.ask())[0] == 502
-            assert budget.take(rig.proxy.steady()) and not budget.take(rig.proxy.steady())
+            assert budget.take(rig.proxy.monotonic_ns()) and not budget.take(rig.proxy.monotonic_ns())
         async with Rig(reset, second) as rig:
-            rig.proxy.backend_view.instances["i-1"].flying = 5
+            rig.proxy.backend_view.instances["i-1"].in_flight = 5
             for _ in range(6):
-                rig.proxy.budget("loans").came(rig.proxy.steady())
-            assert (await rig.ask())[0] == 200 and not rig.proxy.budget("loans").take(rig.proxy.steady())
+                rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
+            assert (await rig.ask())[0] == 200 and not rig.proxy.budget("loans").take(
+                rig.proxy.monotonic_ns()
+            )
 
     run(playing)
 
@@ -382,15 +389,15 @@
     async def playing():
         first, second = scripted(good), scripted(good)
         async with Rig(first, second) as rig:
-            rig.proxy.backend_view.instances["i-1"].flying = 5
-            opening = rig.proxy.connections.open
+            rig.proxy.backend_view.instances["i-1"].in_flight = 5
+            opening = rig.proxy.connections.connect
 
-            async def slowly(life, within):
-                wire = await opening(life, within)
+            async def slowly(instance, within):
+                connection = await opening(instance, within)
                 rig.proxy.handle_message(ItemUpdate((Item(INSTANCE, "i-0", (1, ""), b"{}"),), False))
-                return wire
+                return connection
 
-            rig.proxy.connections.open = slowly
+            rig.proxy.connections.connect = slowly
             assert (await rig.ask("/write/"))[0] == 200
             assert (len(first.seen), len(second.seen)) == (0, 1)
 
@@ -404,13 +411,17 @@
 
     async def playing():
         async with Rig(some) as rig:
-            life = rig.proxy.backend_view.instances["i-0"]
+            instance = rig.proxy.backend_view.instances["i-0"]
             slow, lost = await asyncio.gather(rig.ask("/write/slow"), rig.ask("/write/slow/reset"))
-            assert (slow[0], lost[0]) == (200, 502) and life.pause == 0 and life.full(rig.proxy.steady())
+            assert (
+                (slow[0], lost[0]) == (200, 502)
+                and instance.backoff_ns == 0
+                and instance.is_full(rig.proxy.monotonic_ns())
+            )
             # The slow one's watch over its client must not touch the connection that is idle again.
             assert (await rig.ask())[0] == 200 and rig.shelves[0].connections == 2
             await rig.ask("/read/reset")
-            assert life.pause > 0
+            assert instance.backoff_ns > 0
 
     run(playing)
 
@@ -426,8 +437,8 @@
             writer.close()
             while not rig.proxy.is_idle():
                 await asyncio.sleep(0.01)
-            life = rig.proxy.backend_view.instances["i-0"]
-            assert (life.flying, life.pause, life.bad) == (0, 0, 0)
+            instance = rig.proxy.backend_view.instances["i-0"]
+            assert (instance.in_flight, instance.backoff_ns, instance.failures) == (0, 0, 0)
             rig.proxy.start_draining()
             status, head, _ = await rig.ask("/read/")
             assert status == 200 and b"\r\nconnection: close" in head
--- a/tests/system/proxy/test_startup_wait.py
+++ b/tests/system/proxy/test_startup_wait.py
@@ -16,8 +16,8 @@
 def test_request_waits_a_moment_at_a_proxy_that_has_just_started(
     monkeypatch: pytest.MonkeyPatch, most: int
 ) -> None:
-    monkeypatch.setattr(request_handler, "WAIT", 10.0)
-    monkeypatch.setattr(bounded_event, "MOST", most)
+    monkeypatch.setattr(request_handler, "STARTUP_WAIT_S", 10.0)
+    monkeypatch.setattr(bounded_event, "MAX_WAITERS", most)
 
     async def playing() -> None:
         async def well(head: bytes, body: bytes, writer: Any) -> bytes:
@@ -34,8 +34,8 @@
             status, head, _ = await asked
             assert (status, b"retry-after" in head) == ((200, False) if most else (503, True))
             if not most:
-                monkeypatch.setattr(bounded_event, "MOST", 1)
-                monkeypatch.setattr(request_handler, "WAIT", 0.0)
+                monkeypatch.setattr(bounded_event, "MAX_WAITERS", 1)
+                monkeypatch.setattr(request_handler, "STARTUP_WAIT_S", 0.0)
                 assert (await rig.ask())[0] == 503 and not heads
 
     proxy_rig.run(playing)
