--- a/ambershift/coordinator/group/asking.py
+++ b/ambershift/coordinator/group/client_calls.py
@@ -6,26 +6,26 @@
 from collections.abc import Callable
 from typing import Any
 
-from ambershift.coordinator.group.spec import Spec
+from ambershift.coordinator.group.spec import MemberSpec
 from ambershift.coordinator.promises.answers import encode
 from ambershift.coordinator.promises.state import EMPTY, Promises
 from ambershift.coordinator.promises.words import Command
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.words import Answer, Reason
+from ambershift.coordinator.replication.types import Answer, Reason
 
 SECOND = 1_000_000_000
 # Beyond a client's own bound the replica has answered; this is against a loop that was held up.
 GRACE = 1.0
 
 
-class Asking:
+class ClientCalls:
     """The part of a member that clients speak to."""
 
     replica: Replica | None
     halted: tuple[str, str] | None
     stopping: bool
     now: Callable[[], int]
-    spec: Spec
+    spec: MemberSpec
 
     def __init__(self) -> None:
         self.asked = dict[int, asyncio.Future[Answer]]()
