--- a/tests/support/fake_control_nodes.py
+++ b/tests/support/fake_control_nodes.py
@@ -1,4 +1,4 @@
-"""A cluster for tests of the control API: time jumps from timer to timer, and all nodes share one store."""
+"""A cluster for tests of the control API, in virtual time; all nodes share one store."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class _TimeJumpingSelector(selectors.SelectSelector):
-    """Never waits: time goes on to the next timer instead."""
+    """Never waits: the clock jumps to the next timer instead."""
 
     loop: VirtualTimeLoop
 
@@ -62,7 +62,7 @@
         items: The replicated items, as a majority has them.
         unreachable_since: Since when (seconds) a node neither sends nor receives, by ip.
         unsettled: The nodes that have just come back, by ip.
-        sent: Sender, recipient and message of all that was sent.
+        sent: All messages sent: sender, recipient and message.
     """
 
     def __init__(self, loop: VirtualTimeLoop) -> None:
@@ -97,36 +97,47 @@
     def monotonic_ns(self) -> int:
         return round(self.loop.now * NS_PER_SECOND)
 
-    def _sender(self, own: str) -> Callable[[str, msgspec.Struct], None]:
-        def send(to: str, message: msgspec.Struct) -> None:
-            self.sent.append((own, to, message))
+    def _sender(self, sender: str) -> Callable[[str, msgspec.Struct], None]:
+        def send(recipient: str, message: msgspec.Struct) -> None:
+            self.sent.append((sender, recipient, message))
 
-            def arrive() -> None:
-                if not {own, to} & self.unreachable_since.keys():
-                    self.nodes[to].handle_message(own, decode(encode(message)))
+            def deliver() -> None:
+                if not {sender, recipient} & self.unreachable_since.keys():
+                    self.nodes[recipient].handle_message(sender, decode(encode(message)))
 
-            if own not in self.unreachable_since:
-                self.loop.call_later(ONE_WAY_DELAY_S, arrive)
+            if sender not in self.unreachable_since:
+                self.loop.call_later(ONE_WAY_DELAY_S, deliver)
 
         return send
 
     async def call(
         self, ip: str, method: str, target: str, body: Any = b"", gone: bool = False
     ) -> tuple[int, Any]:
-        """The status of the reply (0: there was none) and its decoded body (None: it was empty)."""
+        """Make a call by HTTP.
+
+        Args:
+            ip: The node.
+            method: The HTTP method.
+            target: Path and query.
+            body: Sent as it is if it is bytes, else as JSON.
+            gone: Whether the client disconnects at once.
+
+        Returns:
+            The status of the response (0: there was none) and its decoded body (None: it was empty).
+        """
         path, _, query = target.partition("?")
-        whole = body if isinstance(body, bytes) else msgspec.json.encode(body)
-        sent = [{"type": "http.request", "body": whole}]
-        got: list[Any] = []
+        encoded_body = body if isinstance(body, bytes) else msgspec.json.encode(body)
+        pending = [{"type": "http.request", "body": encoded_body}]
+        messages: list[Any] = []
 
         async def receive() -> Any:
-            if not sent:
+            if not pending:
                 await asyncio.sleep(1e6 if not gone else 0)
                 return {"type": "http.disconnect"}
-            return sent.pop()
+            return pending.pop()
 
         async def send(message: Any) -> None:
-            got.append(message)
+            messages.append(message)
 
         scope = {
             "type": "http",
@@ -136,9 +147,10 @@
             "headers": [],
         }
         await self.nodes[ip](scope, receive, send)
-        if not got:
+        if not messages:
             return 0, None
-        return got[0]["status"], msgspec.json.decode(got[1]["body"]) if got[1]["body"] else None
+        response_body = messages[1]["body"]
+        return messages[0]["status"], msgspec.json.decode(response_body) if response_body else None
 
     async def rpc(
         self, ip: str, name: str, of: str = "", body: Any = b"", gone: bool = False
@@ -162,10 +174,18 @@
 
 
 class FakeReplicatedState:
-    """One node's view of the store. Each of `faults` befalls one of the next calls:
+    """One node's view of the store.
 
-    "refused" (not applied, and says so), "unclear" (applied, but reported as unknown), "lost" (not applied,
-    but reported as unknown), "again" (the first run counts, then the change is run once more), "hangs".
+    Attributes:
+        faults: The faults of the next calls, in order:
+            "refused": not applied, and reported so.
+            "unclear": applied, but reported as unknown.
+            "lost": not applied, and reported as unknown.
+            "again": applied by the first run of the change function, which is run once more then.
+            "hangs": a change that is not applied, and is reported as unknown after the time-out.
+            "": no fault.
+        rounds: How many changes were proposed.
+        since: The last value of each register, and since when it has it.
     """
 
     def __init__(self, cluster: FakeCluster, ip: str) -> None:
@@ -191,23 +211,23 @@
             now = self.cluster.monotonic_ns()
             if register not in self.since or self.since[register][0] != value:
                 self.since[register] = value, now
-            verdict = change(value, self.since[register][1], now)
-            if verdict.new_value is not None:
-                assert verdict.new_value != value
-                self.cluster.registers[register] = verdict.new_value
-                self.since[register] = verdict.new_value, now
+            outcome = change(value, self.since[register][1], now)
+            if outcome.new_value is not None:
+                assert outcome.new_value != value
+                self.cluster.registers[register] = outcome.new_value
+                self.since[register] = outcome.new_value, now
         await asyncio.sleep(ONE_WAY_DELAY_S)
         if fault == "unclear":
             raise OutcomeUnknownError("unclear")
-        return verdict.result
+        return outcome.result
 
     async def write(self, items: Sequence[Item], timeout_s: float) -> None:
         fault = self.faults.pop(0) if self.faults else ""
         if fault == "refused":
             raise NotAppliedError("refused")
         for item in items if fault != "lost" else ():
-            for held in (self.stored_items, self.cluster.items):
-                held[item.key] = newest(item, held.get(item.key, item))
+            for stored in (self.stored_items, self.cluster.items):
+                stored[item.key] = newest(item, stored.get(item.key, item))
         await asyncio.sleep(ONE_WAY_DELAY_S)
         if fault:
             raise OutcomeUnknownError(fault)
--- a/tests/system/proxy/test_attempt_endings.py
+++ b/tests/system/proxy/test_attempt_endings.py
@@ -9,13 +9,13 @@
 import pytest
 
 from ambershift.system.messages.proxy_link import ItemUpdate
-from tests.support.proxy_rig import SERVICES, Rig, Script, answer, route, run
+from tests.support.proxy_rig import SERVICES, ProxyRig, Script, response, route, run_scenario
 
 WANTED = b"read"
 
 
 async def good(head: bytes, body: bytes, writer: asyncio.StreamWriter) -> bytes:
-    return answer(head, body=WANTED)
+    return response(head, body=WANTED)
 
 
 # Silence, so long that nobody waits for its end.
@@ -25,7 +25,7 @@
     """`size` says how many bytes of an answer come before the silence."""
 
     async def script(head: bytes, body: bytes, writer: asyncio.StreamWriter) -> bytes:
-        whole = answer(head, body=b"lost")
+        whole = response(head, body=b"lost")
         writer.write(whole[: size(whole)])
         await writer.drain()
         return b""
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize("stage", STAGES)
 @pytest.mark.parametrize(("path", "status"), [("/read/", 200), ("/write/", 504)])
-def test_a_silent_backend_is_passed_by_only_where_the_request_may_run_again(
+def test_only_idempotent_requests_are_retried_after_a_silent_backend(
     stage: str, path: str, status: int
 ) -> None:
-    async def playing() -> None:
+    async def scenario() -> None:
         arrivals = list[int]()
 
         def counted(number: int, script: Script) -> Script:
@@ -58,16 +58,16 @@
             return do
 
         silent, well = counted(0, silent_after(STAGES[stage])), counted(1, good)
-        async with Rig(silent, well) as rig:
+        async with ProxyRig(silent, well) as rig:
             for _ in range(20):  # So that the budget allows a further try.
                 rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
             rig.proxy.backend_view.instances["i-1"].in_flight = 5  # Full: the first one is picked.
-            found, head, body = await rig.ask(path, "PUT", b"x", left=1200)
+            found, head, body = await rig.request(path, "PUT", b"x", remaining_ms=1200)
             assert found == status and arrivals == ([0, 1] if status == 200 else [0])
             assert body == (WANTED if status == 200 else b"")
             assert (b"x-server-seal" in head) == (status == 200)
 
-    run(playing)
+    run_scenario(scenario)
 
 
 # Pairs of endings, then a good answer.
@@ -80,23 +80,23 @@
 
 
 async def not_run_full(head: bytes) -> bytes:
-    return answer(head, 503, b"", b"X-Not-Executed: full\r\n")
+    return response(head, 503, b"", b"X-Not-Executed: full\r\n")
 
 
 async def not_run_rate(head: bytes) -> bytes:
-    return answer(head, 429, b"", b"X-Not-Executed: rate\r\n")
+    return response(head, 429, b"", b"X-Not-Executed: rate\r\n")
 
 
 async def not_here(head: bytes) -> bytes:
-    return answer(head, 421, b"")
+    return response(head, 421, b"")
 
 
 async def unproved_full(head: bytes) -> bytes:
-    return answer(head, 503, b"")
+    return response(head, 503, b"")
 
 
 async def fails(head: bytes) -> bytes:
-    return answer(head, 500, b"own")
+    return response(head, 500, b"own")
 
 
 async def no_answer(head: bytes) -> bytes:
@@ -120,19 +120,19 @@
 
 
 @pytest.mark.parametrize("first", ENDINGS, ids=lambda one: one.__name__)
-def test_each_pair_of_endings_before_a_good_answer(first: Ending) -> None:
-    async def playing(second: Ending, path: str) -> None:
+def test_each_pair_of_endings_before_a_successful_response(first: Ending) -> None:
+    async def scenario(second: Ending, path: str) -> None:
         arrivals = list[bytes]()
         turns = [first, second]
 
         async def script(head: bytes, body: bytes, writer: asyncio.StreamWriter) -> bytes | None:
             arrivals.append(head)
-            return await turns[len(arrivals) - 1](head) if len(arrivals) <= 2 else answer(head, body=WANTED)
+            return await turns[len(arrivals) - 1](head) if len(arrivals) <= 2 else response(head, body=WANTED)
 
-        async with Rig(script, script, script, items=ITEMS) as rig:
+        async with ProxyRig(script, script, script, items=ITEMS) as rig:
             for _ in range(40):
                 rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
-            status, _, body = await rig.ask(path, "PUT", b"x", left=1200)
+            status, _, body = await rig.request(path, "PUT", b"x", remaining_ms=1200)
         tried = [first, second]
         wanted, many = 200, 3
         if path == "/write/" and ENDINGS[first] is not None:
@@ -144,22 +144,22 @@
         assert len({head.partition(b"x-target-instance: ")[2][:3] for head in arrivals}) == many
 
     for second, path in itertools.product(ENDINGS, ("/read/", "/write/")):
-        run(lambda second=second, path=path: playing(second, path))  # type: ignore[misc]
+        run_scenario(lambda second=second, path=path: scenario(second, path))  # type: ignore[misc]
 
 
-def test_a_fourth_is_not_tried_where_three_are_allowed() -> None:
-    async def playing(path: str, status: int) -> None:
+def test_attempts_stop_at_max_attempts() -> None:
+    async def scenario(path: str, status: int) -> None:
         arrivals = list[bytes]()
 
         async def script(head: bytes, body: bytes, writer: asyncio.StreamWriter) -> bytes | None:
             arrivals.append(head)
             return await not_run_full(head)
 
-        async with Rig(script, script, script, script, items=ITEMS) as rig:
+        async with ProxyRig(script, script, script, script, items=ITEMS) as rig:
             for _ in range(40):
                 rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
-            found, head, _ = await rig.ask(path, "PUT", b"x", left=1200)
+            found, head, _ = await rig.request(path, "PUT", b"x", remaining_ms=1200)
         assert (found, len(arrivals)) == (status, 3) and b"retry-after" in head
 
     for path in ("/read/", "/write/"):
-        run(lambda path=path: playing(path, 503))  # type: ignore[misc]
+        run_scenario(lambda path=path: scenario(path, 503))  # type: ignore[misc]
--- a/tests/system/proxy/test_backend_view.py
+++ b/tests/system/proxy/test_backend_view.py
@@ -1,4 +1,4 @@
-"""Which of two records of a backend a proxy goes by."""
+"""Which of two records of a backend a proxy uses."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 
 def test_proxy_prefers_confirmed_instances_to_those_of_a_snapshot() -> None:
     view = BackendView("a", ZONES, lambda service: 3 * NS_PER_SECOND)
-    told = Backend("one", "s", "x:1", "a1", 4, False, 2000)
-    view.update(NOW, BackendUpdate((told,), (), True))
-    until = view.instances["one"].cold_until
-    other = Backend("two", "s", "x:2", "b1", 4, False, 0, True)
+    confirmed = Backend("one", "s", "x:1", "a1", 4, False, 2000)
+    view.update(NOW, BackendUpdate((confirmed,), (), True))
+    cold_until = view.instances["one"].cold_until
+    unconfirmed = Backend("two", "s", "x:2", "b1", 4, False, 0, True)
     view.start_evacuation("b1")
     view.end_evacuation(NOW, "b1")
-    view.update(NOW + 3 * NS_PER_SECOND, BackendUpdate((replace_cold(told), other), (), False))
-    assert view.instances["one"].cold_until == until
-    assert view.instances["two"].cold_until == NOW + 4 * NS_PER_SECOND  # It may be from before.
+    view.update(NOW + 3 * NS_PER_SECOND, BackendUpdate((without_warm_up(confirmed), unconfirmed), (), False))
+    assert view.instances["one"].cold_until == cold_until
+    # The unconfirmed record may be older than the evacuation.
+    assert view.instances["two"].cold_until == NOW + 4 * NS_PER_SECOND
 
 
-def replace_cold(told: Backend) -> Backend:
-    return msgspec.structs.replace(told, warm_up_ms=0, unconfirmed=True)
+def without_warm_up(backend: Backend) -> Backend:
+    """The unconfirmed record of a backend that doesn't warm up any more."""
+    return msgspec.structs.replace(backend, warm_up_ms=0, unconfirmed=True)
--- a/tests/system/proxy/test_limits.py
+++ b/tests/system/proxy/test_client_limits.py
@@ -12,7 +12,7 @@
 from ambershift.system.proxy.client_connection import _has_unread_data
 from ambershift.system.proxy.client_limits import ClientLimits, HeadTracker, read_limits
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
-from tests.support.proxy_rig import PLAIN, Rig, answer, run
+from tests.support.proxy_rig import DEFAULT_ITEMS, ProxyRig, response, run_scenario
 
 HEAD = b"GET /read/a HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a1\r\nX-Deadline-Remaining: 1500\r\n"
 MOST = 400
@@ -23,7 +23,7 @@
     return Item(LIMITS, "limits", (version, ""), msgspec.json.encode({**fields, **changed}))
 
 
-BOUND = ItemUpdate((*PLAIN.items, limits()), True)
+BOUND = ItemUpdate((*DEFAULT_ITEMS.items, limits()), True)
 
 
 def head(size, more=b""):
@@ -32,7 +32,7 @@
 
 
 async def good(head, body, writer):
-    return answer(head, body=b"read")
+    return response(head, body=b"read")
 
 
 class Client:
@@ -94,18 +94,21 @@
     """The proxy's clock goes on; timers that are due by it go off before anything more is read."""
     for one in connections(rig):
         if one.timeout_keep_alive_task is not None:
-            rig.armed.setdefault(one.timeout_keep_alive_task, rig.late)
-    rig.late += int(seconds * NS_PER_SECOND)
+            rig.timers_set_at.setdefault(one.timeout_keep_alive_task, rig.clock_ahead_ns)
+    rig.clock_ahead_ns += int(seconds * NS_PER_SECOND)
     now = asyncio.get_running_loop().time()
     for one in connections(rig):
         timer = one.timeout_keep_alive_task
-        if timer is not None and (timer.when() - now) * NS_PER_SECOND <= rig.late - rig.armed[timer]:
+        if (
+            timer is not None
+            and (timer.when() - now) * NS_PER_SECOND <= rig.clock_ahead_ns - rig.timers_set_at[timer]
+        ):
             one.timeout_keep_alive_handler()
 
 
-def test_a_head_at_the_limit_is_served_and_one_byte_more_is_refused_and_ends_the_connection():
-    async def playing():
-        async with Rig(good, items=BOUND) as rig:
+def test_head_above_the_limit_is_refused_and_closes_the_connection():
+    async def scenario():
+        async with ProxyRig(good, items=BOUND) as rig:
             assert len(head(MOST)) == MOST and len(head(MOST + 1)) == MOST + 1
             assert await (client := Client(rig).say(head(MOST))).answered() == 200
             # The same in pieces, on the connection kept, and right behind another request's bytes.
@@ -140,15 +143,15 @@
             later(rig, 0.2)
             while connections(rig):
                 await asyncio.sleep(0)
-            assert len(rig.shelves[0].heads) == 5 and rig.proxy.is_idle()
+            assert len(rig.backends[0].request_heads) == 5 and rig.proxy.is_idle()
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_what_follows_a_whole_request_takes_nothing_from_its_answer():
+def test_complete_request_gets_its_response_whatever_follows_it():
     """Too large a head, too slow a one, or none at all: the request before it is answered, then the end."""
 
-    async def playing():
+    async def scenario():
         for at_once, behind, seconds in (
             (head(MOST + 1), b"", 0),
             (b"", HEAD + b"X-Fill: " + b"x" * MOST, 0),
@@ -161,11 +164,11 @@
 
             async def slow(head, body, writer, go=go):
                 await go.wait()
-                return answer(head, body=b"read")
+                return response(head, body=b"read")
 
-            async with Rig(slow, items=BOUND) as rig:
+            async with ProxyRig(slow, items=BOUND) as rig:
                 client = Client(rig).say(head(300) + at_once)
-                while not rig.shelves[0].heads:
+                while not rig.backends[0].request_heads:
                     await asyncio.sleep(0)
                 client.say(behind)
                 await met(rig, client)
@@ -177,22 +180,22 @@
                 assert heard.startswith(b"HTTP/1.1 200 ") and heard.count(b"HTTP/1.1") == 1
                 assert heard.endswith(b"\r\n\r\nread")
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_a_head_that_we_do_not_read_on_is_not_called_slow():
+def test_head_timeout_does_not_run_while_reading_is_paused():
     """Behind two requests reading pauses until the first is answered."""
 
-    async def playing():
+    async def scenario():
         go = asyncio.Event()
 
         async def slow(head, body, writer):
             await go.wait()
-            return answer(head, body=b"read")
+            return response(head, body=b"read")
 
-        async with Rig(slow, items=BOUND) as rig:
+        async with ProxyRig(slow, items=BOUND) as rig:
             client = Client(rig).say(head(300) + head(300) + HEAD)
-            while not rig.shelves[0].heads:
+            while not rig.backends[0].request_heads:
                 await asyncio.sleep(0)
             client.say(head(300)[len(HEAD) :])
             for _ in range(3):
@@ -202,12 +205,12 @@
             for _ in range(3):
                 assert await client.answered() == 200
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_a_head_that_drips_in_is_given_up_in_time_however_often_bytes_come():
-    async def playing():
-        async with Rig(good, items=BOUND) as rig:
+def test_slow_head_times_out_however_often_bytes_arrive():
+    async def scenario():
+        async with ProxyRig(good, items=BOUND) as rig:
             client = Client(rig).say(HEAD[:1])
             await met(rig, client)
             for at in range(1, 29):
@@ -242,25 +245,25 @@
             assert client.deaf(rig)
             assert (await client.hear()).startswith(b"HTTP/1.1 408 ")
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_idle_connections_end_silent_new_ones_too_and_none_while_a_request_is_there():
-    async def playing():
+def test_idle_connections_are_closed_unless_a_request_is_in_flight():
+    async def scenario():
         go = asyncio.Event()
 
         async def slow(head, body, writer):
             if b"/slow" in head:
                 await go.wait()
-            return answer(head, body=b"read")
+            return response(head, body=b"read")
 
-        async with Rig(slow, items=BOUND) as rig:
+        async with ProxyRig(slow, items=BOUND) as rig:
             many = [Client(rig) for _ in range(300)]  # Each says nothing.
             await met(rig, *many)
             kept, crlf = Client(rig).say(head(300)), Client(rig)
             assert await kept.answered() == 200
             waiting = Client(rig).say(head(300).replace(b"/a ", b"/slow "))
-            while len(rig.shelves[0].heads) < 2:
+            while len(rig.backends[0].request_heads) < 2:
                 await asyncio.sleep(0)
             later(rig, 14.9)
             assert len(connections(rig)) == 303
@@ -278,12 +281,12 @@
             later(rig, 10)
             assert await waiting.hear() == b"" and not connections(rig)
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_changed_limits_hold_for_new_requests_without_a_restart():
-    async def playing():
-        async with Rig(good, items=BOUND) as rig:
+def test_changed_limits_apply_to_new_requests_without_a_restart():
+    async def scenario():
+        async with ProxyRig(good, items=BOUND) as rig:
             assert await (client := Client(rig).say(head(MOST))).answered() == 200
             rig.proxy.handle_message(ItemUpdate((limits(2, HeaderBytes=300, IdleTimeoutMs=4000),), False))
             assert await client.say(head(300)).answered() == 200
@@ -295,17 +298,19 @@
             later(rig, 8)
             assert await client.say(head(300)).answered() == 200
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_a_body_dripped_to_a_refused_request_is_not_waited_for():
-    async def playing():
-        async with Rig(good, items=ItemUpdate((*PLAIN.items, limits(HeaderTimeoutMs=30)), True)) as rig:
+def test_slow_body_of_a_refused_request_is_not_waited_for():
+    async def scenario():
+        async with ProxyRig(
+            good, items=ItemUpdate((*DEFAULT_ITEMS.items, limits(HeaderTimeoutMs=30)), True)
+        ) as rig:
             said = HEAD.replace(b"/read", b"/none") + b"Content-Length: 900\r\n\r\nx"
             heard = await Client(rig).say(said).hear()
             assert heard.startswith(b"HTTP/1.1 404 ") and b"connection: close" in heard
 
-    run(playing)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -319,31 +324,31 @@
         ),
     ],
 )
-def test_limits_that_are_not_set_or_not_fit_stay_as_they_are_by_default(item, found):
+def test_missing_or_invalid_limits_have_their_defaults(item, found):
     assert read_limits(item) == found
 
 
-def test_clients_are_told_to_end_idle_connections_before_we_do():
+def test_advertised_keep_alive_is_shorter_than_the_idle_timeout():
     told = [
         ClientLimits(idle_timeout_ns=ms * NS_PER_MS).advertised_keep_alive_s
         for ms in (900, 1000, 1999, 2000, 15_500)
     ]
     assert told == [None, None, None, 1, 14]
 
-    async def playing():
-        async with Rig(good, items=BOUND) as rig:
+    async def scenario():
+        async with ProxyRig(good, items=BOUND) as rig:
             rig.server.__class__ = HttpServer
             rig.server.advertise_keep_alive(rig.proxy.routing.limits.advertised_keep_alive_s)
             await rig.server.on_tick(0)
-            assert b"\r\nkeep-alive: timeout=14\r\n" in (await rig.ask())[1]
+            assert b"\r\nkeep-alive: timeout=14\r\n" in (await rig.request())[1]
             rig.server.advertise_keep_alive(None)
             await rig.server.on_tick(0)
-            assert b"keep-alive" not in (await rig.ask())[1]
+            assert b"keep-alive" not in (await rig.request())[1]
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_bytes_of_other_messages_are_not_counted_for_a_head():
+def test_bytes_of_other_messages_do_not_count_towards_a_head():
     waiting, bounds = HeadTracker(0), ClientLimits(max_head_bytes=100)
     waiting.record_read(5000, True)  # The end of a body, and a head's first bytes: how many, nobody tells.
     waiting.has_open_head = True
--- a/tests/system/proxy/test_collected_tombstones.py
+++ b/tests/system/proxy/test_collected_tombstones.py
@@ -1,4 +1,4 @@
-"""Proxies drop what all control nodes have forgotten, and nothing comes back through them."""
+"""Proxies drop items whose tombstones were collected, and don't bring them back."""
 
 from __future__ import annotations
 
@@ -24,41 +24,41 @@
 
 def test_proxy_collects_tombstones_with_its_control_node() -> None:
     pushes, routing = Pushes(), Routing()
-    told = CollectedTombstones().with_batch([drop("r1", 11)])
+    collected = CollectedTombstones().with_batch([drop("r1", 11)])
     routing.begin_link()
-    items = {one.key: one for one in (route("r1", 1), route("r2", 2))}
-    for one in pushes.greet("proxy", items.values(), BackendUpdate((), (), True)):
-        routing.merge(getattr(one.message, "items", ()))
+    items = {item.key: item for item in (route("r1", 1), route("r2", 2))}
+    for push in pushes.greet("proxy", items.values(), BackendUpdate((), (), True)):
+        routing.merge(getattr(push.message, "items", ()))
     routing.complete_link()
-    for one in pushes.items([drop("r1", 11)]) + pushes.items([told.as_item]):
-        assert isinstance(one.message, ItemUpdate)
-        routing.merge(one.message.items)
+    for push in pushes.items([drop("r1", 11)]) + pushes.items([collected.as_item]):
+        assert isinstance(push.message, ItemUpdate)
+        routing.merge(push.message.items)
     assert routing.items.keys() == {(ROUTE, "r2"), COLLECTED_TOMBSTONES_KEY} and routing.route_count == 1
     routing.merge([route("r1", 1)])
     assert routing.find(b"h", b"/r1") is None and not routing.control_node_outdated
-    # A new link is told of nothing that all have forgotten.
-    held = [route("r2", 2), told.as_item]
+    # A new link isn't sent what was collected.
+    held = [route("r2", 2), collected.as_item]
     sent = pushes.greet("other", held, BackendUpdate((), (), True))
-    assert [list(one.message.items) for one in sent if isinstance(one.message, ItemUpdate)] == [held]
+    assert [list(push.message.items) for push in sent if isinstance(push.message, ItemUpdate)] == [held]
 
 
-def many(first: int = 1) -> CollectedTombstones:
-    """So many batches that a copy of before the first must be replaced; of routes `r1` and on."""
+def collected_batches(first: int = 1) -> CollectedTombstones:
+    """Five batches, of routes `r1` and on; a proxy without the first of them can't catch up from the list."""
     with forgetting_soon():
-        told = CollectedTombstones()
-        for at in range(first, first + 5):
-            told = told.with_batch([drop(f"r{at}", 10 + at)])
-        return told
+        collected = CollectedTombstones()
+        for number in range(first, first + 5):
+            collected = collected.with_batch([drop(f"r{number}", 10 + number)])
+        return collected
 
 
 def test_long_absent_proxy_serves_only_items_of_the_new_link() -> None:
-    routing, told = Routing(), many()
+    routing, collected = Routing(), collected_batches()
     routing.begin_link()
     routing.merge([route("r1", 1), route("r9", 9), route("late", 99)])
     routing.complete_link()
     routing.begin_link()
-    routing.merge([told.as_item, route("r9", 9)])
-    assert routing.find(b"h", b"/r1") is not None  # It serves on until all has been told.
+    routing.merge([collected.as_item, route("r9", 9)])
+    assert routing.find(b"h", b"/r1") is not None  # It serves the old items until the new ones are complete.
     routing.complete_link()
     assert (
         routing.items.keys() == {(ROUTE, "r9"), (ROUTE, "late"), COLLECTED_TOMBSTONES_KEY}
@@ -70,14 +70,14 @@
 def test_proxy_leaves_a_control_node_with_older_items() -> None:
     routing = Routing()
     routing.begin_link()
-    routing.merge([many().as_item, route("r9", 9)])
+    routing.merge([collected_batches().as_item, route("r9", 9)])
     routing.complete_link()
     routing.begin_link()
     routing.merge([route("r1", 1), route("r9", 10)])
     assert routing.control_node_outdated and not routing.merge([route("r2", 2)])
     assert routing.items.keys() == {(ROUTE, "r9"), COLLECTED_TOMBSTONES_KEY}
-    routing.begin_link()  # Another one.
-    routing.merge([many().as_item, route("r9", 10)])
+    routing.begin_link()  # To another control node.
+    routing.merge([collected_batches().as_item, route("r9", 10)])
     assert not routing.control_node_outdated and routing.items[ROUTE, "r9"].version[0] == 10
 
 
@@ -85,33 +85,33 @@
     routing = Routing()
     routing.begin_link()
     routing.merge([route("r1", 1), route("r9", 9)])
-    routing.merge([many().as_item])  # It has just heard of it.
+    routing.merge([collected_batches().as_item])  # The control node has just learned of it.
     assert routing.control_node_outdated
     routing.complete_link()
     assert not routing.complete
     routing.begin_link()
-    routing.merge([many().as_item, route("r9", 9)])
+    routing.merge([collected_batches().as_item, route("r9", 9)])
     routing.complete_link()
     assert routing.complete and routing.items.keys() == {(ROUTE, "r9"), COLLECTED_TOMBSTONES_KEY}
 
 
 @pytest.mark.usefixtures("early_collection")
 def test_returned_proxy_drops_items_whose_tombstones_were_collected() -> None:
-    """As they run: cut off from all control nodes while five routes are dropped and forgotten."""
+    """A proxy is partitioned while five routes are dropped and their tombstones collected."""
     fleet = Fleet(1)
     streets = Streets(fleet, 1)
     storm = Storm(fleet, streets, 1.0)
 
-    def go(call: Coroutine[Any, Any, Any]) -> None:
+    def start(call: Coroutine[Any, Any, Any]) -> None:
         with streets.loop.current():
             streets.loop.create_task(call)
 
-    go(storm.begin())
+    start(storm.begin())
     fleet.run(4)
     links = {link for ip in fleet.boxes for link in ((ip, "front-1"), ("front-1", ip))}
     fleet.cut |= links
-    rows = [{"Name": f"r{at}", "ConfigVersion": f"r{100 + at}"} for at in range(5)]
-    go(streets.rpc("configuration.modify", "", {"Remove": {"Routes": rows}}, 5.0, lost=0))
+    rows = [{"Name": f"r{number}", "ConfigVersion": f"r{100 + number}"} for number in range(5)]
+    start(streets.rpc("configuration.modify", "", {"Remove": {"Routes": rows}}, 5.0, lost=0))
     fleet.run(8)
     batches = {box.replica.store.collected.batch for box in fleet.boxes.values() if box.replica is not None}
     assert batches == {5}
--- a/tests/system/proxy/test_request_path.py
+++ b/tests/system/proxy/test_request_path.py
@@ -9,41 +9,45 @@
 
 from ambershift.system.messages.items import INSTANCE, Item
 from ambershift.system.messages.proxy_link import BackendUpdate, ItemUpdate
-from tests.support.proxy_rig import SERVICES, Rig, answer, backend, route, run
+from tests.support.proxy_rig import SERVICES, ProxyRig, backend_record, response, route, run_scenario
 
 
 async def good(head, body, writer):
-    return answer(head, body=b"read:" + body)
+    return response(head, body=b"read:" + body)
 
 
-def test_requests_pass_unchanged_and_connections_are_kept():
-    async def playing():
-        async with Rig(good) as rig:
-            status, head, body = await rig.ask(
+def test_requests_are_forwarded_unchanged_on_kept_connections():
+    async def scenario():
+        async with ProxyRig(good) as rig:
+            status, head, body = await rig.request(
                 "/read/a%2Fb/?x=%20y&z",
-                left=900,
-                more="Connection: x-one\r\nX-One: 1\r\nX-Two: 2\r\nTE: x\r\n",
+                remaining_ms=900,
+                extra="Connection: x-one\r\nX-One: 1\r\nX-Two: 2\r\nTE: x\r\n",
             )
             assert (status, body) == (200, b"read:") and b"x-server-seal: 1.2" in head
-            (sent,) = rig.shelves[0].heads
+            (sent,) = rig.backends[0].request_heads
             assert sent.startswith(b"GET /read/a%2Fb/?x=%20y&z HTTP/1.1\r\n")
             assert b"host: books.example:80" in sent and b"x-target-instance: i-0\r\n" in sent
             assert b"x-attempt-id: a1\r\n" in sent and b"x-two: 2" in sent
             assert b"x-one" not in sent and b"\r\nte:" not in sent
             assert 0 < int(sent.partition(b"x-deadline-remaining: ")[2].partition(b"\r\n")[0]) < 900
             chunks = "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n"
-            assert (await rig.ask("/write/", "POST", more=chunks))[2] == b"read:abcde"
-            assert (await rig.ask("/read/", "DELETE", body=b"xyz"))[2] == b"read:xyz"
-            assert rig.shelves[0].connections == 1
-            assert [(await rig.ask(path))[0] for path in ("/read", "/other/", "/write/x")] == [404, 404, 200]
+            assert (await rig.request("/write/", "POST", extra=chunks))[2] == b"read:abcde"
+            assert (await rig.request("/read/", "DELETE", body=b"xyz"))[2] == b"read:xyz"
+            assert rig.backends[0].connections == 1
+            assert [(await rig.request(path))[0] for path in ("/read", "/other/", "/write/x")] == [
+                404,
+                404,
+                200,
+            ]
             assert rig.proxy.is_idle() and rig.proxy.take_report(1 << 62).requests == {"loans": 4}
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_large_answers_stream_and_one_that_breaks_off_does_not_look_complete():
+def test_large_responses_stream_and_truncated_ones_are_not_complete():
     async def large(head, body, writer):
-        whole = answer(head, body=b"x" * 1_000_000)
+        whole = response(head, body=b"x" * 1_000_000)
         if b"/cut" not in head:
             return whole
         writer.write(whole[:700_000])
@@ -51,21 +55,21 @@
         await asyncio.sleep(0.02)
         return None
 
-    async def playing():
-        async with Rig(large) as rig:
-            assert len((await rig.ask())[2]) == 1_000_000
+    async def scenario():
+        async with ProxyRig(large) as rig:
+            assert len((await rig.request())[2]) == 1_000_000
             rig.proxy.admission.in_flight = 500
             assert (
-                len((await rig.ask())[2]) == 1_000_000
+                len((await rig.request())[2]) == 1_000_000
                 and rig.proxy.connections.response_buffer_size < 100_000
             )
             rig.proxy.admission.in_flight = 0
-            assert (await rig.ask("/read/cut"))[0] == 0
+            assert (await rig.request("/read/cut"))[0] == 0
             assert rig.proxy.is_idle() and not any(
                 instance.in_flight for instance in rig.proxy.backend_view.instances.values()
             )
 
-    run(playing)
+    run_scenario(scenario)
 
 
 def scripted(*replies):
@@ -89,23 +93,23 @@
 
 
 async def away(head, body, writer):
-    return answer(head, 503, b"", b"X-Not-Executed: full\r\n")
+    return response(head, 503, b"", b"X-Not-Executed: full\r\n")
 
 
 async def failing(head, body, writer):
-    return answer(head, 500, b"own")
+    return response(head, 500, b"own")
 
 
 async def foreign(head, body, writer):
-    return answer(b"x-attempt-id: other\r\n")
+    return response(b"x-attempt-id: other\r\n")
 
 
 async def late(head, body, writer):
-    return answer(b"x-attempt-id: other\r\n", body=b"late") + answer(head, body=b"mine")
+    return response(b"x-attempt-id: other\r\n", body=b"late") + response(head, body=b"mine")
 
 
 async def unsealed(head, body, writer):
-    return answer(head).replace(b"X-Server-Seal", b"X-Other")
+    return response(head).replace(b"X-Server-Seal", b"X-Other")
 
 
 async def garbage(head, body, writer):
@@ -113,36 +117,36 @@
 
 
 async def cut(head, body, writer):
-    writer.write(answer(head)[:-2])
+    writer.write(response(head)[:-2])
     await writer.drain()
 
 
 async def promise(head, body, writer):
-    return answer(head, 429, b"")  # Without saying that it has not run.
+    return response(head, 429, b"")  # Without saying that it has not run.
 
 
 async def gave_up(head, body, writer):
-    return answer(head, 408, b"")
+    return response(head, 408, b"")
 
 
 async def full(head, body, writer):
-    return answer(head, 503, b"")
+    return response(head, 503, b"")
 
 
 async def too_many(head, body, writer):
-    return answer(head, 429, b"", b"X-Not-Executed: rate\r\n")
+    return response(head, 429, b"", b"X-Not-Executed: rate\r\n")
 
 
 async def elsewhere(head, body, writer):
-    return answer(head, 421, b"")
+    return response(head, 421, b"")
 
 
 async def encoded(head, body, writer):
-    return answer(head, more=b"Content-Encoding: gzip\r\n")
+    return response(head, extra_headers=b"Content-Encoding: gzip\r\n")
 
 
 def without_length(head):
-    return answer(head, body=b"mine").replace(b"Content-Length: 4\r\n", b"Connection: close\r\n")
+    return response(head, body=b"mine").replace(b"Content-Length: 4\r\n", b"Connection: close\r\n")
 
 
 async def closed(head, body, writer):
@@ -168,12 +172,12 @@
 
 
 async def reset_in_its_head(head, body, writer):
-    writer.write(answer(head)[:40])
+    writer.write(response(head)[:40])
     await writer.drain()
 
 
 async def twice(head, body, writer):
-    return answer(head, body=b"mine") + answer(head, body=b"again")
+    return response(head, body=b"mine") + response(head, body=b"again")
 
 
 # What the first backend does: the statuses a idempotent and another request get, with a good one beside it.
@@ -203,17 +207,19 @@
 
 
 @pytest.mark.parametrize(("bad", "idempotent", "once"), CASES, ids=[case[0].__name__ for case in CASES])
-def test_each_ending_at_the_first_backend_for_both_kinds_of_request(bad, idempotent, once):
-    async def playing():
+def test_each_ending_at_the_first_backend_for_idempotent_and_other_requests(bad, idempotent, once):
+    async def scenario():
         first, second = scripted(bad), scripted(good)
-        async with Rig(first, second) as rig:
+        async with ProxyRig(first, second) as rig:
             rig.proxy.routing.find(b"books.example", b"/read/")
             for _ in range(20):  # So that the budget allows a repeat.
                 rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
             for path, wanted in (("/read/", idempotent), ("/write/", once)):
                 instances = rig.proxy.backend_view.instances
                 instances["i-1"].in_flight, before = 5, len(second.seen)  # Full: the first one is picked.
-                status, head, body = await rig.ask(path, "PUT", b"x", attempt=path.strip("/"), left=400)
+                status, head, body = await rig.request(
+                    path, "PUT", b"x", attempt_id=path.strip("/"), remaining_ms=400
+                )
                 assert status == wanted, path
                 assert (status != 200) == (b"x-server-seal" not in head)
                 assert body == {200: b"mine" if bad in MINE else b"read:x", 500: b"own"}.get(status, b"")
@@ -223,19 +229,19 @@
                     "i-0"
                 ].queue_length = 0
 
-    run(playing)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("path", ["/read/", "/write/"])
-def test_a_backend_that_answers_early_gets_nothing_but_the_rest_of_that_body(path):
+def test_backend_that_responds_early_reads_only_the_rest_of_that_body(path):
     """It answers as soon as it has the head, and reads the body after that."""
     got = list[tuple[int, bytes]]()  # Connection, and what was read where a body was due.
 
-    async def playing():
-        rig = Rig(good)
+    async def scenario():
+        rig = ProxyRig(good)
 
         async def early(reader, writer):
-            shelf = rig.shelves[0]
+            shelf = rig.backends[0]
             shelf.connections += 1
             number = shelf.connections
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -243,8 +249,8 @@
                     head = await reader.readuntil(b"\r\n\r\n")
                     first, _, rest = head.partition(b"\r\n")
                     head = first + b"\r\n" + rest.lower()
-                    shelf.heads.append(head)
-                    writer.write(answer(head, body=b"soon"))
+                    shelf.request_heads.append(head)
+                    writer.write(response(head, body=b"soon"))
                     await writer.drain()
                     length = int(head.partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0)
                     read = b""
@@ -253,142 +259,142 @@
                     got.append((number, read))
             writer.close()
 
-        rig.shelves[0]._serve = early
+        rig.backends[0]._serve = early
         bodies = [bytes([number]) * 400_000 for number in (1, 2, 3)]
         async with rig:
             for body in bodies:
-                assert (await rig.ask(path, "PUT", body=body, left=2000))[::2] == (200, b"soon")
-        assert len(rig.shelves[0].heads) == 3
+                assert (await rig.request(path, "PUT", body=body, remaining_ms=2000))[::2] == (200, b"soon")
+        assert len(rig.backends[0].request_heads) == 3
         for _, read in got:
             assert read in (body[: len(read)] for body in bodies)
 
-    run(playing)
+    run_scenario(scenario)
     assert got
 
 
-def test_what_nobody_can_serve_is_refused_at_once_and_what_may_have_run_is_not_called_refused():
-    async def playing():
-        async with Rig(away, away) as rig:
+def test_status_tells_whether_the_request_may_have_been_executed():
+    async def scenario():
+        async with ProxyRig(away, away) as rig:
             rig.proxy.budget("loans").record_request(0)
-            status, head, _ = await rig.ask("/write/", "POST", b"x")
+            status, head, _ = await rig.request("/write/", "POST", b"x")
             assert status == 503 and b"retry-after: 0.1" in head
-        async with Rig(silent) as rig:
+        async with ProxyRig(silent) as rig:
             began = rig.proxy.monotonic_ns()
-            assert (await rig.ask("/write/", "POST", b"x", left=120))[0] == 504
+            assert (await rig.request("/write/", "POST", b"x", remaining_ms=120))[0] == 504
             assert rig.proxy.monotonic_ns() - began < 400_000_000
-            assert await rig.ask(left=0) and not rig.proxy.backend_view.instances["i-0"].in_flight
-        async with Rig(good) as rig:
-            rig.shelves[0].server.close()
-            await rig.shelves[0].server.wait_closed()
-            assert (await rig.ask("/write/", "POST", b"x"))[0] == 503
-            assert (await rig.ask("/write/", more=f"Content-Length: {1 << 40}\r\n"))[0] == 413
-            assert (await rig.ask("/write/", left=90, more="Content-Length: 9\r\n"))[0] == 408
-            assert (await rig.ask("/none/", "POST", b"x" * 1000))[0] == 404
-            assert (await rig.ask(attempt=""))[0] == 400
-
-    run(playing)
-
-
-def test_beside_a_silent_backend_another_is_tried_and_the_first_is_not_broken_off():
-    async def playing():
-        async with Rig(silent, good) as rig:
+            assert await rig.request(remaining_ms=0) and not rig.proxy.backend_view.instances["i-0"].in_flight
+        async with ProxyRig(good) as rig:
+            rig.backends[0].server.close()
+            await rig.backends[0].server.wait_closed()
+            assert (await rig.request("/write/", "POST", b"x"))[0] == 503
+            assert (await rig.request("/write/", extra=f"Content-Length: {1 << 40}\r\n"))[0] == 413
+            assert (await rig.request("/write/", remaining_ms=90, extra="Content-Length: 9\r\n"))[0] == 408
+            assert (await rig.request("/none/", "POST", b"x" * 1000))[0] == 404
+            assert (await rig.request(attempt_id=""))[0] == 400
+
+    run_scenario(scenario)
+
+
+def test_hedged_attempt_beside_a_silent_backend_does_not_cancel_the_first():
+    async def scenario():
+        async with ProxyRig(silent, good) as rig:
             for _ in range(20):
                 rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
             rig.proxy.backend_view.instances["i-1"].in_flight = 5
             began = rig.proxy.monotonic_ns()
-            assert (await rig.ask(left=700))[0] == 200
+            assert (await rig.request(remaining_ms=700))[0] == 200
             assert rig.proxy.monotonic_ns() - began < 500_000_000
-            assert rig.proxy.is_idle() and not rig.shelves[0].ended.is_set()
-            await rig.shelves[0].ended.wait()  # At the deadline.
+            assert rig.proxy.is_idle() and not rig.backends[0].connection_ended.is_set()
+            await rig.backends[0].connection_ended.wait()  # At the deadline.
             assert rig.proxy.monotonic_ns() - began > 600_000_000
             assert (
                 rig.proxy.backend_view.instances["i-0"].backoff_ns
                 and not rig.proxy.backend_view.instances["i-0"].in_flight
             )
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_a_distribution_goes_by_weight_and_past_a_service_that_has_nobody():
+def test_distribution_goes_by_weight_among_services_with_backends():
     shares = [{"Service": "loans", "Weight": 1}, {"Service": "maps", "Weight": 99}]
     items = ItemUpdate((route("r", "/read/", Service=None, Distribution=shares), *SERVICES), True)
 
-    async def playing():
-        async with Rig(good, items=items) as rig:
-            assert {(await rig.ask())[0] for _ in range(5)} == {200}
-            rig.proxy.handle_message(BackendUpdate((backend("m", service="maps"),), (), False))
-            assert {(await rig.ask())[0] for _ in range(5)} == {503}  # Nobody is at that address.
+    async def scenario():
+        async with ProxyRig(good, items=items) as rig:
+            assert {(await rig.request())[0] for _ in range(5)} == {200}
+            rig.proxy.handle_message(BackendUpdate((backend_record("m", service="maps"),), (), False))
+            assert {(await rig.request())[0] for _ in range(5)} == {503}  # Nobody is at that address.
             assert rig.proxy.take_report(1 << 62).requests == {"loans": 5, "maps": 5}
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_extra_bytes_and_old_connections_are_not_used_for_a_request_that_may_run_once():
+def test_non_idempotent_requests_avoid_connections_with_extra_bytes_or_little_time_left():
     async def extra(head, body, writer):
-        return answer(head) + (answer(head, body=b"twice") if b"/read/extra" in head else b"")
+        return response(head) + (response(head, body=b"twice") if b"/read/extra" in head else b"")
 
-    async def playing():
-        async with Rig(extra) as rig:
+    async def scenario():
+        async with ProxyRig(extra) as rig:
             monotonic_ns = rig.proxy.monotonic_ns
-            assert (await rig.ask("/read/extra"))[0] == 200
-            assert (await rig.ask("/write/"))[2] == b"read" and rig.shelves[0].connections == 2
-            assert (await rig.ask("/write/"))[0] == 200 and rig.shelves[0].connections == 3
+            assert (await rig.request("/read/extra"))[0] == 200
+            assert (await rig.request("/write/"))[2] == b"read" and rig.backends[0].connections == 2
+            assert (await rig.request("/write/"))[0] == 200 and rig.backends[0].connections == 3
             rig.proxy.connections._monotonic_ns = lambda: monotonic_ns() + 6_000_000_000
-            assert (await rig.ask("/write/"))[0] == 200 and rig.shelves[0].connections == 4
+            assert (await rig.request("/write/"))[0] == 200 and rig.backends[0].connections == 4
             later = monotonic_ns() + 9_000_000_000
             rig.proxy.connections._monotonic_ns = lambda: later  # 3 s old, of 4 that it is kept.
-            assert (await rig.ask("/write/"))[0] == 200 and rig.shelves[0].connections == 5
-            assert (await rig.ask("/read/"))[0] == 200 and rig.shelves[0].connections == 5
+            assert (await rig.request("/write/"))[0] == 200 and rig.backends[0].connections == 5
+            assert (await rig.request("/read/"))[0] == 200 and rig.backends[0].connections == 5
             rig.proxy.connections._monotonic_ns = lambda: later + 3_700_000_000
-            assert (await rig.ask("/read/"))[0] == 200 and rig.shelves[0].connections == 6
+            assert (await rig.request("/read/"))[0] == 200 and rig.backends[0].connections == 6
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_an_idle_connection_that_the_backend_closed_is_not_used():
+def test_idle_connection_that_the_backend_closed_is_not_used():
     async def closing(head, body, writer):
-        writer.write(answer(head))
+        writer.write(response(head))
         await writer.drain()
         writer.close()
         return b""
 
-    async def playing():
-        async with Rig(closing) as rig:
+    async def scenario():
+        async with ProxyRig(closing) as rig:
             for _ in range(3):
-                assert (await rig.ask("/write/"))[0] == 200
+                assert (await rig.request("/write/"))[0] == 200
             assert not rig.proxy.backend_view.instances["i-0"].failures
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_a_repeat_is_paid_out_of_the_budget_and_one_that_did_not_go_out_is_given_back():
-    async def playing():
+def test_retries_are_charged_to_the_budget_unless_they_were_not_sent():
+    async def scenario():
         second = scripted(good)
-        async with Rig(reset, second) as rig:
+        async with ProxyRig(reset, second) as rig:
             rig.proxy.backend_view.instances["i-1"].in_flight = 5
-            assert (await rig.ask())[0] == 502 and not second.seen
+            assert (await rig.request())[0] == 502 and not second.seen
             budget, now = rig.proxy.budget("loans"), rig.proxy.monotonic_ns()
             for _ in range(6):
                 budget.record_request(now)  # Enough for one.
-            rig.shelves[1].server.close()
+            rig.backends[1].server.close()
             rig.proxy.backend_view.instances["i-0"].backoff_ns = 0
-            assert (await rig.ask())[0] == 502
+            assert (await rig.request())[0] == 502
             assert budget.take(rig.proxy.monotonic_ns()) and not budget.take(rig.proxy.monotonic_ns())
-        async with Rig(reset, second) as rig:
+        async with ProxyRig(reset, second) as rig:
             rig.proxy.backend_view.instances["i-1"].in_flight = 5
             for _ in range(6):
                 rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
-            assert (await rig.ask())[0] == 200 and not rig.proxy.budget("loans").take(
+            assert (await rig.request())[0] == 200 and not rig.proxy.budget("loans").take(
                 rig.proxy.monotonic_ns()
             )
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_nothing_is_sent_to_a_backend_that_drains_while_we_connect():
-    async def playing():
+def test_nothing_is_sent_to_a_backend_that_drains_during_the_connect():
+    async def scenario():
         first, second = scripted(good), scripted(good)
-        async with Rig(first, second) as rig:
+        async with ProxyRig(first, second) as rig:
             rig.proxy.backend_view.instances["i-1"].in_flight = 5
             opening = rig.proxy.connections.connect
 
@@ -398,40 +404,40 @@
                 return connection
 
             rig.proxy.connections.connect = slowly
-            assert (await rig.ask("/write/"))[0] == 200
+            assert (await rig.request("/write/"))[0] == 200
             assert (len(first.seen), len(second.seen)) == (0, 1)
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_a_reset_while_others_are_answered_makes_it_full_rather_than_dead():
+def test_reset_while_others_are_served_means_full_rather_than_dead():
     async def some(head, body, writer):
         await asyncio.sleep(0.3 if b"/slow" in head else 0)
-        return None if b"/reset" in head else answer(head)
+        return None if b"/reset" in head else response(head)
 
-    async def playing():
-        async with Rig(some) as rig:
+    async def scenario():
+        async with ProxyRig(some) as rig:
             instance = rig.proxy.backend_view.instances["i-0"]
-            slow, lost = await asyncio.gather(rig.ask("/write/slow"), rig.ask("/write/slow/reset"))
+            slow, lost = await asyncio.gather(rig.request("/write/slow"), rig.request("/write/slow/reset"))
             assert (
                 (slow[0], lost[0]) == (200, 502)
                 and instance.backoff_ns == 0
                 and instance.is_full(rig.proxy.monotonic_ns())
             )
             # The slow one's watch over its client must not touch the connection that is idle again.
-            assert (await rig.ask())[0] == 200 and rig.shelves[0].connections == 2
-            await rig.ask("/read/reset")
+            assert (await rig.request())[0] == 200 and rig.backends[0].connections == 2
+            await rig.request("/read/reset")
             assert instance.backoff_ns > 0
 
-    run(playing)
+    run_scenario(scenario)
 
 
-def test_a_client_that_leaves_ends_the_try_and_a_proxy_that_leaves_says_so():
-    async def playing():
-        async with Rig(scripted(silent, good)) as rig:
+def test_client_disconnect_ends_the_attempt_and_draining_proxy_closes_connections():
+    async def scenario():
+        async with ProxyRig(scripted(silent, good)) as rig:
             _, writer = await asyncio.open_connection("127.0.0.1", rig.port)
             writer.write(b"GET /write/ HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a\r\n\r\n")
-            while not rig.shelves[0].heads:
+            while not rig.backends[0].request_heads:
                 await asyncio.sleep(0.01)
             assert not rig.proxy.is_idle()
             writer.close()
@@ -440,7 +446,7 @@
             instance = rig.proxy.backend_view.instances["i-0"]
             assert (instance.in_flight, instance.backoff_ns, instance.failures) == (0, 0, 0)
             rig.proxy.start_draining()
-            status, head, _ = await rig.ask("/read/")
+            status, head, _ = await rig.request("/read/")
             assert status == 200 and b"\r\nconnection: close" in head
             said = []
 
@@ -454,4 +460,4 @@
                 )
             assert [one["status"] for one in said if "status" in one] == [200, 503]
 
-    run(playing)
+    run_scenario(scenario)
--- a/tests/system/proxy/test_attempt.py
+++ b/tests/system/proxy/test_retry_policy.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("stage", Stage)
 @pytest.mark.parametrize("ending", Ending)
-def test_every_stage_and_ending_has_the_outcome_that_the_rules_allow(stage, ending):
+def test_outcome_of_each_stage_and_ending_follows_the_rules(stage, ending):
     for told in (None, *heads()):
         result_outcome = classify_attempt(stage, ending, told)
         if stage <= Stage.CONNECTED:
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("idempotent", [True, False])
 @pytest.mark.parametrize("most", [1, 2, 3])
-def test_what_may_follow_each_way_in_which_a_try_ended_and_each_second_one(idempotent, most):
+def test_retries_and_final_status_after_each_pair_of_endings(idempotent, most):
     """All pairs of ways, by kind of request and attempts that its route allows."""
     followed = 0
     for first, second in itertools.product(WAYS, WAYS):
@@ -198,7 +198,7 @@
 @pytest.mark.parametrize(
     ("before", "status"), [(0, 504), (1_060_000, 504), (2 * NS_PER_MS, 504), (2 * NS_PER_MS + 1, 502)]
 )
-def test_a_timer_that_fires_a_little_early_ends_at_the_deadline_all_the_same(before, status):
+def test_timer_that_fires_slightly_early_counts_as_the_deadline(before, status):
     """Timers of uvloop were measured 1.06 ms early: 127 of 400."""
     tries = RetryState(False, 2, NS_PER_SECOND)
     tries.record_start()
