--- a/ambershift/attempt/machine.py
+++ b/ambershift/attempt/machine.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from ambershift.interface import Again, Repeat
+from ambershift.interface import Idempotency, RetryPolicy
 
 
 class Evidence(IntEnum):
@@ -21,8 +21,13 @@
 
 
 # Further tries that each way allows, and whether one may follow a try that may have run.
-FURTHER = {Again.NEVER: 0, Again.IF_NOT_RUN: 1, Again.ONCE: 1, Again.TWICE: 2}
-AFTER_RUN = {Again.NEVER: False, Again.IF_NOT_RUN: False, Again.ONCE: True, Again.TWICE: True}
+FURTHER = {RetryPolicy.NEVER: 0, RetryPolicy.IF_NOT_RUN: 1, RetryPolicy.ONCE: 1, RetryPolicy.TWICE: 2}
+AFTER_RUN = {
+    RetryPolicy.NEVER: False,
+    RetryPolicy.IF_NOT_RUN: False,
+    RetryPolicy.ONCE: True,
+    RetryPolicy.TWICE: True,
+}
 
 
 class Bearing(NamedTuple):
@@ -35,7 +40,7 @@
         way: How long an attempt may travel before it runs, ns.
     """
 
-    repeat: Repeat
+    repeat: Idempotency
     everywhere: bool
     window: int
     way: int
@@ -64,7 +69,7 @@
             return self._replace(first=server, since=sent_at)
         return self
 
-    def may(self, again: Again, bearing: Bearing, server: int, now: int) -> bool:
+    def may(self, again: RetryPolicy, bearing: Bearing, server: int, now: int) -> bool:
         """Whether one more try at this server is allowed, as table and level stand now.
 
         They may have changed since the try before: what counts is the whole flow, not the table it met first.
@@ -73,9 +78,9 @@
             return False
         if self.first < 0:
             return True
-        if not AFTER_RUN[again] or bearing.repeat is Repeat.NON_RETRIABLE:
+        if not AFTER_RUN[again] or bearing.repeat is Idempotency.NON_RETRIABLE:
             return False
-        if bearing.repeat is Repeat.DEDUPED:
+        if bearing.repeat is Idempotency.DEDUPED:
             known = bearing.everywhere or server == self.first
             # It must still be known when it gets there, not only when it is sent.
             return known and now + bearing.way < self.since + bearing.window
--- a/ambershift/benchlink/host.py
+++ b/ambershift/benchlink/host.py
@@ -74,7 +74,7 @@
                 self.modules.pop(instance, None)
                 gathered.pop(instance, None)
             elif isinstance(record, api.Started):
-                self.doors[instance] = WireDoor(record.terms.zones)
+                self.doors[instance] = WireDoor(record.settings.zones)
                 self.modules[instance] = policy.TableManager()
                 gathered[instance] = [record]
             elif instance in self.modules:
--- a/ambershift/benchlink/wire.py
+++ b/ambershift/benchlink/wire.py
@@ -64,7 +64,7 @@
 INVENTORY = struct.Struct("<II")
 
 
-def read_settings(text: bytes) -> api.Terms:
+def read_settings(text: bytes) -> api.PolicySettings:
     try:
         return read_terms(json.loads(text))
     except ValueError as error:
@@ -189,7 +189,7 @@
     api.SetWeight: lambda o: struct.pack("<BHIf", 18, o.table, o.server, o.weight),
     api.ClearTable: lambda o: struct.pack("<BH", 23, o.table),
     api.Withdraw: lambda o: struct.pack("<BBI", 28, o.out, o.server),
-    api.Level: lambda o: struct.pack("<BHBHf", 21, o.mask, o.again, o.table, o.allowance),
+    api.Level: lambda o: struct.pack("<BHBHf", 21, o.mask, o.retry, o.table, o.allowance),
     api.Bind: lambda o: struct.pack("<BHHH", 22, o.proxy, o.table, o.mask),
     api.Mark: lambda o: struct.pack("<BQB", 24, o.mark, o.everyone),
     api.Probe: lambda o: struct.pack("<BI", 20, o.server),
--- a/ambershift/coordinator/admin/mirror.py
+++ b/ambershift/coordinator/admin/mirror.py
@@ -71,7 +71,7 @@
     settled: int
     tables: HashTrieMap[int, HashTrieMap[int, Line]]
     shut: HashTrieMap[int, Shut]
-    levels: HashTrieMap[tuple[int, int], tuple[api.Again, float]]
+    levels: HashTrieMap[tuple[int, int], tuple[api.RetryPolicy, float]]
     seats: HashTrieMap[int, Seat]
     met: HashTrieMap[int, Tally]
 
@@ -137,11 +137,11 @@
                     met = met.insert(
                         event.server,
                         Tally(
-                            tally.tries + event.tries,
-                            tally.bad + event.bad,
-                            tally.good_time + event.mean_time * (event.tries - event.bad),
+                            tally.tries + event.attempts,
+                            tally.bad + event.failures,
+                            tally.good_time + event.mean_latency * (event.attempts - event.failures),
                             now,
-                            now if event.tries else tally.tried_at,
+                            now if event.attempts else tally.tried_at,
                             event.loads or tally.loads,
                         ),
                     )
@@ -161,7 +161,7 @@
                 case api.Withdraw():
                     shut = shut.insert(order.server, Shut(order.out, reply, now))
                 case api.Level():
-                    levels = levels.insert((order.table, order.mask), (order.again, order.allowance))
+                    levels = levels.insert((order.table, order.mask), (order.retry, order.allowance))
                 case api.Bind():
                     if (seat := seats.get(order.proxy)) is not None:
                         seats = seats.insert(order.proxy, seat._replace(table=order.table))
--- a/ambershift/coordinator/group/learned.py
+++ b/ambershift/coordinator/group/learned.py
@@ -114,7 +114,7 @@
             own = [event for event in events if self.handed.pop(id(event), None) is not event]
         add, met_at = self.sums.add, self.met_at
         for event in own:
-            if type(event) is api.ServerReport and event.tries:
+            if type(event) is api.ServerReport and event.attempts:
                 add(event)
                 met_at[event.server] = now
         return own
--- a/ambershift/coordinator/program/assembly.py
+++ b/ambershift/coordinator/program/assembly.py
@@ -69,7 +69,7 @@
         self.follower = Follower(dialler, start.relay, News(self.admit, put, book), book)
         self.caller = Caller(dialler, start.discovery, DIAL_LIMIT)
         self.watcher = Watcher(
-            self.caller, start.known.version, start.terms.told_after, self.admit, put, book
+            self.caller, start.known.version, start.terms.notification_deadline, self.admit, put, book
         )
         prober = Prober(dialler, self.admit, clock.now, put, book)
         self.route.carry = Send(self.route, self.relay, self.watcher, prober, self.admit, book).carry
--- a/ambershift/coordinator/program/configuration.py
+++ b/ambershift/coordinator/program/configuration.py
@@ -30,7 +30,7 @@
     sockets: int
     memory_mb: float
     known: discovery.Listing
-    terms: api.Terms
+    terms: api.PolicySettings
     names: Names
     fixed: dict[str, Any]
 
--- a/ambershift/coordinator/protocol/relay.py
+++ b/ambershift/coordinator/protocol/relay.py
@@ -82,7 +82,7 @@
                 return f"{'' if order.out else 'un'}eject,{self.server(order.server)}"
             case api.Level():
                 table = "*" if order.table == EVERY_TABLE else str(order.table)
-                return f"gate,{table},{self.mask(order.mask)},{decimal(order.allowance)},{int(order.again)}"
+                return f"gate,{table},{self.mask(order.mask)},{decimal(order.allowance)},{int(order.retry)}"
             case api.Mark():
                 return f"fence,{order.mark},{int(order.everyone)}"
 
--- a/ambershift/interface.py
+++ b/ambershift/interface.py
@@ -18,7 +18,7 @@
     DRAINING = 2
 
 
-class Repeat(IntEnum):
+class Idempotency(IntEnum):
     """What may happen when a flow runs twice."""
 
     RETRIABLE = 0
@@ -26,7 +26,7 @@
     NON_RETRIABLE = 2
 
 
-class Again(IntEnum):
+class RetryPolicy(IntEnum):
     """When a proxy tries another server by itself."""
 
     NEVER = 0
@@ -41,12 +41,12 @@
     budget: int
     expiry: int
     utility: float
-    repeat: Repeat
+    idempotency: Idempotency
     dedup_everywhere: bool
     dedup_window: int
 
 
-class Terms(NamedTuple):
+class PolicySettings(NamedTuple):
     """What a deployment grants and demands, as told to an instance at its start.
 
     `regions` holds each zone's; where it is empty, lending knows of none.
@@ -55,29 +55,29 @@
     zones: int
     groups: tuple[Group, ...]
     must_watch: bool
-    told_after: int
+    notification_deadline: int
     grace: int
     only_draining_binds: bool
     cold: int
     cold_share: float
-    fall_multiple: float
-    bare_limit: int
+    collapse_multiple: float
+    blackhole_limit: int
     lines_per_s: float
-    head: float
-    waiting_limit: float
+    message_overhead: float
+    queue_limit: float
     message_limit: int
-    message_span: int
-    way: int
-    way_most: int
+    message_window: int
+    propagation_delay: int
+    max_propagation_delay: int
     report_period: int
-    levels: str
+    admission_mode: str
     slices: int
     single_owner: bool
-    in_hand: int
+    in_flight_time: int
     lease: int
-    strikes: int
-    proxies: float
-    worth_least: float = 2.5
+    avoidance_failures: int
+    expected_proxies: float
+    min_partition_capacity: float = 2.5
     overload_limit: float = 0.2
     overload_calm: float = 0.15
     regions: tuple[int, ...] = ()
@@ -95,7 +95,7 @@
 
 class Started(NamedTuple):
     seed: int
-    terms: Terms
+    settings: PolicySettings
 
 
 class Listed(NamedTuple):
@@ -126,9 +126,9 @@
 
     zone: int
     server: int
-    tries: int
-    bad: int
-    mean_time: int
+    attempts: int
+    failures: int
+    mean_latency: int
     span: int
     loads: tuple[float, ...]
 
@@ -138,7 +138,7 @@
 
     proxy: int
     group: int
-    came: int
+    requests: int
     unanswered: int
     span: int
 
@@ -184,7 +184,7 @@
 class SliceLoad(NamedTuple):
     slice: int
     group: int
-    came: int
+    requests: int
     unanswered: int
     span: int
 
@@ -228,7 +228,7 @@
 class Level(NamedTuple):
     table: int
     mask: int
-    again: Again
+    retry: RetryPolicy
     allowance: float
 
 
--- a/ambershift/modelcheck/models/attempt.py
+++ b/ambershift/modelcheck/models/attempt.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from ambershift.attempt.machine import Attempt, Bearing, Evidence
-from ambershift.interface import Again, Repeat
+from ambershift.interface import Idempotency, RetryPolicy
 from ambershift.modelcheck.model import Base, Liveness, Step, prop
 
 BEGUN, WAITING, IDLE, DONE, GIVEN_UP = range(5)
@@ -43,8 +43,8 @@
     effect.
     """
 
-    repeat: Repeat
-    again: Again
+    repeat: Idempotency
+    again: RetryPolicy
     phase: int
     attempt: Attempt
     server: int
@@ -67,7 +67,7 @@
     """No flow that may not run twice takes effect twice, whatever way the table allows and whatever is
     lost.
     """
-    if world.repeat is Repeat.NON_RETRIABLE and effects(world) > 1:
+    if world.repeat is Idempotency.NON_RETRIABLE and effects(world) > 1:
         return f"it ran {effects(world)} times"
     return None
 
@@ -77,7 +77,7 @@
     """A flow that servers know by its key takes effect once: it is sent again only where and while it
     is known.
     """
-    if world.repeat is Repeat.DEDUPED and effects(world) > 1:
+    if world.repeat is Idempotency.DEDUPED and effects(world) > 1:
         return f"it took effect {effects(world)} times"
     return None
 
@@ -85,7 +85,12 @@
 @prop
 def no_more_tries_than_the_way_allows(world: World) -> str | None:
     """A flow is tried once, and again as often as the freest way that it met allows."""
-    most = 1 + {Again.NEVER: 0, Again.IF_NOT_RUN: 1, Again.ONCE: 1, Again.TWICE: 2}[Again(world.free)]
+    most = (
+        1
+        + {RetryPolicy.NEVER: 0, RetryPolicy.IF_NOT_RUN: 1, RetryPolicy.ONCE: 1, RetryPolicy.TWICE: 2}[
+            RetryPolicy(world.free)
+        ]
+    )
     return f"{world.attempt.tries} tries, {most} allowed" if world.attempt.tries > most else None
 
 
@@ -116,8 +121,8 @@
 
     def initial(self) -> World:
         return World(
-            Repeat.RETRIABLE,
-            Again.NEVER,
+            Idempotency.RETRIABLE,
+            RetryPolicy.NEVER,
             BEGUN,
             Attempt(),
             -1,
@@ -133,8 +138,8 @@
 
     def steps(self, world: World) -> Iterator[Step[World]]:
         if world.phase == BEGUN:
-            for repeat in Repeat:
-                for again in Again:
+            for repeat in Idempotency:
+                for again in RetryPolicy:
                     for server in range(self.servers):
                         yield self.sends(
                             world._replace(repeat=repeat, again=again, free=again), server, "comes and is"
@@ -156,7 +161,7 @@
                     self.put(world._replace(faults=world.faults - 1), at, one._replace(phase=DRAINING)),
                 )
         if world.changes and world.phase in (WAITING, IDLE):
-            for again in Again:
+            for again in RetryPolicy:
                 if again != world.again:
                     yield Step(
                         f"coordinator: changes the table's way to {again.name}",
@@ -199,7 +204,7 @@
         ]
         for server in may:
             step = self.sends(world, server, "is again")
-            if world.attempt.first >= 0 and world.again <= Again.IF_NOT_RUN:
+            if world.attempt.first >= 0 and world.again <= RetryPolicy.IF_NOT_RUN:
                 step = step._replace(
                     state=step.state._replace(
                         wrong=f"sent again under {world.again.name} after a try that may have run"
@@ -238,7 +243,7 @@
             after = self.fails(world, Evidence.NOT_RUN) if mine else world
             return Step(f"server {packet.server}: turns {words} away unrun", after)
         back = world._replace(packets=tuple(sorted((*world.packets, packet._replace(back=True, age=0)))))
-        if world.repeat is Repeat.DEDUPED and self.known(world, packet.server):
+        if world.repeat is Idempotency.DEDUPED and self.known(world, packet.server):
             return Step(f"server {packet.server}: knows {words} and answers as before", back)
         ran = server._replace(ran=server.ran + 1)
         return Step(
--- a/ambershift/modelcheck/models/policy.py
+++ b/ambershift/modelcheck/models/policy.py
@@ -16,33 +16,33 @@
 from ambershift.policy import TableManager
 
 SECOND, BEAT, START = 1_000_000_000, 100_000_000, 100_000_000_000
-GROUP = api.Group(SECOND // 2, 2 * SECOND, 1.0, api.Repeat.RETRIABLE, True, 0)
-SLIP = GROUP._replace(utility=3.0, repeat=api.Repeat.NON_RETRIABLE)
-TERMS = api.Terms(
+GROUP = api.Group(SECOND // 2, 2 * SECOND, 1.0, api.Idempotency.RETRIABLE, True, 0)
+SLIP = GROUP._replace(utility=3.0, idempotency=api.Idempotency.NON_RETRIABLE)
+TERMS = api.PolicySettings(
     zones=2,
     groups=(GROUP, SLIP),
     must_watch=False,
-    told_after=10 * SECOND,
+    notification_deadline=10 * SECOND,
     grace=2 * SECOND,
     only_draining_binds=False,
     cold=4 * SECOND,
     cold_share=0.2,
-    fall_multiple=4.0,
-    bare_limit=3 * SECOND // 2,
+    collapse_multiple=4.0,
+    blackhole_limit=3 * SECOND // 2,
     lines_per_s=100.0,
-    head=3.0,
-    waiting_limit=60.0,
+    message_overhead=3.0,
+    queue_limit=60.0,
     message_limit=8,
-    message_span=5 * SECOND,
-    way=SECOND // 10,
-    way_most=SECOND // 5,
+    message_window=5 * SECOND,
+    propagation_delay=SECOND // 10,
+    max_propagation_delay=SECOND // 5,
     report_period=SECOND,
-    levels="fraction",
+    admission_mode="fraction",
     slices=0,
     single_owner=False,
-    in_hand=0,
-    strikes=0,
-    proxies=2.0,
+    in_flight_time=0,
+    avoidance_failures=0,
+    expected_proxies=2.0,
     lease=0,
 )
 
@@ -94,7 +94,7 @@
     for table in sorted(used):
         for server in reached(world, table):
             gone = world.gone_at[server]
-            if gone >= 0 and world.now - gone >= TERMS.grace - TERMS.way_most:
+            if gone >= 0 and world.now - gone >= TERMS.grace - TERMS.max_propagation_delay:
                 return f"server {server} is gone for {(world.now - gone) / SECOND:.1f} s and in table {table}"
     return None
 
@@ -102,14 +102,14 @@
 @prop
 def waiting_lines_stay_within_the_limit(world: World) -> str | None:
     """The lines that wait on the way to proxies never pass the settings' limit."""
-    return f"{world.most:.0f} lines waited" if world.most > TERMS.waiting_limit else None
+    return f"{world.most:.0f} lines waited" if world.most > TERMS.queue_limit else None
 
 
 @prop
 def a_proxy_is_not_left_with_nothing(world: World) -> str | None:
     """A joined proxy is without a line to pick no longer than the limit, while a server is ready."""
     for at, since in enumerate(world.bare_at):
-        if since >= 0 and world.now - since > TERMS.bare_limit:
+        if since >= 0 and world.now - since > TERMS.blackhole_limit:
             return f"proxy {at} has nothing since {(world.now - since) / SECOND:.1f} s"
     return None
 
@@ -126,7 +126,7 @@
 @prop
 def no_level_lets_a_flow_run_twice(world: World) -> str | None:
     """No way of trying again is ordered that sends a flow again after it may have run."""
-    return f"way {world.again}" if world.again > api.Again.IF_NOT_RUN else None
+    return f"way {world.again}" if world.again > api.RetryPolicy.IF_NOT_RUN else None
 
 
 class PolicyModel(Base):
@@ -249,7 +249,7 @@
                 case api.Withdraw():
                     (shut.add if order.out else shut.discard)(order.server)
                 case api.Level():
-                    again = max(again, order.again)
+                    again = max(again, order.retry)
                     users = [at for at in users if bound[at] == order.table]
                 case api.Bind():
                     bound[order.proxy] = order.table
@@ -274,9 +274,12 @@
         waiting, written, messages = world.waiting, world.written, list(world.messages)
         marks, bare = list(world.marks), list(world.bare_at)
         for at, count in enumerate(lines):
-            times = tuple(one for one in messages[at] if one > world.now - TERMS.message_span)
+            times = tuple(one for one in messages[at] if one > world.now - TERMS.message_window)
             if count:
-                waiting, written = waiting + count + 1 + TERMS.head, written + count + 1 + TERMS.head
+                waiting, written = (
+                    waiting + count + 1 + TERMS.message_overhead,
+                    written + count + 1 + TERMS.message_overhead,
+                )
                 marks.append((written, mark, at))
                 times = (*times, world.now)
             messages[at] = times
--- a/ambershift/modelcheck/mutants/attempt.py
+++ b/ambershift/modelcheck/mutants/attempt.py
@@ -12,8 +12,8 @@
 
 def slips_run_again(real: Any) -> Any:
     def may(self: Attempt, again: Any, bearing: Any, server: int, now: int) -> bool:
-        if bearing.repeat is api.Repeat.NON_RETRIABLE:
-            bearing = bearing._replace(repeat=api.Repeat.RETRIABLE)
+        if bearing.repeat is api.Idempotency.NON_RETRIABLE:
+            bearing = bearing._replace(repeat=api.Idempotency.RETRIABLE)
         allowed: bool = real(self, again, bearing, server, now)
         return allowed
 
--- a/ambershift/modelcheck/mutants/policy.py
+++ b/ambershift/modelcheck/mutants/policy.py
@@ -36,7 +36,7 @@
 def tries_once_more(real: Any) -> Any:
     def judge(state: State) -> None:
         real(state)
-        state.again = api.Again.ONCE
+        state.again = api.RetryPolicy.ONCE
 
     return judge
 
--- a/ambershift/policy/channel.py
+++ b/ambershift/policy/channel.py
@@ -40,15 +40,18 @@
     """Take room in the channel and in each proxy's count of messages, or leave it for a later turn."""
     terms, spent = state.terms, state.spent
     fresh = [state.proxies[index] for index in proxies if index not in spent]
-    limited, horizon = fresh if terms.message_limit else [], state.now - terms.message_span
+    limited, horizon = fresh if terms.message_limit else [], state.now - terms.message_window
     written = max(sum(at > horizon for at in proxy.messages) for proxy in limited) if limited else 0
-    cost, waiting = lines * len(proxies) + (terms.head + 1) * len(fresh), state.written - state.gone
+    cost, waiting = (
+        lines * len(proxies) + (terms.message_overhead + 1) * len(fresh),
+        state.written - state.gone,
+    )
     usual = state.usual * (EDITS if state.users[None] and part == ORDINARY else 1.0)
-    most = terms.waiting_limit * DRAIN_PART if part >= GUARDING else usual
+    most = terms.queue_limit * DRAIN_PART if part >= GUARDING else usual
     if (waiting and waiting + cost > most) or (limited and written >= part * terms.message_limit):
         return False
     for index in proxies:
-        spent[index] = spent.get(index, terms.head + 1) + lines
+        spent[index] = spent.get(index, terms.message_overhead + 1) + lines
     state.written += cost
     for proxy in limited:
         proxy.messages.append(state.now)
--- a/ambershift/policy/cold.py
+++ b/ambershift/policy/cold.py
@@ -15,11 +15,11 @@
     part = terms.cold_share + (1 - terms.cold_share) * age / terms.cold
     # Where proxies avoid who fails, all may fall on one line left: it waits until it stands twice its load.
     wary = state.now < state.calm_at + CALM_SPELL
-    if wary and state.herds and part < min(0.9, FIRM_LOAD / terms.fall_multiple):
+    if wary and state.herds and part < min(0.9, FIRM_LOAD / terms.collapse_multiple):
         return 0.0
     if wary or state.level < 1.0:
         # Where none avoids, what falls on it is what falls on all: so many times what is delivered.
-        part *= COLD_WARY if state.herds else min(1.0, COLD_WARY * terms.fall_multiple * state.well)
+        part *= COLD_WARY if state.herds else min(1.0, COLD_WARY * terms.collapse_multiple * state.well)
     return int(part / COLD_STEP) * COLD_STEP
 
 
--- a/ambershift/policy/health.py
+++ b/ambershift/policy/health.py
@@ -20,16 +20,19 @@
         if at < since:
             break
         if met.zone == only if only is not None else (met.zone, server.entry.zone) not in state.cut:
-            tries += met.tries
-            bad += met.bad
-            took += met.mean_time * (met.tries - met.bad)
+            tries += met.attempts
+            bad += met.failures
+            took += met.mean_latency * (met.attempts - met.failures)
     return tries, bad, took / (tries - bad) if tries > bad else 0.0
 
 
 def judge(state: State) -> None:
     # Where reports are cut short, a line of each server comes only now and then and tells of longer.
     lag = state.lag = max(state.terms.report_period, int(median(state.spans)))
-    state.settle, evidence = state.terms.way + state.terms.report_period + lag, max(EVIDENCE, 5 * lag // 4)
+    state.settle, evidence = (
+        state.terms.propagation_delay + state.terms.report_period + lag,
+        max(EVIDENCE, 5 * lag // 4),
+    )
     find_cuts(state, evidence)
     seen = {index: recent(state, server, state.now - evidence) for index, server in state.ready()}
     # Few tries count here too: while most is blocked, only servers that fail might be met often.
@@ -61,7 +64,9 @@
     state.well = good / tries if tries else 0.0
     # Whether proxies meet a line often enough to avoid it for failures on end before it is well again.
     lines = max(map(len, state.laid.values()), default=1)
-    state.herds = tries * CALM_SPELL > state.terms.strikes * lines * len(state.joined) * lag * 5 / 4
+    state.herds = (
+        tries * CALM_SPELL > state.terms.avoidance_failures * lines * len(state.joined) * lag * 5 / 4
+    )
     # Nothing met is no calm either: with all servers beyond a cut the first to return takes every flow.
     if usual > SHARED_BAD or not tries:
         state.calm_at = state.now
--- a/ambershift/policy/levels.py
+++ b/ambershift/policy/levels.py
@@ -13,7 +13,7 @@
     # Failures alone tell of servers lost or cut off: servers too full answer the rest late as well.
     busy = took > BUSY_TIME * state.budget or (usual > SHARED_BAD and took > FULL_TIME * state.budget)
     # A try after a time-out runs the flow twice; one after a refusal feeds an overload.
-    state.again = api.Again.NEVER if busy else api.Again.IF_NOT_RUN
+    state.again = api.RetryPolicy.NEVER if busy else api.RetryPolicy.IF_NOT_RUN
     busy = busy or took > CALM_TIME * state.budget
     room = sum(state.servers[index].entry.weight * part for index, part in usable(state).items()) or 1.0
     state.delivered.append(good / room / state.lag)
--- a/ambershift/policy/manager.py
+++ b/ambershift/policy/manager.py
@@ -21,7 +21,7 @@
         for event in events:
             match event:
                 case api.Started():
-                    self.start(event.seed, event.terms)
+                    self.start(event.seed, event.settings)
                     self.orders.append(api.StartTimer(BEAT, self.token))
                 case api.Listed():
                     self.watch_gap = SECOND
@@ -29,7 +29,7 @@
                 case api.ListFailed():
                     # Spacing with chance: all instances lose the list at once and would storm it together.
                     self.watch_at = now + int(self.watch_gap * (0.5 + self.chance()))
-                    self.watch_gap = min(2 * self.watch_gap, self.terms.told_after // 3)
+                    self.watch_gap = min(2 * self.watch_gap, self.terms.notification_deadline // 3)
                 case api.Joined():
                     self.join(event)
                 case api.Applied():
--- a/ambershift/policy/parts.py
+++ b/ambershift/policy/parts.py
@@ -11,7 +11,11 @@
 
 def split(state: State, servers: int) -> None:
     """Part zones at size, each part with a table, so that the queue can hold a binding of all proxies."""
-    room = state.terms.lines_per_s * QUEUE_SPAN / SECOND / max(1, state.terms.proxies) - state.terms.head - 4
+    room = (
+        state.terms.lines_per_s * QUEUE_SPAN / SECOND / max(1, state.terms.expected_proxies)
+        - state.terms.message_overhead
+        - 4
+    )
     state.parts = max(1, int(servers / (max(PART_LEAST, min(room, servers)) * state.terms.zones)))
 
 
--- a/ambershift/policy/shares.py
+++ b/ambershift/policy/shares.py
@@ -64,11 +64,13 @@
             reached = reach(state, state.zone_of[part], weigh)
             own = {one: weight for one, weight in reached.items() if (one - part) % state.parts == 0}
             for lines in (reached, own):
-                if sum(worth[one] for one in lines) >= state.terms.worth_least:
+                if sum(worth[one] for one in lines) >= state.terms.min_partition_capacity:
                     apart[part] = lines
     near = {part: share for part, share in shares.items() if part not in apart}
     dealt = deal(state, worth, near)
-    while small := sorted((had, part) for part, had in state.got.items() if had < state.terms.worth_least):
+    while small := sorted(
+        (had, part) for part, had in state.got.items() if had < state.terms.min_partition_capacity
+    ):
         del near[small[0][1]]
         dealt = deal(state, worth, near)
     zoned = -1 not in near and all(state.servers[index].entry.zone >= 0 for index in worth)
--- a/ambershift/policy/state.py
+++ b/ambershift/policy/state.py
@@ -36,7 +36,7 @@
 class State:
     now, orders = 0, list[api.Order]()  # Of the step that runs.
 
-    def start(self, seed: int, terms: api.Terms) -> None:
+    def start(self, seed: int, terms: api.PolicySettings) -> None:
         self.seed, self.terms, self.born_at, self.sliced = seed, terms, self.now, terms.slices > 0
         self.watch_at, self.watch_gap, self.token = self.now if terms.must_watch else None, SECOND, 1
         self.binding = {api.Phase.DRAINING} | (set() if terms.only_draining_binds else {api.Phase.GONE})
@@ -46,21 +46,21 @@
         self.cut, self.delivered = dict[tuple[int, int], Spell](), deque[float](maxlen=DELIVERED_SAMPLES)
         self.budget, self.lag, self.settle = min(one.budget for one in terms.groups), 0, 0
         self.herds, self.well, self.calm_at = True, 0.0, self.now
-        self.level, self.level_at, self.again = 1.0, 0, api.Again.IF_NOT_RUN
+        self.level, self.level_at, self.again = 1.0, 0, api.RetryPolicy.IF_NOT_RUN
         # Groups of less utility for their latency budget, which stands in for the work, yield in an overload.
         density = [group.utility / group.budget for group in terms.groups]
         yields = sum(1 << at for at, one in enumerate(density) if one < max(density))
-        self.masks = [(yields, terms.levels == "fraction")] * (yields > 0)
+        self.masks = [(yields, terms.admission_mode == "fraction")] * (yields > 0)
         self.masks += [((1 << len(density)) - 1 - yields, False)]
         self.parts, self.zone_of, self.share, self.fallback = 0, dict[int, int](), dict[int, float](), False
         self.laid, self.edited, self.got = dict[int, dict[int, float]](), dict[int, int](), dict[int, float]()
-        self.laid_levels = dict[int, dict[int, tuple[api.Again, float]]]()
+        self.laid_levels = dict[int, dict[int, tuple[api.RetryPolicy, float]]]()
         self.idle, self.placed, self.shut, self.shut_at = True, set[int](), set[int](), 0
         # Lines written, lines that surely left the channel, each mark's turn: lines before it and its own.
         self.written, self.gone, self.marks = 0.0, 0.0, dict[int, tuple[float, dict[int, float], float]]()
         self.gone_at, self.before, self.spent, self.mark = self.now, 0.0, dict[int, float](), 0
         # Most stays free for withdrawals; a large limit holds many seconds that any answer would wait behind.
-        self.usual = min(QUEUE_PART * terms.waiting_limit, terms.lines_per_s * QUEUE_SPAN / SECOND)
+        self.usual = min(QUEUE_PART * terms.queue_limit, terms.lines_per_s * QUEUE_SPAN / SECOND)
         self.held, self.stopped = dict[int, dict[int, float]](), dict[int, int]()
 
     def hear_list(self, event: api.Listed) -> None:
--- a/ambershift/policy/tables.py
+++ b/ambershift/policy/tables.py
@@ -10,7 +10,7 @@
 
 def withdraw(state: State, out: bool) -> None:
     """Shut out beyond the ordinary budget; against a message for each of a wave the rest waits a part."""
-    spare = max(0, state.terms.grace - state.terms.way_most)
+    spare = max(0, state.terms.grace - state.terms.max_propagation_delay)
     patience, gap = spare // 4, spare // 2 if out and state.terms.message_limit else 0
     if out and state.now < state.shut_at:
         return
--- a/ambershift/proxies.py
+++ b/ambershift/proxies.py
@@ -22,8 +22,8 @@
 
     def hear(self, now: int, event: api.DemandReport) -> None:
         """Add a usage report."""
-        self.usage.append((now, event.came, event.span))
-        self.came, self.span = self.came + event.came, self.span + event.span
+        self.usage.append((now, event.requests, event.span))
+        self.came, self.span = self.came + event.requests, self.span + event.span
 
     def forget(self, before: int) -> None:
         """Drop reports from before a time."""
--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -52,7 +52,7 @@
 class Assigner:
     """Feeds one pool's decision module and translates its orders."""
 
-    def __init__(self, pool: str, terms: api.Terms, seed: int) -> None:
+    def __init__(self, pool: str, terms: api.PolicySettings, seed: int) -> None:
         self.pool, self.module = pool, TableManager()
         self.events: list[api.Event] = [api.Started(seed, terms)]
         self.names: dict[int, str] = {}  # Of backends.
--- a/ambershift/system/distribution/terms.py
+++ b/ambershift/system/distribution/terms.py
@@ -21,45 +21,45 @@
     return tuple(sorted(zones))
 
 
-def terms_for(pool: Pool, zones: Mapping[str, str]) -> api.Terms:
+def terms_for(pool: Pool, zones: Mapping[str, str]) -> api.PolicySettings:
     """`zones`: the region of each zone. Cold backends are kept out before the module sees them."""
     names, regions = zones_of(zones), sorted(set(zones.values()))
     group = api.Group(
         budget=pool.target_ms * NS_PER_MS,
         expiry=4 * pool.target_ms * NS_PER_MS,
         utility=1.0,
-        repeat=api.Repeat.RETRIABLE,
+        idempotency=api.Idempotency.RETRIABLE,
         dedup_everywhere=True,
         dedup_window=0,
     )
-    return api.Terms(
+    return api.PolicySettings(
         zones=len(names),
         groups=(group,),
         must_watch=False,
-        told_after=10 * NS_PER_SECOND,
+        notification_deadline=10 * NS_PER_SECOND,
         grace=NS_PER_SECOND // 5,
         only_draining_binds=False,
         cold=0,
         cold_share=1.0,
-        fall_multiple=4.0,
-        bare_limit=4 * NS_PER_SECOND,
+        collapse_multiple=4.0,
+        blackhole_limit=4 * NS_PER_SECOND,
         lines_per_s=LINES_PER_S,
-        head=MESSAGE_COST,
-        waiting_limit=WAITING_MOST,
+        message_overhead=MESSAGE_COST,
+        queue_limit=WAITING_MOST,
         message_limit=0,
-        message_span=10 * NS_PER_SECOND,
-        way=NS_PER_SECOND // 20,
-        way_most=NS_PER_SECOND // 5,
+        message_window=10 * NS_PER_SECOND,
+        propagation_delay=NS_PER_SECOND // 20,
+        max_propagation_delay=NS_PER_SECOND // 5,
         report_period=NS_PER_SECOND,
-        levels="silent",
+        admission_mode="silent",
         slices=0,
         single_owner=False,
-        in_hand=NS_PER_SECOND,
+        in_flight_time=NS_PER_SECOND,
         lease=NS_PER_SECOND,
-        strikes=5,
+        avoidance_failures=5,
         # Of a zone one part only: another control node would part the same proxies another way.
-        proxies=1.0,
-        worth_least=WORTH_LEAST,
+        expected_proxies=1.0,
+        min_partition_capacity=WORTH_LEAST,
         overload_limit=OVERLOAD_LIMIT,
         overload_calm=OVERLOAD_CALM,
         regions=tuple(regions.index(zones[name]) for name in names),
--- a/ambershift/terms.py
+++ b/ambershift/terms.py
@@ -93,13 +93,13 @@
 
 
 REPEATS = {
-    "free": api.Repeat.RETRIABLE,
-    "guarded": api.Repeat.DEDUPED,
-    "single_shot": api.Repeat.NON_RETRIABLE,
+    "free": api.Idempotency.RETRIABLE,
+    "guarded": api.Idempotency.DEDUPED,
+    "single_shot": api.Idempotency.NON_RETRIABLE,
 }
 
 
-def read_terms(found: Any) -> api.Terms:
+def read_terms(found: Any) -> api.PolicySettings:
     """Turn the settings into terms; unknown keys are passed over."""
     if not isinstance(found, dict):
         raise TermsError("settings: not an object")
@@ -116,37 +116,37 @@
                 budget=to_ns(positive(one, "on_time", None, where)),
                 expiry=to_ns(positive(one, "deadline", None, where)),
                 utility=number(one, "worth", 1.0, where),
-                repeat=REPEATS.get(str(effect), api.Repeat.NON_RETRIABLE),
+                idempotency=REPEATS.get(str(effect), api.Idempotency.NON_RETRIABLE),
                 dedup_everywhere=one.get("group", "all") == "all",
                 dedup_window=to_ns(number(one, "dedup_window", 0, where)),
             )
         )
-    return api.Terms(
+    return api.PolicySettings(
         zones=len(zones),
         groups=tuple(groups),
         must_watch=found.get("discovery") == "subscribe",
-        told_after=to_ns(number(rules, "ask_within", 10_000)),
+        notification_deadline=to_ns(number(rules, "ask_within", 10_000)),
         grace=to_ns(number(rules, "stop_sending_within", None, "rules.")),
         only_draining_binds=bool(rules.get("soft_removal", False)),
         cold=to_ns(number(rules, "cold", 0)),
         cold_share=number(rules, "cold_share", 1.0),
-        fall_multiple=positive(rules, "tip_multiple", 4.0, "rules."),
-        bare_limit=to_ns(number(info, "blackhole", 3000)),
+        collapse_multiple=positive(rules, "tip_multiple", 4.0, "rules."),
+        blackhole_limit=to_ns(number(info, "blackhole", 3000)),
         lines_per_s=positive(info, "egress_per_s", None, "family_info."),
-        head=number(info, "per_message", 0),
-        waiting_limit=positive(info, "most_waiting", None, "family_info."),
+        message_overhead=number(info, "per_message", 0),
+        queue_limit=positive(info, "most_waiting", None, "family_info."),
         message_limit=int(number(info, "messages_most", 0)),
-        message_span=to_ns(number(info, "reload_span", 10_000)),
-        way=to_ns(number(info, "late", 0)),
-        way_most=to_ns(number(info, "push_delay_max", 0)),
+        message_window=to_ns(number(info, "reload_span", 10_000)),
+        propagation_delay=to_ns(number(info, "late", 0)),
+        max_propagation_delay=to_ns(number(info, "push_delay_max", 0)),
         report_period=to_ns(number(info, "cycle", 1000)),
-        levels=str(info.get("admit", "silent")),
+        admission_mode=str(info.get("admit", "silent")),
         slices=int(number(info, "slices", 0)),
         single_owner=bool(info.get("one_owner", False)),
-        in_hand=to_ns(number(info, "in_flight_max", 0)),
+        in_flight_time=to_ns(number(info, "in_flight_max", 0)),
         lease=to_ns(number(info, "tenure", 0)),
-        strikes=int(number(info, "strikes", 0)),
-        proxies=number(info, "proxies", 1) / max(1.0, number(found, "instances", 1)),
+        avoidance_failures=int(number(info, "strikes", 0)),
+        expected_proxies=number(info, "proxies", 1) / max(1.0, number(found, "instances", 1)),
     )
 
 
--- a/benchmarks/fleet_beat.py
+++ b/benchmarks/fleet_beat.py
@@ -32,6 +32,8 @@
     "DemandReport": "Usage",
     "TimerFired": "Due",
     "SetWeight": "Share",
+    "PolicySettings": "Terms",
+    "Idempotency": "Repeat",
 }
 
 
@@ -112,33 +114,33 @@
 def play(revision: str | None, proxies: int, servers: int, seconds: int) -> dict[str, float]:
     policy, api = module_at(revision)
     chance, module, channel = random.Random(5), policy.TableManager(), Channel(api)
-    group = api.Group(600_000_000, 2 * SECOND, 1.0, api.Repeat.RETRIABLE, True, 0)
+    group = api.Group(600_000_000, 2 * SECOND, 1.0, api.Idempotency.RETRIABLE, True, 0)
     terms = {
         "zones": 4,
         "groups": (group,),
         "must_watch": False,
-        "told_after": 10 * SECOND,
+        "notification_deadline": 10 * SECOND,
         "grace": 30 * SECOND,
         "only_draining_binds": False,
         "cold": 17 * SECOND,
         "cold_share": 0.22,
-        "fall_multiple": 4.0,
-        "bare_limit": 45 * SECOND,
+        "collapse_multiple": 4.0,
+        "blackhole_limit": 45 * SECOND,
         "lines_per_s": LINES_PER_S,
-        "head": HEAD,
-        "waiting_limit": 30_000.0,
+        "message_overhead": HEAD,
+        "queue_limit": 30_000.0,
         "message_limit": 0,
-        "message_span": 10 * SECOND,
-        "way": 300_000_000,
-        "way_most": 800_000_000,
+        "message_window": 10 * SECOND,
+        "propagation_delay": 300_000_000,
+        "max_propagation_delay": 800_000_000,
         "report_period": SECOND,
-        "levels": "fraction",
+        "admission_mode": "fraction",
         "slices": 0,
         "single_owner": False,
-        "in_hand": SECOND,
+        "in_flight_time": SECOND,
         "lease": SECOND,
-        "strikes": 5,
-        "proxies": proxies,
+        "avoidance_failures": 5,
+        "expected_proxies": proxies,
     }
     now, costs = 100 * SECOND, list[float]()
 
@@ -152,7 +154,7 @@
         return api.Entry(index, index % 4, phase, 1.0, since)
 
     step(
-        api.Started(7, api.Terms(*list(terms.values())[: len(api.Terms._fields)])),
+        api.Started(7, api.PolicySettings(*list(terms.values())[: len(api.PolicySettings._fields)])),
         api.Listed(True, True, tuple(entry(index, api.Phase.READY) for index in range(servers))),
     )
     step(*[api.Joined(proxy, proxy % 4, 1.0 + proxy % 7, True) for proxy in range(proxies)])
--- a/benchmarks/same_orders.py
+++ b/benchmarks/same_orders.py
@@ -208,22 +208,26 @@
 
 TERMS: dict[str, dict[str, Any]] = {
     "two zones": {},
-    "one zone, small grace": {"zones": 1, "grace": S, "way_most": S // 10, "levels": "silent"},
-    "no message limit, no levels": {"zones": 3, "message_limit": 0, "levels": "silent", "strikes": 0},
+    "one zone, small grace": {
+        "zones": 1, "grace": S, "max_propagation_delay": S // 10, "admission_mode": "silent",
+    },
+    "no message limit, no levels": {
+        "zones": 3, "message_limit": 0, "admission_mode": "silent", "avoidance_failures": 0,
+    },
     "only draining binds": {"zones": 4, "only_draining_binds": True, "must_watch": True},
     "groups of many kinds": {
         "groups": tuple(policy_model.group(utility=1.0 + at % 3, budget=S // (1 + at)) for at in range(5))
     },
-    "slow channel": {"lines_per_s": 60.0, "waiting_limit": 120.0, "message_limit": 6, "cold": 0},
+    "slow channel": {"lines_per_s": 60.0, "queue_limit": 120.0, "message_limit": 6, "cold": 0},
     "slices": {"slices": 8, "zones": 2},
     "slices of single owners": {"slices": 12, "single_owner": True, "message_limit": 0},
     "parts of zones": {
-        "zones": 4, "proxies": 140.0, "message_limit": 0, "lines_per_s": 1200.0, "waiting_limit": 12_800.0,
-        "grace": 12 * S, "cold": 17 * S, "strikes": 5,
+        "zones": 4, "expected_proxies": 140.0, "message_limit": 0, "lines_per_s": 1200.0,
+        "queue_limit": 12_800.0, "grace": 12 * S, "cold": 17 * S, "avoidance_failures": 5,
     },
     "parts, many zones, none avoids": {
-        "zones": 6, "proxies": 300.0, "message_limit": 0, "waiting_limit": 29_000.0, "strikes": 40,
-        "grace": 30 * S, "only_draining_binds": True, "must_watch": True,
+        "zones": 6, "expected_proxies": 300.0, "message_limit": 0, "queue_limit": 29_000.0,
+        "avoidance_failures": 40, "grace": 30 * S, "only_draining_binds": True, "must_watch": True,
     },
 }  # fmt: skip
 LARGE = ("parts of zones", "parts, many zones, none avoids")
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -45,7 +45,9 @@
 
 
 class Side(Operated):
-    def __init__(self, terms: api.Terms, servers: list[api.Entry], store: Store, use: bool, now: int) -> None:
+    def __init__(
+        self, terms: api.PolicySettings, servers: list[api.Entry], store: Store, use: bool, now: int
+    ) -> None:
         self.learned = Learned(store, Numbered(terms.zones), terms.cold, now)
         self.store, self.use = store, use
         super().__init__(terms, servers, now)
@@ -87,7 +89,7 @@
         self.rng, self.lag = random.Random(seed), lag
         lines = max(1000.0, proxies * servers / 4)  # A channel that binds all within seconds.
         self.terms = make_terms(
-            zones=2, cold=20 * S, cold_share=0.2, message_limit=0, lines_per_s=lines, waiting_limit=5 * lines
+            zones=2, cold=20 * S, cold_share=0.2, message_limit=0, lines_per_s=lines, queue_limit=5 * lines
         )
         entries = [entry(i, i % 2) for i in range(servers)]
         chosen = self.rng.sample(range(servers), ill + cold)
--- a/tests/coordinator/benchlink/test_wire.py
+++ b/tests/coordinator/benchlink/test_wire.py
@@ -50,7 +50,7 @@
     [
         (api.SetWeight(0x75, 0x2C9011F2, 0.75), "12 7500 f211902c 0000403f"),
         (api.Bind(41, 117, 0), "16 2900 7500 0000"),
-        (api.Level(117, 2, api.Again.IF_NOT_RUN, 0.75), "15 0200 01 7500 0000403f"),
+        (api.Level(117, 2, api.RetryPolicy.IF_NOT_RUN, 0.75), "15 0200 01 7500 0000403f"),
         (api.StartTimer(500_000_000, 77), "1d 0000000000407f40 4d00000000000000"),
         (api.ClearTable(117), "17 7500"),
         (api.SendToPeer(-1, b"h7 "), "10 ffff 0300 683720"),
--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -102,7 +102,7 @@
 
 def given(one: Learned, now: int) -> dict[int, tuple[int, int, int]]:
     return {
-        event.server: (event.tries, event.bad, event.zone)
+        event.server: (event.attempts, event.failures, event.zone)
         for event in one.due(now, BLANK)
         if isinstance(event, api.ServerReport)
     }
--- a/tests/policy/test_fleet_size.py
+++ b/tests/policy/test_fleet_size.py
@@ -20,13 +20,13 @@
     terms = {
         "zones": ZONES,
         "lines_per_s": 1000.0,
-        "waiting_limit": 29_000.0,
+        "queue_limit": 29_000.0,
         "message_limit": 0,
         "grace": 30 * S,
-        "bare_limit": 45 * S,
+        "blackhole_limit": 45 * S,
         "cold": 17 * S,
         "cold_share": 0.22,
-        "proxies": nominal,
+        "expected_proxies": nominal,
     } | changes
     plain = Plain(make_terms(**terms), [entry(i, i % ZONES) for i in range(servers)])
     plain.tell(*[api.Joined(proxy, proxy % ZONES, 1.0, True) for proxy in range(crowd)])
@@ -52,7 +52,7 @@
 
 
 def test_six_in_ten_servers_replaced_within_seven_seconds_while_another_coordinators_proxies_come() -> None:
-    plain = fleet(120, 140, 130, lines_per_s=1200.0, waiting_limit=12_800.0, grace=12 * S)
+    plain = fleet(120, 140, 130, lines_per_s=1200.0, queue_limit=12_800.0, grace=12 * S)
     for _ in range(10):
         plain.run(S, *reports(plain, range(120)))
     plain.tell(*[api.Joined(proxy, proxy % ZONES, 1.0, False) for proxy in range(140, 280)])
@@ -78,7 +78,7 @@
 
 
 def test_a_zone_that_is_lost_and_comes_back_cold_is_let_in_again() -> None:
-    plain = fleet(120, 140, 130, lines_per_s=1200.0, waiting_limit=12_800.0, grace=12 * S)
+    plain = fleet(120, 140, 130, lines_per_s=1200.0, queue_limit=12_800.0, grace=12 * S)
     zone, rest = range(0, 120, ZONES), [i for i in range(120) if i % ZONES]
     for _ in range(6):
         plain.run(S, *reports(plain, range(120)))
@@ -135,7 +135,7 @@
             elif isinstance(order, api.SetWeight | api.Withdraw):
                 assert order.server in door.ids, "an order for what was let go of"
 
-    step(api.Started(7, make_terms(zones=2, lines_per_s=1000.0, waiting_limit=9000.0, message_limit=0)))
+    step(api.Started(7, make_terms(zones=2, lines_per_s=1000.0, queue_limit=9000.0, message_limit=0)))
     for wave in range(500):
         fresh = [entry(door.index(f"s-{wave}-{i}"), i % 2, since=now) for i in range(20)]
         old = [
@@ -186,8 +186,8 @@
                     met.zone == only if only is not None else (met.zone, server.entry.zone) not in module.cut
                 )
             ]
-            tries, bad = sum(met.tries for met in told), sum(met.bad for met in told)
-            took = sum(met.mean_time * (met.tries - met.bad) for met in told) / max(1, tries - bad)
+            tries, bad = sum(met.attempts for met in told), sum(met.failures for met in told)
+            took = sum(met.mean_latency * (met.attempts - met.failures) for met in told) / max(1, tries - bad)
             assert recent(module, server, since, only) == (tries, bad, took)
         for proxy in module.joined.values():
             assert (proxy.came, proxy.span) == tuple(sum(one[at] for one in proxy.usage) for at in (1, 2))
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -36,7 +36,7 @@
         must_watch=rng.random() < 0.3,
         message_limit=rng.choice([0, 12]),
         only_draining_binds=rng.random() < 0.3,
-        levels=rng.choice(["fraction", "silent"]),
+        admission_mode=rng.choice(["fraction", "silent"]),
     )
     plain = Plain(
         terms, [entry(i, rng.randrange(-1, zones) if rng.random() < 0.1 else i % zones) for i in range(count)]
@@ -168,7 +168,9 @@
     plain = small()
     plain.run(S, *well(12, 200))
     assert len(lines(plain, 0)) == 4
-    assert {order.again for order in plain.levels[plain.proxies[0][READS]].values()} == {api.Again.NEVER}
+    assert {order.retry for order in plain.levels[plain.proxies[0][READS]].values()} == {
+        api.RetryPolicy.NEVER
+    }
 
 
 @pytest.mark.parametrize(("bad", "out"), [(12, False), (17, True)])
@@ -193,13 +195,15 @@
     for _ in range(4):
         plain.run(S, *[met(i, 20, bad * (i % 4 < 2 or bad == 5), i % 2, 130) for i in range(8)])
     levels = plain.levels[plain.proxies[0][READS]].values()
-    assert {(one.again, one.allowance) for one in levels} == {(api.Again.IF_NOT_RUN, 1.0)}
+    assert {(one.retry, one.allowance) for one in levels} == {(api.RetryPolicy.IF_NOT_RUN, 1.0)}
 
 
 def test_no_flow_runs_again_after_a_failure_that_may_have_run_it() -> None:
-    plain = small(groups=(group(repeat=api.Repeat.DEDUPED, dedup_window=S), group(utility=3.0)))
+    plain = small(groups=(group(idempotency=api.Idempotency.DEDUPED, dedup_window=S), group(utility=3.0)))
     plain.run(S, *[met(i, 20, 20 * (i == 0), i % 2) for i in range(8)])
-    assert {one.again for one in plain.levels[plain.proxies[0][READS]].values()} == {api.Again.IF_NOT_RUN}
+    assert {one.retry for one in plain.levels[plain.proxies[0][READS]].values()} == {
+        api.RetryPolicy.IF_NOT_RUN
+    }
 
 
 def dropped(count: int, **changes: object) -> Plain:
@@ -225,7 +229,7 @@
 
 
 def test_a_cold_line_shrinks_though_the_ordinary_part_of_the_channel_is_taken() -> None:
-    plain = Plain(make_terms(lines_per_s=200.0, waiting_limit=900.0), [entry(i, i % 2) for i in range(40)])
+    plain = Plain(make_terms(lines_per_s=200.0, queue_limit=900.0), [entry(i, i % 2) for i in range(40)])
     plain.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(30)])
     plain.run(20 * S)
     plain.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(15)])
@@ -249,7 +253,7 @@
 
 
 def test_a_wave_of_drains_keeps_under_the_queue_limit_on_a_slow_channel() -> None:
-    plain = Plain(make_terms(waiting_limit=500.0, lines_per_s=400.0), [entry(i, i % 2) for i in range(40)])
+    plain = Plain(make_terms(queue_limit=500.0, lines_per_s=400.0), [entry(i, i % 2) for i in range(40)])
     plain.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(14)])
     plain.run(20 * S)
     plain.run(4 * S, api.Listed(False, False, tuple(entry(i, i % 2, api.Phase.DRAINING) for i in range(30))))
@@ -262,12 +266,12 @@
         dict(
             zones=zones,
             lines_per_s=1200.0,
-            waiting_limit=12_800.0,
+            queue_limit=12_800.0,
             message_limit=0,
             grace=12 * S,
-            bare_limit=17 * S,
+            blackhole_limit=17 * S,
             cold=17 * S,
-            proxies=crowd / 2,
+            expected_proxies=crowd / 2,
         )
         | changes
     )
@@ -287,7 +291,9 @@
 
 def test_zones_are_parted_where_their_tables_are_too_large_for_the_channel() -> None:
     # With a table of 50 lines for each of them the last of 1,400 would have been bound after 76 s.
-    plain = large(200, 1400, proxies=280, lines_per_s=1000.0, waiting_limit=29_000.0, bare_limit=45 * S)
+    plain = large(
+        200, 1400, expected_proxies=280, lines_per_s=1000.0, queue_limit=29_000.0, blackhole_limit=45 * S
+    )
     assert all(plain.proxies.values())
     for proxy in plain.proxies:
         assert len(lines(plain, proxy)) == pytest.approx(8, abs=2)
@@ -296,7 +302,7 @@
 
 
 def test_a_server_that_returns_to_a_busy_channel_is_let_in_once_its_line_is_small() -> None:
-    plain = large(120, 140, proxies=40)
+    plain = large(120, 140, expected_proxies=40)
     back = range(0, 28)
     plain.run(4 * S, api.Listed(False, False, tuple(entry(i, i % 4, api.Phase.GONE) for i in back)))
     plain.tell(api.Listed(False, False, tuple(entry(i, i % 4, since=plain.now) for i in back)))
@@ -313,7 +319,7 @@
 
 def test_who_is_taken_over_during_a_wave_of_drains_is_bound_before_the_wave_is_shut_out() -> None:
     # A line for each server of the wave at each of them would have been more than their tables.
-    plain = large(120, 120, proxies=120)
+    plain = large(120, 120, expected_proxies=120)
     plain.tell(
         *[api.Joined(proxy, proxy % 4, 2.0, False) for proxy in range(120, 360)],
         api.Listed(False, False, tuple(entry(i, i % 4, api.Phase.DRAINING) for i in range(36))),
@@ -348,7 +354,7 @@
 
 
 def test_first_bindings_come_before_edits_of_tables_in_use_and_the_busiest_first() -> None:
-    plain = Plain(make_terms(lines_per_s=150.0, waiting_limit=400.0), [entry(i, i % 2) for i in range(40)])
+    plain = Plain(make_terms(lines_per_s=150.0, queue_limit=400.0), [entry(i, i % 2) for i in range(40)])
     plain.tell(*[api.Joined(proxy, proxy % 2, float(proxy), True) for proxy in range(12)])
     bound = [order.proxy for order in plain.orders if isinstance(order, api.Bind)]
     assert bound and bound == sorted(bound, reverse=True)
@@ -445,7 +451,7 @@
     assert [one for one in plain.orders if isinstance(one, api.SetWeight)] == [api.SetWeight(3, 1, 2.0)]
     plain.tables[2][0] = 1.0
     plain.tell(api.Listed(False, False, (entry(0, 0, api.Phase.DRAINING),)))
-    assert api.Level(2, 0, api.Again.NEVER, 0.0) in plain.orders and plain.tables[2] == {0: 1.0}
+    assert api.Level(2, 0, api.RetryPolicy.NEVER, 0.0) in plain.orders and plain.tables[2] == {0: 1.0}
     plain.run(4 * S)
     assert set(plain.tables[2]) == {1} and not plain.stopped
 
@@ -466,7 +472,7 @@
 
 
 def test_servers_that_no_table_has_yet_do_not_wait_for_the_channel_to_be_idle() -> None:
-    plain = large(120, 140, proxies=40)
+    plain = large(120, 140, expected_proxies=40)
     plain.module.usual *= 4  # Room there is, but the channel is busy: only edits may wait for it.
     plain.module.written += 3 * plain.module.usual / 4
     plain.run(S // 5, api.Listed(False, False, tuple(entry(i, i % 4) for i in range(120, 126))))
--- a/tests/support/operator_model.py
+++ b/tests/support/operator_model.py
@@ -15,7 +15,7 @@
 class Operated(Plain):
     """`away` holds the relay's answers back, as a cut does; what was ordered goes on in the model."""
 
-    def __init__(self, terms: api.Terms, servers: list[api.Entry], now: int = 100 * S) -> None:
+    def __init__(self, terms: api.PolicySettings, servers: list[api.Entry], now: int = 100 * S) -> None:
         self.desk, self.reply, self.away = Desk(terms.cold, terms.report_period), 0, False
         self.true: dict[int, api.Entry] = {}
         self.ordered: list[api.Order] = []  # All that the module has ordered.
--- a/tests/support/policy_model.py
+++ b/tests/support/policy_model.py
@@ -15,40 +15,40 @@
         budget=S // 2,
         expiry=2 * S,
         utility=1.0,
-        repeat=api.Repeat.RETRIABLE,
+        idempotency=api.Idempotency.RETRIABLE,
         dedup_everywhere=True,
         dedup_window=0,
     )
     return one._replace(**changes)
 
 
-def make_terms(**changes: object) -> api.Terms:
-    terms = api.Terms(
+def make_terms(**changes: object) -> api.PolicySettings:
+    terms = api.PolicySettings(
         zones=2,
-        groups=(group(), group(utility=3.0, repeat=api.Repeat.NON_RETRIABLE)),
+        groups=(group(), group(utility=3.0, idempotency=api.Idempotency.NON_RETRIABLE)),
         must_watch=False,
-        told_after=10 * S,
+        notification_deadline=10 * S,
         only_draining_binds=False,
         cold=10 * S,
         cold_share=0.2,
-        fall_multiple=4.0,
-        bare_limit=4 * S,
+        collapse_multiple=4.0,
+        blackhole_limit=4 * S,
         lines_per_s=1000.0,
-        head=3.0,
-        waiting_limit=1500.0,
+        message_overhead=3.0,
+        queue_limit=1500.0,
         message_limit=12,
-        message_span=10 * S,
-        way=S // 5,
-        way_most=S // 2,
+        message_window=10 * S,
+        propagation_delay=S // 5,
+        max_propagation_delay=S // 2,
         report_period=S,
-        levels="fraction",
+        admission_mode="fraction",
         slices=0,
         single_owner=False,
-        in_hand=S,
+        in_flight_time=S,
         lease=S,
         grace=3 * S,
-        strikes=5,
-        proxies=8.0,
+        avoidance_failures=5,
+        expected_proxies=8.0,
     )
     return terms._replace(**changes)
 
@@ -60,7 +60,7 @@
 class Plain:
     """Carries out orders by the letter and complains of any that a rule forbids."""
 
-    def __init__(self, terms: api.Terms, servers: list[api.Entry], now: int = 100 * S) -> None:
+    def __init__(self, terms: api.PolicySettings, servers: list[api.Entry], now: int = 100 * S) -> None:
         self.terms, self.now, self.module = terms, now, TableManager()
         self.listed: dict[int, api.Entry] = {}
         self.proxies: dict[int, dict[int, int]] = {}
@@ -96,12 +96,12 @@
                 lines[proxy] += 1
         marks = [order.mark for order in self.orders if isinstance(order, api.Mark)]
         for proxy, count in lines.items():
-            cost = self.terms.head + count + len(marks)
+            cost = self.terms.message_overhead + count + len(marks)
             self.waiting, self.total = self.waiting + cost, self.total + cost
             self.way += [(self.total, api.Applied(mark, S, proxy)) for mark in marks]
             self.written[proxy].append(self.now)
         for written in self.written.values():
-            written[:] = [at for at in written if at > self.now - self.terms.message_span]
+            written[:] = [at for at in written if at > self.now - self.terms.message_window]
         self.check()
         return self.orders
 
@@ -166,7 +166,9 @@
             for server in reached[table]:
                 one = self.listed[server]
                 since = self.told.setdefault(server, self.now) if one.phase in binding else self.now
-                assert self.now - since < self.terms.grace - self.terms.way_most, f"drain: {server}"
+                assert self.now - since < self.terms.grace - self.terms.max_propagation_delay, (
+                    f"drain: {server}"
+                )
                 age = self.now - one.since
                 if one.since and one.phase == api.Phase.READY and roomy and age < self.terms.cold:
                     part = self.terms.cold_share + (1 - self.terms.cold_share) * age / self.terms.cold
@@ -174,16 +176,16 @@
                     assert self.tables[table][server] <= most, "cold server"
             for order in self.levels[table].values():
                 if order.mask & 1 << WRITES:
-                    assert order.again <= api.Again.IF_NOT_RUN, "a flow could run twice"
+                    assert order.retry <= api.RetryPolicy.IF_NOT_RUN, "a flow could run twice"
         ready = self.ready()
         for proxy, tables in self.proxies.items():
             served = self.terms.slices or (tables and all(reached[table] for table in tables.values()))
             if served or not ready:
                 self.bare_since[proxy] = self.now
             bare = self.now - self.bare_since.setdefault(proxy, self.now)
-            assert bare <= self.terms.bare_limit, f"proxy {proxy} is bare"
+            assert bare <= self.terms.blackhole_limit, f"proxy {proxy} is bare"
             assert len(self.written[proxy]) <= (self.terms.message_limit or 1 << 30), "messages"
-        assert self.waiting <= self.terms.waiting_limit, "backlog"
+        assert self.waiting <= self.terms.queue_limit, "backlog"
 
     def run(self, span: int, *events: api.Event) -> None:
         """Let time pass to the next wakes; the events come with the first of them."""
