--- a/ambershift/benchlink/host.py
+++ b/ambershift/benchlink/host.py
@@ -7,10 +7,10 @@
 from ambershift import interface as api
 from ambershift import policy
 from ambershift.benchlink import wire
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 
 
-class WireDoor(Door[int]):
+class WireDoor(IdIndex[int]):
     """Turns records with the wire's numbers into events with an instance's indices, and orders back."""
 
     def __init__(self, zones: int) -> None:
--- a/ambershift/benchlink/wire.py
+++ b/ambershift/benchlink/wire.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from ambershift import interface as api
-from ambershift.terms import NS_PER_MS, TermsError, read_terms, to_ns
+from ambershift.policy_settings import NS_PER_MS, PolicySettingsError, read_policy_settings, to_ns
 
 ALL_PEERS = 0xFFFF
 TEXT_MOST = 0xFFFF
@@ -66,10 +66,10 @@
 
 def read_settings(text: bytes) -> api.PolicySettings:
     try:
-        return read_terms(json.loads(text))
+        return read_policy_settings(json.loads(text))
     except ValueError as error:
         raise WireError(f"settings: not JSON ({error})") from None
-    except TermsError as error:
+    except PolicySettingsError as error:
         raise WireError(str(error)) from None
 
 
--- a/ambershift/coordinator/group/command_validator.py
+++ b/ambershift/coordinator/group/command_validator.py
@@ -20,7 +20,7 @@
 from ambershift.coordinator.promises.machine import change_of
 from ambershift.coordinator.promises.state import Promises
 from ambershift.coordinator.promises.words import Command, Grant, Wishes
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 
 
 class CommandValidator:
@@ -29,7 +29,7 @@
     def __init__(
         self,
         desk: Desk,
-        door: Door[str],
+        door: IdIndex[str],
         now: Callable[[], int],
         tell: Callable[[Refused], str],
         apart: Callable[[], bool],
@@ -66,7 +66,7 @@
         return None
 
     def known(self, server: str) -> int | None:
-        index = self.door.known(server)
+        index = self.door.lookup(server)
         return index if index is not None and index in self.desk.world.listed else None
 
     def world(self, state: Promises) -> World:
--- a/ambershift/coordinator/group/desk_applier.py
+++ b/ambershift/coordinator/group/desk_applier.py
@@ -9,7 +9,7 @@
 from ambershift.coordinator.admin.words import AS_LISTED, Standing
 from ambershift.coordinator.promises.state import EMPTY, Promises
 from ambershift.coordinator.promises.unconfirmed import SoonerEnd
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 
 
 class DeskApplier:
@@ -19,7 +19,7 @@
     """
 
     def __init__(
-        self, desk: Desk, door: Door[str], now: Callable[[], int], ahead: int, moved: Callable[[], None]
+        self, desk: Desk, door: IdIndex[str], now: Callable[[], int], ahead: int, moved: Callable[[], None]
     ) -> None:
         self.desk, self.door, self.now, self.ahead, self.moved = desk, door, now, ahead, moved
         self.state = EMPTY
@@ -46,7 +46,7 @@
         self.state = state
         found = dict[int, Standing]()
         for server in servers:
-            index = self.door.known(server)
+            index = self.door.lookup(server)
             if index is not None:
                 found[index] = state.wish(server)
         self.desk.adopt(self.now(), found, said)
@@ -75,7 +75,11 @@
     def ease(self, parts: dict[str, float]) -> None:
         self.desk.ease(
             self.now(),
-            {index: part for server, part in parts.items() if (index := self.door.known(server)) is not None},
+            {
+                index: part
+                for server, part in parts.items()
+                if (index := self.door.lookup(server)) is not None
+            },
         )
         self.moved()
 
@@ -100,17 +104,17 @@
         for server, permit in self.state.kept_out(at).items():
             sooner = self.sooner.get(permit.id)
             ends = permit.ends if sooner is None else min(permit.ends, sooner.ends)
-            if ends > at and (index := self.door.known(server)) is not None:
+            if ends > at and (index := self.door.lookup(server)) is not None:
                 found[index] = ends - self.ahead
         return found
 
     def drained(self, server: str) -> bool:
         """Shut out at every proxy that this coordinator steers, and no try told any more."""
-        index = self.door.known(server)
+        index = self.door.lookup(server)
         return index is None or index not in self.desk.world.listed or self.desk.drained([index], self.now())
 
     def held_out(self, server: str) -> bool:
-        index = self.door.known(server)
+        index = self.door.lookup(server)
         return index is not None and index in self.desk.permits
 
 
--- a/ambershift/coordinator/group/standings.py
+++ b/ambershift/coordinator/group/standings.py
@@ -9,7 +9,7 @@
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.admin.mirror import NEVER_SHUT
 from ambershift.coordinator.maintenance.words import Standing, Trouble
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 
 
 class Others(NamedTuple):
@@ -21,7 +21,7 @@
 
 
 def standings(
-    desk: Desk, door: Door[str], zone_name: Callable[[int], str], now: int, others: Others
+    desk: Desk, door: IdIndex[str], zone_name: Callable[[int], str], now: int, others: Others
 ) -> dict[str, Standing]:
     """Without the group's permits: what only a permit keeps out has no trouble."""
     found = dict[str, Standing]()
--- a/ambershift/coordinator/group/tap.py
+++ b/ambershift/coordinator/group/tap.py
@@ -45,7 +45,7 @@
         return self.admit.door.ids.get(index)
 
     def index(self, server: str) -> int | None:
-        return self.admit.door.known(server)
+        return self.admit.door.lookup(server)
 
     def zone(self, index: int) -> str | None:
         zones = self.admit.names.zones
--- a/ambershift/coordinator/program/configuration.py
+++ b/ambershift/coordinator/program/configuration.py
@@ -12,7 +12,12 @@
 from ambershift.coordinator.protocol import discovery
 from ambershift.coordinator.protocol.words import UnreadableError
 from ambershift.coordinator.transport.dialler import split_address
-from ambershift.terms import Names, TermsError, read_names, read_terms
+from ambershift.policy_settings import (
+    FrontSettings,
+    PolicySettingsError,
+    read_front_settings,
+    read_policy_settings,
+)
 
 PLACE = "BALANCER_CONFIG"
 
@@ -31,7 +36,7 @@
     memory_mb: float
     known: discovery.Listing
     terms: api.PolicySettings
-    names: Names
+    names: FrontSettings
     fixed: dict[str, Any]
 
 
@@ -81,8 +86,8 @@
         raise BadStartError(f"key 'known': {error}") from None
     settings = needed(found, "settings", dict)
     try:
-        terms, names = read_terms(settings), read_names(settings)
-    except TermsError as error:
+        terms, names = read_policy_settings(settings), read_front_settings(settings)
+    except PolicySettingsError as error:
         raise BadStartError(str(error)) from None
     seed = needed(found, "seed", str)
     try:
--- a/ambershift/coordinator/routing/admit.py
+++ b/ambershift/coordinator/routing/admit.py
@@ -6,8 +6,8 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.protocol import discovery, lines, relay
-from ambershift.door import Door
-from ambershift.terms import Names, to_ns
+from ambershift.id_index import IdIndex
+from ambershift.policy_settings import FrontSettings, to_ns
 
 SECOND = 1_000_000_000
 # Against figures that are well formed and can't be: no proxy brings more flows a second, no report spans more
@@ -37,9 +37,9 @@
 
 
 class Admit:
-    def __init__(self, names: Names, now: Callable[[], int]) -> None:
-        self.names, self.door, self.pace = names, Door[str](), Pace(names.reports_per_s, now)
-        self.mean_most = EXPIRIES * names.longest_ms
+    def __init__(self, names: FrontSettings, now: Callable[[], int]) -> None:
+        self.names, self.door, self.pace = names, IdIndex[str](), Pace(names.reports_per_s, now)
+        self.mean_most = EXPIRIES * names.max_deadline_ms
         self.addresses = dict[int, str]()
         self.zones = {name: at for at, name in enumerate(names.zones)}
         self.groups = {name: at for at, name in enumerate(names.groups)}
@@ -76,7 +76,7 @@
             if group is None:
                 raise RefusedError("unknown class")
             return api.DemandReport(self.proxy(message.proxy), group, message.tries, message.failed, span)
-        server = self.door.known(message.server)
+        server = self.door.lookup(message.server)
         if server is None:
             raise RefusedError("a server that was never listed")
         if message.mean_ms > self.mean_most:
--- a/ambershift/coordinator/routing/probe.py
+++ b/ambershift/coordinator/routing/probe.py
@@ -27,7 +27,7 @@
         book: Book,
     ) -> None:
         self.dialler, self.admit, self.now, self.put, self.book = dialler, admit, now, put, book
-        self.limit = admit.names.probe_limit / 1e9
+        self.limit = admit.names.probe_timeout / 1e9
         self.tasks = set[asyncio.Task[None]]()
 
     def probe(self, server: int) -> None:
--- a/ambershift/coordinator/runtime/changes.py
+++ b/ambershift/coordinator/runtime/changes.py
@@ -45,7 +45,7 @@
         if not members:
             raise BadCommandError(f"No servers in backend '{backend}'.")
         return members
-    server = scene.door.known(name)
+    server = scene.door.lookup(name)
     if server is None or server not in view.world.listed or view.world.listed[server].zone != zone:
         raise BadCommandError(f"No such server '{name}' in backend '{backend}'.")
     return [server]
--- a/ambershift/coordinator/runtime/scene.py
+++ b/ambershift/coordinator/runtime/scene.py
@@ -11,8 +11,8 @@
 from ambershift.coordinator.admin.view import View
 from ambershift.coordinator.admin.words import State
 from ambershift.coordinator.runtime.common import Common
-from ambershift.door import Door
-from ambershift.terms import Names
+from ambershift.id_index import IdIndex
+from ambershift.policy_settings import FrontSettings
 
 NO_ZONE = "-"  # The zone of servers for which the settings know none.
 
@@ -38,8 +38,8 @@
     def __init__(
         self,
         desk: Desk,
-        names: Names,
-        door: Door[str],
+        names: FrontSettings,
+        door: IdIndex[str],
         addresses: Mapping[int, str],
         now: Callable[[], int],
         counts: Mapping[str, int],
--- a/ambershift/door.py
+++ b/ambershift/id_index.py
@@ -7,7 +7,7 @@
 Id = TypeVar("Id", int, str)
 
 
-class Door(Generic[Id]):
+class IdIndex(Generic[Id]):
     """Maps a front's ids to small indices, in the order in which they were first listed, and back.
 
     No index is used twice, so that what is late in coming can't be taken for another's.
@@ -26,7 +26,7 @@
             self.next += 1
         return self.indices[one]
 
-    def known(self, one: Id) -> int | None:
+    def lookup(self, one: Id) -> int | None:
         """Return the index of an id, None if it has none."""
         return self.indices.get(one)
 
--- a/ambershift/policy/parts.py
+++ b/ambershift/policy/parts.py
@@ -4,7 +4,7 @@
 from statistics import fmean
 
 from ambershift.policy.state import QUEUE_SPAN, SECOND, State
-from ambershift.proxies import NO_PART, Proxy
+from ambershift.proxy_state import NO_PART, Proxy
 
 TRAFFIC_WINDOW, SHARE_MOVE, PART_LEAST = 30 * SECOND, 0.1, 8  # The least is servers of a part.
 
--- a/ambershift/policy/state.py
+++ b/ambershift/policy/state.py
@@ -3,7 +3,7 @@
 from collections import defaultdict, deque
 
 from ambershift import interface as api
-from ambershift.proxies import NO_PART, SAMPLES, Proxy
+from ambershift.proxy_state import NO_PART, SAMPLES, Proxy
 
 SECOND, BEAT, SPELL, TRIAL_TRIES, TRIAL_PART = 1_000_000_000, 100_000_000, 3_000_000_000, 3, 0.1
 DELIVERED_SAMPLES, QUEUE_PART, QUEUE_SPAN = 60, 0.3, 3 * SECOND // 2
--- a/ambershift/terms.py
+++ b/ambershift/policy_settings.py
@@ -11,11 +11,11 @@
 NS_PER_MS = 1_000_000
 
 
-class TermsError(Exception):
+class PolicySettingsError(Exception):
     """Settings that can't be used; the message names the key."""
 
 
-class Names(NamedTuple):
+class FrontSettings(NamedTuple):
     """What a front that speaks in names needs beside the terms."""
 
     zones: tuple[str, ...]
@@ -24,8 +24,8 @@
     proxies: int
     reports_per_s: float
     may_probe: bool
-    probe_limit: int
-    longest_ms: float
+    probe_timeout: int
+    max_deadline_ms: float
 
 
 def to_ns(ms: float) -> int:
@@ -33,14 +33,14 @@
     return round(ms * NS_PER_MS) if math.isfinite(ms) else 0
 
 
-def needed(found: Mapping[str, Any], key: str, where: str = "") -> Any:
+def required(found: Mapping[str, Any], key: str, where: str = "") -> Any:
     """Return the value of a key.
 
     Raises:
-        TermsError: It is missing.
+        PolicySettingsError: It is missing.
     """
     if key not in found:
-        raise TermsError(f"settings: key '{where}{key}' is missing")
+        raise PolicySettingsError(f"settings: key '{where}{key}' is missing")
     return found[key]
 
 
@@ -48,11 +48,11 @@
     """Return a finite number; a key without a default must be there.
 
     Raises:
-        TermsError: It is missing or no number.
+        PolicySettingsError: It is missing or no number.
     """
-    value = needed(found, key, where) if default is None else found.get(key, default)
+    value = required(found, key, where) if default is None else found.get(key, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-        raise TermsError(f"settings: key '{where}{key}' is not a number")
+        raise PolicySettingsError(f"settings: key '{where}{key}' is not a number")
     return value
 
 
@@ -60,11 +60,11 @@
     """Return a number above 0.
 
     Raises:
-        TermsError: It is missing, no number, or not above 0.
+        PolicySettingsError: It is missing, no number, or not above 0.
     """
     value = number(found, key, default, where)
     if value <= 0:
-        raise TermsError(f"settings: key '{where}{key}' is not above 0")
+        raise PolicySettingsError(f"settings: key '{where}{key}' is not above 0")
     return value
 
 
@@ -72,11 +72,11 @@
     """Return a nested object, empty if the key is missing.
 
     Raises:
-        TermsError: It is no object.
+        PolicySettingsError: It is no object.
     """
     value = found.get(key, {})
     if not isinstance(value, dict):
-        raise TermsError(f"settings: key '{key}' is not an object")
+        raise PolicySettingsError(f"settings: key '{key}' is not an object")
     return value
 
 
@@ -84,11 +84,11 @@
     """Return a list that has entries.
 
     Raises:
-        TermsError: It is missing, no list, or empty.
+        PolicySettingsError: It is missing, no list, or empty.
     """
-    value = needed(found, key)
+    value = required(found, key)
     if not isinstance(value, list) or not value:
-        raise TermsError(f"settings: key '{key}' must be a list that is not empty")
+        raise PolicySettingsError(f"settings: key '{key}' must be a list that is not empty")
     return value
 
 
@@ -99,18 +99,18 @@
 }
 
 
-def read_terms(found: Any) -> api.PolicySettings:
+def read_policy_settings(found: Any) -> api.PolicySettings:
     """Turn the settings into terms; unknown keys are passed over."""
     if not isinstance(found, dict):
-        raise TermsError("settings: not an object")
+        raise PolicySettingsError("settings: not an object")
     info, rules = section(found, "family_info"), section(found, "rules")
     classes, zones = filled_list(found, "classes"), filled_list(found, "zones")
     groups = []
     for at, one in enumerate(classes):
         where = f"classes[{at}]."
         if not isinstance(one, dict):
-            raise TermsError(f"settings: key 'classes[{at}]' is not an object")
-        effect = needed(one, "effect", where)
+            raise PolicySettingsError(f"settings: key 'classes[{at}]' is not an object")
+        effect = required(one, "effect", where)
         groups.append(
             api.Group(
                 budget=to_ns(positive(one, "on_time", None, where)),
@@ -150,17 +150,17 @@
     )
 
 
-def read_names(found: Mapping[str, Any]) -> Names:
-    """The names in their order, from settings that `read_terms` has found good."""
+def read_front_settings(found: Mapping[str, Any]) -> FrontSettings:
+    """The names in their order, from settings that `read_policy_settings` has found good."""
     info, limits = section(found, "family_info"), section(found, "limits")
-    groups = [str(needed(one, "name", f"classes[{at}].")) for at, one in enumerate(found["classes"])]
-    return Names(
+    groups = [str(required(one, "name", f"classes[{at}].")) for at, one in enumerate(found["classes"])]
+    return FrontSettings(
         zones=tuple(str(zone) for zone in found["zones"]),
         groups=tuple(groups),
         load_fields=tuple(str(one) for one in section(found, "report").get("fields", ())),
         proxies=int(number(info, "proxies", None, "family_info.")),
         reports_per_s=number(info, "intake_per_s", 1000.0),
         may_probe=bool(limits.get("may_probe", False)),
-        probe_limit=to_ns(number(limits, "dial_timeout", 1000)),
-        longest_ms=max(number(one, "deadline") for one in found["classes"]),
+        probe_timeout=to_ns(number(limits, "dial_timeout", 1000)),
+        max_deadline_ms=max(number(one, "deadline") for one in found["classes"]),
     )
--- a/tests/coordinator/cli/test_tools.py
+++ b/tests/coordinator/cli/test_tools.py
@@ -97,7 +97,10 @@
     }
     core = [
         *(ROOT / "ambershift/policy").glob("*.py"),
-        *(ROOT / "ambershift" / name for name in ("interface.py", "terms.py", "door.py", "proxies.py")),
+        *(
+            ROOT / "ambershift" / name
+            for name in ("interface.py", "policy_settings.py", "id_index.py", "proxy_state.py")
+        ),
     ]
     for folder, above in below.items():
         places = list((ROOT / "ambershift/coordinator" / folder).rglob("*.py"))
@@ -106,7 +109,7 @@
             assert not imported_parts(place) & set(above), place
     for place in core:
         names = set(re.findall(r"^\s*from ambershift\.(\w+)", place.read_text(), re.MULTILINE))
-        assert names <= {"interface", "terms", "door", "proxies", "policy"}, place
+        assert names <= {"interface", "policy_settings", "id_index", "proxy_state", "policy"}, place
 
 
 def test_the_desk_does_no_io() -> None:
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -33,7 +33,7 @@
 from ambershift.coordinator.standins.processes import Member as Process
 from ambershift.coordinator.standins.rig import Rig
 from ambershift.coordinator.standins.world import until
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 from tests.support.operator_model import Operated, some_changes
 from tests.support.policy_model import S, entry, make_terms
 
@@ -44,7 +44,7 @@
     """A coordinator of a group in virtual time; `held` says what its log has made."""
 
     def __init__(self, count: int = 6, zones: int = 2, ahead: int = 0, **terms: Any) -> None:
-        self.door, self.held, self.number, self.answers = Door[str](), EMPTY, 0, list[bytes]()
+        self.door, self.held, self.number, self.answers = IdIndex[str](), EMPTY, 0, list[bytes]()
         super().__init__(make_terms(zones=zones, **terms), [])
         self.at_desk = DeskApplier(self.desk, self.door, lambda: self.now, ahead, lambda: None)
         self.guard = CommandValidator(
@@ -166,7 +166,7 @@
     for member in (*members, fresh):
         assert member.desk.waiting.keys() <= set(), member.desk.waiting
         for one in range(8):
-            index = member.door.known(f"s{one}")
+            index = member.door.lookup(f"s{one}")
             assert index is not None
             assert member.desk.world.own(index)._replace(origin=NEVER) == member.held.wish(
                 f"s{one}"
@@ -182,7 +182,7 @@
     assert not member.desk.waiting
     member.list_of([4, 5])
     member.settle()
-    four, five = member.door.known("s4"), member.door.known("s5")
+    four, five = member.door.lookup("s4"), member.door.lookup("s5")
     assert member.desk.told[four].phase == api.Phase.DRAINING  # type: ignore[index]
     assert member.desk.told[five].weight == pytest.approx(0.5 * entry(5, 1).weight)  # type: ignore[index]
     assert not any(
@@ -192,7 +192,7 @@
     member.list_of([4], api.Phase.GONE)
     member.door.forget(four)  # type: ignore[arg-type]
     member.list_of([4])
-    assert member.desk.world.wish(member.door.known("s4")).state is MAINT  # type: ignore[arg-type]
+    assert member.desk.world.wish(member.door.lookup("s4")).state is MAINT  # type: ignore[arg-type]
 
 
 def test_two_operators_at_two_members_do_not_drain_a_zones_last_two() -> None:
--- a/tests/coordinator/test_network.py
+++ b/tests/coordinator/test_network.py
@@ -28,10 +28,10 @@
 from ambershift.coordinator.transport.endings import MEANING, EndedError, Ending
 from ambershift.coordinator.transport.lines import Framer
 from ambershift.coordinator.transport.listener import Listener
-from ambershift.terms import Names
+from ambershift.policy_settings import FrontSettings
 from tests.support.policy_model import free_port
 
-NAMES = Names(("east", "west"), ("play", "slip"), ("util",), 8, 100.0, True, 100_000_000, 2000.0)
+NAMES = FrontSettings(("east", "west"), ("play", "slip"), ("util",), 8, 100.0, True, 100_000_000, 2000.0)
 
 
 def silent_book() -> Book:
--- a/tests/policy/test_fleet_size.py
+++ b/tests/policy/test_fleet_size.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ambershift import interface as api
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 from ambershift.policy import TableManager
 from ambershift.policy.health import recent
 from tests.support.policy_model import READS, Plain, S, entry, make_terms
@@ -126,7 +126,7 @@
 
 
 def test_nothing_grows_while_ten_thousand_servers_are_replaced_and_as_many_proxies_join_anew() -> None:
-    module, door, now, sizes = TableManager(), Door[str](), 100 * S, list[tuple[int, int]]()
+    module, door, now, sizes = TableManager(), IdIndex[str](), 100 * S, list[tuple[int, int]]()
 
     def step(*events: api.Event) -> None:
         for order in module.step(now, events):
