--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -84,7 +84,7 @@
         timer_token: Of the timer that the module has started; 0 if it has none.
     """
 
-    def __init__(self, pool: str, terms: api.Terms, seed: int) -> None:
+    def __init__(self, pool: str, terms: api.PolicySettings, seed: int) -> None:
         """Start without backends and proxies.
 
         Args:
