--- a/ambershift/coordinator/group/disk/folder.py
+++ b/ambershift/coordinator/group/disk/folder.py
@@ -9,21 +9,26 @@
 import msgspec
 
 from ambershift.coordinator.group.disk.files import Files, Handle
-from ambershift.coordinator.replication.log_recovery import ContradictionError, Held, Reading, read
+from ambershift.coordinator.replication.log_recovery import (
+    FoldedLog,
+    InconsistentLogError,
+    RecoveredLog,
+    recover_log,
+)
 from ambershift.coordinator.replication.records import (
+    MARK_SLOT_BYTES,
     PREAMBLE,
-    SLOT_BYTES,
-    Fault,
-    Head,
-    Line,
-    Mark,
-    both_slots,
-    frame,
-    line,
-    preamble,
-    slot,
+    LogFault,
+    LogHeader,
+    LogRecord,
+    SyncMark,
+    encode_frame,
+    encode_mark,
+    encode_mark_file,
+    encode_preamble,
+    to_record,
 )
-from ambershift.coordinator.replication.types import Saved, Write
+from ambershift.coordinator.replication.types import PersistedState, Write
 
 LOG, MARK, NEW = "log", "mark", ".new"
 # A log is written anew, without what later writes made void, once it is so many times the size it was then.
@@ -43,9 +48,9 @@
     something was set aside here, now or before, and nothing has been recovered since.
     """
 
-    saved: Saved | None
+    saved: PersistedState | None
     incarnation: int
-    fault: Fault | None
+    fault: LogFault | None
     why: str
     aside: tuple[str, ...]
     torn: int
@@ -55,7 +60,7 @@
 class Folder:
     def __init__(self, files: Files, group_name: str, me: str) -> None:
         self.files, self.group_name, self.me = files, group_name, me
-        self.held, self.generation, self.turn = Held(), 0, 0
+        self.held, self.generation, self.turn = FoldedLog(), 0, 0
         self.log: Handle | None = None
         self.mark: Handle | None = None
         self.incarnation = self.end = self.base = 0
@@ -79,11 +84,11 @@
             self.close()
             raise
 
-    def look(self) -> Reading:
+    def look(self) -> RecoveredLog:
         there = set(self.files.names())
         log, mark = (self.files.read(name) if name in there else None for name in (LOG, MARK))
-        reading = read(log, mark)
-        head = reading.head
+        reading = recover_log(log, mark)
+        head = reading.header
         if head is not None and (head.group_name, head.me) != (self.group_name, self.me):
             raise RefusedError(
                 f"the folder is of member {head.me!r} of group {head.group_name!r}, not of "
@@ -91,56 +96,59 @@
             )
         return reading
 
-    def take(self, reading: Reading, wall: int, void: str) -> Opened:
+    def take(self, reading: RecoveredLog, wall: int, void: str) -> Opened:
         aside: tuple[str, ...] = ()
         if reason := void or reading.fault:
             aside = self.move_aside(str(reason), wall)
-        before = reading.head.incarnation if reading.head else 0
-        self.held = Held() if reason else reading.held
-        self.generation, self.turn = reading.generation, reading.turn
+        before = reading.header.incarnation if reading.header else 0
+        self.held = FoldedLog() if reason else reading.log
+        self.generation, self.turn = reading.generation, reading.mark_sequence
         self.incarnation = max(before + 1, wall)
         if aside or MARK not in self.files.names():
             # Before the log: a log without any mark is none of ours.
-            self.write_beside(MARK, [both_slots(Mark(self.turn, self.generation, 0))])
+            self.write_beside(MARK, [encode_mark_file(SyncMark(self.turn, self.generation, 0))])
         self.mark = self.files.open(MARK)
         self.rewrite()
-        saved = self.held.saved(before)
+        saved = self.held.to_persisted_state(before)
         kept = saved is not None and bool(saved.view or saved.entries or saved.snapshot)
         lost = not kept and any(".aside-" in name for name in self.files.names())
-        return Opened(saved, self.incarnation, reading.fault, reading.why, aside, reading.torn, lost)
+        return Opened(saved, self.incarnation, reading.fault, reading.why, aside, reading.torn_bytes, lost)
 
     def append(self, writes: Sequence[Write]) -> None:
         """All of them under one sync. DiskError: none of them, nor any after, is vouched for."""
         if self.failed or self.log is None:
             raise DiskError(self.failed or "closed")
         try:
-            lines = [line(write) for write in writes]
+            lines = [to_record(write) for write in writes]
             for one in lines:
-                self.held.fold(one)
+                self.held.apply(one)
             if any(one.snapshot for one in lines) or self.end > max(LOG_LEAST, GROWTH * self.base):
                 self.rewrite()
                 return
             data, at = bytearray(), self.end
             for one in lines:
-                data += frame(msgspec.msgpack.encode(one), self.generation, at + len(data))
+                data += encode_frame(msgspec.msgpack.encode(one), self.generation, at + len(data))
             self.log.append(bytes(data))
             self.log.sync()
             self.end += len(data)
             self.vouch()
-        except (OSError, ContradictionError) as error:
+        except (OSError, InconsistentLogError) as error:
             self.failed = named(error)
             raise DiskError(self.failed) from error
 
     def rewrite(self) -> None:
         """All that is held into a new file, which takes the log's name once it is synced."""
         self.generation += 1
-        bodies: list[Head | Line] = [Head(self.group_name, self.me, self.incarnation)]
-        bodies += [self.held.line()] if self.held.written else []
+        bodies: list[LogHeader | LogRecord] = [LogHeader(self.group_name, self.me, self.incarnation)]
+        bodies += [self.held.to_record()] if self.held.written else []
         parts, at = list[bytes](), PREAMBLE.size
         for body in bodies:
-            parts.append(frame(msgspec.msgpack.encode(body), self.generation, at))
+            parts.append(encode_frame(msgspec.msgpack.encode(body), self.generation, at))
             at += len(parts[-1])
-        old, self.log = self.log, self.write_beside(LOG, [preamble(self.generation, at), *parts], keep=True)
+        old, self.log = (
+            self.log,
+            self.write_beside(LOG, [encode_preamble(self.generation, at), *parts], keep=True),
+        )
         if old is not None:
             old.close()
         self.end = self.base = at
@@ -150,7 +158,9 @@
         """The log is synced to its end: say so where one fault does not reach both."""
         assert self.mark is not None
         self.turn += 1
-        self.mark.write_at(self.turn % 2 * SLOT_BYTES, slot(Mark(self.turn, self.generation, self.end)))
+        self.mark.write_at(
+            self.turn % 2 * MARK_SLOT_BYTES, encode_mark(SyncMark(self.turn, self.generation, self.end))
+        )
         self.mark.sync()
 
     def write_beside(self, name: str, parts: list[bytes], keep: bool = False) -> Handle | None:
--- a/ambershift/coordinator/group/life.py
+++ b/ambershift/coordinator/group/life.py
@@ -13,7 +13,7 @@
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.words import Nothing
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.types import Saved
+from ambershift.coordinator.replication.types import PersistedState
 
 Note = Callable[..., None]
 
@@ -28,7 +28,7 @@
     """
 
     incarnation: int
-    saved: Saved | None
+    saved: PersistedState | None
     folder: Folder | None
     failed: str
     lost: bool = False
@@ -62,7 +62,7 @@
 
 
 def replica_of(spec: Spec, machine: PromisesMachine, life: Life, now: int, seed: int) -> Replica:
-    given: dict[str, Any] = {"now": now, "noop": encode(Nothing()), "lost": life.lost}
+    given: dict[str, Any] = {"now": now, "noop": encode(Nothing()), "lost_state": life.lost}
     return Replica(
         spec.me,
         spec.voters,
--- a/ambershift/coordinator/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -130,11 +130,11 @@
             message = messages.decode(payload)
         except messages.UnreadableError as error:
             raise UnreadableError(str(error)) from None
-        self.perform(self.replica.hear(self.now(), sender, message))
+        self.perform(self.replica.receive(self.now(), sender, message))
 
     def gone(self, member: str) -> None:
         if self.replica is not None and not self.halted:
-            self.perform(self.replica.gone(self.now(), member))
+            self.perform(self.replica.link_lost(self.now(), member))
 
     def came(self, member: str) -> None:
         self.welcomed = True
@@ -157,7 +157,7 @@
 
     def synced(self, ticket: int) -> None:
         if self.replica is not None and not self.halted:
-            self.perform(self.replica.synced(self.now(), ticket))
+            self.perform(self.replica.write_synced(self.now(), ticket))
 
     def failed(self, reason: str) -> None:
         """Nothing more can be vouched for: others go on without this member, and it steers on."""
@@ -242,7 +242,7 @@
     def arm(self) -> None:
         if self.replica is None or self.halted or self.stopping:
             return
-        at = self.replica.next_at
+        at = self.replica.next_tick_at
         if self.timer is not None and not self.timer.cancelled():
             if self.timer_at == at:
                 return
@@ -257,7 +257,7 @@
         if self.replica is None or self.halted or self.stopping:
             return
         try:
-            self.perform(self.replica.due(self.now(), self.wall()))
+            self.perform(self.replica.tick(self.now(), self.wall()))
         except Exception as error:  # Told in full; without a timer the member would be silent for ever.
             failure(self.note, "replica", error)
             self.timer = asyncio.get_running_loop().call_later(FAILED_PAUSE, self.ring)
--- a/ambershift/coordinator/group/rows.py
+++ b/ambershift/coordinator/group/rows.py
@@ -36,7 +36,7 @@
             {
                 "name": name,
                 "state": state,
-                "leader": bool(row and row.leads and here and not (own and halted)),
+                "leader": bool(row and row.is_leader and here and not (own and halted)),
                 "votes": name in member.spec.voters,
                 "incarnation": member.life.incarnation if own else row.incarnation if row else 0,
                 "committed": (replica.committed if replica else 0) if own else row.committed if row else 0,
--- a/ambershift/coordinator/groupsim/folder.py
+++ b/ambershift/coordinator/groupsim/folder.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.coordinator.replication.types import Entry, Saved, Snapshot, Write
+from ambershift.coordinator.replication.types import Entry, PersistedState, Snapshot, Write
 
 
 class ContradictionError(Exception):
@@ -26,15 +26,15 @@
         self.synced += self.waiting[:kept]
         self.waiting = []
 
-    def saved(self) -> Saved | None:
+    def saved(self) -> PersistedState | None:
         """What is vouched for; ContradictionError where the numbers of entries have a gap or come twice."""
         if not self.synced:
             return None
         snapshot: Snapshot | None = None
         entries = list[Entry]()
         for write in self.synced:
-            if write.cut:
-                entries = [one for one in entries if one.number < write.cut]
+            if write.truncate_from:
+                entries = [one for one in entries if one.number < write.truncate_from]
             if write.snapshot is not None:
                 snapshot = write.snapshot
                 entries = [one for one in entries if one.number > snapshot.number]
@@ -44,11 +44,11 @@
                     raise ContradictionError(f"entry {one.number} is written behind {last}")
                 entries.append(one)
         last_write = self.synced[-1]
-        return Saved(
+        return PersistedState(
             last_write.group,
             last_write.incarnation,
             last_write.view,
-            last_write.last_normal,
+            last_write.last_entry_view,
             last_write.committed,
             snapshot,
             tuple(entries),
--- a/ambershift/coordinator/groupsim/process.py
+++ b/ambershift/coordinator/groupsim/process.py
@@ -9,7 +9,7 @@
 from ambershift.coordinator.groupsim.plan import MS, SECOND
 from ambershift.coordinator.groupsim.register import RegisterMachine
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.tuning import Timing
+from ambershift.coordinator.replication.tuning import Tuning
 from ambershift.coordinator.replication.types import (
     Answer,
     Applied,
@@ -29,8 +29,15 @@
 START = 1_700_000_000 * SECOND
 INBOX_MOST = 64
 MACHINE = RegisterMachine()
-ROOMY = Timing(beat=130 * MS)  # Fewer beats, so that a history costs less.
-TIGHT = Timing(beat=130 * MS, snapshot_entries=6, chunk_bytes=150, batch_bytes=100, ahead=6, depth=2)
+ROOMY = Tuning(heartbeat_ns=130 * MS)  # Fewer beats, so that a history costs less.
+TIGHT = Tuning(
+    heartbeat_ns=130 * MS,
+    snapshot_interval_entries=6,
+    max_chunk_bytes=150,
+    max_batch_bytes=100,
+    max_uncommitted_entries=6,
+    max_batches_in_flight=2,
+)
 
 
 class Process:
@@ -142,20 +149,20 @@
         self.newest[sender] = incarnation
         if self.world.traced:
             self.world.tell(self.name, f"hears {sender}: {message}")
-        self.carry(self.replica.hear(self.clock(), sender, message))
+        self.carry(self.replica.receive(self.clock(), sender, message))
 
     def link_broke(self, other: str) -> None:
         if self.up and self.replica is not None:
-            self.carry(self.replica.gone(self.clock(), other))
+            self.carry(self.replica.link_lost(self.clock(), other))
 
     def ring(self, now: bool = False) -> None:
         """Asks for the replica's next time, and calls it then."""
         if not self.up or self.replica is None:
             return
-        if now and self.replica.next_at <= self.clock():
-            self.carry(self.replica.due(self.clock(), START + self.world.now + self.wall))
+        if now and self.replica.next_tick_at <= self.clock():
+            self.carry(self.replica.tick(self.clock(), START + self.world.now + self.wall))
             return
-        when = max(self.when(self.replica.next_at), self.world.now)
+        when = max(self.when(self.replica.next_tick_at), self.world.now)
         if when != self.ring_at:
             self.ring_at = when
             self.world.at(when, self.rings, self.runs, when)
@@ -172,7 +179,7 @@
         if self.stopped:  # The disk is done; the process hears of it when it goes on.
             self.told_late = max(self.told_late, ticket)
         elif self.halted is None:
-            self.carry(self.replica.synced(self.clock(), ticket))
+            self.carry(self.replica.write_synced(self.clock(), ticket))
 
     def submit(self, ticket: int, token: str, command: bytes, waits: int) -> None:
         assert self.replica is not None
--- a/ambershift/coordinator/groupsim/register.py
+++ b/ambershift/coordinator/groupsim/register.py
@@ -29,7 +29,7 @@
     def initial(self) -> Registers:
         return Registers((), (), "")
 
-    def judge(self, state: Registers, at: int, command: bytes) -> bytes | None:
+    def validate(self, state: Registers, at: int, command: bytes) -> bytes | None:
         return None if b"=" in command else b"not a command"
 
     def digest(self, command: bytes) -> bytes:
--- a/ambershift/coordinator/promises/machine.py
+++ b/ambershift/coordinator/promises/machine.py
@@ -51,7 +51,7 @@
     def initial(self) -> Promises:
         return EMPTY
 
-    def judge(self, state: Promises, at: int, command: bytes) -> bytes | None:
+    def validate(self, state: Promises, at: int, command: bytes) -> bytes | None:
         read = decode(command)
         if read is None:
             return encode_answer(unread(command))
--- a/ambershift/coordinator/replication/applying.py
+++ b/ambershift/coordinator/replication/applying.py
@@ -76,10 +76,10 @@
 
 
 def compact(core: Core) -> None:
-    timing = core.fixed.timing
+    tuning = core.fixed.tuning
     done = core.committed - (core.snapshot.number if core.snapshot else 0)
-    heavy = core.log.size > timing.snapshot_bytes and done >= timing.snapshot_entries // 16
-    if done < timing.snapshot_entries and not heavy:
+    heavy = core.log.size > tuning.max_log_bytes and done >= tuning.snapshot_interval_entries // 16
+    if done < tuning.snapshot_interval_entries and not heavy:
         return
     core.snapshot = Snapshot(
         core.committed,
@@ -88,7 +88,7 @@
         core.tokens.all(),
     )
     core.snapshot_due = True
-    keep = 0 if heavy else timing.snapshot_entries // 2  # For those that lag a little.
+    keep = 0 if heavy else tuning.snapshot_interval_entries // 2  # For those that lag a little.
     core.log.compact(min(core.committed, max(core.log.base, core.committed - keep)))
 
 
@@ -106,7 +106,7 @@
     core.snapshot, core.snapshot_due = snapshot, True
     core.committed, core.group = snapshot.number, group
     core.state = core.fixed.machine.unpack(snapshot.state)
-    core.tokens = Tokens(core.fixed.timing.tokens, snapshot.answers)
+    core.tokens = Tokens(core.fixed.tuning.max_tokens, snapshot.answers)
     core.sure = max(core.sure, snapshot.number)
     core.out.append(Restored(snapshot.number, core.state))
 
@@ -116,7 +116,7 @@
     assert core.snapshot is not None
     if core.serving[0] != core.snapshot.number:
         core.serving = core.snapshot.number, msgspec.msgpack.encode(core.snapshot)
-    data, end = core.serving[1], offset + core.fixed.timing.chunk_bytes
+    data, end = core.serving[1], offset + core.fixed.tuning.max_chunk_bytes
     if end >= len(data):
         core.serving = 0, b""
     return len(data), data[offset:end]
--- a/ambershift/coordinator/replication/bootstrap.py
+++ b/ambershift/coordinator/replication/bootstrap.py
@@ -8,7 +8,12 @@
 
 from ambershift.coordinator.replication.core import Core, Fetching
 from ambershift.coordinator.replication.leading import start_leading
-from ambershift.coordinator.replication.messages import Ask, Blank, Lives, Told
+from ambershift.coordinator.replication.messages import (
+    BlankResponse,
+    Incarnations,
+    RecoveryRequest,
+    RecoveryResponse,
+)
 from ambershift.coordinator.replication.peers import all_lives, all_rows, learn_lives, learn_rows
 from ambershift.coordinator.replication.types import Reason, Status
 
@@ -22,7 +27,7 @@
     good as blank, and would else keep the others from being born.
     """
     void = core.status is Status.NORMAL and core.fixed.votes and not core.view and not core.log.top
-    if void and now >= core.leader_heard + core.fixed.timing.unborn:
+    if void and now >= core.leader_heard + core.fixed.tuning.first_entry_timeout_ns:
         core.note("group-unborn")
         core.status, core.birth, core.doubt, core.suspecting, core.led_by = Status.BLANK, (), False, False, 0
         core.have, core.rounds = {}, {}
@@ -35,7 +40,7 @@
     look_back(core, now)
     if core.status is not Status.BLANK or not core.fixed.votes or now < core.ask_at:
         return
-    core.ask_at = now + core.fixed.timing.ask
+    core.ask_at = now + core.fixed.tuning.request_interval_ns
     if not others(core):
         if core.barren:
             be_born(core, now, all_lives(core))
@@ -46,7 +51,7 @@
     for name in others(core):
         core.send(
             name,
-            Ask(
+            RecoveryRequest(
                 incarnation=core.incarnation,
                 view=0,
                 round=core.round,
@@ -56,7 +61,7 @@
         )
 
 
-def on_ask(core: Core, now: int, sender: str, message: Ask) -> None:
+def on_ask(core: Core, now: int, sender: str, message: RecoveryRequest) -> None:
     if message.voters != core.fixed.voters:
         strange(core, sender, "voters")
         return
@@ -65,12 +70,14 @@
         if core.barren:
             core.send(
                 sender,
-                Blank(incarnation=core.incarnation, view=0, asked=message.incarnation, round=message.round),
+                BlankResponse(
+                    incarnation=core.incarnation, view=0, asked=message.incarnation, round=message.round
+                ),
             )
     elif core.fixed.votes:
         core.vouch(
             sender,
-            Told(
+            RecoveryResponse(
                 incarnation=core.incarnation,
                 view=core.view,
                 asked=message.incarnation,
@@ -85,7 +92,7 @@
         )
 
 
-def birth_of(core: Core) -> Lives:
+def birth_of(core: Core) -> Incarnations:
     """The group's first entry tells it to those that started from a folder."""
     if core.birth or core.log.base or not core.log.top:
         return core.birth
@@ -103,7 +110,7 @@
         core.halt(reason, f"{', '.join(sorted(core.strangers))} tell another {what}")
 
 
-def on_blank(core: Core, now: int, sender: str, message: Blank) -> None:
+def on_blank(core: Core, now: int, sender: str, message: BlankResponse) -> None:
     if not core.barren or message.asked != core.incarnation or message.round != core.round:
         return
     if sender not in core.fixed.voters:
@@ -136,7 +143,7 @@
         start_leading(core, now)
 
 
-def on_told(core: Core, now: int, sender: str, message: Told) -> None:
+def on_told(core: Core, now: int, sender: str, message: RecoveryResponse) -> None:
     """Recover by f + 1 answers of members at work, and the leader of the newest view among them."""
     if core.status is not Status.BLANK or message.asked != core.incarnation or not core.fixed.votes:
         return
--- a/ambershift/coordinator/replication/core.py
+++ b/ambershift/coordinator/replication/core.py
@@ -5,17 +5,17 @@
 from typing import Any, NamedTuple
 
 from ambershift.coordinator.replication.log import Log
-from ambershift.coordinator.replication.messages import Lives, Message, Vouch
+from ambershift.coordinator.replication.messages import Incarnations, MemberProgress, Message
 from ambershift.coordinator.replication.tokens import Tokens
-from ambershift.coordinator.replication.tuning import Timing
+from ambershift.coordinator.replication.tuning import Tuning
 from ambershift.coordinator.replication.types import (
     Effect,
     Halt,
-    Machine,
     Note,
     Reason,
     Send,
     Snapshot,
+    StateMachine,
     Status,
 )
 
@@ -77,9 +77,9 @@
     me: str
     voters: tuple[str, ...]
     members: tuple[str, ...]
-    machine: Machine[Any]
+    machine: StateMachine[Any]
     disk: bool
-    timing: Timing
+    tuning: Tuning
     noop: bytes
 
     @property
@@ -104,14 +104,14 @@
         self.log = Log()
         self.committed = 0
         self.state: Any = fixed.machine.initial()
-        self.tokens = Tokens(fixed.timing.tokens)
+        self.tokens = Tokens(fixed.tuning.max_tokens)
         self.snapshot: Snapshot | None = None
         self.sure = 0  # Up to here the log is that of the view's leader.
         self.wall = 0  # Wall clock less `now`, as told last.
         self.halted: tuple[str, str] = ("", "")
         # What is known of the others.
         self.lives: dict[str, int] = {fixed.me: incarnation}
-        self.rows: dict[str, Vouch] = {}
+        self.rows: dict[str, MemberProgress] = {}
         self.heard: dict[str, int] = {}
         self.leader_heard = 0
         self.led_by = 0  # The leader's life that this member follows in its view; 0: not heard yet.
@@ -133,9 +133,9 @@
         self.ask_at = 0
         self.blank_before: dict[str, int] = {}
         self.blank_now: dict[str, int] = {}
-        self.told: dict[str, tuple[int, int, int, Lives]] = {}  # Incarnation, view, number, lives.
-        self.birth: Lives = ()
-        self.lost = False  # It has vouched in an earlier life, and can't tell for what.
+        self.told: dict[str, tuple[int, int, int, Incarnations]] = {}  # Incarnation, view, number, lives.
+        self.birth: Incarnations = ()
+        self.lost_state = False  # It has vouched in an earlier life, and can't tell for what.
         # Views.
         self.patience = 0
         self.suspecting = False
@@ -203,7 +203,7 @@
         """Whether a group may be born with this member: not with one that knows of a group that there was, or
         all that lose their folders in one hour would give birth to an empty one.
         """
-        return self.status is Status.BLANK and not self.lost and not self.log.top
+        return self.status is Status.BLANK and not self.lost_state and not self.log.top
 
     @property
     def durable(self) -> int:
--- a/ambershift/coordinator/replication/following.py
+++ b/ambershift/coordinator/replication/following.py
@@ -8,13 +8,13 @@
 from ambershift.coordinator.replication.bootstrap import recovered, start_again, strange
 from ambershift.coordinator.replication.core import Core, Fetching
 from ambershift.coordinator.replication.leading import answer_older, start_leading
-from ambershift.coordinator.replication.messages import Beat, Chunk, Fetch, Have, Prepare
+from ambershift.coordinator.replication.messages import GetState, Heartbeat, Prepare, PrepareOk, StateChunk
 from ambershift.coordinator.replication.peers import learn_rows
 from ambershift.coordinator.replication.types import Entry, Snapshot, Status
 from ambershift.coordinator.replication.view_change import follow
 
 
-def from_leader(core: Core, now: int, sender: str, message: Beat | Prepare) -> bool:
+def from_leader(core: Core, now: int, sender: str, message: Heartbeat | Prepare) -> bool:
     """Whether this is from the leader of my view, to which I may just have come.
 
     A view has one leader in one life, but for the first, in which a group may be born again that had not yet
@@ -38,7 +38,7 @@
     return True
 
 
-def on_beat(core: Core, now: int, sender: str, message: Beat) -> None:
+def on_beat(core: Core, now: int, sender: str, message: Heartbeat) -> None:
     if message.voters != core.fixed.voters:
         strange(core, sender, "voters")
         return
@@ -81,7 +81,7 @@
     if number >= 0 and core.status is Status.NORMAL and not core.leading:
         core.send(
             core.leader,
-            Have(
+            PrepareOk(
                 incarnation=core.incarnation,
                 view=core.view,
                 round=round_,
@@ -101,7 +101,7 @@
 def keep_fetching(core: Core, now: int) -> None:
     """Ask for the next piece, or once more for one that has not come."""
     task = core.fetching
-    if task is None or (task.at and now < task.at + core.fixed.timing.fetch):
+    if task is None or (task.at and now < task.at + core.fixed.tuning.transfer_retry_ns):
         return
     if task.then == "recover" and task.at:
         start_again(core)  # Each time anew: its leader may be gone.
@@ -110,7 +110,7 @@
     after = core.sure
     core.send(
         task.source,
-        Fetch(
+        GetState(
             incarnation=core.incarnation,
             view=task.view,
             after=after,
@@ -120,16 +120,16 @@
     )
 
 
-def on_fetch(core: Core, now: int, sender: str, message: Fetch) -> None:
+def on_fetch(core: Core, now: int, sender: str, message: GetState) -> None:
     """Only the leader's log is the view's, and that of a voter for a view that has not begun."""
-    if message.view != core.view or not (core.leading or core.status is Status.CHANGING):
+    if message.view != core.view or not (core.leading or core.status is Status.VIEW_CHANGE):
         return
-    after, timing = message.after, core.fixed.timing
+    after, tuning = message.after, core.fixed.tuning
     if after >= core.log.base:
-        entries = core.log.after(after, timing.chunk_bytes) if after < core.log.top else ()
+        entries = core.log.after(after, tuning.max_chunk_bytes) if after < core.log.top else ()
         core.send(
             sender,
-            Chunk(
+            StateChunk(
                 incarnation=core.incarnation,
                 view=core.view,
                 group=core.told_group,
@@ -149,7 +149,7 @@
     total, data = piece(core, offset)
     core.send(
         sender,
-        Chunk(
+        StateChunk(
             incarnation=core.incarnation,
             view=core.view,
             group=core.told_group,
@@ -165,7 +165,7 @@
     )
 
 
-def on_chunk(core: Core, now: int, sender: str, message: Chunk) -> None:
+def on_chunk(core: Core, now: int, sender: str, message: StateChunk) -> None:
     task = core.fetching
     if task is None or sender != task.source or message.view != task.view:
         return
@@ -195,12 +195,12 @@
         start_leading(core, now)
 
 
-def take_piece(core: Core, message: Chunk) -> bool:
+def take_piece(core: Core, message: StateChunk) -> bool:
     """A piece of a snapshot. Pieces of another than the one begun start it anew."""
     task = core.fetching
     assert task is not None
     data = task.data if message.snapshot == task.snapshot else b""
-    if message.offset != len(data) or message.total > core.fixed.timing.state_bytes:
+    if message.offset != len(data) or message.total > core.fixed.tuning.max_snapshot_bytes:
         return False
     data += message.data
     core.fetching = task._replace(snapshot=message.snapshot, data=data)
--- a/ambershift/coordinator/replication/frozen.py
+++ b/ambershift/coordinator/replication/frozen.py
@@ -46,7 +46,7 @@
         elif isinstance(old, Log):
             value = Log(*value)
         elif isinstance(old, Tokens):
-            value = Tokens(core.fixed.timing.tokens, value)
+            value = Tokens(core.fixed.tuning.max_tokens, value)
         elif isinstance(old, dict):
             value = dict(value)
         elif isinstance(old, list):
--- a/ambershift/coordinator/replication/leading.py
+++ b/ambershift/coordinator/replication/leading.py
@@ -4,7 +4,13 @@
 
 from ambershift.coordinator.replication.applying import commit_to, run
 from ambershift.coordinator.replication.core import GROUP, Core, Reader
-from ambershift.coordinator.replication.messages import Beat, Have, Newer, Prepare, Vouch
+from ambershift.coordinator.replication.messages import (
+    Heartbeat,
+    MemberProgress,
+    NewerView,
+    Prepare,
+    PrepareOk,
+)
 from ambershift.coordinator.replication.peers import all_rows, learn_row
 from ambershift.coordinator.replication.pending_requests import reply, reply_read
 from ambershift.coordinator.replication.types import Entry, Reason, Status
@@ -84,10 +90,10 @@
         reply(core, origin, incarnation, ticket, attempt, Reason.TOKEN_REUSED, b"")
     elif known is not None:
         reply(core, origin, incarnation, ticket, attempt, "", known[1])
-    elif not number and core.log.top - core.committed >= core.fixed.timing.ahead:
+    elif not number and core.log.top - core.committed >= core.fixed.tuning.max_uncommitted_entries:
         reply(core, origin, incarnation, ticket, attempt, Reason.TOO_MANY_WAIT, b"")
     else:
-        refused = None if number else core.fixed.machine.judge(newest(core), now + core.wall, command)
+        refused = None if number else core.fixed.machine.validate(newest(core), now + core.wall, command)
         if refused is not None:
             wait_for_round(core, Reader(origin, incarnation, ticket, attempt, refused, core.log.top, 0))
             return
@@ -105,13 +111,15 @@
 
 def wait_for_round(core: Core, reader: Reader) -> None:
     """A refusal too is true of the state of a leader only: it waits as a read does."""
-    if len(core.readers) < core.fixed.timing.ahead and all(one[:3] != reader[:3] for one in core.readers):
+    if len(core.readers) < core.fixed.tuning.max_uncommitted_entries and all(
+        one[:3] != reader[:3] for one in core.readers
+    ):
         core.readers.append(reader)
 
 
 def beat(core: Core, now: int) -> None:
-    core.beat_at = now + core.fixed.timing.beat
-    message = Beat(
+    core.beat_at = now + core.fixed.tuning.heartbeat_ns
+    message = Heartbeat(
         incarnation=core.incarnation,
         view=core.view,
         group=core.told_group,
@@ -126,7 +134,7 @@
             core.send(name, message)
 
 
-def on_have(core: Core, now: int, sender: str, message: Have) -> None:
+def on_have(core: Core, now: int, sender: str, message: PrepareOk) -> None:
     if not core.leading or message.view != core.view:
         return
     if message.number > core.log.top:
@@ -136,7 +144,7 @@
         core.have[sender] = message.incarnation, message.number
         learn_row(
             core,
-            Vouch(
+            MemberProgress(
                 sender,
                 message.incarnation,
                 message.view,
@@ -160,14 +168,14 @@
     count(core, now)
     rounds(core, now)
     core.batches = [top for top in core.batches if top > core.committed]
-    while core.sent_top < core.log.top and len(core.batches) < core.fixed.timing.depth:
+    while core.sent_top < core.log.top and len(core.batches) < core.fixed.tuning.max_batches_in_flight:
         send_batch(core)
     if now >= core.beat_at:
         beat(core, now)
 
 
 def send_batch(core: Core) -> None:
-    entries = core.log.after(core.sent_top, core.fixed.timing.batch_bytes)
+    entries = core.log.after(core.sent_top, core.fixed.tuning.max_batch_bytes)
     message = Prepare(
         incarnation=core.incarnation,
         view=core.view,
@@ -197,7 +205,7 @@
     if number <= core.committed or core.log.view_at(number) != core.view:
         return
     done = commit_to(core, number)
-    core.beat_at = min(core.beat_at, now + core.fixed.timing.tell)
+    core.beat_at = min(core.beat_at, now + core.fixed.tuning.commit_notice_delay_ns)
     for one, answer in done:
         for origin, incarnation, ticket, attempt in core.waiters.pop(one, ()):
             reply(core, origin, incarnation, ticket, attempt, "", answer)
@@ -241,7 +249,7 @@
     lately = sum(
         1
         for name in core.fixed.voters
-        if name == core.fixed.me or now - core.heard.get(name, now) <= core.fixed.timing.silence
+        if name == core.fixed.me or now - core.heard.get(name, now) <= core.fixed.tuning.leader_timeout_ns
     )
     if lately < core.fixed.majority:
         core.doubt = True
@@ -251,4 +259,4 @@
 def answer_older(core: Core, sender: str) -> None:
     """To the leader of a view that this member has left."""
     if core.fixed.votes:
-        core.send(sender, Newer(incarnation=core.incarnation, view=core.view))
+        core.send(sender, NewerView(incarnation=core.incarnation, view=core.view))
--- a/ambershift/coordinator/replication/messages.py
+++ b/ambershift/coordinator/replication/messages.py
@@ -8,11 +8,11 @@
 
 from ambershift.coordinator.replication.types import Entry
 
-WIRE = 1
-MESSAGE_MOST = 1 << 20  # Bytes; the rest of the program bounds what it asks to stay far below.
+WIRE_VERSION = 1
+MAX_MESSAGE_BYTES = 1 << 20  # Bytes; the rest of the program bounds what it asks to stay far below.
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Name = Annotated[str, msgspec.Meta(max_length=256)]
-Lives = tuple[tuple[Name, Count], ...]
+Incarnations = tuple[tuple[Name, Count], ...]
 
 
 class UnreadableError(Exception):
@@ -23,7 +23,7 @@
         self.reason = reason
 
 
-class Vouch(msgspec.Struct, frozen=True, array_like=True):
+class MemberProgress(msgspec.Struct, frozen=True, array_like=True):
     """The most that a member is known to have vouched for: the view it was in, and a log that ends with
     `number`, written in the view `last`. `status` is for people.
     """
@@ -37,31 +37,31 @@
     status: Name
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True, tag_field="kind", kw_only=True):
+class BaseMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="kind", kw_only=True):
     """All have these: who says it (by the incarnation), in which view."""
 
     incarnation: Count
     view: Count
 
 
-class Ask(Part, frozen=True, tag=1):
+class RecoveryRequest(BaseMessage, frozen=True, tag=1):
     """A blank voter asks all. Rounds count up: the second of birth starts after the first is complete.
     Who answers it knows from `lives` which earlier lives have ended, and heeds nothing late of theirs.
     """
 
     round: Count
     voters: tuple[Name, ...]
-    lives: Lives
+    lives: Incarnations
 
 
-class Blank(Part, frozen=True, tag=2):
+class BlankResponse(BaseMessage, frozen=True, tag=2):
     """I hold nothing either. `asked` is the incarnation that asked."""
 
     asked: Count
     round: Count
 
 
-class Told(Part, frozen=True, tag=3):
+class RecoveryResponse(BaseMessage, frozen=True, tag=3):
     """I am in normal work in `view` (or not), with a log up to `number`. `birth`, if I know it yet, is who
     was blank at the moment at which all were.
     """
@@ -71,23 +71,23 @@
     normal: bool
     group: Name
     number: Count
-    lives: Lives
-    birth: Lives
-    rows: tuple[Vouch, ...]
+    lives: Incarnations
+    birth: Incarnations
+    rows: tuple[MemberProgress, ...]
 
 
-class Beat(Part, frozen=True, tag=4):
+class Heartbeat(BaseMessage, frozen=True, tag=4):
     """The leader is there. It also starts a view, and a read's round."""
 
     group: Name
     round: Count
     top: Count
     committed: Count
-    rows: tuple[Vouch, ...]
+    rows: tuple[MemberProgress, ...]
     voters: tuple[Name, ...]
 
 
-class Prepare(Part, frozen=True, tag=5):
+class Prepare(BaseMessage, frozen=True, tag=5):
     """Entries that follow the one of that number and view."""
 
     group: Name
@@ -97,7 +97,7 @@
     committed: Count
 
 
-class Have(Part, frozen=True, tag=6):
+class PrepareOk(BaseMessage, frozen=True, tag=6):
     """My log is the leader's up to `number`, on the disk if I have one; `round` is the last that I heard."""
 
     round: Count
@@ -106,7 +106,7 @@
     status: Name
 
 
-class Fetch(Part, frozen=True, tag=7):
+class GetState(BaseMessage, frozen=True, tag=7):
     """Tell me what follows `after`; `snapshot` and `offset` say how much of which I have."""
 
     after: Count
@@ -114,7 +114,7 @@
     offset: Count
 
 
-class Chunk(Part, frozen=True, tag=8):
+class StateChunk(BaseMessage, frozen=True, tag=8):
     """Entries after `after`, or a piece of the snapshot of that number. `top` is where my log ends."""
 
     group: Name
@@ -128,44 +128,44 @@
     data: bytes
 
 
-class Suspect(Part, frozen=True, tag=9):
+class SuspectRequest(BaseMessage, frozen=True, tag=9):
     """Do you hear the leader of this view? I don't."""
 
     round: Count
-    rows: tuple[Vouch, ...]
+    rows: tuple[MemberProgress, ...]
 
 
-class Suspected(Part, frozen=True, tag=10):
+class SuspectResponse(BaseMessage, frozen=True, tag=10):
     """`agree`: neither do I, or I have left that view. `view` is my own, `asked` the one asked about."""
 
     asked: Count
     round: Count
     agree: bool
-    rows: tuple[Vouch, ...]
+    rows: tuple[MemberProgress, ...]
 
 
-class Leave(Part, frozen=True, tag=11):
+class StartViewChange(BaseMessage, frozen=True, tag=11):
     """I leave for `view` (the paper's StartViewChange)."""
 
-    lives: Lives
-    rows: tuple[Vouch, ...]
+    lives: Incarnations
+    rows: tuple[MemberProgress, ...]
 
 
-class Vote(Part, frozen=True, tag=12):
+class DoViewChange(BaseMessage, frozen=True, tag=12):
     """To the leader of `view`: a majority leaves for it, and this is how far my log goes (DoViewChange)."""
 
     last: Count
     number: Count
     committed: Count
-    lives: Lives
-    rows: tuple[Vouch, ...]
+    lives: Incarnations
+    rows: tuple[MemberProgress, ...]
 
 
-class Newer(Part, frozen=True, tag=13):
+class NewerView(BaseMessage, frozen=True, tag=13):
     """You speak for a view that I have left for this one."""
 
 
-class Forward(Part, frozen=True, tag=14):
+class CommandRequest(BaseMessage, frozen=True, tag=14):
     """A client's command, from the member that it was given to. Attempts of one member count up."""
 
     ticket: Count
@@ -174,7 +174,7 @@
     command: bytes
 
 
-class Answered(Part, frozen=True, tag=15):
+class CommandResponse(BaseMessage, frozen=True, tag=15):
     """`reason` is "" where it stands. `asked` is the incarnation that forwarded it."""
 
     asked: Count
@@ -185,12 +185,12 @@
     retry_ns: Count
 
 
-class ReadAsk(Part, frozen=True, tag=16):
+class ReadIndexRequest(BaseMessage, frozen=True, tag=16):
     ticket: Count
     group: Name = ""  # As far as it is known to whoever asks.
 
 
-class ReadAt(Part, frozen=True, tag=17):
+class ReadIndexResponse(BaseMessage, frozen=True, tag=17):
     """Whoever has applied `number` has all that was promised when it was asked."""
 
     asked: Count
@@ -199,38 +199,40 @@
 
 
 Message = (
-    Ask
-    | Blank
-    | Told
-    | Beat
+    RecoveryRequest
+    | BlankResponse
+    | RecoveryResponse
+    | Heartbeat
     | Prepare
-    | Have
-    | Fetch
-    | Chunk
-    | Suspect
-    | Suspected
-    | Leave
-    | Vote
-    | Newer
-    | Forward
-    | Answered
-    | ReadAsk
-    | ReadAt
+    | PrepareOk
+    | GetState
+    | StateChunk
+    | SuspectRequest
+    | SuspectResponse
+    | StartViewChange
+    | DoViewChange
+    | NewerView
+    | CommandRequest
+    | CommandResponse
+    | ReadIndexRequest
+    | ReadIndexResponse
 )
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
 def encode(message: Message) -> bytes:
-    return bytes((WIRE,)) + _encoder.encode(message)
+    return bytes((WIRE_VERSION,)) + _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
     """Raises UnreadableError for all that `encode` of this version does not make."""
-    if len(data) > MESSAGE_MOST:
-        raise UnreadableError("too-large", f"{len(data)} bytes, at most {MESSAGE_MOST}")
-    if not data or data[0] != WIRE:
-        raise UnreadableError("other-version", f"version {data[0] if data else 'missing'}, {WIRE} is known")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise UnreadableError("too-large", f"{len(data)} bytes, at most {MAX_MESSAGE_BYTES}")
+    if not data or data[0] != WIRE_VERSION:
+        raise UnreadableError(
+            "other-version", f"version {data[0] if data else 'missing'}, {WIRE_VERSION} is known"
+        )
     try:
         message: Message = _decoder.decode(memoryview(data)[1:])
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
--- a/ambershift/coordinator/replication/peers.py
+++ b/ambershift/coordinator/replication/peers.py
@@ -5,14 +5,14 @@
 from typing import Any
 
 from ambershift.coordinator.replication.core import NEVER, Core
-from ambershift.coordinator.replication.messages import Lives, Vouch
+from ambershift.coordinator.replication.messages import Incarnations, MemberProgress
 from ambershift.coordinator.replication.types import Reason, Status
 
 
-def own_row(core: Core) -> Vouch:
+def own_row(core: Core) -> MemberProgress:
     number = max(0, core.vouched)
     view = core.durable_view if core.fixed.disk else core.view
-    return Vouch(
+    return MemberProgress(
         core.fixed.me,
         core.incarnation,
         max(0, view),
@@ -23,12 +23,12 @@
     )
 
 
-def all_rows(core: Core) -> tuple[Vouch, ...]:
+def all_rows(core: Core) -> tuple[MemberProgress, ...]:
     core.rows[core.fixed.me] = own_row(core)
     return tuple(core.rows[name] for name in sorted(core.rows))
 
 
-def learn_rows(core: Core, rows: tuple[Vouch, ...]) -> None:
+def learn_rows(core: Core, rows: tuple[MemberProgress, ...]) -> None:
     """Keep what is newest of each; find out about myself."""
     for row in rows:
         if row.name == core.fixed.me:
@@ -39,7 +39,7 @@
             learn_life(core, row.name, row.incarnation)
 
 
-def learn_row(core: Core, row: Vouch) -> None:
+def learn_row(core: Core, row: MemberProgress) -> None:
     """What a member vouches for never shrinks, over its starts too, unless its folder is behind: so the
     most is kept, until it vouches for as much again.
     """
@@ -52,7 +52,7 @@
         core.rows[row.name] = row
 
 
-def judge_myself(core: Core, row: Vouch) -> None:
+def judge_myself(core: Core, row: MemberProgress) -> None:
     if not core.fixed.votes:
         return
     if row.incarnation < core.incarnation:
@@ -100,10 +100,10 @@
     return incarnation >= known
 
 
-def learn_lives(core: Core, lives: Lives) -> None:
+def learn_lives(core: Core, lives: Incarnations) -> None:
     for name, incarnation in lives:
         learn_life(core, name, incarnation)
 
 
-def all_lives(core: Core) -> Lives:
+def all_lives(core: Core) -> Incarnations:
     return tuple(sorted(core.lives.items()))
--- a/ambershift/coordinator/replication/pending_requests.py
+++ b/ambershift/coordinator/replication/pending_requests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ambershift.coordinator.replication.core import NEVER, Core, Want
-from ambershift.coordinator.replication.messages import Answered, ReadAt
+from ambershift.coordinator.replication.messages import CommandResponse, ReadIndexResponse
 from ambershift.coordinator.replication.types import Answer, Reason
 
 FINAL = {Reason.TOKEN_REUSED.value, Reason.TOO_LARGE.value}
@@ -18,7 +18,7 @@
     else:
         core.send(
             to,
-            Answered(
+            CommandResponse(
                 incarnation=core.incarnation,
                 view=core.view,
                 asked=incarnation,
@@ -47,7 +47,7 @@
 
 def settle(core: Core, ticket: int, reason: Reason | None, answer: bytes) -> None:
     del core.wants[ticket]
-    retry = core.fixed.timing.come_back if reason in (Reason.NO_MAJORITY, Reason.TOO_MANY_WAIT) else 0
+    retry = core.fixed.tuning.client_retry_ns if reason in (Reason.NO_MAJORITY, Reason.TOO_MANY_WAIT) else 0
     core.out.append(Answer(ticket, reason, answer, retry))
 
 
@@ -57,7 +57,7 @@
     else:
         core.send(
             to,
-            ReadAt(
+            ReadIndexResponse(
                 incarnation=core.incarnation, view=core.view, asked=incarnation, ticket=ticket, number=number
             ),
         )
--- a/ambershift/coordinator/replication/persistence.py
+++ b/ambershift/coordinator/replication/persistence.py
@@ -9,7 +9,7 @@
 def finish(core: Core) -> list[Effect]:
     """The effects of one call: what the disk needs first, then the rest; what vouches waits for it."""
     needs = core.fixed.disk and core.status not in (Status.BLANK, Status.HALTED) and dirty(core)
-    if needs and len(core.writes) < core.fixed.timing.writes:
+    if needs and len(core.writes) < core.fixed.tuning.max_writes_in_flight:
         core.out.insert(0, write(core))
         needs = False
     ticket = core.ticket + 1 if needs else core.ticket  # What the disk has no room for goes with the next.
--- a/ambershift/coordinator/replication/records.py
+++ b/ambershift/coordinator/replication/records.py
@@ -21,15 +21,15 @@
 
 MAGIC, VERSION = b"amberlog", 1
 PREAMBLE = struct.Struct("<8sIQQI")  # Magic, version, generation, bytes synced before its name, checksum.
-FRAME = struct.Struct("<III")  # Length, checksum of the body, checksum of both, generation and place.
-SEAL = struct.Struct("<QQII")
+FRAME_HEADER = struct.Struct("<III")  # Length, checksum of the body, checksum of both, generation and place.
+CHECKED_FIELDS = struct.Struct("<QQII")
 # Two slots far enough apart that no sector or page holds both: one torn write spoils one.
-SLOT, SLOT_BYTES = struct.Struct("<8sQQQI"), 4096
+MARK_FRAME, MARK_SLOT_BYTES = struct.Struct("<8sQQQI"), 4096
 MARK_MAGIC = b"ambermrk"
-FRAME_MOST = 1 << 30
+MAX_FRAME_BYTES = 1 << 30
 
 
-class Fault(StrEnum):
+class LogFault(StrEnum):
     """Why a file is not what was written. The value is the name that logs, docs and set-aside files use."""
 
     EMPTY = "empty"
@@ -43,7 +43,7 @@
     MISSING = "missing"  # A mark, and no log.
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
+class LogHeader(msgspec.Struct, frozen=True, array_like=True):
     """The first record of a file: whose it is."""
 
     group_name: str
@@ -51,27 +51,27 @@
     incarnation: int
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True):
+class LogRecord(msgspec.Struct, frozen=True, array_like=True):
     """Every further record: one write of the replica's."""
 
     group: str
     view: int
-    last_normal: int
+    last_entry_view: int
     committed: int
     entries: tuple[Entry, ...]
-    cut: int
+    truncate_from: int
     snapshot: Snapshot | None
 
 
-class Mark(NamedTuple):
+class SyncMark(NamedTuple):
     """The log of this generation is synced up to `end`."""
 
-    turn: int
+    sequence: int
     generation: int
     end: int
 
 
-class Found(NamedTuple):
+class WholeFrame(NamedTuple):
     """One whole frame; `end` is where the next begins."""
 
     at: int
@@ -79,85 +79,91 @@
     body: bytes
 
 
-class Stopped(NamedTuple):
+class EndOfFrames(NamedTuple):
     """No whole frame begins at `at`. `fault` None: the file ends there, between two frames."""
 
     at: int
-    fault: Fault | None
-
-
-def line(write: Write) -> Line:
-    return Line(
-        write.group, write.view, write.last_normal, write.committed, write.entries, write.cut, write.snapshot
+    fault: LogFault | None
+
+
+def to_record(write: Write) -> LogRecord:
+    return LogRecord(
+        write.group,
+        write.view,
+        write.last_entry_view,
+        write.committed,
+        write.entries,
+        write.truncate_from,
+        write.snapshot,
     )
 
 
-def preamble(generation: int, base: int, version: int = VERSION) -> bytes:
+def encode_preamble(generation: int, base: int, version: int = VERSION) -> bytes:
     plain = PREAMBLE.pack(MAGIC, version, generation, base, 0)[:-4]
     return plain + struct.pack("<I", google_crc32c.value(plain))
 
 
-def frame(body: bytes, generation: int, at: int) -> bytes:
+def encode_frame(body: bytes, generation: int, at: int) -> bytes:
     checksum = google_crc32c.value(body)
-    return FRAME.pack(len(body), checksum, sealed(len(body), checksum, generation, at)) + body
+    return FRAME_HEADER.pack(len(body), checksum, frame_checksum(len(body), checksum, generation, at)) + body
 
 
-def sealed(length: int, checksum: int, generation: int, at: int) -> int:
-    return int(google_crc32c.value(SEAL.pack(generation, at, length, checksum)))
+def frame_checksum(length: int, checksum: int, generation: int, at: int) -> int:
+    return int(google_crc32c.value(CHECKED_FIELDS.pack(generation, at, length, checksum)))
 
 
-def begin(data: bytes) -> tuple[int, int] | Fault:
+def decode_preamble(data: bytes) -> tuple[int, int] | LogFault:
     """The generation and the bytes that were synced before the file got its name."""
     if not data:
-        return Fault.EMPTY
+        return LogFault.EMPTY
     if not data.startswith(MAGIC[: len(data)]):
-        return Fault.FOREIGN
+        return LogFault.FOREIGN
     if len(data) < PREAMBLE.size:
-        return Fault.SHORT
+        return LogFault.SHORT
     _, version, generation, base, checksum = PREAMBLE.unpack_from(data)
     if checksum != google_crc32c.value(data[: PREAMBLE.size - 4]):
-        return Fault.FLIPPED
-    return Fault.NEWER if version > VERSION else (generation, base)
+        return LogFault.FLIPPED
+    return LogFault.NEWER if version > VERSION else (generation, base)
 
 
-def frames(data: bytes, generation: int) -> Iterator[Found | Stopped]:
+def decode_frames(data: bytes, generation: int) -> Iterator[WholeFrame | EndOfFrames]:
     """All whole frames from the first, and last where and why no further one is whole."""
     at = PREAMBLE.size
     while at < len(data):
-        if len(data) - at < FRAME.size:
-            yield Stopped(at, Fault.SHORT)
+        if len(data) - at < FRAME_HEADER.size:
+            yield EndOfFrames(at, LogFault.SHORT)
             return
-        length, checksum, seal = FRAME.unpack_from(data, at)
-        if seal != sealed(length, checksum, generation, at) or length > FRAME_MOST:
-            yield Stopped(at, Fault.FLIPPED)
+        length, checksum, seal = FRAME_HEADER.unpack_from(data, at)
+        if seal != frame_checksum(length, checksum, generation, at) or length > MAX_FRAME_BYTES:
+            yield EndOfFrames(at, LogFault.FLIPPED)
             return
-        body = data[at + FRAME.size : at + FRAME.size + length]
+        body = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + length]
         if len(body) < length:
-            yield Stopped(at, Fault.SHORT)
+            yield EndOfFrames(at, LogFault.SHORT)
             return
         if google_crc32c.value(body) != checksum:
-            yield Stopped(at, Fault.FLIPPED)
+            yield EndOfFrames(at, LogFault.FLIPPED)
             return
-        yield Found(at, at + FRAME.size + length, body)
-        at += FRAME.size + length
-    yield Stopped(at, None)
+        yield WholeFrame(at, at + FRAME_HEADER.size + length, body)
+        at += FRAME_HEADER.size + length
+    yield EndOfFrames(at, None)
 
 
-def slot(mark: Mark) -> bytes:
-    plain = SLOT.pack(MARK_MAGIC, *mark, 0)[:-4]
+def encode_mark(mark: SyncMark) -> bytes:
+    plain = MARK_FRAME.pack(MARK_MAGIC, *mark, 0)[:-4]
     return plain + struct.pack("<I", google_crc32c.value(plain))
 
 
-def both_slots(mark: Mark) -> bytes:
-    return slot(mark).ljust(SLOT_BYTES, b"\0") + slot(mark)
+def encode_mark_file(mark: SyncMark) -> bytes:
+    return encode_mark(mark).ljust(MARK_SLOT_BYTES, b"\0") + encode_mark(mark)
 
 
-def marks(data: bytes) -> list[Mark | None]:
+def decode_marks(data: bytes) -> list[SyncMark | None]:
     """What the two slots say; None where one can't be read."""
-    found: list[Mark | None] = []
-    for at in (0, SLOT_BYTES):
-        one = data[at : at + SLOT.size]
-        whole = len(one) == SLOT.size and one.startswith(MARK_MAGIC)
+    found: list[SyncMark | None] = []
+    for at in (0, MARK_SLOT_BYTES):
+        one = data[at : at + MARK_FRAME.size]
+        whole = len(one) == MARK_FRAME.size and one.startswith(MARK_MAGIC)
         whole = whole and struct.unpack("<I", one[-4:])[0] == google_crc32c.value(one[:-4])
-        found.append(Mark(*SLOT.unpack(one)[1:4]) if whole else None)
+        found.append(SyncMark(*MARK_FRAME.unpack(one)[1:4]) if whole else None)
     return found
--- a/ambershift/coordinator/replication/replica.py
+++ b/ambershift/coordinator/replication/replica.py
@@ -21,27 +21,34 @@
 from ambershift.coordinator.replication.messages import Message
 from ambershift.coordinator.replication.peers import all_rows, learn_life
 from ambershift.coordinator.replication.persistence import finish, on_synced
-from ambershift.coordinator.replication.tuning import PLAIN, Timing
-from ambershift.coordinator.replication.types import Effect, Machine, MemberRow, Restored, Saved, Status
+from ambershift.coordinator.replication.tuning import DEFAULT_TUNING, Tuning
+from ambershift.coordinator.replication.types import (
+    Effect,
+    MemberRow,
+    PersistedState,
+    Restored,
+    StateMachine,
+    Status,
+)
 
 HANDLERS: dict[type, Callable[[Core, int, str, Any], None]] = {
-    messages.Ask: bootstrap.on_ask,
-    messages.Blank: bootstrap.on_blank,
-    messages.Told: bootstrap.on_told,
-    messages.Beat: following.on_beat,
+    messages.RecoveryRequest: bootstrap.on_ask,
+    messages.BlankResponse: bootstrap.on_blank,
+    messages.RecoveryResponse: bootstrap.on_told,
+    messages.Heartbeat: following.on_beat,
     messages.Prepare: following.on_prepare,
-    messages.Have: leading.on_have,
-    messages.Fetch: following.on_fetch,
-    messages.Chunk: following.on_chunk,
-    messages.Suspect: view_change.on_suspect,
-    messages.Suspected: view_change.on_suspected,
-    messages.Leave: view_change.on_leave,
-    messages.Vote: view_change.on_vote,
-    messages.Newer: view_change.on_newer,
-    messages.Forward: client_requests.on_forward,
-    messages.Answered: client_requests.on_answered,
-    messages.ReadAsk: client_requests.on_read_ask,
-    messages.ReadAt: client_requests.on_read_at,
+    messages.PrepareOk: leading.on_have,
+    messages.GetState: following.on_fetch,
+    messages.StateChunk: following.on_chunk,
+    messages.SuspectRequest: view_change.on_suspect,
+    messages.SuspectResponse: view_change.on_suspected,
+    messages.StartViewChange: view_change.on_leave,
+    messages.DoViewChange: view_change.on_vote,
+    messages.NewerView: view_change.on_newer,
+    messages.CommandRequest: client_requests.on_forward,
+    messages.CommandResponse: client_requests.on_answered,
+    messages.ReadIndexRequest: client_requests.on_read_ask,
+    messages.ReadIndexResponse: client_requests.on_read_at,
 }
 
 
@@ -57,34 +64,34 @@
         self,
         me: str,
         voters: Sequence[str],
-        copies: Sequence[str],
-        machine: Machine[Any],
+        learners: Sequence[str],
+        machine: StateMachine[Any],
         seed: int,
         incarnation: int,
-        saved: Saved | None,
+        saved: PersistedState | None,
         disk: bool,
-        timing: Timing = PLAIN,
+        tuning: Tuning = DEFAULT_TUNING,
         now: int = 0,
         *,
         noop: bytes = b"",
-        lost: bool = False,
+        lost_state: bool = False,
     ) -> None:
         if len(set(voters)) != len(voters) or len(voters) % 2 == 0 or len(voters) > 7:
             raise ValueError("1, 3, 5 or 7 voters")
-        members = (*voters, *copies)
+        members = (*voters, *learners)
         if me not in members or len(set(members)) != len(members):
             raise ValueError(f"{me} is not one of the members, or one is named twice")
-        fixed = Fixed(me, tuple(voters), members, machine, disk, timing, noop)
+        fixed = Fixed(me, tuple(voters), members, machine, disk, tuning, noop)
         core = self.core = Core(fixed, seed, incarnation)
         core.leader_heard = core.ask_at = now
         core.next_start = now
-        core.lost = lost
+        core.lost_state = lost_state
         view_change.new_patience(core)
         if saved is not None and (saved.view or saved.entries or saved.snapshot or not fixed.votes):
             self.take_saved(core, saved, now)  # One with nothing is as good as blank.
 
     @staticmethod
-    def take_saved(core: Core, saved: Saved, now: int) -> None:
+    def take_saved(core: Core, saved: PersistedState, now: int) -> None:
         """It goes on as what it was, but for leading: what it wrote last as a leader may be gone."""
         if saved.incarnation >= core.incarnation:
             raise ValueError(f"incarnation {core.incarnation} after {saved.incarnation}")
@@ -97,8 +104,8 @@
         for entry in saved.entries:
             core.log.put(entry)
         core.view, core.group = saved.view, saved.group
-        core.status, core.voted = Status.CHANGING, True
-        core.change_at = core.again_at = now + core.fixed.timing.silence
+        core.status, core.voted = Status.VIEW_CHANGE, True
+        core.change_at = core.again_at = now + core.fixed.tuning.leader_timeout_ns
         core.behind = saved.view, core.log.last, core.log.top
         core.cut, core.written_top = 0, core.log.top
         core.durable_top, core.durable_view = core.log.top, saved.view
@@ -106,7 +113,7 @@
 
     # Events
 
-    def hear(self, now: int, sender: str, message: Message) -> list[Effect]:
+    def receive(self, now: int, sender: str, message: Message) -> list[Effect]:
         """A message of another member, whose name the shell has checked."""
         core = self.core
         if core.status is Status.HALTED or sender not in core.fixed.members or sender == core.fixed.me:
@@ -116,22 +123,22 @@
             HANDLERS[type(message)](core, now, sender, message)
         return self.end(now)
 
-    def gone(self, now: int, member: str) -> list[Effect]:
+    def link_lost(self, now: int, member: str) -> list[Effect]:
         """The link to it broke: what was under way may be lost."""
         core = self.core
         task = core.fetching
         if task is not None and task.source == member and task.at:
-            core.fetching = task._replace(at=min(task.at, now - core.fixed.timing.fetch // 2))
+            core.fetching = task._replace(at=min(task.at, now - core.fixed.tuning.transfer_retry_ns // 2))
         if member == core.leader:
             if core.status is Status.NORMAL and not core.leading:  # Half of the silence counts as over.
-                core.leader_heard = min(core.leader_heard, now - core.fixed.timing.agree)
+                core.leader_heard = min(core.leader_heard, now - core.fixed.tuning.suspicion_delay_ns)
             for ticket, want in core.wants.items():
                 core.keep_want(
-                    ticket, want._replace(retry_at=min(want.retry_at, now + core.fixed.timing.beat))
+                    ticket, want._replace(retry_at=min(want.retry_at, now + core.fixed.tuning.heartbeat_ns))
                 )
         return self.end(now)
 
-    def synced(self, now: int, ticket: int) -> list[Effect]:
+    def write_synced(self, now: int, ticket: int) -> list[Effect]:
         """That Write and all before it are on the disk. A sync that failed is never told."""
         core = self.core
         if core.status is Status.HALTED:
@@ -152,7 +159,7 @@
         client_requests.read(self.core, now, ticket, until)
         return self.end(now)
 
-    def due(self, now: int, at: int) -> list[Effect]:
+    def tick(self, now: int, at: int) -> list[Effect]:
         """To be called at `next_at`; sooner does no harm."""
         core = self.core
         core.wall = at - now
@@ -200,23 +207,23 @@
     # What is seen from outside
 
     @property
-    def next_at(self) -> int:
+    def next_tick_at(self) -> int:
         """When `due` is to be called next."""
         core = self.core
         if core.status is Status.HALTED:
             return NEVER
         times = [core.next_start, core.want_at]
         if core.fetching is not None:
-            times.append(core.fetching.at + core.fixed.timing.fetch if core.fetching.at else 0)
+            times.append(core.fetching.at + core.fixed.tuning.transfer_retry_ns if core.fetching.at else 0)
         if core.status is Status.NORMAL and core.fixed.votes and not core.view and not core.log.top:
-            times.append(core.leader_heard + core.fixed.timing.unborn)
+            times.append(core.leader_heard + core.fixed.tuning.first_entry_timeout_ns)
         if core.status is Status.BLANK and core.fixed.votes and core.fetching is None:
             times.append(core.ask_at)
         if core.leading and not core.doubt:
             times.append(core.beat_at)
         elif core.status is not Status.BLANK and core.fixed.votes:
             times.append(max(view_change.suspect_from(core), core.suspect_at))
-            if core.status is Status.CHANGING:
+            if core.status is Status.VIEW_CHANGE:
                 times.append(core.again_at)
         return min(times)
 
@@ -285,17 +292,17 @@
         cls,
         me: str,
         voters: Sequence[str],
-        copies: Sequence[str],
-        machine: Machine[Any],
+        learners: Sequence[str],
+        machine: StateMachine[Any],
         disk: bool,
-        timing: Timing,
+        tuning: Tuning,
         frozen: Frozen,
         *,
         noop: bytes = b"",
     ) -> Replica:
         """The replica that was frozen."""
         replica = cls.__new__(cls)
-        fixed = Fixed(me, tuple(voters), (*voters, *copies), machine, disk, timing, noop)
+        fixed = Fixed(me, tuple(voters), (*voters, *learners), machine, disk, tuning, noop)
         replica.core = thaw(Core(fixed, 0, 0), frozen)
         if replica.core.leading:
             leading.look_ahead(replica.core)
--- a/ambershift/coordinator/replication/types.py
+++ b/ambershift/coordinator/replication/types.py
@@ -19,7 +19,7 @@
 
     BLANK = "blank"  # It holds nothing that it can vouch for: asks for the group's birth, or recovers.
     NORMAL = "normal"
-    CHANGING = "changing"  # Between two views.
+    VIEW_CHANGE = "changing"  # Between two views.
     HALTED = "halted"  # It was refused by name, and takes no part until it is started anew.
 
 
@@ -58,24 +58,24 @@
     answers: tuple[tuple[str, bytes, bytes], ...]  # Token, digest of its command, answer; oldest first.
 
 
-class Saved(msgspec.Struct, frozen=True, array_like=True):
+class PersistedState(msgspec.Struct, frozen=True, array_like=True):
     """What a member's folder vouches for after a start."""
 
     group: str
     incarnation: int
     view: int
-    last_normal: int
+    last_entry_view: int
     committed: int
     snapshot: Snapshot | None
     entries: tuple[Entry, ...]
 
 
-class Machine(Protocol, Generic[State]):
+class StateMachine(Protocol, Generic[State]):
     """What the log is applied to. States are values: whoever holds one sees no later change."""
 
     def initial(self) -> State: ...
 
-    def judge(self, state: State, at: int, command: bytes) -> bytes | None:
+    def validate(self, state: State, at: int, command: bytes) -> bytes | None:
         """Before the leader writes it: the answer that refuses it, None where it may stand.
 
         `state` has all that is in the leader's log, committed or not. Only the leader asks, so it may look
@@ -104,10 +104,10 @@
     group: str
     incarnation: int
     view: int
-    last_normal: int
+    last_entry_view: int
     committed: int
     entries: tuple[Entry, ...]
-    cut: int  # Entries from this number on are void before `entries` are appended; 0: none.
+    truncate_from: int  # Entries from this number on are void before `entries` are appended; 0: none.
     snapshot: Snapshot | None  # In place of all entries up to its number.
 
 
@@ -162,12 +162,12 @@
     """What a member knows of one, for people. `heard_ns`: how long ago it was heard; -1: not yet."""
 
     name: str
-    votes: bool
-    leads: bool
+    is_voter: bool
+    is_leader: bool
     status: str
     incarnation: int
     committed: int
-    heard_ns: int
+    last_heard_ns: int
 
 
 Effect = Write | Send | Applied[Any] | Restored[Any] | Answer | Note | Halt
--- a/ambershift/coordinator/replication/view_change.py
+++ b/ambershift/coordinator/replication/view_change.py
@@ -5,20 +5,28 @@
 from ambershift.coordinator.replication.applying import void
 from ambershift.coordinator.replication.core import Core, Fetching
 from ambershift.coordinator.replication.leading import start_leading
-from ambershift.coordinator.replication.messages import Leave, Newer, Suspect, Suspected, Vote
+from ambershift.coordinator.replication.messages import (
+    DoViewChange,
+    NewerView,
+    StartViewChange,
+    SuspectRequest,
+    SuspectResponse,
+)
 from ambershift.coordinator.replication.peers import all_lives, all_rows, learn_lives, learn_rows
 from ambershift.coordinator.replication.types import Status
 
-AT_WORK = (Status.NORMAL, Status.CHANGING)
+AT_WORK = (Status.NORMAL, Status.VIEW_CHANGE)
 
 
 def new_patience(core: Core) -> None:
-    core.patience = core.fixed.timing.silence + core.draw(core.fixed.timing.jitter)
+    core.patience = core.fixed.tuning.leader_timeout_ns + core.draw(
+        core.fixed.tuning.leader_timeout_jitter_ns
+    )
 
 
 def suspect_from(core: Core) -> int:
     """When patience ends."""
-    if core.status is Status.CHANGING:
+    if core.status is Status.VIEW_CHANGE:
         return core.change_at
     if core.doubt:
         return 0
@@ -29,12 +37,12 @@
     """Ask the others where the leader is not heard; say again that I leave."""
     if not core.fixed.votes or core.status not in AT_WORK or (core.leading and not core.doubt):
         return
-    if core.status is Status.CHANGING and now >= core.again_at:
-        core.again_at = now + core.fixed.timing.ask
+    if core.status is Status.VIEW_CHANGE and now >= core.again_at:
+        core.again_at = now + core.fixed.tuning.request_interval_ns
         tell_leaving(core)
     if now < suspect_from(core) or now < core.suspect_at:
         return
-    core.suspect_at = now + core.fixed.timing.ask
+    core.suspect_at = now + core.fixed.tuning.request_interval_ns
     core.round += 1
     core.suspecting = True
     core.agreed = {core.fixed.me: core.round}
@@ -42,18 +50,19 @@
     for name in core.fixed.voters:
         if name != core.fixed.me:
             core.send(
-                name, Suspect(incarnation=core.incarnation, view=core.view, round=core.round, rows=rows)
+                name,
+                SuspectRequest(incarnation=core.incarnation, view=core.view, round=core.round, rows=rows),
             )
     count_agreed(core, now)
 
 
 def hears_no_leader(core: Core, now: int) -> bool:
-    if core.status is Status.CHANGING or core.doubt:
+    if core.status is Status.VIEW_CHANGE or core.doubt:
         return True
-    return not core.leading and now - core.leader_heard >= core.fixed.timing.agree
+    return not core.leading and now - core.leader_heard >= core.fixed.tuning.suspicion_delay_ns
 
 
-def on_suspect(core: Core, now: int, sender: str, message: Suspect) -> None:
+def on_suspect(core: Core, now: int, sender: str, message: SuspectRequest) -> None:
     if core.status not in AT_WORK or not core.fixed.votes:
         return
     agree = core.view == message.view and hears_no_leader(core, now)
@@ -63,7 +72,7 @@
     join(core, now, message.view)
     core.send(
         sender,
-        Suspected(
+        SuspectResponse(
             incarnation=core.incarnation,
             view=core.view,
             asked=message.view,
@@ -74,7 +83,7 @@
     )
 
 
-def on_suspected(core: Core, now: int, sender: str, message: Suspected) -> None:
+def on_suspected(core: Core, now: int, sender: str, message: SuspectResponse) -> None:
     learn_rows(core, message.rows)
     if core.status not in AT_WORK or not core.suspecting:
         return
@@ -96,7 +105,10 @@
     """The smallest from `first` on whose leader was heard lately."""
     for view in range(first, first + len(core.fixed.voters)):
         name = core.leader_of(view)
-        if name == core.fixed.me or now - core.heard.get(name, -1 << 62) <= core.fixed.timing.silence:
+        if (
+            name == core.fixed.me
+            or now - core.heard.get(name, -1 << 62) <= core.fixed.tuning.leader_timeout_ns
+        ):
             return view
     return first
 
@@ -106,9 +118,11 @@
     assert view > core.view
     assert core.fixed.votes
     enter(core, now, view)
-    core.status = Status.CHANGING
-    core.change_at = now + core.fixed.timing.change + core.draw(core.fixed.timing.jitter)
-    core.again_at = now + core.fixed.timing.ask
+    core.status = Status.VIEW_CHANGE
+    core.change_at = (
+        now + core.fixed.tuning.view_change_timeout_ns + core.draw(core.fixed.tuning.leader_timeout_jitter_ns)
+    )
+    core.again_at = now + core.fixed.tuning.request_interval_ns
     core.note("group-leaves", view=view, leader=core.leader)
     tell_leaving(core)
     count_leavers(core, now)
@@ -128,7 +142,9 @@
 
 
 def tell_leaving(core: Core) -> None:
-    message = Leave(incarnation=core.incarnation, view=core.view, lives=all_lives(core), rows=all_rows(core))
+    message = StartViewChange(
+        incarnation=core.incarnation, view=core.view, lives=all_lives(core), rows=all_rows(core)
+    )
     for name in core.fixed.voters:
         if name != core.fixed.me:
             core.vouch(name, message)
@@ -136,7 +152,7 @@
         vote(core)
 
 
-def on_leave(core: Core, now: int, sender: str, message: Leave) -> None:
+def on_leave(core: Core, now: int, sender: str, message: StartViewChange) -> None:
     if core.status not in AT_WORK or not core.fixed.votes:
         return
     learn_lives(core, message.lives)
@@ -145,8 +161,8 @@
         return
     join(core, now, message.view)
     if message.view < core.view:
-        core.send(sender, Newer(incarnation=core.incarnation, view=core.view))
-    elif core.status is Status.CHANGING:
+        core.send(sender, NewerView(incarnation=core.incarnation, view=core.view))
+    elif core.status is Status.VIEW_CHANGE:
         core.leavers[sender] = message.incarnation
         count_leavers(core, now)
 
@@ -162,7 +178,7 @@
 def count_leavers(core: Core, now: int) -> None:
     """A vote is given once a majority is known to have left: it then can't be forgotten by all of them."""
     durable = not core.fixed.disk or core.durable_view == core.view
-    if core.status is not Status.CHANGING or core.voted or not durable:
+    if core.status is not Status.VIEW_CHANGE or core.voted or not durable:
         return
     core.leavers[core.fixed.me] = core.incarnation
     if len(current(core, core.leavers)) < core.fixed.majority:
@@ -178,7 +194,7 @@
 def vote(core: Core) -> None:
     core.vouch(
         core.leader,
-        Vote(
+        DoViewChange(
             incarnation=core.incarnation,
             view=core.view,
             last=core.log.last,
@@ -190,7 +206,7 @@
     )
 
 
-def on_vote(core: Core, now: int, sender: str, message: Vote) -> None:
+def on_vote(core: Core, now: int, sender: str, message: DoViewChange) -> None:
     if core.status not in AT_WORK or not core.fixed.votes or message.view < core.view:
         return
     learn_lives(core, message.lives)
@@ -200,7 +216,7 @@
     join(core, now, message.view)
     if (
         core.view == message.view
-        and core.status is Status.CHANGING
+        and core.status is Status.VIEW_CHANGE
         and core.leader == core.fixed.me
         and core.fetching is None
     ):
@@ -221,7 +237,7 @@
         start_leading(core, now)
 
 
-def on_newer(core: Core, now: int, sender: str, message: Newer) -> None:
+def on_newer(core: Core, now: int, sender: str, message: NewerView) -> None:
     if core.status in AT_WORK and core.fixed.votes:
         join(core, now, message.view)
 
--- a/ambershift/modelcheck/models/replication_table.py
+++ b/ambershift/modelcheck/models/replication_table.py
@@ -14,7 +14,7 @@
 from ambershift.coordinator.replication.log import Log
 from ambershift.coordinator.replication.replica import Replica
 from ambershift.coordinator.replication.tokens import Tokens
-from ambershift.coordinator.replication.tuning import STILL
+from ambershift.coordinator.replication.tuning import MODEL_TUNING
 from ambershift.coordinator.replication.types import (
     Answer,
     Applied,
@@ -29,7 +29,7 @@
 VOTERS = ("n1", "n2", "n3")
 PLACES = range(len(VOTERS))
 MACHINE = RegisterMachine()
-QUIET = STILL._replace(beat=1)  # Not a beat with each event; `its_time` makes one due.
+QUIET = MODEL_TUNING._replace(heartbeat_ns=1)  # Not a beat with each event; `its_time` makes one due.
 LONG = 1 << 61
 MESSAGES_MOST, MAIL_MOST = 150, 6
 Ways = frozenset[tuple[int, int]]
@@ -114,7 +114,7 @@
 
 def its_time(replica: Replica) -> list[Effect]:
     replica.core.beat_at = 0
-    return replica.due(0, 0)
+    return replica.tick(0, 0)
 
 
 class Table:
@@ -177,7 +177,7 @@
                     self.start(place, True)
                     return
                 self.folder(place).append(effect)
-                self.does(place, partial(Replica.synced, now=0, ticket=effect.ticket))
+                self.does(place, partial(Replica.write_synced, now=0, ticket=effect.ticket))
             elif isinstance(effect, Applied):
                 self.applied(place, effect)
             elif isinstance(effect, Restored):
@@ -270,7 +270,7 @@
         self.line.clear()
 
     def hear(self, sender: int, to: int, message: Any) -> None:
-        self.does(to, lambda one: one.hear(0, VOTERS[sender], message))
+        self.does(to, lambda one: one.receive(0, VOTERS[sender], message))
 
     def does(self, place: int, what: Callable[[Replica], list[Effect]]) -> None:
         """A call of a replica; where one of its own guards fails, it stays as it was."""
--- a/ambershift/modelcheck/mutants/replication.py
+++ b/ambershift/modelcheck/mutants/replication.py
@@ -32,34 +32,34 @@
 
 
 def born_with_a_majority(real: Any) -> Any:
-    def on_blank(core: Core, now: int, sender: str, message: messages.Blank) -> None:
+    def on_blank(core: Core, now: int, sender: str, message: messages.BlankResponse) -> None:
         if core.status is Status.BLANK and message.asked == core.incarnation:
             bootstrap.be_born(core, now, peers.all_lives(core))
 
-    return {**real, messages.Blank: on_blank}
+    return {**real, messages.BlankResponse: on_blank}
 
 
 def recovered_from_anyone(real: Any) -> Any:
     """What one member tells is enough, leader or not."""
 
-    def on_told(core: Core, now: int, sender: str, message: messages.Told) -> None:
+    def on_told(core: Core, now: int, sender: str, message: messages.RecoveryResponse) -> None:
         if core.status is Status.BLANK and message.asked == core.incarnation and message.normal:
             core.fetching = None
             core.status, core.view, core.sure = Status.NORMAL, message.view, 0
 
-    return {**real, messages.Told: on_told}
+    return {**real, messages.RecoveryResponse: on_told}
 
 
 def recovered_without_the_leader(real: Any) -> Any:
     """Recover after f + 1 answers, though the leader's is not among them."""
 
-    def on_told(core: Core, now: int, sender: str, message: messages.Told) -> None:
-        real[messages.Told](core, now, sender, message)
+    def on_told(core: Core, now: int, sender: str, message: messages.RecoveryResponse) -> None:
+        real[messages.RecoveryResponse](core, now, sender, message)
         counted = bootstrap.crash_consistent(core)
         if core.status is Status.BLANK and core.fetching is None and len(counted) >= core.fixed.majority - 1:
             core.status, core.view = Status.NORMAL, max(core.told[name][1] for name in counted)
 
-    return {**real, messages.Told: on_told}
+    return {**real, messages.RecoveryResponse: on_told}
 
 
 def counts_itself_alone(real: Any) -> Any:
@@ -108,7 +108,7 @@
     """One vote, its own, makes a leader."""
 
     def count_leavers(core: Core, now: int) -> None:
-        if core.status is Status.CHANGING and core.leader == core.fixed.me:
+        if core.status is Status.VIEW_CHANGE and core.leader == core.fixed.me:
             core.voted = True
             leading.start_leading(core, now)
         else:
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -14,7 +14,7 @@
 
 from ambershift.coordinator.replication.messages import decode, encode
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.tuning import MS, PLAIN
+from ambershift.coordinator.replication.tuning import DEFAULT_TUNING, MS
 from ambershift.coordinator.replication.types import Answer, Entry, Send, Status, Write
 from tests.support.simulated_replicas import SECOND, WALL, Counting, Sim
 
@@ -47,7 +47,7 @@
         for _ in range(100):
             self.now += 10 * MS
             for name in names:
-                self.call(name, "due", self.now, WALL)
+                self.call(name, "tick", self.now, WALL)
             self.pump()
 
     def call(self, name: str, what: str, *given: Any) -> None:
@@ -60,7 +60,7 @@
                 self.sent += len(data)
                 self.queue.append((name, effect.to, data))
             elif isinstance(effect, Write):
-                self.call(name, "synced", self.now, effect.ticket)
+                self.call(name, "write_synced", self.now, effect.ticket)
             elif isinstance(effect, Answer):
                 assert effect.reason is None
                 self.answers += 1
@@ -72,7 +72,7 @@
         while self.queue:
             source, to, data = self.queue.popleft()
             if to in self.members:
-                self.call(to, "hear", self.now, source, decode(data))
+                self.call(to, "receive", self.now, source, decode(data))
 
 
 def promises(count: int, disk: bool, burst: int, rounds: int) -> str:
@@ -85,7 +85,7 @@
         for index in range(burst):
             net.submit(turn * burst + index)
         net.pump()
-        net.call("n0", "due", net.now, WALL)
+        net.call("n0", "tick", net.now, WALL)
         net.pump()
     spent = time.process_time() - began
     assert net.answers == burst * rounds, net.answers
@@ -101,7 +101,7 @@
 def without_leader(kind: str, voters: int, seeds: int) -> str:
     gaps = []
     for seed in range(seeds):
-        sim = Sim(seed, voters, timing=PLAIN)
+        sim = Sim(seed, voters, tuning=DEFAULT_TUNING)
         for name in sim.hosts:
             sim.start(name)
         sim.run(SECOND + sim.random.randint(0, 100) * MS)
@@ -127,7 +127,7 @@
 def catch_up(size: int) -> str:
     machine = Bulky(size)
     net = Direct(3, False, machine)
-    for index in range(PLAIN.snapshot_entries + 100):
+    for index in range(DEFAULT_TUNING.snapshot_interval_entries + 100):
         net.now += MS
         net.submit(index)
         net.pump()
@@ -139,7 +139,7 @@
     while late.status is not Status.NORMAL or late.committed < head.committed:
         net.now += 10 * MS
         for name in net.names:
-            net.call(name, "due", net.now, WALL)
+            net.call(name, "tick", net.now, WALL)
         net.pump()
     spent = time.process_time() - began
     entries = len(net.members["n0"].core.log.entries)
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -246,8 +246,8 @@
     opened = Folder(RealFiles(str(folder)), "g1", "a").open(WALL + S)
     # Saved, incarnation, fault, why, aside, torn, lost.
     assert tuple(opened)[1:] == (WALL + S, None, "", (), 0, False)
-    group, incarnation, view, last_normal, committed, snapshot, entries = plain(opened[0])
-    assert (group, incarnation, view, last_normal, committed) == ("g1-birth", WALL, 3, 2, 8)
+    group, incarnation, view, last_entry_view, committed, snapshot, entries = plain(opened[0])
+    assert (group, incarnation, view, last_entry_view, committed) == ("g1-birth", WALL, 3, 2, 8)
     assert entries == [entry(7, 1), entry(8, 1), entry(9, 2), entry(10, 2)]
     number, in_view, state, answers = snapshot
     assert (number, in_view) == (6, 1)
--- a/tests/coordinator/group/test_disk.py
+++ b/tests/coordinator/group/test_disk.py
@@ -18,8 +18,8 @@
 from ambershift.coordinator.group.disk.folder import DiskError, Folder, Opened, RefusedError
 from ambershift.coordinator.group.disk.worker import Disk
 from ambershift.coordinator.replication import records
-from ambershift.coordinator.replication.log_recovery import ContradictionError, Held
-from ambershift.coordinator.replication.types import Entry, Saved, Snapshot, Write
+from ambershift.coordinator.replication.log_recovery import FoldedLog, InconsistentLogError
+from ambershift.coordinator.replication.types import Entry, PersistedState, Snapshot, Write
 from tests.support import simulated_replicas
 from tests.support.fault_schedules import history
 from tests.support.simulated_disk import CrashError, SimFiles
@@ -58,14 +58,14 @@
 WRITES = [one for batch in BATCHES for one in batch]
 
 
-def folded(count: int) -> Held:
-    held = Held()
+def folded(count: int) -> FoldedLog:
+    held = FoldedLog()
     for one in WRITES[:count]:
-        held.fold(records.line(one))
+        held.apply(records.to_record(one))
     return held
 
 
-STATES = [folded(count).saved(0) for count in range(len(WRITES) + 1)]
+STATES = [folded(count).to_persisted_state(0) for count in range(len(WRITES) + 1)]
 
 
 class Run:
@@ -168,7 +168,7 @@
 
 
 def test_a_flipped_bit_or_a_cut_of_what_was_synced_is_never_silent() -> None:
-    seen = dict.fromkeys(records.Fault, 0)
+    seen = dict.fromkeys(records.LogFault, 0)
     for name in ("log", "mark"):
         size = len(SimFiles.read(Run(SimFiles()).files, name))
         for at in range(size) if name == "log" else (*range(40), *range(size - 40, size)):
@@ -197,34 +197,36 @@
 
             run, opened = damaged(flip, crash, seed % 3 / 2)
             assert opened.fault or run.held(opened) >= run.acked, (crash, seed)
-    assert not seen[records.Fault.NEWER]
+    assert not seen[records.LogFault.NEWER]
     assert all(
         seen[one]
         for one in (
-            records.Fault.EMPTY,
-            records.Fault.SHORT,
-            records.Fault.FLIPPED,
-            records.Fault.UNMARKED,
-            records.Fault.FOREIGN,
+            records.LogFault.EMPTY,
+            records.LogFault.SHORT,
+            records.LogFault.FLIPPED,
+            records.LogFault.UNMARKED,
+            records.LogFault.FOREIGN,
         )
     ), seen
 
 
 def test_other_files_are_set_aside_by_name() -> None:
-    newer = records.preamble(99, 0, records.VERSION + 1)
+    newer = records.encode_preamble(99, 0, records.VERSION + 1)
     older = bytes(Run(SimFiles(crash_at=CALLS - 20)).files.table["log"].seen)
 
     def torn(files: dict[str, bytearray]) -> None:
-        log = records.preamble(99, 0)
+        log = records.encode_preamble(99, 0)
         for body in (b"\x93\xa7archive\xa2n1\x05", b"\x90"):
-            log += records.frame(body, 99, len(log))
+            log += records.encode_frame(body, 99, len(log))
         files["log"][:] = log
 
-    cases: dict[records.Fault, Spoil] = {
-        records.Fault.NEWER: lambda files: files["log"].__setitem__(slice(None), newer),
-        records.Fault.FOREIGN: lambda files: files["log"].__setitem__(slice(None), b"[settings]\nno log\n"),
-        records.Fault.BEHIND: lambda files: files["log"].__setitem__(slice(None), older),
-        records.Fault.CONTRADICTS: torn,
+    cases: dict[records.LogFault, Spoil] = {
+        records.LogFault.NEWER: lambda files: files["log"].__setitem__(slice(None), newer),
+        records.LogFault.FOREIGN: lambda files: files["log"].__setitem__(
+            slice(None), b"[settings]\nno log\n"
+        ),
+        records.LogFault.BEHIND: lambda files: files["log"].__setitem__(slice(None), older),
+        records.LogFault.CONTRADICTS: torn,
     }
     for fault, change in cases.items():
         _, opened = damaged(change)
@@ -235,7 +237,7 @@
 def test_a_lost_log_a_void_folder_and_names_already_taken() -> None:
     files = Run(SimFiles()).files
     del files.table["log"]
-    assert reopened(files).fault is records.Fault.MISSING
+    assert reopened(files).fault is records.LogFault.MISSING
     for count in (2, 3):
         opened = Folder(files, "archive", "n1").open(WALL, "old-folder")
         assert opened.saved is None and opened.fault is None and opened.incarnation > WALL
@@ -258,21 +260,21 @@
     assert folder.end < 1100
     with pytest.raises(DiskError, match="entry 3 where 1 belongs"):
         folder.append([write(401, new=entries(3, 3))])
-    with pytest.raises(ContradictionError):
-        folded(2).fold(records.line(write(1, new=entries(5, 5), cut=2)))
+    with pytest.raises(InconsistentLogError):
+        folded(2).apply(records.to_record(write(1, new=entries(5, 5), cut=2)))
 
 
 def test_the_folder_holds_what_replicas_mean(monkeypatch: pytest.MonkeyPatch) -> None:
     """Every write of a few histories of whole groups, by the folder and by the replicas' own slow model."""
     plain, seen = simulated_replicas.written, list[int]()
 
-    def both(saved: Saved | None, one: Write) -> Saved:
-        held, wanted = Held(), plain(saved, one)
+    def both(saved: PersistedState | None, one: Write) -> PersistedState:
+        held, wanted = FoldedLog(), plain(saved, one)
         if saved is not None:
-            held.fold(records.Line(saved.group, saved.view, 0, saved.committed, (), 0, saved.snapshot))
-            held.fold(records.Line(saved.group, saved.view, 0, saved.committed, saved.entries, 0, None))
-        held.fold(records.line(one))
-        assert held.saved(one.incarnation) == wanted
+            held.apply(records.LogRecord(saved.group, saved.view, 0, saved.committed, (), 0, saved.snapshot))
+            held.apply(records.LogRecord(saved.group, saved.view, 0, saved.committed, saved.entries, 0, None))
+        held.apply(records.to_record(one))
+        assert held.to_persisted_state(one.incarnation) == wanted
         seen.append(len(one.entries))
         return wanted
 
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -62,7 +62,7 @@
         self.tell(event)
 
     def judge(self, command: Command) -> bytes | None:
-        return self.machine.judge(self.held, self.now + self.ahead, encode(command))
+        return self.machine.validate(self.held, self.now + self.ahead, encode(command))
 
     def apply(self, command: Command) -> Outcome:
         """As the shell does with what is committed."""
@@ -202,13 +202,13 @@
     assert leader.judge(first) is None and leader.judge(second) is None
     committed, log = leader.held, leader.machine.apply(leader.held, Entry(1, 1, 1, "", encode(first)))[0]
     assert leader.desk.world.own(0).state is READY and committed is EMPTY
-    answer = leader.machine.judge(log, leader.now, encode(second))
+    answer = leader.machine.validate(log, leader.now, encode(second))
     assert answer is not None and Reason.ZONE_WITHOUT_WARM.value.encode() in answer
     # What the log takes back, committed or not, is there again.
     leader.apply(first)
     back = leader.machine.apply(leader.held, Entry(1, 9, 1, "", encode(leader.wish(*out(0, state=READY)))))[0]
     assert leader.judge(second) is not None
-    assert leader.machine.judge(back, leader.now, encode(second)) is None
+    assert leader.machine.validate(back, leader.now, encode(second)) is None
     leader.at_desk.all(EMPTY)
     # The same by a permit in the log: it counts until it is closed, whatever this clock says.
     leader.held = EMPTY
@@ -466,7 +466,7 @@
 def test_a_refusal_that_is_written_is_not_refused_itself() -> None:
     machine = PromisesMachine(lambda state, at, command: BARE)
     told = encode(Answered("x", BARE.reason, BARE.text))
-    assert machine.judge(EMPTY, 0, told) is None
+    assert machine.validate(EMPTY, 0, told) is None
     state, answer = machine.apply(EMPTY, Entry(1, 1, 0, "T", told))
     assert state is EMPTY and answer == encode_answer(BARE)
 
--- a/tests/coordinator/promises/test_promises.py
+++ b/tests/coordinator/promises/test_promises.py
@@ -194,7 +194,7 @@
     rng, log, other = random.Random(seed), Log(), Log()
     for _ in range(120):
         command = some_command(rng, log.state)
-        known = log.machine.judge(log.state, 0, encode(command))
+        known = log.machine.validate(log.state, 0, encode(command))
         outcome = log.write(command)
         assert (known is None) == outcome.done and (known is None or read_answer(known) == outcome)
         assert other.write(command) == outcome
@@ -214,11 +214,11 @@
         return refused("zone-without-warm-server", "b")
 
     machine, command = PromisesMachine(guard), wishes(WishOne("b", 1, int(Health.UP)))
-    answer = machine.judge(EMPTY, 5, encode(command))
+    answer = machine.validate(EMPTY, 5, encode(command))
     assert answer is not None and read_answer(answer).reason == "zone-without-warm-server"
     state, told = machine.apply(EMPTY, Entry(1, 1, 5, "", encode(command)))
     assert read_answer(told).done and state.wish("b").state is State.DRAIN and asked == [command]
-    assert machine.judge(state, 6, encode(command)) is None and asked == [command]
+    assert machine.validate(state, 6, encode(command)) is None and asked == [command]
     assert decode(encode(command)) == command
 
 
--- a/tests/coordinator/replication/test_replication.py
+++ b/tests/coordinator/replication/test_replication.py
@@ -11,24 +11,24 @@
 from ambershift.coordinator.replication import bootstrap, messages, peers
 from ambershift.coordinator.replication.log import Log
 from ambershift.coordinator.replication.messages import (
-    Chunk,
-    Have,
-    Told,
+    MemberProgress,
+    PrepareOk,
+    RecoveryResponse,
+    StateChunk,
     UnreadableError,
-    Vouch,
     decode,
     encode,
 )
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.tuning import MS, PLAIN
+from ambershift.coordinator.replication.tuning import DEFAULT_TUNING, MS
 from ambershift.coordinator.replication.types import (
     Answer,
     Applied,
     Entry,
     Halt,
+    PersistedState,
     Reason,
     Restored,
-    Saved,
     Send,
     Status,
     Write,
@@ -180,7 +180,7 @@
 
 def test_laggards_get_pieces_of_a_snapshot_and_logs_stay_bounded() -> None:
     for disk in (False, True):
-        sim = group(copies=1, disk=disk, timing=SMALL)
+        sim = group(copies=1, disk=disk, tuning=SMALL)
         late = follower(sim)
         alone(sim, late)
         for block in range(10):
@@ -188,12 +188,12 @@
         assert len(sim.acked) == 200
         sim.crash("c1")
         sim.hosts["c1"].saved = None
-        chunks = sim.sent["Chunk"]
+        chunks = sim.sent["StateChunk"]
         sim.settle()
-        assert sim.sent["Chunk"] - chunks > 20
+        assert sim.sent["StateChunk"] - chunks > 20
         for host in sim.hosts.values():
-            assert host.replica and len(host.replica.core.log.entries) <= 3 * SMALL.snapshot_entries
-            assert len(host.replica.core.tokens.kept) <= SMALL.tokens
+            assert host.replica and len(host.replica.core.log.entries) <= 3 * SMALL.snapshot_interval_entries
+            assert len(host.replica.core.tokens.kept) <= SMALL.max_tokens
 
 
 def test_a_token_writes_once_and_answers_again() -> None:
@@ -210,12 +210,12 @@
     ticket = sim.submit(lonely, "b", b"bad")
     sim.run(2500 * MS)  # It is no leader any more, and refuses nothing as one.
     assert ticket not in sim.waiting and sim.answers["done"] == 3
-    sim.submit(lonely, "big", b"x" * (PLAIN.command_bytes + 1))
+    sim.submit(lonely, "big", b"x" * (DEFAULT_TUNING.max_command_bytes + 1))
     assert sim.answers["too-large"] == 1
 
 
 def test_what_waits_is_bounded_and_ends_with_the_program() -> None:
-    sim = group(timing=PLAIN._replace(waiting=4))
+    sim = group(tuning=DEFAULT_TUNING._replace(max_pending_requests=4))
     alone(sim, follower(sim))
     name = next(one for one in sim.voters if (one, leader(sim)) in sim.cuts)
     for number in range(6):
@@ -251,10 +251,10 @@
         found = list[Any]()
         for one in (other, held):
             row = peers.own_row(one.core)
-            found += (held if one is other else other).hear(
+            found += (held if one is other else other).receive(
                 sim.now,
                 leader(sim),
-                messages.Beat(
+                messages.Heartbeat(
                     incarnation=sim.hosts[leader(sim)].replica.core.incarnation,
                     view=0,
                     group="",  # type: ignore[union-attr]
@@ -280,22 +280,22 @@
 @pytest.mark.parametrize("caught_up", [False, True])
 def test_an_old_folder_that_has_caught_up_is_as_good_as_a_new_one(caught_up: bool) -> None:
     """Set aside then, it would be blank beside another voter that lost its memory meanwhile."""
-    old = Saved("g", 8, 0, 0, 2, None, tuple(Entry(0, number, 0, "", b"") for number in (1, 2)))
+    old = PersistedState("g", 8, 0, 0, 2, None, tuple(Entry(0, number, 0, "", b"") for number in (1, 2)))
     one = Replica("n3", ["n1", "n2", "n3"], [], Counting(), 1, 9, old, True, noop=b"noop")
-    row = Vouch("n3", 8, 0, 0, 4, 4, "normal")
+    row = MemberProgress("n3", 8, 0, 0, 4, 4, "normal")
     if caught_up:
         more = tuple(Entry(0, number, 0, "", b"") for number in (3, 4))
-        one.hear(
+        one.receive(
             0,
             "n1",
             messages.Prepare(
                 incarnation=5, view=0, group="g", after=2, after_view=0, committed=4, entries=more
             ),
         )
-    one.hear(
+    one.receive(
         0,
         "n1",
-        messages.Beat(
+        messages.Heartbeat(
             incarnation=5,
             view=0,
             group="g",
@@ -340,11 +340,11 @@
                     self.copies,
                     Counting(),
                     self.disk,
-                    self.timing,
+                    self.tuning,
                     frozen,
                     noop=b"noop",
                 )
-                assert host.replica.freeze() == frozen and host.replica.next_at == old.next_at
+                assert host.replica.freeze() == frozen and host.replica.next_tick_at == old.next_tick_at
             super().feed(host, life, call)
 
     sims = [kind(7, 3, 1, True, SMALL, lose=0.05, late=0.02) for kind in (Sim, Thawing)]
@@ -363,7 +363,7 @@
 @given(st.binary(max_size=60), st.integers(0, 200), st.integers(0, 255))
 def test_bytes_that_are_no_message_are_refused(junk: bytes, place: int, value: int) -> None:
     good = encode(
-        Told(
+        RecoveryResponse(
             incarnation=1,
             view=2,
             asked=3,
@@ -378,14 +378,14 @@
     )
     flipped = bytearray(good)
     flipped[place % len(good)] = value
-    for data in (junk, messages.WIRE.to_bytes(1, "big") + junk, good[:place], bytes(flipped)):
+    for data in (junk, messages.WIRE_VERSION.to_bytes(1, "big") + junk, good[:place], bytes(flipped)):
         try:
             decode(data)
         except UnreadableError as error:
             assert error.reason in ("unreadable", "other-version")
     assert decode(good).view == 2
     with pytest.raises(UnreadableError, match="too-large"):
-        decode(good + bytes(messages.MESSAGE_MOST))
+        decode(good + bytes(messages.MAX_MESSAGE_BYTES))
 
 
 def test_messages_that_no_member_of_ours_sends_do_no_harm() -> None:
@@ -395,15 +395,15 @@
     life = sim.hosts[name].replica.core.incarnation  # type: ignore[union-attr]
     before = head.committed
     for sender, number in ((name, 10**9), ("stranger", 1)):
-        head.hear(
+        head.receive(
             sim.now,
             sender,
-            Have(incarnation=life, view=head.view, round=9, number=number, committed=0, status=""),
+            PrepareOk(incarnation=life, view=head.view, round=9, number=number, committed=0, status=""),
         )
-    head.hear(
+    head.receive(
         sim.now,
         name,
-        Chunk(
+        StateChunk(
             incarnation=life,
             view=head.view,
             group="",
@@ -417,8 +417,10 @@
             data=b"",
         ),
     )
-    row = messages.Vouch("stranger", 7, 0, 0, 0, 0, "")
-    head.hear(sim.now, name, messages.Suspect(incarnation=life, view=head.view, round=1, rows=(row,)))
+    row = messages.MemberProgress("stranger", 7, 0, 0, 0, 0, "")
+    head.receive(
+        sim.now, name, messages.SuspectRequest(incarnation=life, view=head.view, round=1, rows=(row,))
+    )
     assert "stranger" not in {**head.core.rows, **head.core.lives}
     assert head.committed == before and head.status is Status.NORMAL
     sim.settle()
@@ -426,16 +428,16 @@
 
 def test_effects_keep_their_order_and_what_vouches_waits_for_the_disk() -> None:
     one = Replica("n1", ["n1"], [], Counting(), 1, 5, None, True, noop=b"noop")
-    first = one.due(0, WALL)
+    first = one.tick(0, WALL)
     assert [type(effect).__name__ for effect in first] == ["Write", "Note", "Note"] and one.committed == 0
-    done = one.synced(MS, 1)
+    done = one.write_synced(MS, 1)
     assert [effect.entry.number for effect in done if isinstance(effect, Applied)] == [1]
     one.submit(2 * MS, WALL, 1, "a", b"x", SECOND)
     assert one.committed == 1  # Not before its own write is synced.
-    saved = Saved("g", 5, 0, 0, 1, None, tuple(one.core.log.entries[:1]))
+    saved = PersistedState("g", 5, 0, 0, 1, None, tuple(one.core.log.entries[:1]))
     again = Replica("n1", ["n1"], [], Counting(), 1, 6, saved, True, noop=b"noop")
-    assert again.status is Status.CHANGING
-    assert not [effect for effect in again.due(0, WALL) if isinstance(effect, Send | Restored)]
+    assert again.status is Status.VIEW_CHANGE
+    assert not [effect for effect in again.tick(0, WALL) if isinstance(effect, Send | Restored)]
 
 
 def test_a_member_leaves_and_votes_only_once_that_is_on_its_disk() -> None:
@@ -447,21 +449,21 @@
         Counting(),
         1,
         5,
-        Saved("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),)),
+        PersistedState("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),)),
         True,
         noop=b"noop",
     )
-    one.due(0, WALL)
-    one.synced(0, 1)
-    asked = one.due(SECOND, WALL)
+    one.tick(0, WALL)
+    one.write_synced(0, 1)
+    asked = one.tick(SECOND, WALL)
     number = next(effect.message.round for effect in asked if isinstance(effect, Send))
-    said = messages.Suspected(incarnation=1, view=0, asked=0, round=number, agree=True, rows=())
-    found = one.hear(SECOND, "n2", said)
-    found += one.hear(SECOND, "n2", messages.Leave(incarnation=1, view=1, lives=(), rows=()))
+    said = messages.SuspectResponse(incarnation=1, view=0, asked=0, round=number, agree=True, rows=())
+    found = one.receive(SECOND, "n2", said)
+    found += one.receive(SECOND, "n2", messages.StartViewChange(incarnation=1, view=1, lives=(), rows=()))
     assert one.view == 1 and [effect.view for effect in found if isinstance(effect, Write)] == [1]
     assert not [effect for effect in found if isinstance(effect, Send)]
-    sent = [effect.message for effect in one.synced(SECOND, 2) if isinstance(effect, Send)]
-    assert {type(message) for message in sent} == {messages.Leave, messages.Vote}
+    sent = [effect.message for effect in one.write_synced(SECOND, 2) if isinstance(effect, Send)]
+    assert {type(message) for message in sent} == {messages.StartViewChange, messages.DoViewChange}
 
 
 def test_a_past_that_is_not_ours_halts_and_is_not_taken_over() -> None:
@@ -473,7 +475,7 @@
     head, view = "n3" if name != "n3" else "n1", 2 if name != "n3" else 3
     life = sim.hosts[head].replica.core.incarnation  # type: ignore[union-attr]
     wrong = (Entry(view, 2, 0, "", b"another"),)
-    found = one.hear(
+    found = one.receive(
         sim.now,
         head,
         messages.Prepare(
@@ -499,8 +501,8 @@
     sim.settle()
 
 
-def told(name: int, view: int, normal: bool = True, lives: Any = (), number: int = 0) -> Told:
-    return Told(
+def told(name: int, view: int, normal: bool = True, lives: Any = (), number: int = 0) -> RecoveryResponse:
+    return RecoveryResponse(
         incarnation=name,
         view=view,
         asked=9,
@@ -529,17 +531,19 @@
         ({"n4": told(40, 0), "n2": told(2, 1), "n5": told(5, 1, lives=(("n4", 40),))}, "n2"),
     ],
 )
-def test_recovery_needs_a_majority_of_sound_answers(answers: dict[str, Told], source: str) -> None:
+def test_recovery_needs_a_majority_of_sound_answers(
+    answers: dict[str, RecoveryResponse], source: str
+) -> None:
     one = Replica("n3", ["n1", "n2", "n3", "n4", "n5"], [], Counting(), 1, 9, None, False, noop=b"noop")
     for name, answer in answers.items():
-        one.hear(0, name, answer)
+        one.receive(0, name, answer)
     task = one.core.fetching
     assert (task.source if task else "") == source
 
 
 def test_birth_needs_one_moment_at_which_all_were_blank() -> None:
     one = Replica("n1", ["n1", "n2", "n3"], [], Counting(), 1, 9, None, False, noop=b"noop")
-    one.due(0, WALL)
+    one.tick(0, WALL)
     blank = Status.BLANK
     for round_, lives, status in (
         (1, (2, 3), blank),
@@ -548,65 +552,73 @@
         (3, (2, 4), Status.NORMAL),
     ):
         for name, life in zip(("n2", "n3"), lives, strict=True):
-            one.hear(0, name, messages.Blank(incarnation=life, view=0, asked=9, round=round_))
+            one.receive(0, name, messages.BlankResponse(incarnation=life, view=0, asked=9, round=round_))
         assert one.status is status, (round_, lives)
 
 
 def test_no_group_is_born_with_one_that_knows_of_another() -> None:
-    alone = Replica("n1", ["n1"], [], Counting(), 1, 9, None, True, noop=b"noop", lost=True)
-    alone.due(0, WALL)
+    alone = Replica("n1", ["n1"], [], Counting(), 1, 9, None, True, noop=b"noop", lost_state=True)
+    alone.tick(0, WALL)
     assert alone.status is Status.BLANK
-    one = Replica("n1", ["n1", "n2", "n3"], [], Counting(), 1, 9, None, True, noop=b"noop", lost=True)
-    ask = messages.Ask(incarnation=2, view=0, round=1, voters=("n1", "n2", "n3"), lives=())
-    for part in ({"lost": True}, {"lost": False, "log": Log(3), "committed": 3, "sure": 3}):
+    one = Replica("n1", ["n1", "n2", "n3"], [], Counting(), 1, 9, None, True, noop=b"noop", lost_state=True)
+    ask = messages.RecoveryRequest(incarnation=2, view=0, round=1, voters=("n1", "n2", "n3"), lives=())
+    for part in ({"lost_state": True}, {"lost_state": False, "log": Log(3), "committed": 3, "sure": 3}):
         # The second recovered a part, then lost its source.
         for name, value in part.items():
             setattr(one.core, name, value)
-        assert not [effect for effect in one.hear(0, "n2", ask) if isinstance(effect, Send)], part
+        assert not [effect for effect in one.receive(0, "n2", ask) if isinstance(effect, Send)], part
         for round_ in (1, 2, 3):
             for name in ("n2", "n3"):
-                one.hear(0, name, messages.Blank(incarnation=2, view=0, asked=9, round=round_))
+                one.receive(0, name, messages.BlankResponse(incarnation=2, view=0, asked=9, round=round_))
         assert one.status is Status.BLANK, part
     one.core.log, one.core.committed, one.core.sure = Log(), 0, 0
-    assert [effect.message.round for effect in one.hear(0, "n2", ask) if isinstance(effect, Send)] == [1]
+    assert [effect.message.round for effect in one.receive(0, "n2", ask) if isinstance(effect, Send)] == [1]
 
 
 @pytest.mark.parametrize("disk", [False, True])
 def test_a_new_leader_counts_itself_once_synced_and_commits_by_entries_of_its_own_view(disk: bool) -> None:
-    saved = Saved("g", 4, 0, 0, 1, None, tuple(Entry(0, number, 0, "", b"") for number in (1, 2)))
+    saved = PersistedState("g", 4, 0, 0, 1, None, tuple(Entry(0, number, 0, "", b"") for number in (1, 2)))
     one = Replica("n2", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, disk, noop=b"noop")
     one.core.fixed = one.core.fixed._replace(disk=disk)
-    one.due(0, WALL)
-    one.hear(0, "n3", messages.Leave(incarnation=1, view=1, lives=(), rows=()))
-    one.hear(0, "n3", messages.Vote(incarnation=1, view=1, last=0, number=1, committed=1, lives=(), rows=()))
-    assert one.status is (Status.CHANGING if disk else Status.NORMAL)
+    one.tick(0, WALL)
+    one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, lives=(), rows=()))
+    one.receive(
+        0,
+        "n3",
+        messages.DoViewChange(incarnation=1, view=1, last=0, number=1, committed=1, lives=(), rows=()),
+    )
+    assert one.status is (Status.VIEW_CHANGE if disk else Status.NORMAL)
     while disk and one.core.synced < one.core.ticket:
-        one.synced(0, one.core.synced + 1)
+        one.write_synced(0, one.core.synced + 1)
     assert one.leader == "n2" and one.core.log.top == 3
     for number, committed in ((2, 1), (3, 3)):
-        one.hear(0, "n3", Have(incarnation=1, view=1, round=0, number=number, committed=0, status=""))
+        one.receive(0, "n3", PrepareOk(incarnation=1, view=1, round=0, number=number, committed=0, status=""))
         assert one.committed == committed
 
 
 def test_who_led_a_view_before_a_restart_leads_it_no_more() -> None:
-    saved = Saved("g", 4, 1, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
+    saved = PersistedState("g", 4, 1, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
     one = Replica("n2", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, True, noop=b"noop")
-    one.due(0, WALL)
-    one.synced(0, 1)
-    one.hear(0, "n3", messages.Leave(incarnation=1, view=1, lives=(), rows=()))
-    one.hear(0, "n3", messages.Vote(incarnation=1, view=1, last=0, number=1, committed=1, lives=(), rows=()))
-    assert one.status is Status.CHANGING and one.core.log.top == 1
+    one.tick(0, WALL)
+    one.write_synced(0, 1)
+    one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, lives=(), rows=()))
+    one.receive(
+        0,
+        "n3",
+        messages.DoViewChange(incarnation=1, view=1, last=0, number=1, committed=1, lives=(), rows=()),
+    )
+    assert one.status is Status.VIEW_CHANGE and one.core.log.top == 1
 
 
 def test_a_vote_is_given_once_a_majority_is_known_to_have_left() -> None:
     one = Replica("n3", ["n1", "n2", "n3", "n4", "n5"], [], Counting(), 1, 5, None, False, noop=b"noop")
     bootstrap.be_born(one.core, 0, ())
     for name, votes in (("n4", 0), ("n4", 0), ("n5", 1)):
-        found = one.hear(0, name, messages.Leave(incarnation=1, view=1, lives=(), rows=()))
+        found = one.receive(0, name, messages.StartViewChange(incarnation=1, view=1, lives=(), rows=()))
         assert [
             effect.to
             for effect in found
-            if isinstance(effect, Send) and isinstance(effect.message, messages.Vote)
+            if isinstance(effect, Send) and isinstance(effect.message, messages.DoViewChange)
         ] == ["n2"] * votes
 
 
@@ -614,7 +626,7 @@
     class Moody(Counting):
         mood = b"refused"
 
-        def judge(self, state: Any, at: int, command: bytes) -> bytes | None:
+        def validate(self, state: Any, at: int, command: bytes) -> bytes | None:
             return self.mood or None
 
     machine = Moody()
@@ -622,10 +634,12 @@
     begin(one)
     for mood, view, attempt, top in ((b"refused", 0, 1, 1), (b"", 0, 1, 1), (b"", 3, 2, 1), (b"", 0, 2, 2)):
         machine.mood = mood
-        one.hear(
+        one.receive(
             0,
             "n3",
-            messages.Forward(incarnation=1, view=view, ticket=1, attempt=attempt, token="t", command=b"x"),
+            messages.CommandRequest(
+                incarnation=1, view=view, ticket=1, attempt=attempt, token="t", command=b"x"
+            ),
         )
         assert one.core.log.top == top
 
@@ -635,7 +649,7 @@
     bootstrap.be_born(one.core, 0, ())
     for name in one.core.fixed.voters[1:]:
         assert one.core.log.top == (1 if len(one.core.have) + 1 >= one.core.fixed.majority else 0)
-        one.hear(0, name, Have(incarnation=1, view=0, round=0, number=0, committed=0, status=""))
+        one.receive(0, name, PrepareOk(incarnation=1, view=0, round=0, number=0, committed=0, status=""))
 
 
 def test_one_that_was_born_alone_is_blank_again_and_lets_the_others_be_born() -> None:
@@ -659,53 +673,55 @@
     begin(one)
 
     def have(name: str, life: int) -> int:
-        one.hear(0, name, Have(incarnation=life, view=0, round=0, number=1, committed=0, status=""))
+        one.receive(0, name, PrepareOk(incarnation=life, view=0, round=0, number=1, committed=0, status=""))
         return one.committed
 
     assert have("n3", 1) == 0
-    one.hear(0, "n3", messages.Ask(incarnation=2, view=0, round=1, voters=names, lives=()))  # A blank one.
+    one.receive(
+        0, "n3", messages.RecoveryRequest(incarnation=2, view=0, round=1, voters=names, lives=())
+    )  # A blank one.
     assert [have("n4", 1), have("n3", 1), have("n3", 2)] == [0, 0, 1]
 
 
 def test_what_a_member_once_vouched_for_is_not_forgotten_when_it_tells_less() -> None:
     core = group().hosts["n1"].replica.core  # type: ignore[union-attr]
     for incarnation, number, kept in ((500, 10, (500, 10)), (501, 3, (500, 10)), (501, 11, (501, 11))):
-        peers.learn_row(core, messages.Vouch("n3", incarnation, 0, 0, number, 0, ""))
+        peers.learn_row(core, messages.MemberProgress("n3", incarnation, 0, 0, number, 0, ""))
         assert (core.rows["n3"].incarnation, core.rows["n3"].number) == kept
 
 
 def test_a_follower_vouches_for_nothing_while_its_view_is_not_on_its_disk() -> None:
-    saved = Saved("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
+    saved = PersistedState("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
     one = Replica("n3", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, True, noop=b"noop")
-    one.due(0, WALL)
-    one.synced(0, 1)
-    beat = messages.Beat(
+    one.tick(0, WALL)
+    one.write_synced(0, 1)
+    beat = messages.Heartbeat(
         incarnation=1, view=1, group="g", round=3, top=1, committed=1, rows=(), voters=("n1", "n2", "n3")
     )
-    kinds = [type(effect.message) for effect in one.hear(0, "n2", beat) if isinstance(effect, Send)]
+    kinds = [type(effect.message) for effect in one.receive(0, "n2", beat) if isinstance(effect, Send)]
     assert kinds == [] and one.view == 1
-    sent = [effect.message for effect in one.synced(0, 2) if isinstance(effect, Send)]
-    assert [(type(message), message.view, message.number) for message in sent] == [(Have, 1, 1)]
+    sent = [effect.message for effect in one.write_synced(0, 2) if isinstance(effect, Send)]
+    assert [(type(message), message.view, message.number) for message in sent] == [(PrepareOk, 1, 1)]
 
 
 def test_entries_that_took_the_place_of_others_are_vouched_for_after_their_own_sync() -> None:
-    saved = Saved("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
+    saved = PersistedState("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
     one = Replica("n3", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, True, noop=b"noop")
-    one.due(0, WALL)
+    one.tick(0, WALL)
     for view, ticket in ((0, 2), (1, 3)):
         entries = tuple(Entry(view, number, 0, "", b"v%d" % view) for number in (2, 3))
         said = messages.Prepare(
             incarnation=1, view=view, group="g", after=1, after_view=0, entries=entries, committed=1
         )
-        one.hear(0, f"n{view + 1}", said)
+        one.receive(0, f"n{view + 1}", said)
         assert one.core.ticket == ticket
     found = [
-        [effect.message.number for effect in one.synced(0, ticket) if isinstance(effect, Send)]
+        [effect.message.number for effect in one.write_synced(0, ticket) if isinstance(effect, Send)]
         for ticket in (2, 3)
     ]
     assert found == [[], [3]]
-    one.hear(0, "n3", messages.Newer(incarnation=1, view=9))
-    one.hear(
+    one.receive(0, "n3", messages.NewerView(incarnation=1, view=9))
+    one.receive(
         0,
         "n1",
         messages.Prepare(
--- a/tests/support/fault_schedules.py
+++ b/tests/support/fault_schedules.py
@@ -4,10 +4,12 @@
 
 from random import Random
 
-from ambershift.coordinator.replication.tuning import MS, PLAIN
+from ambershift.coordinator.replication.tuning import DEFAULT_TUNING, MS
 from tests.support.simulated_replicas import Sim
 
-SMALL = PLAIN._replace(snapshot_entries=24, chunk_bytes=200, batch_bytes=300, depth=2)
+SMALL = DEFAULT_TUNING._replace(
+    snapshot_interval_entries=24, max_chunk_bytes=200, max_batch_bytes=300, max_batches_in_flight=2
+)
 
 
 def history(seed: int, acts: int = 60) -> Sim:
@@ -18,7 +20,7 @@
         voters,
         random.choice((0, 0, 1, 2)),
         disk=random.random() < 0.5,
-        timing=random.choice((PLAIN, SMALL)),
+        tuning=random.choice((DEFAULT_TUNING, SMALL)),
         lose=random.choice((0, 0, 0.02, 0.2)),
         repeat=random.choice((0, 0.1)),
         late=random.choice((0, 0, 0.05)),
--- a/tests/support/simulated_replicas.py
+++ b/tests/support/simulated_replicas.py
@@ -9,16 +9,16 @@
 
 from ambershift.coordinator.replication.messages import decode, encode
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.tuning import MS, PLAIN, Timing
+from ambershift.coordinator.replication.tuning import DEFAULT_TUNING, MS, Tuning
 from ambershift.coordinator.replication.types import (
     Answer,
     Applied,
     Entry,
     Halt,
     Note,
+    PersistedState,
     Reason,
     Restored,
-    Saved,
     Send,
     Status,
     Write,
@@ -34,7 +34,7 @@
     def initial(self) -> tuple[int, int]:
         return 0, 0
 
-    def judge(self, state: tuple[int, int], at: int, command: bytes) -> bytes | None:
+    def validate(self, state: tuple[int, int], at: int, command: bytes) -> bytes | None:
         return b"refused" if command == b"bad" else None
 
     def apply(self, state: tuple[int, int], entry: Entry) -> tuple[tuple[int, int], bytes]:
@@ -52,16 +52,20 @@
         return int(count), int(total)
 
 
-def written(saved: Saved | None, write: Write) -> Saved:
+def written(saved: PersistedState | None, write: Write) -> PersistedState:
     """What a folder holds after that."""
     snapshot = write.snapshot or (saved.snapshot if saved else None)
-    kept = [entry for entry in (saved.entries if saved else ()) if not write.cut or entry.number < write.cut]
+    kept = [
+        entry
+        for entry in (saved.entries if saved else ())
+        if not write.truncate_from or entry.number < write.truncate_from
+    ]
     base = snapshot.number if snapshot else 0
     entries = (*(entry for entry in kept if entry.number > base), *write.entries)
     assert [entry.number for entry in entries] == list(range(base + 1, base + 1 + len(entries)))
-    assert (entries[-1].view if entries else snapshot.view if snapshot else 0) == write.last_normal
-    return Saved(
-        write.group, write.incarnation, write.view, write.last_normal, write.committed, snapshot, entries
+    assert (entries[-1].view if entries else snapshot.view if snapshot else 0) == write.last_entry_view
+    return PersistedState(
+        write.group, write.incarnation, write.view, write.last_entry_view, write.committed, snapshot, entries
     )
 
 
@@ -72,8 +76,8 @@
         self.name = name
         self.replica: Replica | None = None
         self.life = 0  # Counts starts; what was meant for an earlier one is void.
-        self.saved: Saved | None = None
-        self.olds: list[Saved] = []
+        self.saved: PersistedState | None = None
+        self.olds: list[PersistedState] = []
         self.pending: list[Write] = []
         self.lost_mark: tuple[int, int] | None = None  # What it had when it lost its memory.
         self.stuck = False  # Its disk holds up each sync.
@@ -109,7 +113,7 @@
         voters: int,
         copies: int = 0,
         disk: bool = False,
-        timing: Timing = PLAIN,
+        tuning: Tuning = DEFAULT_TUNING,
         lose: float = 0.0,
         repeat: float = 0.0,
         late: float = 0.0,
@@ -119,7 +123,7 @@
         self.voters = [f"n{index + 1}" for index in range(voters)]
         self.copies = [f"c{index + 1}" for index in range(copies)]
         self.hosts = {name: Host(name) for name in self.voters + self.copies}
-        self.disk, self.timing = disk, timing
+        self.disk, self.tuning = disk, tuning
         self.lose, self.repeat, self.late, self.slow = lose, repeat, late, slow
         self.now, self.order = 0, 0
         self.events: list[tuple[int, int, Any]] = []
@@ -149,7 +153,7 @@
             what()
         self.now = end
 
-    def start(self, name: str, folder: Saved | str | None = "own") -> None:
+    def start(self, name: str, folder: PersistedState | str | None = "own") -> None:
         host = self.hosts[name]
         if folder != "own":
             host.saved = folder  # type: ignore[assignment]
@@ -165,7 +169,7 @@
             self.incarnation,
             host.saved if self.disk else None,
             self.disk,
-            self.timing,
+            self.tuning,
             self.now,
             noop=b"noop",
         )
@@ -191,7 +195,7 @@
         host.replica, host.pending, host.life = None, [], host.life + 1
         for other in self.hosts.values():
             if self.random.random() < 0.5 if tell is None else tell:
-                self.feed(other, other.life, lambda replica: replica.gone(self.now, name))
+                self.feed(other, other.life, lambda replica: replica.link_lost(self.now, name))
         for ticket, waiting in list(self.waiting.items()):
             if waiting.host == name:
                 del self.waiting[ticket]
@@ -201,7 +205,7 @@
         assert host.replica is None
         if host.saved is not None:
             top = host.saved.entries[-1].number if host.saved.entries else 0
-            host.lost_mark = host.lost_mark or (host.saved.last_normal, top)
+            host.lost_mark = host.lost_mark or (host.saved.last_entry_view, top)
         host.saved = None
 
     def old_disk(self, name: str) -> None:
@@ -211,7 +215,7 @@
             if host.saved != held:
                 base = held.snapshot.number if held.snapshot else 0
                 top = held.entries[-1].number if held.entries else base
-                host.lost_mark = host.lost_mark or (held.last_normal, top)
+                host.lost_mark = host.lost_mark or (held.last_entry_view, top)
                 host.old = True
 
     def is_lost(self, name: str) -> bool:
@@ -282,7 +286,7 @@
                 host.saved = written(host.saved, host.pending.pop(0))
             if self.random.random() < 0.05 and host.saved is not None:
                 host.olds = [*host.olds[-3:], host.saved]
-            self.feed(host, life, lambda replica: replica.synced(self.now, ticket))
+            self.feed(host, life, lambda replica: replica.write_synced(self.now, ticket))
 
         return then
 
@@ -296,7 +300,7 @@
 
     def wake(self, host: Host) -> None:
         assert host.replica is not None
-        at = max(host.replica.next_at, self.now)
+        at = max(host.replica.next_tick_at, self.now)
         if host.wake < self.now or at < host.wake:
             host.wake = at
             life = host.life
@@ -304,7 +308,7 @@
             def then() -> None:
                 if host.wake == self.now:
                     host.wake = -1
-                self.feed(host, life, lambda replica: replica.due(self.now, WALL + self.now))
+                self.feed(host, life, lambda replica: replica.tick(self.now, WALL + self.now))
 
             self.at(at - self.now, then)
 
@@ -321,7 +325,7 @@
         def then() -> None:
             host = self.hosts[to]
             if host.replica is not None and (source, to) not in self.cuts:
-                self.feed(host, host.life, lambda replica: replica.hear(self.now, source, decode(data)))
+                self.feed(host, host.life, lambda replica: replica.receive(self.now, source, decode(data)))
 
         return then
 
@@ -335,7 +339,7 @@
         for call in calls:
             self.feed(host, host.life, call)
         if host.replica is not None:
-            self.do(host, host.replica.due(self.now, WALL + self.now))
+            self.do(host, host.replica.tick(self.now, WALL + self.now))
 
     # Clients
 
