--- a/ambershift/coordinator/group/learned.py
+++ b/ambershift/coordinator/group/observation_exchange.py
@@ -14,12 +14,12 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.mirror import Picture
-from ambershift.coordinator.group.evidence import (
+from ambershift.coordinator.group.observations import (
     SECOND,
     SPLIT,
-    Row,
-    Sum,
-    Sums,
+    ServerObservation,
+    TrafficCounter,
+    TrafficTotals,
     newest,
     notable,
     sample,
@@ -49,24 +49,24 @@
     def zone_index(self, zone: str) -> int | None: ...
 
 
-class Learned:
+class ObservationExchange:
     def __init__(self, store: Store, names: Names, cold: int, now: int) -> None:
         self.store, self.names, self.cold = store, names, cold
         self.known = dict[int, api.Entry]()  # As the own list has them.
         self.later = dict[int, int]()  # Starts that others saw, told to the module in the list's place.
         self.touched = set[int]()  # To be told anew because of what was heard.
-        self.sums, self.told_at = Sums(now), now
+        self.sums, self.told_at = TrafficCounter(now), now
         self.met_at = dict[int, int]()  # When a proxy of one's own last tried a server.
         self.ill = set[tuple[int, int]]()  # Told one by one, and not taken back.
         self.given = dict[tuple[str, str], tuple[int, int]]()  # By zone and server, the word given last.
-        self.handed = dict[int, api.Met]()  # Given to the module and not yet seen to pass.
+        self.handed = dict[int, api.ServerReport]()  # Given to the module and not yet seen to pass.
         self.put = dict[tuple[int, str], tuple[bytes, int]]()
         # Ids of servers that fail for all, and of those that fail for some zones only, by all members' words.
         self.out, self.cut = frozenset[str](), frozenset[str]()
 
     # What passes
 
-    def listed(self, now: int, event: api.Listed) -> api.Listed:
+    def process_list(self, now: int, event: api.Listed) -> api.Listed:
         """The list with starts that only others know of; the own list's newer word stands."""
         if event.whole:
             here = {entry.server for entry in event.entries}
@@ -107,19 +107,19 @@
             self.later[own.server] = since
         return since
 
-    def stepped(self, now: int, events: Sequence[api.Event]) -> Sequence[api.Event]:
+    def process_events(self, now: int, events: Sequence[api.Event]) -> Sequence[api.Event]:
         """Gives back those of one's own: what was heard is neither told on nor counted as met here."""
         own = events
         if self.handed:
             own = [event for event in events if self.handed.pop(id(event), None) is not event]
         add, met_at = self.sums.add, self.met_at
         for event in own:
-            if type(event) is api.Met and event.tries:
+            if type(event) is api.ServerReport and event.tries:
                 add(event)
                 met_at[event.server] = now
         return own
 
-    def heard(self, now: int, news: Sequence[Record]) -> None:
+    def process_records(self, now: int, news: Sequence[Record]) -> None:
         """Records that are new to the store."""
         for record in news:
             if record.kind == Kind.START and (server := self.names.index(record.key)) in self.known:
@@ -129,7 +129,7 @@
 
     # What is told and given, every second or so
 
-    def due(self, now: int, picture: Picture) -> list[api.Event]:
+    def exchange(self, now: int, picture: Picture) -> list[api.Event]:
         """Tell the others, and give back what the module shall hear, to be put like any other event."""
         if now >= self.told_at + TELL:
             self.told_at = now
@@ -143,9 +143,9 @@
             events += [api.Listed(False, False, told)] if told else []
         return events + list(self.others(now))
 
-    def others(self, now: int) -> list[api.Met]:
+    def others(self, now: int) -> list[api.ServerReport]:
         """What others' proxies met lately at servers that none of one's own has tried: each word once."""
-        found = list[api.Met]()
+        found = list[api.ServerReport]()
         for record, zone, row in newest(self.store, now, AGE_MOST):
             server, at = self.names.index(row.server), self.names.zone_index(zone)
             if server not in self.known or server is None or at is None or len(found) >= GIVEN_MOST:
@@ -159,7 +159,9 @@
             self.given[place] = word
             tries = min(row.tries, TRIES_MOST)
             found.append(
-                api.Met(at, server, tries, round(row.bad * tries / row.tries), row.mean_ns, row.span_ns, ())
+                api.ServerReport(
+                    at, server, tries, round(row.bad * tries / row.tries), row.mean_ns, row.span_ns, ()
+                )
             )
         if len(self.given) > 4 * len(self.known) + GIVEN_MOST:
             self.given.clear()  # Of servers long gone; at worst a word counts twice.
@@ -186,11 +188,17 @@
         self.met_at = {server: at for server, at in self.met_at.items() if now - at < OWN_LATE}
 
     def tell_rows(
-        self, now: int, zone: int, key: str, servers: list[int], sums: dict[tuple[int, int], Sum], span: int
+        self,
+        now: int,
+        zone: int,
+        key: str,
+        servers: list[int],
+        sums: dict[tuple[int, int], TrafficTotals],
+        span: int,
     ) -> None:
         name = self.names.zone(zone)
         told = [
-            Row(server, one.tries, one.bad, one.mean_ns, span)
+            ServerObservation(server, one.tries, one.bad, one.mean_ns, span)
             for index in servers
             if (server := self.names.server(index)) is not None and (one := sums[zone, index])
         ]
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -14,11 +14,11 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.words import NEVER, Change, Health, Origin, Reason, Standing, State, Weight
-from ambershift.coordinator.group.at_desk import AtDesk
-from ambershift.coordinator.group.clocks import LASTS, Clocks
+from ambershift.coordinator.group.clock_skew import LASTS, ClockSkew
+from ambershift.coordinator.group.command_validator import CommandValidator
+from ambershift.coordinator.group.desk_applier import DeskApplier
 from ambershift.coordinator.group.gossip import LET_IN, NEITHER, Gossip
-from ambershift.coordinator.group.guard import Guard
-from ambershift.coordinator.group.promise import Promises as Promised
+from ambershift.coordinator.group.group_commands import GroupCommands as Promised
 from ambershift.coordinator.group.standings import Others, standings
 from ambershift.coordinator.maintenance.words import Declared, Permit, Phase, Trouble, Work
 from ambershift.coordinator.promises.answers import Outcome, encode, encode_answer, read_answer, refused
@@ -46,8 +46,8 @@
     def __init__(self, count: int = 6, zones: int = 2, ahead: int = 0, **terms: Any) -> None:
         self.door, self.held, self.number, self.answers = Door[str](), EMPTY, 0, list[bytes]()
         super().__init__(make_terms(zones=zones, **terms), [])
-        self.at_desk = AtDesk(self.desk, self.door, lambda: self.now, ahead, lambda: None)
-        self.guard = Guard(
+        self.at_desk = DeskApplier(self.desk, self.door, lambda: self.now, ahead, lambda: None)
+        self.guard = CommandValidator(
             self.desk, self.door, lambda: self.now, lambda one: one.reason.value, lambda: self.apart
         )
         self.machine, self.apart, self.ahead = PromisesMachine(self.guard), False, ahead
@@ -186,7 +186,7 @@
     assert member.desk.told[four].phase == api.Phase.DRAINING  # type: ignore[index]
     assert member.desk.told[five].weight == pytest.approx(0.5 * entry(5, 1).weight)  # type: ignore[index]
     assert not any(
-        isinstance(one, api.Share) and one.server == four and one.weight for one in member.ordered
+        isinstance(one, api.SetWeight) and one.server == four and one.weight for one in member.ordered
     ), "it had a line before it was shut out"
     # A server that is forgotten and listed anew has another index, and the same wish.
     member.list_of([4], api.Phase.GONE)
@@ -354,7 +354,7 @@
     told = len(member.ordered)
     member.at_desk.ease({"s0": 0.8, "s2": 0.8, "s4": 0.8})
     member.settle()
-    assert not [one for one in member.ordered[told:] if isinstance(one, api.Share)]
+    assert not [one for one in member.ordered[told:] if isinstance(one, api.SetWeight)]
     member.at_desk.ease({})
     member.settle()
     assert parts() == pytest.approx([1.0, 1.0, 0.5])
@@ -368,7 +368,7 @@
     member.settle()
     member.list_of([3], api.Phase.DRAINING)
     member.list_of([9], since=member.now - S)
-    member.tell(*[api.Met(0, 4, 40, 40, 0, S, ()) for _ in range(3)])
+    member.tell(*[api.ServerReport(0, 4, 40, 40, 0, S, ()) for _ in range(3)])
     member.settle(3)
     found = standings(
         member.desk,
@@ -390,7 +390,7 @@
 
 
 def test_clocks_apart_from_the_middle() -> None:
-    clocks, now = Clocks(S), 100 * S
+    clocks, now = ClockSkew(S), 100 * S
     assert not clocks.apart(now)  # Alone there is nothing to be apart from.
     clocks.heard(now, 50 * S, "b", 53 * S, 0)
     clocks.heard(now, 50 * S, "c", 45 * S, 8 * S)  # Old on its way, and 3 s ahead by its age.
