--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -16,9 +16,9 @@
 from ambershift.coordinator.maintenance.words import Phase
 from ambershift.coordinator.promises.state import Held
 from ambershift.coordinator.replication.gossip import messages
-from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import Kind as Heard
+from ambershift.coordinator.replication.gossip.store import GossipStore
 from ambershift.coordinator.replication.gossip.types import Record
+from ambershift.coordinator.replication.gossip.types import RecordKind as Heard
 
 if TYPE_CHECKING:
     from ambershift.coordinator.group.member import Member
@@ -41,7 +41,7 @@
 class Gossip:
     def __init__(self, member: Member) -> None:
         self.member = member
-        self.store = Store(member.spec.me, 0)
+        self.store = GossipStore(member.spec.me, 0)
         self.clocks = ClockSkew(member.spec.clock_bound)
         self.steered: Callable[[], int] = lambda: 0
         # Those who put records of their own, or read what came: called each beat, and with what is new.
@@ -90,15 +90,15 @@
 
     def say_own(self, now: int) -> None:
         own = Steers(self.steered(), self.member.wall())
-        self.store.put(now, Heard.STEERS, "", msgspec.msgpack.encode(own))
+        self.store.put(now, Heard.MEMBER_STATUS, "", msgspec.msgpack.encode(own))
         permits = self.member.state.permits
         for held in permits.values():
             body = self.word(held)
-            if self.mine(Heard.DRAINED, held.permit.id) != body:
-                self.store.put(now, Heard.DRAINED, held.permit.id, body)
-        for key in self.store.keys(Heard.DRAINED):
+            if self.mine(Heard.PERMIT_DRAINED, held.permit.id) != body:
+                self.store.put(now, Heard.PERMIT_DRAINED, held.permit.id, body)
+        for key in self.store.keys(Heard.PERMIT_DRAINED):
             if key not in permits:
-                self.store.take_back(now, Heard.DRAINED, key)
+                self.store.withdraw(now, Heard.PERMIT_DRAINED, key)
 
     def word(self, held: Held) -> bytes:
         """How far a permit has come here: drained, let in again, or neither. "Let in" is told once a restart
@@ -112,19 +112,23 @@
         return LET_IN if kept and not at_desk.held_out(permit.server) else NEITHER
 
     def mine(self, kind: Heard, key: str) -> bytes | None:
-        held = self.store.found.get(kind, {}).get(key, {}).get(self.store.me)
+        held = self.store.by_kind.get(kind, {}).get(key, {}).get(self.store.me)
         return held.body if held is not None else None
 
     def hear(self, sender: str, payload: bytes) -> None:
         now = self.member.now()
         try:
-            answers, news = self.store.hear(now, messages.decode(payload))
+            answers, news = self.store.receive(now, messages.decode(payload))
         except messages.UnreadableError as error:
             raise UnreadableError(str(error)) from None
         for answer in answers:
             self.member.links.send(sender, FrameKind.HEARD, messages.encode(answer))
         for record in news:
-            if record.kind == Heard.STEERS and record.body and (steers := read_steers(record)) is not None:
+            if (
+                record.kind == Heard.MEMBER_STATUS
+                and record.body
+                and (steers := read_steers(record)) is not None
+            ):
                 self.clocks.heard(now, self.member.wall(), record.origin, steers.wall, record.age_ns)
         if news:
             for call in self.news:
@@ -137,15 +141,15 @@
         said so, ns.
         """
         found = {self.store.me: (self.steered(), 0, 0)}
-        for record in self.store.all(now, Heard.STEERS):
+        for record in self.store.all(now, Heard.MEMBER_STATUS):
             if record.origin != self.store.me and (steers := read_steers(record)) is not None:
                 found[record.origin] = (steers.proxies, self.clocks.ahead(now, record.origin), record.age_ns)
         return found
 
     def said(self, now: int, permit: str) -> dict[str, bytes]:
         """What each member said last of one permit."""
-        by_origin = self.store.found.get(Heard.DRAINED, {}).get(permit, {})
-        return {name: held.body for name, held in by_origin.items() if self.store.counts(now, held)}
+        by_origin = self.store.by_kind.get(Heard.PERMIT_DRAINED, {}).get(permit, {})
+        return {name: held.body for name, held in by_origin.items() if self.store.is_current(now, held)}
 
 
 def read_steers(record: Record) -> Steers | None:
--- a/ambershift/coordinator/group/interference_worker.py
+++ b/ambershift/coordinator/group/interference_worker.py
@@ -15,7 +15,7 @@
 from ambershift.coordinator.group.links.interfaces import failure
 from ambershift.coordinator.group.links.wire import UnreadableError
 from ambershift.coordinator.interference.words import Sample
-from ambershift.coordinator.replication.gossip.types import Kind, Record
+from ambershift.coordinator.replication.gossip.types import Record, RecordKind
 
 if TYPE_CHECKING:
     from ambershift.coordinator.interference.engine import Engine
@@ -24,7 +24,7 @@
 SAMPLES_MOST = 8_192  # Of one message.
 # Samples and records that may wait for the thread; what is over goes, the oldest first.
 WAITING_MOST = 65_536
-WANTED = (Kind.MET, Kind.BASELINE)
+WANTED = (RecordKind.INTERFERENCE_EVIDENCE, RecordKind.INTERFERENCE_BASELINE)
 
 
 class Scores(NamedTuple):
@@ -92,7 +92,7 @@
             if put.body:
                 self.gossip.store.put(now, put.kind, put.key, put.body)
             else:
-                self.gossip.store.take_back(now, put.kind, put.key)
+                self.gossip.store.withdraw(now, put.kind, put.key)
         self.scores = scores
         if scores.eases != self.eased:
             self.eased = scores.eases
--- a/ambershift/coordinator/group/observation_exchange.py
+++ b/ambershift/coordinator/group/observation_exchange.py
@@ -25,8 +25,14 @@
     sample,
     troubled,
 )
-from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import BODY_MOST, KEY_MOST, Kind, Record, longest
+from ambershift.coordinator.replication.gossip.store import GossipStore
+from ambershift.coordinator.replication.gossip.types import (
+    MAX_BODY_BYTES,
+    MAX_KEY_LENGTH,
+    Record,
+    RecordKind,
+    max_age,
+)
 
 TELL = 2 * SECOND
 # Starts that differ by less are the same start: the way of a word is not counted in its age.
@@ -50,7 +56,7 @@
 
 
 class ObservationExchange:
-    def __init__(self, store: Store, names: Names, cold: int, now: int) -> None:
+    def __init__(self, store: GossipStore, names: Names, cold: int, now: int) -> None:
         self.store, self.names, self.cold = store, names, cold
         self.known = dict[int, api.Entry]()  # As the own list has them.
         self.later = dict[int, int]()  # Starts that others saw, told to the module in the list's place.
@@ -94,7 +100,7 @@
         best = (
             None
             if name is None
-            else self.store.best(now, Kind.START, name, now - own.since if own.since else None)
+            else self.store.newest(now, RecordKind.SERVER_START, name, now - own.since if own.since else None)
         )
         heard = now - best.age_ns if best else 0
         # Each change makes the module forget what it met there, so that a start once told stays as it is.
@@ -122,7 +128,10 @@
     def process_records(self, now: int, news: Sequence[Record]) -> None:
         """Records that are new to the store."""
         for record in news:
-            if record.kind == Kind.START and (server := self.names.index(record.key)) in self.known:
+            if (
+                record.kind == RecordKind.SERVER_START
+                and (server := self.names.index(record.key)) in self.known
+            ):
                 assert server is not None
                 if self.start(now, self.known[server]) != self.known[server].since:
                     self.touched.add(server)
@@ -172,7 +181,7 @@
         name = self.names.server(entry.server)
         if name is not None and entry.since and now - entry.since < self.cold:
             age = max(0, now - entry.since)  # The list's clock may be ahead.
-            self.say(now, Kind.START, name, msgspec.msgpack.encode(entry.since), age)
+            self.say(now, RecordKind.SERVER_START, name, msgspec.msgpack.encode(entry.since), age)
 
     def tell_met(self, now: int) -> None:
         sums, span = self.sums.take(now)
@@ -183,7 +192,9 @@
             self.tell_rows(now, zone, "", servers, sums, span)
         # Well again where it was tried; where it was not, the last word ages.
         for zone, server in (self.ill - ill) & sums.keys():
-            self.store.take_back(now, Kind.ILL, f"{self.names.server(server)}{SPLIT}{self.names.zone(zone)}")
+            self.store.withdraw(
+                now, RecordKind.ATTEMPT_STATS, f"{self.names.server(server)}{SPLIT}{self.names.zone(zone)}"
+            )
         self.ill = ill | {place for place in self.ill - sums.keys() if place[1] in self.known}
         self.met_at = {server: at for server, at in self.met_at.items() if now - at < OWN_LATE}
 
@@ -203,7 +214,7 @@
             if (server := self.names.server(index)) is not None and (one := sums[zone, index])
         ]
         if name is not None and told:
-            self.give(now, Kind.ILL, f"{key}{SPLIT}{name}", msgspec.msgpack.encode(told))
+            self.give(now, RecordKind.ATTEMPT_STATS, f"{key}{SPLIT}{name}", msgspec.msgpack.encode(told))
 
     def tell_picture(self, now: int, picture: Picture) -> None:
         """Levels and shares of each zone's proxies, by the tables that they use."""
@@ -217,19 +228,27 @@
             levels = [one for (table, _), one in picture.levels.items() if table in used]
             if levels:
                 least = min(int(again) for again, _ in levels), min(part for _, part in levels)
-                self.say(now, Kind.LEVEL, name, msgspec.msgpack.encode(least))
+                self.say(now, RecordKind.ZONE_LEVEL, name, msgspec.msgpack.encode(least))
             lines = [line.weight for table in used for line in picture.tables[table].values() if line.weight]
-            self.say(now, Kind.SHARE, name, msgspec.msgpack.encode((len(lines), round(sum(lines), 2))))
+            self.say(
+                now, RecordKind.ZONE_SHARE, name, msgspec.msgpack.encode((len(lines), round(sum(lines), 2)))
+            )
 
-    def say(self, now: int, kind: Kind, key: str, body: bytes, age: int = 0) -> None:
+    def say(self, now: int, kind: RecordKind, key: str, body: bytes, age: int = 0) -> None:
         """Only what is new, or what would soon be too old."""
         known = self.put.get((kind, key))
-        if known is None or known[0] != body or (kind != Kind.START and now - known[1] > longest(kind) // 3):
+        if (
+            known is None
+            or known[0] != body
+            or (kind != RecordKind.SERVER_START and now - known[1] > max_age(kind) // 3)
+        ):
             self.put[kind, key] = body, now
             self.give(now, kind, key, body, age)
         if len(self.put) > 4 * len(self.known) + GIVEN_MOST:
             self.put.clear()
 
-    def give(self, now: int, kind: Kind, key: str, body: bytes, age: int = 0) -> None:
-        if len(key) <= KEY_MOST and len(body) <= BODY_MOST:  # Names come from outside, of any length.
+    def give(self, now: int, kind: RecordKind, key: str, body: bytes, age: int = 0) -> None:
+        if (
+            len(key) <= MAX_KEY_LENGTH and len(body) <= MAX_BODY_BYTES
+        ):  # Names come from outside, of any length.
             self.store.put(now, kind, key, body, age)
--- a/ambershift/coordinator/group/observations.py
+++ b/ambershift/coordinator/group/observations.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from ambershift import interface as api
-from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import Kind, Record
+from ambershift.coordinator.replication.gossip.store import GossipStore
+from ambershift.coordinator.replication.gossip.types import Record, RecordKind
 
 SECOND = 1_000_000_000
 # Which servers are told one by one: those that fail or are late far more than the middle one. Of the rest a
@@ -106,9 +106,13 @@
         return zone, ()
 
 
-def newest(store: Store, now: int, age_most: int) -> Iterator[tuple[Record, str, ServerObservation]]:
+def newest(store: GossipStore, now: int, age_most: int) -> Iterator[tuple[Record, str, ServerObservation]]:
     """Others' evidence, the youngest first for each server and zone; one by one before what is a sample."""
-    found = [one for one in store.all(now, Kind.ILL) if one.origin != store.me and one.age_ns <= age_most]
+    found = [
+        one
+        for one in store.all(now, RecordKind.ATTEMPT_STATS)
+        if one.origin != store.me and one.age_ns <= age_most
+    ]
     found.sort(key=lambda one: (one.key.startswith(SPLIT), one.age_ns, one.origin))
     for record in found:
         zone, met = rows(record)
@@ -117,12 +121,12 @@
                 yield record, zone, row
 
 
-def troubled(store: Store, now: int, age_most: int) -> tuple[frozenset[str], frozenset[str]]:
+def troubled(store: GossipStore, now: int, age_most: int) -> tuple[frozenset[str], frozenset[str]]:
     """Servers that fail for all zones that tried them lately, and those that fail for some of them only: by
     everybody's evidence, one's own too. Late answers are answers.
     """
     fails, does_well = dict[str, set[str]](), dict[str, set[str]]()
-    for record in store.all(now, Kind.ILL):
+    for record in store.all(now, RecordKind.ATTEMPT_STATS):
         if record.age_ns <= age_most:
             zone, met = rows(record)
             for row in met:
--- a/ambershift/coordinator/interference/engine.py
+++ b/ambershift/coordinator/interference/engine.py
@@ -19,7 +19,7 @@
 from ambershift.coordinator.interference.records import Baseline, Evidence, Put, UnreadableError
 from ambershift.coordinator.interference.sift import judge
 from ambershift.coordinator.interference.words import Sample, Score, Unusable
-from ambershift.coordinator.replication.gossip import Kind, Record
+from ambershift.coordinator.replication.gossip import Record, RecordKind
 
 BEAT_NS = 1_000_000_000
 SLICE = 4  # Nodes that are looked at in one call of `due`: some 10 ms each.
@@ -68,7 +68,7 @@
         self.next_at = 0
         self._nodes = dict[str, Node]()
         self._held = Held(self.bounds.heard, slot_ns, self.unusable)
-        self._given = dict[tuple[Kind, str], bytes]()
+        self._given = dict[tuple[RecordKind, str], bytes]()
         self._scored_at = 0
         self._scores = list[Score]()
         self._liars = frozenset[str]()
@@ -106,13 +106,16 @@
 
     def heard(self, record: Record) -> None:
         """A record of another member, newer than what was heard of it; an empty body takes it back."""
-        if record.kind not in (Kind.MET, Kind.BASELINE) or record.origin == self.me:
+        if (
+            record.kind not in (RecordKind.INTERFERENCE_EVIDENCE, RecordKind.INTERFERENCE_BASELINE)
+            or record.origin == self.me
+        ):
             return
         try:
-            self._held.hold(record.origin, Kind(record.kind), record.key, record.body)
+            self._held.hold(record.origin, RecordKind(record.kind), record.key, record.body)
         except UnreadableError:
             self.unusable["unreadable-record"] += 1
-            self._held.hold(record.origin, Kind(record.kind), record.key, b"")
+            self._held.hold(record.origin, RecordKind(record.kind), record.key, b"")
 
     def due(self, now: int) -> list[Put]:
         """What changed and should be given out. Call it again at `next_at`; each call is short."""
@@ -131,11 +134,14 @@
         return made
 
     def _give(self, node: Node, evidence: Iterable[Evidence]) -> list[Put]:
-        bodies = {(Kind.MET, records.met_key(one.node, one.job)): records.encode(one) for one in evidence}
+        bodies = {
+            (RecordKind.INTERFERENCE_EVIDENCE, records.met_key(one.node, one.job)): records.encode(one)
+            for one in evidence
+        }
         for (kind, group), gathered in node.gathered.items():
             if gathered.total:
                 body = records.encode(Baseline(records.VERSION, kind, group, node.name, gathered.sketch()))
-                bodies[Kind.BASELINE, records.baseline_key(kind, group, node.name)] = body
+                bodies[RecordKind.INTERFERENCE_BASELINE, records.baseline_key(kind, group, node.name)] = body
         made = [
             Put(kind, key, body)
             for (kind, key), body in bodies.items()
@@ -157,11 +163,13 @@
         made = list[Put]()
         for name, node in list(self._nodes.items()):
             for job in [job for job, one in node.jobs.items() if now - one.last > FORGET * self.slot_ns]:
-                made.append(Put(Kind.MET, records.met_key(name, job), b""))
+                made.append(Put(RecordKind.INTERFERENCE_EVIDENCE, records.met_key(name, job), b""))
                 kind, group = node.jobs[job].kind, node.jobs[job].group
                 node.forget(job)
                 if not any((one.kind, one.group) == (kind, group) for one in node.jobs.values()):
-                    made.append(Put(Kind.BASELINE, records.baseline_key(kind, group, name), b""))
+                    made.append(
+                        Put(RecordKind.INTERFERENCE_BASELINE, records.baseline_key(kind, group, name), b"")
+                    )
             if not node.jobs:
                 del self._nodes[name]
         made = [put for put in made if (put.kind, put.key) in self._given]
--- a/ambershift/coordinator/interference/held.py
+++ b/ambershift/coordinator/interference/held.py
@@ -8,7 +8,7 @@
 from ambershift.coordinator.interference.normal import Normal, Sketch, normal
 from ambershift.coordinator.interference.pooled import median
 from ambershift.coordinator.interference.records import Baseline, Evidence
-from ambershift.coordinator.replication.gossip import Kind
+from ambershift.coordinator.replication.gossip import RecordKind
 
 
 class Held:
@@ -23,10 +23,10 @@
         self._normals = dict[tuple[str, str], Normal | None]()
         self._without = frozenset[str]()
 
-    def hold(self, origin: str, kind: Kind, key: str, body: bytes) -> None:
+    def hold(self, origin: str, kind: RecordKind, key: str, body: bytes) -> None:
         """An empty body takes the record back. UnreadableError: nothing changed."""
         self.changed = True
-        if kind is Kind.MET:
+        if kind is RecordKind.INTERFERENCE_EVIDENCE:
             place = origin, key
             if not body:
                 self.evidence.pop(place, None)
--- a/ambershift/coordinator/interference/records.py
+++ b/ambershift/coordinator/interference/records.py
@@ -12,7 +12,7 @@
 
 from ambershift.coordinator.interference.normal import Sketch, sound
 from ambershift.coordinator.interference.words import Sample
-from ambershift.coordinator.replication.gossip import Kind
+from ambershift.coordinator.replication.gossip import RecordKind
 
 VERSION = 1
 BODY_MOST = 8_192
@@ -29,7 +29,7 @@
 class Put(NamedTuple):
     """A heard record that the member should give out as its own; an empty body takes it back."""
 
-    kind: Kind
+    kind: RecordKind
     key: str
     body: bytes
 
--- a/ambershift/coordinator/replication/gossip/expiry.py
+++ b/ambershift/coordinator/replication/gossip/expiry.py
@@ -8,7 +8,7 @@
 Due = tuple[int, str, int, int, tuple[int, str]]
 
 
-class Ages:
+class ExpiryQueue:
     """Entries of records since replaced stay until they are many, as looking for them costs more."""
 
     def __init__(self) -> None:
--- a/ambershift/coordinator/replication/gossip/messages.py
+++ b/ambershift/coordinator/replication/gossip/messages.py
@@ -8,18 +8,18 @@
 
 from ambershift.coordinator.replication.gossip.types import Body, Count, Key, Name
 
-WIRE = 1
-MESSAGE_MOST = 1 << 20
+WIRE_VERSION = 1
+MAX_MESSAGE_BYTES = 1 << 20
 # A delta stops at so many bytes: below what links take, and soon over, as promises wait behind it.
-DELTA_MOST = 64 << 10
-VECTOR_MOST = 256
+MAX_DELTA_BYTES = 64 << 10
+MAX_ORIGINS = 256
 
 
 class UnreadableError(Exception):
     """These bytes are no message of ours, or one that contradicts itself."""
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
+class OriginVersion(msgspec.Struct, frozen=True, array_like=True):
     """All of an origin's records up to `version` are known, as far as they still count."""
 
     origin: Name
@@ -30,11 +30,11 @@
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """What I know. `ask`: if you lack something of it, say so."""
 
-    vector: Annotated[tuple[Place, ...], msgspec.Meta(max_length=VECTOR_MOST)]
+    vector: Annotated[tuple[OriginVersion, ...], msgspec.Meta(max_length=MAX_ORIGINS)]
     ask: bool
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class DeltaRecord(msgspec.Struct, frozen=True, array_like=True):
     """A record, without whose it is."""
 
     version: Count
@@ -44,20 +44,20 @@
     age_ns: Count
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True):
+class OriginDelta(msgspec.Struct, frozen=True, array_like=True):
     """All that still counts of an origin's versions after `since` up to `upto`, in their order."""
 
     origin: Name
     incarnation: Count
     since: Count
-    upto: Count
-    rows: tuple[Row, ...]
+    last_version: Count
+    rows: tuple[DeltaRecord, ...]
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """What your digest lacks; `more`: there is more than fits, ask again."""
 
-    parts: Annotated[tuple[Part, ...], msgspec.Meta(max_length=VECTOR_MOST)]
+    parts: Annotated[tuple[OriginDelta, ...], msgspec.Meta(max_length=MAX_ORIGINS)]
     more: bool
 
 
@@ -65,13 +65,13 @@
 
 
 def encode(message: Message) -> bytes:
-    return bytes([WIRE]) + msgspec.msgpack.encode(message)
+    return bytes([WIRE_VERSION]) + msgspec.msgpack.encode(message)
 
 
 def decode(data: bytes) -> Message:
     """UnreadableError for whatever no member of this version may have sent."""
-    if len(data) > MESSAGE_MOST or data[:1] != bytes([WIRE]):
-        raise UnreadableError("too large" if len(data) > MESSAGE_MOST else "another version")
+    if len(data) > MAX_MESSAGE_BYTES or data[:1] != bytes([WIRE_VERSION]):
+        raise UnreadableError("too large" if len(data) > MAX_MESSAGE_BYTES else "another version")
     try:
         message: Message = msgspec.msgpack.decode(data[1:], type=Message)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
@@ -82,6 +82,6 @@
             if row.version <= at:
                 raise UnreadableError("versions go back")
             at = row.version
-        if at > part.upto:
+        if at > part.last_version:
             raise UnreadableError("a version beyond the last")
     return message
--- a/ambershift/coordinator/replication/gossip/store.py
+++ b/ambershift/coordinator/replication/gossip/store.py
@@ -11,44 +11,50 @@
 
 from collections.abc import Iterator
 
-from ambershift.coordinator.replication.gossip.expiry import Ages
+from ambershift.coordinator.replication.gossip.expiry import ExpiryQueue
 from ambershift.coordinator.replication.gossip.messages import (
-    DELTA_MOST,
+    MAX_DELTA_BYTES,
     Delta,
+    DeltaRecord,
     Digest,
     Message,
-    Part,
-    Place,
-    Row,
+    OriginDelta,
+    OriginVersion,
+)
+from ambershift.coordinator.replication.gossip.origin import OriginLog, StoredRecord, encoded_size
+from ambershift.coordinator.replication.gossip.types import (
+    MAX_BODY_BYTES,
+    MAX_KEY_LENGTH,
+    Record,
+    StoreLimits,
+    max_age,
 )
-from ambershift.coordinator.replication.gossip.origin import Held, Origin, size
-from ambershift.coordinator.replication.gossip.types import BODY_MOST, KEY_MOST, Bounds, Record, longest
 
 
-class Store:
+class GossipStore:
     """Times are the member's own clock, in ns, which never goes back."""
 
-    def __init__(self, me: str, incarnation: int, bounds: Bounds | None = None) -> None:
-        self.me, self.bounds = me, bounds or Bounds()
-        self.origins = {me: Origin(incarnation)}
-        self.found = dict[int, dict[str, dict[str, Held]]]()  # By kind, key and origin.
-        self.ages = Ages()
+    def __init__(self, me: str, incarnation: int, bounds: StoreLimits | None = None) -> None:
+        self.me, self.bounds = me, bounds or StoreLimits()
+        self.origins = {me: OriginLog(incarnation)}
+        self.by_kind = dict[int, dict[str, dict[str, StoredRecord]]]()  # By kind, key and origin.
+        self.expiry = ExpiryQueue()
         self.count = self.bytes = 0
-        self.left_out = 0  # Records that went for want of room, and parts that could not be taken.
+        self.dropped = 0  # Records that went for want of room, and parts that could not be taken.
 
     # One's own
 
     def put(self, now: int, kind: int, key: str, body: bytes, age_ns: int = 0) -> Record:
         """Say it, or say it again; ValueError where key or body is too long for others to take."""
-        if len(key) > KEY_MOST or len(body) > BODY_MOST or age_ns < 0:
+        if len(key) > MAX_KEY_LENGTH or len(body) > MAX_BODY_BYTES or age_ns < 0:
             raise ValueError(f"a record of kind {kind} with {len(key)} characters, {len(body)} bytes")
         origin = self.origins[self.me]
-        origin.upto += 1
-        held = Held(origin.upto, kind, key, body, now - age_ns)
+        origin.last_version += 1
+        held = StoredRecord(origin.last_version, kind, key, body, now - age_ns)
         self.insert(self.me, origin, held)
         return self.record(now, self.me, held)
 
-    def take_back(self, now: int, kind: int, key: str) -> None:
+    def withdraw(self, now: int, kind: int, key: str) -> None:
         """Nothing is told where nothing stands."""
         held = self.origins[self.me].records.get((kind, key))
         if held is not None and held.body:
@@ -56,12 +62,12 @@
 
     # What is read
 
-    def best(self, now: int, kind: int, key: str, own_age: int | None = None) -> Record | None:
+    def newest(self, now: int, kind: int, key: str, own_age: int | None = None) -> Record | None:
         """The newest word of another member, where it is newer than one's own evidence, `own_age` ns old."""
-        best: tuple[str, Held] | None = None
+        best: tuple[str, StoredRecord] | None = None
         since = now - own_age if own_age is not None else -(1 << 63)
-        for name, held in self.found.get(kind, {}).get(key, {}).items():
-            if not self.counts(now, held):
+        for name, held in self.by_kind.get(kind, {}).get(key, {}).items():
+            if not self.is_current(now, held):
                 continue
             if held.since > since or (name == self.me and held.since == since):
                 since, best = held.since, (name, held)
@@ -69,19 +75,19 @@
 
     def all(self, now: int, kind: int) -> Iterator[Record]:
         """Every word that counts, one's own too."""
-        for by_origin in self.found.get(kind, {}).values():
+        for by_origin in self.by_kind.get(kind, {}).values():
             for name, held in by_origin.items():
-                if self.counts(now, held):
+                if self.is_current(now, held):
                     yield self.record(now, name, held)
 
     def keys(self, kind: int) -> list[str]:
-        return list(self.found.get(kind, ()))
+        return list(self.by_kind.get(kind, ()))
 
     @staticmethod
-    def counts(now: int, held: Held) -> bool:
-        return bool(held.body) and now - held.since < longest(held.kind)
+    def is_current(now: int, held: StoredRecord) -> bool:
+        return bool(held.body) and now - held.since < max_age(held.kind)
 
-    def record(self, now: int, name: str, held: Held) -> Record:
+    def record(self, now: int, name: str, held: StoredRecord) -> Record:
         return Record(
             name,
             self.origins[name].incarnation,
@@ -95,10 +101,12 @@
     # Between members
 
     def digest(self, ask: bool = True) -> Digest:
-        places = (Place(name, one.incarnation, one.upto) for name, one in self.origins.items())
+        places = (
+            OriginVersion(name, one.incarnation, one.last_version) for name, one in self.origins.items()
+        )
         return Digest(tuple(places), ask)
 
-    def hear(self, now: int, message: Message) -> tuple[list[Message], list[Record]]:
+    def receive(self, now: int, message: Message) -> tuple[list[Message], list[Record]]:
         """What to answer to whom it came from, and what is new because of it."""
         if isinstance(message, Delta):
             news = self.take(now, message)
@@ -112,20 +120,23 @@
             answers.append(self.digest(False))
         return answers, []
 
-    def lacks(self, place: Place) -> bool:
+    def lacks(self, place: OriginVersion) -> bool:
         mine = self.origins.get(place.origin)
         if mine is None:
             return place.version > 0 and len(self.origins) < self.bounds.origins
-        return place.origin != self.me and (place.incarnation, place.version) > (mine.incarnation, mine.upto)
+        return place.origin != self.me and (place.incarnation, place.version) > (
+            mine.incarnation,
+            mine.last_version,
+        )
 
-    def delta(self, now: int, theirs: dict[str, Place], most: int = DELTA_MOST) -> Delta:
+    def delta(self, now: int, theirs: dict[str, OriginVersion], most: int = MAX_DELTA_BYTES) -> Delta:
         """Origins take turns, so that one with much to say holds up no other."""
-        pending = dict[str, tuple[int, list[Held]]]()
+        pending = dict[str, tuple[int, list[StoredRecord]]]()
         for name, one in self.origins.items():
             place = theirs.get(name)
             if place is None or place.incarnation < one.incarnation:
-                place = Place(name, one.incarnation, 0)
-            if place.incarnation == one.incarnation and place.version < one.upto:
+                place = OriginVersion(name, one.incarnation, 0)
+            if place.incarnation == one.incarnation and place.version < one.last_version:
                 pending[name] = place.version, self.later(now, one, place.version, most)
         sent, turns, left = dict.fromkeys(pending, 0), list(pending), most
         while turns and left > 0:
@@ -134,7 +145,7 @@
                 if sent[name] == len(rows):
                     turns.remove(name)
                 elif left > 0:
-                    left -= size(rows[sent[name]])
+                    left -= encoded_size(rows[sent[name]])
                     sent[name] += 1
         parts, more = [], False
         for name, (since, rows) in pending.items():
@@ -143,15 +154,15 @@
             more |= not whole
             if cut or whole:
                 origin = self.origins[name]
-                upto = origin.upto if whole else cut[-1].version
+                last_version = origin.last_version if whole else cut[-1].version
                 parts.append(
-                    Part(
+                    OriginDelta(
                         name,
                         origin.incarnation,
                         since,
-                        upto,
+                        last_version,
                         tuple(
-                            Row(one.version, one.kind, one.key, one.body, max(0, now - one.since))
+                            DeltaRecord(one.version, one.kind, one.key, one.body, max(0, now - one.since))
                             for one in cut
                         ),
                     )
@@ -159,16 +170,16 @@
         return Delta(tuple(parts), more)
 
     @staticmethod
-    def overflows(rows: list[Held], most: int) -> bool:
-        return sum(map(size, rows)) > most
+    def overflows(rows: list[StoredRecord], most: int) -> bool:
+        return sum(map(encoded_size, rows)) > most
 
-    def later(self, now: int, one: Origin, version: int, most: int) -> list[Held]:
+    def later(self, now: int, one: OriginLog, version: int, most: int) -> list[StoredRecord]:
         """The first ones after a version, a little over `most` bytes of them at the most."""
-        rows, room = list[Held](), most
+        rows, room = list[StoredRecord](), most
         for held in one.after(version):
-            if now - held.since < longest(held.kind):
+            if now - held.since < max_age(held.kind):
                 rows.append(held)
-                room -= size(held)
+                room -= encoded_size(held)
                 if room < 0:
                     break
         return rows
@@ -179,62 +190,62 @@
             origin = self.origin(part)
             if origin is None:
                 continue
-            if part.since > origin.upto:  # It was meant for what this member knew in an earlier life.
-                self.left_out += 1
+            if part.since > origin.last_version:  # It was meant for what this member knew in an earlier life.
+                self.dropped += 1
                 continue
             for row in part.rows:
-                held = Held(row.version, row.kind, row.key, row.body, now - row.age_ns)
-                if row.version <= origin.upto:
+                held = StoredRecord(row.version, row.kind, row.key, row.body, now - row.age_ns)
+                if row.version <= origin.last_version:
                     self.grow_older(part.origin, origin, held)
-                elif row.age_ns < longest(row.kind):
-                    origin.upto = row.version
+                elif row.age_ns < max_age(row.kind):
+                    origin.last_version = row.version
                     self.insert(part.origin, origin, held)
                     news.append(self.record(now, part.origin, held))
-            origin.upto = max(origin.upto, part.upto)
+            origin.last_version = max(origin.last_version, part.last_version)
         return news
 
-    def origin(self, part: Part) -> Origin | None:
+    def origin(self, part: OriginDelta) -> OriginLog | None:
         """The life that a part is about; None where it is of no use."""
         known = self.origins.get(part.origin)
         if part.origin == self.me or (known is not None and known.incarnation > part.incarnation):
             return None
         if known is None and len(self.origins) >= self.bounds.origins:
-            self.left_out += 1
+            self.dropped += 1
             return None
         if known is None or known.incarnation < part.incarnation:
             for held in list(known.records.values()) if known else ():
                 self.drop(part.origin, held)
-            known = self.origins[part.origin] = Origin(part.incarnation)
+            known = self.origins[part.origin] = OriginLog(part.incarnation)
         return known
 
-    def grow_older(self, name: str, origin: Origin, held: Held) -> None:
+    def grow_older(self, name: str, origin: OriginLog, held: StoredRecord) -> None:
         """The same word by another way: the longer way tells more of its true age."""
         mine = origin.records.get((held.kind, held.key))
         if mine is not None and mine.version == held.version and held.since < mine.since:
             older = mine._replace(since=held.since)
-            origin.records[held.kind, held.key] = self.found[held.kind][held.key][name] = older
+            origin.records[held.kind, held.key] = self.by_kind[held.kind][held.key][name] = older
             self.expires(name, origin, older)
 
     # What is held
 
-    def insert(self, name: str, origin: Origin, held: Held) -> None:
+    def insert(self, name: str, origin: OriginLog, held: StoredRecord) -> None:
         if (old := origin.records.get((held.kind, held.key))) is not None:
             self.drop(name, old)
         origin.add(held)
-        self.found.setdefault(held.kind, {}).setdefault(held.key, {})[name] = held
-        self.count, self.bytes = self.count + 1, self.bytes + size(held)
+        self.by_kind.setdefault(held.kind, {}).setdefault(held.key, {})[name] = held
+        self.count, self.bytes = self.count + 1, self.bytes + encoded_size(held)
         self.expires(name, origin, held)
         while len(origin.records) > self.bounds.records_an_origin:
-            self.left_out += 1
+            self.dropped += 1
             self.drop(name, next(iter(origin.records.values())))
         while self.count > self.bounds.records or self.bytes > self.bounds.bytes:
-            self.left_out += 1
+            self.dropped += 1
             name, most = max(self.origins.items(), key=lambda one: len(one[1].records))
             self.drop(name, next(iter(most.records.values())))
 
-    def expires(self, name: str, origin: Origin, held: Held) -> None:
-        self.ages.add(
-            held.since + longest(held.kind),
+    def expires(self, name: str, origin: OriginLog, held: StoredRecord) -> None:
+        self.expiry.add(
+            held.since + max_age(held.kind),
             name,
             origin.incarnation,
             held.version,
@@ -242,18 +253,18 @@
             self.count,
         )
 
-    def drop(self, name: str, held: Held) -> None:
+    def drop(self, name: str, held: StoredRecord) -> None:
         del self.origins[name].records[held.kind, held.key]
-        by_key = self.found[held.kind]
+        by_key = self.by_kind[held.kind]
         del by_key[held.key][name]
         if not by_key[held.key]:
             del by_key[held.key]
-        self.count, self.bytes = self.count - 1, self.bytes - size(held)
+        self.count, self.bytes = self.count - 1, self.bytes - encoded_size(held)
 
     def sweep(self, now: int) -> int:
         """Let go of what is too old; call it every second or so. Reading never gives any of it."""
         gone = 0
-        for name, incarnation, version, place in self.ages.due(now):
+        for name, incarnation, version, place in self.expiry.due(now):
             origin = self.origins.get(name)
             held = origin.records.get(place) if origin and origin.incarnation == incarnation else None
             if held is not None and held.version == version:
--- a/ambershift/coordinator/replication/gossip/types.py
+++ b/ambershift/coordinator/replication/gossip/types.py
@@ -8,26 +8,26 @@
 import msgspec
 
 SECOND = 1_000_000_000
-KEY_MOST, BODY_MOST = 512, 16_384
+MAX_KEY_LENGTH, MAX_BODY_BYTES = 512, 16_384
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Name = Annotated[str, msgspec.Meta(max_length=256)]
-Key = Annotated[str, msgspec.Meta(max_length=KEY_MOST)]
-Body = Annotated[bytes, msgspec.Meta(max_length=BODY_MOST)]
+Key = Annotated[str, msgspec.Meta(max_length=MAX_KEY_LENGTH)]
+Body = Annotated[bytes, msgspec.Meta(max_length=MAX_BODY_BYTES)]
 
 
-class Kind(IntEnum):
+class RecordKind(IntEnum):
     """What a record is about. Numbers stay as they are: older members pass on kinds that they don't know."""
 
-    START = 1  # key: server id; body: since when it runs, Unix ns.
-    ILL = 2  # key: server id and zone; body: tries, bad ones, mean time.
-    CUT = 3  # key: zone and zone.
+    SERVER_START = 1  # key: server id; body: since when it runs, Unix ns.
+    ATTEMPT_STATS = 2  # key: server id and zone; body: tries, bad ones, mean time.
+    ZONE_CUT = 3  # key: zone and zone.
     EASED = 4
-    LEVEL = 5
-    SHARE = 6
-    BASELINE = 7  # key: kind of machine, group of jobs and node; body: a sketch of interference.
-    DRAINED = 8  # key: permit id; body: whether it is drained for this member's proxies.
-    STEERS = 9  # key: ""; body: how many proxies this member steers now, and its wall clock.
-    MET = 10  # key: node and job; body: evidence of interference on each of its neighbours.
+    ZONE_LEVEL = 5
+    ZONE_SHARE = 6
+    INTERFERENCE_BASELINE = 7  # key: kind of machine, group of jobs and node; body: a sketch of interference.
+    PERMIT_DRAINED = 8  # key: permit id; body: whether it is drained for this member's proxies.
+    MEMBER_STATUS = 9  # key: ""; body: how many proxies this member steers now, and its wall clock.
+    INTERFERENCE_EVIDENCE = 10  # key: node and job; body: evidence of interference on each of its neighbours.
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
@@ -42,7 +42,7 @@
     age_ns: Count  # Since the origin saw it; grows on the way and where it lies.
 
 
-class Bounds(NamedTuple):
+class StoreLimits(NamedTuple):
     """What a store holds at most. What is over goes oldest word first, of the origin that told most."""
 
     origins: int = 64
@@ -52,21 +52,21 @@
 
 
 # How old a word may get. Whoever still means it says it again before; a gone member's goes by it.
-LONGEST = {
-    Kind.START: 3600 * SECOND,
-    Kind.ILL: 20 * SECOND,
-    Kind.CUT: 20 * SECOND,
-    Kind.EASED: 90 * SECOND,
-    Kind.LEVEL: 20 * SECOND,
-    Kind.SHARE: 90 * SECOND,
-    Kind.BASELINE: 24 * 3600 * SECOND,
-    Kind.DRAINED: 24 * 3600 * SECOND,
-    Kind.STEERS: 30 * SECOND,
-    Kind.MET: 24 * 3600 * SECOND,
+MAX_AGE_BY_KIND = {
+    RecordKind.SERVER_START: 3600 * SECOND,
+    RecordKind.ATTEMPT_STATS: 20 * SECOND,
+    RecordKind.ZONE_CUT: 20 * SECOND,
+    RecordKind.EASED: 90 * SECOND,
+    RecordKind.ZONE_LEVEL: 20 * SECOND,
+    RecordKind.ZONE_SHARE: 90 * SECOND,
+    RecordKind.INTERFERENCE_BASELINE: 24 * 3600 * SECOND,
+    RecordKind.PERMIT_DRAINED: 24 * 3600 * SECOND,
+    RecordKind.MEMBER_STATUS: 30 * SECOND,
+    RecordKind.INTERFERENCE_EVIDENCE: 24 * 3600 * SECOND,
 }
-LONGEST_UNKNOWN = 600 * SECOND
+UNKNOWN_KIND_MAX_AGE = 600 * SECOND
 
 
-def longest(kind: int) -> int:
+def max_age(kind: int) -> int:
     """Nanoseconds; a kind that only newer members know is held for a while, to pass it on."""
-    return LONGEST.get(kind, LONGEST_UNKNOWN)  # type: ignore[call-overload, no-any-return]
+    return MAX_AGE_BY_KIND.get(kind, UNKNOWN_KIND_MAX_AGE)  # type: ignore[call-overload, no-any-return]
--- a/benchmarks/heard_state.py
+++ b/benchmarks/heard_state.py
@@ -11,9 +11,16 @@
 import time
 import tracemalloc
 
-from ambershift.coordinator.replication.gossip.messages import Delta, Message, Part, Row, decode, encode
-from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import Kind
+from ambershift.coordinator.replication.gossip.messages import (
+    Delta,
+    DeltaRecord,
+    Message,
+    OriginDelta,
+    decode,
+    encode,
+)
+from ambershift.coordinator.replication.gossip.store import GossipStore
+from ambershift.coordinator.replication.gossip.types import RecordKind
 
 S = 1_000_000_000
 NAMES = ("n1", "n2", "n3")
@@ -21,58 +28,65 @@
 STARTS, ILL = 0.001, 0.01
 
 
-def say(store: Store, now: int, servers: int, rng: random.Random) -> None:
+def say(store: GossipStore, now: int, servers: int, rng: random.Random) -> None:
     """As group/learned.py does: starts, ill ones and a sample every 2 s, shares and levels seldom."""
     for _ in range(rng.randrange(2) + int(STARTS * servers)):
-        store.put(now, Kind.START, f"server-{rng.randrange(servers):05d}", now.to_bytes(8, "big"))
+        store.put(
+            now, RecordKind.SERVER_START, f"server-{rng.randrange(servers):05d}", now.to_bytes(8, "big")
+        )
     if now // S % 2 == 0:
         for at in range(int(ILL * servers)):
-            store.put(now, Kind.ILL, f"server-{at:05d}\x1fzone-{at % 4}", rng.randbytes(30))
+            store.put(now, RecordKind.ATTEMPT_STATS, f"server-{at:05d}\x1fzone-{at % 4}", rng.randbytes(30))
         for zone in range(4):
-            store.put(now, Kind.ILL, f"\x1fzone-{zone}", rng.randbytes(30 * min(40, servers // 4 + 1)))
+            store.put(
+                now,
+                RecordKind.ATTEMPT_STATS,
+                f"\x1fzone-{zone}",
+                rng.randbytes(30 * min(40, servers // 4 + 1)),
+            )
     if now // S % 7 == 0:
         for zone in range(4):
-            store.put(now, Kind.LEVEL, f"zone-{zone}", rng.randbytes(10))
-            store.put(now, Kind.SHARE, f"zone-{zone}", rng.randbytes(12))
+            store.put(now, RecordKind.ZONE_LEVEL, f"zone-{zone}", rng.randbytes(10))
+            store.put(now, RecordKind.ZONE_SHARE, f"zone-{zone}", rng.randbytes(12))
 
 
-def exchange(one: Store, other: Store, now: int) -> tuple[int, int]:
+def exchange(one: GossipStore, other: GossipStore, now: int) -> tuple[int, int]:
     """One asks the other; bytes both ways, and messages."""
-    talk: list[tuple[Store, Store, Message]] = [(one, other, one.digest())]
+    talk: list[tuple[GossipStore, GossipStore, Message]] = [(one, other, one.digest())]
     size = count = 0
     while talk:
         sender, to, message = talk.pop()
         data = encode(message)
         size, count = size + len(data), count + 1
-        answers, _ = to.hear(now, decode(data))
+        answers, _ = to.receive(now, decode(data))
         talk += [(to, sender, answer) for answer in answers]
     return size, count
 
 
-def push(one: Store, other: Store, now: int) -> int:
+def push(one: GossipStore, other: GossipStore, now: int) -> int:
     """All that it holds, as one message."""
     parts = tuple(
-        Part(
+        OriginDelta(
             name,
             origin.incarnation,
             0,
-            origin.upto,
+            origin.last_version,
             tuple(
-                Row(held.version, held.kind, held.key, held.body, now - held.since)
+                DeltaRecord(held.version, held.kind, held.key, held.body, now - held.since)
                 for held in origin.records.values()
             ),
         )
         for name, origin in one.origins.items()
     )
     data = encode(Delta(parts, False))
-    other.hear(now, decode(data) if len(data) <= 1 << 20 else Delta(parts, False))
+    other.receive(now, decode(data) if len(data) <= 1 << 20 else Delta(parts, False))
     return len(data)
 
 
 def run(servers: int, seconds: int, full: bool) -> tuple[float, float, float]:
     """Bytes a second of all members together, and ms of work a second, and messages, once it runs evenly."""
     rng = random.Random(servers)
-    stores = [Store(name, 1) for name in NAMES]
+    stores = [GossipStore(name, 1) for name in NAMES]
     size = count = spent = 0.0
     for second in range(60 + seconds):
         now = (1000 + second) * S
@@ -115,16 +129,17 @@
     )
     for records in (100, 1_000, 10_000) if quick else (1_000, 10_000, 100_000):
         tracemalloc.start()
-        known = Store("n1", 1)
+        known = GossipStore("n1", 1)
         for at in range(min(records, 50_000)):
-            known.put(0, Kind.START, f"server-{at:05d}", bytes(8))
+            known.put(0, RecordKind.SERVER_START, f"server-{at:05d}", bytes(8))
         rows = tuple(
-            Row(at + 1, Kind.START, f"server-{at:05d}", bytes(8), 0) for at in range(records - 50_000)
+            DeltaRecord(at + 1, RecordKind.SERVER_START, f"server-{at:05d}", bytes(8), 0)
+            for at in range(records - 50_000)
         )
-        known.hear(0, Delta((Part("n2", 1, 0, len(rows), rows),), False))
+        known.receive(0, Delta((OriginDelta("n2", 1, 0, len(rows), rows),), False))
         memory = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        fresh, started = Store("n3", 1), time.perf_counter()
+        fresh, started = GossipStore("n3", 1), time.perf_counter()
         size, count = exchange(fresh, known, S)
         assert fresh.count == records
         print(
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -16,7 +16,7 @@
 from ambershift import interface as api
 from ambershift.coordinator.group.observation_exchange import ObservationExchange
 from ambershift.coordinator.replication.gossip.messages import Message, decode, encode
-from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.store import GossipStore
 from tests.support.operator_model import Operated
 from tests.support.policy_model import S, entry, make_terms
 
@@ -45,7 +45,9 @@
 
 
 class Side(Operated):
-    def __init__(self, terms: api.Terms, servers: list[api.Entry], store: Store, use: bool, now: int) -> None:
+    def __init__(
+        self, terms: api.Terms, servers: list[api.Entry], store: GossipStore, use: bool, now: int
+    ) -> None:
         self.learned = ObservationExchange(store, Numbered(terms.zones), terms.cold, now)
         self.store, self.use = store, use
         super().__init__(terms, servers, now)
@@ -94,7 +96,7 @@
         chosen = self.rng.sample(range(servers), ill + cold)
         self.ill, self.cold = set(chosen[:ill]), dict.fromkeys(chosen[ill:], 0)
         self.now = 100 * S
-        self.sides = [Side(self.terms, entries, Store(name, 1), use, self.now) for name in ("a", "b")]
+        self.sides = [Side(self.terms, entries, GossipStore(name, 1), use, self.now) for name in ("a", "b")]
         self.proxies, self.way = proxies, list[tuple[int, int, bytes]]()
         self.outcome = Outcome(0, 0.0, 0)
 
@@ -110,7 +112,7 @@
             self.way = [one for one in self.way if one[0] > self.now]
             for _, to, data in due:
                 if self.sides[to] in alive:
-                    answers, news = self.sides[to].store.hear(self.now, decode(data))
+                    answers, news = self.sides[to].store.receive(self.now, decode(data))
                     self.sides[to].learned.process_records(self.now, news)
                     self.send(1 - to, answers)
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -19,7 +19,7 @@
 from ambershift.coordinator.group.disk.folder import Folder
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.replication.gossip import messages as heard
-from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.store import GossipStore
 from ambershift.coordinator.replication.types import Entry, Write
 from tests.compatibility.control_node_process import IP, control_node
 from tests.compatibility.encoded_forms import STORED, Form
@@ -288,8 +288,8 @@
 
 def test_learned_state_is_read_from_the_bytes_that_another_coordinator_tells() -> None:
     data = (STORED_FOLDER / "learned" / "delta.bin").read_bytes()
-    store, now = Store("b", 7), 5000 * S
-    answers, news = store.hear(now, heard.decode(data))
+    store, now = GossipStore("b", 7), 5000 * S
+    answers, news = store.receive(now, heard.decode(data))
     assert answers == []
     found = plain(news)
     assert [one[:5] for one in found] == [
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -15,7 +15,7 @@
 import pytest
 
 from ambershift.coordinator.group.links.wire import FrameKind, encode_frame
-from ambershift.coordinator.replication.gossip.types import Kind as HeardKind
+from ambershift.coordinator.replication.gossip.types import RecordKind as HeardKind
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import WORDS
 from ambershift.system.transport.link_path import CONTROL_NODE, PROXY, PeerIdentity, format_path, parse_path
--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -24,8 +24,8 @@
     rows,
     sample,
 )
-from ambershift.coordinator.replication.gossip import Kind
-from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip import RecordKind
+from ambershift.coordinator.replication.gossip.store import GossipStore
 from benchmarks.takeover import Numbered, Side, Takeover
 from tests.support.policy_model import S, entry, make_terms
 
@@ -36,15 +36,15 @@
 def pair(shift: int = 0) -> tuple[ObservationExchange, ObservationExchange]:
     """Two coordinators; the second one's clock and indices differ."""
     return (
-        ObservationExchange(Store("a", 1), Numbered(2), COLD, NOW),
-        ObservationExchange(Store("b", 1), Numbered(2, shift), COLD, NOW),
+        ObservationExchange(GossipStore("a", 1), Numbered(2), COLD, NOW),
+        ObservationExchange(GossipStore("b", 1), Numbered(2, shift), COLD, NOW),
     )
 
 
 def carry(one: ObservationExchange, other: ObservationExchange, at: int, there: int) -> None:
     """All that one knows comes to the other, whose clock says `there`."""
     known = {place.origin: place for place in other.store.digest().vector}
-    other.process_records(there, other.store.hear(there, one.store.delta(at, known))[1])
+    other.process_records(there, other.store.receive(there, one.store.delta(at, known))[1])
 
 
 def shown(
@@ -79,7 +79,7 @@
     if list_first:
         assert shown(b, there, 103, own) == own
     if heard_age is not None:
-        a.store.put(NOW, Kind.START, "s3", b"x", heard_age * S)
+        a.store.put(NOW, RecordKind.SERVER_START, "s3", b"x", heard_age * S)
     carry(a, b, NOW, there)
     if list_first and told != own:
         events = b.exchange(there, BLANK)
@@ -91,8 +91,13 @@
     assert shown(b, there + S, 103, told) == told == shown(b, there + S, 103, own)
     assert shown(b, there + 2 * S, 103, there + S) == there + S == shown(b, there + 2 * S, 103, there + S)
     if told != own:
-        assert next(one.age_ns for one in b.store.all(there + 2 * S, Kind.START) if one.origin == "b") <= S
-        b.store.put(there, Kind.STEERS, "", b"x")
+        assert (
+            next(
+                one.age_ns for one in b.store.all(there + 2 * S, RecordKind.SERVER_START) if one.origin == "b"
+            )
+            <= S
+        )
+        b.store.put(there, RecordKind.MEMBER_STATUS, "", b"x")
     for phase in (api.Phase.DRAINING, api.Phase.GONE):
         assert shown(b, there + 2 * S, 103, own, phase) == own
 
@@ -101,12 +106,12 @@
     a, b = pair()
     for age in (0, 19, 20, -3):
         shown(a, NOW, age + 10, NOW - age * S)
-    told = {one.key: one.age_ns for one in a.store.all(NOW, Kind.START)}
+    told = {one.key: one.age_ns for one in a.store.all(NOW, RecordKind.SERVER_START)}
     assert told == {"s10": 0, "s29": 19 * S, "s7": 0}
     shown(b, NOW, 10, 0)
     carry(a, b, NOW, NOW)
     shown(b, NOW + S, 10, shown(b, NOW + S, 10, 0))
-    assert {one.origin for one in b.store.all(NOW, Kind.START)} == {"a"}
+    assert {one.origin for one in b.store.all(NOW, RecordKind.SERVER_START)} == {"a"}
     b.process_list(NOW, api.Listed(True, False, (entry(11),)))
     assert not b.later and set(b.known) == {11}
 
@@ -155,7 +160,10 @@
     assert b.process_events(NOW + 4 * S, [*events, met(104, 7, 7)]) == [met(104, 7, 7)]
     b.exchange(NOW + 6 * S, BLANK)
     told = [
-        row.server for one in b.store.all(NOW + 6 * S, Kind.ILL) if one.origin == "b" for row in rows(one)[1]
+        row.server
+        for one in b.store.all(NOW + 6 * S, RecordKind.ATTEMPT_STATS)
+        if one.origin == "b"
+        for row in rows(one)[1]
     ]
     assert set(told) <= {"s2", "s4"} and "s4" in told
     # One's own tries end it; long after, and too old.
@@ -169,11 +177,13 @@
     # Well again where it was tried: the word is taken back.
     a.process_events(NOW + 8 * S, [met(0, 9, 0), met(1, 9, 0), met(2, 9, 0)])
     a.exchange(NOW + 8 * S, BLANK)
-    ill = {one.key for one in a.store.all(NOW + 8 * S, Kind.ILL) if not one.key.startswith(SPLIT)}
+    ill = {
+        one.key for one in a.store.all(NOW + 8 * S, RecordKind.ATTEMPT_STATS) if not one.key.startswith(SPLIT)
+    }
     assert ill == {f"s3{SPLIT}z1"}
     a.process_events(NOW + 10 * S, [met(3, 9, 0, 1), met(1, 9, 0)])
     a.exchange(NOW + 10 * S, BLANK)
-    assert all(one.key.startswith(SPLIT) for one in a.store.all(NOW + 10 * S, Kind.ILL))
+    assert all(one.key.startswith(SPLIT) for one in a.store.all(NOW + 10 * S, RecordKind.ATTEMPT_STATS))
 
 
 def test_who_fails_for_all_is_out_and_who_fails_for_some_zones_is_cut_off() -> None:
@@ -232,14 +242,14 @@
         (f"s3{SPLIT}z0", msgspec.msgpack.encode([ServerObservation("s3", 0, 0, 1, S)])),
         ("", b"\x80"),
     ):
-        a.store.put(NOW, Kind.ILL, key, body)
-    a.store.put(NOW, Kind.START, "s9999", b"x")
+        a.store.put(NOW, RecordKind.ATTEMPT_STATS, key, body)
+    a.store.put(NOW, RecordKind.SERVER_START, "s9999", b"x")
     b.names = Careful(2)
     carry(a, b, NOW, NOW)
     assert b.exchange(NOW, BLANK) == []
     for start in range(0, 3000, 100):
         body = msgspec.msgpack.encode([ServerObservation(f"s{start + at}", 5, 5, 1, S) for at in range(100)])
-        a.store.put(NOW, Kind.ILL, f"x{start}{SPLIT}z0", body)
+        a.store.put(NOW, RecordKind.ATTEMPT_STATS, f"x{start}{SPLIT}z0", body)
     carry(a, b, NOW, NOW)
     assert len(given(b, NOW)) == GIVEN_MOST and len(given(b, NOW)) == 1000 and not given(b, NOW)
 
@@ -257,7 +267,7 @@
     assert len(a.known) == 500 and len(a.ill) == 40 and max(map(len, (a.put, b.given))) <= 4000
     a.names = Long(2)
     shown(a, NOW, 1, NOW)
-    assert all(len(one.key) < 600 for one in a.store.all(NOW, Kind.START))
+    assert all(len(one.key) < 600 for one in a.store.all(NOW, RecordKind.SERVER_START))
 
 
 class Long(Numbered):
@@ -271,21 +281,23 @@
 
 
 def test_levels_and_shares_are_told_from_the_picture() -> None:
-    side = Side(make_terms(zones=2), [entry(i, i % 2) for i in range(8)], Store("a", 1), True, NOW)
+    side = Side(make_terms(zones=2), [entry(i, i % 2) for i in range(8)], GossipStore("a", 1), True, NOW)
     side.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(4)])
     for _ in range(4):
         side.run(S)
         side.learned.exchange(side.now, side.desk.view(side.now).picture)
     told = {
         (one.kind, one.key): msgspec.msgpack.decode(one.body)
-        for kind in (Kind.LEVEL, Kind.SHARE)
+        for kind in (RecordKind.ZONE_LEVEL, RecordKind.ZONE_SHARE)
         for one in side.store.all(side.now, kind)
     }
-    assert told.keys() == {(kind, zone) for kind in (Kind.LEVEL, Kind.SHARE) for zone in ("z0", "z1")}
-    assert told[Kind.LEVEL, "z0"] == [1, 1.0] and told[Kind.SHARE, "z0"][0] >= 4
-    version = side.store.origins["a"].upto
+    assert told.keys() == {
+        (kind, zone) for kind in (RecordKind.ZONE_LEVEL, RecordKind.ZONE_SHARE) for zone in ("z0", "z1")
+    }
+    assert told[RecordKind.ZONE_LEVEL, "z0"] == [1, 1.0] and told[RecordKind.ZONE_SHARE, "z0"][0] >= 4
+    version = side.store.origins["a"].last_version
     side.learned.exchange(side.now + 2 * S, side.desk.view(side.now).picture)
-    assert side.store.origins["a"].upto == version, "what stands is not said again at once"
+    assert side.store.origins["a"].last_version == version, "what stands is not said again at once"
 
 
 def test_after_a_take_over_fewer_tries_fail_and_cold_servers_are_not_pushed() -> None:
@@ -296,17 +308,17 @@
 
 
 def test_a_member_that_calls_all_cold_and_ill_leaves_no_proxy_bare() -> None:
-    store, liar = Store("a", 1), Store("liar", 1)
+    store, liar = GossipStore("a", 1), GossipStore("liar", 1)
     side = Side(make_terms(zones=2), [entry(i, i % 2) for i in range(8)], store, True, NOW)
     side.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(4)])
     for at in range(40):
         for server in range(8):
-            liar.put(side.now, Kind.START, f"s{server}", bytes([at + 1]))
+            liar.put(side.now, RecordKind.SERVER_START, f"s{server}", bytes([at + 1]))
             body = msgspec.msgpack.encode([ServerObservation(f"s{server}", 50, 50, 1, S)])
-            liar.put(side.now, Kind.ILL, f"s{server}{SPLIT}z{server % 2}", body)
-        news = store.hear(side.now, liar.delta(side.now, {"liar": store.digest().vector[-1]} if at else {}))[
-            1
-        ]
+            liar.put(side.now, RecordKind.ATTEMPT_STATS, f"s{server}{SPLIT}z{server % 2}", body)
+        news = store.receive(
+            side.now, liar.delta(side.now, {"liar": store.digest().vector[-1]} if at else {})
+        )[1]
         side.learned.process_records(side.now, news)
         side.run(S, *side.learned.exchange(side.now, side.desk.view(side.now).picture))  # Rules are checked.
     assert all(side.proxies.values())
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -24,8 +24,8 @@
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.words import Grant, Wishes, WishOne
 from ambershift.coordinator.replication.gossip.messages import encode
-from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import Kind as Heard
+from ambershift.coordinator.replication.gossip.store import GossipStore
+from ambershift.coordinator.replication.gossip.types import RecordKind as Heard
 from ambershift.coordinator.replication.types import Applied, Entry, Halt, Note, Reason
 from ambershift.coordinator.standins.world import until
 from tests.coordinator.group.test_group import Member as Virtual
@@ -166,10 +166,10 @@
         for _ in range(4):
             gossip.beat(now)
         assert gossip.said(now, "w/s0/1") == {"a": b"1"} and gossip.steers(now)["a"] == (0, 0, 0)
-        other = Store("b", 7)
+        other = GossipStore("b", 7)
         for offset in (0, 90 * S):
-            other.put(now, Heard.STEERS, "", msgspec.msgpack.encode(Steers(4, member.wall() + offset)))
-            answers, _ = other.hear(now, gossip.store.digest())
+            other.put(now, Heard.MEMBER_STATUS, "", msgspec.msgpack.encode(Steers(4, member.wall() + offset)))
+            answers, _ = other.receive(now, gossip.store.digest())
             for answer in answers:
                 gossip.hear("b", encode(answer))
         proxies, ahead, age = gossip.steers(now)["b"]
@@ -207,7 +207,7 @@
             self.got.append(record)
 
         def due(self, now: int) -> list[Put]:
-            return [Put(Heard.MET, "k", b"body" if len(self.got) < 3 else b"")]
+            return [Put(Heard.INTERFERENCE_EVIDENCE, "k", b"body" if len(self.got) < 3 else b"")]
 
         def interfered(self, server: str) -> float:
             return 0.5 if server == "s0" else 0.0
@@ -231,11 +231,11 @@
         counting.counters("perf", msgspec.msgpack.encode([sample]))
         await until(lambda: eased == [{"s0": 0.8}])
         assert counting.scores.interfered == {"s0": 0.5} and Fake.made == 1
-        assert member.gossip.mine(Heard.MET, "k") == b"body"
+        assert member.gossip.mine(Heard.INTERFERENCE_EVIDENCE, "k") == b"body"
         counting.counters("perf", msgspec.msgpack.encode([sample] * 2))
         await until(lambda: any(event == "failure" for event, _ in log))
         counting.counters("perf", msgspec.msgpack.encode([sample]))  # It goes on.
-        await until(lambda: not member.gossip.mine(Heard.MET, "k"))
+        await until(lambda: not member.gossip.mine(Heard.INTERFERENCE_EVIDENCE, "k"))
         assert eased == [{"s0": 0.8}]
         counting.close()
 
--- a/tests/coordinator/interference/test_interference.py
+++ b/tests/coordinator/interference/test_interference.py
@@ -20,7 +20,7 @@
 from ambershift.coordinator.interference.sift import Told, judge
 from ambershift.coordinator.interference.suspects import BLOCK, findings, present, swings
 from ambershift.coordinator.interference.words import Sample, Unusable
-from ambershift.coordinator.replication.gossip import Kind
+from ambershift.coordinator.replication.gossip import RecordKind
 from tests.coordinator.interference.planted_worlds import Played, due, play, record
 
 SECOND = 1_000_000_000
@@ -305,8 +305,14 @@
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
-@given(st.binary(max_size=80), st.integers(0, 60), st.sampled_from([Kind.MET, Kind.BASELINE]))
-def test_torn_and_foreign_records_are_counted_and_never_held(rubbish: bytes, at: int, kind: Kind) -> None:
+@given(
+    st.binary(max_size=80),
+    st.integers(0, 60),
+    st.sampled_from([RecordKind.INTERFERENCE_EVIDENCE, RecordKind.INTERFERENCE_BASELINE]),
+)
+def test_torn_and_foreign_records_are_counted_and_never_held(
+    rubbish: bytes, at: int, kind: RecordKind
+) -> None:
     engine = Engine("n1")
     good = records.encode(
         records.Evidence(1, NOW, "a", "s-1", "games", False, 0, "", (records.Met("batch", 5, 5, 500, 9),))
@@ -338,8 +344,18 @@
         evidence = records.Evidence(1, NOW, f"x{at}", f"s{at}", f"g{at}", False, 0, "alone", ())
         baseline = records.Baseline(1, "m1", f"g{at}", "x", sketch_of(0.5, 5, NOW, 1))
         for one in (engine, whole):
-            one.heard(record("n2", records.Put(Kind.MET, f"x{at}|s{at}", records.encode(evidence))))
-            one.heard(record("n2", records.Put(Kind.BASELINE, f"m1|g{at}|x", records.encode(baseline))))
+            one.heard(
+                record(
+                    "n2",
+                    records.Put(RecordKind.INTERFERENCE_EVIDENCE, f"x{at}|s{at}", records.encode(evidence)),
+                )
+            )
+            one.heard(
+                record(
+                    "n2",
+                    records.Put(RecordKind.INTERFERENCE_BASELINE, f"m1|g{at}|x", records.encode(baseline)),
+                )
+            )
     for one in (engine, whole):
         one.refresh()
     assert len(engine._held.evidence) == 20 and len(engine.rows()) == 1 and len(whole.rows()) == 200
