--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -19,7 +19,7 @@
 from ambershift.coordinator.group.disk.folder import Folder
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.replication.gossip import messages as heard
-from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.store import GossipStore
 from ambershift.coordinator.replication.types import Entry, Write
 from tests.compatibility.control_node_process import IP, control_node
 from tests.compatibility.encoded_forms import STORED, Form
@@ -246,8 +246,8 @@
     opened = Folder(RealFiles(str(folder)), "g1", "a").open(WALL + S)
     # Saved, incarnation, fault, why, aside, torn, lost.
     assert tuple(opened)[1:] == (WALL + S, None, "", (), 0, False)
-    group, incarnation, view, last_normal, committed, snapshot, entries = plain(opened[0])
-    assert (group, incarnation, view, last_normal, committed) == ("g1-birth", WALL, 3, 2, 8)
+    group, incarnation, view, last_entry_view, committed, snapshot, entries = plain(opened[0])
+    assert (group, incarnation, view, last_entry_view, committed) == ("g1-birth", WALL, 3, 2, 8)
     assert entries == [entry(7, 1), entry(8, 1), entry(9, 2), entry(10, 2)]
     number, in_view, state, answers = snapshot
     assert (number, in_view) == (6, 1)
@@ -288,8 +288,8 @@
 
 def test_learned_state_is_read_from_the_bytes_that_another_coordinator_tells() -> None:
     data = (STORED_FOLDER / "learned" / "delta.bin").read_bytes()
-    store, now = Store("b", 7), 5000 * S
-    answers, news = store.hear(now, heard.decode(data))
+    store, now = GossipStore("b", 7), 5000 * S
+    answers, news = store.receive(now, heard.decode(data))
     assert answers == []
     found = plain(news)
     assert [one[:5] for one in found] == [
