--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -16,7 +16,7 @@
 from ambershift import interface as api
 from ambershift.coordinator.group.observation_exchange import ObservationExchange
 from ambershift.coordinator.replication.gossip.messages import Message, decode, encode
-from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip.store import GossipStore
 from tests.support.operator_model import Operated
 from tests.support.policy_model import S, entry, make_terms
 
@@ -45,7 +45,9 @@
 
 
 class Side(Operated):
-    def __init__(self, terms: api.Terms, servers: list[api.Entry], store: Store, use: bool, now: int) -> None:
+    def __init__(
+        self, terms: api.PolicySettings, servers: list[api.Entry], store: GossipStore, use: bool, now: int
+    ) -> None:
         self.learned = ObservationExchange(store, Numbered(terms.zones), terms.cold, now)
         self.store, self.use = store, use
         super().__init__(terms, servers, now)
@@ -88,13 +90,13 @@
         self.rng, self.lag = random.Random(seed), lag
         lines = max(1000.0, proxies * servers / 4)  # A channel that binds all within seconds.
         self.terms = make_terms(
-            zones=2, cold=20 * S, cold_share=0.2, message_limit=0, lines_per_s=lines, waiting_limit=5 * lines
+            zones=2, cold=20 * S, cold_share=0.2, message_limit=0, lines_per_s=lines, queue_limit=5 * lines
         )
         entries = [entry(i, i % 2) for i in range(servers)]
         chosen = self.rng.sample(range(servers), ill + cold)
         self.ill, self.cold = set(chosen[:ill]), dict.fromkeys(chosen[ill:], 0)
         self.now = 100 * S
-        self.sides = [Side(self.terms, entries, Store(name, 1), use, self.now) for name in ("a", "b")]
+        self.sides = [Side(self.terms, entries, GossipStore(name, 1), use, self.now) for name in ("a", "b")]
         self.proxies, self.way = proxies, list[tuple[int, int, bytes]]()
         self.outcome = Outcome(0, 0.0, 0)
 
@@ -110,7 +112,7 @@
             self.way = [one for one in self.way if one[0] > self.now]
             for _, to, data in due:
                 if self.sides[to] in alive:
-                    answers, news = self.sides[to].store.hear(self.now, decode(data))
+                    answers, news = self.sides[to].store.receive(self.now, decode(data))
                     self.sides[to].learned.process_records(self.now, news)
                     self.send(1 - to, answers)
 
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -33,7 +33,7 @@
 from ambershift.coordinator.standins.processes import Member as Process
 from ambershift.coordinator.standins.rig import Rig
 from ambershift.coordinator.standins.world import until
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 from tests.support.operator_model import Operated, some_changes
 from tests.support.policy_model import S, entry, make_terms
 
@@ -44,7 +44,7 @@
     """A coordinator of a group in virtual time; `held` says what its log has made."""
 
     def __init__(self, count: int = 6, zones: int = 2, ahead: int = 0, **terms: Any) -> None:
-        self.door, self.held, self.number, self.answers = Door[str](), EMPTY, 0, list[bytes]()
+        self.door, self.held, self.number, self.answers = IdIndex[str](), EMPTY, 0, list[bytes]()
         super().__init__(make_terms(zones=zones, **terms), [])
         self.at_desk = DeskApplier(self.desk, self.door, lambda: self.now, ahead, lambda: None)
         self.guard = CommandValidator(
@@ -62,7 +62,7 @@
         self.tell(event)
 
     def judge(self, command: Command) -> bytes | None:
-        return self.machine.judge(self.held, self.now + self.ahead, encode(command))
+        return self.machine.validate(self.held, self.now + self.ahead, encode(command))
 
     def apply(self, command: Command) -> Outcome:
         """As the shell does with what is committed."""
@@ -166,7 +166,7 @@
     for member in (*members, fresh):
         assert member.desk.waiting.keys() <= set(), member.desk.waiting
         for one in range(8):
-            index = member.door.known(f"s{one}")
+            index = member.door.lookup(f"s{one}")
             assert index is not None
             assert member.desk.world.own(index)._replace(origin=NEVER) == member.held.wish(
                 f"s{one}"
@@ -182,7 +182,7 @@
     assert not member.desk.waiting
     member.list_of([4, 5])
     member.settle()
-    four, five = member.door.known("s4"), member.door.known("s5")
+    four, five = member.door.lookup("s4"), member.door.lookup("s5")
     assert member.desk.told[four].phase == api.Phase.DRAINING  # type: ignore[index]
     assert member.desk.told[five].weight == pytest.approx(0.5 * entry(5, 1).weight)  # type: ignore[index]
     assert not any(
@@ -192,7 +192,7 @@
     member.list_of([4], api.Phase.GONE)
     member.door.forget(four)  # type: ignore[arg-type]
     member.list_of([4])
-    assert member.desk.world.wish(member.door.known("s4")).state is MAINT  # type: ignore[arg-type]
+    assert member.desk.world.wish(member.door.lookup("s4")).state is MAINT  # type: ignore[arg-type]
 
 
 def test_two_operators_at_two_members_do_not_drain_a_zones_last_two() -> None:
@@ -202,13 +202,13 @@
     assert leader.judge(first) is None and leader.judge(second) is None
     committed, log = leader.held, leader.machine.apply(leader.held, Entry(1, 1, 1, "", encode(first)))[0]
     assert leader.desk.world.own(0).state is READY and committed is EMPTY
-    answer = leader.machine.judge(log, leader.now, encode(second))
+    answer = leader.machine.validate(log, leader.now, encode(second))
     assert answer is not None and Reason.ZONE_WITHOUT_WARM.value.encode() in answer
     # What the log takes back, committed or not, is there again.
     leader.apply(first)
     back = leader.machine.apply(leader.held, Entry(1, 9, 1, "", encode(leader.wish(*out(0, state=READY)))))[0]
     assert leader.judge(second) is not None
-    assert leader.machine.judge(back, leader.now, encode(second)) is None
+    assert leader.machine.validate(back, leader.now, encode(second)) is None
     leader.at_desk.all(EMPTY)
     # The same by a permit in the log: it counts until it is closed, whatever this clock says.
     leader.held = EMPTY
@@ -466,7 +466,7 @@
 def test_a_refusal_that_is_written_is_not_refused_itself() -> None:
     machine = PromisesMachine(lambda state, at, command: BARE)
     told = encode(Answered("x", BARE.reason, BARE.text))
-    assert machine.judge(EMPTY, 0, told) is None
+    assert machine.validate(EMPTY, 0, told) is None
     state, answer = machine.apply(EMPTY, Entry(1, 1, 0, "T", told))
     assert state is EMPTY and answer == encode_answer(BARE)
 
