--- a/ambershift/system/events.py
+++ b/ambershift/system/events.py
@@ -1,7 +1,7 @@
 """The catalogue of numbered log events. `docs/system-events.md` says what to do about each.
 
-Numbers stay for good. A field that was renamed has its earlier name in `earlier_names`, for searches in logs
-of earlier versions; the page gives it too.
+Numbers are never reused or changed. A field that was renamed has its earlier name in `earlier_names`, for
+searches in logs of earlier versions; the page gives it too.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EventDescription:
-    """What an event's number stands for.
+    """Description of an event.
 
     Attributes:
         level: `INFO`, `WARNING` or `ERROR`.
-        message: The sentence that the log line has as `event`.
-        fields: Names of the line's fields, besides `n`, `at` and `node`.
+        message: The text of the log line's field `event`.
+        fields: Names of the line's further fields, besides `n`, `at` and `node`.
         earlier_names: Earlier names of fields, by their present names.
     """
 
@@ -31,9 +31,9 @@
     earlier_names: Mapping[str, str] = field(default_factory=dict)
 
 
-REACH = ("zone", "region", "abroad", "unknown")
-LOCALITY = ("same_zone", "same_region", "other_region")
-EARLIER_LOCALITY = {"same_zone": "own_zone", "same_region": "own_region", "other_region": "abroad"}
+TRAFFIC_SCOPES = ("zone", "region", "abroad", "unknown")
+LOCALITY_FIELDS = ("same_zone", "same_region", "other_region")
+EARLIER_LOCALITY_NAMES = {"same_zone": "own_zone", "same_region": "own_region", "other_region": "abroad"}
 
 EVENTS: dict[int, EventDescription] = {
     1: EventDescription(INFO, "the process has started", ("role", "zone", "initial")),
@@ -47,7 +47,7 @@
     102: EventDescription(INFO, "the link to a control node is down", ("peer",)),
     103: EventDescription(WARNING, "a link was rejected: it isn't of this version", ("path",)),
     104: EventDescription(WARNING, "a message couldn't be decoded; its link is closed", ("reason",)),
-    105: EventDescription(INFO, "traffic that links have carried since the start", REACH),
+    105: EventDescription(INFO, "traffic that links have carried since the start", TRAFFIC_SCOPES),
     111: EventDescription(INFO, "the proxy is attached to a control node", ("peer",)),
     112: EventDescription(
         WARNING,
@@ -60,15 +60,15 @@
     ),
     114: EventDescription(INFO, "the proxy is ready"),
     115: EventDescription(
-        INFO, "the proxy uses another table", ("pool", "table", *LOCALITY), EARLIER_LOCALITY
+        INFO, "the proxy uses another table", ("pool", "table", *LOCALITY_FIELDS), EARLIER_LOCALITY_NAMES
     ),
     116: EventDescription(
         INFO,
         "where the proxy's attempts went",
-        ("attempts", "failures", *LOCALITY),
-        {"attempts": "tries", "failures": "bad", **EARLIER_LOCALITY},
+        ("attempts", "failures", *LOCALITY_FIELDS),
+        {"attempts": "tries", "failures": "bad", **EARLIER_LOCALITY_NAMES},
     ),
-    117: EventDescription(INFO, "configuration is in force at the proxy", ("peer", "items", "version")),
+    117: EventDescription(INFO, "the proxy has applied configuration changes", ("peer", "items", "version")),
     118: EventDescription(
         WARNING,
         "no control node proves a newer configuration than the proxy has",
@@ -88,16 +88,18 @@
         INFO, "the control node votes: it has merged all that was acknowledged", ("epoch",)
     ),
     206: EventDescription(
-        WARNING, "the folder was set aside: another node's, of a newer version, or damaged", ("reason",)
+        WARNING,
+        "the data directory was set aside: another node's, of a newer version, or damaged",
+        ("reason",),
     ),
-    207: EventDescription(ERROR, "the control node has no disk that could be opened", ("reason",)),
+    207: EventDescription(ERROR, "the control node has no data directory that could be opened", ("reason",)),
     208: EventDescription(
         INFO,
         "how many voters have a complete replica",
         ("epoch", "voters", "reachable", "complete"),
         {"reachable": "present"},
     ),
-    209: EventDescription(INFO, "the control node stops, and has left the voters or not", ("left",)),
+    209: EventDescription(INFO, "the control node stops, after its request to leave the voters", ("left",)),
     210: EventDescription(
         WARNING,
         "the control node has lost or regained contact with a majority of the voters",
@@ -117,10 +119,10 @@
         {"known_batch": "known", "required_batch": "needed"},
     ),
     301: EventDescription(WARNING, "a backend is missing: its heartbeats have stopped", ("id", "service")),
-    302: EventDescription(WARNING, "a control node is lost; what only it reported is forgotten", ("peer",)),
+    302: EventDescription(WARNING, "a control node is lost; what only it reported is discarded", ("peer",)),
     303: EventDescription(
         WARNING,
-        "most backends here fell silent at once; waiting for reports of other control nodes",
+        "heartbeats of most backends here stopped at once; waiting for reports of other control nodes",
         ("monitored",),
         {"monitored": "heard"},
     ),
--- a/ambershift/system/interfaces.py
+++ b/ambershift/system/interfaces.py
@@ -1,4 +1,4 @@
-"""What the packages of a control node offer each other: protocols, with the values and errors they use."""
+"""Protocols between the packages of a control node, with the values and errors that they use."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(eq=False)
 class ReplicationError(Exception):
-    """The base of what a call of `ReplicatedState` raises.
+    """The base of the errors of `ReplicatedState`.
 
     Attributes:
         reason: What went wrong, as part of a sentence.
@@ -53,18 +53,18 @@
     result: Any
 
 
-# Takes the value (None: never written), since when this machine knows it, and now (both ns, steady).
+# Takes the value (None: never written), since when this machine knows it, and now (both ns, steady clock).
 ChangeFunction = Callable[[bytes | None, int, int], ChangeOutcome]
 
 
 class DeltaCodec(Protocol):
-    """Makes deltas of a register's values, so that a large value need not be sent complete."""
+    """Makes deltas between values of a register, so that a large value need not be sent whole."""
 
     def diff(self, old: bytes, new: bytes) -> bytes | None:
-        """The delta from `old` to `new`; None where the complete value is no larger."""
+        """The delta from `old` to `new`; None if the whole value is no larger."""
 
     def patch(self, old: bytes, difference: bytes) -> bytes:
-        """The value that `diff` made the delta for."""
+        """The new value that `diff` made this delta to."""
 
 
 class ReplicatedState(Protocol):
@@ -74,7 +74,7 @@
     """
 
     async def write(self, items: Sequence[Item], timeout_s: float) -> None:
-        """Merge the items, and return once these or newer ones are synced on a majority of the voters.
+        """Merge the items, and return once these or newer ones are synced at a majority of the voters.
 
         Raises:
             OutcomeUnknownError: Too few voters answered in time.
@@ -108,22 +108,22 @@
         """
 
     def control_nodes(self) -> Sequence[ControlNodeAddress]:
-        """All control nodes known and not known to be gone for good, this one too."""
+        """All control nodes known and not known to be gone for good, including this one."""
 
     def membership_status(self) -> msgspec.Struct | None:
         """The voters as this machine sees them (`consensus/membership_view.py`); None before it runs."""
 
     def has_quorum_contact(self) -> bool:
-        """Whether a majority of the voters is in contact, within the last second and a half."""
+        """Whether a majority of the voters was in contact within the last 1.5 s."""
 
     def contact_age_ms(self) -> int:
-        """How old this copy may be: all that was acknowledged longer ago than this is stored here."""
+        """Upper bound of this copy's age: all that was acknowledged longer ago is stored here."""
 
     def is_alive(self, ip: str) -> bool:
-        """Whether that control node was heard recently; always true of this one."""
+        """Whether a message of that control node came recently; always true of this one."""
 
     def settled_voters(self) -> frozenset[str]:
-        """The voters that have been well for a while, so that all agree on them; none where too few have."""
+        """The voters that have run steadily for a while, so that all nodes agree on them; none if too few."""
 
     def is_responsive(self, ip: str) -> bool:
-        """Whether it was heard within two or three of its heartbeats: it may be slow, but it is running."""
+        """Whether a message came within two or three heartbeat intervals, though it may be slow."""
--- a/ambershift/system/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -1,12 +1,12 @@
 """Encodes and decodes the messages between the programs of the system.
 
-Each message is a msgpack array that begins with the tag of its type. Long messages are deflated, since
-updates for all proxies and control nodes repeat the same JSON names in each item: deflated they take a fifth
-of the bytes. Short messages are sent plain, except for forwarded calls and their responses. Their JSON
-repeats words that both ends know, and they are a third of the bytes between regions on a quiet day, so they
-are deflated (RFC 1951) with the preset dictionary `forwarding.PRESET_DICTIONARY`.
+Each message is a msgpack array that begins with the tag of its type. Long messages are compressed with zlib
+(RFC 1950): updates for all proxies and control nodes repeat the same JSON keys in each item, and compressed
+they take a fifth of the bytes. Short messages are sent plain, except for forwarded calls and their responses:
+without much load these are a third of the bytes between regions, and their JSON repeats words that both ends
+know, so they are deflated (RFC 1951) with the preset dictionary `forwarding.PRESET_DICTIONARY`.
 
-The first byte tells the form: `ZLIB_FIRST_BYTE`, `DICTIONARY_FIRST_BYTE`, or that of a msgpack array.
+The first byte tells the encoding: `ZLIB_FIRST_BYTE`, `DICTIONARY_FIRST_BYTE`, or that of a msgpack array.
 """
 
 from __future__ import annotations
@@ -23,18 +23,17 @@
 # The version of the messages. It is part of each link's path, and a link of another version is refused.
 WIRE_VERSION = 2
 MAX_MESSAGE_BYTES = 16 << 20
-LARGE_MESSAGE_BYTES, MAX_CACHED_ENCODINGS = 16 << 10, 4  # Bytes; messages.
-DEFLATE_MIN_BYTES, DEFLATE_LEVEL = (
-    1 << 10,
-    1,
-)  # Higher levels save few bytes and cost much more time.
+LARGE_MESSAGE_BYTES = 16 << 10  # The encodings of longer messages are cached.
+MAX_CACHED_ENCODINGS = 4
+DEFLATE_MIN_BYTES = 1 << 10
+DEFLATE_LEVEL = 1  # Higher levels save few bytes and cost much more time.
 ZLIB_FIRST_BYTE = 0x78  # CMF byte of RFC 1950 with a window of 32 kB; no msgpack array begins with it.
 DICTIONARY_FIRST_BYTE = 0xC1  # The one byte that msgpack never uses.
 
 
 @dataclass(eq=False)
 class UnreadableError(Exception):
-    """Bytes that are no message of this version.
+    """Bytes that aren't a message of this version.
 
     Attributes:
         reason: What is wrong with them, as the decoder or zlib says it.
@@ -46,21 +45,21 @@
 def message_types() -> tuple[type[msgspec.Struct], ...]:
     """All tagged structs of the message modules, found by their tag so that none can be left out."""
     return tuple(
-        one
+        value
         for module in (replication, forwarding, proxy_link, registry_sync)
-        for one in vars(module).values()
-        if isinstance(one, type)
-        and issubclass(one, msgspec.Struct)
-        and one.__module__ == module.__name__
-        and one.__struct_config__.tag is not None
+        for value in vars(module).values()
+        if isinstance(value, type)
+        and issubclass(value, msgspec.Struct)
+        and value.__module__ == module.__name__
+        and value.__struct_config__.tag is not None
     )
 
 
 def _message_union() -> Any:
     first, *rest = message_types()
     union: Any = first
-    for one in rest:
-        union = union | one
+    for message_type in rest:
+        union = union | message_type
     return union
 
 
@@ -97,7 +96,7 @@
     """Decode one message.
 
     Raises:
-        UnreadableError: The bytes are no message of this version, or inflate to over `MAX_MESSAGE_BYTES`.
+        UnreadableError: The bytes aren't a message of this version, or inflate to over `MAX_MESSAGE_BYTES`.
     """
     if data[:1] == bytes((ZLIB_FIRST_BYTE,)):
         data = _inflate(zlib.decompressobj(), data)
--- a/ambershift/system/messages/forwarding.py
+++ b/ambershift/system/messages/forwarding.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
-# Preset dictionary (RFC 1950, section 2.2): frequent words of the bodies, known to both ends so that they
-# need not travel. It is part of the wire format: a changed byte makes messages unreadable for other versions.
+# Preset dictionary (RFC 1950, section 2.2): frequent words of the bodies, which both ends know so that they
+# need not be sent. It is part of the wire format: a changed byte makes messages unreadable for other
+# versions.
 PRESET_DICTIONARY = (
     b'{"Cause":"not in touch with enough machines"}{"Cause":"no clear outcome in time"}{"after":{"AppliesTo":'
     b'{"Holder":"a1.1","fence":{"HoldMs":3000}cells.retrievecells.replacenumberslocks.terminate'
@@ -21,8 +22,8 @@
     """A call of an application, forwarded to the control node that proposes for its register.
 
     Attributes:
-        number: The sender's call number. It starts at a random number with each process, so that with the
-            sender's ip it identifies the call among all that ever were.
+        number: The sender's call number. Each process starts at a random number, so that together with the
+            sender's ip it identifies the call for good.
         operation: The name that the protocol gives the call, such as "locks.initiate".
         subject_id: The id of what the call is about: a lock, a cell, a group.
         body: The call's JSON body.
@@ -52,9 +53,9 @@
 
 
 class GroupChanged(msgspec.Struct, frozen=True, array_like=True, tag="es"):
-    """A group was changed through another machine than the one that usually proposes for it.
+    """A group was changed through another control node than the one that usually proposes for it.
 
-    The receiver's watches would not look for the change there, so they are told of it.
+    Sent to the usual one, whose watches would miss a change that it has not proposed itself.
 
     Attributes:
         group: The group's name.
--- a/ambershift/system/messages/items.py
+++ b/ambershift/system/messages/items.py
@@ -27,6 +27,8 @@
 
     Attributes:
         kind: One of the constants above, or `tombstones.COLLECTED_TOMBSTONES_KIND`.
+        name: Identifies the item among those of its kind.
+        version: Decides which of two items with one key is newer.
         body: JSON; None if the item was dropped (a tombstone).
     """
 
@@ -42,7 +44,7 @@
 
     @property
     def rank(self) -> tuple[Version, bool, bytes]:
-        """Of two items with one key the one of higher rank wins, on every replica alike."""
+        """Of two items with one key the one of higher rank wins, on every replica."""
         return self.version, self.body is None, self.body or b""
 
 
--- a/ambershift/system/messages/proxy_link.py
+++ b/ambershift/system/messages/proxy_link.py
@@ -1,4 +1,4 @@
-"""Messages between a proxy, which carries traffic, and the control node that it is linked to.
+"""Messages between a proxy, which forwards client requests, and the control node that it is linked to.
 
 The control node pushes configuration items, backends and weighted tables, much as xDS management servers push
 to Envoy; the proxy reports its state and its load. Messages of one link arrive in order. Tags and the order
@@ -47,7 +47,7 @@
     Attributes:
         control_nodes: All control nodes; empty if they are those of the previous heartbeat on this link.
         has_quorum_contact: Whether this node has received messages from a majority of the voters lately.
-        max_proxies: How many proxies may be running at the most; proxies divide shared budgets by it.
+        max_proxies: Upper bound of how many proxies are running; proxies divide shared budgets by it.
         staleness_ms: Age of the last moment up to which all acknowledged changes have been sent on this link,
             once the proxy has said Hello (`consensus/contact_lease.py`).
     """
@@ -171,7 +171,7 @@
 
     Attributes:
         interval_ms: The time that the report covers.
-        requests: Requests that came, by the name of a pool or of a host counter.
+        requests: Requests that arrived, by the name of a pool or of a host counter.
         backends: Results at each backend that had an attempt.
     """
 
@@ -191,8 +191,8 @@
 
 def parse_pool_name(pool: str) -> tuple[str, tuple[str, ...]]:
     """The service and the home regions that `pool_name` was given."""
-    service, *homes = pool.split("|")
-    return service, tuple(homes)
+    service, *home_regions = pool.split("|")
+    return service, tuple(home_regions)
 
 
 def host_counter_name(host: str, home_regions: tuple[str, ...]) -> str:
@@ -208,5 +208,5 @@
     """The host and the home regions of a host counter; None if the name is a pool's."""
     if not name.startswith("@"):
         return None
-    host, *homes = name.split("|")
-    return host[1:], tuple(homes)
+    host, *home_regions = name.split("|")
+    return host[1:], tuple(home_regions)
--- a/ambershift/system/messages/registry_sync.py
+++ b/ambershift/system/messages/registry_sync.py
@@ -1,6 +1,6 @@
-"""What control nodes tell each other of backends, proxies and request rates.
+"""Messages by which control nodes share what they know of backends, proxies and request rates.
 
-Owned by `registry/` and `distribution/`. Each control node sends what it knows at first hand, as a set of
+Used by `registry/` and `distribution/`. Each control node sends what it knows at first hand, as a set of
 records with a revision that rises with each batch of changes. Times are spans in ms, counted from the
 sending, since the steady clocks of two machines have no relation. Tags and the order of the fields are the
 wire format.
--- a/ambershift/system/messages/replication.py
+++ b/ambershift/system/messages/replication.py
@@ -2,7 +2,7 @@
 
 Used by `consensus/`. Each node merges items by version; registers are agreed by CASPaxos (Rystsov, 2018)
 among the voters. Fields that each message carries come first and are small numbers, since bytes between
-regions are dear: `epoch` is that of the voters whose majority is asked, `request_id` the sender's round,
+regions are expensive: `epoch` is that of the voters whose majority is asked, `request_id` the sender's round,
 which replies repeat. Tags and the order of the fields are the wire format.
 """
 
@@ -33,12 +33,12 @@
 
 
 class VoterConfiguration(msgspec.Struct, frozen=True, array_like=True, tag="cv"):
-    """Who votes.
+    """Which control nodes vote.
 
     Attributes:
         epoch: Rises by one with each configuration.
-        voters: Those who vote in this epoch.
-        previous_voters: Those of the epoch before, who have agreed on it.
+        voters: Those of this epoch.
+        previous_voters: Those of the epoch before, which have agreed on this one.
     """
 
     epoch: int
@@ -135,14 +135,14 @@
 
 
 class Acknowledgement(msgspec.Struct, frozen=True, array_like=True, tag="cy"):
-    """Yes to a `MergeItems` or an `Accept`, which is synced, or to a `ConfirmBallot`."""
+    """The positive reply to a `MergeItems` or an `Accept`, which is synced, or to a `ConfirmBallot`."""
 
     epoch: int
     request_id: int
 
 
 class Rejected(msgspec.Struct, frozen=True, array_like=True, tag="cr"):
-    """No: a higher ballot was promised.
+    """The negative reply to a request with a ballot: a higher one was promised.
 
     Attributes:
         promised_counter: Counter of that ballot.
@@ -154,9 +154,10 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag="cp"):
-    """Phase 1 of Paxos for one register.
+    """Phase 1 of Paxos for one register: asks for a promise.
 
     Attributes:
+        ballot: The proposer's ballot.
         known_accepted: The accepted ballot whose value the proposer has, so that it need not be sent.
     """
 
--- a/ambershift/system/messages/tombstones.py
+++ b/ambershift/system/messages/tombstones.py
@@ -1,7 +1,7 @@
 """Tombstones of the operator's configuration that were collected: the content of one item.
 
 That item's key is `COLLECTED_TOMBSTONES_KEY`. A dropped item stays as a tombstone, a version without content,
-so that no replica brings it back. The oldest tombstones are collected in numbered batches
+so that no outdated replica restores it. The oldest tombstones are collected in numbered batches
 (`consensus/tombstone_collector.py`). A replica that knows the batch before the listed ones learns from the
 list all that it may still have. One that was away for longer can't tell which of its items were dropped, and
 replaces them by those of others.
@@ -68,20 +68,18 @@
     def versions_by_key(self) -> Mapping[Key, int]:
         """Up to which version each listed item is dropped."""
         versions: dict[Key, int] = {}
-        for drop in self.tombstones:
-            versions[drop.key] = max(drop.version, versions.get(drop.key, drop.version))
+        for tombstone in self.tombstones:
+            versions[tombstone.key] = max(tombstone.version, versions.get(tombstone.key, tombstone.version))
         return versions
 
     def with_batch(self, tombstones: Iterable[Item]) -> CollectedTombstones:
-        """This state and one batch more. Lists are cut to `LISTED_TOMBSTONES_MAX`, by whole batches."""
+        """This state and one batch more; whole batches are dropped beyond `LISTED_TOMBSTONES_MAX`."""
         batch = self.batch + 1
-        collected = tuple(CollectedTombstone(one.kind, one.name, one.version[0], batch) for one in tombstones)
-        drops = (*self.tombstones, *collected)
-        while len(drops) > LISTED_TOMBSTONES_MAX and drops[0].batch <= batch - LISTED_BATCHES_MIN:
-            drops = tuple(one for one in drops if one.batch > drops[0].batch)
-        return CollectedTombstones(
-            batch, max(self.highest_version, *(one.version for one in collected)), drops
-        )
+        added = tuple(CollectedTombstone(item.kind, item.name, item.version[0], batch) for item in tombstones)
+        listed = (*self.tombstones, *added)
+        while len(listed) > LISTED_TOMBSTONES_MAX and listed[0].batch <= batch - LISTED_BATCHES_MIN:
+            listed = tuple(one for one in listed if one.batch > listed[0].batch)
+        return CollectedTombstones(batch, max(self.highest_version, *(one.version for one in added)), listed)
 
 
 NO_COLLECTED_TOMBSTONES = CollectedTombstones()
--- a/ambershift/system/state_machine.py
+++ b/ambershift/system/state_machine.py
@@ -1,8 +1,8 @@
 """Events and effects that the system's state machines share.
 
-A state machine has `step(now, event) -> list[Effect]`. `now` is the steady clock in whole nanoseconds. A
-machine has no socket, file, clock or random source of its own; it gets a seed. Its caller carries the effects
-out in order, so that a simulation can run the same machines.
+A state machine has `step(now, event) -> list[Effect]`. `now` is the steady clock in whole nanoseconds. It
+has no socket, file, clock or random source of its own; it gets a seed. Its caller carries the effects out in
+order, so that a simulation can run the same state machines.
 """
 
 from __future__ import annotations
@@ -32,7 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerConnected:
-    """A link to another control node, named by its ip, is up; what was sent before may be lost."""
+    """A link to another control node is up; messages sent to it before may be lost.
+
+    Attributes:
+        ip: The other control node's.
+    """
 
     ip: str
 
@@ -47,7 +51,7 @@
     """A write has ended.
 
     Attributes:
-        token: Of the `Write`.
+        token: That of the `Write`.
         fault: None if the rows are synced to disk; else "full", "stalled" or "failed".
     """
 
@@ -74,7 +78,7 @@
     """Write rows to disk in one synced transaction; `WriteCompleted` follows.
 
     Attributes:
-        token: Names the write in its `WriteCompleted`.
+        token: Identifies the write in its `WriteCompleted`.
         rows: Table, key and value of each row; the value None deletes it.
     """
 
@@ -87,7 +91,7 @@
     """Complete a call that an event started.
 
     Attributes:
-        call_id: Of the call, as the event gave it.
+        call_id: The call's, as the event gave it.
         outcome: What the caller gets.
     """
 
@@ -97,10 +101,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleTick:
-    """Ask for a `Tick`.
+    """Schedule a `Tick`.
 
     Attributes:
-        at_ns: By the steady clock; the tick comes then or soon after.
+        at_ns: Time of the steady clock; the tick comes then or soon after.
     """
 
     at_ns: int
@@ -111,8 +115,8 @@
     """Write a numbered event to the log.
 
     Attributes:
-        number: Of the catalogue in `system/events.py`.
-        fields: As the catalogue names them.
+        number: A key of the catalogue in `system/events.py`.
+        fields: Values of the fields that the catalogue names.
     """
 
     number: int
--- a/tests/system/conftest.py
+++ b/tests/system/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of several folders of the system's tests."""
+"""Fixtures shared by several packages of the system's tests."""
 
 from __future__ import annotations
 
--- a/tests/system/messages/test_codec.py
+++ b/tests/system/messages/test_codec.py
@@ -12,16 +12,13 @@
 from ambershift.system.messages import codec
 from ambershift.system.messages.forwarding import ForwardedCall, ForwardedResponse
 from ambershift.system.messages.items import ROUTE, Item
-from ambershift.system.messages.proxy_link import (
-    Barrier,
-    ControlNodeHeartbeat,
-    ItemUpdate,
-)
+from ambershift.system.messages.proxy_link import Barrier, ControlNodeHeartbeat, ItemUpdate
 
 
 def routes(count: int) -> ItemUpdate:
     body = b'{"Host":"books.example","PathPrefix":"/%d/","RouteType":"idempotent","TimeoutMs":1500}'
-    return ItemUpdate(tuple(Item(ROUTE, f"r-{at}", (at, ""), body % at) for at in range(count)), True)
+    items = (Item(ROUTE, f"r-{number}", (number, ""), body % number) for number in range(count))
+    return ItemUpdate(tuple(items), True)
 
 
 @given(st.integers(0, 300))
@@ -42,20 +39,23 @@
     st.integers(0, 1 << 31),
 )
 def test_forwarded_call_decodes_to_itself_and_is_never_longer_than_plain(
-    number: int, name: str, of: str, body: bytes, left: int
+    number: int, operation: str, subject_id: str, body: bytes, remaining_ms: int
 ) -> None:
-    for message in (ForwardedCall(number, name, of, body, left), ForwardedResponse(number, 200, body)):
+    for message in (
+        ForwardedCall(number, operation, subject_id, body, remaining_ms),
+        ForwardedResponse(number, 200, body),
+    ):
         data = codec.encode(message)
         assert codec.decode(data) == message and len(data) <= len(msgspec.msgpack.encode(message))
-    told = b'{"Events":[{"Name":"g1.2d","Value":"5c0e7a21d94b36f8","Revision":931}],"Revision":934}'
-    assert len(codec.encode(ForwardedResponse(number, 200, told))) < 60
+    events = b'{"Events":[{"Name":"g1.2d","Value":"5c0e7a21d94b36f8","Revision":931}],"Revision":934}'
+    assert len(codec.encode(ForwardedResponse(number, 200, events))) < 60
 
 
 DEFLATED = codec.encode(routes(100))
 WITH_DICTIONARY = codec.encode(ForwardedResponse(1, 200, b'{"Events":[],"Revision":934}'))
 
 
-def test_short_answer_is_deflated_with_the_dictionary() -> None:
+def test_short_response_is_deflated_with_the_dictionary() -> None:
     assert WITH_DICTIONARY[0] == codec.DICTIONARY_FIRST_BYTE
 
 
@@ -85,9 +85,8 @@
 
 def test_heartbeat_of_an_earlier_version_is_unreadable() -> None:
     """A proxy doesn't link to a node that sends one."""
-    earlier = msgspec.msgpack.encode(["fc", [], True, 1])
+    earlier_heartbeat = msgspec.msgpack.encode(["fc", [], True, 1])
     with pytest.raises(codec.UnreadableError):
-        codec.decode(earlier)
-    assert codec.decode(msgspec.msgpack.encode(["fc", [], True, 1, 0])) == ControlNodeHeartbeat(
-        (), True, 1, 0
-    )
+        codec.decode(earlier_heartbeat)
+    present_heartbeat = msgspec.msgpack.encode(["fc", [], True, 1, 0])
+    assert codec.decode(present_heartbeat) == ControlNodeHeartbeat((), True, 1, 0)
--- a/tests/system/settings/test_settings.py
+++ b/tests/system/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: a complete one is read; the error of a bad one names the file and the key."""
+"""The settings file: a complete one is read; the error of an invalid one names the file and the key."""
 
 from pathlib import Path
 from typing import Any
@@ -21,16 +21,24 @@
 
 
 def test_complete_file_is_read(site: Site) -> None:
-    core, front = machine(site, CONTROL_NODE), machine(site, PROXY)
-    read = read_settings(str(site.write(core, initial=True)))
-    assert (read.name, read.ip, read.zone, read.region) == (core.name, core.ip, core.zone, core.region)
-    assert read.initial and read.counted and read.data_directory == str(site.data(core))
-    assert read.listen_addresses["Control"] == site.control(core) and read.zones == site.zones
-    assert read.heartbeat_interval_s == 0.5 and read.tolerated_losses == (1, 1, 1)
-    assert read.bounds.drain == 1.5 and read.bounds.retry_ratio == 0.2 and read.bounds.ttl_most == 2
-    assert read.seed_ips == tuple(one.ip for one in site.of(CONTROL_NODE)[:3])
-    proxy = read_settings(str(site.write(front, initial=False)))
-    assert proxy.data_directory is None and not proxy.initial and not proxy.counted
+    control_node, proxy = machine(site, CONTROL_NODE), machine(site, PROXY)
+    settings = read_settings(str(site.write(control_node, initial=True)))
+    assert (settings.name, settings.ip, settings.zone, settings.region) == (
+        control_node.name,
+        control_node.ip,
+        control_node.zone,
+        control_node.region,
+    )
+    assert settings.initial and settings.counted and settings.data_directory == str(site.data(control_node))
+    assert settings.listen_addresses["Control"] == site.control(control_node) and settings.zones == site.zones
+    assert settings.heartbeat_interval_s == 0.5 and settings.tolerated_losses == (1, 1, 1)
+    assert (
+        settings.bounds.drain == 1.5 and settings.bounds.retry_ratio == 0.2 and settings.bounds.ttl_most == 2
+    )
+    assert settings.seed_ips == tuple(one.ip for one in site.of(CONTROL_NODE)[:3])
+    proxy_settings = read_settings(str(site.write(proxy, initial=False)))
+    assert proxy_settings.data_directory is None
+    assert not proxy_settings.initial and not proxy_settings.counted
 
 
 def test_unknown_fields_are_ignored_and_missing_bounds_have_defaults(site: Site) -> None:
@@ -69,26 +77,26 @@
         ("Provisions.TimerBounds.DrainMs", True),
     ],
 )
-def test_error_names_file_and_key_of_a_bad_value(
+def test_error_names_file_and_key_of_an_invalid_value(
     site: Site, capsys: pytest.CaptureFixture[str], key: str, value: Any
 ) -> None:
     tables = site.settings(machine(site, PROXY), initial=False)
     *path, last = key.split(".")
-    within = tables
+    table = tables
     for part in path:
-        within = within[part]
+        table = table[part]
     if value is MISSING:
-        del within[last]
+        del table[last]
     else:
-        within[last] = value
+        table[last] = value
     file = site.folder / "bad.toml"
     file.write_text(toml(tables))
     with pytest.raises(SettingsError) as raised:
         read_settings(str(file))
     assert (raised.value.file, raised.value.key) == (str(file), key) and raised.value.reason
     assert main(["check-settings", str(file)]) == 1
-    told = capsys.readouterr().err
-    assert told.count("\n") == 1 and str(file) in told and f"'{key}'" in told
+    error = capsys.readouterr().err
+    assert error.count("\n") == 1 and str(file) in error and f"'{key}'" in error
 
 
 @pytest.mark.parametrize("content", [None, b"[SelfEntity\n", b"\xff\xfe = 1\n"])
@@ -105,11 +113,11 @@
 def test_file_change_without_a_signal_is_noticed_once(tmp_path: Path) -> None:
     file = tmp_path / "local.toml"
     file.write_text("a = 1")
-    watched = SettingsFileWatch(str(file))
-    assert not watched.has_changed()
+    watch = SettingsFileWatch(str(file))
+    assert not watch.has_changed()
     other = tmp_path / "new.toml"
     other.write_text("a = 23")
     other.replace(file)
-    assert watched.has_changed() and not watched.has_changed()
+    assert watch.has_changed() and not watch.has_changed()
     file.unlink()
-    assert not watched.has_changed()
+    assert not watch.has_changed()
