--- a/tests/support/simulated_exchange.py
+++ b/tests/support/simulated_exchange.py
@@ -1,4 +1,4 @@
-"""Simulated control nodes with real registries and controllers, on one virtual clock."""
+"""Control nodes with real registries and controllers on simulated links and one virtual clock."""
 
 from __future__ import annotations
 
@@ -26,10 +26,11 @@
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 HEARTBEAT_INTERVAL_NS = 1500 * NS_PER_MS
+LINK_LATENCY_NS = 20 * NS_PER_MS
 
 
 class SimulatedReplicatedState:
-    """Items as one control node has stored them, in the place of `consensus/`.
+    """The replicated items as one control node has stored them, in place of `consensus/`.
 
     Attributes:
         stored: Items by key.
@@ -37,7 +38,7 @@
         written: All items written through this control node.
         writes_succeed: False makes each write and each quorum read fail.
         write_gate: While it is cleared, writes and quorum reads wait.
-        quorum_reads: How many there were.
+        quorum_reads: How many there have been.
     """
 
     def __init__(self, world: SimulatedExchange, ip: str) -> None:
@@ -67,7 +68,7 @@
     async def write(self, items: Sequence[Item], timeout_s: float) -> None:
         await self.write_gate.wait()
         if not self.writes_succeed:
-            raise OutcomeUnknownError("too few")
+            raise OutcomeUnknownError("too few voters answered")
         self.written += items
         for ip in self.world.nodes:
             if ip == self.ip or (ip, self.ip) not in self.world.cut_links:
@@ -77,7 +78,7 @@
         await self.write_gate.wait()
         self.quorum_reads += 1
         if not self.writes_succeed:
-            raise OutcomeUnknownError("too few")
+            raise OutcomeUnknownError("too few voters answered")
 
     def items(self) -> dict[Any, Item]:
         return self.stored
@@ -132,8 +133,8 @@
         def log(number: int, fields: Any) -> None:
             self.log_events.append((number, fields))
 
-        def send(to: str, message: msgspec.Struct) -> None:
-            world.send(ip, to, message)
+        def send(recipient: str, message: msgspec.Struct) -> None:
+            world.send(ip, recipient, message)
 
         def send_proxy(name: str, message: msgspec.Struct) -> None:
             self.sent_to_proxies.setdefault(name, []).append(codec.decode(codec.encode(message)))
@@ -152,17 +153,17 @@
 
 
 class SimulatedExchange:
-    """Control nodes with ips "1", "2".. in the zones given. Runs in the loop of `asyncio.run`.
+    """Control nodes with ips "1", "2".. in the zones given. It needs a running event loop.
 
     Attributes:
         now: Time of all steady clocks (ns).
         zones: Zone of each control node, by ip.
         cut_links: Sender and recipient of links that lose all messages.
         stopped: Ips of control nodes that have ended.
-        paused: Ips of control nodes whose process stands still.
-        in_flight: Arrival (ns), order of sending, sender, recipient and bytes of messages under way.
-        bytes_sent: Between control nodes.
-        reported_mean_ms: Mean response time in the proxies' load reports (ms); 0: they report no backend.
+        paused: Ips of control nodes whose process is paused.
+        in_flight: Messages on the way: arrival (ns), order of sending, sender, recipient and bytes.
+        bytes_sent: Bytes sent between control nodes.
+        reported_mean_ms: Mean latency in the proxies' load reports (ms); 0: they report no backend.
         backends: By id: the control node of its heartbeats, their body, and when the next is due (ns).
         proxies: By name: control node, and requests a second for each pool.
     """
@@ -198,17 +199,18 @@
             and (sender, recipient) not in self.cut_links
         )
 
-    def send(self, sender: str, to: str, message: msgspec.Struct) -> None:
-        """Send a message between control nodes; it takes 20 ms, or is lost."""
+    def send(self, sender: str, recipient: str, message: msgspec.Struct) -> None:
+        """Send a message between control nodes; it takes `LINK_LATENCY_NS`, or is lost."""
         data = codec.encode(message)
         self.bytes_sent += len(data)
-        if self.can_receive(to, sender):
-            heapq.heappush(self.in_flight, (self.now + 20 * NS_PER_MS, next(self.order), sender, to, data))
+        if self.can_receive(recipient, sender):
+            arrival = self.now + LINK_LATENCY_NS
+            heapq.heappush(self.in_flight, (arrival, next(self.order), sender, recipient, data))
 
     def add_backend(
         self, id: str, service: str, zone: str, control_node: str, address: str = "", **condition: Any
     ) -> None:
-        """Start a backend that sends heartbeats to this control node; `condition`: fields of theirs."""
+        """Start a backend that sends heartbeats to this control node; `condition` are fields of theirs."""
         body = {
             "Address": address or f"{id}:80",
             "Information": {"Service": service, "ConfigVersion": "v1", "Zone": zone, "CapacitySlots": 4},
@@ -222,7 +224,7 @@
         """Send a backend's next heartbeat now, from then on to `control_node` if one is given.
 
         Returns:
-            HTTP status and body of the answer.
+            HTTP status and body of the response.
         """
         current, body, _ = self.backends[id]
         control_node = control_node or current
@@ -253,16 +255,16 @@
     def _send_proxy_messages(self) -> None:
         for name, (ip, rates) in self.proxies.items():
             if ip not in self.stopped | self.paused:
-                hear = self.nodes[ip].controller.receive_from_proxy
+                receive = self.nodes[ip].controller.receive_from_proxy
                 for message in list(self.nodes[ip].sent_to_proxies.get(name, ())):
                     if isinstance(message, proxy_link.Barrier):
-                        hear(name, message)
+                        receive(name, message)
                 if self.now % NS_PER_SECOND == 0:
                     loads = tuple(
                         proxy_link.BackendLoad(id, 20, 0, self.reported_mean_ms)
                         for id in list(self.backends)[:1]
                     )
-                    hear(name, proxy_link.LoadReport(1000, rates, loads if self.reported_mean_ms else ()))
+                    receive(name, proxy_link.LoadReport(1000, rates, loads if self.reported_mean_ms else ()))
 
     async def run(self, seconds: float) -> None:
         """Let time pass in ticks of 50 ms."""
@@ -270,9 +272,9 @@
         while self.now < until:
             self.now += 50 * NS_PER_MS
             while self.in_flight and self.in_flight[0][0] <= self.now:
-                _, _, sender, to, data = heapq.heappop(self.in_flight)
-                if self.can_receive(to, sender):
-                    self.nodes[to].registry.receive(sender, codec.decode(data))
+                _, _, sender, recipient, data = heapq.heappop(self.in_flight)
+                if self.can_receive(recipient, sender):
+                    self.nodes[recipient].registry.receive(sender, codec.decode(data))
             for id, (control_node, _, due) in list(self.backends.items()):
                 if due <= self.now and control_node not in self.stopped | self.paused:
                     await self.send_heartbeat(id)
