--- a/ambershift/system/distribution/__init__.py
+++ b/ambershift/system/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution: the decision module's tables for each pool, and their way to the proxies."""
+"""The tables of each pool, as the decision module orders them, and how they reach the proxies."""
--- a/ambershift/system/distribution/controller.py
+++ b/ambershift/system/distribution/controller.py
@@ -95,7 +95,7 @@
         self._last_barrier = 0
         self._heartbeats_sent_at = 0
         self._remote_proxies_at = 0
-        self._list_complete = False  # Whether the registry has heard of all backends since the start.
+        self._list_complete = False  # Whether the registry knows all backends since its start.
         self._stored_items_sent = False
         self._routes_current = False
         self._control_nodes: tuple[ControlNodeAddress, ...] = ()  # As all linked proxies have been told.
--- a/ambershift/system/messages/codec.py
+++ b/ambershift/system/messages/codec.py
@@ -104,8 +104,8 @@
         data = _inflate(_dictionary_decompressor.copy(), data[1:])
     try:
         message: msgspec.Struct = _decoder.decode(data)
-    except (msgspec.ValidationError, msgspec.DecodeError) as why:
-        raise UnreadableError(str(why)) from why
+    except (msgspec.ValidationError, msgspec.DecodeError) as error:
+        raise UnreadableError(str(error)) from error
     return message
 
 
@@ -113,8 +113,8 @@
     """Inflate at most `MAX_MESSAGE_BYTES`, so that a small message can't fill the memory."""
     try:
         plain: bytes = decompressor.decompress(data, MAX_MESSAGE_BYTES)
-    except zlib.error as why:
-        raise UnreadableError(str(why)) from why
+    except zlib.error as error:
+        raise UnreadableError(str(error)) from error
     if not decompressor.eof:
         raise UnreadableError("deflated: cut off, or too large")
     return plain
--- a/ambershift/system/settings/process_settings.py
+++ b/ambershift/system/settings/process_settings.py
@@ -174,8 +174,8 @@
     """
     try:
         tables = tomllib.loads(Path(file).read_text(encoding="utf-8"))
-    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as why:
-        raise SettingsError(file, "", str(why)) from why
+    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise SettingsError(file, "", str(error)) from error
     reader = SettingsReader(file, tables)
     value_of = reader.value
     ports = value_of("Network.InternalPorts", list)
--- a/ambershift/system/transport/links.py
+++ b/ambershift/system/transport/links.py
@@ -170,8 +170,8 @@
                 user_agent_header=None,
                 **WEBSOCKET_OPTIONS,  # type: ignore[arg-type]
             )
-        except (InvalidHandshake, InvalidURI, EOFError, ConnectionClosed) as why:
-            raise ConnectionError(str(why)) from why
+        except (InvalidHandshake, InvalidURI, EOFError, ConnectionClosed) as error:
+            raise ConnectionError(str(error)) from error
         enable_dead_peer_detection(connection.transport.get_extra_info("socket"))
         return connection
 
@@ -202,8 +202,8 @@
         """Refuse a link of another message version before it is upgraded."""
         try:
             parse_path(request.path)
-        except PathError as why:
-            self._log(103, {"path": why.path[:80]})
+        except PathError as error:
+            self._log(103, {"path": error.path[:80]})
             return connection.respond(404, "not a link of this version\n")
         return None
 
@@ -247,8 +247,8 @@
             on_message(codec.decode(data if isinstance(data, bytes) else data.encode()))
     except ConnectionClosed:
         return
-    except codec.UnreadableError as why:
-        log(104, {"reason": why.reason[:120]})
+    except codec.UnreadableError as error:
+        log(104, {"reason": error.reason[:120]})
         connection.transport.abort()
 
 
