--- a/tests/system/proxy/test_request_path.py
+++ b/tests/system/proxy/test_request_path.py
@@ -12,13 +12,13 @@
 from tests.support.proxy_rig import SERVICES, ProxyRig, backend_record, response, route, run_scenario
 
 
-async def good(head, body, writer):
+async def succeed(head, body, writer):
     return response(head, body=b"read:" + body)
 
 
 def test_requests_are_forwarded_unchanged_on_kept_connections():
     async def scenario():
-        async with ProxyRig(good) as rig:
+        async with ProxyRig(succeed) as rig:
             status, head, body = await rig.request(
                 "/read/a%2Fb/?x=%20y&z",
                 remaining_ms=900,
@@ -35,11 +35,8 @@
             assert (await rig.request("/write/", "POST", extra=chunks))[2] == b"read:abcde"
             assert (await rig.request("/read/", "DELETE", body=b"xyz"))[2] == b"read:xyz"
             assert rig.backends[0].connections == 1
-            assert [(await rig.request(path))[0] for path in ("/read", "/other/", "/write/x")] == [
-                404,
-                404,
-                200,
-            ]
+            statuses = [(await rig.request(path))[0] for path in ("/read", "/other/", "/write/x")]
+            assert statuses == [404, 404, 200]
             assert rig.proxy.is_idle() and rig.proxy.take_report(1 << 62).requests == {"loans": 4}
 
     run_scenario(scenario)
@@ -47,10 +44,10 @@
 
 def test_large_responses_stream_and_truncated_ones_are_not_complete():
     async def large(head, body, writer):
-        whole = response(head, body=b"x" * 1_000_000)
+        complete = response(head, body=b"x" * 1_000_000)
         if b"/cut" not in head:
-            return whole
-        writer.write(whole[:700_000])
+            return complete
+        writer.write(complete[:700_000])
         await writer.drain()
         await asyncio.sleep(0.02)
         return None
@@ -73,18 +70,18 @@
 
 
 def scripted(*replies):
-    """A backend that does these in turn, the last one again and again."""
+    """A script that runs these in turn, and the last one for all further requests."""
 
-    def do(head, body, writer):
-        reply = replies[min(len(do.seen), len(replies) - 1)]
-        do.seen.append(head)
+    def script(head, body, writer):
+        reply = replies[min(len(script.request_heads), len(replies) - 1)]
+        script.request_heads.append(head)
         return reply(head, body, writer)
 
-    do.seen = []
-    return do
+    script.request_heads = []
+    return script
 
 
-async def reset(head, body, writer):
+async def close_without_response(head, body, writer):
     return None
 
 
@@ -92,19 +89,19 @@
     return b""
 
 
-async def away(head, body, writer):
+async def reject_full(head, body, writer):
     return response(head, 503, b"", b"X-Not-Executed: full\r\n")
 
 
-async def failing(head, body, writer):
+async def own_error(head, body, writer):
     return response(head, 500, b"own")
 
 
-async def foreign(head, body, writer):
+async def response_to_another(head, body, writer):
     return response(b"x-attempt-id: other\r\n")
 
 
-async def late(head, body, writer):
+async def stale_response_first(head, body, writer):
     return response(b"x-attempt-id: other\r\n", body=b"late") + response(head, body=b"mine")
 
 
@@ -112,32 +109,32 @@
     return response(head).replace(b"X-Server-Seal", b"X-Other")
 
 
-async def garbage(head, body, writer):
+async def malformed(head, body, writer):
     return b"\x00\x01 no answer\r\n\r\n"
 
 
-async def cut(head, body, writer):
+async def truncated(head, body, writer):
     writer.write(response(head)[:-2])
     await writer.drain()
 
 
-async def promise(head, body, writer):
-    return response(head, 429, b"")  # Without saying that it has not run.
+async def rate_without_proof(head, body, writer):
+    return response(head, 429, b"")  # Without `X-Not-Executed`.
 
 
-async def gave_up(head, body, writer):
+async def timeout_without_proof(head, body, writer):
     return response(head, 408, b"")
 
 
-async def full(head, body, writer):
+async def full_without_proof(head, body, writer):
     return response(head, 503, b"")
 
 
-async def too_many(head, body, writer):
+async def reject_rate(head, body, writer):
     return response(head, 429, b"", b"X-Not-Executed: rate\r\n")
 
 
-async def elsewhere(head, body, writer):
+async def misdirected(head, body, writer):
     return response(head, 421, b"")
 
 
@@ -149,141 +146,150 @@
     return response(head, body=b"mine").replace(b"Content-Length: 4\r\n", b"Connection: close\r\n")
 
 
-async def closed(head, body, writer):
-    return without_length(head)  # Its end is the connection's.
+async def ends_with_the_connection(head, body, writer):
+    return without_length(head)  # The end of the connection ends the body.
 
 
-def resets(writer):
-    """The connection's end is a reset, where that of `reset` and `cut` is a close."""
+def set_reset_on_close(writer):
+    """Make the end of the connection a reset; otherwise it is a close."""
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
 async def reset_without_length(head, body, writer):
-    """As if it were whole, but for how it ends."""
+    """A body that looks complete, but the connection ends with a reset."""
     writer.write(without_length(head)[:-2])
     await writer.drain()
-    await asyncio.sleep(0.01)  # So that the bytes are read before the reset throws them away.
-    resets(writer)
+    await asyncio.sleep(0.01)  # So that the bytes are read before the reset discards them.
+    set_reset_on_close(writer)
 
 
 async def reset_at_once(head, body, writer):
-    resets(writer)
+    set_reset_on_close(writer)
 
 
-async def reset_in_its_head(head, body, writer):
+async def truncated_in_its_head(head, body, writer):
     writer.write(response(head)[:40])
     await writer.drain()
 
 
-async def twice(head, body, writer):
+async def responds_twice(head, body, writer):
     return response(head, body=b"mine") + response(head, body=b"again")
 
 
-# What the first backend does: the statuses a idempotent and another request get, with a good one beside it.
+# The first backend's reply, and the status of an idempotent request and of another; the second one succeeds.
 CASES = [
-    (reset, 200, 502),
-    (cut, 200, 502),
-    (garbage, 200, 502),
-    (foreign, 200, 504),
+    (close_without_response, 200, 502),
+    (truncated, 200, 502),
+    (malformed, 200, 502),
+    (response_to_another, 200, 504),
     (unsealed, 200, 502),
-    (promise, 200, 502),
-    (away, 200, 200),
-    (failing, 200, 500),
-    (late, 200, 200),
-    (good, 200, 200),
-    (gave_up, 200, 502),  # No promise without the word that it has not run.
-    (full, 200, 502),
-    (too_many, 200, 200),
-    (elsewhere, 200, 200),
+    (rate_without_proof, 200, 502),
+    (reject_full, 200, 200),
+    (own_error, 200, 500),
+    (stale_response_first, 200, 200),
+    (succeed, 200, 200),
+    (timeout_without_proof, 200, 502),  # The status alone proves nothing without `X-Not-Executed`.
+    (full_without_proof, 200, 502),
+    (reject_rate, 200, 200),
+    (misdirected, 200, 200),
     (encoded, 200, 502),
-    (closed, 200, 200),
+    (ends_with_the_connection, 200, 200),
     (reset_without_length, 200, 502),
-    (reset_in_its_head, 200, 502),
+    (truncated_in_its_head, 200, 502),
     (reset_at_once, 200, 502),
-    (twice, 200, 200),
+    (responds_twice, 200, 200),
 ]
-MINE = (late, closed, twice)  # Answered by the first one itself, with a body of its own.
-
-
-@pytest.mark.parametrize(("bad", "idempotent", "once"), CASES, ids=[case[0].__name__ for case in CASES])
-def test_each_ending_at_the_first_backend_for_idempotent_and_other_requests(bad, idempotent, once):
+ACCEPTED_FROM_FIRST = (
+    stale_response_first,
+    ends_with_the_connection,
+    responds_twice,
+)  # With the body `mine`.
+
+
+@pytest.mark.parametrize(
+    ("reply", "idempotent_status", "other_status"), CASES, ids=[case[0].__name__ for case in CASES]
+)
+def test_each_ending_at_the_first_backend_for_idempotent_and_other_requests(
+    reply, idempotent_status, other_status
+):
     async def scenario():
-        first, second = scripted(bad), scripted(good)
+        first, second = scripted(reply), scripted(succeed)
         async with ProxyRig(first, second) as rig:
             rig.proxy.routing.find(b"books.example", b"/read/")
-            for _ in range(20):  # So that the budget allows a repeat.
+            for _ in range(20):  # So that the retry budget allows a retry.
                 rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
-            for path, wanted in (("/read/", idempotent), ("/write/", once)):
+            for path, expected_status in (("/read/", idempotent_status), ("/write/", other_status)):
                 instances = rig.proxy.backend_view.instances
-                instances["i-1"].in_flight, before = 5, len(second.seen)  # Full: the first one is picked.
+                instances["i-1"].in_flight = 5  # Full, so that the other is picked.
+                before = len(second.request_heads)
                 status, head, body = await rig.request(
                     path, "PUT", b"x", attempt_id=path.strip("/"), remaining_ms=400
                 )
-                assert status == wanted, path
+                assert status == expected_status, path
                 assert (status != 200) == (b"x-server-seal" not in head)
-                assert body == {200: b"mine" if bad in MINE else b"read:x", 500: b"own"}.get(status, b"")
-                more = wanted == 200 and bad not in (good, *MINE)
-                assert len(second.seen) - before == more
-                instances["i-0"].backoff_ns = instances["i-0"].recent_results[1] = instances[
-                    "i-0"
-                ].queue_length = 0
+                good_body = b"mine" if reply in ACCEPTED_FROM_FIRST else b"read:x"
+                assert body == {200: good_body, 500: b"own"}.get(status, b"")
+                is_retried = expected_status == 200 and reply not in (succeed, *ACCEPTED_FROM_FIRST)
+                assert len(second.request_heads) - before == is_retried
+                first_instance = instances["i-0"]
+                first_instance.backoff_ns = first_instance.recent_results[1] = 0
+                first_instance.queue_length = 0
 
     run_scenario(scenario)
 
 
 @pytest.mark.parametrize("path", ["/read/", "/write/"])
 def test_backend_that_responds_early_reads_only_the_rest_of_that_body(path):
-    """It answers as soon as it has the head, and reads the body after that."""
-    got = list[tuple[int, bytes]]()  # Connection, and what was read where a body was due.
+    """The backend responds as soon as it has the head, and reads the body after that."""
+    bodies_read = list[bytes]()  # What was read where a body was due.
 
     async def scenario():
-        rig = ProxyRig(good)
+        rig = ProxyRig(succeed)
 
-        async def early(reader, writer):
-            shelf = rig.backends[0]
-            shelf.connections += 1
-            number = shelf.connections
+        async def respond_early(reader, writer):
+            backend = rig.backends[0]
+            backend.connections += 1
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
                     head = await reader.readuntil(b"\r\n\r\n")
-                    first, _, rest = head.partition(b"\r\n")
-                    head = first + b"\r\n" + rest.lower()
-                    shelf.request_heads.append(head)
+                    request_line, _, headers = head.partition(b"\r\n")
+                    head = request_line + b"\r\n" + headers.lower()
+                    backend.request_heads.append(head)
                     writer.write(response(head, body=b"soon"))
                     await writer.drain()
                     length = int(head.partition(b"content-length: ")[2].partition(b"\r\n")[0] or 0)
                     read = b""
                     while len(read) < length and (part := await reader.read(length - len(read))):
                         read += part
-                    got.append((number, read))
+                    bodies_read.append(read)
             writer.close()
 
-        rig.backends[0]._serve = early
+        rig.backends[0]._serve = respond_early
         bodies = [bytes([number]) * 400_000 for number in (1, 2, 3)]
         async with rig:
             for body in bodies:
                 assert (await rig.request(path, "PUT", body=body, remaining_ms=2000))[::2] == (200, b"soon")
         assert len(rig.backends[0].request_heads) == 3
-        for _, read in got:
+        for read in bodies_read:
             assert read in (body[: len(read)] for body in bodies)
 
     run_scenario(scenario)
-    assert got
+    assert bodies_read
 
 
 def test_status_tells_whether_the_request_may_have_been_executed():
     async def scenario():
-        async with ProxyRig(away, away) as rig:
+        async with ProxyRig(reject_full, reject_full) as rig:
             rig.proxy.budget("loans").record_request(0)
             status, head, _ = await rig.request("/write/", "POST", b"x")
             assert status == 503 and b"retry-after: 0.1" in head
         async with ProxyRig(silent) as rig:
-            began = rig.proxy.monotonic_ns()
+            started_at = rig.proxy.monotonic_ns()
             assert (await rig.request("/write/", "POST", b"x", remaining_ms=120))[0] == 504
-            assert rig.proxy.monotonic_ns() - began < 400_000_000
+            assert rig.proxy.monotonic_ns() - started_at < 400_000_000
             assert await rig.request(remaining_ms=0) and not rig.proxy.backend_view.instances["i-0"].in_flight
-        async with ProxyRig(good) as rig:
+        async with ProxyRig(succeed) as rig:
             rig.backends[0].server.close()
             await rig.backends[0].server.wait_closed()
             assert (await rig.request("/write/", "POST", b"x"))[0] == 503
@@ -297,16 +303,16 @@
 
 def test_hedged_attempt_beside_a_silent_backend_does_not_cancel_the_first():
     async def scenario():
-        async with ProxyRig(silent, good) as rig:
+        async with ProxyRig(silent, succeed) as rig:
             for _ in range(20):
                 rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
             rig.proxy.backend_view.instances["i-1"].in_flight = 5
-            began = rig.proxy.monotonic_ns()
+            started_at = rig.proxy.monotonic_ns()
             assert (await rig.request(remaining_ms=700))[0] == 200
-            assert rig.proxy.monotonic_ns() - began < 500_000_000
+            assert rig.proxy.monotonic_ns() - started_at < 500_000_000
             assert rig.proxy.is_idle() and not rig.backends[0].connection_ended.is_set()
             await rig.backends[0].connection_ended.wait()  # At the deadline.
-            assert rig.proxy.monotonic_ns() - began > 600_000_000
+            assert rig.proxy.monotonic_ns() - started_at > 600_000_000
             assert (
                 rig.proxy.backend_view.instances["i-0"].backoff_ns
                 and not rig.proxy.backend_view.instances["i-0"].in_flight
@@ -320,10 +326,10 @@
     items = ItemUpdate((route("r", "/read/", Service=None, Distribution=shares), *SERVICES), True)
 
     async def scenario():
-        async with ProxyRig(good, items=items) as rig:
+        async with ProxyRig(succeed, items=items) as rig:
             assert {(await rig.request())[0] for _ in range(5)} == {200}
             rig.proxy.handle_message(BackendUpdate((backend_record("m", service="maps"),), (), False))
-            assert {(await rig.request())[0] for _ in range(5)} == {503}  # Nobody is at that address.
+            assert {(await rig.request())[0] for _ in range(5)} == {503}  # Nothing listens at its address.
             assert rig.proxy.take_report(1 << 62).requests == {"loans": 5, "maps": 5}
 
     run_scenario(scenario)
@@ -341,11 +347,11 @@
             assert (await rig.request("/write/"))[0] == 200 and rig.backends[0].connections == 3
             rig.proxy.connections._monotonic_ns = lambda: monotonic_ns() + 6_000_000_000
             assert (await rig.request("/write/"))[0] == 200 and rig.backends[0].connections == 4
-            later = monotonic_ns() + 9_000_000_000
-            rig.proxy.connections._monotonic_ns = lambda: later  # 3 s old, of 4 that it is kept.
+            fixed = monotonic_ns() + 9_000_000_000
+            rig.proxy.connections._monotonic_ns = lambda: fixed  # Idle for 3 s of the 4 s that it is kept.
             assert (await rig.request("/write/"))[0] == 200 and rig.backends[0].connections == 5
             assert (await rig.request("/read/"))[0] == 200 and rig.backends[0].connections == 5
-            rig.proxy.connections._monotonic_ns = lambda: later + 3_700_000_000
+            rig.proxy.connections._monotonic_ns = lambda: fixed + 3_700_000_000
             assert (await rig.request("/read/"))[0] == 200 and rig.backends[0].connections == 6
 
     run_scenario(scenario)
@@ -369,54 +375,53 @@
 
 def test_retries_are_charged_to_the_budget_unless_they_were_not_sent():
     async def scenario():
-        second = scripted(good)
-        async with ProxyRig(reset, second) as rig:
+        second = scripted(succeed)
+        async with ProxyRig(close_without_response, second) as rig:
             rig.proxy.backend_view.instances["i-1"].in_flight = 5
-            assert (await rig.request())[0] == 502 and not second.seen
+            assert (await rig.request())[0] == 502 and not second.request_heads
             budget, now = rig.proxy.budget("loans"), rig.proxy.monotonic_ns()
             for _ in range(6):
-                budget.record_request(now)  # Enough for one.
+                budget.record_request(now)  # Enough for one retry.
             rig.backends[1].server.close()
             rig.proxy.backend_view.instances["i-0"].backoff_ns = 0
             assert (await rig.request())[0] == 502
             assert budget.take(rig.proxy.monotonic_ns()) and not budget.take(rig.proxy.monotonic_ns())
-        async with ProxyRig(reset, second) as rig:
+        async with ProxyRig(close_without_response, second) as rig:
             rig.proxy.backend_view.instances["i-1"].in_flight = 5
             for _ in range(6):
                 rig.proxy.budget("loans").record_request(rig.proxy.monotonic_ns())
-            assert (await rig.request())[0] == 200 and not rig.proxy.budget("loans").take(
-                rig.proxy.monotonic_ns()
-            )
+            assert (await rig.request())[0] == 200
+            assert not rig.proxy.budget("loans").take(rig.proxy.monotonic_ns())
 
     run_scenario(scenario)
 
 
 def test_nothing_is_sent_to_a_backend_that_drains_during_the_connect():
     async def scenario():
-        first, second = scripted(good), scripted(good)
+        first, second = scripted(succeed), scripted(succeed)
         async with ProxyRig(first, second) as rig:
             rig.proxy.backend_view.instances["i-1"].in_flight = 5
-            opening = rig.proxy.connections.connect
+            connect = rig.proxy.connections.connect
 
-            async def slowly(instance, within):
-                connection = await opening(instance, within)
+            async def connect_while_it_drains(instance, timeout_s):
+                connection = await connect(instance, timeout_s)
                 rig.proxy.handle_message(ItemUpdate((Item(INSTANCE, "i-0", (1, ""), b"{}"),), False))
                 return connection
 
-            rig.proxy.connections.connect = slowly
+            rig.proxy.connections.connect = connect_while_it_drains
             assert (await rig.request("/write/"))[0] == 200
-            assert (len(first.seen), len(second.seen)) == (0, 1)
+            assert (len(first.request_heads), len(second.request_heads)) == (0, 1)
 
     run_scenario(scenario)
 
 
 def test_reset_while_others_are_served_means_full_rather_than_dead():
-    async def some(head, body, writer):
+    async def reset_some(head, body, writer):
         await asyncio.sleep(0.3 if b"/slow" in head else 0)
         return None if b"/reset" in head else response(head)
 
     async def scenario():
-        async with ProxyRig(some) as rig:
+        async with ProxyRig(reset_some) as rig:
             instance = rig.proxy.backend_view.instances["i-0"]
             slow, lost = await asyncio.gather(rig.request("/write/slow"), rig.request("/write/slow/reset"))
             assert (
@@ -424,7 +429,7 @@
                 and instance.backoff_ns == 0
                 and instance.is_full(rig.proxy.monotonic_ns())
             )
-            # The slow one's watch over its client must not touch the connection that is idle again.
+            # The disconnect watch of the slow request must not affect the connection, which is idle again.
             assert (await rig.request())[0] == 200 and rig.backends[0].connections == 2
             await rig.request("/read/reset")
             assert instance.backoff_ns > 0
@@ -434,7 +439,7 @@
 
 def test_client_disconnect_ends_the_attempt_and_draining_proxy_closes_connections():
     async def scenario():
-        async with ProxyRig(scripted(silent, good)) as rig:
+        async with ProxyRig(scripted(silent, succeed)) as rig:
             _, writer = await asyncio.open_connection("127.0.0.1", rig.port)
             writer.write(b"GET /write/ HTTP/1.1\r\nHost: books.example\r\nX-Attempt-Id: a\r\n\r\n")
             while not rig.backends[0].request_heads:
@@ -448,16 +453,16 @@
             rig.proxy.start_draining()
             status, head, _ = await rig.request("/read/")
             assert status == 200 and b"\r\nconnection: close" in head
-            said = []
+            messages = []
 
             async def send(message):
-                said.append(message)
+                messages.append(message)
 
-            for leaving in (False, True):
-                rig.proxy.draining = leaving
+            for draining in (False, True):
+                rig.proxy.draining = draining
                 await rig.proxy(
                     {"type": "http", "server": ("", 2), "raw_path": b"/ambershift/readiness"}, None, send
                 )
-            assert [one["status"] for one in said if "status" in one] == [200, 503]
+            assert [message["status"] for message in messages if "status" in message] == [200, 503]
 
     run_scenario(scenario)
