--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -123,8 +123,8 @@
                     self.backend_view.end_evacuation(now, item.name)
             elif item.kind == items.INSTANCE and item.version[0] >= 1:
                 self.backend_view.retire(item.name)
-            elif item.kind == items.CLEARED:
-                self.backend_view.forget_retired(items.cleared_instances(item))
+            elif item.kind == items.COLLECTED_INSTANCES_KIND:
+                self.backend_view.forget_retired(items.collected_instance_ids(item))
             elif item.kind == items.SERVICE:
                 self._limit_connections(self.backend_view.instances_of(item.name))
         if message.complete:
--- a/tests/system/proxy/test_collected_tombstones.py
+++ b/tests/system/proxy/test_collected_tombstones.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ambershift.system.distribution.pushes import Pushes
+from ambershift.system.distribution.proxy_updates import ProxyUpdates
 from ambershift.system.messages.items import ROUTE
 from ambershift.system.messages.proxy_link import BackendUpdate, ItemUpdate
 from ambershift.system.messages.tombstones import (
@@ -23,23 +23,23 @@
 
 
 def test_proxy_collects_tombstones_with_its_control_node() -> None:
-    pushes, routing = Pushes(), Routing()
+    updates, routing = ProxyUpdates(), Routing()
     collected = CollectedTombstones().with_batch([drop("r1", 11)])
     routing.begin_link()
     items = {item.key: item for item in (route("r1", 1), route("r2", 2))}
-    for push in pushes.greet("proxy", items.values(), BackendUpdate((), (), True)):
-        routing.merge(getattr(push.message, "items", ()))
+    for update in updates.add_proxy("proxy", items.values(), BackendUpdate((), (), True)):
+        routing.merge(getattr(update.message, "items", ()))
     routing.complete_link()
-    for push in pushes.items([drop("r1", 11)]) + pushes.items([collected.as_item]):
-        assert isinstance(push.message, ItemUpdate)
-        routing.merge(push.message.items)
+    for update in updates.update_items([drop("r1", 11)]) + updates.update_items([collected.as_item]):
+        assert isinstance(update.message, ItemUpdate)
+        routing.merge(update.message.items)
     assert routing.items.keys() == {(ROUTE, "r2"), COLLECTED_TOMBSTONES_KEY} and routing.route_count == 1
     routing.merge([route("r1", 1)])
     assert routing.find(b"h", b"/r1") is None and not routing.control_node_outdated
     # A new link isn't sent what was collected.
     held = [route("r2", 2), collected.as_item]
-    sent = pushes.greet("other", held, BackendUpdate((), (), True))
-    assert [list(push.message.items) for push in sent if isinstance(push.message, ItemUpdate)] == [held]
+    sent = updates.add_proxy("other", held, BackendUpdate((), (), True))
+    assert [list(update.message.items) for update in sent if isinstance(update.message, ItemUpdate)] == [held]
 
 
 def collected_batches(first: int = 1) -> CollectedTombstones:
