--- a/ambershift/system/proxy/__init__.py
+++ b/ambershift/system/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy: requests in, a backend picked from the table, attempts, answers."""
+"""The proxy: picks a backend for each request, forwards it, retries it, and passes the response on."""
--- a/ambershift/system/proxy/backend_instance.py
+++ b/ambershift/system/proxy/backend_instance.py
@@ -13,7 +13,7 @@
 BACKOFF_MAX_NS = 5 * NS_PER_SECOND
 # A backend that rejects a request is assumed to have at least so many waiting for each slot.
 ASSUMED_QUEUE_PER_SLOT = 2
-# A backend that responds to none of our requests for so long, and twice its mean time, is avoided.
+# A backend that responds to none of this proxy's requests for so long, plus twice its mean time, is avoided.
 SILENCE_TIMEOUT_MIN_NS = 150 * NS_PER_MS
 # A share of failures above this, over at least so many recent attempts, counts as a failing backend.
 FAILURE_SHARE_MAX = 0.5
@@ -35,7 +35,7 @@
         slots: How many requests it executes at once.
         draining: It is about to end.
         retired: It drains or is gone, for good.
-        ejected: The control node excludes it for its failures.
+        ejected: The control node has excluded it.
         evacuated: Its zone is being evacuated.
         is_listed: The list of the link in use has it.
         usable_until: How long it may be used while it isn't listed.
@@ -45,8 +45,8 @@
         last_response_at: When it last responded.
         waiting_since: Since when its requests wait without a response to any.
         max_in_flight: How many requests this proxy may have there at once.
-        queue_length: Requests waiting there, as last reported.
-        load_reported_at: When the queue length was reported.
+        queue_length: Requests waiting there, as last reported, or as assumed after a rejection or a reset.
+        load_reported_at: When that was.
         sent_since_load_report: Requests of this proxy since then.
         unqueued_response_ns: Moving mean of the response times while nobody waited there.
         backoff_until: Until when it is avoided after failures.
@@ -55,8 +55,8 @@
         attempts: Attempts since the last load report.
         failures: Failures since the last load report.
         total_time_ns: Time of the attempts that ended since the last load report.
-        completed: Attempts that have ended.
-        mean_response_ns: Moving mean of the time of attempts.
+        completed: Attempts that `mean_response_ns` is made of.
+        mean_response_ns: Moving mean of the time of attempts, failed ones included.
     """
 
     id: str
@@ -101,7 +101,7 @@
         )
 
     def is_full(self, now: int) -> bool:
-        """Whether others should be preferred: our own requests fill it, or it has just reported a queue."""
+        """Whether others should be preferred: this proxy fills it, or it has just reported a queue."""
         return (
             self.in_flight >= self.slots
             or self.in_flight >= self.max_in_flight
@@ -165,7 +165,7 @@
         self._fade_results()
 
     def record_rejection(self, now: int, gone: bool) -> None:
-        """It has not executed our request: it is full, or (`gone`) another instance has its address."""
+        """It has not executed the request: it is full, or (`gone`) another instance has its address."""
         self.in_flight -= 1
         self.last_response_at = self.waiting_since = now
         self.retired = self.retired or gone
--- a/ambershift/system/proxy/http_exchange.py
+++ b/ambershift/system/proxy/http_exchange.py
@@ -1,4 +1,4 @@
-"""One exchange on one connection, by `httpcore` on our stream: the response, or how far the exchange got."""
+"""One exchange on one connection, by `httpcore`: the response, or how far the exchange got."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 # requests are in flight.
 RESPONSE_BUFFER_MAX = 256 << 10
 RESPONSE_BUFFER_MIN = 64 << 10
-MAX_STALE_RESPONSES = 2  # Responses to earlier requests that are skipped while ours is due.
+MAX_STALE_RESPONSES = 2  # Responses to earlier requests that are skipped until that to this one.
 
 EXCHANGE_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, ExchangeAbortedError, OSError)
 
@@ -56,7 +56,7 @@
 
 
 class BackendConnection(httpcore.AsyncHTTP11Connection):
-    """`httpcore`'s connection on our stream, with what a pool of idle connections has to know of it.
+    """`httpcore`'s connection on a `SocketStream`, with what a pool of idle connections has to know of it.
 
     Attributes:
         socket_stream: The stream that it is on.
@@ -145,8 +145,8 @@
                 or not connection.is_idle()
             ):
                 break
-            # This response was to an earlier request: ours is still to come. `httpcore` reads a further
-            # response only for a further request, so it gets the request once more, but nothing is written.
+            # This response was to an earlier request, and the right one is still to come. `httpcore` reads a
+            # further response only for a further request, so it gets the request again. Nothing is written.
             connection.socket_stream.discard_writes = True
             response = await _receive(connection, request, RESPONSE_BUFFER_MAX)
             response.followed_stale = True
--- a/ambershift/system/proxy/request_forwarder.py
+++ b/ambershift/system/proxy/request_forwarder.py
@@ -127,32 +127,32 @@
         The first good response counts. The other attempt is not cancelled: its backend may be executing the
         request.
         """
-        task: AttemptTask = asyncio.ensure_future(self._run_attempt(first))
-        await _wait_for_task(task, first.instance.silence_timeout_ns() / NS_PER_SECOND)
-        pending = {task}
+        first_task: AttemptTask = asyncio.ensure_future(self._run_attempt(first))
+        await _wait_for_task(first_task, first.instance.silence_timeout_ns() / NS_PER_SECOND)
+        pending = {first_task}
         try:
-            if not task.done() and first.instance.is_silent_since(first.started_at):
+            if not first_task.done() and first.instance.is_silent_since(first.started_at):
                 hedged = self._start_attempt()
                 if hedged is not None:
                     pending.add(asyncio.ensure_future(self._run_attempt(hedged)))
             while True:
-                done = {one for one in pending if one.done()}
+                done = {task for task in pending if task.done()}
                 if not done:
                     done, _ = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
                 pending = pending - done
-                results = [one.result() for one in done]
+                results = [task.result() for task in done]
                 results.sort(key=lambda result: result.outcome is Outcome.SUCCESS)
                 if results[-1].outcome is Outcome.SUCCESS or not pending:
                     for unused in results[:-1]:
                         unused.attempt.close()
                     return results[-1]
         except BaseException:
-            for one in pending:
-                one.cancel()
+            for task in pending:
+                task.cancel()
             raise
         finally:
-            for one in pending:
-                self._proxy.detach(one)
+            for task in pending:
+                self._proxy.detach(task)
 
 
 async def _wait_for_task(task: AttemptTask, timeout_s: float) -> None:
--- a/ambershift/system/proxy/retry_policy.py
+++ b/ambershift/system/proxy/retry_policy.py
@@ -76,7 +76,7 @@
         matches_attempt: Whether it echoes the id of this attempt and is well-formed.
         sealed: Whether it bears the server's seal.
         not_executed: Whether it says that the request was not executed.
-        encoded: Whether the body is encoded although nobody asked for it.
+        encoded: Whether it has a `Content-Encoding`, which nobody asks backends for.
     """
 
     status: int
--- a/ambershift/system/proxy/server.py
+++ b/ambershift/system/proxy/server.py
@@ -65,7 +65,9 @@
             case proxy_link.BackendUpdate():
                 for instance in self.backend_view.update(now, message):
                     self.connections.drop(instance)
-                self._limit_connections(self.backend_view.instances[one.id] for one in message.updated)
+                self._limit_connections(
+                    self.backend_view.instances[backend.id] for backend in message.updated
+                )
             case proxy_link.TableEntry():
                 self.backend_view.update_entry(message)
             case proxy_link.BindTable():
--- a/ambershift/system/proxy/socket_stream.py
+++ b/ambershift/system/proxy/socket_stream.py
@@ -29,7 +29,7 @@
 
 
 class SocketStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
-    """A network stream that tells what `httpcore`'s own does not.
+    """A network stream for `httpcore` that also reports how far an exchange got.
 
     Attributes:
         has_written: Whether bytes were written in this exchange.
@@ -184,7 +184,7 @@
         self.close()
 
     def close(self) -> None:
-        """Close at once, with a reset if bytes are left to be written: nobody wants them any more."""
+        """Close at once, with a reset if need be: what is left to be written isn't needed any more."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -211,7 +211,7 @@
     """Connect to `host:port`.
 
     Raises:
-        OSError: No connection, and nothing was sent; a `TimeoutError` where nobody answered in time.
+        OSError: No connection, and nothing was sent; a `TimeoutError` where there was no connection in time.
         ValueError: The address isn't one.
     """
     host, _, port = address.rpartition(":")
