--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ambershift.coordinator.group.clock_skew import ClockSkew
-from ambershift.coordinator.group.links.interfaces import failure
+from ambershift.coordinator.group.links.interfaces import log_failure
 from ambershift.coordinator.group.links.wire import FrameKind, UnreadableError
 from ambershift.coordinator.maintenance.words import Phase
 from ambershift.coordinator.promises.state import Held
@@ -69,7 +69,7 @@
             try:
                 self.beat(self.member.now())
             except Exception as error:  # One bad record must not end what all later ones need.
-                failure(self.member.note, "gossip", error)
+                log_failure(self.member.note, "gossip", error)
 
     def beat(self, now: int) -> None:
         self.turn += 1
--- a/ambershift/coordinator/group/interference_worker.py
+++ b/ambershift/coordinator/group/interference_worker.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ambershift.coordinator.group.gossip import Gossip
-from ambershift.coordinator.group.links.interfaces import failure
+from ambershift.coordinator.group.links.interfaces import log_failure
 from ambershift.coordinator.group.links.wire import UnreadableError
 from ambershift.coordinator.interference.words import Sample
 from ambershift.coordinator.replication.heard.words import Kind, Record
@@ -110,7 +110,7 @@
                 try:
                     self.turn(engine)
                 except Exception as error:  # No score is worth the end of all later ones.
-                    failure(self.note, "counting", error)
+                    log_failure(self.note, "counting", error)
             time.sleep(1.0)
 
     def turn(self, engine: Engine) -> None:
--- a/ambershift/coordinator/group/links/__init__.py
+++ b/ambershift/coordinator/group/links/__init__.py
@@ -1,1 +1,1 @@
-"""Links: one connection each way between each two members, with a hello that is judged before any message."""
+"""Links between members: one connection in each direction, opened by a handshake that is checked first."""
--- a/ambershift/coordinator/group/links/handshake.py
+++ b/ambershift/coordinator/group/links/handshake.py
@@ -1,4 +1,4 @@
-"""The gate: whether a hello is let in, by name, group, voters and incarnation. No I/O."""
+"""The handshake of a link: whether a hello is accepted, by name, group, voters and incarnation. No I/O."""
 
 from __future__ import annotations
 
@@ -8,59 +8,87 @@
 
 
 class LocalIdentity(NamedTuple):
-    """What this member is at the moment; group and incarnation change while it runs."""
+    """What this member is now; its incarnation and group id change while it runs.
+
+    Attributes:
+        name: Its name.
+        group_name: The group's name in the settings.
+        voters: The names of the voters in its settings.
+        members: The names of all members in its settings.
+        incarnation: Its incarnation.
+        group_id: The id of the group whose log it holds; empty while it knows none.
+    """
 
     name: str
-    title: str
+    group_name: str
     voters: tuple[str, ...]
     members: frozenset[str]
     incarnation: int
-    group: str
+    group_id: str
 
 
 class HandshakeValidator:
-    """Remembers under which incarnation and run each name was let in last."""
+    """Accepts or refuses hellos.
+
+    Attributes:
+        accepted: The incarnation and the run id under which each member was accepted last, by its name.
+    """
 
     def __init__(self) -> None:
-        self.known = dict[str, tuple[int, str]]()
+        """Start with no member accepted."""
+        self.accepted = dict[str, tuple[int, str]]()
 
-    def judge(self, mine: LocalIdentity, hello: Hello, loopback: bool = True) -> Refusal | None:
-        """The refusal, or None; then its incarnation is the known one."""
+    def check(self, local: LocalIdentity, hello: Hello, loopback: bool = True) -> Refusal | None:
+        """Return the refusal of a hello, or None and record its incarnation.
+
+        Args:
+            local: This member.
+            hello: What the other side sent.
+            loopback: Whether the connection comes from this machine.
+        """
         if hello.wire != WIRE_VERSION:
-            return refused(CloseReason.UNREADABLE, f"wire version {hello.wire}, here it is {WIRE_VERSION}")
-        if hello.title != mine.title:
-            return refused(
-                CloseReason.OTHER_GROUP, f"it is of group '{hello.title[:80]}', not '{mine.title}'"
+            return refusal(CloseReason.UNREADABLE, f"wire version {hello.wire}, here it is {WIRE_VERSION}")
+        if hello.title != local.group_name:
+            return refusal(
+                CloseReason.OTHER_GROUP, f"it is of group '{hello.title[:80]}', not '{local.group_name}'"
             )
-        if hello.to != mine.name:
-            return refused(CloseReason.UNKNOWN_MEMBER, f"it wants '{hello.to[:80]}'; here is '{mine.name}'")
+        if hello.to != local.name:
+            return refusal(CloseReason.UNKNOWN_MEMBER, f"it wants '{hello.to[:80]}'; here is '{local.name}'")
         if hello.role == Role.COUNTERS:
             if not loopback:
-                return refused(CloseReason.UNKNOWN_MEMBER, "counters come from the same machine alone")
+                return refusal(CloseReason.UNKNOWN_MEMBER, "counters come from the same machine alone")
             return None
-        if hello.role != Role.MEMBER or hello.name not in mine.members:
-            return refused(CloseReason.UNKNOWN_MEMBER, f"'{hello.name[:80]}' is not among the members")
-        if tuple(sorted(hello.voters)) != tuple(sorted(mine.voters)):
-            return refused(
+        if hello.role != Role.MEMBER or hello.name not in local.members:
+            return refusal(CloseReason.UNKNOWN_MEMBER, f"'{hello.name[:80]}' is not among the members")
+        if tuple(sorted(hello.voters)) != tuple(sorted(local.voters)):
+            return refusal(
                 CloseReason.OTHER_MEMBERS,
-                f"its voters are {', '.join(hello.voters)[:400]}; here they are {', '.join(mine.voters)}",
+                f"its voters are {', '.join(hello.voters)[:400]}; here they are {', '.join(local.voters)}",
+            )
+        if hello.name == local.name:
+            return refusal(CloseReason.CLONED, "this is the member's own name", local.incarnation)
+        if hello.group and local.group_id and hello.group != local.group_id:
+            return refusal(
+                CloseReason.OTHER_GROUP,
+                f"it holds what group {hello.group[:80]} promised, not {local.group_id}",
             )
-        if hello.name == mine.name:
-            return refused(CloseReason.CLONED, "this is the member's own name", mine.incarnation)
-        if hello.group and mine.group and hello.group != mine.group:
-            return refused(
-                CloseReason.OTHER_GROUP, f"it holds what group {hello.group[:80]} promised, not {mine.group}"
+        known_incarnation, known_run = self.accepted.get(hello.name, (0, ""))
+        if hello.incarnation < known_incarnation:
+            return refusal(
+                CloseReason.SUPERSEDED,
+                f"'{hello.name}' lives under incarnation {known_incarnation}",
+                known_incarnation,
             )
-        number, run = self.known.get(hello.name, (0, ""))
-        if hello.incarnation < number:
-            return refused(CloseReason.SUPERSEDED, f"'{hello.name}' lives under incarnation {number}", number)
-        if hello.incarnation == number and run and run != hello.run:
-            return refused(
-                CloseReason.CLONED, f"another process is '{hello.name}' under incarnation {number}", number
+        if hello.incarnation == known_incarnation and known_run and known_run != hello.run:
+            return refusal(
+                CloseReason.CLONED,
+                f"another process is '{hello.name}' under incarnation {known_incarnation}",
+                known_incarnation,
             )
-        self.known[hello.name] = hello.incarnation, hello.run
+        self.accepted[hello.name] = hello.incarnation, hello.run
         return None
 
 
-def refused(reason: CloseReason, why: str, known: int = 0) -> Refusal:
+def refusal(reason: CloseReason, why: str, known: int = 0) -> Refusal:
+    """Return the reply that refuses a hello."""
     return Refusal(reason.value, why, known)
--- a/ambershift/coordinator/group/links/interfaces.py
+++ b/ambershift/coordinator/group/links/interfaces.py
@@ -1,4 +1,4 @@
-"""What links ask of the member above them, and what they tell: types only."""
+"""What links need of their owner and tell it, and what they count."""
 
 from __future__ import annotations
 
@@ -12,28 +12,40 @@
 
 
 class LinkListener(Protocol):
-    """Called in the loop's turn; what it raises ends the link as unreadable where the payload is to blame."""
+    """The owner of links. It is called on the event loop.
 
-    def mine(self) -> LocalIdentity: ...
+    An error that it raises for a frame closes the link as unreadable.
+    """
 
-    def heard(self, sender: str, kind: FrameKind, payload: bytes) -> None:
-        """A frame of a member that was let in; a `wire.UnreadableError` closes its link by name."""
+    def local_identity(self) -> LocalIdentity:
+        """Return what this process says of itself in a handshake."""
 
-    def gone(self, member: str) -> None:
-        """The way to it broke: what was under way may be lost."""
+    def on_frame(self, sender: str, kind: FrameKind, payload: bytes) -> None:
+        """Take a frame of an accepted member.
 
-    def came(self, member: str) -> None:
-        """The way to it stands."""
+        Raises:
+            wire.UnreadableError: The payload is malformed; its text goes to the log.
+        """
 
-    def refused(self, member: str, refused: Refusal) -> None:
-        """It does not let this member in."""
+    def on_link_lost(self, member: str) -> None:
+        """The outgoing link to that member broke; what was under way may be lost."""
 
-    def counters(self, name: str, payload: bytes) -> None:
-        """Samples from a process beside the coordinator."""
+    def on_link_up(self, member: str) -> None:
+        """The outgoing link to that member is up."""
+
+    def on_refused(self, member: str, refused: Refusal) -> None:
+        """That member refuses this one."""
+
+    def on_counters(self, name: str, payload: bytes) -> None:
+        """Take samples from a process beside the coordinator.
+
+        Raises:
+            wire.UnreadableError: The payload is malformed; its text goes to the log.
+        """
 
 
 class Peer(NamedTuple):
-    """Another member, and where the settings say that it is reached."""
+    """Another member, and its address in the settings."""
 
     name: str
     host: str
@@ -41,15 +53,21 @@
 
 
 class LinkStatistics:
-    """Counts by name, and how the way to each member stands."""
+    """Counts of what happened to links, and the state of the outgoing ones.
+
+    Attributes:
+        counts: How often each thing happened, by a `CloseReason` or another name.
+        states: By member, empty where the outgoing link is up, else why it is down.
+    """
 
     def __init__(self) -> None:
+        """Start with nothing counted."""
         self.counts = Counter[str]()
-        self.ways = dict[str, str]()  # "" where it stands, else why it does not.
+        self.states = dict[str, str]()
 
 
-def failure(note: Callable[..., None], where: str, error: BaseException) -> None:
-    """An error that nobody foresaw: told in full, and the work goes on."""
+def log_failure(note: Callable[..., None], where: str, error: BaseException) -> None:
+    """Log an unexpected error with its trace, where the program goes on after it."""
     note(
         "failure",
         where=where,
--- a/ambershift/coordinator/group/links/link_manager.py
+++ b/ambershift/coordinator/group/links/link_manager.py
@@ -1,4 +1,4 @@
-"""All links of a member: one that it dials to each other member, and those that it accepts."""
+"""All links of a member: an outgoing one to each other member, and the incoming ones."""
 
 from __future__ import annotations
 
@@ -15,39 +15,56 @@
 
 
 class LinkManager:
-    """Sends only on what it dialled and reads only what it accepted, so that a cut may be one-way."""
+    """Sends on outgoing links only and reads from incoming ones only: a link may fail in one direction."""
 
     def __init__(
-        self, listen: tuple[str, int], peers: Iterable[Peer], above: LinkListener, note: Note, seed: int
+        self, listen: tuple[str, int], peers: Iterable[Peer], listener: LinkListener, note: Note, seed: int
     ) -> None:
-        self.listen, self.tally, self.run = listen, LinkStatistics(), secrets.token_hex(8)
-        self.acceptor = IncomingLinks(above, self.tally, note)
-        self.dialled = {
-            peer.name: OutgoingLink(peer, self.run, above, self.tally, note, seed + at)
-            for at, peer in enumerate(peers)
+        """Prepare the links; `open` connects them.
+
+        Args:
+            listen: The host and port to accept links at.
+            peers: The other members.
+            listener: Takes what arrives.
+            note: Writes a log event.
+            seed: Of the random part of reconnect delays.
+        """
+        self.listen = listen
+        self.statistics = LinkStatistics()
+        self.run_id = secrets.token_hex(8)
+        self.incoming = IncomingLinks(listener, self.statistics, note)
+        self.outgoing = {
+            peer.name: OutgoingLink(peer, self.run_id, listener, self.statistics, note, seed + index)
+            for index, peer in enumerate(peers)
         }
-        self.tasks = list[asyncio.Task[None]]()
-        self.session: aiohttp.ClientSession | None = None
+        self._tasks = list[asyncio.Task[None]]()
+        self._session: aiohttp.ClientSession | None = None
 
     async def open(self) -> None:
-        """An OSError where the address can't be had."""
-        await self.acceptor.listen(*self.listen)
-        self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0, use_dns_cache=False))
+        """Listen, and start to connect to all other members.
+
+        Raises:
+            OSError: The address can't be listened at.
+        """
+        await self.incoming.listen(*self.listen)
+        self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0, use_dns_cache=False))
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(one.run(self.current)) for one in self.dialled.values()]
+        self._tasks = [loop.create_task(link.run(self._current_session)) for link in self.outgoing.values()]
 
-    def current(self) -> aiohttp.ClientSession:
-        assert self.session is not None
-        return self.session
+    def _current_session(self) -> aiohttp.ClientSession:
+        assert self._session is not None
+        return self._session
 
     async def close(self) -> None:
-        for task in self.tasks:
+        """Close all links, and stop listening."""
+        for task in self._tasks:
             task.cancel()
-        await asyncio.gather(*self.tasks, return_exceptions=True)
-        await asyncio.gather(*(one.close() for one in self.dialled.values()))
-        await self.acceptor.close()
-        if self.session:
-            await self.session.close()
+        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await asyncio.gather(*(link.close() for link in self.outgoing.values()))
+        await self.incoming.close()
+        if self._session:
+            await self._session.close()
 
     def send(self, to: str, kind: FrameKind, payload: bytes) -> bool:
-        return self.dialled[to].send(kind, payload) if to in self.dialled else False
+        """Queue a frame for that member; False where it is lost at once."""
+        return self.outgoing[to].send(kind, payload) if to in self.outgoing else False
--- a/ambershift/coordinator/group/maintenance_task.py
+++ b/ambershift/coordinator/group/maintenance_task.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ambershift.coordinator.group.links.interfaces import failure
+from ambershift.coordinator.group.links.interfaces import log_failure
 from ambershift.coordinator.group.member import Member
 from ambershift.coordinator.maintenance.limits import Limits
 from ambershift.coordinator.maintenance.permits import Heard, Steers
@@ -63,7 +63,7 @@
             try:
                 self.turn()
             except Exception as error:  # Permits end by themselves; what is wrong here must not end the loop.
-                failure(self.member.note, "upkeep", error)
+                log_failure(self.member.note, "upkeep", error)
             await asyncio.sleep(EVERY / 10)  # Commits may come by the hundred.
 
     def turn(self) -> None:
--- a/ambershift/coordinator/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -13,7 +13,7 @@
 from ambershift.coordinator.group.disk.worker import DiskWorker
 from ambershift.coordinator.group.gossip import Gossip
 from ambershift.coordinator.group.links.handshake import LocalIdentity
-from ambershift.coordinator.group.links.interfaces import failure
+from ambershift.coordinator.group.links.interfaces import log_failure
 from ambershift.coordinator.group.links.link_manager import LinkManager
 from ambershift.coordinator.group.links.wire import CloseReason, FrameKind, Refusal, UnreadableError
 from ambershift.coordinator.group.spec import MemberSpec
@@ -57,7 +57,7 @@
         self.timer_at = 0
         self.gossip = Gossip(self)
         self.listeners = list[Callable[[Promises, Command | None], None]]()  # Told what was committed.
-        self.on_counters: Callable[[str, bytes], None] | None = None
+        self.counters_handler: Callable[[str, bytes], None] | None = None
         self.again = set[asyncio.Task[None]]()
 
     # Beginning and ending
@@ -113,13 +113,13 @@
 
     # What links tell
 
-    def mine(self) -> LocalIdentity:
+    def local_identity(self) -> LocalIdentity:
         group = self.replica.group if self.replica is not None else ""
         return LocalIdentity(
             self.spec.me, self.spec.title, self.spec.voters, self.members, self.life.incarnation, group
         )
 
-    def heard(self, sender: str, kind: FrameKind, payload: bytes) -> None:
+    def on_frame(self, sender: str, kind: FrameKind, payload: bytes) -> None:
         if self.halted or self.stopping or self.replica is None:
             return
         self.heard_at[sender] = self.now()
@@ -132,14 +132,14 @@
             raise UnreadableError(str(error)) from None
         self.perform(self.replica.hear(self.now(), sender, message))
 
-    def gone(self, member: str) -> None:
+    def on_link_lost(self, member: str) -> None:
         if self.replica is not None and not self.halted:
             self.perform(self.replica.gone(self.now(), member))
 
-    def came(self, member: str) -> None:
+    def on_link_up(self, member: str) -> None:
         self.welcomed = True
 
-    def refused(self, member: str, refused: Refusal) -> None:
+    def on_refused(self, member: str, refused: Refusal) -> None:
         if self.halted or refused.reason not in (CloseReason.SUPERSEDED, CloseReason.CLONED):
             return
         if refused.reason == CloseReason.SUPERSEDED and not self.welcomed and not self.renewed:
@@ -149,9 +149,9 @@
         else:
             self.halt(refused.reason, refused.why)
 
-    def counters(self, name: str, payload: bytes) -> None:
-        if self.on_counters is not None:
-            self.on_counters(name, payload)
+    def on_counters(self, name: str, payload: bytes) -> None:
+        if self.counters_handler is not None:
+            self.counters_handler(name, payload)
 
     # What the disk tells
 
@@ -259,5 +259,5 @@
         try:
             self.perform(self.replica.due(self.now(), self.wall()))
         except Exception as error:  # Told in full; without a timer the member would be silent for ever.
-            failure(self.note, "replica", error)
+            log_failure(self.note, "replica", error)
             self.timer = asyncio.get_running_loop().call_later(FAILED_PAUSE, self.ring)
--- a/ambershift/coordinator/group/service.py
+++ b/ambershift/coordinator/group/service.py
@@ -87,7 +87,7 @@
             self.at_desk.ease,
             note,
         )
-        self.member.on_counters = self.counting.counters
+        self.member.counters_handler = self.counting.counters
         self.promises.interfered = lambda: list(self.counting.scores.rows)
         learned = self.learned
         self.others = Others(
--- a/ambershift/coordinator/group/status_rows.py
+++ b/ambershift/coordinator/group/status_rows.py
@@ -41,7 +41,7 @@
                 "incarnation": member.life.incarnation if own else row.incarnation if row else 0,
                 "committed": (replica.committed if replica else 0) if own else row.committed if row else 0,
                 "heard_ms": -1 if own or age < 0 else age // MS,
-                "link": "-" if own else member.links.tally.ways.get(name, "") or "up",
+                "link": "-" if own else member.links.statistics.states.get(name, "") or "up",
                 "why": why,
             }
         )
--- a/tests/coordinator/group/test_links.py
+++ b/tests/coordinator/group/test_links.py
@@ -1,4 +1,4 @@
-"""Links between members under bad, slow, deaf and foreign ones: a close with a named reason and a count."""
+"""Links between members: malformed, slow, silent and foreign peers end with a logged and counted reason."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 from ambershift.coordinator.group.links.handshake import HandshakeValidator, LocalIdentity
 from ambershift.coordinator.group.links.interfaces import Peer
 from ambershift.coordinator.group.links.link_manager import LinkManager
-from ambershift.coordinator.group.links.send_queue import FullError, SendQueue
+from ambershift.coordinator.group.links.send_queue import QueueFullError, SendQueue
 from ambershift.coordinator.group.links.wire import (
     MAX_MESSAGE_BYTES,
     WIRE_VERSION,
@@ -38,13 +38,13 @@
 PORTS = itertools.count(7000)
 
 
-class Top:
-    """What stands above the links of one member, and what it was told."""
+class LinkOwner:
+    """The owner of one member's links; it records what they report."""
 
-    def __init__(self, name: str, host: str, port: int, others: dict[str, int], **mine: Any) -> None:
-        self.now = LocalIdentity(name, "g", VOTERS, frozenset(VOTERS), 5, "G")._replace(**mine)
-        self.got, self.log = list[tuple[str, FrameKind, bytes]](), list[tuple[str, dict[str, Any]]]()
-        self.gone_from, self.refusals = list[str](), list[tuple[str, Refusal]]()
+    def __init__(self, name: str, host: str, port: int, others: dict[str, int], **identity: Any) -> None:
+        self.identity = LocalIdentity(name, "g", VOTERS, frozenset(VOTERS), 5, "G")._replace(**identity)
+        self.frames, self.log = list[tuple[str, FrameKind, bytes]](), list[tuple[str, dict[str, Any]]]()
+        self.lost_links, self.refusals = list[str](), list[tuple[str, Refusal]]()
         self.samples = list[bytes]()
         self.links = LinkManager(
             (host, port),
@@ -54,25 +54,25 @@
             7,
         )
 
-    def mine(self) -> LocalIdentity:
-        return self.now
+    def local_identity(self) -> LocalIdentity:
+        return self.identity
 
-    def heard(self, sender: str, kind: FrameKind, payload: bytes) -> None:
+    def on_frame(self, sender: str, kind: FrameKind, payload: bytes) -> None:
         if payload == b"bad":
             raise UnreadableError("no message")
         if payload == b"broken":
             raise KeyError("of ours")
-        self.got.append((sender, kind, payload))
+        self.frames.append((sender, kind, payload))
 
-    def gone(self, member: str) -> None:
-        self.gone_from.append(member)
+    def on_link_lost(self, member: str) -> None:
+        self.lost_links.append(member)
 
-    def came(self, member: str) -> None: ...
+    def on_link_up(self, member: str) -> None: ...
 
-    def refused(self, member: str, refused: Refusal) -> None:
+    def on_refused(self, member: str, refused: Refusal) -> None:
         self.refusals.append((member, refused))
 
-    def counters(self, name: str, payload: bytes) -> None:
+    def on_counters(self, name: str, payload: bytes) -> None:
         InterferenceWorker.counters(self, name, payload)  # type: ignore[arg-type]
 
     class waiting:  # noqa: N801 - stands in for the deque of the counting
@@ -82,32 +82,34 @@
         set = staticmethod(lambda: None)
 
     def count(self, name: str) -> int:
-        return self.links.tally.counts[name]
+        return self.links.statistics.counts[name]
 
 
-def play(act: Callable[..., Awaitable[None]], *names: str, open_all: bool = True, **mine: Any) -> None:
-    """`act` with the tops of these members; the first one's fields are `mine`."""
+def run_scenario(
+    scenario: Callable[..., Awaitable[None]], *names: str, open_all: bool = True, **identity: Any
+) -> None:
+    """Run `scenario` with the owners of these members' links; `identity` changes the first one's identity."""
 
     async def run() -> None:
         host, ports = own_host(), {name: next(PORTS) for name in names}
-        tops = [
-            Top(
+        owners = [
+            LinkOwner(
                 name,
                 host,
                 ports[name],
                 {one: at for one, at in ports.items() if one != name},
-                **(mine if name == names[0] else {}),
+                **(identity if name == names[0] else {}),
             )
             for name in names
         ]
-        for top in tops[: None if open_all else 1]:
-            await top.links.open()
+        for owner in owners[: None if open_all else 1]:
+            await owner.links.open()
         try:
             async with asyncio.timeout(20):
-                await act(*tops)
+                await scenario(*owners)
         finally:
-            for top in tops:
-                await top.links.close()
+            for owner in owners:
+                await owner.links.close()
 
     asyncio.run(run())
 
@@ -118,9 +120,9 @@
     )
 
 
-async def by_hand(top: Top, first: Any, *more: Any, text: bool = False) -> tuple[Any, Any]:
-    """The reply to what is said first, and the code with which the link ended, None while it stands."""
-    host, port = top.links.listen
+async def connect_raw(owner: LinkOwner, first: Any, *more: Any, text: bool = False) -> tuple[Any, Any]:
+    """Return the reply to the first message, and the close code of the link, None while it is up."""
+    host, port = owner.links.listen
     async with aiohttp.ClientSession() as session, session.ws_connect(f"http://{host}:{port}/") as socket:
         await (
             socket.send_str(first)
@@ -155,25 +157,28 @@
 
 
 @pytest.mark.parametrize(("changes", "reason"), REFUSED, ids=str)
-def test_a_hello_is_refused_by_name_and_counted(changes: dict[str, Any], reason: CloseReason) -> None:
-    async def act(top: Top) -> None:
-        top.links.acceptor.gate.known["b"] = 4, "run"
-        reply, _ = await by_hand(top, hello(**changes))
-        assert isinstance(reply, Refusal) and reply.reason == reason and top.count(reason) == 1
+def test_a_refused_hello_is_logged_and_counted_by_reason(
+    changes: dict[str, Any], reason: CloseReason
+) -> None:
+    async def scenario(owner: LinkOwner) -> None:
+        owner.links.incoming.handshake.accepted["b"] = 4, "run"
+        reply, _ = await connect_raw(owner, hello(**changes))
+        assert isinstance(reply, Refusal) and reply.reason == reason and owner.count(reason) == 1
         assert reply.known == (4 if changes.get("incarnation") else 5 if changes.get("name") == "a" else 0)
-        assert [fields["reason"] for event, fields in top.log if event == "link_closed"] == [reason]
+        assert [fields["reason"] for event, fields in owner.log if event == "link_closed"] == [reason]
 
-    play(act, "a")
+    run_scenario(scenario, "a")
 
 
-def test_who_is_let_in_and_what_counts_as_the_same_life() -> None:
-    mine, gate = LocalIdentity("a", "g", VOTERS, frozenset(VOTERS), 5, ""), HandshakeValidator()
-    assert gate.judge(mine, hello(group="H", voters=("c", "b", "a"))) is None  # It knows no group yet.
-    assert gate.judge(mine, hello()) is None  # Again: it has dialled anew.
-    assert gate.judge(mine, hello(incarnation=12, run="next")) is None
-    assert gate.known["b"] == (12, "next")
-    assert gate.judge(mine, hello(role=Role.COUNTERS, name="perf", voters=())) is None
-    away = gate.judge(mine, hello(role=Role.COUNTERS), loopback=False)
+def test_which_hellos_are_accepted() -> None:
+    local, handshake = LocalIdentity("a", "g", VOTERS, frozenset(VOTERS), 5, ""), HandshakeValidator()
+    # This member knows no group id yet, so it accepts any.
+    assert handshake.check(local, hello(group="H", voters=("c", "b", "a"))) is None
+    assert handshake.check(local, hello()) is None  # The same process connects again.
+    assert handshake.check(local, hello(incarnation=12, run="next")) is None
+    assert handshake.accepted["b"] == (12, "next")
+    assert handshake.check(local, hello(role=Role.COUNTERS, name="perf", voters=())) is None
+    away = handshake.check(local, hello(role=Role.COUNTERS), loopback=False)
     assert away is not None and away.reason == CloseReason.UNKNOWN_MEMBER
 
 
@@ -190,76 +195,76 @@
 @pytest.mark.parametrize(
     ("data", "reason", "code"), FRAMES, ids=["bad", "broken", "empty", "kind", "counters", "large"]
 )
-def test_a_bad_frame_ends_the_link_by_name_and_costs_no_other(
+def test_a_bad_frame_closes_its_link_with_a_reason_and_no_other_link(
     data: bytes, reason: CloseReason, code: int
 ) -> None:
-    async def act(top: Top, other: Top) -> None:
-        await until(lambda: not top.links.tally.ways["c"])
-        reply, ended = await by_hand(
-            top, hello(), encode_frame(FrameKind.HEARD, b"good"), data, encode_frame(FrameKind.HEARD, b"x")
+    async def scenario(owner: LinkOwner, other: LinkOwner) -> None:
+        await until(lambda: not owner.links.statistics.states["c"])
+        reply, ended = await connect_raw(
+            owner, hello(), encode_frame(FrameKind.HEARD, b"good"), data, encode_frame(FrameKind.HEARD, b"x")
         )
         assert isinstance(reply, Welcome) and ended in (
             code,
             1006 if reason is CloseReason.TOO_LARGE else code,
         )
-        assert top.got == [("b", FrameKind.HEARD, b"good")] and top.count(reason) == 1
-        assert ("failure" in [event for event, _ in top.log]) == data.endswith(b"broken")
+        assert owner.frames == [("b", FrameKind.HEARD, b"good")] and owner.count(reason) == 1
+        assert ("failure" in [event for event, _ in owner.log]) == data.endswith(b"broken")
         assert other.links.send("a", FrameKind.HEARD, b"still there")
-        await until(lambda: ("c", FrameKind.HEARD, b"still there") in top.got)
+        await until(lambda: ("c", FrameKind.HEARD, b"still there") in owner.frames)
 
-    play(act, "a", "c")
+    run_scenario(scenario, "a", "c")
 
 
 @pytest.mark.parametrize(
     ("first", "text"),
     [(b"\x91rubbish", False), (bytes(range(64)), False), ("hello", True), (bytes(20_000), False)],
 )
-def test_what_is_no_hello_is_closed(first: Any, text: bool) -> None:
-    async def act(top: Top) -> None:
-        reply, code = await by_hand(top, first, text=text)
-        assert reply is None and code == 1007 and top.count(CloseReason.UNREADABLE) == 1
+def test_a_malformed_hello_closes_the_link(first: Any, text: bool) -> None:
+    async def scenario(owner: LinkOwner) -> None:
+        reply, code = await connect_raw(owner, first, text=text)
+        assert reply is None and code == 1007 and owner.count(CloseReason.UNREADABLE) == 1
 
-    play(act, "a")
+    run_scenario(scenario, "a")
 
 
-def test_who_says_nothing_is_closed_and_too_many_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(incoming, "HELLO_WITHIN", 0.3)
-    monkeypatch.setattr(incoming, "SPARE_MOST", 1)
+def test_a_silent_connection_is_closed_and_one_too_many_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(incoming, "HELLO_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(incoming, "MAX_SPARE_LINKS", 1)
 
-    async def act(top: Top) -> None:
-        host, port = top.links.listen
+    async def scenario(owner: LinkOwner) -> None:
+        host, port = owner.links.listen
         async with aiohttp.ClientSession() as session:
             silent = [await session.ws_connect(f"http://{host}:{port}/") for _ in range(4)]
             with pytest.raises(aiohttp.WSServerHandshakeError):
                 await session.ws_connect(f"http://{host}:{port}/")
             for one in silent:
                 assert (await one.receive(timeout=5)).type is aiohttp.WSMsgType.CLOSE
-        assert top.count(CloseReason.SILENT) == 4 and top.count(CloseReason.TOO_MANY) == 1
+        assert owner.count(CloseReason.SILENT) == 4 and owner.count(CloseReason.TOO_MANY) == 1
 
-    play(act, "a")
+    run_scenario(scenario, "a")
 
 
-def test_frames_come_whole_and_in_order_and_a_break_is_told() -> None:
-    async def act(a: Top, b: Top) -> None:
+def test_frames_arrive_in_order_and_a_lost_link_is_reported() -> None:
+    async def scenario(a: LinkOwner, b: LinkOwner) -> None:
         assert not a.links.send("b", FrameKind.REPLICA, b"too soon")
         assert not a.links.send("nobody", FrameKind.REPLICA, b"")
-        await until(lambda: not a.links.tally.ways["b"] and not b.links.tally.ways["a"])
+        await until(lambda: not a.links.statistics.states["b"] and not b.links.statistics.states["a"])
         sent = [bytes([at % 251]) * (at * 97 % 5000) for at in range(2000)]
         for one in sent:
             assert a.links.send("b", FrameKind.REPLICA, one)
             await asyncio.sleep(0)
-        await until(lambda: len(b.got) == len(sent))
-        assert [payload for _, _, payload in b.got] == sent
+        await until(lambda: len(b.frames) == len(sent))
+        assert [payload for _, _, payload in b.frames] == sent
         await b.links.close()
-        await until(lambda: a.gone_from == ["b"])
-        assert a.links.tally.ways["b"] and not a.links.send("b", FrameKind.REPLICA, b"lost")
+        await until(lambda: a.lost_links == ["b"])
+        assert a.links.statistics.states["b"] and not a.links.send("b", FrameKind.REPLICA, b"lost")
         assert a.count(CloseReason.AWAY) + a.count(CloseReason.ENDED) == 1
 
-    play(act, "a", "b")
+    run_scenario(scenario, "a", "b")
 
 
-async def deaf(host: str, port: int, answer: bytes) -> asyncio.Server:
-    """Takes the handshake and the hello, welcomes, and reads no more."""
+async def start_deaf_peer(host: str, port: int, answer: bytes) -> asyncio.Server:
+    """Start a peer that takes the hello, sends `answer`, and reads nothing after it."""
     from aiohttp import web
 
     async def serve(request: web.Request) -> web.WebSocketResponse:
@@ -280,73 +285,73 @@
 
 
 @pytest.mark.parametrize("flood", [True, False])
-def test_a_deaf_member_is_dropped_by_name_and_the_loop_goes_on(
+def test_a_member_that_reads_nothing_is_dropped_and_the_loop_is_not_blocked(
     flood: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(outgoing, "WRITE_LIMIT", 30.0 if flood else 0.3)
-    monkeypatch.setattr(outgoing, "HEARTBEAT", 60.0)
+    monkeypatch.setattr(outgoing, "WRITE_TIMEOUT_S", 30.0 if flood else 0.3)
+    monkeypatch.setattr(outgoing, "HEARTBEAT_INTERVAL_S", 60.0)
 
-    async def act(a: Top, b: Top) -> None:
-        runner = await deaf(*b.links.listen, encode(Welcome("x", "b", 1)))
-        await until(lambda: not a.links.tally.ways["b"])
+    async def scenario(a: LinkOwner, b: LinkOwner) -> None:
+        runner = await start_deaf_peer(*b.links.listen, encode(Welcome("x", "b", 1)))
+        await until(lambda: not a.links.statistics.states["b"])
         turns = list[float]()
         clock = asyncio.get_running_loop().time
-        while not a.gone_from:
+        while not a.lost_links:
             started = clock()
             for _ in range(64 if flood else 4):
                 a.links.send("b", FrameKind.REPLICA, bytes(60_000))
             a.links.send("b", FrameKind.HEARD, bytes(60_000))
             await asyncio.sleep(0)
             turns.append(clock() - started)
-        assert a.count(CloseReason.TOO_SLOW) == 1 and a.gone_from == ["b"] and max(turns) < 1.0
-        assert a.links.dialled["b"].queue.held == 0
+        assert a.count(CloseReason.TOO_SLOW) == 1 and a.lost_links == ["b"] and max(turns) < 1.0
+        assert a.links.outgoing["b"].queue.queued_bytes == 0
         if flood:
-            assert a.count("heard-left-out")  # What comes again by itself gave way first.
+            assert a.count("heard-left-out")  # Gossip is dropped first, as it is sent again anyhow.
         await runner.cleanup()  # type: ignore[attr-defined]
 
-    play(act, "a", "b", open_all=False)
+    run_scenario(scenario, "a", "b", open_all=False)
 
 
-def test_a_stopped_peer_is_noticed_by_its_missing_pong(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(outgoing, "HEARTBEAT", 0.2)
+def test_a_stopped_peer_is_detected_by_its_missing_pong(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(outgoing, "HEARTBEAT_INTERVAL_S", 0.2)
 
-    async def act(a: Top, b: Top) -> None:
-        runner = await deaf(*b.links.listen, encode(Welcome("x", "b", 1)))
-        await until(lambda: a.gone_from == ["b"], 5)
+    async def scenario(a: LinkOwner, b: LinkOwner) -> None:
+        runner = await start_deaf_peer(*b.links.listen, encode(Welcome("x", "b", 1)))
+        await until(lambda: a.lost_links == ["b"], 5)
         await runner.cleanup()  # type: ignore[attr-defined]
 
-    play(act, "a", "b", open_all=False)
+    run_scenario(scenario, "a", "b", open_all=False)
 
 
 @pytest.mark.parametrize(
     ("answer", "reason"),
     [(encode(Welcome("x", "c", 1)), CloseReason.UNREADABLE), (b"rubbish", CloseReason.UNREADABLE)],
 )
-def test_who_answers_as_another_gets_nothing(answer: bytes, reason: CloseReason) -> None:
-    async def act(a: Top, b: Top) -> None:
-        runner = await deaf(*b.links.listen, answer)
-        await until(lambda: a.links.tally.ways["b"] == reason)
-        assert not a.links.send("b", FrameKind.REPLICA, b"secret") and not a.gone_from
+def test_a_peer_that_replies_under_another_name_gets_no_frames(answer: bytes, reason: CloseReason) -> None:
+    async def scenario(a: LinkOwner, b: LinkOwner) -> None:
+        runner = await start_deaf_peer(*b.links.listen, answer)
+        await until(lambda: a.links.statistics.states["b"] == reason)
+        assert not a.links.send("b", FrameKind.REPLICA, b"secret") and not a.lost_links
         await runner.cleanup()  # type: ignore[attr-defined]
 
-    play(act, "a", "b", open_all=False)
+    run_scenario(scenario, "a", "b", open_all=False)
 
 
-def test_a_refusal_is_told_once_and_tried_again_until_it_is_mended() -> None:
-    async def act(a: Top, b: Top) -> None:
+def test_a_refusal_is_logged_once_and_retried_until_accepted() -> None:
+    async def scenario(a: LinkOwner, b: LinkOwner) -> None:
         await until(lambda: len(a.refusals) > 1)
         assert {one.reason for _, one in a.refusals} == {CloseReason.OTHER_MEMBERS}
         assert len([1 for event, _ in a.log if event == "link_refused"]) == 1
-        assert a.links.tally.ways["b"] == CloseReason.OTHER_MEMBERS
-        a.now = a.now._replace(voters=VOTERS)
-        await until(lambda: not a.links.tally.ways["b"])
+        assert a.links.statistics.states["b"] == CloseReason.OTHER_MEMBERS
+        a.identity = a.identity._replace(voters=VOTERS)
+        await until(lambda: not a.links.statistics.states["b"])
 
-    play(act, "a", "b", voters=("a",))
+    run_scenario(scenario, "a", "b", voters=("a",))
 
 
-def test_who_dials_anew_takes_the_place_of_the_half_open_link() -> None:
-    async def act(top: Top) -> None:
-        host, port = top.links.listen
+def test_a_new_connection_replaces_the_half_open_one_of_the_same_member() -> None:
+    async def scenario(owner: LinkOwner) -> None:
+        host, port = owner.links.listen
         async with aiohttp.ClientSession() as session:
             old = await session.ws_connect(f"http://{host}:{port}/")
             await old.send_bytes(encode(hello()))
@@ -356,35 +361,37 @@
             await new.receive()
             await new.send_bytes(encode_frame(FrameKind.REPLICA, b"now"))
             assert (await old.receive(timeout=5)).type is aiohttp.WSMsgType.CLOSE
-            await until(lambda: top.got == [("b", FrameKind.REPLICA, b"now")])
-        assert top.count(CloseReason.REPLACED) == 1
+            await until(lambda: owner.frames == [("b", FrameKind.REPLICA, b"now")])
+        assert owner.count(CloseReason.REPLACED) == 1
 
-    play(act, "a")
+    run_scenario(scenario, "a")
 
 
-def test_counters_come_in_and_rubbish_of_them_is_closed() -> None:
-    async def act(top: Top) -> None:
-        host, port = top.links.listen
+def test_counters_are_accepted_and_malformed_ones_close_the_link() -> None:
+    async def scenario(owner: LinkOwner) -> None:
+        host, port = owner.links.listen
         async with CounterSource("perf", "g", Peer("a", host, port), lambda event, **fields: None) as source:
-            await asyncio.wait_for(source.stands.wait(), 5)
+            await asyncio.wait_for(source.is_up.wait(), 5)
             assert source.send(msgspec.msgpack.encode([]))
             assert source.send(b"\xc1")
-            await until(lambda: not source.stands.is_set())
-        assert top.count(CloseReason.UNREADABLE) == 1 and not top.got
-        assert [fields["member"] for event, fields in top.log if event == "link_closed"] == ["counters perf"]
+            await until(lambda: not source.is_up.is_set())
+        assert owner.count(CloseReason.UNREADABLE) == 1 and not owner.frames
+        assert [fields["member"] for event, fields in owner.log if event == "link_closed"] == [
+            "counters perf"
+        ]
 
-    play(act, "a")
+    run_scenario(scenario, "a")
 
 
-def test_a_queue_is_bounded_by_frames_and_bytes_and_heard_gives_way() -> None:
-    queue = SendQueue(frames=8, size=100)
+def test_a_queue_is_bounded_by_frames_and_bytes_and_drops_gossip_first() -> None:
+    queue = SendQueue(max_frames=8, max_bytes=100)
     assert queue.put(FrameKind.HEARD, bytes(20)) and not queue.put(FrameKind.HEARD, bytes(20))
-    assert queue.put(FrameKind.REPLICA, bytes(70)) and queue.held == 90
-    with pytest.raises(FullError):
+    assert queue.put(FrameKind.REPLICA, bytes(70)) and queue.queued_bytes == 90
+    with pytest.raises(QueueFullError):
         queue.put(FrameKind.REPLICA, bytes(20))
-    assert len(queue.take()) == 20 and queue.put(FrameKind.REPLICA, bytes(30)) and queue.held == 100
+    assert len(queue.take()) == 20 and queue.put(FrameKind.REPLICA, bytes(30)) and queue.queued_bytes == 100
     queue.clear()
     for _ in range(8):
         queue.put(FrameKind.REPLICA, b"")
-    with pytest.raises(FullError):
+    with pytest.raises(QueueFullError):
         queue.put(FrameKind.REPLICA, b"")
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -97,13 +97,13 @@
 
     async def act(member: Member, desk: Virtual, log: Any) -> None:
         await member.submit("", desk.wish(*out(0)), S // 10)
-        member.refused("b", refusal)
+        member.on_refused("b", refusal)
         assert member.halted  # Until it lives again nothing is vouched for under the old one.
         await until(lambda: not member.halted)
         assert member.life.incarnation == member.gossip.store.origins["a"].incarnation == known + 1
         waiting = asyncio.ensure_future(member.submit("W", desk.wish(*out(2)), 20 * S))
         await asyncio.sleep(0)
-        member.refused("b", refusal)
+        member.on_refused("b", refusal)
         assert member.halted and member.halted[0] == "superseded"
         assert (await asyncio.wait_for(waiting, 5)).reason is Reason.OUTCOME_UNKNOWN
         assert (await member.submit("", desk.wish(*out(2)), S)).reason is Reason.NO_MAJORITY
@@ -118,8 +118,8 @@
 @pytest.mark.parametrize("reason", [CloseReason.SUPERSEDED, CloseReason.CLONED, CloseReason.OTHER_MEMBERS])
 def test_let_in_before_a_refusal_means_a_person_is_wanted(reason: CloseReason) -> None:
     async def act(member: Member, desk: Virtual, log: Any) -> None:
-        member.came("b")
-        member.refused("c", Refusal(reason, "why", 9))
+        member.on_link_up("b")
+        member.on_refused("c", Refusal(reason, "why", 9))
         # What is wrong in the settings over there may be mended there.
         assert (member.halted and member.halted[0]) == (
             None if reason is CloseReason.OTHER_MEMBERS else reason
@@ -182,9 +182,9 @@
             gossip.beat(now)
         assert not member.at_desk.holds and gossip.said(now, "w/s0/1") == {"a": b"0"}
         with pytest.raises(UnreadableError):
-            member.heard("b", FrameKind.HEARD, b"rubbish")
+            member.on_frame("b", FrameKind.HEARD, b"rubbish")
         with pytest.raises(UnreadableError):
-            member.heard("b", FrameKind.REPLICA, b"rubbish")
+            member.on_frame("b", FrameKind.REPLICA, b"rubbish")
 
     play(act)
 
