--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -24,8 +24,8 @@
     rows,
     sample,
 )
-from ambershift.coordinator.replication.heard import Kind
-from ambershift.coordinator.replication.heard.store import Store
+from ambershift.coordinator.replication.gossip import Kind
+from ambershift.coordinator.replication.gossip.store import Store
 from benchmarks.takeover import Numbered, Side, Takeover
 from tests.support.policy_model import S, entry, make_terms
 
@@ -111,15 +111,15 @@
     assert not b.later and set(b.known) == {11}
 
 
-def met(server: int, tries: int, bad: int, zone: int = 0, ms: int = 50) -> api.Met:
-    return api.Met(zone, server, tries, bad, ms * 1_000_000, S, ())
+def met(server: int, tries: int, bad: int, zone: int = 0, ms: int = 50) -> api.ServerReport:
+    return api.ServerReport(zone, server, tries, bad, ms * 1_000_000, S, ())
 
 
 def given(one: ObservationExchange, now: int) -> dict[int, tuple[int, int, int]]:
     return {
         event.server: (event.tries, event.bad, event.zone)
         for event in one.exchange(now, BLANK)
-        if isinstance(event, api.Met)
+        if isinstance(event, api.ServerReport)
     }
 
 
