--- a/ambershift/coordinator/group/disk/__init__.py
+++ b/ambershift/coordinator/group/disk/__init__.py
@@ -1,1 +1,1 @@
-"""Disk: keeps what a member vouches for in its folder, on a thread of its own that holds up no step."""
+"""Stores a member's durable state in its folder, on a thread of its own, so that the loop never waits."""
--- a/ambershift/coordinator/group/disk/folder.py
+++ b/ambershift/coordinator/group/disk/folder.py
@@ -1,4 +1,4 @@
-"""Folder: opens a member's folder, appends to its log, keeps the log short; each call waits for the disk."""
+"""A member's folder: opens it, appends to its log and compacts the log. Each call waits for the disk."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ambershift.coordinator.group.disk.files import Files, Handle
+from ambershift.coordinator.group.disk.files import FileHandle, Files
 from ambershift.coordinator.replication.log_recovery import ContradictionError, Held, Reading, read
 from ambershift.coordinator.replication.records import (
     PREAMBLE,
@@ -25,9 +25,15 @@
 )
 from ambershift.coordinator.replication.types import Saved, Write
 
-LOG, MARK, NEW = "log", "mark", ".new"
-# A log is written anew, without what later writes made void, once it is so many times the size it was then.
-GROWTH, LOG_LEAST = 4, 4 << 20
+LOG_FILE = "log"
+MARK_FILE = "mark"
+NEW_SUFFIX = ".new"
+ASIDE_INFIX = ".aside-"
+# The log is compacted, without what later writes made void, once it has grown by this factor since the last
+# time, and has at least so many bytes.
+COMPACTION_GROWTH = 4
+MIN_COMPACTION_BYTES = 4 << 20
+NS_PER_SECOND = 1_000_000_000
 
 
 class RefusedError(Exception):
@@ -35,12 +41,20 @@
 
 
 class DiskError(Exception):
-    """The disk failed at some call; what that call wrote is not known. Nothing more is written."""
+    """A call to the disk failed; what it wrote is not known, and nothing more is written."""
 
 
 class Opened(NamedTuple):
-    """`saved` None: the member is blank. `aside` names the files set aside, with `fault` and `why`. `lost`:
-    something was set aside here, now or before, and nothing has been recovered since.
+    """What was found when the folder was opened.
+
+    Attributes:
+        saved: The durable state; None where there is none.
+        incarnation: The new incarnation of the member, already durable.
+        fault: Why the content was set aside, if it was unreadable.
+        why: The same in words.
+        aside: The new names of the files that were set aside.
+        torn: The bytes of an append that was cut short, and was never acknowledged.
+        lost: Files were set aside now or before, and no state has been recovered since.
     """
 
     saved: Saved | None
@@ -53,136 +67,173 @@
 
 
 class Folder:
-    def __init__(self, files: Files, group_name: str, me: str) -> None:
-        self.files, self.group_name, self.me = files, group_name, me
-        self.held, self.generation, self.turn = Held(), 0, 0
-        self.log: Handle | None = None
-        self.mark: Handle | None = None
-        self.incarnation = self.log_size = self.base = 0
-        self.failed = ""
+    """The log of one member, and the mark up to where the log is synced.
+
+    Attributes:
+        incarnation: This start's incarnation.
+        log_size: The size of the log in bytes.
+    """
+
+    def __init__(self, files: Files, group_name: str, member: str) -> None:
+        """Prepare; `open` reads the folder.
+
+        Args:
+            files: The folder.
+            group_name: The group's name in the settings.
+            member: The member's name.
+        """
+        self.files = files
+        self.group_name = group_name
+        self.member = member
+        self.held = Held()
+        self.generation = 0
+        self.mark_count = 0  # Marks are written to two slots in turn.
+        self.log: FileHandle | None = None
+        self.mark: FileHandle | None = None
+        self.incarnation = 0
+        self.log_size = 0
+        self.compacted_size = 0  # The size of the log after the last compaction.
+        self.error = ""  # Why the disk failed; empty while it works.
 
     def open(self, wall: int, void: str = "") -> Opened:
-        """Read, set aside or take up, and make the new incarnation last, before the member takes part.
+        """Read what is durable, or set it aside, and make a new incarnation durable.
+
+        Args:
+            wall: Unix time in ns. Incarnations are at least that, so that a member that lost its folder has a
+                newer one too.
+            void: Why the content must not be used, such as `old-folder`; then all of it is set aside.
 
-        `wall` is Unix ns: incarnations count up by it, so that one that lost its folder is newer too. `void`
-        names why what is there counts for nothing, `old-folder` for one: then all of it is set aside.
-        LockedError, RefusedError, and DiskError where the disk fails: the member takes no part then.
+        Raises:
+            LockedError: Another process has the folder.
+            RefusedError: The folder is another member's or another group's.
+            DiskError: The disk failed; the member must not take part.
         """
         try:
             self.files.lock()
-            return self.take(self.look(), wall, void)
+            return self._recover(self._read_files(), wall, void)
         except OSError as error:
             self.close()
-            self.failed = named(error)
-            raise DiskError(self.failed) from error
+            self.error = describe_error(error)
+            raise DiskError(self.error) from error
         except RefusedError:
             self.close()
             raise
 
-    def look(self) -> Reading:
-        there = set(self.files.names())
-        log, mark = (self.files.read(name) if name in there else None for name in (LOG, MARK))
+    def _read_files(self) -> Reading:
+        names = set(self.files.names())
+        log, mark = (self.files.read(name) if name in names else None for name in (LOG_FILE, MARK_FILE))
         reading = read(log, mark)
         head = reading.head
-        if head is not None and (head.group_name, head.me) != (self.group_name, self.me):
+        if head is not None and (head.group_name, head.me) != (self.group_name, self.member):
             raise RefusedError(
                 f"the folder is of member {head.me!r} of group {head.group_name!r}, not of "
-                f"{self.me!r} of {self.group_name!r}"
+                f"{self.member!r} of {self.group_name!r}"
             )
         return reading
 
-    def take(self, reading: Reading, wall: int, void: str) -> Opened:
+    def _recover(self, reading: Reading, wall: int, void: str) -> Opened:
         aside: tuple[str, ...] = ()
         if reason := void or reading.fault:
-            aside = self.move_aside(str(reason), wall)
-        before = reading.head.incarnation if reading.head else 0
+            aside = self._set_aside(str(reason), wall)
+        last_incarnation = reading.head.incarnation if reading.head else 0
         self.held = Held() if reason else reading.held
-        self.generation, self.turn = reading.generation, reading.turn
-        self.incarnation = max(before + 1, wall)
-        if aside or MARK not in self.files.names():
-            # Before the log: a log without any mark is none of ours.
-            self.write_beside(MARK, [both_slots(Mark(self.turn, self.generation, 0))])
-        self.mark = self.files.open(MARK)
+        self.generation, self.mark_count = reading.generation, reading.turn
+        self.incarnation = max(last_incarnation + 1, wall)
+        if aside or MARK_FILE not in self.files.names():
+            # The mark is created before the log: a log without a mark is taken for a foreign file.
+            self._replace_file(MARK_FILE, [both_slots(Mark(self.mark_count, self.generation, 0))])
+        self.mark = self.files.open(MARK_FILE)
         self.compact()
-        saved = self.held.saved(before)
-        kept = saved is not None and bool(saved.view or saved.entries or saved.snapshot)
-        lost = not kept and any(".aside-" in name for name in self.files.names())
+        saved = self.held.saved(last_incarnation)
+        has_state = saved is not None and bool(saved.view or saved.entries or saved.snapshot)
+        lost = not has_state and any(ASIDE_INFIX in name for name in self.files.names())
         return Opened(saved, self.incarnation, reading.fault, reading.why, aside, reading.torn, lost)
 
     def append(self, writes: Sequence[Write]) -> None:
-        """All of them under one sync. DiskError: none of them, nor any after, is vouched for."""
-        if self.failed or self.log is None:
-            raise DiskError(self.failed or "closed")
+        """Make all writes durable under one sync.
+
+        Raises:
+            DiskError: The disk failed, now or before: neither these writes nor any later ones are durable.
+        """
+        if self.error or self.log is None:
+            raise DiskError(self.error or "closed")
         try:
             lines = [line(write) for write in writes]
             for one in lines:
                 self.held.fold(one)
-            if any(one.snapshot for one in lines) or self.log_size > max(LOG_LEAST, GROWTH * self.base):
+            has_snapshot = any(one.snapshot for one in lines)
+            if has_snapshot or self.log_size > max(
+                MIN_COMPACTION_BYTES, COMPACTION_GROWTH * self.compacted_size
+            ):
                 self.compact()
                 return
-            data, at = bytearray(), self.log_size
+            data, offset = bytearray(), self.log_size
             for one in lines:
-                data += frame(msgspec.msgpack.encode(one), self.generation, at + len(data))
+                data += frame(msgspec.msgpack.encode(one), self.generation, offset + len(data))
             self.log.append(bytes(data))
             self.log.sync()
             self.log_size += len(data)
             self.advance_mark()
         except (OSError, ContradictionError) as error:
-            self.failed = named(error)
-            raise DiskError(self.failed) from error
+            self.error = describe_error(error)
+            raise DiskError(self.error) from error
 
     def compact(self) -> None:
-        """All that is held into a new file, which takes the log's name once it is synced."""
+        """Write the state that counts to a new file, which replaces the log once it is synced."""
         self.generation += 1
-        bodies: list[Head | Line] = [Head(self.group_name, self.me, self.incarnation)]
+        bodies: list[Head | Line] = [Head(self.group_name, self.member, self.incarnation)]
         bodies += [self.held.line()] if self.held.written else []
-        parts, at = list[bytes](), PREAMBLE.size
+        frames, size = list[bytes](), PREAMBLE.size
         for body in bodies:
-            parts.append(frame(msgspec.msgpack.encode(body), self.generation, at))
-            at += len(parts[-1])
-        old, self.log = self.log, self.write_beside(LOG, [preamble(self.generation, at), *parts], keep=True)
-        if old is not None:
-            old.close()
-        self.log_size = self.base = at
+            frames.append(frame(msgspec.msgpack.encode(body), self.generation, size))
+            size += len(frames[-1])
+        old_log = self.log
+        self.log = self._replace_file(LOG_FILE, [preamble(self.generation, size), *frames], keep_open=True)
+        if old_log is not None:
+            old_log.close()
+        self.log_size = self.compacted_size = size
         self.advance_mark()
 
     def advance_mark(self) -> None:
-        """The log is synced to its end: say so where one fault does not reach both."""
+        """Record that the log is synced to its end, in a second file, so that no one fault damages both."""
         assert self.mark is not None
-        self.turn += 1
-        self.mark.write_at(self.turn % 2 * SLOT_BYTES, slot(Mark(self.turn, self.generation, self.log_size)))
+        self.mark_count += 1
+        offset = self.mark_count % 2 * SLOT_BYTES
+        self.mark.write_at(offset, slot(Mark(self.mark_count, self.generation, self.log_size)))
         self.mark.sync()
 
-    def write_beside(self, name: str, parts: list[bytes], keep: bool = False) -> Handle | None:
-        handle = self.files.create(name + NEW)
+    def _replace_file(self, name: str, parts: list[bytes], keep_open: bool = False) -> FileHandle | None:
+        """Write a new file, sync it and rename it to `name`; return its handle if it is to stay open."""
+        handle = self.files.create(name + NEW_SUFFIX)
         for part in parts:
             handle.append(part)
         handle.sync()
-        self.files.rename(name + NEW, name)
+        self.files.rename(name + NEW_SUFFIX, name)
         self.files.sync_folder()
-        if keep:
+        if keep_open:
             return handle
         handle.close()
         return None
 
-    def move_aside(self, reason: str, wall: int) -> tuple[str, ...]:
-        """Rename log and mark to names that say when and why. Nothing is deleted or written over."""
-        there = set(self.files.names())
-        when = datetime.fromtimestamp(wall // 1_000_000_000, UTC).strftime("%Y%m%dT%H%M%SZ")
+    def _set_aside(self, reason: str, wall: int) -> tuple[str, ...]:
+        """Rename log and mark to names with the time and the reason; nothing is deleted or overwritten."""
+        names = set(self.files.names())
+        when = datetime.fromtimestamp(wall // NS_PER_SECOND, UTC).strftime("%Y%m%dT%H%M%SZ")
         moved = []
-        for name in (LOG, MARK):
-            if name in there:
-                new, count = f"{name}.aside-{when}-{reason}", 1
-                while new in there:
+        for name in (LOG_FILE, MARK_FILE):
+            if name in names:
+                new, count = f"{name}{ASIDE_INFIX}{when}-{reason}", 1
+                while new in names:
                     count += 1
-                    new = f"{name}.aside-{when}-{reason}-{count}"
+                    new = f"{name}{ASIDE_INFIX}{when}-{reason}-{count}"
                 self.files.rename(name, new)
-                there.add(new)
+                names.add(new)
                 moved.append(new)
         self.files.sync_folder()
         return tuple(moved)
 
     def close(self) -> None:
+        """Close the files, and release the lock."""
         for handle in (self.log, self.mark):
             if handle is not None:
                 handle.close()
@@ -190,8 +241,8 @@
         self.files.unlock()
 
 
-def named(error: Exception) -> str:
-    """A reason for the log: the system's own words without any path."""
+def describe_error(error: Exception) -> str:
+    """Return an error for the log: of an OSError its message and number, without any path."""
     if isinstance(error, OSError):
         return f"{error.strerror or type(error).__name__} (errno {error.errno})"
     return str(error)
--- a/tests/coordinator/group/test_disk.py
+++ b/tests/coordinator/group/test_disk.py
@@ -1,4 +1,4 @@
-"""A member's folder: what was told as synced is there after any crash, or it is set aside by name."""
+"""A member's folder: synced data survives any crash, and damaged files are set aside with a reason."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from ambershift.coordinator.group.disk import folder as folders
+from ambershift.coordinator.group.disk import folder as folder_module
 from ambershift.coordinator.group.disk.files import LockedError, RealFiles
 from ambershift.coordinator.group.disk.folder import DiskError, Folder, Opened, RefusedError
 from ambershift.coordinator.group.disk.worker import DiskWorker
@@ -24,7 +24,7 @@
 from tests.support.fault_schedules import history
 from tests.support.simulated_disk import CrashError, SimFiles
 
-Spoil = Callable[[dict[str, bytearray]], None]
+Damage = Callable[[dict[str, bytearray]], None]
 WALL = 1_800_000_000_000_000_000
 
 
@@ -58,74 +58,75 @@
 WRITES = [one for batch in BATCHES for one in batch]
 
 
-def folded(count: int) -> Held:
+def state_after(count: int) -> Held:
     held = Held()
     for one in WRITES[:count]:
         held.fold(records.line(one))
     return held
 
 
-STATES = [folded(count).saved(0) for count in range(len(WRITES) + 1)]
+SAVED_STATES = [state_after(count).saved(0) for count in range(len(WRITES) + 1)]
 
 
-class Run:
-    """The workload, with a new start in its middle, until something breaks it off."""
+class Workload:
+    """Appends all batches, and reopens the folder in their middle, until a fault interrupts it."""
 
     def __init__(self, files: SimFiles) -> None:
-        self.files, self.acked, self.tried, self.broken, self.started = files, 0, 0, False, 0
+        self.files, self.acked, self.attempted = files, 0, 0
+        self.interrupted, self.last_incarnation = False, 0
         try:
             folder = Folder(files, "archive", "n1")
-            self.started = folder.open(WALL).incarnation
+            self.last_incarnation = folder.open(WALL).incarnation
             for at, batch in enumerate(BATCHES):
                 if at == 4:
                     folder.close()
                     folder = Folder(files, "archive", "n1")
-                    self.started = folder.open(WALL + 1).incarnation
-                self.tried += len(batch)
+                    self.last_incarnation = folder.open(WALL + 1).incarnation
+                self.attempted += len(batch)
                 folder.append(batch)
-                self.acked = self.tried
+                self.acked = self.attempted
         except (CrashError, DiskError):
-            self.broken = True
+            self.interrupted = True
             if not files.crash_at:
-                with pytest.raises(DiskError):  # Not taken back by itself.
+                with pytest.raises(DiskError):  # It doesn't recover by itself.
                     folder.append([write(99, committed=1)])
 
-    def held(self, opened: Opened) -> int:
-        """How many of the writes the folder holds."""
+    def count_held(self, opened: Opened) -> int:
+        """Return how many of the writes the folder holds."""
         saved = opened.saved and msgspec.structs.replace(opened.saved, incarnation=0)
-        return max(count for count, one in enumerate(STATES) if one == saved)
+        return max(count for count, one in enumerate(SAVED_STATES) if one == saved)
 
 
 def reopened(files: SimFiles) -> Opened:
     return Folder(files, "archive", "n1").open(WALL + 2)
 
 
-CALLS = Run(SimFiles()).files.calls
+FILE_CALLS = Workload(SimFiles()).files.calls
 
 
 @pytest.mark.parametrize("keep", [0.0, 0.5, 0.8, 1.0])
-def test_after_a_crash_at_any_call_all_that_was_told_as_synced_is_there(keep: float) -> None:
+def test_a_crash_at_any_call_loses_nothing_reported_as_synced(keep: float) -> None:
     torn = 0
-    for at in range(1, CALLS + 1):
+    for at in range(1, FILE_CALLS + 1):
         for seed in range(1 if keep in (0.0, 1.0) else 40):
-            run = Run(SimFiles(seed * 1000 + at, crash_at=at))
-            assert run.broken
+            run = Workload(SimFiles(seed * 1000 + at, crash_at=at))
+            assert run.interrupted
             left = run.files.after(keep)
             opened = reopened(left)
             assert opened.fault is None and not opened.aside, (at, seed, opened)
-            assert run.acked <= run.held(opened) <= run.tried, (at, seed)
-            assert opened.incarnation > run.started
+            assert run.acked <= run.count_held(opened) <= run.attempted, (at, seed)
+            assert opened.incarnation > run.last_incarnation
             torn += opened.torn > 0
-            # A second crash while the first is mended.
+            # A second crash, during the recovery from the first.
             again = left.after(0.5)
             twice = reopened(again)
-            assert twice.fault is None and run.acked <= run.held(twice) <= run.tried, (at, seed)
+            assert twice.fault is None and run.acked <= run.count_held(twice) <= run.attempted, (at, seed)
     assert keep in (0.0, 1.0) or torn > 50
 
 
-def test_a_crash_while_a_folder_is_opened_after_a_crash_loses_nothing() -> None:
-    for at in range(1, CALLS + 1):
-        run = Run(SimFiles(at, crash_at=at))
+def test_a_crash_during_recovery_from_a_crash_loses_nothing() -> None:
+    for at in range(1, FILE_CALLS + 1):
+        run = Workload(SimFiles(at, crash_at=at))
         for second in range(1, 14):
             left = run.files.after(0.6)
             left.crash_at = left.calls + second
@@ -133,47 +134,55 @@
                 reopened(left)
             except CrashError:
                 opened = reopened(left.after(0.6))
-                assert opened.fault is None and run.acked <= run.held(opened) <= run.tried, (at, second)
+                assert opened.fault is None and run.acked <= run.count_held(opened) <= run.attempted, (
+                    at,
+                    second,
+                )
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-def test_a_failed_call_is_never_taken_back(code: int) -> None:
-    for at in range(1, CALLS + 1):
+def test_a_failed_call_fails_the_folder_for_good(code: int) -> None:
+    for at in range(1, FILE_CALLS + 1):
         for keep in (0.0, 0.5, 1.0):
-            run = Run(SimFiles(at, fail_at=at, code=code))
-            assert run.broken, at
-            for left in (run.files, run.files.after(keep)):  # The program starts anew, or the machine does.
+            run = Workload(SimFiles(at, fail_at=at, code=code))
+            assert run.interrupted, at
+            for left in (run.files, run.files.after(keep)):  # The program restarts, or the machine does.
                 left.fail_at = 0
                 opened = reopened(left)
-                assert opened.fault is None and run.acked <= run.held(opened) <= run.tried, (at, keep)
+                assert opened.fault is None and run.acked <= run.count_held(opened) <= run.attempted, (
+                    at,
+                    keep,
+                )
 
 
 @cache
-def ended(crash: int, keep: float) -> tuple[Run, SimFiles]:
-    run = Run(SimFiles(3, crash_at=crash))
+def interrupted_workload(crash: int, keep: float) -> tuple[Workload, SimFiles]:
+    run = Workload(SimFiles(3, crash_at=crash))
     return run, run.files.after(keep)
 
 
-def damaged(change: Spoil, crash: int = 0, keep: float = 1.0) -> tuple[Run, Opened]:
-    run, files = ended(crash, keep)
+def damaged(change: Damage, crash: int = 0, keep: float = 1.0) -> tuple[Workload, Opened]:
+    run, files = interrupted_workload(crash, keep)
     left = files.after(1.0)
     change({name: left.table[name].seen for name in left.table})
     before = {bytes(left.table[name].seen) for name in ("log", "mark") if name in left.table}
     opened = reopened(left)
     kept = {bytes(inode.seen) for inode in left.table.values()}
-    assert opened.fault is None or before <= kept, "something was deleted or written over"
+    assert opened.fault is None or before <= kept, "something was deleted or overwritten"
     assert (opened.fault is None) == (not opened.aside) and (opened.saved is None) >= bool(opened.fault)
-    assert opened.lost == bool(opened.fault) and reopened(left).lost == opened.lost  # Until it has recovered.
+    # `lost` stays until a state is recovered.
+    assert opened.lost == bool(opened.fault) and reopened(left).lost == opened.lost
     return run, opened
 
 
-def test_a_flipped_bit_or_a_cut_of_what_was_synced_is_never_silent() -> None:
+def test_a_flipped_bit_or_truncation_of_synced_data_is_detected() -> None:
     seen = dict.fromkeys(records.Fault, 0)
     for name in ("log", "mark"):
-        size = len(SimFiles.read(Run(SimFiles()).files, name))
+        size = len(SimFiles.read(Workload(SimFiles()).files, name))
         for at in range(size) if name == "log" else (*range(40), *range(size - 40, size)):
             for change in ("flip", "cut", "zero"):
-                for crash in (0, CALLS, CALLS - 3):  # Whole; its last mark, its last append torn.
+                # Complete; the last mark torn; the last append torn.
+                for crash in (0, FILE_CALLS, FILE_CALLS - 3):
 
                     def spoil(
                         files: dict[str, bytearray], change: str = change, at: int = at, name: str = name
@@ -184,11 +193,11 @@
                             files[name][at] ^= 1 << at % 8 if change == "flip" else files[name][at]
 
                     run, opened = damaged(spoil, crash, 0.5)
-                    assert opened.fault or run.held(opened) >= run.acked, (name, at, change, crash)
+                    assert opened.fault or run.count_held(opened) >= run.acked, (name, at, change, crash)
                     if opened.fault:
                         seen[opened.fault] += 1
-    # And wherever the machine ended: what a log's name rests on was synced before its first mark.
-    for crash in range(1, CALLS + 1):
+    # And after a crash at any call: a log is synced before it gets its name and its first mark.
+    for crash in range(1, FILE_CALLS + 1):
         for seed in range(24):
 
             def flip(files: dict[str, bytearray], seed: int = seed, crash: int = crash) -> None:
@@ -196,7 +205,7 @@
                     log[(seed * len(log) // 24 + crash % 5) % len(log)] ^= 4
 
             run, opened = damaged(flip, crash, seed % 3 / 2)
-            assert opened.fault or run.held(opened) >= run.acked, (crash, seed)
+            assert opened.fault or run.count_held(opened) >= run.acked, (crash, seed)
     assert not seen[records.Fault.NEWER]
     assert all(
         seen[one]
@@ -210,9 +219,9 @@
     ), seen
 
 
-def test_other_files_are_set_aside_by_name() -> None:
+def test_foreign_and_inconsistent_files_are_set_aside_with_the_reason() -> None:
     newer = records.preamble(99, 0, records.VERSION + 1)
-    older = bytes(Run(SimFiles(crash_at=CALLS - 20)).files.table["log"].seen)
+    older = bytes(Workload(SimFiles(crash_at=FILE_CALLS - 20)).files.table["log"].seen)
 
     def torn(files: dict[str, bytearray]) -> None:
         log = records.preamble(99, 0)
@@ -220,7 +229,7 @@
             log += records.frame(body, 99, len(log))
         files["log"][:] = log
 
-    cases: dict[records.Fault, Spoil] = {
+    cases: dict[records.Fault, Damage] = {
         records.Fault.NEWER: lambda files: files["log"].__setitem__(slice(None), newer),
         records.Fault.FOREIGN: lambda files: files["log"].__setitem__(slice(None), b"[settings]\nno log\n"),
         records.Fault.BEHIND: lambda files: files["log"].__setitem__(slice(None), older),
@@ -232,8 +241,8 @@
         assert all(f"-{fault.value}" in name and "20270115T080000Z" in name for name in opened.aside)
 
 
-def test_a_lost_log_a_void_folder_and_names_already_taken() -> None:
-    files = Run(SimFiles()).files
+def test_a_missing_log_a_void_folder_and_a_foreign_folder() -> None:
+    files = Workload(SimFiles()).files
     del files.table["log"]
     assert reopened(files).fault is records.Fault.MISSING
     for count in (2, 3):
@@ -247,10 +256,10 @@
         assert files.table == names
 
 
-def test_a_gap_in_the_numbers_fails_the_disk_and_a_log_grows_no_further_than_so_many_times(
+def test_a_gap_in_the_numbers_fails_the_disk_and_a_grown_log_is_compacted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(folders, "LOG_LEAST", 1000)
+    monkeypatch.setattr(folder_module, "MIN_COMPACTION_BYTES", 1000)
     folder = Folder(SimFiles(), "archive", "n1")
     folder.open(WALL)
     for at in range(400):
@@ -259,11 +268,11 @@
     with pytest.raises(DiskError, match="entry 3 where 1 belongs"):
         folder.append([write(401, new=entries(3, 3))])
     with pytest.raises(ContradictionError):
-        folded(2).fold(records.line(write(1, new=entries(5, 5), cut=2)))
+        state_after(2).fold(records.line(write(1, new=entries(5, 5), cut=2)))
 
 
-def test_the_folder_holds_what_replicas_mean(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Every write of a few histories of whole groups, by the folder and by the replicas' own slow model."""
+def test_the_folder_holds_what_replicas_expect(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Compare the state after each write of generated histories with the plain model of the replica tests."""
     plain, seen = simulated_replicas.written, list[int]()
 
     def both(saved: Saved | None, one: Write) -> Saved:
@@ -282,50 +291,50 @@
     assert len(seen) > 100 and 0 in seen and max(seen) > 5
 
 
-class Heard:
+class RecordingListener:
     def __init__(self) -> None:
-        self.told: list[int | str] = []
+        self.calls_seen: list[int | str] = []
         self.change = asyncio.Event()
 
     def synced(self, ticket: int) -> None:
-        self.told.append(ticket)
+        self.calls_seen.append(ticket)
         self.change.set()
 
     def failed(self, reason: str) -> None:
-        self.told.append(reason)
+        self.calls_seen.append(reason)
         self.change.set()
 
     async def until(self, last: int | str) -> None:
-        while last not in self.told:
+        while last not in self.calls_seen:
             self.change.clear()
             await asyncio.wait_for(self.change.wait(), 20)
 
 
-def test_the_thread_shares_syncs_tells_in_order_and_keeps_all(tmp_path: object) -> None:
-    async def scene() -> None:
+def test_queued_writes_share_a_sync_and_are_reported_in_order(tmp_path: object) -> None:
+    async def scenario() -> None:
         folder = Folder(RealFiles(f"{tmp_path}/n1"), "archive", "n1")
         assert folder.open(WALL) == Opened(None, WALL, None, "", (), 0, False)
-        heard = Heard()
-        disk = DiskWorker(folder, heard, asyncio.get_running_loop())
+        listener = RecordingListener()
+        disk = DiskWorker(folder, listener, asyncio.get_running_loop())
         for one in WRITES:
             disk.write(one)
         disk.start()
-        await heard.until(13)
-        assert disk.syncs == 1 and disk.close() and heard.told == [13]
+        await listener.until(13)
+        assert disk.syncs == 1 and disk.close() and listener.calls_seen == [13]
         again = Folder(RealFiles(f"{tmp_path}/n1"), "archive", "n1").open(WALL)
         assert again.saved is not None and again.saved.entries == entries(21, 31, 4)
         assert again.incarnation == WALL + 1
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(("full", "fails"), [(False, True), (True, False), (True, True)])
-def test_a_failed_or_hanging_disk_is_told_once_and_nothing_after(full: bool, fails: bool) -> None:
-    async def scene() -> None:
+def test_a_failed_or_hanging_disk_is_reported_once_and_nothing_after_it(full: bool, fails: bool) -> None:
+    async def scenario() -> None:
         files, entered, hold = SimFiles(), threading.Event(), threading.Event()
-        folder, heard = Folder(files, "archive", "n1"), Heard()
+        folder, listener = Folder(files, "archive", "n1"), RecordingListener()
         folder.open(WALL)
-        disk = DiskWorker(folder, heard, asyncio.get_running_loop(), queue_most=4)
+        disk = DiskWorker(folder, listener, asyncio.get_running_loop(), max_queued_writes=4)
         inner = folder.append
 
         def held(writes: Sequence[Write]) -> None:
@@ -341,16 +350,16 @@
         for at in range(2, 12 if full else 2):
             disk.write(write(at, committed=at))
         hold.set()
-        await heard.until("it is too slow: 4 writes wait" if full else "write (errno 28)")
+        await listener.until("it is too slow: 4 writes wait" if full else "write (errno 28)")
         disk.write(write(12))
         assert disk.close()
         await asyncio.sleep(0)
-        assert len(heard.told) == 1
+        assert len(listener.calls_seen) == 1
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_two_processes_can_not_have_one_folder(tmp_path: object) -> None:
+def test_two_processes_cannot_open_one_folder(tmp_path: object) -> None:
     mine = RealFiles(f"{tmp_path}/n1")
     Folder(mine, "archive", "n1").open(WALL)
     code = (
