--- a/ambershift/coordinator/group/__init__.py
+++ b/ambershift/coordinator/group/__init__.py
@@ -1,1 +1,1 @@
-"""Group: the shell that links members, keeps the log on disk and lets the coordinator use what is held."""
+"""A member of a group of coordinators: links, disk, and the coordinator's use of the replicated log."""
--- a/ambershift/coordinator/group/clock_skew.py
+++ b/ambershift/coordinator/group/clock_skew.py
@@ -1,30 +1,49 @@
-"""Clocks: how far this member's wall clock is from the middle of the members'. No I/O."""
+"""Clock skew: how far this member's wall clock is from the median of the members' clocks. No I/O."""
 
 from __future__ import annotations
 
 from ambershift.coordinator.maintenance.permits import clock_apart
 
-# A word of a clock counts for so long; of several the latest-looking one, as its way makes it look early.
-LASTS = 10_000_000_000
+SAMPLE_LIFETIME_NS = 10_000_000_000
+MAX_EARLIER_SAMPLES = 32  # Kept of each member beside the newest one.
 
 
 class ClockSkew:
-    """Times in ns; `wall` of others comes with the age that the word had when it was read."""
+    """Estimates the offsets of the other members' wall clocks from the times they sent. Times are in ns.
+
+    Of several samples of a member the largest offset counts: time on the way makes a clock look behind.
+    """
 
     def __init__(self, bound: int) -> None:
-        self.bound = bound
-        self.found = dict[str, list[tuple[int, int]]]()
-
-    def heard(self, now: int, mine: int, origin: str, wall: int, age: int) -> None:
-        """`now` is the clock that never goes back, `mine` this member's wall clock at the same moment."""
-        kept = [one for one in self.found.get(origin, []) if now - one[0] < LASTS]
-        self.found[origin] = [*kept[-32:], (now, wall + age - mine)]
-
-    def ahead(self, now: int, origin: str) -> int:
-        """How far this member's clock is ahead of ours; 0 where nothing was heard lately."""
-        return max((off for at, off in self.found.get(origin, ()) if now - at < LASTS), default=0)
-
-    def apart(self, now: int) -> bool:
-        """Whether our clock is apart by more than the bound from the middle of all, our own among them."""
-        lately = [name for name, rows in self.found.items() if any(now - at < LASTS for at, _ in rows)]
-        return clock_apart([0, *(self.ahead(now, name) for name in lately)], self.bound)
+        """Start without samples; `bound` is how far a clock may be from the median."""
+        self._bound = bound
+        self._samples = dict[str, list[tuple[int, int]]]()  # By member, the time of arrival and the offset.
+
+    def add_sample(self, now: int, local_wall: int, member: str, wall: int, age: int) -> None:
+        """Take the wall clock of another member.
+
+        Args:
+            now: The monotonic clock.
+            local_wall: This member's wall clock at the same moment.
+            member: The other member.
+            wall: Its wall clock.
+            age: How long ago it showed that.
+        """
+        recent = [sample for sample in self._samples.get(member, []) if now - sample[0] < SAMPLE_LIFETIME_NS]
+        self._samples[member] = [*recent[-MAX_EARLIER_SAMPLES:], (now, wall + age - local_wall)]
+
+    def offset(self, now: int, member: str) -> int:
+        """Return how far that member's clock is ahead of this one's; 0 without a recent sample."""
+        return max(
+            (offset for at, offset in self._samples.get(member, ()) if now - at < SAMPLE_LIFETIME_NS),
+            default=0,
+        )
+
+    def exceeds_bound(self, now: int) -> bool:
+        """Return whether this clock is further from the median of all, its own included, than the bound."""
+        recent = [
+            member
+            for member, samples in self._samples.items()
+            if any(now - at < SAMPLE_LIFETIME_NS for at, _ in samples)
+        ]
+        return clock_apart([0, *(self.offset(now, member) for member in recent)], self._bound)
--- a/ambershift/coordinator/group/command_validator.py
+++ b/ambershift/coordinator/group/command_validator.py
@@ -1,7 +1,7 @@
-"""Guard: what the leader asks its own desk before it writes a command to the log.
+"""The leader's check of a command, by its own desk, before it writes the command to the log.
 
-Two operators at two members, each of whom drains one of the last two warm servers of a zone, would each pass
-a guard at home. So the leader alone judges, against the wishes that its log holds, committed or not.
+Two operators at two members, each draining one of the last two warm servers of a zone, would each pass a
+check at their own member. So only the leader checks, against the wishes in its log, committed or not.
 """
 
 from __future__ import annotations
@@ -24,67 +24,87 @@
 
 
 class CommandValidator:
-    """`tell` puts a refusal of the desk into words; `apart` tells whether this member's clock is."""
+    """Refuses commands that would leave proxies without warm servers, and grants under a skewed clock."""
 
     def __init__(
         self,
         desk: Desk,
         door: Door[str],
         now: Callable[[], int],
-        tell: Callable[[Refused], str],
-        apart: Callable[[], bool],
+        describe: Callable[[Refused], str],
+        is_clock_skewed: Callable[[], bool],
     ) -> None:
-        self.desk, self.door, self.now, self.tell, self.apart = desk, door, now, tell, apart
+        """Prepare.
+
+        Args:
+            desk: This member's desk.
+            door: Maps server ids to the desk's indices.
+            now: The desk's clock, ns.
+            describe: Returns a refusal of the desk in words.
+            is_clock_skewed: Whether this member's clock is too far from the others'.
+        """
+        self._desk = desk
+        self._door = door
+        self._now = now
+        self._describe = describe
+        self._is_clock_skewed = is_clock_skewed
 
     def __call__(self, state: Promises, at: int, command: Command) -> Outcome | None:
-        now = self.now()
+        """Return the refusal of a command on top of `state`, or None."""
+        now = self._now()
         match command:
             case Wishes():
-                # What this member's list has not can't be judged here, and takes nothing from it.
-                known = [
-                    (index, one) for one in command.changes if (index := self.known(one.server)) is not None
+                # A server that this member's list lacks can't be judged here, nor is it missed here.
+                listed = [
+                    (index, wish)
+                    for wish in command.changes
+                    if (index := self._listed_index(wish.server)) is not None
                 ]
                 changes = [
                     change._replace(server=index)
-                    for index, one in known
-                    if (change := change_of(one)) is not None
+                    for index, wish in listed
+                    if (change := change_of(wish)) is not None
                 ]
-                found = weigh(self.world(state), changes, NEVER, self.desk.warmth, now)
-                return refused(found.reason, self.tell(found)) if isinstance(found, Refused) else None
+                verdict = weigh(self._world_under(state), changes, NEVER, self._desk.warmth, now)
+                return (
+                    refused(verdict.reason, self._describe(verdict)) if isinstance(verdict, Refused) else None
+                )
             case Grant():
-                if self.apart():
+                if self._is_clock_skewed():
                     return refused(Refusal.CLOCK_APART, "the leader's clock is apart from the others'")
-                before = self.world(state)
-                fresh = {
+                before = self._world_under(state)
+                granted = {
                     index: permit.ends
                     for permit in command.permits
-                    if (index := self.known(permit.server)) is not None
+                    if (index := self._listed_index(permit.server)) is not None
                 }
-                after = before._replace(permitted=before.permitted.update(fresh))
-                bare = uncovered(before, after, list(fresh), self.desk.warmth, now)
-                return refused(bare.reason, self.tell(bare)) if bare else None
+                after = before._replace(permitted=before.permitted.update(granted))
+                refusal = uncovered(before, after, list(granted), self._desk.warmth, now)
+                return refused(refusal.reason, self._describe(refusal)) if refusal else None
         return None
 
-    def known(self, server: str) -> int | None:
-        index = self.door.known(server)
-        return index if index is not None and index in self.desk.world.listed else None
+    def _listed_index(self, server: str) -> int | None:
+        index = self._door.known(server)
+        return index if index is not None and index in self._desk.world.listed else None
+
+    def _world_under(self, state: Promises) -> World:
+        """Return this member's list under the wishes and permits of a state.
 
-    def world(self, state: Promises) -> World:
-        """This member's list under the wishes and permits of a state. A permit counts until it is closed: the
-        clocks of others may be behind.
+        A permit counts until it is closed, whatever this clock says: the clocks of others may be behind.
         """
-        world, wishes = self.desk.world, state.wishes
+        world, wishes = self._desk.world, state.wishes
         standing = world.standing
-        # The desk holds most of them already, the very same ones.
+        # The desk holds most wishes already, as the very same objects.
         for server, wish in wishes.items():
-            if (index := self.known(server)) is not None and world.standing.get(index) is not wish:
+            if (index := self._listed_index(server)) is not None and world.standing.get(index) is not wish:
                 standing = standing.insert(index, wish)
         for index in world.standing:
-            if self.door.ids.get(index, "") not in wishes:
+            if self._door.ids.get(index, "") not in wishes:
                 standing = standing.remove(index)
         permitted = {
             index: held.permit.ends
             for held in state.permits.values()
-            if held.permit.phase <= Phase.OUT and (index := self.known(held.permit.server)) is not None
+            if held.permit.phase <= Phase.OUT
+            and (index := self._listed_index(held.permit.server)) is not None
         }
         return world._replace(standing=standing, permitted=HashTrieMap(permitted))
--- a/ambershift/coordinator/group/daemon_thread.py
+++ b/ambershift/coordinator/group/daemon_thread.py
@@ -1,4 +1,4 @@
-"""Off the loop: a call that may hang, on a daemon thread, so that not even the end of the program waits."""
+"""Runs a call that may hang on a daemon thread: neither the event loop nor the program's end waits."""
 
 from __future__ import annotations
 
@@ -8,30 +8,33 @@
 from contextlib import suppress
 from typing import Any, TypeVar
 
-Made = TypeVar("Made")
+Result = TypeVar("Result")
 
 
-async def run_in_daemon_thread(call: Callable[..., Made], *given: Any) -> Made:
-    """As asyncio.to_thread, whose threads the interpreter joins when it ends."""
+async def run_in_daemon_thread(call: Callable[..., Result], *args: Any) -> Result:
+    """Return what `call` returns, or raise what it raises.
+
+    `asyncio.to_thread` uses threads that the interpreter joins at its end; a daemon thread is left behind.
+    """
     loop = asyncio.get_running_loop()
-    future: asyncio.Future[Made] = loop.create_future()
+    future: asyncio.Future[Result] = loop.create_future()
 
-    def tell(made: Made | None, error: BaseException | None) -> None:
+    def finish(result: Result | None, error: BaseException | None) -> None:
         if future.done():
             return
         if error is not None:
             future.set_exception(error)
         else:
-            future.set_result(made)  # type: ignore[arg-type]
+            future.set_result(result)  # type: ignore[arg-type]
 
     def run() -> None:
-        made, failed = None, None
+        result, raised = None, None
         try:
-            made = call(*given)
+            result = call(*args)
         except Exception as error:
-            failed = error
-        with suppress(RuntimeError):  # The loop has ended: nobody is left to be told.
-            loop.call_soon_threadsafe(tell, made, failed)
+            raised = error
+        with suppress(RuntimeError):  # The loop has ended: there is nobody to tell.
+            loop.call_soon_threadsafe(finish, result, raised)
 
     threading.Thread(target=run, name="off the loop", daemon=True).start()
     return await future
--- a/ambershift/coordinator/group/desk_applier.py
+++ b/ambershift/coordinator/group/desk_applier.py
@@ -1,4 +1,4 @@
-"""At the desk: carries out for this coordinator's proxies what the group has promised."""
+"""Applies at this coordinator's desk, for its proxies, what the group has committed."""
 
 from __future__ import annotations
 
@@ -13,108 +13,150 @@
 
 
 class DeskApplier:
-    """Wishes and permits are held by the servers' ids; what no list has named yet is taken up when one does.
+    """Hands the desk wishes and permits, which the log holds by server id.
 
-    `ahead` is what the member's wall clock is ahead of the desk's, `moved` tells the front to look again.
+    Those of a server that no list has named yet take effect once one does.
+
+    Attributes:
+        state: The committed state, as it was applied last.
+        uncommitted_ends: By permit id, sooner ends in log entries that aren't known to be committed.
+        permits_enabled: False while this member's clock is too far from the others': then no server is kept
+            out by a permit.
     """
 
     def __init__(
-        self, desk: Desk, door: Door[str], now: Callable[[], int], ahead: int, moved: Callable[[], None]
+        self,
+        desk: Desk,
+        door: Door[str],
+        now: Callable[[], int],
+        clock_ahead: int,
+        on_change: Callable[[], None],
     ) -> None:
-        self.desk, self.door, self.now, self.ahead, self.moved = desk, door, now, ahead, moved
+        """Start with an empty state.
+
+        Args:
+            desk: The desk.
+            door: Maps server ids to the desk's indices.
+            now: The desk's clock, ns.
+            clock_ahead: How far the member's wall clock is ahead of the desk's, ns.
+            on_change: Called when the desk may have something new to tell.
+        """
+        self.desk = desk
+        self.door = door
+        self._now = now
+        self._clock_ahead = clock_ahead
+        self._on_change = on_change
         self.state = EMPTY
-        self.gathered, self.said = dict[str, None](), list[tuple[str, str]]()
-        self.sooner = dict[str, SoonerEnd]()  # By permit, of entries that are not known to be committed.
-        self.holds = True  # False while this member's clock is apart: then nothing is kept out by permits.
-
-    def gather(self, state: Promises, servers: Iterable[str], who: str, text: str) -> None:
-        """As `wishes`, once `flush` is called: what is applied one after the other is taken as one."""
-        self.gathered.update(dict.fromkeys(servers))
-        self.said.append((who, one_line(text)))
+        self._queued_servers = dict[str, None]()  # Used as an ordered set.
+        self._queued_commands = list[tuple[str, str]]()
+        self.uncommitted_ends = dict[str, SoonerEnd]()
+        self.permits_enabled = True
+
+    def queue_wishes(self, state: Promises, servers: Iterable[str], who: str, text: str) -> None:
+        """Queue the wishes that one command changed, for `flush` to apply all queued ones at once."""
+        self._queued_servers.update(dict.fromkeys(servers))
+        self._queued_commands.append((who, summarize_command(text)))
         self.state = state
 
     def flush(self) -> None:
-        if self.gathered:
-            gathered, said = list(self.gathered), self.said
-            self.gathered, self.said = {}, []
-            self.wishes(self.state, gathered, said)
-
-    def wishes(self, state: Promises, servers: Iterable[str], said: Sequence[tuple[str, str]]) -> None:
-        """These servers' wishes are others now; `said` has who said what. All that came together is taken in
-        one go: each costs a look through all that waits.
+        """Apply the queued wishes."""
+        if self._queued_servers:
+            servers, commands = list(self._queued_servers), self._queued_commands
+            self._queued_servers, self._queued_commands = {}, []
+            self.apply_wishes(self.state, servers, commands)
+
+    def apply_wishes(
+        self, state: Promises, servers: Iterable[str], commands: Sequence[tuple[str, str]]
+    ) -> None:
+        """Apply the wishes for some servers in one go, as each call costs a pass over all pending changes.
+
+        Args:
+            state: The committed state.
+            servers: The ids of the servers whose wishes changed.
+            commands: Who changed them, and by which command.
         """
         self.state = state
-        found = dict[int, Standing]()
+        wishes = dict[int, Standing]()
         for server in servers:
             index = self.door.known(server)
             if index is not None:
-                found[index] = state.wish(server)
-        self.desk.adopt(self.now(), found, said)
-        self.moved()
+                wishes[index] = state.wish(server)
+        self.desk.adopt(self._now(), wishes, commands)
+        self._on_change()
 
-    def permits(self, state: Promises) -> None:
+    def apply_permits(self, state: Promises) -> None:
+        """Apply the permits of a state."""
         self.state = state
-        self.desk.permit(self.now(), self.until())
-        self.moved()
-
-    def all(self, state: Promises) -> None:
-        """A snapshot took the place of what was known: whatever stands is taken over at once."""
-        own = [self.door.ids[one] for one in self.desk.world.standing if one in self.door.ids]
-        self.wishes(state, dict.fromkeys((*own, *state.wishes)), [("group", "what stands in the group")])
-        self.permits(state)
-
-    def before_list(self, event: api.Listed) -> None:
-        """Ahead of the desk: servers that it has not had so far may be wanted out already."""
-        fresh = [entry.server for entry in event.entries if entry.server not in self.desk.world.listed]
-        for server in fresh if self.state.wishes else ():
+        self.desk.permit(self._now(), self.permit_deadlines())
+        self._on_change()
+
+    def apply_snapshot(self, state: Promises) -> None:
+        """Apply all of a state that replaces what was known."""
+        wished_here = [self.door.ids[index] for index in self.desk.world.standing if index in self.door.ids]
+        servers = dict.fromkeys((*wished_here, *state.wishes))
+        self.apply_wishes(state, servers, [("group", "what stands in the group")])
+        self.apply_permits(state)
+
+    def prepare_list(self, event: api.Listed) -> None:
+        """Give the desk, ahead of a list, the wishes and permits for servers that are new in it."""
+        new = [entry.server for entry in event.entries if entry.server not in self.desk.world.listed]
+        for server in new if self.state.wishes else ():
             if (wish := self.state.wish(self.door.ids[server])) != AS_LISTED:
                 self.desk.ahead[server] = wish
-        if fresh and self.state.permits:
-            self.desk.permits = self.until()
+        if new and self.state.permits:
+            self.desk.permits = self.permit_deadlines()
 
-    def ease(self, parts: dict[str, float]) -> None:
+    def ease(self, factors: dict[str, float]) -> None:
+        """Reduce the weights of servers that suffer interference, by server id; of all others undo it."""
         self.desk.ease(
-            self.now(),
-            {index: part for server, part in parts.items() if (index := self.door.known(server)) is not None},
+            self._now(),
+            {
+                index: factor
+                for server, factor in factors.items()
+                if (index := self.door.known(server)) is not None
+            },
         )
-        self.moved()
-
-    def committed(self, number: int) -> None:
-        """Entries up to `number` are in the state: from here on it tells of these permits itself."""
-        if any(one.entry <= number for one in self.sooner.values()):
-            self.sooner = {permit: one for permit, one in self.sooner.items() if one.entry > number}
-            self.permits(self.state)
-
-    def hold(self, holds: bool) -> None:
-        """Whether this member's clock is near enough to the others' to hold servers out by permits."""
-        if holds != self.holds:
-            self.holds = holds
-            self.permits(self.state)
-
-    def until(self) -> dict[int, int]:
-        """The servers that permits keep out, and until when by the desk's clock."""
-        if not self.holds:
+        self._on_change()
+
+    def entries_committed(self, number: int) -> None:
+        """Entries up to `number` are in the state, which therefore tells of the ends in them itself."""
+        if any(end.entry <= number for end in self.uncommitted_ends.values()):
+            self.uncommitted_ends = {
+                permit: end for permit, end in self.uncommitted_ends.items() if end.entry > number
+            }
+            self.apply_permits(self.state)
+
+    def enable_permits(self, enabled: bool) -> None:
+        """Keep servers out by permits, or not while this member's clock is too far from the others'."""
+        if enabled != self.permits_enabled:
+            self.permits_enabled = enabled
+            self.apply_permits(self.state)
+
+    def permit_deadlines(self) -> dict[int, int]:
+        """Return the servers that permits keep out, and until when by the desk's clock."""
+        if not self.permits_enabled:
             return {}
-        at = self.now() + self.ahead
-        found = dict[int, int]()
-        for server, permit in self.state.kept_out(at).items():
-            sooner = self.sooner.get(permit.id)
-            ends = permit.ends if sooner is None else min(permit.ends, sooner.ends)
-            if ends > at and (index := self.door.known(server)) is not None:
-                found[index] = ends - self.ahead
-        return found
-
-    def drained(self, server: str) -> bool:
-        """Shut out at every proxy that this coordinator steers, and no try told any more."""
+        wall = self._now() + self._clock_ahead
+        deadlines = dict[int, int]()
+        for server, permit in self.state.kept_out(wall).items():
+            uncommitted = self.uncommitted_ends.get(permit.id)
+            ends = permit.ends if uncommitted is None else min(permit.ends, uncommitted.ends)
+            if ends > wall and (index := self.door.known(server)) is not None:
+                deadlines[index] = ends - self._clock_ahead
+        return deadlines
+
+    def is_drained(self, server: str) -> bool:
+        """Return whether a server is shut out at all proxies of this coordinator, and no try is reported."""
         index = self.door.known(server)
-        return index is None or index not in self.desk.world.listed or self.desk.drained([index], self.now())
+        return index is None or index not in self.desk.world.listed or self.desk.drained([index], self._now())
 
-    def held_out(self, server: str) -> bool:
+    def is_held_out(self, server: str) -> bool:
+        """Return whether a permit keeps that server out here."""
         index = self.door.known(server)
         return index is not None and index in self.desk.permits
 
 
-def one_line(text: str) -> str:
-    """A command for a record, which is a line: of its payload only how much there was."""
+def summarize_command(text: str) -> str:
+    """Return a command as one line for the ledger: of its payload only the number of lines."""
     first, *payload = text.split("\n")
     return f"{first} of {len(payload)} lines" if payload else first
--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -1,5 +1,7 @@
-"""Gossip: spreads heard state, and says of this member what others need: what it steers, its clock, and
-which servers on permits are drained for its proxies.
+"""Gossip: spreads records between members, and publishes this member's own.
+
+These tell how many proxies it steers, its wall clock, and which servers on permits its proxies have
+drained.
 """
 
 from __future__ import annotations
@@ -17,105 +19,136 @@
 from ambershift.coordinator.promises.state import Held
 from ambershift.coordinator.replication.gossip import messages
 from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import Kind as Heard
-from ambershift.coordinator.replication.gossip.types import Record
+from ambershift.coordinator.replication.gossip.types import Kind, Record
 
 if TYPE_CHECKING:
     from ambershift.coordinator.group.member import Member
 
-SECOND = 1_000_000_000
-# One digest to each member a beat: what is new has reached all within two. One's own is said again each
-# OWN_EVERY, well within the time that it counts.
-BEAT, OWN_EVERY = 0.25, 4
-APART_LOOKS = 3  # So often in a row the clock must look apart, a second each.
-NEITHER, DRAINED, LET_IN = b"0", b"1", b"2"  # Bodies of DRAINED.
+# A digest goes to each member in each round, so a new record has reached all within two rounds.
+ROUND_INTERVAL_S = 0.25
+OWN_RECORDS_ROUNDS = 4  # Rounds between publications of the own records, well within their lifetime.
+# The clock must look skewed at so many publications in a row, a second each: a process that was stopped reads
+# old samples first, and must not let servers in because of them.
+SKEWED_PUBLICATIONS = 3
+# Bodies of records of kind DRAINED.
+NEITHER = b"0"
+DRAINED = b"1"
+LET_IN = b"2"
 
 
 class Steers(msgspec.Struct, frozen=True, array_like=True):
-    """Body of STEERS: how many proxies, and the wall clock at that moment, Unix ns."""
+    """The body of records of kind STEERS.
+
+    Attributes:
+        proxies: How many proxies the member steers.
+        wall: Its wall clock at that moment, Unix ns.
+    """
 
     proxies: int
     wall: int
 
 
 class Gossip:
+    """Exchanges records with all members, in rounds.
+
+    Attributes:
+        store: The records of all members.
+        clock_skew: Estimates how far this member's clock is from the others'.
+        count_steered: Returns how many proxies this member steers.
+        round_listeners: Called in each round with the time in ns, to publish records of their own.
+        record_listeners: Called with the time in ns and the records that are new.
+    """
+
     def __init__(self, member: Member) -> None:
+        """Start without records."""
         self.member = member
-        self.store = Store(member.spec.me, 0)
-        self.clocks = ClockSkew(member.spec.clock_bound)
-        self.steered: Callable[[], int] = lambda: 0
-        # Those who put records of their own, or read what came: called each beat, and with what is new.
-        self.beats = list[Callable[[int], None]]()
-        self.news = list[Callable[[int, list[Record]], None]]()
-        self.task: asyncio.Task[None] | None = None
-        self.turn, self.apart = 0, 0
-
-    def live(self, incarnation: int) -> None:
-        """A new life. What others said still counts, by its age, and one's own words are said anew: to all
-        others they are those of a newer origin.
+        self.store = Store(member.spec.name, 0)
+        self.clock_skew = ClockSkew(member.spec.clock_bound)
+        self.count_steered: Callable[[], int] = lambda: 0
+        self.round_listeners = list[Callable[[int], None]]()
+        self.record_listeners = list[Callable[[int, list[Record]], None]]()
+        self._task: asyncio.Task[None] | None = None
+        self._round = 0
+        self._skewed_publications = 0
+
+    def set_incarnation(self, incarnation: int) -> None:
+        """Publish under a new incarnation from now on; to all others that is a newer origin.
+
+        Records of other members still count, by their age; this member's own are published again.
         """
         self.store.origins[self.store.me].incarnation = incarnation
 
     def open(self) -> None:
-        self.task = asyncio.get_running_loop().create_task(self.run())
+        """Start the rounds."""
+        self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
-        if self.task:
-            self.task.cancel()
+        """End the rounds."""
+        if self._task:
+            self._task.cancel()
 
-    async def run(self) -> None:
+    async def _run(self) -> None:
         while True:
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(ROUND_INTERVAL_S)
             try:
-                self.beat(self.member.now())
-            except Exception as error:  # One bad record must not end what all later ones need.
+                self.run_round(self.member.now())
+            except Exception as error:  # One bad record must not end the exchange of all later ones.
                 log_failure(self.member.note, "gossip", error)
 
-    def beat(self, now: int) -> None:
-        self.turn += 1
-        if self.turn % OWN_EVERY == 1:
+    def run_round(self, now: int) -> None:
+        """Publish what is due, and send a digest to all members."""
+        self._round += 1
+        if self._round % OWN_RECORDS_ROUNDS == 1:
             self.store.sweep(now)
-            # Not by one look: a process that was stopped reads old words first, and must let nothing in.
-            self.apart = self.apart + 1 if self.clocks.apart(now) else 0
-            self.member.at_desk.hold(self.apart < APART_LOOKS)
-            self.say_own(now)
-        for call in self.beats:
-            call(now)
+            is_skewed = self.clock_skew.exceeds_bound(now)
+            self._skewed_publications = self._skewed_publications + 1 if is_skewed else 0
+            self.member.desk_applier.enable_permits(self._skewed_publications < SKEWED_PUBLICATIONS)
+            self._publish_own_records(now)
+        for listener in self.round_listeners:
+            listener(now)
         if not self.member.halted:
-            self.tell(messages.encode(self.store.digest()))
+            self._broadcast(messages.encode(self.store.digest()))
 
-    def tell(self, payload: bytes) -> None:
+    def _broadcast(self, payload: bytes) -> None:
         for peer in self.member.spec.peers:
             self.member.links.send(peer.name, FrameKind.HEARD, payload)
 
-    def say_own(self, now: int) -> None:
-        own = Steers(self.steered(), self.member.wall())
-        self.store.put(now, Heard.STEERS, "", msgspec.msgpack.encode(own))
+    def _publish_own_records(self, now: int) -> None:
+        steers = Steers(self.count_steered(), self.member.wall())
+        self.store.put(now, Kind.STEERS, "", msgspec.msgpack.encode(steers))
         permits = self.member.state.permits
         for held in permits.values():
-            body = self.word(held)
-            if self.mine(Heard.DRAINED, held.permit.id) != body:
-                self.store.put(now, Heard.DRAINED, held.permit.id, body)
-        for key in self.store.keys(Heard.DRAINED):
+            body = self.permit_progress(held)
+            if self.own_body(Kind.DRAINED, held.permit.id) != body:
+                self.store.put(now, Kind.DRAINED, held.permit.id, body)
+        for key in self.store.keys(Kind.DRAINED):
             if key not in permits:
-                self.store.take_back(now, Heard.DRAINED, key)
+                self.store.take_back(now, Kind.DRAINED, key)
 
-    def word(self, held: Held) -> bytes:
-        """How far a permit has come here: drained, let in again, or neither. "Let in" is told once a restart
-        can't take it back: the entry that gives the permit back is on this member's disk.
+    def permit_progress(self, held: Held) -> bytes:
+        """Return how far a permit has come at this member: `DRAINED`, `LET_IN` or `NEITHER`.
+
+        `LET_IN` is published only once a restart can't undo it: when the log entry that returns the permit is
+        on this member's disk.
         """
-        at_desk, permit = self.member.at_desk, held.permit
+        applier, permit = self.member.desk_applier, held.permit
         if permit.phase <= Phase.OUT:
-            return DRAINED if at_desk.drained(permit.server) else NEITHER
+            return DRAINED if applier.is_drained(permit.server) else NEITHER
         replica = self.member.replica
-        kept = replica is not None and held.number <= replica.durable
-        return LET_IN if kept and not at_desk.held_out(permit.server) else NEITHER
+        is_durable = replica is not None and held.number <= replica.durable
+        return LET_IN if is_durable and not applier.is_held_out(permit.server) else NEITHER
 
-    def mine(self, kind: Heard, key: str) -> bytes | None:
+    def own_body(self, kind: Kind, key: str) -> bytes | None:
+        """Return the body of a record that this member published, None without one."""
         held = self.store.found.get(kind, {}).get(key, {}).get(self.store.me)
         return held.body if held is not None else None
 
-    def hear(self, sender: str, payload: bytes) -> None:
+    def receive(self, sender: str, payload: bytes) -> None:
+        """Take a message of another member, and answer it.
+
+        Raises:
+            UnreadableError: The payload is malformed.
+        """
         now = self.member.now()
         try:
             answers, news = self.store.hear(now, messages.decode(payload))
@@ -124,31 +157,33 @@
         for answer in answers:
             self.member.links.send(sender, FrameKind.HEARD, messages.encode(answer))
         for record in news:
-            if record.kind == Heard.STEERS and record.body and (steers := read_steers(record)) is not None:
-                self.clocks.heard(now, self.member.wall(), record.origin, steers.wall, record.age_ns)
+            if record.kind == Kind.STEERS and record.body and (steers := _decode_steers(record)) is not None:
+                self.clock_skew.add_sample(now, self.member.wall(), record.origin, steers.wall, record.age_ns)
         if news:
-            for call in self.news:
-                call(now, news)
+            for listener in self.record_listeners:
+                listener(now, news)
+
+    # What other members published.
 
-    # What others said
+    def steered_proxies(self, now: int) -> dict[str, tuple[int, int, int]]:
+        """Return, by member, the number of proxies it steers, its clock's offset, and its record's age.
 
-    def steers(self, now: int) -> dict[str, tuple[int, int, int]]:
-        """By member how many proxies it steers, how far its clock is ahead of this one, and how long ago it
-        said so, ns.
+        The offset is how far its clock is ahead of this member's. Times are in ns.
         """
-        found = {self.store.me: (self.steered(), 0, 0)}
-        for record in self.store.all(now, Heard.STEERS):
-            if record.origin != self.store.me and (steers := read_steers(record)) is not None:
-                found[record.origin] = (steers.proxies, self.clocks.ahead(now, record.origin), record.age_ns)
-        return found
+        result = {self.store.me: (self.count_steered(), 0, 0)}
+        for record in self.store.all(now, Kind.STEERS):
+            if record.origin != self.store.me and (steers := _decode_steers(record)) is not None:
+                offset = self.clock_skew.offset(now, record.origin)
+                result[record.origin] = (steers.proxies, offset, record.age_ns)
+        return result
 
-    def said(self, now: int, permit: str) -> dict[str, bytes]:
-        """What each member said last of one permit."""
-        by_origin = self.store.found.get(Heard.DRAINED, {}).get(permit, {})
-        return {name: held.body for name, held in by_origin.items() if self.store.counts(now, held)}
+    def permit_reports(self, now: int, permit: str) -> dict[str, bytes]:
+        """Return, by member, the latest `permit_progress` of one permit, by its id."""
+        by_origin = self.store.found.get(Kind.DRAINED, {}).get(permit, {})
+        return {member: held.body for member, held in by_origin.items() if self.store.counts(now, held)}
 
 
-def read_steers(record: Record) -> Steers | None:
+def _decode_steers(record: Record) -> Steers | None:
     try:
         return msgspec.msgpack.decode(record.body, type=Steers)
     except (msgspec.MsgspecError, ValueError):
--- a/ambershift/coordinator/group/interference_worker.py
+++ b/ambershift/coordinator/group/interference_worker.py
@@ -1,4 +1,4 @@
-"""Counting: runs the scores of interference on a thread of their own, off the turns of the coordinator."""
+"""Runs the interference scoring on a thread of its own, so that it doesn't block the event loop."""
 
 from __future__ import annotations
 
@@ -20,112 +20,141 @@
 if TYPE_CHECKING:
     from ambershift.coordinator.interference.engine import Engine
 
-SAMPLES = msgspec.msgpack.Decoder(list[Sample])
-SAMPLES_MOST = 8_192  # Of one message.
-# Samples and records that may wait for the thread; what is over goes, the oldest first.
-WAITING_MOST = 65_536
-WANTED = (Kind.MET, Kind.BASELINE)
+MAX_SAMPLES_PER_MESSAGE = 8_192
+MAX_QUEUED = 65_536  # Samples and records for the thread; beyond it the oldest are dropped.
+TURN_INTERVAL_S = 1.0
+SCORED_KINDS = (Kind.MET, Kind.BASELINE)
+_decoder = msgspec.msgpack.Decoder(list[Sample])
 
 
 class Scores(NamedTuple):
-    """What the thread made last: rows to show, and by server what part of it neighbours take."""
+    """The latest result of the thread.
+
+    Attributes:
+        rows: What `show interference` lists.
+        interfered: By server id, what part of it other jobs on its machine take.
+        weight_factors: By server id, what part of its weight a server keeps.
+    """
 
     rows: tuple[dict[str, Any], ...]
     interfered: dict[str, float]
-    eases: dict[str, float]
+    weight_factors: dict[str, float]
 
 
-NOTHING = Scores((), {}, {})
+NO_SCORES = Scores((), {}, {})
 
 
 class InterferenceWorker:
-    """`make` gives the engine: it and its libraries are loaded on the thread, and only once there is
-    something to count. `ease` is told, on the loop, which servers keep what part of their weight.
+    """Queues samples and records for the scoring engine, and takes over its results.
+
+    The engine and its libraries are loaded by the thread, and only once there is something to score.
     """
 
     def __init__(
         self,
         gossip: Gossip,
-        make: Callable[[], Engine],
+        make_engine: Callable[[], Engine],
         servers: Callable[[], list[str]],
         ease: Callable[[dict[str, float]], None],
         note: Callable[..., None],
     ) -> None:
-        self.gossip, self.make, self.servers, self.note = gossip, make, servers, note
-        self.ease, self.eased = ease, dict[str, float]()
-        self.waiting = deque[Sample | Record](maxlen=WAITING_MOST)
-        self.scores, self.ending = NOTHING, False
-        self.fresh = threading.Event()
-        self.loop: asyncio.AbstractEventLoop | None = None
-        gossip.news.append(self.hear)
+        """Prepare; `open` starts the thread.
+
+        Args:
+            gossip: Where the engine's records come from and go to.
+            make_engine: Returns the engine; called on the thread.
+            servers: Returns the ids of all servers; called on the thread.
+            ease: Called on the loop with the parts of their weights that servers keep, when these change.
+            note: Writes a log event.
+        """
+        self._gossip = gossip
+        self._make_engine = make_engine
+        self._servers = servers
+        self._ease = ease
+        self._note = note
+        self._applied_factors = dict[str, float]()
+        self._queue = deque[Sample | Record](maxlen=MAX_QUEUED)
+        self._wake = threading.Event()
+        self._closing = False
+        self._loop: asyncio.AbstractEventLoop | None = None
+        self.scores = NO_SCORES
+        gossip.record_listeners.append(self._on_records)
 
     def open(self) -> None:
-        self.loop = asyncio.get_running_loop()
-        threading.Thread(target=self.run, name="counting", daemon=True).start()
+        """Start the thread."""
+        self._loop = asyncio.get_running_loop()
+        threading.Thread(target=self._run, name="counting", daemon=True).start()
 
     def close(self) -> None:
-        self.ending = True
-        self.fresh.set()
+        """Let the thread end after its present turn."""
+        self._closing = True
+        self._wake.set()
+
+    # On the event loop.
 
-    # On the loop
+    def on_counters(self, name: str, payload: bytes) -> None:
+        """Queue samples from a process beside the coordinator: a msgpack list.
 
-    def counters(self, name: str, payload: bytes) -> None:
-        """From a process beside the coordinator: a msgpack list of samples."""
+        Raises:
+            UnreadableError: The payload is malformed, or holds too many.
+        """
         try:
-            found = SAMPLES.decode(payload)
+            samples = _decoder.decode(payload)
         except (msgspec.MsgspecError, ValueError) as error:
             raise UnreadableError(f"no samples ({error})") from None
-        if len(found) > SAMPLES_MOST:
-            raise UnreadableError(f"{len(found)} samples in one message")
-        self.waiting.extend(found)
-        self.fresh.set()
-
-    def hear(self, now: int, records: list[Record]) -> None:
-        found = [record for record in records if record.kind in WANTED]
-        if found:
-            self.waiting.extend(found)
-            self.fresh.set()
-
-    def give(self, puts: list[Any], scores: Scores) -> None:
-        now = self.gossip.member.now()
+        if len(samples) > MAX_SAMPLES_PER_MESSAGE:
+            raise UnreadableError(f"{len(samples)} samples in one message")
+        self._queue.extend(samples)
+        self._wake.set()
+
+    def _on_records(self, now: int, records: list[Record]) -> None:
+        scored = [record for record in records if record.kind in SCORED_KINDS]
+        if scored:
+            self._queue.extend(scored)
+            self._wake.set()
+
+    def _publish(self, puts: list[Any], scores: Scores) -> None:
+        """Publish the engine's records, and take over its scores."""
+        now = self._gossip.member.now()
         for put in puts:
             if put.body:
-                self.gossip.store.put(now, put.kind, put.key, put.body)
+                self._gossip.store.put(now, put.kind, put.key, put.body)
             else:
-                self.gossip.store.take_back(now, put.kind, put.key)
+                self._gossip.store.take_back(now, put.kind, put.key)
         self.scores = scores
-        if scores.eases != self.eased:
-            self.eased = scores.eases
-            self.ease(scores.eases)
+        if scores.weight_factors != self._applied_factors:
+            self._applied_factors = scores.weight_factors
+            self._ease(scores.weight_factors)
 
-    # On the thread
+    # On the thread.
 
-    def run(self) -> None:
+    def _run(self) -> None:
         engine: Engine | None = None
-        while not self.ending:
-            self.fresh.wait()
-            if engine is None and not self.ending:
-                engine = self.make()
-            if engine is not None and not self.ending:
+        while not self._closing:
+            self._wake.wait()
+            if engine is None and not self._closing:
+                engine = self._make_engine()
+            if engine is not None and not self._closing:
                 try:
-                    self.turn(engine)
-                except Exception as error:  # No score is worth the end of all later ones.
-                    log_failure(self.note, "counting", error)
-            time.sleep(1.0)
+                    self._run_turn(engine)
+                except Exception as error:  # One failed turn must not end all later ones.
+                    log_failure(self._note, "counting", error)
+            time.sleep(TURN_INTERVAL_S)
 
-    def turn(self, engine: Engine) -> None:
+    def _run_turn(self, engine: Engine) -> None:
         samples = list[Sample]()
-        for _ in range(len(self.waiting)):
-            one = self.waiting.popleft()
-            if isinstance(one, Record):
-                engine.heard(one)
+        for _ in range(len(self._queue)):
+            queued = self._queue.popleft()
+            if isinstance(queued, Record):
+                engine.heard(queued)
             else:
-                samples.append(one)
+                samples.append(queued)
         now = time.time_ns()
         if samples:
             engine.samples(now, samples)
         puts = engine.due(now)
-        interfered = {server: part for server in self.servers() if (part := engine.interfered(server)) > 0}
-        scores = Scores(tuple(row._asdict() for row in engine.rows()), interfered, dict(engine.eases(now)))
-        if self.loop is not None and not self.ending:
-            self.loop.call_soon_threadsafe(self.give, puts, scores)
+        interfered = {server: part for server in self._servers() if (part := engine.interfered(server)) > 0}
+        rows = tuple(row._asdict() for row in engine.rows())
+        scores = Scores(rows, interfered, dict(engine.eases(now)))
+        if self._loop is not None and not self._closing:
+            self._loop.call_soon_threadsafe(self._publish, puts, scores)
--- a/ambershift/coordinator/group/maintenance_task.py
+++ b/ambershift/coordinator/group/maintenance_task.py
@@ -1,5 +1,7 @@
-"""Upkeep: what a member does for maintenance each second. The leader lays and moves permits, by the steward;
-each member declares what its settings say, until that stands or is refused.
+"""What a member does for maintenance, every half second or after a commit.
+
+The leader grants and moves permits, by the steward. Each member declares the maintenance of its settings,
+until that is committed or refused.
 """
 
 from __future__ import annotations
@@ -10,6 +12,7 @@
 
 import msgspec
 
+from ambershift.coordinator.group.gossip import DRAINED, LET_IN
 from ambershift.coordinator.group.links.interfaces import log_failure
 from ambershift.coordinator.group.member import Member
 from ambershift.coordinator.maintenance.limits import Limits
@@ -21,108 +24,133 @@
 from ambershift.coordinator.replication.types import Status
 
 SECOND = 1_000_000_000
-EVERY, WAIT = 0.5, 2 * SECOND
-# What is not committed by then is asked for again, in the state that stands then.
-FLIGHT_MOST = 64
+INTERVAL_S = 0.5
+MIN_INTERVAL_S = INTERVAL_S / 10  # Between two turns, as commits may come by the hundred.
+# A command that isn't committed by then is judged again, by the state at that time.
+SUBMIT_TIMEOUT_NS = 2 * SECOND
+MAX_IN_FLIGHT = 64  # Commands that are submitted and not answered.
+MAX_REASON_LENGTH = 400
 
 
 class MaintenanceTask:
-    """`look` gives the servers as they stand; `declared` is None where the settings say nothing."""
+    """Submits the commands of maintenance, in a task of its own."""
 
     def __init__(
         self,
         member: Member,
         limits: Limits,
         declared: Declared | None,
-        look: Callable[[], Mapping[str, Standing]],
+        get_standings: Callable[[], Mapping[str, Standing]],
     ) -> None:
-        self.member, self.limits, self.declared, self.look = member, limits, declared, look
-        self.steward, self.led = Steward(limits), False
-        self.flying = set[asyncio.Task[None]]()
-        self.task: asyncio.Task[None] | None = None
-        self.told = ""
-        self.asked = asyncio.Event()
-        member.listeners.append(lambda state, command: self.asked.set())
+        """Prepare; `open` starts the task.
+
+        Args:
+            member: This member.
+            limits: The limits that maintenance keeps.
+            declared: What the settings declare; None where they say nothing.
+            get_standings: Returns how each server stands, by its id.
+        """
+        self._member = member
+        self._limits = limits
+        self._declared = declared
+        self._get_standings = get_standings
+        self._steward = Steward(limits)
+        self._was_leader = False
+        self._in_flight = set[asyncio.Task[None]]()
+        self._task: asyncio.Task[None] | None = None
+        self._last_refusal = ""  # Logged already.
+        self._wake = asyncio.Event()
+        member.commit_listeners.append(lambda state, command: self._wake.set())
 
     def open(self) -> None:
-        self.task = asyncio.get_running_loop().create_task(self.run())
+        """Start the task."""
+        self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
-        for task in (self.task, *self.flying):
+        """End the task, and the commands in flight."""
+        for task in (self._task, *self._in_flight):
             if task is not None:
                 task.cancel()
 
-    async def run(self) -> None:
+    async def _run(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(EVERY):
-                    await self.asked.wait()
+                async with asyncio.timeout(INTERVAL_S):
+                    await self._wake.wait()
             except TimeoutError:
                 pass
-            self.asked.clear()
+            self._wake.clear()
             try:
-                self.turn()
-            except Exception as error:  # Permits end by themselves; what is wrong here must not end the loop.
-                log_failure(self.member.note, "upkeep", error)
-            await asyncio.sleep(EVERY / 10)  # Commits may come by the hundred.
+                self._run_turn()
+            except Exception as error:  # Permits end by themselves; an error here must not end the task.
+                log_failure(self._member.note, "upkeep", error)
+            await asyncio.sleep(MIN_INTERVAL_S)
 
-    def turn(self) -> None:
-        member = self.member
+    def _run_turn(self) -> None:
+        member = self._member
         if member.replica is None or member.halted or member.replica.status is not Status.NORMAL:
-            self.led = False
+            self._was_leader = False
             return
-        if self.declared is not None and member.replica.leader is not None:
-            stands = member.state.declared
-            # A higher revision that others have declared is newer than this member's file.
+        if self._declared is not None and member.replica.leader is not None:
+            committed = member.state.declared
+            # A higher revision, declared by another member, is newer than this member's file.
             if (
-                (stands.revision, stands) != (self.declared.revision, self.declared)
-                and (stands.revision <= self.declared.revision)
-                and not self.flying
+                (committed.revision, committed) != (self._declared.revision, self._declared)
+                and (committed.revision <= self._declared.revision)
+                and not self._in_flight
             ):
-                self.send(Declare(self.declared))
-        if member.leads != self.led:
-            self.led, self.steward = member.leads, Steward(self.limits)
-        if not self.led or not (member.state.declared.works or member.state.permits):
+                self._send(Declare(self._declared))
+        if member.leads != self._was_leader:
+            self._was_leader, self._steward = member.leads, Steward(self._limits)
+        if not self._was_leader or not (member.state.declared.works or member.state.permits):
             return
-        for command in self.steward.due(member.now(), member.wall(), member.state, self.look(), self.heard()):
-            if len(self.flying) < FLIGHT_MOST:
-                self.send(command)
-
-    def send(self, command: Command) -> None:
-        task = asyncio.get_running_loop().create_task(self.submit(command))
-        self.flying.add(task)
-        task.add_done_callback(self.flying.discard)
-
-    async def submit(self, command: Command) -> None:
-        """What does not come to stand is judged anew by what stands then."""
-        reply = await self.member.submit("", command, WAIT)
+        commands = self._steward.due(
+            member.now(), member.wall(), member.state, self._get_standings(), self._member_reports()
+        )
+        for command in commands:
+            if len(self._in_flight) < MAX_IN_FLIGHT:
+                self._send(command)
+
+    def _send(self, command: Command) -> None:
+        task = asyncio.get_running_loop().create_task(self._submit(command))
+        self._in_flight.add(task)
+        task.add_done_callback(self._in_flight.discard)
+
+    async def _submit(self, command: Command) -> None:
+        """Submit a command; one that isn't committed is judged again by a later turn."""
+        reply = await self._member.submit("", command, SUBMIT_TIMEOUT_NS)
         outcome = read_answer(reply.answer) if reply.reason is None else None
-        text = "" if outcome is None or outcome.done else f"{outcome.reason}: {outcome.text}"
-        if text and text != self.told:
-            self.member.note("upkeep_refused", command=type(command).__name__.lower(), why=text[:400])
-        self.told = text
+        refusal = "" if outcome is None or outcome.done else f"{outcome.reason}: {outcome.text}"
+        if refusal and refusal != self._last_refusal:
+            self._member.note(
+                "upkeep_refused", command=type(command).__name__.lower(), why=refusal[:MAX_REASON_LENGTH]
+            )
+        self._last_refusal = refusal
         if isinstance(command, Declare) and outcome is not None and not outcome.done:
-            self.declared = None  # The same file would be refused for ever; a person must give a revision.
+            # The same file would be refused again and again; an operator must give it another revision.
+            self._declared = None
 
-    def heard(self) -> Heard:
-        gossip, now = self.member.gossip, self.member.now()
+    def _member_reports(self) -> Heard:
+        """Return what all members say of the proxies they steer and of each permit."""
+        gossip, now = self._member.gossip, self._member.now()
         drained, let_in = dict[str, set[str]](), dict[str, set[str]]()
-        for permit in self.member.state.permits:
-            said = gossip.said(now, permit)
-            drained[permit] = {name for name, word in said.items() if word == b"1"}
-            let_in[permit] = {name for name, word in said.items() if word == b"2"}
-        steers = {name: Steers(*one) for name, one in gossip.steers(now).items()}
-        return Heard((*self.member.spec.voters, *self.member.spec.copies), steers, drained, let_in)
+        for permit in self._member.state.permits:
+            reports = gossip.permit_reports(now, permit)
+            drained[permit] = {name for name, progress in reports.items() if progress == DRAINED}
+            let_in[permit] = {name for name, progress in reports.items() if progress == LET_IN}
+        steers = {name: Steers(*report) for name, report in gossip.steered_proxies(now).items()}
+        spec = self._member.spec
+        return Heard((*spec.voters, *spec.learners), steers, drained, let_in)
 
     def rows(self) -> list[dict[str, Any]]:
-        """For `show maintenance`; times in whole seconds of Unix time."""
+        """Return the rows of `show maintenance`; times are whole seconds of Unix time."""
         return [
-            plain(msgspec.structs.asdict(row))
-            for row in self.steward.rows(self.member.state, self.member.now())
+            _plain_row(msgspec.structs.asdict(row))
+            for row in self._steward.rows(self._member.state, self._member.now())
         ]
 
 
-def plain(row: dict[str, Any]) -> dict[str, Any]:
+def _plain_row(row: dict[str, Any]) -> dict[str, Any]:
     for name in ("granted", "ends", "nearest"):
         row[name] = row[name] // SECOND
     return {name: ",".join(value) if isinstance(value, tuple) else value for name, value in row.items()}
--- a/ambershift/coordinator/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -1,4 +1,7 @@
-"""Member: joins replica, links, disk and desk. It carries out effects in their order and decides nothing."""
+"""A member of a group: joins replica, links, disk and desk.
+
+It carries out the replica's effects in order, and decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 from ambershift.coordinator.group.links.link_manager import LinkManager
 from ambershift.coordinator.group.links.wire import CloseReason, FrameKind, Refusal, UnreadableError
 from ambershift.coordinator.group.spec import MemberSpec
-from ambershift.coordinator.group.startup import Note, StartupState, begin, replica_of
+from ambershift.coordinator.group.startup import Note, StartupState, create_replica, start_incarnation
 from ambershift.coordinator.promises.answers import decode, read_answer
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.state import Promises
@@ -27,104 +30,164 @@
 from ambershift.coordinator.replication.replica import Replica
 from ambershift.coordinator.replication.types import Answer, Applied, Halt, Reason, Restored, Send, Write
 
-SECOND, FAILED_PAUSE = 1_000_000_000, 0.2
+SECOND = 1_000_000_000
+FAILED_TICK_DELAY_S = 0.2  # Until the next tick after one that raised an error.
+MAX_TIMER_DELAY_S = 3600.0
+MAX_ERROR_LENGTH = 200
 
 
 class Member(ClientCalls):
-    """`now` never goes back; `wall` is this member's wall clock, what its clock is set ahead included."""
+    """One member of a group.
+
+    Attributes:
+        members: The names of all members.
+        last_heard: When each other member was last heard, ns.
+        links: The links to the other members.
+        startup: What this member started with.
+        gossip: The exchange of records that aren't in the log.
+        commit_listeners: Called with the state after each committed entry, and the command; that is None
+            where a snapshot replaced the state.
+        counters_handler: Takes samples of counter sources: a source's name and a payload.
+    """
 
     def __init__(
         self,
         spec: MemberSpec,
         machine: PromisesMachine,
-        at_desk: DeskApplier,
+        desk_applier: DeskApplier,
         now: Callable[[], int],
         note: Note,
         seed: int,
     ) -> None:
+        """Prepare; `open` starts the member.
+
+        Args:
+            spec: The member and its group.
+            machine: The replicated state machine.
+            desk_applier: Applies the committed state.
+            now: The monotonic clock, ns.
+            note: Writes a log event.
+            seed: Of all that is random in replica and links.
+        """
         super().__init__()
-        self.spec, self.machine, self.at_desk, self.now, self.note = spec, machine, at_desk, now, note
-        self.seed = seed
-        self.members = frozenset((*spec.voters, *spec.copies))
-        self.heard_at = dict[str, int]()  # The last word of each, of whatever kind.
+        self.spec = spec
+        self.machine = machine
+        self.desk_applier = desk_applier
+        self.now = now
+        self.note = note
+        self._seed = seed
+        self.members = frozenset((*spec.voters, *spec.learners))
+        self.last_heard = dict[str, int]()
         self.links = LinkManager(spec.listen, spec.peers, self, note, seed)
         self.replica: Replica | None = None
-        self.life = StartupState(0, None, None, "")
-        self.disk: DiskWorker | None = None
+        self.startup = StartupState(0, None, None, "")
+        self._disk: DiskWorker | None = None
         self.halted: tuple[str, str] | None = None
-        self.renewed, self.welcomed, self.stopping = False, False, False
+        self._incarnation_renewed = False
+        self._was_accepted = False  # Whether any member has accepted this one's link.
+        self.stopping = False
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_at = 0
+        self._timer_at = 0
         self.gossip = Gossip(self)
-        self.listeners = list[Callable[[Promises, Command | None], None]]()  # Told what was committed.
+        self.commit_listeners = list[Callable[[Promises, Command | None], None]]()
         self.counters_handler: Callable[[str, bytes], None] | None = None
-        self.again = set[asyncio.Task[None]]()
+        self._restarts = set[asyncio.Task[None]]()
 
-    # Beginning and ending
+    # Start and end.
 
     async def open(self) -> None:
-        """A NoFolderError where the folder is another's, an OSError where the address can't be had."""
-        await self.live()
+        """Start the replica, and open links and gossip.
+
+        Raises:
+            NoFolderError: The folder is another member's, or another process has it.
+            OSError: The address can't be listened at.
+        """
+        await self.start_replica()
         await self.links.open()
         self.gossip.open()
 
-    async def live(self, least: int = 0, void: str = "") -> None:
-        """Begin a life: as what the folder vouches for, or blank."""
-        self.life = await run_in_daemon_thread(begin, self.spec, self.note, least, void)
-        self.halted = ("disk-failed", self.life.failed) if self.life.failed else None
+    async def start_replica(self, min_incarnation: int = 0, void_reason: str = "") -> None:
+        """Start a replica under a new incarnation, with the durable state or, without any, blank.
+
+        Args:
+            min_incarnation: The lowest incarnation that will do.
+            void_reason: Why the folder's content must not be used; empty where it may.
+
+        Raises:
+            NoFolderError: The folder is another member's, or another process has it.
+        """
+        self.startup = await run_in_daemon_thread(
+            start_incarnation, self.spec, self.note, min_incarnation, void_reason
+        )
+        self.halted = ("disk-failed", self.startup.disk_error) if self.startup.disk_error else None
         if self.halted:
             return
-        if self.life.folder is not None:
-            self.disk = DiskWorker(self.life.folder, self, asyncio.get_running_loop())
-            self.disk.start()
-        saved = self.life.saved
-        self.at_desk.sooner = sooner_ends(saved.entries, saved.committed) if saved is not None else {}
-        self.replica = replica_of(self.spec, self.machine, self.life, self.now(), self.seed)
-        self.gossip.live(self.life.incarnation)
+        if self.startup.folder is not None:
+            self._disk = DiskWorker(self.startup.folder, self, asyncio.get_running_loop())
+            self._disk.start()
+        saved = self.startup.saved
+        self.desk_applier.uncommitted_ends = (
+            sooner_ends(saved.entries, saved.committed) if saved is not None else {}
+        )
+        self.replica = create_replica(self.spec, self.machine, self.startup, self.now(), self._seed)
+        self.gossip.set_incarnation(self.startup.incarnation)
         self.note(
             "group_start",
-            incarnation=self.life.incarnation,
-            folder=self.life.folder is not None,
-            kept=self.life.saved is not None,
+            incarnation=self.startup.incarnation,
+            folder=self.startup.folder is not None,
+            kept=self.startup.saved is not None,
             status=self.replica.status.value,
         )
         if self.replica.committed:
-            self.take_all(self.replica.state)
-        self.arm()
+            self._apply_snapshot(self.replica.state)
+        self._arm_timer()
 
     async def close(self) -> None:
-        """All that wait are answered first."""
+        """Answer all calls that wait, then close links and disk."""
         self.stop()
         self.gossip.close()
         if self.timer:
             self.timer.cancel()
         await self.links.close()
-        await self.end_disk()
+        await self.close_disk()
 
     def stop(self) -> None:
+        """Stop the replica; it answers all calls that wait."""
         if not self.stopping and self.replica is not None:
             self.stopping = True
             self.perform(self.replica.stop(self.now()))
 
-    async def end_disk(self) -> None:
-        disk, self.disk = self.disk, None
+    async def close_disk(self) -> None:
+        """Sync what is queued, and close the folder."""
+        disk, self._disk = self._disk, None
         if disk and not await run_in_daemon_thread(disk.close):
             self.note("disk_hangs")
 
-    # What links tell
+    # LinkListener.
 
     def local_identity(self) -> LocalIdentity:
-        group = self.replica.group if self.replica is not None else ""
+        """Return what this member says of itself in a handshake."""
+        group_id = self.replica.group if self.replica is not None else ""
         return LocalIdentity(
-            self.spec.me, self.spec.title, self.spec.voters, self.members, self.life.incarnation, group
+            self.spec.name,
+            self.spec.group_name,
+            self.spec.voters,
+            self.members,
+            self.startup.incarnation,
+            group_id,
         )
 
     def on_frame(self, sender: str, kind: FrameKind, payload: bytes) -> None:
+        """Take a frame of another member.
+
+        Raises:
+            UnreadableError: The payload is malformed.
+        """
         if self.halted or self.stopping or self.replica is None:
             return
-        self.heard_at[sender] = self.now()
+        self.last_heard[sender] = self.now()
         if kind is FrameKind.HEARD:
-            self.gossip.hear(sender, payload)
+            self.gossip.receive(sender, payload)
             return
         try:
             message = messages.decode(payload)
@@ -133,131 +196,151 @@
         self.perform(self.replica.hear(self.now(), sender, message))
 
     def on_link_lost(self, member: str) -> None:
+        """Tell the replica that messages to that member may be lost."""
         if self.replica is not None and not self.halted:
             self.perform(self.replica.gone(self.now(), member))
 
     def on_link_up(self, member: str) -> None:
-        self.welcomed = True
+        """Record that another member accepts this incarnation."""
+        self._was_accepted = True
 
     def on_refused(self, member: str, refused: Refusal) -> None:
+        """Restart under a newer incarnation, once and before any member accepted this one, or halt."""
         if self.halted or refused.reason not in (CloseReason.SUPERSEDED, CloseReason.CLONED):
             return
-        if refused.reason == CloseReason.SUPERSEDED and not self.welcomed and not self.renewed:
-            # Its clock went back while it was away: it takes a newer incarnation, once.
-            self.renewed = True
-            self.start_again(refused.known + 1, "")
+        if (
+            refused.reason == CloseReason.SUPERSEDED
+            and not self._was_accepted
+            and not self._incarnation_renewed
+        ):
+            # The machine's clock went back while this member was away, and incarnations come from the clock.
+            self._incarnation_renewed = True
+            self._restart(refused.known + 1, "")
         else:
             self.halt(refused.reason, refused.why)
 
     def on_counters(self, name: str, payload: bytes) -> None:
+        """Pass on samples of a counter source.
+
+        Raises:
+            UnreadableError: The payload is malformed.
+        """
         if self.counters_handler is not None:
             self.counters_handler(name, payload)
 
-    # What the disk tells
+    # DiskListener.
 
     def synced(self, ticket: int) -> None:
+        """Tell the replica that its writes up to this ticket are durable."""
         if self.replica is not None and not self.halted:
             self.perform(self.replica.synced(self.now(), ticket))
 
     def failed(self, reason: str) -> None:
-        """Nothing more can be vouched for: others go on without this member, and it steers on."""
+        """Halt, as nothing more is durable; the coordinator goes on to steer its proxies."""
         self.note("disk_failed", why=reason)
         self.halt("disk-failed", reason)
 
-    # What the replica wants
+    # Effects of the replica.
 
     def perform(self, effects: list[Any]) -> None:
-        again: tuple[int, str] | None = None
+        """Carry out effects of the replica, in order."""
+        restart: tuple[int, str] | None = None
         for effect in effects:
             if not isinstance(effect, Applied):
-                self.at_desk.flush()
+                self.desk_applier.flush()
             match effect:
                 case Send():
                     self.links.send(effect.to, FrameKind.REPLICA, messages.encode(effect.message))
                 case Write():
-                    if self.disk is not None:
-                        self.disk.write(effect)
+                    if self._disk is not None:
+                        self._disk.write(effect)
                 case Applied():
-                    self.applied(effect)
+                    self._apply_entry(effect)
                 case Restored():
-                    self.take_all(effect.state)
-                    self.at_desk.committed(effect.number)
+                    self._apply_snapshot(effect.state)
+                    self.desk_applier.entries_committed(effect.number)
                 case Answer():
-                    self.answered(effect)
+                    self.deliver_answer(effect)
                 case types.Note():
                     self.note(effect.event.replace("-", "_"), **effect.fields)
                 case Halt():
-                    if effect.reason is Reason.OLD_FOLDER and self.life.folder is not None:
-                        again = 0, Reason.OLD_FOLDER.value
-                    elif effect.reason is Reason.SUPERSEDED and not self.welcomed and not self.renewed:
-                        self.renewed, again = True, (time.time_ns(), "")
+                    if effect.reason is Reason.OLD_FOLDER and self.startup.folder is not None:
+                        restart = 0, Reason.OLD_FOLDER.value
+                    elif (
+                        effect.reason is Reason.SUPERSEDED
+                        and not self._was_accepted
+                        and not self._incarnation_renewed
+                    ):
+                        self._incarnation_renewed, restart = True, (time.time_ns(), "")
                     else:
                         self.halt(effect.reason.value, effect.why)
-        self.at_desk.flush()
-        if again is not None:
-            self.start_again(*again)
-        self.arm()
+        self.desk_applier.flush()
+        if restart is not None:
+            self._restart(*restart)
+        self._arm_timer()
 
-    def applied(self, effect: Applied[Any]) -> None:
+    def _apply_entry(self, effect: Applied[Any]) -> None:
         command, outcome = decode(effect.entry.command), read_answer(effect.answer)
         if outcome.done and outcome.changed:
             if isinstance(command, Wishes):
-                self.at_desk.gather(effect.state, outcome.changed, command.who, command.text)
+                self.desk_applier.queue_wishes(effect.state, outcome.changed, command.who, command.text)
             else:
-                self.at_desk.flush()
-                self.at_desk.permits(effect.state)
-        self.at_desk.committed(effect.entry.number)
-        for listener in self.listeners:
+                self.desk_applier.flush()
+                self.desk_applier.apply_permits(effect.state)
+        self.desk_applier.entries_committed(effect.entry.number)
+        for listener in self.commit_listeners:
             listener(effect.state, command)
 
-    def take_all(self, state: Promises) -> None:
-        self.at_desk.all(state)
-        for listener in self.listeners:
+    def _apply_snapshot(self, state: Promises) -> None:
+        self.desk_applier.apply_snapshot(state)
+        for listener in self.commit_listeners:
             listener(state, None)
 
     def halt(self, reason: str, why: str) -> None:
-        """It takes no part until it is started anew by a person; steering goes on, and what stood stands."""
+        """Take no part until an operator restarts the member.
+
+        The coordinator goes on to steer its proxies, by the state that was committed last.
+        """
         if self.halted is None:
             self.halted = reason, why
             self.note("group_halted", reason=reason, why=why)
-            self.unknown_all()
+            self.fail_pending_calls()
 
-    def start_again(self, least: int, void: str) -> None:
-        """A new life in the same process: blank, or under a newer incarnation."""
-        self.halted = "starting-again", void or "superseded before it was let in"
-        task = asyncio.get_running_loop().create_task(self.renew(least, void))
-        self.again.add(task)
-        task.add_done_callback(self.again.discard)
+    def _restart(self, min_incarnation: int, void_reason: str) -> None:
+        """Start another replica in this process, blank or under a newer incarnation."""
+        self.halted = "starting-again", void_reason or "superseded before it was let in"
+        task = asyncio.get_running_loop().create_task(self._run_restart(min_incarnation, void_reason))
+        self._restarts.add(task)
+        task.add_done_callback(self._restarts.discard)
 
-    async def renew(self, least: int, void: str) -> None:
+    async def _run_restart(self, min_incarnation: int, void_reason: str) -> None:
         try:
-            await self.end_disk()
-            await self.live(least, void)
-        except Exception as error:  # The member must not be lost unheard: it says why, and stays out.
+            await self.close_disk()
+            await self.start_replica(min_incarnation, void_reason)
+        except Exception as error:  # Logged as a halt: without it the member would be out without a word.
             self.halted = None
-            self.halt("disk-failed", str(error)[:200])
+            self.halt("disk-failed", str(error)[:MAX_ERROR_LENGTH])
 
-    # Time
+    # Time.
 
-    def arm(self) -> None:
+    def _arm_timer(self) -> None:
         if self.replica is None or self.halted or self.stopping:
             return
         at = self.replica.next_at
         if self.timer is not None and not self.timer.cancelled():
-            if self.timer_at == at:
+            if self._timer_at == at:
                 return
             self.timer.cancel()
-        self.timer_at = at
-        self.timer = asyncio.get_running_loop().call_later(
-            min(3600.0, max(0, at - self.now()) / SECOND), self.ring
-        )
+        self._timer_at = at
+        delay_s = min(MAX_TIMER_DELAY_S, max(0, at - self.now()) / SECOND)
+        self.timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
-    def ring(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
         if self.replica is None or self.halted or self.stopping:
             return
         try:
             self.perform(self.replica.due(self.now(), self.wall()))
-        except Exception as error:  # Told in full; without a timer the member would be silent for ever.
+        except Exception as error:  # Without another timer the member would be silent for ever.
             log_failure(self.note, "replica", error)
-            self.timer = asyncio.get_running_loop().call_later(FAILED_PAUSE, self.ring)
+            self.timer = asyncio.get_running_loop().call_later(FAILED_TICK_DELAY_S, self._on_timer)
--- a/ambershift/coordinator/group/observation_exchange.py
+++ b/ambershift/coordinator/group/observation_exchange.py
@@ -1,8 +1,9 @@
-"""Learned: what a coordinator tells the others of its servers, and what it makes of their words. No I/O.
+"""What a coordinator publishes of its servers, and how it uses what other members publish. No I/O.
 
-It stands between the list and the desk, and beside the reports. What is heard only ever makes the module more
-careful where it knows nothing itself: a server is at most colder than the list says, and others' tries count
-only where no proxy of one's own has tried of late. All rules and the channel's bound stay the module's.
+It stands between the server list and the desk, and between the proxies' reports and the decision module. What
+other members say only ever makes the module more careful, and only where it knows nothing itself: a server is
+at most colder than the list says, and others' tries count only where no proxy of this coordinator has tried
+lately. All rules, and the bound of the channel, remain the module's.
 """
 
 from __future__ import annotations
@@ -15,221 +16,272 @@
 from ambershift import interface as api
 from ambershift.coordinator.admin.mirror import Picture
 from ambershift.coordinator.group.observations import (
+    KEY_SEPARATOR,
     SECOND,
-    SPLIT,
     ServerObservation,
     TrafficCounter,
     TrafficTotals,
-    newest,
-    notable,
-    sample,
-    troubled,
+    failing_servers,
+    find_outliers,
+    remote_observations,
+    sample_servers,
 )
 from ambershift.coordinator.replication.gossip.store import Store
 from ambershift.coordinator.replication.gossip.types import BODY_MOST, KEY_MOST, Kind, Record, longest
 
-TELL = 2 * SECOND
-# Starts that differ by less are the same start: the way of a word is not counted in its age.
-SAME_START = 2 * SECOND
-# One's own tries of the last OWN_LATE say enough; others' words older than AGE_MOST no longer do.
-OWN_LATE, AGE_MOST = 5 * SECOND, 15 * SECOND
-# Of one heard row so many tries count at the most: a few of one's own soon weigh more.
-TRIES_MOST, GIVEN_MOST = 10, 2000
+PUBLISH_INTERVAL_NS = 2 * SECOND
+# Starts that differ by less are the same start: the time on the way isn't part of a record's age.
+SAME_START_NS = 2 * SECOND
+# With tries of its own within this time a coordinator needs no others' of that server.
+OWN_TRIES_LIFETIME_NS = 5 * SECOND
+MAX_OBSERVATION_AGE_NS = 15 * SECOND
+# An observation of another member counts as so many tries at most: a few tries of one's own soon weigh more.
+MAX_DELIVERED_TRIES = 10
+MAX_DELIVERED_SERVERS = 2000  # Observations that the module is given at once.
 
 
-class Names(Protocol):
-    """Both ways between the module's indices and what all members call things; None for what is not known."""
+class NameMapping(Protocol):
+    """Maps the module's indices to the names that all members use, and back; None for what isn't known."""
 
-    def server(self, index: int) -> str | None: ...
+    def server(self, index: int) -> str | None:
+        """Return the id of a server."""
 
-    def index(self, server: str) -> int | None: ...
+    def index(self, server: str) -> int | None:
+        """Return the index of a server."""
 
-    def zone(self, index: int) -> str | None: ...
+    def zone(self, index: int) -> str | None:
+        """Return the name of a zone."""
 
-    def zone_index(self, zone: str) -> int | None: ...
+    def zone_index(self, zone: str) -> int | None:
+        """Return the index of a zone."""
 
 
 class ObservationExchange:
-    def __init__(self, store: Store, names: Names, cold: int, now: int) -> None:
-        self.store, self.names, self.cold = store, names, cold
-        self.known = dict[int, api.Entry]()  # As the own list has them.
-        self.later = dict[int, int]()  # Starts that others saw, told to the module in the list's place.
-        self.touched = set[int]()  # To be told anew because of what was heard.
-        self.sums, self.told_at = TrafficCounter(now), now
-        self.met_at = dict[int, int]()  # When a proxy of one's own last tried a server.
-        self.ill = set[tuple[int, int]]()  # Told one by one, and not taken back.
-        self.given = dict[tuple[str, str], tuple[int, int]]()  # By zone and server, the word given last.
-        self.handed = dict[int, api.ServerReport]()  # Given to the module and not yet seen to pass.
-        self.put = dict[tuple[int, str], tuple[bytes, int]]()
-        # Ids of servers that fail for all, and of those that fail for some zones only, by all members' words.
-        self.out, self.cut = frozenset[str](), frozenset[str]()
-
-    # What passes
+    """Publishes what this coordinator knows of its servers, and turns others' records into events.
+
+    Attributes:
+        listed: The entries of servers that are ready, by the own list.
+        later_starts: Starts that only other members saw, which the module was told in place of the list's.
+        outliers: The zones and servers published as outliers, and not withdrawn.
+        delivered: By zone and server, the version of the observation that the module was given last.
+        published: By kind and key, the content and the time of the last record.
+        failing: Ids of servers that fail for all zones, by all members' observations.
+        failing_for_some: Ids of servers that fail for some zones only.
+    """
+
+    def __init__(self, store: Store, names: NameMapping, warmup_ns: int, now: int) -> None:
+        """Start with nothing known.
+
+        Args:
+            store: The records of all members.
+            names: Maps indices and names.
+            warmup_ns: How long a server is cold after its start.
+            now: The time in ns.
+        """
+        self.store, self.names = store, names
+        self._warmup_ns = warmup_ns
+        self.listed = dict[int, api.Entry]()
+        self.later_starts = dict[int, int]()
+        self._changed_starts = set[int]()  # Servers to list to the module again, with another start.
+        self._traffic = TrafficCounter(now)
+        self._published_at = now
+        self._last_tried_at = dict[int, int]()  # When a proxy of this coordinator last tried each server.
+        self.outliers = set[tuple[int, int]]()
+        self.delivered = dict[tuple[str, str], tuple[int, int]]()
+        self._delivered_events = dict[int, api.ServerReport]()  # By id(): given, and not yet seen to pass.
+        self.published = dict[tuple[int, str], tuple[bytes, int]]()
+        self.failing, self.failing_for_some = frozenset[str](), frozenset[str]()
+
+    # What passes through.
 
     def process_list(self, now: int, event: api.Listed) -> api.Listed:
-        """The list with starts that only others know of; the own list's newer word stands."""
+        """Return the list with the starts that only other members know; newer ones of the list are kept."""
         if event.whole:
-            here = {entry.server for entry in event.entries}
-            for held in (self.known, self.later):
-                for server in held.keys() - here:
-                    del held[server]
-        return event._replace(entries=tuple(self.entry(now, entry) for entry in event.entries))
-
-    def entry(self, now: int, entry: api.Entry) -> api.Entry:
-        later = self.later.get(entry.server)
+            servers = {entry.server for entry in event.entries}
+            for known in (self.listed, self.later_starts):
+                for server in known.keys() - servers:
+                    del known[server]
+        return event._replace(entries=tuple(self._process_entry(now, entry) for entry in event.entries))
+
+    def _process_entry(self, now: int, entry: api.Entry) -> api.Entry:
+        later = self.later_starts.get(entry.server)
         if entry.phase != api.Phase.READY:
-            self.known.pop(entry.server, None)
-            self.later.pop(entry.server, None)
+            self.listed.pop(entry.server, None)
+            self.later_starts.pop(entry.server, None)
             return entry
-        if later is None or entry.since != later:  # Else the desk tells again what it was told.
-            self.known[entry.server] = entry
-            self.tell_start(now, entry)
-        since = self.start(now, self.known[entry.server])
+        if later is None or entry.since != later:  # Else the desk repeats what it was told.
+            self.listed[entry.server] = entry
+            self._publish_start(now, entry)
+        since = self._latest_start(now, self.listed[entry.server])
         return entry if since == entry.since else entry._replace(since=since)
 
-    def start(self, now: int, own: api.Entry) -> int:
-        """Since when the server runs, by the list or by a member that saw it start later."""
-        told = self.later.get(own.server, 0)
-        name = self.names.server(own.server)
-        best = (
+    def _latest_start(self, now: int, listed: api.Entry) -> int:
+        """Return since when the server runs, by the list or by a member that saw it start later."""
+        told = self.later_starts.get(listed.server, 0)
+        name = self.names.server(listed.server)
+        record = (
             None
             if name is None
-            else self.store.best(now, Kind.START, name, now - own.since if own.since else None)
+            else self.store.best(now, Kind.START, name, now - listed.since if listed.since else None)
         )
-        heard = now - best.age_ns if best else 0
-        # Each change makes the module forget what it met there, so that a start once told stays as it is.
-        since = max(own.since, told)
-        if heard > since + SAME_START and now - heard < self.cold:
-            since = heard
-        if since == own.since:
-            self.later.pop(own.server, None)
+        remote_start = now - record.age_ns if record else 0
+        # With each change the module forgets what it met at the server, so a start that it was told is kept.
+        since = max(listed.since, told)
+        if remote_start > since + SAME_START_NS and now - remote_start < self._warmup_ns:
+            since = remote_start
+        if since == listed.since:
+            self.later_starts.pop(listed.server, None)
         else:
-            self.later[own.server] = since
+            self.later_starts[listed.server] = since
         return since
 
     def process_events(self, now: int, events: Sequence[api.Event]) -> Sequence[api.Event]:
-        """Gives back those of one's own: what was heard is neither told on nor counted as met here."""
+        """Count the reports, and return the events without those that `exchange` returned.
+
+        What other members observed is neither published again nor counted as tried here.
+        """
         own = events
-        if self.handed:
-            own = [event for event in events if self.handed.pop(id(event), None) is not event]
-        add, met_at = self.sums.add, self.met_at
+        if self._delivered_events:
+            own = [event for event in events if self._delivered_events.pop(id(event), None) is not event]
+        add, last_tried_at = self._traffic.add, self._last_tried_at
         for event in own:
             if type(event) is api.ServerReport and event.tries:
                 add(event)
-                met_at[event.server] = now
+                last_tried_at[event.server] = now
         return own
 
     def process_records(self, now: int, news: Sequence[Record]) -> None:
-        """Records that are new to the store."""
+        """Take records that are new to the store."""
         for record in news:
-            if record.kind == Kind.START and (server := self.names.index(record.key)) in self.known:
+            if record.kind == Kind.START and (server := self.names.index(record.key)) in self.listed:
                 assert server is not None
-                if self.start(now, self.known[server]) != self.known[server].since:
-                    self.touched.add(server)
+                if self._latest_start(now, self.listed[server]) != self.listed[server].since:
+                    self._changed_starts.add(server)
 
-    # What is told and given, every second or so
+    # What is published and delivered, every second or so.
 
     def exchange(self, now: int, picture: Picture) -> list[api.Event]:
-        """Tell the others, and give back what the module shall hear, to be put like any other event."""
-        if now >= self.told_at + TELL:
-            self.told_at = now
-            self.tell_met(now)
-            self.tell_picture(now, picture)
-        self.out, self.cut = troubled(self.store, now, AGE_MOST)
+        """Publish what is due, and return events for the module, to be put like any other."""
+        if now >= self._published_at + PUBLISH_INTERVAL_NS:
+            self._published_at = now
+            self.publish_traffic(now)
+            self._publish_levels_and_shares(now, picture)
+        self.failing, self.failing_for_some = failing_servers(self.store, now, MAX_OBSERVATION_AGE_NS)
         events: list[api.Event] = []
-        if self.touched:
-            told = tuple(self.known[server] for server in sorted(self.touched) if server in self.known)
-            self.touched.clear()
-            events += [api.Listed(False, False, told)] if told else []
-        return events + list(self.others(now))
-
-    def others(self, now: int) -> list[api.ServerReport]:
-        """What others' proxies met lately at servers that none of one's own has tried: each word once."""
-        found = list[api.ServerReport]()
-        for record, zone, row in newest(self.store, now, AGE_MOST):
-            server, at = self.names.index(row.server), self.names.zone_index(zone)
-            if server not in self.known or server is None or at is None or len(found) >= GIVEN_MOST:
+        if self._changed_starts:
+            entries = tuple(
+                self.listed[server] for server in sorted(self._changed_starts) if server in self.listed
+            )
+            self._changed_starts.clear()
+            events += [api.Listed(False, False, entries)] if entries else []
+        return events + list(self._deliver_observations(now))
+
+    def _deliver_observations(self, now: int) -> list[api.ServerReport]:
+        """Return others' observations, once each, of servers that no proxy of this one tried lately."""
+        reports = list[api.ServerReport]()
+        for record, zone, observation in remote_observations(self.store, now, MAX_OBSERVATION_AGE_NS):
+            server, zone_index = self.names.index(observation.server), self.names.zone_index(zone)
+            if (
+                server not in self.listed
+                or server is None
+                or zone_index is None
+                or len(reports) >= MAX_DELIVERED_SERVERS
+            ):
                 continue
-            word, place = (record.incarnation, record.version), (record.origin + SPLIT + zone, row.server)
-            if now - self.met_at.get(server, -OWN_LATE) < OWN_LATE or self.given.get(place, (0, 0)) >= word:
+            version = (record.incarnation, record.version)
+            place = (record.origin + KEY_SEPARATOR + zone, observation.server)
+            last_tried_at = self._last_tried_at.get(server, -OWN_TRIES_LIFETIME_NS)
+            if now - last_tried_at < OWN_TRIES_LIFETIME_NS or self.delivered.get(place, (0, 0)) >= version:
                 continue
-            # What an older process did says nothing of the new one.
-            if now - record.age_ns - row.span_ns < self.later.get(server, self.known[server].since):
+            # What an earlier process of that server did says nothing of the present one.
+            observed_since = now - record.age_ns - observation.span_ns
+            if observed_since < self.later_starts.get(server, self.listed[server].since):
                 continue
-            self.given[place] = word
-            tries = min(row.tries, TRIES_MOST)
-            found.append(
-                api.ServerReport(
-                    at, server, tries, round(row.bad * tries / row.tries), row.mean_ns, row.span_ns, ()
-                )
+            self.delivered[place] = version
+            tries = min(observation.tries, MAX_DELIVERED_TRIES)
+            bad = round(observation.bad * tries / observation.tries)
+            reports.append(
+                api.ServerReport(zone_index, server, tries, bad, observation.mean_ns, observation.span_ns, ())
             )
-        if len(self.given) > 4 * len(self.known) + GIVEN_MOST:
-            self.given.clear()  # Of servers long gone; at worst a word counts twice.
-        self.handed |= {id(event): event for event in found}
-        return found
+        if len(self.delivered) > 4 * len(self.listed) + MAX_DELIVERED_SERVERS:
+            self.delivered.clear()  # Most are of servers long gone; at worst an observation counts twice.
+        self._delivered_events |= {id(event): event for event in reports}
+        return reports
 
-    def tell_start(self, now: int, entry: api.Entry) -> None:
+    def _publish_start(self, now: int, entry: api.Entry) -> None:
         name = self.names.server(entry.server)
-        if name is not None and entry.since and now - entry.since < self.cold:
+        if name is not None and entry.since and now - entry.since < self._warmup_ns:
             age = max(0, now - entry.since)  # The list's clock may be ahead.
-            self.say(now, Kind.START, name, msgspec.msgpack.encode(entry.since), age)
-
-    def tell_met(self, now: int) -> None:
-        sums, span = self.sums.take(now)
-        ill = notable(sums)
-        for zone, server in ill:
-            self.tell_rows(now, zone, self.names.server(server) or "", [server], sums, span)
-        for zone, servers in sample(sums, ill).items():
-            self.tell_rows(now, zone, "", servers, sums, span)
-        # Well again where it was tried; where it was not, the last word ages.
-        for zone, server in (self.ill - ill) & sums.keys():
-            self.store.take_back(now, Kind.ILL, f"{self.names.server(server)}{SPLIT}{self.names.zone(zone)}")
-        self.ill = ill | {place for place in self.ill - sums.keys() if place[1] in self.known}
-        self.met_at = {server: at for server, at in self.met_at.items() if now - at < OWN_LATE}
-
-    def tell_rows(
+            self._publish_if_new(now, Kind.START, name, msgspec.msgpack.encode(entry.since), age)
+
+    def publish_traffic(self, now: int) -> None:
+        """Publish the totals since the last time: each outlier on its own, and a sample of the others."""
+        totals, span = self._traffic.take(now)
+        outliers = find_outliers(totals)
+        for zone, server in outliers:
+            self._publish_observations(now, zone, self.names.server(server) or "", [server], totals, span)
+        for zone, servers in sample_servers(totals, outliers).items():
+            self._publish_observations(now, zone, "", servers, totals, span)
+        # An outlier that was tried and is none any more is withdrawn; where it wasn't tried the record ages.
+        for zone, server in (self.outliers - outliers) & totals.keys():
+            key = f"{self.names.server(server)}{KEY_SEPARATOR}{self.names.zone(zone)}"
+            self.store.take_back(now, Kind.ILL, key)
+        self.outliers = outliers | {
+            place for place in self.outliers - totals.keys() if place[1] in self.listed
+        }
+        self._last_tried_at = {
+            server: at for server, at in self._last_tried_at.items() if now - at < OWN_TRIES_LIFETIME_NS
+        }
+
+    def _publish_observations(
         self,
         now: int,
         zone: int,
         key: str,
         servers: list[int],
-        sums: dict[tuple[int, int], TrafficTotals],
+        totals: dict[tuple[int, int], TrafficTotals],
         span: int,
     ) -> None:
         name = self.names.zone(zone)
-        told = [
-            ServerObservation(server, one.tries, one.bad, one.mean_ns, span)
+        observations = [
+            ServerObservation(server, total.tries, total.bad, total.mean_ns, span)
             for index in servers
-            if (server := self.names.server(index)) is not None and (one := sums[zone, index])
+            if (server := self.names.server(index)) is not None and (total := totals[zone, index])
         ]
-        if name is not None and told:
-            self.give(now, Kind.ILL, f"{key}{SPLIT}{name}", msgspec.msgpack.encode(told))
+        if name is not None and observations:
+            body = msgspec.msgpack.encode(observations)
+            self._publish(now, Kind.ILL, f"{key}{KEY_SEPARATOR}{name}", body)
 
-    def tell_picture(self, now: int, picture: Picture) -> None:
-        """Levels and shares of each zone's proxies, by the tables that they use."""
-        tables = dict[int, set[int]]()
+    def _publish_levels_and_shares(self, now: int, picture: Picture) -> None:
+        """Publish the levels and shares of each zone, by the tables that its proxies use."""
+        tables_by_zone = dict[int, set[int]]()
         for seat in picture.seats.values():
             if seat.table in picture.tables:
-                tables.setdefault(seat.zone, set()).add(seat.table)
-        for zone, used in tables.items():
+                tables_by_zone.setdefault(seat.zone, set()).add(seat.table)
+        for zone, tables in tables_by_zone.items():
             if (name := self.names.zone(zone)) is None:
                 continue
-            levels = [one for (table, _), one in picture.levels.items() if table in used]
+            levels = [level for (table, _), level in picture.levels.items() if table in tables]
             if levels:
-                least = min(int(again) for again, _ in levels), min(part for _, part in levels)
-                self.say(now, Kind.LEVEL, name, msgspec.msgpack.encode(least))
-            lines = [line.weight for table in used for line in picture.tables[table].values() if line.weight]
-            self.say(now, Kind.SHARE, name, msgspec.msgpack.encode((len(lines), round(sum(lines), 2))))
-
-    def say(self, now: int, kind: Kind, key: str, body: bytes, age: int = 0) -> None:
-        """Only what is new, or what would soon be too old."""
-        known = self.put.get((kind, key))
-        if known is None or known[0] != body or (kind != Kind.START and now - known[1] > longest(kind) // 3):
-            self.put[kind, key] = body, now
-            self.give(now, kind, key, body, age)
-        if len(self.put) > 4 * len(self.known) + GIVEN_MOST:
-            self.put.clear()
-
-    def give(self, now: int, kind: Kind, key: str, body: bytes, age: int = 0) -> None:
-        if len(key) <= KEY_MOST and len(body) <= BODY_MOST:  # Names come from outside, of any length.
+                lowest = min(int(again) for again, _ in levels), min(part for _, part in levels)
+                self._publish_if_new(now, Kind.LEVEL, name, msgspec.msgpack.encode(lowest))
+            weights = [
+                line.weight for table in tables for line in picture.tables[table].values() if line.weight
+            ]
+            share = msgspec.msgpack.encode((len(weights), round(sum(weights), 2)))
+            self._publish_if_new(now, Kind.SHARE, name, share)
+
+    def _publish_if_new(self, now: int, kind: Kind, key: str, body: bytes, age: int = 0) -> None:
+        """Publish a record if it changed, or if the last one would soon be too old."""
+        last = self.published.get((kind, key))
+        if last is None or last[0] != body or (kind != Kind.START and now - last[1] > longest(kind) // 3):
+            self.published[kind, key] = body, now
+            self._publish(now, kind, key, body, age)
+        if len(self.published) > 4 * len(self.listed) + MAX_DELIVERED_SERVERS:
+            self.published.clear()
+
+    def _publish(self, now: int, kind: Kind, key: str, body: bytes, age: int = 0) -> None:
+        if (
+            len(key) <= KEY_MOST and len(body) <= BODY_MOST
+        ):  # Names come from outside, and may be of any length.
             self.store.put(now, kind, key, body, age)
--- a/ambershift/coordinator/group/observations.py
+++ b/ambershift/coordinator/group/observations.py
@@ -1,4 +1,4 @@
-"""Evidence: what this member's proxies met of late, summed up for the others, and what theirs met. No I/O."""
+"""Traffic observations: what this member's proxies met at servers lately, totalled for the others. No I/O."""
 
 from __future__ import annotations
 
@@ -14,26 +14,34 @@
 from ambershift.coordinator.replication.gossip.types import Kind, Record
 
 SECOND = 1_000_000_000
-# Which servers are told one by one: those that fail or are late far more than the middle one. Of the rest a
-# sample is told, as a judge needs to know what is usual.
-TRIES_LEAST, BAD_SHARE, LATE = 3, 0.2, 2.0
-ILL_MOST, SAMPLE = 300, 40
-FAILS = 0.5  # Of the tries: so much counts as out.
-SPLIT = "\x1f"  # Between a server's id and a zone's name in a key.
+# Servers that fail, or are late, far more than the median one are published each on its own. Of the others a
+# sample is published too, as a reader needs to know what is usual.
+MIN_TRIES = 3
+OUTLIER_FAILURE_RATIO = 0.2
+OUTLIER_FAILURE_FACTOR = 2  # Of the median failure ratio.
+OUTLIER_LATENCY_FACTOR = 2.0  # Of the median of the mean response times.
+MAX_OUTLIERS = 300
+SAMPLE_SIZE = 40  # Servers a zone.
+FAILING_RATIO = 0.5  # A server counts as failing with this share of failed tries.
+KEY_SEPARATOR = "\x1f"  # Between a server's id and a zone's name in a key.
+Place = tuple[int, int]  # A zone and a server, by their indices.
 
 
 class TrafficTotals(NamedTuple):
+    """What the proxies of a zone met at a server; `good_ns` is the sum of the times of successful tries."""
+
     tries: int
     bad: int
     good_ns: int
 
     @property
     def mean_ns(self) -> int:
+        """The mean time of a successful try, 0 without any."""
         return self.good_ns // (self.tries - self.bad) if self.tries > self.bad else 0
 
 
 class ServerObservation(msgspec.Struct, frozen=True, array_like=True):
-    """What proxies of one zone met at one server over `span_ns`."""
+    """What the proxies of one zone met at one server over `span_ns`, as it is sent to other members."""
 
     server: str
     tries: Annotated[int, msgspec.Meta(ge=1, le=10**9)]
@@ -43,91 +51,106 @@
 
 
 class TrafficCounter:
-    """Of the time since they were taken last."""
+    """Adds up the reports of proxies since the totals were taken last."""
 
     def __init__(self, now: int) -> None:
-        self.since, self.sums = now, dict[tuple[int, int], list[int]]()
-
-    def add(self, met: api.ServerReport) -> None:
-        """Thousands come in a step, hence the list."""
-        zone, server, tries, bad, mean, _, _ = met
-        held = self.sums.get((zone, server))
-        if held is None:
-            self.sums[zone, server] = [tries, bad, mean * (tries - bad)]
+        """Start empty; `now` is in ns."""
+        self._since = now
+        self._totals = dict[Place, list[int]]()  # Tries, failed tries, and the time of the successful ones.
+
+    def add(self, report: api.ServerReport) -> None:
+        """Add a report. Thousands come in a step, so totals are lists that change in place."""
+        zone, server, tries, bad, mean, _, _ = report
+        totals = self._totals.get((zone, server))
+        if totals is None:
+            self._totals[zone, server] = [tries, bad, mean * (tries - bad)]
         else:
-            held[0] += tries
-            held[1] += bad
-            held[2] += mean * (tries - bad)
-
-    def take(self, now: int) -> tuple[dict[tuple[int, int], TrafficTotals], int]:
-        sums, span = (
-            {place: TrafficTotals(*held) for place, held in self.sums.items()},
-            max(1, now - self.since),
-        )
-        self.sums, self.since = {}, now
-        return sums, span
-
-
-def notable(sums: dict[tuple[int, int], TrafficTotals]) -> set[tuple[int, int]]:
-    """The worst first, up to ILL_MOST; none where all are alike, which is an overload."""
-    if not sums:
+            totals[0] += tries
+            totals[1] += bad
+            totals[2] += mean * (tries - bad)
+
+    def take(self, now: int) -> tuple[dict[Place, TrafficTotals], int]:
+        """Return the totals and the span they cover in ns, and start anew."""
+        totals = {place: TrafficTotals(*counts) for place, counts in self._totals.items()}
+        span = max(1, now - self._since)
+        self._totals, self._since = {}, now
+        return totals, span
+
+
+def find_outliers(totals: dict[Place, TrafficTotals]) -> set[Place]:
+    """Return the servers that do far worse than the median one, `MAX_OUTLIERS` of the worst at most.
+
+    None are returned where all do alike: that is an overload.
+    """
+    if not totals:
         return set()
-    bad_most = max(BAD_SHARE, 2 * median([bad / tries for tries, bad, _ in sums.values()]))
-    late = LATE * median([good / (tries - bad) for tries, bad, good in sums.values() if tries > bad] or [0.0])
-    found = [
+    median_failure_ratio = median([bad / tries for tries, bad, _ in totals.values()])
+    max_failure_ratio = max(OUTLIER_FAILURE_RATIO, OUTLIER_FAILURE_FACTOR * median_failure_ratio)
+    mean_times = [good / (tries - bad) for tries, bad, good in totals.values() if tries > bad]
+    max_mean_ns = OUTLIER_LATENCY_FACTOR * median(mean_times or [0.0])
+    outliers = [
         place
-        for place, (tries, bad, good) in sums.items()
-        if tries >= TRIES_LEAST and (bad > bad_most * tries or good > late * (tries - bad) > 0)
+        for place, (tries, bad, good) in totals.items()
+        if tries >= MIN_TRIES and (bad > max_failure_ratio * tries or good > max_mean_ns * (tries - bad) > 0)
     ]
-    found.sort(key=lambda place: (-sums[place].bad / sums[place].tries, place))
-    return set(found[:ILL_MOST])
-
-
-def sample(
-    sums: dict[tuple[int, int], TrafficTotals], left_out: set[tuple[int, int]]
-) -> dict[int, list[int]]:
-    """For each zone the servers that were met most, those told one by one left out."""
-    zones = dict[int, list[int]]()
-    for zone, server in sums:
-        if (zone, server) not in left_out:
-            zones.setdefault(zone, []).append(server)
+    outliers.sort(key=lambda place: (-totals[place].bad / totals[place].tries, place))
+    return set(outliers[:MAX_OUTLIERS])
+
+
+def sample_servers(totals: dict[Place, TrafficTotals], excluded: set[Place]) -> dict[int, list[int]]:
+    """Return, for each zone, the servers with the most tries, without the excluded ones."""
+    by_zone = dict[int, list[int]]()
+    for zone, server in totals:
+        if (zone, server) not in excluded:
+            by_zone.setdefault(zone, []).append(server)
     return {
-        zone: nsmallest(SAMPLE, servers, key=lambda server: (-sums[zone, server].tries, server))
-        for zone, servers in zones.items()
+        zone: nsmallest(SAMPLE_SIZE, servers, key=lambda server: (-totals[zone, server].tries, server))
+        for zone, servers in by_zone.items()
     }
 
 
-def rows(record: Record) -> tuple[str, tuple[ServerObservation, ...]]:
-    """The zone's name, and what its proxies met; nothing of a body that is no evidence."""
-    _, _, zone = record.key.rpartition(SPLIT)
+def decode_observations(record: Record) -> tuple[str, tuple[ServerObservation, ...]]:
+    """Return the zone's name and the observations of a record; none where the body is malformed."""
+    _, _, zone = record.key.rpartition(KEY_SEPARATOR)
     try:
         return zone, msgspec.msgpack.decode(record.body, type=tuple[ServerObservation, ...])
     except (ValueError, RecursionError):
         return zone, ()
 
 
-def newest(store: Store, now: int, age_most: int) -> Iterator[tuple[Record, str, ServerObservation]]:
-    """Others' evidence, the youngest first for each server and zone; one by one before what is a sample."""
-    found = [one for one in store.all(now, Kind.ILL) if one.origin != store.me and one.age_ns <= age_most]
-    found.sort(key=lambda one: (one.key.startswith(SPLIT), one.age_ns, one.origin))
-    for record in found:
-        zone, met = rows(record)
-        for row in met:
-            if row.bad <= row.tries:
-                yield record, zone, row
+def remote_observations(
+    store: Store, now: int, max_age: int
+) -> Iterator[tuple[Record, str, ServerObservation]]:
+    """Yield other members' observations with their zone: outliers before samples, the newest first."""
+    records = [
+        record
+        for record in store.all(now, Kind.ILL)
+        if record.origin != store.me and record.age_ns <= max_age
+    ]
+    records.sort(key=lambda record: (record.key.startswith(KEY_SEPARATOR), record.age_ns, record.origin))
+    for record in records:
+        zone, observations = decode_observations(record)
+        for observation in observations:
+            if observation.bad <= observation.tries:
+                yield record, zone, observation
+
 
+def failing_servers(store: Store, now: int, max_age: int) -> tuple[frozenset[str], frozenset[str]]:
+    """Judge servers by all members' observations, this one's included. A late response counts as a success.
 
-def troubled(store: Store, now: int, age_most: int) -> tuple[frozenset[str], frozenset[str]]:
-    """Servers that fail for all zones that tried them lately, and those that fail for some of them only: by
-    everybody's evidence, one's own too. Late answers are answers.
+    Returns:
+        The ids of the servers that fail for all zones that tried them lately, and of those that fail for some
+        of these zones only.
     """
-    fails, does_well = dict[str, set[str]](), dict[str, set[str]]()
+    failing_zones, working_zones = dict[str, set[str]](), dict[str, set[str]]()
     for record in store.all(now, Kind.ILL):
-        if record.age_ns <= age_most:
-            zone, met = rows(record)
-            for row in met:
-                if row.tries >= TRIES_LEAST and row.bad <= row.tries:
-                    held = fails if row.bad >= FAILS * row.tries else does_well
-                    held.setdefault(row.server, set()).add(zone)
-    cut = frozenset(server for server, zones in fails.items() if does_well.get(server, zones) - zones)
-    return frozenset(fails) - cut, cut
+        if record.age_ns <= max_age:
+            zone, observations = decode_observations(record)
+            for seen in observations:
+                if seen.tries >= MIN_TRIES and seen.bad <= seen.tries:
+                    zones = failing_zones if seen.bad >= FAILING_RATIO * seen.tries else working_zones
+                    zones.setdefault(seen.server, set()).add(zone)
+    failing_for_some = frozenset(
+        server for server, zones in failing_zones.items() if working_zones.get(server, zones) - zones
+    )
+    return frozenset(failing_zones) - failing_for_some, failing_for_some
--- a/ambershift/coordinator/group/service.py
+++ b/ambershift/coordinator/group/service.py
@@ -1,4 +1,4 @@
-"""The group's front on a coordinator: the runtime API with a member behind it."""
+"""The runtime API of a coordinator that is a member of a group."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ambershift.coordinator.group.member import Member
 from ambershift.coordinator.group.observation_exchange import ObservationExchange
 from ambershift.coordinator.group.spec import spec_of
-from ambershift.coordinator.group.standings import Others, standings
+from ambershift.coordinator.group.standings import GroupObservations, standings
 from ambershift.coordinator.group.startup import NoFolderError
 from ambershift.coordinator.group.tap import AdmittedNames, GroupTap
 from ambershift.coordinator.maintenance.limits import Limits
@@ -37,12 +37,18 @@
 if TYPE_CHECKING:
     from ambershift.coordinator.interference.engine import Engine
 
-LEARN_EVERY = 1_000_000_000
-OPEN_WAIT = 3.0
+EXCHANGE_INTERVAL_NS = 1_000_000_000
+OPEN_TIMEOUT_S = 3.0  # After it the coordinator steers without its member, which opens later.
+MAX_ERROR_LENGTH = 200
+FNV_PRIME = 1_099_511_628_211
+UINT64_MASK = (1 << 64) - 1
 
 
 class GroupService(RuntimeFront):
-    """Steering never waits for the member: what it has not heard of the group yet is as if not wanted."""
+    """Runs the member of a group beside the coordinator.
+
+    The steering of proxies never waits for the member: wishes that it hasn't received yet don't count.
+    """
 
     def __init__(
         self,
@@ -54,69 +60,92 @@
         root: Root,
         group: Group,
     ) -> None:
+        """Assemble the member and all that works with it; `open` starts them.
+
+        Args:
+            coordinator: The coordinator.
+            spots: Where the runtime API listens.
+            most: How many connections it may have.
+            idle: How long one may be silent, ns.
+            version: The version of the program.
+            root: All settings.
+            group: The group's settings.
+        """
         super().__init__(coordinator, spots, most, idle, version)
         spec = spec_of(group)
         door, note = coordinator.admit.door, coordinator.book.note
-        self.at_desk = DeskApplier(self.desk, door, self.now, spec.clock_ahead, self.moved)
-        guard = CommandValidator(self.desk, door, self.now, partial(tell, self.scene), self.apart)
-        seed = coordinator.start.seed ^ hash_of(spec.me)
-        self.member = Member(spec, PromisesMachine(guard), self.at_desk, self.now, note, seed)
+        start = coordinator.start
+        self.desk_applier = DeskApplier(self.desk, door, self.now, spec.clock_ahead, self.moved)
+        validator = CommandValidator(
+            self.desk, door, self.now, partial(_describe_refusal, self.scene), self._is_clock_skewed
+        )
+        seed = start.seed ^ _stable_hash(spec.name)
+        self.member = Member(spec, PromisesMachine(validator), self.desk_applier, self.now, note, seed)
         gossip = self.member.gossip
-        gossip.steered = lambda: len(self.desk.mirror.picture.seats)
-        self.learned = ObservationExchange(
-            gossip.store, AdmittedNames(coordinator.admit), coordinator.start.terms.cold, self.now()
+        gossip.count_steered = lambda: len(self.desk.mirror.picture.seats)
+        self.observation_exchange = ObservationExchange(
+            gossip.store, AdmittedNames(coordinator.admit), start.terms.cold, self.now()
         )
-        self.learned_at = 0
-        self.opening: asyncio.Future[None] | None = None
-        gossip.news.append(self.learned.process_records)
-        gossip.beats.append(self.learn)
-        self.promises = GroupCommands(self.member, door.ids.__getitem__)
-        self.scene.common = self.promises
-        self.tap = GroupTap(self.desk, self.now, self.moved, self.at_desk, self.learned)
-        terms, maintained = coordinator.start.terms, root.maintenance
-        limits = Limits(clock_bound=spec.clock_bound, warm=terms.cold)
-        if isinstance(maintained, MaintenanceBlock):
-            limits = limits._replace(drain=duration(maintained.drain) or limits.drain)
-        self.upkeep = MaintenanceTask(self.member, limits, declared(root.blocks), self.look)
-        self.promises.maintained = self.upkeep.rows
-        counted = root.interference if isinstance(root.interference, Interference) else Interference()
-        self.counting = InterferenceWorker(
+        self._exchanged_at = 0
+        self._opening: asyncio.Future[None] | None = None
+        gossip.record_listeners.append(self.observation_exchange.process_records)
+        gossip.round_listeners.append(self._exchange_observations)
+        self.commands = GroupCommands(self.member, door.ids.__getitem__)
+        self.scene.common = self.commands
+        self.tap = GroupTap(self.desk, self.now, self.moved, self.desk_applier, self.observation_exchange)
+        limits = Limits(clock_bound=spec.clock_bound, warm=start.terms.cold)
+        if isinstance(root.maintenance, MaintenanceBlock):
+            limits = limits._replace(drain=duration(root.maintenance.drain) or limits.drain)
+        self.maintenance_task = MaintenanceTask(
+            self.member, limits, declared(root.blocks), self._server_standings
+        )
+        self.commands.maintenance_rows = self.maintenance_task.rows
+        interference = root.interference if isinstance(root.interference, Interference) else Interference()
+        self.interference_worker = InterferenceWorker(
             self.member.gossip,
-            partial(engine, spec.me, counted),
+            partial(_make_engine, spec.name, interference),
             lambda: list(door.indices),
-            self.at_desk.ease,
+            self.desk_applier.ease,
             note,
         )
-        self.member.counters_handler = self.counting.counters
-        self.promises.interfered = lambda: list(self.counting.scores.rows)
-        learned = self.learned
-        self.others = Others(
-            lambda server: server in learned.out,
-            lambda server: server in learned.cut,
-            lambda server: self.counting.scores.interfered.get(server, 0.0),
+        self.member.counters_handler = self.interference_worker.on_counters
+        self.commands.interference_rows = lambda: list(self.interference_worker.scores.rows)
+        exchange = self.observation_exchange
+        self._group_observations = GroupObservations(
+            lambda server: server in exchange.failing,
+            lambda server: server in exchange.failing_for_some,
+            lambda server: self.interference_worker.scores.interfered.get(server, 0.0),
         )
 
-    def learn(self, now: int) -> None:
-        if now >= self.learned_at + LEARN_EVERY and not self.desk.stopping:
-            self.learned_at = now
-            for event in self.learned.exchange(now, self.desk.mirror.picture):
+    def _exchange_observations(self, now: int) -> None:
+        if now >= self._exchanged_at + EXCHANGE_INTERVAL_NS and not self.desk.stopping:
+            self._exchanged_at = now
+            for event in self.observation_exchange.exchange(now, self.desk.mirror.picture):
                 self.coordinator.route.put(event)
 
-    def look(self) -> dict[str, Standing]:
+    def _server_standings(self) -> dict[str, Standing]:
         return standings(
-            self.desk, self.coordinator.admit.door, self.scene.zone_name, self.now(), self.others
+            self.desk,
+            self.coordinator.admit.door,
+            self.scene.zone_name,
+            self.now(),
+            self._group_observations,
         )
 
-    def apart(self) -> bool:
-        return self.member.gossip.clocks.apart(self.member.now())
+    def _is_clock_skewed(self) -> bool:
+        return self.member.gossip.clock_skew.exceeds_bound(self.member.now())
 
     async def open(self) -> None:
-        """What is set wrongly ends the start; a disk that hangs must not hold up the steering."""
-        self.opening = asyncio.ensure_future(self.member.open())
-        await asyncio.wait({self.opening}, timeout=OPEN_WAIT)
-        if self.opening.done():
+        """Start the member and the runtime API; a disk that hangs doesn't hold up the steering of proxies.
+
+        Raises:
+            BadStartError: The folder or the address in the settings can't be used.
+        """
+        self._opening = asyncio.ensure_future(self.member.open())
+        await asyncio.wait({self._opening}, timeout=OPEN_TIMEOUT_S)
+        if self._opening.done():
             try:
-                self.opening.result()
+                self._opening.result()
             except NoFolderError as error:
                 raise BadStartError(f"key 'group.folder': {error}") from None
             except OSError as error:
@@ -124,42 +153,41 @@
                 raise BadStartError(f"key 'group.listen': can't listen there ({error.strerror})") from None
         else:
             self.coordinator.book.note("group_slow_start", why="the folder is not read yet; steering goes on")
-            self.opening.add_done_callback(self.opened_late)
-        self.upkeep.open()
-        self.counting.open()
+            self._opening.add_done_callback(self._on_late_open)
+        self.maintenance_task.open()
+        self.interference_worker.open()
         await super().open()
 
-    def opened_late(self, opening: asyncio.Future[None]) -> None:
+    def _on_late_open(self, opening: asyncio.Future[None]) -> None:
         if not opening.cancelled() and (error := opening.exception()) is not None:
-            self.member.halt("disk-failed", str(error)[:200])
+            self.member.halt("disk-failed", str(error)[:MAX_ERROR_LENGTH])
 
     async def close(self) -> None:
-        """What waits for a promise is answered, then the rest as without a group."""
-        self.upkeep.close()
-        self.counting.close()
+        """Answer the commands that wait for the group, then close as without a group."""
+        self.maintenance_task.close()
+        self.interference_worker.close()
         self.member.stop()
         await asyncio.sleep(0)
         await super().close()
-        if self.opening is not None:
-            self.opening.cancel()
+        if self._opening is not None:
+            self._opening.cancel()
         await self.member.close()
 
 
-def engine(me: str, block: Interference) -> Engine:
-    from ambershift.coordinator.interference.engine import (
-        Engine,  # Its libraries take tens of MB; few groups count.
-    )
+def _make_engine(member: str, block: Interference) -> Engine:
+    # Imported here as its libraries take tens of MB, and few groups use it.
+    from ambershift.coordinator.interference.engine import Engine
 
-    return Engine(me, block.ease, part(block.ease_most) or 0.0, duration(block.interval) or 0)
+    return Engine(member, block.ease, part(block.ease_most) or 0.0, duration(block.interval) or 0)
 
 
-def tell(scene: Scene, refused: Refused) -> str:
+def _describe_refusal(scene: Scene, refused: Refused) -> str:
     return why_refused(scene, scene.view(), refused)
 
 
-def hash_of(name: str) -> int:
-    """The same at each start, other than `hash`."""
+def _stable_hash(name: str) -> int:
+    """Return a hash that is the same at each start, unlike `hash`."""
     value = 0
-    for letter in name.encode():
-        value = (value * 1_099_511_628_211 + letter) & ((1 << 64) - 1)
+    for byte in name.encode():
+        value = (value * FNV_PRIME + byte) & UINT64_MASK
     return value
--- a/ambershift/coordinator/group/standings.py
+++ b/ambershift/coordinator/group/standings.py
@@ -1,4 +1,4 @@
-"""Standings: how each listed server stands for maintenance, from this member's desk and what it heard."""
+"""How each listed server stands for maintenance, by this member's desk and by the others' records."""
 
 from __future__ import annotations
 
@@ -12,48 +12,58 @@
 from ambershift.door import Door
 
 
-class Others(NamedTuple):
-    """What is known of a server beyond this member's own proxies, by its id."""
+class GroupObservations(NamedTuple):
+    """What is known of a server beyond this member's own proxies, by its id.
 
-    ill: Callable[[str], bool] = lambda server: False
-    cut: Callable[[str], bool] = lambda server: False
+    Attributes:
+        failing: Whether it fails for all zones.
+        failing_for_some: Whether it fails for some zones only.
+        interfered: What part of it other jobs on its machine take.
+    """
+
+    failing: Callable[[str], bool] = lambda server: False
+    failing_for_some: Callable[[str], bool] = lambda server: False
     interfered: Callable[[str], float] = lambda server: 0.0
 
 
 def standings(
-    desk: Desk, door: Door[str], zone_name: Callable[[int], str], now: int, others: Others
+    desk: Desk, door: Door[str], zone_name: Callable[[int], str], now: int, observations: GroupObservations
 ) -> dict[str, Standing]:
-    """Without the group's permits: what only a permit keeps out has no trouble."""
-    found = dict[str, Standing]()
+    """Return the standing of each listed server by its id; being kept out by a permit alone is no trouble."""
+    result = dict[str, Standing]()
     for server, entry in desk.world.listed.items():
         name = door.ids.get(server)
         if name is None:
             continue
-        trouble, warm_at = trouble_of(desk, server, entry, now), desk.warmth.warm_at(entry)
+        trouble, warm_at = _local_trouble(desk, server, entry, now), desk.warmth.warm_at(entry)
         if trouble in (None, Trouble.COLD):
-            trouble = Trouble.ILL if others.ill(name) else Trouble.CUT if others.cut(name) else trouble
-        found[name] = Standing(
+            if observations.failing(name):
+                trouble = Trouble.ILL
+            elif observations.failing_for_some(name):
+                trouble = Trouble.CUT
+        result[name] = Standing(
             name,
             zone_name(entry.zone),
-            weight_of(desk, server, entry),
+            _weight(desk, server, entry),
             trouble,
             warm_at if warm_at > now else 0,
-            others.interfered(name),
+            observations.interfered(name),
         )
-    return found
+    return result
 
 
-def trouble_of(desk: Desk, server: int, entry: api.Entry, now: int) -> Trouble | None:
+def _local_trouble(desk: Desk, server: int, entry: api.Entry, now: int) -> Trouble | None:
+    """Return the trouble of a server by this member's desk alone."""
     if entry.phase != api.Phase.READY or entry.weight <= 0:
         return Trouble.LISTED_OUT
     if desk.world.own(server).severity:
         return Trouble.WISHED_OUT
-    known = desk.told.get(server)
-    if known is None:
+    told = desk.told.get(server)
+    if told is None:
         return Trouble.UNKNOWN
-    # Shut out though the module was told that it is ready: it does so with those that fail.
+    # The module was told that it is ready, and shut it out: it does so with servers that fail.
     if (
-        known.phase == api.Phase.READY
+        told.phase == api.Phase.READY
         and desk.mirror.picture.shut.get(server, NEVER_SHUT).out
         and (server not in desk.waiting)
     ):
@@ -61,6 +71,6 @@
     return None if desk.warmth.warm(entry, now) else Trouble.COLD
 
 
-def weight_of(desk: Desk, server: int, entry: api.Entry) -> float:
+def _weight(desk: Desk, server: int, entry: api.Entry) -> float:
     wish = desk.world.own(server)
     return entry.weight if wish.weight is None else wish.weight.of(entry.weight)
--- a/ambershift/coordinator/group/startup.py
+++ b/ambershift/coordinator/group/startup.py
@@ -1,4 +1,4 @@
-"""Life: under which incarnation a member starts, with or without a folder, and what that vouches for."""
+"""How a member starts: its incarnation, and what its folder still holds."""
 
 from __future__ import annotations
 
@@ -19,31 +19,49 @@
 
 
 class NoFolderError(Exception):
-    """The folder can't be had: another process has it, or it is another member's. A person must look."""
+    """The folder is another member's, or another process has it: an operator must look."""
 
 
 class StartupState(NamedTuple):
-    """`folder` None: nothing is kept on disk. `failed`: the disk can't be used, and no part is taken. `lost`:
-    an earlier life's folder could not be vouched for.
+    """What a member starts with.
+
+    Attributes:
+        incarnation: Its incarnation.
+        saved: The durable state; None where there is none.
+        folder: Its folder; None where nothing is kept on disk.
+        disk_error: Why the disk can't be used, and the member takes no part; empty where it can.
+        lost_state: The state of an earlier start was set aside, and none has been recovered since.
     """
 
     incarnation: int
     saved: Saved | None
     folder: Folder | None
-    failed: str
-    lost: bool = False
+    disk_error: str
+    lost_state: bool = False
+
+
+def start_incarnation(
+    spec: MemberSpec, note: Note, min_incarnation: int = 0, void_reason: str = ""
+) -> StartupState:
+    """Open the folder and choose a new incarnation; waits for the disk.
+
+    Incarnations are Unix times in ns, so that a member that lost its folder has a newer one than before.
 
+    Args:
+        spec: The member.
+        note: Writes a log event.
+        min_incarnation: The lowest incarnation that will do.
+        void_reason: Why the folder's content must not be used; empty where it may.
 
-def begin(spec: MemberSpec, note: Note, least: int = 0, void: str = "") -> StartupState:
-    """Waits for the disk. `least` is the lowest incarnation that will do, `void` why a folder counts for
-    nothing. Unix time counts incarnations, so that one that lost its folder is newer than it was.
+    Raises:
+        NoFolderError: The folder is another member's, or another process has it.
     """
-    wall = max(time.time_ns(), least)
+    wall = max(time.time_ns(), min_incarnation)
     if not spec.folder:
         return StartupState(wall, None, None, "")
-    folder = Folder(RealFiles(spec.folder), spec.title, spec.me)
+    folder = Folder(RealFiles(spec.folder), spec.group_name, spec.name)
     try:
-        opened = folder.open(wall, void)
+        opened = folder.open(wall, void_reason)
     except (LockedError, RefusedError) as error:
         raise NoFolderError(str(error)) from None
     except DiskError as error:
@@ -52,27 +70,28 @@
     if opened.aside:
         note(
             "folder_set_aside",
-            why=void or opened.why,
+            why=void_reason or opened.why,
             files=list(opened.aside),
-            reason=void or str(opened.fault),
+            reason=void_reason or str(opened.fault),
         )
     if opened.torn:
-        note("folder_torn", bytes=opened.torn, why="the last write was cut short, and vouched for nothing")
+        note("folder_torn", bytes=opened.torn, why="the last write was cut short, and never acknowledged")
     return StartupState(opened.incarnation, opened.saved, folder, "", opened.lost)
 
 
-def replica_of(
-    spec: MemberSpec, machine: PromisesMachine, life: StartupState, now: int, seed: int
+def create_replica(
+    spec: MemberSpec, machine: PromisesMachine, startup: StartupState, now: int, seed: int
 ) -> Replica:
-    given: dict[str, Any] = {"now": now, "noop": encode(Nothing()), "lost": life.lost}
+    """Return the replica of a member that starts; `now` is in ns."""
+    options: dict[str, Any] = {"now": now, "noop": encode(Nothing()), "lost": startup.lost_state}
     return Replica(
-        spec.me,
+        spec.name,
         spec.voters,
-        spec.copies,
+        spec.learners,
         machine,
         seed,
-        life.incarnation,
-        life.saved,
-        life.folder is not None,
-        **given,
+        startup.incarnation,
+        startup.saved,
+        startup.folder is not None,
+        **options,
     )
--- a/ambershift/coordinator/group/tap.py
+++ b/ambershift/coordinator/group/tap.py
@@ -1,4 +1,4 @@
-"""Tap: what passes in a coordinator with a group goes through what was heard first, then to the desk."""
+"""Passes a coordinator's events through the observation exchange, and then to the desk."""
 
 from __future__ import annotations
 
@@ -13,43 +13,63 @@
 
 
 class GroupTap(DeskTap):
-    """Of a server that no list had before, the desk learns first what the group wants of it."""
+    """The desk's tap in a coordinator with a group.
+
+    Of a server that no list had before, the desk learns the group's wishes and permits before it is listed.
+    """
 
     def __init__(
         self,
         desk: Desk,
         now: Callable[[], int],
-        moved: Callable[[], None],
-        at_desk: DeskApplier,
-        learned: ObservationExchange,
+        on_change: Callable[[], None],
+        applier: DeskApplier,
+        exchange: ObservationExchange,
     ) -> None:
-        super().__init__(desk, now, moved)
-        self.at_desk, self.learned = at_desk, learned
+        """Join the desk, the applier of the group's state and the exchange.
+
+        Args:
+            desk: The desk.
+            now: Its clock, ns.
+            on_change: Called when the desk may have something new to tell.
+            applier: Hands the desk the group's wishes and permits.
+            exchange: Adds what other members know to lists, and counts reports.
+        """
+        super().__init__(desk, now, on_change)
+        self._applier = applier
+        self._exchange = exchange
 
     def listed(self, event: api.Listed) -> api.Listed:
-        event = self.learned.process_list(self.now(), event)
-        self.at_desk.before_list(event)
+        """Return the list as the decision module is to see it."""
+        event = self._exchange.process_list(self.now(), event)
+        self._applier.prepare_list(event)
         return super().listed(event)
 
     def stepped(self, now: int, events: Sequence[api.Event]) -> None:
-        super().stepped(now, self.learned.process_events(now, events))
+        """Take the events of a step."""
+        super().stepped(now, self._exchange.process_events(now, events))
 
 
 class AdmittedNames:
-    """The names of `learned.Names`, from those that the coordinator admits."""
+    """The `NameMapping` of the servers and zones that the coordinator admits."""
 
     def __init__(self, admit: Admit) -> None:
-        self.admit = admit
+        """Use the names of `admit`, as they are at each call."""
+        self._admit = admit
 
     def server(self, index: int) -> str | None:
-        return self.admit.door.ids.get(index)
+        """Return the id of a server."""
+        return self._admit.door.ids.get(index)
 
     def index(self, server: str) -> int | None:
-        return self.admit.door.known(server)
+        """Return the index of a server."""
+        return self._admit.door.known(server)
 
     def zone(self, index: int) -> str | None:
-        zones = self.admit.names.zones
+        """Return the name of a zone."""
+        zones = self._admit.names.zones
         return zones[index] if 0 <= index < len(zones) else None
 
     def zone_index(self, zone: str) -> int | None:
-        return self.admit.zones.get(zone)
+        """Return the index of a zone."""
+        return self._admit.zones.get(zone)
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -14,12 +14,12 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.words import NEVER, Change, Health, Origin, Reason, Standing, State, Weight
-from ambershift.coordinator.group.clock_skew import LASTS, ClockSkew
+from ambershift.coordinator.group.clock_skew import SAMPLE_LIFETIME_NS, ClockSkew
 from ambershift.coordinator.group.command_validator import CommandValidator
 from ambershift.coordinator.group.desk_applier import DeskApplier
 from ambershift.coordinator.group.gossip import LET_IN, NEITHER, Gossip
-from ambershift.coordinator.group.group_commands import GroupCommands as Promised
-from ambershift.coordinator.group.standings import Others, standings
+from ambershift.coordinator.group.group_commands import GroupCommands
+from ambershift.coordinator.group.standings import GroupObservations, standings
 from ambershift.coordinator.maintenance.words import Declared, Permit, Phase, Trouble, Work
 from ambershift.coordinator.promises.answers import Outcome, encode, encode_answer, read_answer, refused
 from ambershift.coordinator.promises.machine import PromisesMachine
@@ -46,7 +46,7 @@
     def __init__(self, count: int = 6, zones: int = 2, ahead: int = 0, **terms: Any) -> None:
         self.door, self.held, self.number, self.answers = Door[str](), EMPTY, 0, list[bytes]()
         super().__init__(make_terms(zones=zones, **terms), [])
-        self.at_desk = DeskApplier(self.desk, self.door, lambda: self.now, ahead, lambda: None)
+        self.desk_applier = DeskApplier(self.desk, self.door, lambda: self.now, ahead, lambda: None)
         self.guard = CommandValidator(
             self.desk, self.door, lambda: self.now, lambda one: one.reason.value, lambda: self.apart
         )
@@ -58,7 +58,7 @@
         event = api.Listed(
             False, False, tuple(entry(self.door.index(f"s{one}"), one % 2, phase, since) for one in servers)
         )
-        self.at_desk.before_list(event)
+        self.desk_applier.prepare_list(event)
         self.tell(event)
 
     def judge(self, command: Command) -> bytes | None:
@@ -72,9 +72,9 @@
         outcome = read_answer(answer)
         if outcome.done and outcome.changed:
             if isinstance(command, Wishes):
-                self.at_desk.wishes(self.held, outcome.changed, [(command.who, command.text)])
+                self.desk_applier.apply_wishes(self.held, outcome.changed, [(command.who, command.text)])
             else:
-                self.at_desk.permits(self.held)
+                self.desk_applier.apply_permits(self.held)
         return outcome
 
     def wish(self, *changes: tuple[int, dict[str, Any]], who: str = "op") -> Wishes:
@@ -110,21 +110,21 @@
     # Again, by another and in another word for the same; then a snapshot that says nothing new.
     for again in (member.wish(*out(0), who="other"), member.wish(*out(0), (0, {"health": 0}))):
         member.apply(again)
-    member.at_desk.all(member.held)
+    member.desk_applier.apply_snapshot(member.held)
     member.settle()
     assert member.shuts() == [0] and member.desk.commands == 1
     # The same wish by another's word, as when it was taken back and given again while this one was away.
     again = member.held.wish("s0")._replace(origin=Origin("z", 7, 7))
-    member.at_desk.all(member.held._replace(wishes=member.held.wishes.insert("s0", again)))
+    member.desk_applier.apply_snapshot(member.held._replace(wishes=member.held.wishes.insert("s0", again)))
     assert not member.desk.waiting and member.desk.world.own(0).origin.who == "z"
-    member.at_desk.all(
+    member.desk_applier.apply_snapshot(
         EMPTY._replace(
             wishes=member.held.wishes.insert("s2", Standing(DRAIN, Health.UP, None, Origin("x", 1, 2)))
         )
     )
     member.settle()
     assert member.shuts() == [0, 2]
-    member.at_desk.all(EMPTY)  # What a snapshot has no more is taken back.
+    member.desk_applier.apply_snapshot(EMPTY)  # What a snapshot has no more is taken back.
     member.settle()
     assert not member.shut and member.desk.world.wish(0).state is READY
 
@@ -159,7 +159,7 @@
                 member.list_of([rng.randrange(8)], rng.choice(list(api.Phase)[:2]))
             member.run(S)
     fresh.held = members[0].held
-    fresh.at_desk.all(fresh.held)
+    fresh.desk_applier.apply_snapshot(fresh.held)
     for member in (*members, fresh):
         member.list_of(range(8))
         member.settle(20)
@@ -209,7 +209,7 @@
     back = leader.machine.apply(leader.held, Entry(1, 9, 1, "", encode(leader.wish(*out(0, state=READY)))))[0]
     assert leader.judge(second) is not None
     assert leader.machine.judge(back, leader.now, encode(second)) is None
-    leader.at_desk.all(EMPTY)
+    leader.desk_applier.apply_snapshot(EMPTY)
     # The same by a permit in the log: it counts until it is closed, whatever this clock says.
     leader.held = EMPTY
     leader.apply(declare(0, 2))
@@ -250,12 +250,12 @@
     # An operator's word that lets in takes nothing from the permit, and one that keeps out outlives it.
     member.apply(member.wish(*out(0, state=READY)))
     member.settle(2)
-    assert 0 in member.shut and member.at_desk.held_out("s0")
+    assert 0 in member.shut and member.desk_applier.is_held_out("s0")
     while member.now + ahead < ends:
         assert 0 in member.shut and member.desk.next_at(member.now) is not None
         member.run(S)
     member.settle(3)
-    assert 0 not in member.shut and 1 in member.shut and not member.at_desk.held_out("s0")
+    assert 0 not in member.shut and 1 in member.shut and not member.desk_applier.is_held_out("s0")
     assert member.shuts().count(0) == 1
 
 
@@ -265,15 +265,19 @@
     ends = member.now + 600 * S
     member.apply(Grant(member.held.permits_touched, tuple(permit(member, one, ends) for one in (0, 2, 4, 1))))
     member.settle()
-    assert member.shut == {0, 2, 4, 1} and member.at_desk.drained("s0")
+    assert member.shut == {0, 2, 4, 1} and member.desk_applier.is_drained("s0")
     for server, phase in ((0, Phase.RETURNING), (2, Phase.CLOSED), (4, Phase.OUT)):
         member.apply(Move(member.held.permits_touched, f"w/s{server}/1", phase, ends))
     member.settle()
-    assert member.shut == {4, 1} and not member.at_desk.held_out("s0") and not member.at_desk.drained("s0")
-    member.at_desk.hold(False)
+    assert (
+        member.shut == {4, 1}
+        and not member.desk_applier.is_held_out("s0")
+        and not member.desk_applier.is_drained("s0")
+    )
+    member.desk_applier.enable_permits(False)
     member.settle()
-    assert not member.shut and not member.at_desk.drained("s4")
-    member.at_desk.hold(True)
+    assert not member.shut and not member.desk_applier.is_drained("s4")
+    member.desk_applier.enable_permits(True)
     member.settle()
     assert member.shut == {4, 1}
 
@@ -299,16 +303,22 @@
     member.apply(declare(0, 1, 2))
     assert member.apply(Grant(1, tuple(permit(member, at, member.now + 30 * S) for at in (0, 1, 2)))).done
     names = {held.permit.server: held.permit.id for held in member.held.permits.values()}
-    member.at_desk.sooner = {
+    member.desk_applier.uncommitted_ends = {
         names["s0"]: SoonerEnd(3, 0),
         names["s1"]: SoonerEnd(4, member.now + 5 * S),
         names["s2"]: SoonerEnd(5, member.now + 40 * S),
     }
-    kept = {member.door.ids[server]: ends for server, ends in member.at_desk.until().items()}
+    kept = {member.door.ids[server]: ends for server, ends in member.desk_applier.permit_deadlines().items()}
     assert kept == {"s1": member.now + 5 * S, "s2": member.now + 30 * S}
-    member.at_desk.committed(3)  # It was not the entry that it was taken for: the state has the permit still.
-    assert {member.door.ids[server] for server in member.at_desk.until()} == {"s0", "s1", "s2"}
-    assert member.at_desk.until() == member.desk.permits
+    member.desk_applier.entries_committed(
+        3
+    )  # It was not the entry that it was taken for: the state has the permit still.
+    assert {member.door.ids[server] for server in member.desk_applier.permit_deadlines()} == {
+        "s0",
+        "s1",
+        "s2",
+    }
+    assert member.desk_applier.permit_deadlines() == member.desk.permits
 
 
 @pytest.mark.parametrize(("durable", "word"), [(6, NEITHER), (7, LET_IN)])
@@ -317,10 +327,10 @@
     returning = msgspec.structs.replace(permit(member, 0, member.now + S), phase=Phase.RETURNING)
     gossip = Gossip.__new__(Gossip)
     gossip.member = SimpleNamespace(
-        at_desk=member.at_desk,  # type: ignore[assignment]
+        desk_applier=member.desk_applier,  # type: ignore[assignment]
         replica=SimpleNamespace(durable=durable),
     )
-    assert gossip.word(Held(returning, 7, True, returning.ends)) == word
+    assert gossip.permit_progress(Held(returning, 7, True, returning.ends)) == word
 
 
 def test_rule_one_outlives_all_promises() -> None:
@@ -343,7 +353,7 @@
 def test_an_eased_server_keeps_its_part_and_gets_it_back() -> None:
     member = Member(count=6)
     member.apply(member.wish((2, {"weight": (0.5, True)}), *out(4)))
-    member.at_desk.ease({"s0": 0.8, "s2": 0.8, "s4": 0.8, "gone": 0.5})
+    member.desk_applier.ease({"s0": 0.8, "s2": 0.8, "s4": 0.8, "gone": 0.5})
     member.settle()
 
     def parts() -> list[float]:
@@ -352,10 +362,10 @@
     assert parts() == pytest.approx([0.8, 1.0, 0.4])
     assert 4 in member.shut
     told = len(member.ordered)
-    member.at_desk.ease({"s0": 0.8, "s2": 0.8, "s4": 0.8})
+    member.desk_applier.ease({"s0": 0.8, "s2": 0.8, "s4": 0.8})
     member.settle()
     assert not [one for one in member.ordered[told:] if isinstance(one, api.SetWeight)]
-    member.at_desk.ease({})
+    member.desk_applier.ease({})
     member.settle()
     assert parts() == pytest.approx([1.0, 1.0, 0.5])
 
@@ -375,9 +385,9 @@
         member.door,
         str,
         member.now,
-        Others(
-            ill=lambda one: one == "s5",
-            cut=lambda one: one == "s1",
+        GroupObservations(
+            failing=lambda one: one == "s5",
+            failing_for_some=lambda one: one == "s1",
             interfered=lambda one: 0.25 * (one == "s6"),
         ),
     )
@@ -390,18 +400,21 @@
 
 
 def test_clocks_apart_from_the_middle() -> None:
-    clocks, now = ClockSkew(S), 100 * S
-    assert not clocks.apart(now)  # Alone there is nothing to be apart from.
-    clocks.heard(now, 50 * S, "b", 53 * S, 0)
-    clocks.heard(now, 50 * S, "c", 45 * S, 8 * S)  # Old on its way, and 3 s ahead by its age.
-    assert clocks.ahead(now, "c") == 3 * S and clocks.apart(now)
-    clocks.heard(now, 50 * S, "d", 50 * S, 0)
-    clocks.heard(now, 50 * S, "e", 50 * S, 0)
-    assert not clocks.apart(now)  # It is two others that are off now.
+    skew, now = ClockSkew(S), 100 * S
+    assert not skew.exceeds_bound(now)  # Alone there is nothing to be apart from.
+    skew.add_sample(now, 50 * S, "b", 53 * S, 0)
+    skew.add_sample(now, 50 * S, "c", 45 * S, 8 * S)  # Old on its way, and 3 s ahead by its age.
+    assert skew.offset(now, "c") == 3 * S and skew.exceeds_bound(now)
+    skew.add_sample(now, 50 * S, "d", 50 * S, 0)
+    skew.add_sample(now, 50 * S, "e", 50 * S, 0)
+    assert not skew.exceeds_bound(now)  # It is two others that are off now.
     # A word that came late makes a clock look behind; the one that came soonest counts.
-    clocks.heard(now + S, 51 * S, "d", 40 * S, 0)
-    assert clocks.ahead(now + S, "d") == 0
-    assert not clocks.apart(now + 2 * LASTS) and clocks.ahead(now + 2 * LASTS, "b") == 0
+    skew.add_sample(now + S, 51 * S, "d", 40 * S, 0)
+    assert skew.offset(now + S, "d") == 0
+    assert (
+        not skew.exceeds_bound(now + 2 * SAMPLE_LIFETIME_NS)
+        and skew.offset(now + 2 * SAMPLE_LIFETIME_NS, "b") == 0
+    )
 
 
 # The runtime API
@@ -450,9 +463,9 @@
 @pytest.mark.parametrize(("token", "answers", "words", "asked"), ANSWERS)
 def test_answers_say_what_stands(token: str, answers: list[Answer], words: str, asked: int) -> None:
     said = Said(*answers)
-    promised = Promised(said, lambda one: f"s{one}")  # type: ignore[arg-type]
+    commands = GroupCommands(said, lambda one: f"s{one}")  # type: ignore[arg-type]
     change = Change(0, state=MAINT, weight=Weight(0.5, True))
-    answer = asyncio.run(promised.promise("op", token, "the text", [change], S))
+    answer = asyncio.run(commands.promise("op", token, "the text", [change], S))
     text = "\n".join(answer.lines)
     assert all(part in text for part in words.split("|")), text
     assert len(said.asked) == asked and len({one for one, _ in said.asked}) == 1
@@ -538,7 +551,7 @@
         "f",
     )
     spec = spec_of(root.group)  # type: ignore[arg-type]
-    assert spec.voters == ("a", "b", "c") and spec.copies == ("0",) and spec.clock_ahead == -1_500_000_000
+    assert spec.voters == ("a", "b", "c") and spec.learners == ("0",) and spec.clock_ahead == -1_500_000_000
     assert [peer.name for peer in spec.peers] == ["0", "b", "c"] and spec.clock_bound == S
 
 
--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_learned.py
@@ -10,19 +10,19 @@
 from ambershift import interface as api
 from ambershift.coordinator.admin.mirror import BLANK
 from ambershift.coordinator.group.observation_exchange import (
-    AGE_MOST,
-    GIVEN_MOST,
-    TRIES_MOST,
+    MAX_DELIVERED_SERVERS,
+    MAX_DELIVERED_TRIES,
+    MAX_OBSERVATION_AGE_NS,
     ObservationExchange,
 )
 from ambershift.coordinator.group.observations import (
-    SAMPLE,
-    SPLIT,
+    KEY_SEPARATOR,
+    SAMPLE_SIZE,
     ServerObservation,
     TrafficTotals,
-    notable,
-    rows,
-    sample,
+    decode_observations,
+    find_outliers,
+    sample_servers,
 )
 from ambershift.coordinator.replication.gossip import Kind
 from ambershift.coordinator.replication.gossip.store import Store
@@ -108,7 +108,7 @@
     shown(b, NOW + S, 10, shown(b, NOW + S, 10, 0))
     assert {one.origin for one in b.store.all(NOW, Kind.START)} == {"a"}
     b.process_list(NOW, api.Listed(True, False, (entry(11),)))
-    assert not b.later and set(b.known) == {11}
+    assert not b.later_starts and set(b.listed) == {11}
 
 
 def met(server: int, tries: int, bad: int, zone: int = 0, ms: int = 50) -> api.ServerReport:
@@ -147,33 +147,36 @@
     carry(a, b, NOW + 2 * S, NOW + 2 * S)
     first = given(b, NOW + 3 * S)
     # 102 was tried here, 105 is a new process since, 106 drains, 9 is unknown; 104 was not tried at all.
-    assert first == {100: (TRIES_MOST, TRIES_MOST, 0), 101: (4, 0, 1), 103: (3, 3, 1)}
+    assert first == {100: (MAX_DELIVERED_TRIES, MAX_DELIVERED_TRIES, 0), 101: (4, 0, 1), 103: (3, 3, 1)}
     assert not given(b, NOW + 4 * S), "each word once"
     # What was given and passes is neither told on nor taken for one's own.
-    b.given.clear()
+    b.delivered.clear()
     events = b.exchange(NOW + 4 * S, BLANK)
     assert b.process_events(NOW + 4 * S, [*events, met(104, 7, 7)]) == [met(104, 7, 7)]
     b.exchange(NOW + 6 * S, BLANK)
     told = [
-        row.server for one in b.store.all(NOW + 6 * S, Kind.ILL) if one.origin == "b" for row in rows(one)[1]
+        row.server
+        for one in b.store.all(NOW + 6 * S, Kind.ILL)
+        if one.origin == "b"
+        for row in decode_observations(one)[1]
     ]
     assert set(told) <= {"s2", "s4"} and "s4" in told
     # One's own tries end it; long after, and too old.
-    b.given.clear()
+    b.delivered.clear()
     b.process_events(NOW + 7 * S, [met(100, 1, 0)])
     assert 100 not in given(b, NOW + 7 * S)
-    b.given.clear()
+    b.delivered.clear()
     assert 100 in given(b, NOW + 13 * S)
-    b.given.clear()
-    assert not given(b, NOW + 2 * S + AGE_MOST + 1)
+    b.delivered.clear()
+    assert not given(b, NOW + 2 * S + MAX_OBSERVATION_AGE_NS + 1)
     # Well again where it was tried: the word is taken back.
     a.process_events(NOW + 8 * S, [met(0, 9, 0), met(1, 9, 0), met(2, 9, 0)])
     a.exchange(NOW + 8 * S, BLANK)
-    ill = {one.key for one in a.store.all(NOW + 8 * S, Kind.ILL) if not one.key.startswith(SPLIT)}
-    assert ill == {f"s3{SPLIT}z1"}
+    ill = {one.key for one in a.store.all(NOW + 8 * S, Kind.ILL) if not one.key.startswith(KEY_SEPARATOR)}
+    assert ill == {f"s3{KEY_SEPARATOR}z1"}
     a.process_events(NOW + 10 * S, [met(3, 9, 0, 1), met(1, 9, 0)])
     a.exchange(NOW + 10 * S, BLANK)
-    assert all(one.key.startswith(SPLIT) for one in a.store.all(NOW + 10 * S, Kind.ILL))
+    assert all(one.key.startswith(KEY_SEPARATOR) for one in a.store.all(NOW + 10 * S, Kind.ILL))
 
 
 def test_who_fails_for_all_is_out_and_who_fails_for_some_zones_is_cut_off() -> None:
@@ -196,27 +199,33 @@
     carry(a, b, NOW + 2 * S, NOW + 2 * S)
     b.exchange(NOW + 2 * S, BLANK)
     # 6 is well and fails for the same zone: whose word is right is not known, and out is the careful one.
-    assert (b.out, b.cut) == ({"s0", "s6"}, {"s1", "s5"})
+    assert (b.failing, b.failing_for_some) == ({"s0", "s6"}, {"s1", "s5"})
     b.exchange(NOW + 18 * S, BLANK)
-    assert not b.out and not b.cut
+    assert not b.failing and not b.failing_for_some
 
 
 def test_the_worst_are_told_one_by_one_and_an_overload_is_none_of_them() -> None:
     rng = random.Random(4)
     usual = {(0, at): TrafficTotals(rng.randrange(5, 90), 0, 0) for at in range(200)}
     sums = {place: one._replace(good_ns=one.tries * 50) for place, one in usual.items()}
-    assert notable(sums) == set() == notable({})
+    assert find_outliers(sums) == set() == find_outliers({})
     sums |= {
         (0, 500): TrafficTotals(9, 9, 0),
         (0, 501): TrafficTotals(9, 3, 6 * 50),
         (0, 502): TrafficTotals(9, 0, 9 * 120),
         (0, 503): TrafficTotals(2, 2, 0),
     }
-    assert notable(sums) == {(0, 500), (0, 501), (0, 502)}
-    assert notable({place: one._replace(bad=one.tries // 2 + 1) for place, one in usual.items()}) == set()
+    assert find_outliers(sums) == {(0, 500), (0, 501), (0, 502)}
+    assert (
+        find_outliers({place: one._replace(bad=one.tries // 2 + 1) for place, one in usual.items()}) == set()
+    )
     most = max(sums, key=lambda place: sums[place].tries)
-    chosen = sample(sums, {most})[0]
-    assert len(chosen) == SAMPLE and most[1] not in chosen and min(sums[0, one].tries for one in chosen) >= 60
+    chosen = sample_servers(sums, {most})[0]
+    assert (
+        len(chosen) == SAMPLE_SIZE
+        and most[1] not in chosen
+        and min(sums[0, one].tries for one in chosen) >= 60
+    )
 
 
 def test_words_that_make_no_sense_are_passed_over_and_many_are_bounded() -> None:
@@ -225,11 +234,11 @@
         shown(b, NOW, server, 0)
     good = msgspec.msgpack.encode([ServerObservation("s1", 5, 5, 1, S)])
     for key, body in (
-        (f"s1{SPLIT}z9", good),
-        (f"s1{SPLIT}zz0", b"\xc1"),
-        (f"s1{SPLIT}z0", b"\x93\x01\x02"),
-        (f"s2{SPLIT}z0", msgspec.msgpack.encode([ServerObservation("s2", 5, 6, 1, S)])),
-        (f"s3{SPLIT}z0", msgspec.msgpack.encode([ServerObservation("s3", 0, 0, 1, S)])),
+        (f"s1{KEY_SEPARATOR}z9", good),
+        (f"s1{KEY_SEPARATOR}zz0", b"\xc1"),
+        (f"s1{KEY_SEPARATOR}z0", b"\x93\x01\x02"),
+        (f"s2{KEY_SEPARATOR}z0", msgspec.msgpack.encode([ServerObservation("s2", 5, 6, 1, S)])),
+        (f"s3{KEY_SEPARATOR}z0", msgspec.msgpack.encode([ServerObservation("s3", 0, 0, 1, S)])),
         ("", b"\x80"),
     ):
         a.store.put(NOW, Kind.ILL, key, body)
@@ -239,9 +248,9 @@
     assert b.exchange(NOW, BLANK) == []
     for start in range(0, 3000, 100):
         body = msgspec.msgpack.encode([ServerObservation(f"s{start + at}", 5, 5, 1, S) for at in range(100)])
-        a.store.put(NOW, Kind.ILL, f"x{start}{SPLIT}z0", body)
+        a.store.put(NOW, Kind.ILL, f"x{start}{KEY_SEPARATOR}z0", body)
     carry(a, b, NOW, NOW)
-    assert len(given(b, NOW)) == GIVEN_MOST and len(given(b, NOW)) == 1000 and not given(b, NOW)
+    assert len(given(b, NOW)) == MAX_DELIVERED_SERVERS and len(given(b, NOW)) == 1000 and not given(b, NOW)
 
 
 def test_servers_that_come_and_go_leave_nothing_behind_and_long_names_do_no_harm() -> None:
@@ -251,10 +260,12 @@
         for one in (a, b):
             one.process_list(NOW, api.Listed(True, False, new))
         a.process_events(NOW, [met(start + at, 9, 9 if at < 40 else 0) for at in range(200)])
-        a.tell_met(NOW + S)
+        a.publish_traffic(NOW + S)
         carry(a, b, NOW + S, NOW + S)
         given(b, NOW + S)
-    assert len(a.known) == 500 and len(a.ill) == 40 and max(map(len, (a.put, b.given))) <= 4000
+    assert (
+        len(a.listed) == 500 and len(a.outliers) == 40 and max(map(len, (a.published, b.delivered))) <= 4000
+    )
     a.names = Long(2)
     shown(a, NOW, 1, NOW)
     assert all(len(one.key) < 600 for one in a.store.all(NOW, Kind.START))
@@ -303,7 +314,7 @@
         for server in range(8):
             liar.put(side.now, Kind.START, f"s{server}", bytes([at + 1]))
             body = msgspec.msgpack.encode([ServerObservation(f"s{server}", 50, 50, 1, S)])
-            liar.put(side.now, Kind.ILL, f"s{server}{SPLIT}z{server % 2}", body)
+            liar.put(side.now, Kind.ILL, f"s{server}{KEY_SEPARATOR}z{server % 2}", body)
         news = store.hear(side.now, liar.delta(side.now, {"liar": store.digest().vector[-1]} if at else {}))[
             1
         ]
--- a/tests/coordinator/group/test_links.py
+++ b/tests/coordinator/group/test_links.py
@@ -73,12 +73,12 @@
         self.refusals.append((member, refused))
 
     def on_counters(self, name: str, payload: bytes) -> None:
-        InterferenceWorker.counters(self, name, payload)  # type: ignore[arg-type]
+        InterferenceWorker.on_counters(self, name, payload)  # type: ignore[arg-type]
 
-    class waiting:  # noqa: N801 - stands in for the deque of the counting
+    class _queue:  # noqa: N801 - replaces the queue of the worker
         extend = staticmethod(lambda samples: None)
 
-    class fresh:  # noqa: N801
+    class _wake:  # noqa: N801
         set = staticmethod(lambda: None)
 
     def count(self, name: str) -> int:
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -55,17 +55,22 @@
             return desk.now + int((loop.time() - start) * S)
 
         member = Member(
-            spec, PromisesMachine(), desk.at_desk, now, lambda event, **fields: log.append((event, fields)), 3
+            spec,
+            PromisesMachine(),
+            desk.desk_applier,
+            now,
+            lambda event, **fields: log.append((event, fields)),
+            3,
         )
         try:
             async with asyncio.timeout(30):
-                await member.live()
+                await member.start_replica()
                 await act(member, desk, log)
         finally:
             member.stop()
             if member.timer:
                 member.timer.cancel()
-            await member.end_disk()
+            await member.close_disk()
 
     asyncio.run(run())
 
@@ -76,7 +81,9 @@
         assert reply.reason is None and read_answer(reply.answer).done and member.leads
         assert maintained(desk) and (await member.read(5 * S)).reason is None
         with pytest.raises(NoFolderError, match="in use"):
-            await Member(member.spec, member.machine, desk.at_desk, member.now, member.note, 1).live()
+            await Member(
+                member.spec, member.machine, desk.desk_applier, member.now, member.note, 1
+            ).start_replica()
         member.stop()
         assert (await member.submit("U", desk.wish(*out(2)), S)).reason is Reason.STOPPING
 
@@ -100,7 +107,7 @@
         member.on_refused("b", refusal)
         assert member.halted  # Until it lives again nothing is vouched for under the old one.
         await until(lambda: not member.halted)
-        assert member.life.incarnation == member.gossip.store.origins["a"].incarnation == known + 1
+        assert member.startup.incarnation == member.gossip.store.origins["a"].incarnation == known + 1
         waiting = asyncio.ensure_future(member.submit("W", desk.wish(*out(2)), 20 * S))
         await asyncio.sleep(0)
         member.on_refused("b", refusal)
@@ -160,27 +167,31 @@
         one = permit(desk, 0, member.wall() + 60 * S)
         await member.submit("", Grant(member.state.permits_touched, (one,)), 5 * S)
         now = member.now()
-        gossip.beat(now)
-        assert gossip.said(now, "w/s0/1") == {"a": b"0"}  # The module has not shut it out yet.
+        gossip.run_round(now)
+        assert gossip.permit_reports(now, "w/s0/1") == {"a": b"0"}  # The module has not shut it out yet.
         desk.settle()
         for _ in range(4):
-            gossip.beat(now)
-        assert gossip.said(now, "w/s0/1") == {"a": b"1"} and gossip.steers(now)["a"] == (0, 0, 0)
+            gossip.run_round(now)
+        assert gossip.permit_reports(now, "w/s0/1") == {"a": b"1"} and gossip.steered_proxies(now)["a"] == (
+            0,
+            0,
+            0,
+        )
         other = Store("b", 7)
         for offset in (0, 90 * S):
             other.put(now, Heard.STEERS, "", msgspec.msgpack.encode(Steers(4, member.wall() + offset)))
             answers, _ = other.hear(now, gossip.store.digest())
             for answer in answers:
-                gossip.hear("b", encode(answer))
-        proxies, ahead, age = gossip.steers(now)["b"]
+                gossip.receive("b", encode(answer))
+        proxies, ahead, age = gossip.steered_proxies(now)["b"]
         assert (proxies, age) == (4, 0) and 89 * S < ahead <= 91 * S
-        assert gossip.clocks.apart(now)
+        assert gossip.clock_skew.exceeds_bound(now)
         for _ in range(8):
-            gossip.beat(now)
-            assert member.at_desk.holds  # Not by one look, nor by two.
+            gossip.run_round(now)
+            assert member.desk_applier.permits_enabled  # Not by one look, nor by two.
         for _ in range(4):
-            gossip.beat(now)
-        assert not member.at_desk.holds and gossip.said(now, "w/s0/1") == {"a": b"0"}
+            gossip.run_round(now)
+        assert not member.desk_applier.permits_enabled and gossip.permit_reports(now, "w/s0/1") == {"a": b"0"}
         with pytest.raises(UnreadableError):
             member.on_frame("b", FrameKind.HEARD, b"rubbish")
         with pytest.raises(UnreadableError):
@@ -220,24 +231,24 @@
 
     async def act(member: Member, desk: Virtual, log: Any) -> None:
         eased = list[dict[str, float]]()
-        counting = InterferenceWorker(member.gossip, Fake, lambda: ["s0", "s1"], eased.append, member.note)  # type: ignore
-        counting.open()
+        worker = InterferenceWorker(member.gossip, Fake, lambda: ["s0", "s1"], eased.append, member.note)  # type: ignore
+        worker.open()
         sample = ["n", "m", "s0", "t", 1, 1, 1.0, 1.0, 1.0, 1.0, 1.0]
         assert not Fake.made
         for bad in (b"", b"\xc1", msgspec.msgpack.encode([[1]]), msgspec.msgpack.encode([sample] * 9000)):
             with pytest.raises(UnreadableError):
-                counting.counters("perf", bad)
+                worker.on_counters("perf", bad)
         assert not Fake.made
-        counting.counters("perf", msgspec.msgpack.encode([sample]))
+        worker.on_counters("perf", msgspec.msgpack.encode([sample]))
         await until(lambda: eased == [{"s0": 0.8}])
-        assert counting.scores.interfered == {"s0": 0.5} and Fake.made == 1
-        assert member.gossip.mine(Heard.MET, "k") == b"body"
-        counting.counters("perf", msgspec.msgpack.encode([sample] * 2))
+        assert worker.scores.interfered == {"s0": 0.5} and Fake.made == 1
+        assert member.gossip.own_body(Heard.MET, "k") == b"body"
+        worker.on_counters("perf", msgspec.msgpack.encode([sample] * 2))
         await until(lambda: any(event == "failure" for event, _ in log))
-        counting.counters("perf", msgspec.msgpack.encode([sample]))  # It goes on.
-        await until(lambda: not member.gossip.mine(Heard.MET, "k"))
+        worker.on_counters("perf", msgspec.msgpack.encode([sample]))  # It goes on.
+        await until(lambda: not member.gossip.own_body(Heard.MET, "k"))
         assert eased == [{"s0": 0.8}]
-        counting.close()
+        worker.close()
 
     play(act)
 
@@ -246,13 +257,13 @@
     """Entry by entry, each would cost a look through all that waits: minutes for a long log."""
 
     async def act(member: Member, desk: Virtual, log: Any) -> None:
-        calls, taken = list[int](), member.at_desk.wishes
+        calls, apply_wishes = list[int](), member.desk_applier.apply_wishes
 
-        def wishes(state: Any, servers: Any, said: Any) -> None:
-            calls.append(len(said))
-            taken(state, servers, said)
+        def record_call(state: Any, servers: Any, commands: Any) -> None:
+            calls.append(len(commands))
+            apply_wishes(state, servers, commands)
 
-        member.at_desk.wishes = wishes  # type: ignore[method-assign]
+        member.desk_applier.apply_wishes = record_call  # type: ignore[method-assign]
         effects, state = list[Any](), member.state
         for number in range(1, 401):
             command = desk.wish((number % 6, {"weight": (number / 1000, True)}), who=f"op{number}")
@@ -275,14 +286,14 @@
 def test_an_old_folder_is_set_aside_and_a_blank_life_begins(folder: bool, tmp_path: Path) -> None:
     async def act(member: Member, desk: Virtual, log: Any) -> None:
         await member.submit("", desk.wish(*out(0)), 5 * S)
-        before = member.life.incarnation
+        before = member.startup.incarnation
         member.perform([Halt(Reason.OLD_FOLDER, "it forgot")])
         assert member.halted and maintained(desk)
         if not folder:
             assert member.halted[0] == "old-folder"
             return
         await until(lambda: not member.halted)
-        assert member.life.incarnation > before and member.life.saved is None
+        assert member.startup.incarnation > before and member.startup.saved is None
         assert [fields["reason"] for event, fields in log if event == "folder_set_aside"] == ["old-folder"]
         assert len(list((tmp_path / "f").glob("*.aside-*old-folder"))) == 2
 
