--- a/tests/support/simulated_exchange.py
+++ b/tests/support/simulated_exchange.py
@@ -13,7 +13,13 @@
 from ambershift.system.distribution.controller import Controller
 from ambershift.system.interfaces import OutcomeUnknownError
 from ambershift.system.messages import codec, proxy_link
-from ambershift.system.messages.items import CLEARED_INSTANCES_KEY, INSTANCE, Item, cleared_instances, newest
+from ambershift.system.messages.items import (
+    COLLECTED_INSTANCES_KEY,
+    INSTANCE,
+    Item,
+    collected_instance_ids,
+    newest,
+)
 from ambershift.system.registry.service import RegistryIO, RegistryService
 from ambershift.system.state_machine import NS_PER_MS, NS_PER_SECOND
 from tests.support.local_settings import control_node_settings
@@ -52,8 +58,8 @@
             if (old := self.stored.get(item.key)) is None or newest(old, item) is not old
         ]
         self.stored |= {item.key: item for item in newer}
-        collected = self.stored.get(CLEARED_INSTANCES_KEY)
-        for id in cleared_instances(collected) if collected else ():
+        collected = self.stored.get(COLLECTED_INSTANCES_KEY)
+        for id in collected_instance_ids(collected) if collected else ():
             self.stored.pop((INSTANCE, id), None)
         for listener in self.listeners if newer else ():
             listener(newer)
@@ -236,7 +242,7 @@
         self.proxies[name] = ip, rates
         hello = proxy_link.Hello(name, "x", zone, f"{name}:80", ready, leaving)
         sent = self.nodes[ip].sent_to_proxies.setdefault(name, [])
-        self.nodes[ip].controller.hear_proxy(name, hello)
+        self.nodes[ip].controller.receive_from_proxy(name, hello)
         return sent
 
     def disconnect_proxy(self, name: str) -> None:
@@ -247,7 +253,7 @@
     def _send_proxy_messages(self) -> None:
         for name, (ip, rates) in self.proxies.items():
             if ip not in self.stopped | self.paused:
-                hear = self.nodes[ip].controller.hear_proxy
+                hear = self.nodes[ip].controller.receive_from_proxy
                 for message in list(self.nodes[ip].sent_to_proxies.get(name, ())):
                     if isinstance(message, proxy_link.Barrier):
                         hear(name, message)
