--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -1,4 +1,4 @@
-"""What a group has promised, at the desk: adopted, judged by the leader, kept by clocks that are apart."""
+"""The committed state of a group at the desk, the leader's validation, clock skew, settings and processes."""
 
 import asyncio
 import random
@@ -40,48 +40,48 @@
 READY, DRAIN, MAINT = State.READY, State.DRAIN, State.MAINT
 
 
-class Member(Operated):
-    """A coordinator of a group in virtual time; `held` says what its log has made."""
+class SimulatedMember(Operated):
+    """A coordinator of a group in virtual time; `state` is the committed state."""
 
     def __init__(self, count: int = 6, zones: int = 2, ahead: int = 0, **terms: Any) -> None:
-        self.door, self.held, self.number, self.answers = Door[str](), EMPTY, 0, list[bytes]()
+        self.door, self.state, self.number, self.answers = Door[str](), EMPTY, 0, list[bytes]()
         super().__init__(make_terms(zones=zones, **terms), [])
         self.desk_applier = DeskApplier(self.desk, self.door, lambda: self.now, ahead, lambda: None)
-        self.guard = CommandValidator(
-            self.desk, self.door, lambda: self.now, lambda one: one.reason.value, lambda: self.apart
+        self.validator = CommandValidator(
+            self.desk, self.door, lambda: self.now, lambda one: one.reason.value, lambda: self.clock_skewed
         )
-        self.machine, self.apart, self.ahead = PromisesMachine(self.guard), False, ahead
+        self.machine, self.clock_skewed, self.ahead = PromisesMachine(self.validator), False, ahead
         self.tell(*[api.Joined(proxy, proxy % zones, 5.0, True) for proxy in range(2 * zones)])
-        self.list_of(range(count))
+        self.list_servers(range(count))
 
-    def list_of(self, servers: Any, phase: api.Phase = api.Phase.READY, since: int = 0) -> None:
+    def list_servers(self, servers: Any, phase: api.Phase = api.Phase.READY, since: int = 0) -> None:
         event = api.Listed(
             False, False, tuple(entry(self.door.index(f"s{one}"), one % 2, phase, since) for one in servers)
         )
         self.desk_applier.prepare_list(event)
         self.tell(event)
 
-    def judge(self, command: Command) -> bytes | None:
-        return self.machine.judge(self.held, self.now + self.ahead, encode(command))
+    def validate(self, command: Command) -> bytes | None:
+        return self.machine.judge(self.state, self.now + self.ahead, encode(command))
 
     def apply(self, command: Command) -> Outcome:
-        """As the shell does with what is committed."""
+        """Apply a committed command, as `Member` does."""
         self.number += 1
         entry_ = Entry(1, self.number, self.now + self.ahead, "", encode(command))
-        self.held, answer = self.machine.apply(self.held, entry_)
+        self.state, answer = self.machine.apply(self.state, entry_)
         outcome = read_answer(answer)
         if outcome.done and outcome.changed:
             if isinstance(command, Wishes):
-                self.desk_applier.apply_wishes(self.held, outcome.changed, [(command.who, command.text)])
+                self.desk_applier.apply_wishes(self.state, outcome.changed, [(command.who, command.text)])
             else:
-                self.desk_applier.apply_permits(self.held)
+                self.desk_applier.apply_permits(self.state)
         return outcome
 
     def wish(self, *changes: tuple[int, dict[str, Any]], who: str = "op") -> Wishes:
         return Wishes(who, f"{changes}", tuple(WishOne(f"s{at}", **what) for at, what in changes))
 
-    def shuts(self) -> list[int]:
-        """Each order that shuts a server out, as often as it was given."""
+    def shut_out_orders(self) -> list[int]:
+        """Return the server of each order that shuts one out, repeated ones too."""
         return [one.server for one in self.ordered if isinstance(one, api.Withdraw) and one.out]
 
     def settle(self, turns: int = 8) -> None:
@@ -93,7 +93,7 @@
     return tuple((one, {"state": int(state)}) for one in servers)
 
 
-def permit(member: Member, server: int, ends: int) -> Permit:
+def permit(member: SimulatedMember, server: int, ends: int) -> Permit:
     at = member.now + member.ahead
     return Permit(f"w/s{server}/1", "w", f"s{server}", Phase.DRAINING, at, ends, (), 1.0)
 
@@ -102,39 +102,39 @@
     return Declare(Declared(1, (), (Work("w", tuple(f"s{one}" for one in servers), S, 1 << 62, 0),)))
 
 
-def test_what_is_adopted_acts_as_a_command_and_once() -> None:
-    member = Member()
+def test_committed_wishes_act_at_the_desk_once() -> None:
+    member = SimulatedMember()
     member.apply(member.wish(*out(0)))
     member.settle()
-    assert member.shuts() == [0]
-    # Again, by another and in another word for the same; then a snapshot that says nothing new.
+    assert member.shut_out_orders() == [0]
+    # The same by another operator, and by an equivalent command; then a snapshot with nothing new.
     for again in (member.wish(*out(0), who="other"), member.wish(*out(0), (0, {"health": 0}))):
         member.apply(again)
-    member.desk_applier.apply_snapshot(member.held)
+    member.desk_applier.apply_snapshot(member.state)
     member.settle()
-    assert member.shuts() == [0] and member.desk.commands == 1
-    # The same wish by another's word, as when it was taken back and given again while this one was away.
-    again = member.held.wish("s0")._replace(origin=Origin("z", 7, 7))
-    member.desk_applier.apply_snapshot(member.held._replace(wishes=member.held.wishes.insert("s0", again)))
+    assert member.shut_out_orders() == [0] and member.desk.commands == 1
+    # The same wish with another origin, as after it was withdrawn and set again while this member was away.
+    again = member.state.wish("s0")._replace(origin=Origin("z", 7, 7))
+    member.desk_applier.apply_snapshot(member.state._replace(wishes=member.state.wishes.insert("s0", again)))
     assert not member.desk.waiting and member.desk.world.own(0).origin.who == "z"
     member.desk_applier.apply_snapshot(
         EMPTY._replace(
-            wishes=member.held.wishes.insert("s2", Standing(DRAIN, Health.UP, None, Origin("x", 1, 2)))
+            wishes=member.state.wishes.insert("s2", Standing(DRAIN, Health.UP, None, Origin("x", 1, 2)))
         )
     )
     member.settle()
-    assert member.shuts() == [0, 2]
-    member.desk_applier.apply_snapshot(EMPTY)  # What a snapshot has no more is taken back.
+    assert member.shut_out_orders() == [0, 2]
+    member.desk_applier.apply_snapshot(EMPTY)  # A wish that a snapshot lacks is withdrawn.
     member.settle()
     assert not member.shut and member.desk.world.wish(0).state is READY
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_members_with_different_lists_come_to_the_same_wishes(seed: int) -> None:
-    """Generated days: lists come late and in parts, one member restarts, and the last word stands at all."""
+def test_members_with_different_lists_reach_the_same_wishes(seed: int) -> None:
+    """Generated histories: lists come late and in parts, a member restarts; the last wishes apply at all."""
     rng = random.Random(seed)
-    members = [Member(count=6) for _ in range(2)]
-    fresh = Member(count=0)
+    members = [SimulatedMember(count=6) for _ in range(2)]
+    fresh = SimulatedMember(count=0)
     for _ in range(30):
         changes = some_changes(rng, 8)
         command = Wishes(
@@ -151,24 +151,24 @@
                 for one in changes
             ),
         )
-        if members[0].judge(command) is None:
+        if members[0].validate(command) is None:
             for member in members:
                 member.apply(command)
         for member in members:
             if rng.random() < 0.2:
-                member.list_of([rng.randrange(8)], rng.choice(list(api.Phase)[:2]))
+                member.list_servers([rng.randrange(8)], rng.choice(list(api.Phase)[:2]))
             member.run(S)
-    fresh.held = members[0].held
-    fresh.desk_applier.apply_snapshot(fresh.held)
+    fresh.state = members[0].state
+    fresh.desk_applier.apply_snapshot(fresh.state)
     for member in (*members, fresh):
-        member.list_of(range(8))
+        member.list_servers(range(8))
         member.settle(20)
     for member in (*members, fresh):
         assert member.desk.waiting.keys() <= set(), member.desk.waiting
         for one in range(8):
             index = member.door.known(f"s{one}")
             assert index is not None
-            assert member.desk.world.own(index)._replace(origin=NEVER) == member.held.wish(
+            assert member.desk.world.own(index)._replace(origin=NEVER) == member.state.wish(
                 f"s{one}"
             )._replace(origin=NEVER), one
             assert (index in member.shut) == (
@@ -176,78 +176,80 @@
             ), one
 
 
-def test_wishes_of_the_unlisted_wait_and_come_before_the_server_does() -> None:
-    member = Member(count=4)
+def test_wishes_for_unlisted_servers_apply_before_the_server_is_listed() -> None:
+    member = SimulatedMember(count=4)
     member.apply(member.wish(*out(4), (5, {"weight": (0.5, True)})))
     assert not member.desk.waiting
-    member.list_of([4, 5])
+    member.list_servers([4, 5])
     member.settle()
     four, five = member.door.known("s4"), member.door.known("s5")
     assert member.desk.told[four].phase == api.Phase.DRAINING  # type: ignore[index]
     assert member.desk.told[five].weight == pytest.approx(0.5 * entry(5, 1).weight)  # type: ignore[index]
     assert not any(
         isinstance(one, api.SetWeight) and one.server == four and one.weight for one in member.ordered
-    ), "it had a line before it was shut out"
-    # A server that is forgotten and listed anew has another index, and the same wish.
-    member.list_of([4], api.Phase.GONE)
+    ), "it had a weight before it was shut out"
+    # A server that is forgotten and listed again has another index, and the same wish.
+    member.list_servers([4], api.Phase.GONE)
     member.door.forget(four)  # type: ignore[arg-type]
-    member.list_of([4])
+    member.list_servers([4])
     assert member.desk.world.wish(member.door.known("s4")).state is MAINT  # type: ignore[arg-type]
 
 
-def test_two_operators_at_two_members_do_not_drain_a_zones_last_two() -> None:
-    """Each would pass at home: the leader judges by what its log holds, committed or not."""
-    leader = Member(count=4)  # Of zone 0: s0 and s2.
+def test_the_leader_refuses_to_drain_the_last_two_servers_of_a_zone() -> None:
+    """Two operators drain one each at two members: the leader checks against its log, committed or not."""
+    leader = SimulatedMember(count=4)  # Of zone 0: s0 and s2.
     first, second = leader.wish(*out(0)), leader.wish(*out(2))
-    assert leader.judge(first) is None and leader.judge(second) is None
-    committed, log = leader.held, leader.machine.apply(leader.held, Entry(1, 1, 1, "", encode(first)))[0]
+    assert leader.validate(first) is None and leader.validate(second) is None
+    committed, log = leader.state, leader.machine.apply(leader.state, Entry(1, 1, 1, "", encode(first)))[0]
     assert leader.desk.world.own(0).state is READY and committed is EMPTY
     answer = leader.machine.judge(log, leader.now, encode(second))
     assert answer is not None and Reason.ZONE_WITHOUT_WARM.value.encode() in answer
-    # What the log takes back, committed or not, is there again.
+    # A server that the log enables again, committed or not, counts again.
     leader.apply(first)
-    back = leader.machine.apply(leader.held, Entry(1, 9, 1, "", encode(leader.wish(*out(0, state=READY)))))[0]
-    assert leader.judge(second) is not None
+    back = leader.machine.apply(leader.state, Entry(1, 9, 1, "", encode(leader.wish(*out(0, state=READY)))))[
+        0
+    ]
+    assert leader.validate(second) is not None
     assert leader.machine.judge(back, leader.now, encode(second)) is None
     leader.desk_applier.apply_snapshot(EMPTY)
-    # The same by a permit in the log: it counts until it is closed, whatever this clock says.
-    leader.held = EMPTY
+    # The same for a permit in the log, which counts until it is closed, whatever this clock shows.
+    leader.state = EMPTY
     leader.apply(declare(0, 2))
-    leader.apply(Grant(leader.held.permits_touched, (permit(leader, 0, leader.now + S),)))
+    leader.apply(Grant(leader.state.permits_touched, (permit(leader, 0, leader.now + S),)))
     leader.settle()
-    assert not leader.shut and not leader.desk.world.permitted  # Its own clock has let s0 in again.
-    assert leader.judge(second) is not None
-    grant = leader.judge(Grant(leader.held.permits_touched, (permit(leader, 2, leader.now + S),)))
+    assert not leader.shut and not leader.desk.world.permitted  # By its own clock the permit has ended.
+    assert leader.validate(second) is not None
+    grant = leader.validate(Grant(leader.state.permits_touched, (permit(leader, 2, leader.now + S),)))
     assert grant is not None and b"zone-without-warm" in grant
-    leader.apply(Move(leader.held.permits_touched, "w/s0/1", Phase.RETURNING, 0))
-    assert leader.judge(second) is None
-    # What its list has not is no loss of its own; what it refuses by its list alone is told by name.
-    assert leader.judge(leader.wish(*out(77))) is None
-    assert leader.judge(leader.wish((1, {"weight": (0.0, False)}), (3, {"health": 2}))) is not None
+    leader.apply(Move(leader.state.permits_touched, "w/s0/1", Phase.RETURNING, 0))
+    assert leader.validate(second) is None
+    # A server that its list lacks isn't checked; refusals by its list alone have a reason too.
+    assert leader.validate(leader.wish(*out(77))) is None
+    assert leader.validate(leader.wish((1, {"weight": (0.0, False)}), (3, {"health": 2}))) is not None
 
 
-def test_a_leader_whose_clock_is_apart_grants_nothing() -> None:
-    leader = Member(count=8)
+def test_a_leader_with_a_skewed_clock_grants_no_permit() -> None:
+    leader = SimulatedMember(count=8)
     leader.apply(declare(0, 1))
-    grant = Grant(leader.held.permits_touched, (permit(leader, 0, leader.now + S),))
-    assert leader.judge(grant) is None
-    leader.apart = True
-    answer = leader.judge(grant)
+    grant = Grant(leader.state.permits_touched, (permit(leader, 0, leader.now + S),))
+    assert leader.validate(grant) is None
+    leader.clock_skewed = True
+    answer = leader.validate(grant)
     assert answer is not None and b"clock-apart" in answer
 
 
 @pytest.mark.parametrize("ahead", [0, 3 * S, -3 * S])
-def test_of_a_permit_and_an_operators_word_the_stricter_holds_until_the_end(ahead: int) -> None:
-    """At the end of the permit by one's own clock."""
-    member = Member(count=8, ahead=ahead)
+def test_the_stricter_of_a_permit_and_a_wish_applies_until_the_permit_ends(ahead: int) -> None:
+    """The permit ends by the member's own clock."""
+    member = SimulatedMember(count=8, ahead=ahead)
     member.apply(declare(0, 1, 2))
     ends = member.now + ahead + 20 * S
-    member.apply(Grant(member.held.permits_touched, (permit(member, 0, ends), permit(member, 1, ends))))
+    member.apply(Grant(member.state.permits_touched, (permit(member, 0, ends), permit(member, 1, ends))))
     member.apply(member.wish(*out(1, state=DRAIN)))
     member.settle(4)
     assert member.shut >= {0, 1} and member.desk.world.wish(1).state is MAINT
     assert member.desk.world.own(1).state is DRAIN
-    # An operator's word that lets in takes nothing from the permit, and one that keeps out outlives it.
+    # A wish that enables a server doesn't override the permit, and one that disables it outlives the permit.
     member.apply(member.wish(*out(0, state=READY)))
     member.settle(2)
     assert 0 in member.shut and member.desk_applier.is_held_out("s0")
@@ -256,18 +258,20 @@
         member.run(S)
     member.settle(3)
     assert 0 not in member.shut and 1 in member.shut and not member.desk_applier.is_held_out("s0")
-    assert member.shuts().count(0) == 1
+    assert member.shut_out_orders().count(0) == 1
 
 
-def test_permits_that_return_or_close_let_in_and_an_apart_clock_holds_nothing() -> None:
-    member = Member(count=8)
+def test_returned_permits_let_servers_in_and_a_skewed_clock_disables_permits() -> None:
+    member = SimulatedMember(count=8)
     member.apply(declare(0, 1, 2, 4))
     ends = member.now + 600 * S
-    member.apply(Grant(member.held.permits_touched, tuple(permit(member, one, ends) for one in (0, 2, 4, 1))))
+    member.apply(
+        Grant(member.state.permits_touched, tuple(permit(member, one, ends) for one in (0, 2, 4, 1)))
+    )
     member.settle()
     assert member.shut == {0, 2, 4, 1} and member.desk_applier.is_drained("s0")
     for server, phase in ((0, Phase.RETURNING), (2, Phase.CLOSED), (4, Phase.OUT)):
-        member.apply(Move(member.held.permits_touched, f"w/s{server}/1", phase, ends))
+        member.apply(Move(member.state.permits_touched, f"w/s{server}/1", phase, ends))
     member.settle()
     assert (
         member.shut == {4, 1}
@@ -282,8 +286,8 @@
     assert member.shut == {4, 1}
 
 
-def test_ends_in_entries_not_known_to_be_committed_hold_until_the_state_tells_itself() -> None:
-    """A restart finds a permit as it was, and behind it entries that end it sooner or give it back."""
+def test_uncommitted_ends_of_permits_apply_until_the_state_has_them() -> None:
+    """After a restart the state has a permit, and uncommitted entries end it sooner or return it."""
     moves = [
         Move(2, "work/0/1", Phase.OUT, 5 * S),
         Move(2, "work/1/1", Phase.DRAINING, 99 * S),
@@ -299,10 +303,10 @@
         "work/1/1": SoonerEnd(5, 0),
         "work/2/1": SoonerEnd(6, 7 * S),
     }
-    member = Member()
+    member = SimulatedMember()
     member.apply(declare(0, 1, 2))
     assert member.apply(Grant(1, tuple(permit(member, at, member.now + 30 * S) for at in (0, 1, 2)))).done
-    names = {held.permit.server: held.permit.id for held in member.held.permits.values()}
+    names = {held.permit.server: held.permit.id for held in member.state.permits.values()}
     member.desk_applier.uncommitted_ends = {
         names["s0"]: SoonerEnd(3, 0),
         names["s1"]: SoonerEnd(4, member.now + 5 * S),
@@ -312,7 +316,7 @@
     assert kept == {"s1": member.now + 5 * S, "s2": member.now + 30 * S}
     member.desk_applier.entries_committed(
         3
-    )  # It was not the entry that it was taken for: the state has the permit still.
+    )  # Another entry was committed under that number: the state still has the permit.
     assert {member.door.ids[server] for server in member.desk_applier.permit_deadlines()} == {
         "s0",
         "s1",
@@ -322,8 +326,8 @@
 
 
 @pytest.mark.parametrize(("durable", "word"), [(6, NEITHER), (7, LET_IN)])
-def test_let_in_is_told_only_once_a_restart_cannot_take_it_back(durable: int, word: bytes) -> None:
-    member = Member()
+def test_let_in_is_published_only_once_a_restart_cannot_undo_it(durable: int, word: bytes) -> None:
+    member = SimulatedMember()
     returning = msgspec.structs.replace(permit(member, 0, member.now + S), phase=Phase.RETURNING)
     gossip = Gossip.__new__(Gossip)
     gossip.member = SimpleNamespace(
@@ -333,25 +337,25 @@
     assert gossip.permit_progress(Held(returning, 7, True, returning.ends)) == word
 
 
-def test_rule_one_outlives_all_promises() -> None:
-    """What is promised is not refused at a member whose list lost all others; a server is lent back there."""
-    member = Member(count=4)
+def test_a_proxy_keeps_a_server_in_spite_of_committed_wishes() -> None:
+    """Committed wishes apply at a member whose list lost all other servers; it lends some back there."""
+    member = SimulatedMember(count=4)
     member.apply(declare(0))
-    member.apply(Grant(member.held.permits_touched, (permit(member, 0, member.now + 600 * S),)))
+    member.apply(Grant(member.state.permits_touched, (permit(member, 0, member.now + 600 * S),)))
     member.apply(member.wish(*out(1)))
     member.settle()
-    member.list_of([2, 3], api.Phase.GONE)
+    member.list_servers([2, 3], api.Phase.GONE)
     member.run(S)
     assert member.desk.world.lent and not member.ready() <= member.shut
     lent = set(member.desk.world.lent)
-    assert lent == {0, 1}  # Both are under maintenance, so that neither is milder.
-    member.list_of([2, 3])
+    assert lent == {0, 1}  # Both are under maintenance, so neither is preferred.
+    member.list_servers([2, 3])
     member.settle(10)
     assert not member.desk.world.lent and member.shut >= {0, 1}
 
 
-def test_an_eased_server_keeps_its_part_and_gets_it_back() -> None:
-    member = Member(count=6)
+def test_an_eased_server_has_its_weight_reduced_and_restored() -> None:
+    member = SimulatedMember(count=6)
     member.apply(member.wish((2, {"weight": (0.5, True)}), *out(4)))
     member.desk_applier.ease({"s0": 0.8, "s2": 0.8, "s4": 0.8, "gone": 0.5})
     member.settle()
@@ -370,14 +374,14 @@
     assert parts() == pytest.approx([1.0, 1.0, 0.5])
 
 
-def test_how_servers_stand_for_maintenance() -> None:
-    member = Member(count=8, cold=60 * S)
+def test_standings_of_servers_for_maintenance() -> None:
+    member = SimulatedMember(count=8, cold=60 * S)
     member.apply(declare(0))
-    member.apply(Grant(member.held.permits_touched, (permit(member, 0, member.now + 600 * S),)))
+    member.apply(Grant(member.state.permits_touched, (permit(member, 0, member.now + 600 * S),)))
     member.apply(member.wish(*out(1), (2, {"weight": (0.5, True)})))
     member.settle()
-    member.list_of([3], api.Phase.DRAINING)
-    member.list_of([9], since=member.now - S)
+    member.list_servers([3], api.Phase.DRAINING)
+    member.list_servers([9], since=member.now - S)
     member.tell(*[api.ServerReport(0, 4, 40, 40, 0, S, ()) for _ in range(3)])
     member.settle(3)
     found = standings(
@@ -399,16 +403,16 @@
     assert (told["s4"] is Trouble.ILL) == (4 in member.shut)
 
 
-def test_clocks_apart_from_the_middle() -> None:
+def test_clock_skew_is_measured_from_the_median() -> None:
     skew, now = ClockSkew(S), 100 * S
-    assert not skew.exceeds_bound(now)  # Alone there is nothing to be apart from.
+    assert not skew.exceeds_bound(now)  # Without other members there is no skew.
     skew.add_sample(now, 50 * S, "b", 53 * S, 0)
-    skew.add_sample(now, 50 * S, "c", 45 * S, 8 * S)  # Old on its way, and 3 s ahead by its age.
+    skew.add_sample(now, 50 * S, "c", 45 * S, 8 * S)  # Delayed on the way, and 3 s ahead by its age.
     assert skew.offset(now, "c") == 3 * S and skew.exceeds_bound(now)
     skew.add_sample(now, 50 * S, "d", 50 * S, 0)
     skew.add_sample(now, 50 * S, "e", 50 * S, 0)
-    assert not skew.exceeds_bound(now)  # It is two others that are off now.
-    # A word that came late makes a clock look behind; the one that came soonest counts.
+    assert not skew.exceeds_bound(now)  # Two others are off now.
+    # A delayed sample makes a clock look behind; the least delayed one counts.
     skew.add_sample(now + S, 51 * S, "d", 40 * S, 0)
     assert skew.offset(now + S, "d") == 0
     assert (
@@ -420,20 +424,20 @@
 # The runtime API
 
 
-class Said:
-    """A member that answers as told, and keeps what it was asked."""
+class FakeMember:
+    """A member that gives prepared answers, and records the commands."""
 
     def __init__(self, *answers: Answer) -> None:
-        self.answers, self.asked = iter(answers), list[tuple[str, Command]]()
+        self.answers, self.submitted = iter(answers), list[tuple[str, Command]]()
         self.halted: tuple[str, str] | None = None
         self.state = EMPTY
 
     async def submit(self, token: str, command: Command, wait: int) -> Answer:
-        self.asked.append((token, command))
+        self.submitted.append((token, command))
         return next(self.answers)
 
 
-def stands(outcome: Outcome) -> Answer:
+def committed(outcome: Outcome) -> Answer:
     return Answer(1, None, encode_answer(outcome), 0)
 
 
@@ -443,8 +447,8 @@
 
 BARE = refused(Reason.ZONE_WITHOUT_WARM, "no warm one")
 ANSWERS: list[tuple[str, list[Answer], str, int]] = [
-    ("", [stands(Outcome(True))], "Done.", 1),
-    ("T", [stands(Outcome(True))], "Done.", 1),
+    ("", [committed(Outcome(True))], "Done.", 1),
+    ("T", [committed(Outcome(True))], "Done.", 1),
     ("", [failed(Why.NO_MAJORITY, 3 * S)], "Refused (no-majority)|come back in 3 s", 1),
     ("T", [failed(Why.OUTCOME_UNKNOWN)], "Unknown (outcome-unknown)|ask again with 'once T'", 1),
     ("", [failed(Why.OUTCOME_UNKNOWN)], "Unknown (outcome-unknown)|ask again with 'once own-", 1),
@@ -452,31 +456,33 @@
     ("", [failed(Why.TOO_MANY_WAIT, S)], "Refused (too-many-promises-wait)|come back in 1 s", 1),
     ("", [failed(Why.STOPPING)], "Refused (stopping)", 1),
     ("", [failed(Why.TOO_LARGE)], "Refused (too-large)", 1),
-    ("", [stands(BARE)], "Refused (zone-without-warm-server): no warm one.", 1),
-    # Under a token a refusal is written, and what stands under it by then is the answer.
-    ("T", [stands(BARE), stands(BARE)], "Refused (zone-without-warm-server): no warm one.", 2),
-    ("T", [stands(BARE), stands(Outcome(True))], "Done.", 2),
-    ("T", [stands(BARE), failed(Why.OUTCOME_UNKNOWN)], "Unknown (outcome-unknown)", 2),
+    ("", [committed(BARE)], "Refused (zone-without-warm-server): no warm one.", 1),
+    # Under a token the refusal is committed, and what is committed under that token first is the answer.
+    ("T", [committed(BARE), committed(BARE)], "Refused (zone-without-warm-server): no warm one.", 2),
+    ("T", [committed(BARE), committed(Outcome(True))], "Done.", 2),
+    ("T", [committed(BARE), failed(Why.OUTCOME_UNKNOWN)], "Unknown (outcome-unknown)", 2),
 ]
 
 
 @pytest.mark.parametrize(("token", "answers", "words", "asked"), ANSWERS)
-def test_answers_say_what_stands(token: str, answers: list[Answer], words: str, asked: int) -> None:
-    said = Said(*answers)
-    commands = GroupCommands(said, lambda one: f"s{one}")  # type: ignore[arg-type]
+def test_answers_tell_the_outcome(token: str, answers: list[Answer], words: str, asked: int) -> None:
+    member = FakeMember(*answers)
+    commands = GroupCommands(member, lambda one: f"s{one}")  # type: ignore[arg-type]
     change = Change(0, state=MAINT, weight=Weight(0.5, True))
     answer = asyncio.run(commands.promise("op", token, "the text", [change], S))
     text = "\n".join(answer.lines)
     assert all(part in text for part in words.split("|")), text
-    assert len(said.asked) == asked and len({one for one, _ in said.asked}) == 1
-    assert said.asked[0][1] == Wishes("op", "the text", (WishOne("s0", 2, None, (0.5, True)),))
+    assert len(member.submitted) == asked and len({one for one, _ in member.submitted}) == 1
+    assert member.submitted[0][1] == Wishes("op", "the text", (WishOne("s0", 2, None, (0.5, True)),))
     if asked == 2:
-        assert said.asked[1] == (token, Answered("the text", BARE.reason, BARE.text))
+        assert member.submitted[1] == (token, Answered("the text", BARE.reason, BARE.text))
         machine = PromisesMachine()
-        assert machine.digest(encode(said.asked[0][1])) == machine.digest(encode(said.asked[1][1]))
+        assert machine.digest(encode(member.submitted[0][1])) == machine.digest(
+            encode(member.submitted[1][1])
+        )
 
 
-def test_a_refusal_that_is_written_is_not_refused_itself() -> None:
+def test_a_committed_refusal_is_not_validated_itself() -> None:
     machine = PromisesMachine(lambda state, at, command: BARE)
     told = encode(Answered("x", BARE.reason, BARE.text))
     assert machine.judge(EMPTY, 0, told) is None
@@ -514,9 +520,7 @@
 @pytest.mark.parametrize(
     ("more", "inner", "line", "key"), BAD, ids=[one[3] + str(at) for at, one in enumerate(BAD)]
 )
-def test_a_contradiction_in_the_group_names_file_line_and_key(
-    more: str, inner: str, line: int, key: str
-) -> None:
+def test_a_bad_group_setting_names_file_line_and_key(more: str, inner: str, line: int, key: str) -> None:
     with pytest.raises(SettingsError) as caught:
         read_text(GROUP % (more, inner), "f.hcl")
     assert (caught.value.line, caught.value.key) == (line, key) and str(caught.value).startswith("f.hcl:")
@@ -532,13 +536,13 @@
         ("group {", 'runtime {\n tcp "127.0.0.1:7101" {\n }\n}\ngroup {', "group.listen"),
     ],
 )
-def test_what_the_group_itself_lacks(old: str, new: str, key: str) -> None:
+def test_inconsistent_group_settings_are_refused(old: str, new: str, key: str) -> None:
     with pytest.raises(SettingsError) as caught:
         read_text((GROUP % ("", "")).replace(old, new), "f.hcl")
     assert key == caught.value.key or (caught.value.key, key.rpartition(".")[2]) == ("group", "listen")
 
 
-def test_a_good_group_is_read_and_leaders_follow_from_names() -> None:
+def test_a_valid_group_is_read_with_members_sorted_by_name() -> None:
     from ambershift.coordinator.group.spec import spec_of
 
     root = read_text(
@@ -555,7 +559,7 @@
     assert [peer.name for peer in spec.peers] == ["0", "b", "c"] and spec.clock_bound == S
 
 
-def test_the_platforms_run_loads_nothing_of_a_group() -> None:
+def test_the_platform_program_imports_no_module_of_a_group() -> None:
     code = (
         "import sys, ambershift.coordinator.program.assembly, ambershift.__main__\n"
         "print([one for one in sys.modules if one.startswith(('ambershift.coordinator.group', "
@@ -577,7 +581,7 @@
     return tmp_path
 
 
-def test_three_processes_hold_one_word_through_a_lost_leader(place: Path) -> None:
+def test_three_processes_keep_a_command_when_the_leader_is_lost(place: Path) -> None:
     async def play() -> None:
         async with Rig(place, 3, disk=False) as rig:
             await rig.settled()
@@ -611,7 +615,7 @@
     asyncio.run(play())
 
 
-def test_a_clone_is_told_by_name_and_the_newer_one_is_the_member(place: Path) -> None:
+def test_a_clone_is_logged_and_the_newer_incarnation_stays(place: Path) -> None:
     async def play() -> None:
         async with Rig(place, 3) as rig:
             await rig.settled()
@@ -629,20 +633,20 @@
                 assert "superseded" in (rows["n1"]["link"], rows["n3"]["link"])
                 alone = await rig.say("n2", "disable server east/s-0")
                 assert alone.text.startswith("Refused (no-majority)") and "(superseded)" in alone.text
-                await rig.tell("n1", "disable server east/s-0")  # The rest goes on.
+                await rig.tell("n1", "disable server east/s-0")  # The other members go on.
             finally:
                 await clone.kill()
             await one.kill()
             await one.start()
-            await rig.settled()  # Newer than both.
+            await rig.settled()  # Its new incarnation is newer than both.
             rows = await rig.rows("n2", "show standing json")
             assert [row["server"] for row in rows] == ["east/s-0"]
 
     asyncio.run(play())
 
 
-def test_a_disk_that_hangs_at_the_start_holds_up_no_steering(place: Path) -> None:
-    """The folder's lock is a FIFO that nobody writes to: opening it never ends."""
+def test_a_disk_that_hangs_at_the_start_does_not_block_steering(place: Path) -> None:
+    """The log is a FIFO that nobody writes to: opening it never returns."""
     import os
 
     async def play() -> None:
@@ -659,17 +663,17 @@
     asyncio.run(play())
 
 
-def test_without_a_group_its_commands_are_unknown_and_unlisted() -> None:
+def test_without_a_group_its_commands_are_unknown_and_not_listed() -> None:
     from ambershift.coordinator.runtime.execute import Executor
-    from ambershift.coordinator.runtime.grammar import Command as Said_
+    from ambershift.coordinator.runtime.grammar import Command as ParsedCommand
     from ambershift.coordinator.runtime.session import Level, Session
 
     for common, known in ((None, False), (object(), True)):
         executor = Executor(SimpleNamespace(common=common))  # type: ignore[arg-type]
         session = Session("x", Level.ADMIN)
-        listed = "\n".join(executor.run(session, Said_(("help",), "help")).lines)  # type: ignore[union-attr]
+        listed = "\n".join(executor.run(session, ParsedCommand(("help",), "help")).lines)  # type: ignore[union-attr]
         assert [f"show {one} " in listed for one in ("group", "maintenance", "interference")] == [known] * 3
         if not known:
-            told = executor.run(session, Said_(("show", "group"), "show group"))
+            told = executor.run(session, ParsedCommand(("show", "group"), "show group"))
             text = "\n".join(told.lines)  # type: ignore[union-attr]
             assert text.startswith("Unknown command: 'show group'") and "show interference" not in text
--- a/tests/coordinator/group/test_learned.py
+++ b/tests/coordinator/group/test_observation_exchange.py
@@ -1,4 +1,4 @@
-"""What a coordinator makes of the others' words: more careful where it knows nothing, never less anywhere."""
+"""The observation exchange: others' records make a coordinator more careful where it knows nothing itself."""
 
 from __future__ import annotations
 
@@ -34,20 +34,22 @@
 
 
 def pair(shift: int = 0) -> tuple[ObservationExchange, ObservationExchange]:
-    """Two coordinators; the second one's clock and indices differ."""
+    """Return the exchanges of two coordinators whose server indices differ by `shift`."""
     return (
         ObservationExchange(Store("a", 1), Numbered(2), COLD, NOW),
         ObservationExchange(Store("b", 1), Numbered(2, shift), COLD, NOW),
     )
 
 
-def carry(one: ObservationExchange, other: ObservationExchange, at: int, there: int) -> None:
-    """All that one knows comes to the other, whose clock says `there`."""
-    known = {place.origin: place for place in other.store.digest().vector}
-    other.process_records(there, other.store.hear(there, one.store.delta(at, known))[1])
+def exchange_records(
+    sender: ObservationExchange, receiver: ObservationExchange, now: int, there: int
+) -> None:
+    """Send all records of one member to the other, whose clock shows `there`."""
+    known = {place.origin: place for place in receiver.store.digest().vector}
+    receiver.process_records(there, receiver.store.hear(there, sender.store.delta(now, known))[1])
 
 
-def shown(
+def list_server(
     one: ObservationExchange, now: int, server: int, since: int, phase: api.Phase = api.Phase.READY
 ) -> int:
     event = one.process_list(now, api.Listed(False, False, (entry(server, 0, phase, since),)))
@@ -57,65 +59,69 @@
 @pytest.mark.parametrize(
     ("heard_age", "own_age", "told_age"),
     [
-        (5, None, 5),  # The own list says nothing of a start.
-        (5, 300, 5),  # It is behind: the server was started anew since.
+        (5, None, 5),  # The own list has no start.
+        (5, 300, 5),  # The own list is behind: the server restarted since.
         (5, 4, 4),
         (5, 5, 5),
-        (5, 6, 6),  # It knows as much, or it is the same start.
+        (5, 6, 6),  # The own list knows as much, or it is the same start.
         (0, 1, 1),
         (25, 300, 300),
-        (25, None, None),  # Warm by now: no use.
+        (25, None, None),  # Warm by now, so ignored.
         (None, 7, 7),
     ],
 )
 @pytest.mark.parametrize("list_first", [True, False])
-def test_a_server_that_another_saw_start_later_is_cold_here_and_never_earlier(
+def test_a_later_start_seen_by_another_member_counts_and_an_earlier_one_does_not(
     heard_age: int | None, own_age: int | None, told_age: int | None, list_first: bool
 ) -> None:
     a, b = pair(shift=100)
-    there = NOW + 77_777 * S  # Clocks that have nothing to do with each other.
+    there = NOW + 77_777 * S  # The two clocks are unrelated.
     own = there - own_age * S if own_age is not None else 0
     told = there - told_age * S if told_age is not None else 0
     if list_first:
-        assert shown(b, there, 103, own) == own
+        assert list_server(b, there, 103, own) == own
     if heard_age is not None:
         a.store.put(NOW, Kind.START, "s3", b"x", heard_age * S)
-    carry(a, b, NOW, there)
+    exchange_records(a, b, NOW, there)
     if list_first and told != own:
         events = b.exchange(there, BLANK)
         assert [one.entries[0].server for one in events if isinstance(one, api.Listed)] == [103]
     else:
         assert not b.exchange(there, BLANK)
-    assert shown(b, there, 103, own) == told
-    # What was told once stays, until the own list has a newer word; and it is not told on as one's own.
-    assert shown(b, there + S, 103, told) == told == shown(b, there + S, 103, own)
-    assert shown(b, there + 2 * S, 103, there + S) == there + S == shown(b, there + 2 * S, 103, there + S)
+    assert list_server(b, there, 103, own) == told
+    # A start that was told once stays until the own list has a newer one, and isn't published as one's own.
+    assert list_server(b, there + S, 103, told) == told == list_server(b, there + S, 103, own)
+    assert (
+        list_server(b, there + 2 * S, 103, there + S)
+        == there + S
+        == list_server(b, there + 2 * S, 103, there + S)
+    )
     if told != own:
         assert next(one.age_ns for one in b.store.all(there + 2 * S, Kind.START) if one.origin == "b") <= S
         b.store.put(there, Kind.STEERS, "", b"x")
     for phase in (api.Phase.DRAINING, api.Phase.GONE):
-        assert shown(b, there + 2 * S, 103, own, phase) == own
+        assert list_server(b, there + 2 * S, 103, own, phase) == own
 
 
-def test_starts_are_told_with_their_age_and_only_by_who_saw_them() -> None:
+def test_starts_are_published_with_their_age_and_only_by_members_that_saw_them() -> None:
     a, b = pair()
     for age in (0, 19, 20, -3):
-        shown(a, NOW, age + 10, NOW - age * S)
+        list_server(a, NOW, age + 10, NOW - age * S)
     told = {one.key: one.age_ns for one in a.store.all(NOW, Kind.START)}
     assert told == {"s10": 0, "s29": 19 * S, "s7": 0}
-    shown(b, NOW, 10, 0)
-    carry(a, b, NOW, NOW)
-    shown(b, NOW + S, 10, shown(b, NOW + S, 10, 0))
+    list_server(b, NOW, 10, 0)
+    exchange_records(a, b, NOW, NOW)
+    list_server(b, NOW + S, 10, list_server(b, NOW + S, 10, 0))
     assert {one.origin for one in b.store.all(NOW, Kind.START)} == {"a"}
     b.process_list(NOW, api.Listed(True, False, (entry(11),)))
     assert not b.later_starts and set(b.listed) == {11}
 
 
-def met(server: int, tries: int, bad: int, zone: int = 0, ms: int = 50) -> api.ServerReport:
+def report(server: int, tries: int, bad: int, zone: int = 0, ms: int = 50) -> api.ServerReport:
     return api.ServerReport(zone, server, tries, bad, ms * 1_000_000, S, ())
 
 
-def given(one: ObservationExchange, now: int) -> dict[int, tuple[int, int, int]]:
+def delivered_reports(one: ObservationExchange, now: int) -> dict[int, tuple[int, int, int]]:
     return {
         event.server: (event.tries, event.bad, event.zone)
         for event in one.exchange(now, BLANK)
@@ -123,36 +129,36 @@
     }
 
 
-def test_others_tries_count_once_where_none_of_ones_own_has_tried() -> None:
+def test_others_observations_count_once_where_no_own_proxy_has_tried() -> None:
     a, b = pair(shift=100)
     for server in range(7):
-        shown(a, NOW, server, 0)
-        shown(b, NOW, server + 100, NOW + S if server == 5 else 0)
+        list_server(a, NOW, server, 0)
+        list_server(b, NOW, server + 100, NOW + S if server == 5 else 0)
     a.process_events(
         NOW,
         [
-            met(0, 200, 200),
-            met(1, 4, 0, 1),
-            met(2, 6, 0),
-            met(3, 3, 3, 1),
-            met(4, 0, 0),
-            met(9, 5, 0),
-            met(5, 4, 0),
-            met(6, 4, 0),
+            report(0, 200, 200),
+            report(1, 4, 0, 1),
+            report(2, 6, 0),
+            report(3, 3, 3, 1),
+            report(4, 0, 0),
+            report(9, 5, 0),
+            report(5, 4, 0),
+            report(6, 4, 0),
         ],
     )
-    shown(b, NOW, 106, 0, api.Phase.DRAINING)
-    assert not given(a, NOW + 2 * S), "nobody hears oneself"
-    b.process_events(NOW + S, [met(102, 1, 0), met(101, 0, 0)])
-    carry(a, b, NOW + 2 * S, NOW + 2 * S)
-    first = given(b, NOW + 3 * S)
-    # 102 was tried here, 105 is a new process since, 106 drains, 9 is unknown; 104 was not tried at all.
+    list_server(b, NOW, 106, 0, api.Phase.DRAINING)
+    assert not delivered_reports(a, NOW + 2 * S), "own observations are not delivered"
+    b.process_events(NOW + S, [report(102, 1, 0), report(101, 0, 0)])
+    exchange_records(a, b, NOW + 2 * S, NOW + 2 * S)
+    first = delivered_reports(b, NOW + 3 * S)
+    # 102 was tried here, 105 has restarted since, 106 drains, 9 is unknown; 104 was not tried at all.
     assert first == {100: (MAX_DELIVERED_TRIES, MAX_DELIVERED_TRIES, 0), 101: (4, 0, 1), 103: (3, 3, 1)}
-    assert not given(b, NOW + 4 * S), "each word once"
-    # What was given and passes is neither told on nor taken for one's own.
+    assert not delivered_reports(b, NOW + 4 * S), "each observation once"
+    # Delivered reports that pass are neither published nor counted as own.
     b.delivered.clear()
     events = b.exchange(NOW + 4 * S, BLANK)
-    assert b.process_events(NOW + 4 * S, [*events, met(104, 7, 7)]) == [met(104, 7, 7)]
+    assert b.process_events(NOW + 4 * S, [*events, report(104, 7, 7)]) == [report(104, 7, 7)]
     b.exchange(NOW + 6 * S, BLANK)
     told = [
         row.server
@@ -161,50 +167,52 @@
         for row in decode_observations(one)[1]
     ]
     assert set(told) <= {"s2", "s4"} and "s4" in told
-    # One's own tries end it; long after, and too old.
+    # Own tries suppress it; later it counts again, until it is too old.
     b.delivered.clear()
-    b.process_events(NOW + 7 * S, [met(100, 1, 0)])
-    assert 100 not in given(b, NOW + 7 * S)
+    b.process_events(NOW + 7 * S, [report(100, 1, 0)])
+    assert 100 not in delivered_reports(b, NOW + 7 * S)
     b.delivered.clear()
-    assert 100 in given(b, NOW + 13 * S)
+    assert 100 in delivered_reports(b, NOW + 13 * S)
     b.delivered.clear()
-    assert not given(b, NOW + 2 * S + MAX_OBSERVATION_AGE_NS + 1)
-    # Well again where it was tried: the word is taken back.
-    a.process_events(NOW + 8 * S, [met(0, 9, 0), met(1, 9, 0), met(2, 9, 0)])
+    assert not delivered_reports(b, NOW + 2 * S + MAX_OBSERVATION_AGE_NS + 1)
+    # An outlier that does well again where it was tried is withdrawn.
+    a.process_events(NOW + 8 * S, [report(0, 9, 0), report(1, 9, 0), report(2, 9, 0)])
     a.exchange(NOW + 8 * S, BLANK)
     ill = {one.key for one in a.store.all(NOW + 8 * S, Kind.ILL) if not one.key.startswith(KEY_SEPARATOR)}
     assert ill == {f"s3{KEY_SEPARATOR}z1"}
-    a.process_events(NOW + 10 * S, [met(3, 9, 0, 1), met(1, 9, 0)])
+    a.process_events(NOW + 10 * S, [report(3, 9, 0, 1), report(1, 9, 0)])
     a.exchange(NOW + 10 * S, BLANK)
     assert all(one.key.startswith(KEY_SEPARATOR) for one in a.store.all(NOW + 10 * S, Kind.ILL))
 
 
-def test_who_fails_for_all_is_out_and_who_fails_for_some_zones_is_cut_off() -> None:
+def test_servers_that_fail_for_all_zones_differ_from_those_that_fail_for_some() -> None:
     a, b = pair()
     a.process_events(
         NOW,
         [
-            met(0, 9, 5, 0),
-            met(0, 9, 9, 1),
-            met(1, 9, 9, 0),
-            met(1, 9, 1, 1),
-            met(2, 9, 0, 0, 900),
-            met(3, 2, 2, 0),
-            *[met(at, 9, 0, 0) for at in range(4, 20)],
+            report(0, 9, 5, 0),
+            report(0, 9, 9, 1),
+            report(1, 9, 9, 0),
+            report(1, 9, 1, 1),
+            report(2, 9, 0, 0, 900),
+            report(3, 2, 2, 0),
+            *[report(at, 9, 0, 0) for at in range(4, 20)],
         ],
     )
-    b.process_events(NOW, [met(5, 9, 9, 1), met(6, 9, 9, 0), *[met(at, 9, 0, 1) for at in range(10, 20)]])
+    b.process_events(
+        NOW, [report(5, 9, 9, 1), report(6, 9, 9, 0), *[report(at, 9, 0, 1) for at in range(10, 20)]]
+    )
     for one in (a, b):
         one.exchange(NOW + 2 * S, BLANK)
-    carry(a, b, NOW + 2 * S, NOW + 2 * S)
+    exchange_records(a, b, NOW + 2 * S, NOW + 2 * S)
     b.exchange(NOW + 2 * S, BLANK)
-    # 6 is well and fails for the same zone: whose word is right is not known, and out is the careful one.
+    # 6 does well and fails for the same zone: which is right isn't known, and failing is the careful choice.
     assert (b.failing, b.failing_for_some) == ({"s0", "s6"}, {"s1", "s5"})
     b.exchange(NOW + 18 * S, BLANK)
     assert not b.failing and not b.failing_for_some
 
 
-def test_the_worst_are_told_one_by_one_and_an_overload_is_none_of_them() -> None:
+def test_outliers_are_found_and_an_overload_has_none() -> None:
     rng = random.Random(4)
     usual = {(0, at): TrafficTotals(rng.randrange(5, 90), 0, 0) for at in range(200)}
     sums = {place: one._replace(good_ns=one.tries * 50) for place, one in usual.items()}
@@ -228,10 +236,10 @@
     )
 
 
-def test_words_that_make_no_sense_are_passed_over_and_many_are_bounded() -> None:
+def test_malformed_observations_are_skipped_and_their_number_is_bounded() -> None:
     a, b = pair()
     for server in range(3000):
-        shown(b, NOW, server, 0)
+        list_server(b, NOW, server, 0)
     good = msgspec.msgpack.encode([ServerObservation("s1", 5, 5, 1, S)])
     for key, body in (
         (f"s1{KEY_SEPARATOR}z9", good),
@@ -243,45 +251,49 @@
     ):
         a.store.put(NOW, Kind.ILL, key, body)
     a.store.put(NOW, Kind.START, "s9999", b"x")
-    b.names = Careful(2)
-    carry(a, b, NOW, NOW)
+    b.names = KnownZonesOnly(2)
+    exchange_records(a, b, NOW, NOW)
     assert b.exchange(NOW, BLANK) == []
     for start in range(0, 3000, 100):
         body = msgspec.msgpack.encode([ServerObservation(f"s{start + at}", 5, 5, 1, S) for at in range(100)])
         a.store.put(NOW, Kind.ILL, f"x{start}{KEY_SEPARATOR}z0", body)
-    carry(a, b, NOW, NOW)
-    assert len(given(b, NOW)) == MAX_DELIVERED_SERVERS and len(given(b, NOW)) == 1000 and not given(b, NOW)
+    exchange_records(a, b, NOW, NOW)
+    assert (
+        len(delivered_reports(b, NOW)) == MAX_DELIVERED_SERVERS
+        and len(delivered_reports(b, NOW)) == 1000
+        and not delivered_reports(b, NOW)
+    )
 
 
-def test_servers_that_come_and_go_leave_nothing_behind_and_long_names_do_no_harm() -> None:
+def test_state_is_bounded_as_servers_come_and_go_and_long_names_are_not_published() -> None:
     a, b = pair()
     for start in range(0, 6000, 500):
         new = tuple(entry(at, 0, since=NOW) for at in range(start, start + 500))
         for one in (a, b):
             one.process_list(NOW, api.Listed(True, False, new))
-        a.process_events(NOW, [met(start + at, 9, 9 if at < 40 else 0) for at in range(200)])
+        a.process_events(NOW, [report(start + at, 9, 9 if at < 40 else 0) for at in range(200)])
         a.publish_traffic(NOW + S)
-        carry(a, b, NOW + S, NOW + S)
-        given(b, NOW + S)
+        exchange_records(a, b, NOW + S, NOW + S)
+        delivered_reports(b, NOW + S)
     assert (
         len(a.listed) == 500 and len(a.outliers) == 40 and max(map(len, (a.published, b.delivered))) <= 4000
     )
-    a.names = Long(2)
-    shown(a, NOW, 1, NOW)
+    a.names = LongNames(2)
+    list_server(a, NOW, 1, NOW)
     assert all(len(one.key) < 600 for one in a.store.all(NOW, Kind.START))
 
 
-class Long(Numbered):
+class LongNames(Numbered):
     def server(self, index: int) -> str | None:
         return "s" * 600
 
 
-class Careful(Numbered):
+class KnownZonesOnly(Numbered):
     def zone_index(self, zone: str) -> int | None:
         return {"z0": 0, "z1": 1}.get(zone)
 
 
-def test_levels_and_shares_are_told_from_the_picture() -> None:
+def test_levels_and_shares_are_published_from_the_mirror() -> None:
     side = Side(make_terms(zones=2), [entry(i, i % 2) for i in range(8)], Store("a", 1), True, NOW)
     side.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(4)])
     for _ in range(4):
@@ -296,17 +308,17 @@
     assert told[Kind.LEVEL, "z0"] == [1, 1.0] and told[Kind.SHARE, "z0"][0] >= 4
     version = side.store.origins["a"].upto
     side.learned.exchange(side.now + 2 * S, side.desk.view(side.now).picture)
-    assert side.store.origins["a"].upto == version, "what stands is not said again at once"
+    assert side.store.origins["a"].upto == version, "an unchanged record is not published again at once"
 
 
-def test_after_a_take_over_fewer_tries_fail_and_cold_servers_are_not_pushed() -> None:
+def test_after_a_takeover_fewer_tries_fail_and_cold_servers_are_spared() -> None:
     for seed in range(3):
         without, with_it = (Takeover(seed, use).play() for use in (False, True))
         assert with_it.failed < 0.7 * without.failed and with_it.pushed < 0.6 * without.pushed, seed
         assert with_it.flows == without.flows
 
 
-def test_a_member_that_calls_all_cold_and_ill_leaves_no_proxy_bare() -> None:
+def test_a_member_that_reports_all_servers_cold_and_failing_leaves_no_proxy_without_servers() -> None:
     store, liar = Store("a", 1), Store("liar", 1)
     side = Side(make_terms(zones=2), [entry(i, i % 2) for i in range(8)], store, True, NOW)
     side.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(4)])
@@ -315,9 +327,9 @@
             liar.put(side.now, Kind.START, f"s{server}", bytes([at + 1]))
             body = msgspec.msgpack.encode([ServerObservation(f"s{server}", 50, 50, 1, S)])
             liar.put(side.now, Kind.ILL, f"s{server}{KEY_SEPARATOR}z{server % 2}", body)
-        news = store.hear(side.now, liar.delta(side.now, {"liar": store.digest().vector[-1]} if at else {}))[
-            1
-        ]
+        known = {"liar": store.digest().vector[-1]} if at else {}
+        news = store.hear(side.now, liar.delta(side.now, known))[1]
         side.learned.process_records(side.now, news)
-        side.run(S, *side.learned.exchange(side.now, side.desk.view(side.now).picture))  # Rules are checked.
+        # A run checks the rules of the decision module.
+        side.run(S, *side.learned.exchange(side.now, side.desk.view(side.now).picture))
     assert all(side.proxies.values())
