--- a/ambershift/coordinator/group/command_validator.py
+++ b/ambershift/coordinator/group/command_validator.py
@@ -20,7 +20,7 @@
 from ambershift.coordinator.promises.machine import change_of
 from ambershift.coordinator.promises.state import Promises
 from ambershift.coordinator.promises.words import Command, Grant, Wishes
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 
 
 class CommandValidator:
@@ -29,7 +29,7 @@
     def __init__(
         self,
         desk: Desk,
-        door: Door[str],
+        door: IdIndex[str],
         now: Callable[[], int],
         describe: Callable[[Refused], str],
         is_clock_skewed: Callable[[], bool],
@@ -84,7 +84,7 @@
         return None
 
     def _listed_index(self, server: str) -> int | None:
-        index = self._door.known(server)
+        index = self._door.lookup(server)
         return index if index is not None and index in self._desk.world.listed else None
 
     def _world_under(self, state: Promises) -> World:
--- a/ambershift/coordinator/group/desk_applier.py
+++ b/ambershift/coordinator/group/desk_applier.py
@@ -9,7 +9,7 @@
 from ambershift.coordinator.admin.words import AS_LISTED, Standing
 from ambershift.coordinator.promises.state import EMPTY, Promises
 from ambershift.coordinator.promises.unconfirmed import SoonerEnd
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 
 
 class DeskApplier:
@@ -27,7 +27,7 @@
     def __init__(
         self,
         desk: Desk,
-        door: Door[str],
+        door: IdIndex[str],
         now: Callable[[], int],
         clock_ahead: int,
         on_change: Callable[[], None],
@@ -78,7 +78,7 @@
         self.state = state
         wishes = dict[int, Standing]()
         for server in servers:
-            index = self.door.known(server)
+            index = self.door.lookup(server)
             if index is not None:
                 wishes[index] = state.wish(server)
         self.desk.adopt(self._now(), wishes, commands)
@@ -113,7 +113,7 @@
             {
                 index: factor
                 for server, factor in factors.items()
-                if (index := self.door.known(server)) is not None
+                if (index := self.door.lookup(server)) is not None
             },
         )
         self._on_change()
@@ -141,18 +141,18 @@
         for server, permit in self.state.kept_out(wall).items():
             uncommitted = self.uncommitted_ends.get(permit.id)
             ends = permit.ends if uncommitted is None else min(permit.ends, uncommitted.ends)
-            if ends > wall and (index := self.door.known(server)) is not None:
+            if ends > wall and (index := self.door.lookup(server)) is not None:
                 deadlines[index] = ends - self._clock_ahead
         return deadlines
 
     def is_drained(self, server: str) -> bool:
         """Return whether a server is shut out at all proxies of this coordinator, and no try is reported."""
-        index = self.door.known(server)
+        index = self.door.lookup(server)
         return index is None or index not in self.desk.world.listed or self.desk.drained([index], self._now())
 
     def is_held_out(self, server: str) -> bool:
         """Return whether a permit keeps that server out here."""
-        index = self.door.known(server)
+        index = self.door.lookup(server)
         return index is not None and index in self.desk.permits
 
 
--- a/ambershift/coordinator/group/disk/folder.py
+++ b/ambershift/coordinator/group/disk/folder.py
@@ -9,21 +9,21 @@
 import msgspec
 
 from ambershift.coordinator.group.disk.files import FileHandle, Files
-from ambershift.coordinator.replication.log_recovery import ContradictionError, Held, Reading, read
+from ambershift.coordinator.replication.log_recovery import FoldedLog, InconsistentLogError, RecoveredLog, recover_log
 from ambershift.coordinator.replication.records import (
     PREAMBLE,
-    SLOT_BYTES,
-    Fault,
-    Head,
-    Line,
-    Mark,
-    both_slots,
-    frame,
-    line,
-    preamble,
-    slot,
+    MARK_SLOT_BYTES,
+    LogFault,
+    LogHeader,
+    LogRecord,
+    SyncMark,
+    encode_mark_file,
+    encode_frame,
+    to_record,
+    encode_preamble,
+    encode_mark,
 )
-from ambershift.coordinator.replication.types import Saved, Write
+from ambershift.coordinator.replication.types import PersistedState, Write
 
 LOG_FILE = "log"
 MARK_FILE = "mark"
@@ -57,9 +57,9 @@
         lost: Files were set aside now or before, and no state has been recovered since.
     """
 
-    saved: Saved | None
+    saved: PersistedState | None
     incarnation: int
-    fault: Fault | None
+    fault: LogFault | None
     why: str
     aside: tuple[str, ...]
     torn: int
@@ -85,7 +85,7 @@
         self.files = files
         self.group_name = group_name
         self.member = member
-        self.held = Held()
+        self.held = FoldedLog()
         self.generation = 0
         self.mark_count = 0  # Marks are written to two slots in turn.
         self.log: FileHandle | None = None
@@ -119,11 +119,11 @@
             self.close()
             raise
 
-    def _read_files(self) -> Reading:
+    def _read_files(self) -> RecoveredLog:
         names = set(self.files.names())
         log, mark = (self.files.read(name) if name in names else None for name in (LOG_FILE, MARK_FILE))
-        reading = read(log, mark)
-        head = reading.head
+        reading = recover_log(log, mark)
+        head = reading.header
         if head is not None and (head.group_name, head.me) != (self.group_name, self.member):
             raise RefusedError(
                 f"the folder is of member {head.me!r} of group {head.group_name!r}, not of "
@@ -131,23 +131,23 @@
             )
         return reading
 
-    def _recover(self, reading: Reading, wall: int, void: str) -> Opened:
+    def _recover(self, reading: RecoveredLog, wall: int, void: str) -> Opened:
         aside: tuple[str, ...] = ()
         if reason := void or reading.fault:
             aside = self._set_aside(str(reason), wall)
-        last_incarnation = reading.head.incarnation if reading.head else 0
-        self.held = Held() if reason else reading.held
-        self.generation, self.mark_count = reading.generation, reading.turn
+        last_incarnation = reading.header.incarnation if reading.header else 0
+        self.held = FoldedLog() if reason else reading.log
+        self.generation, self.mark_count = reading.generation, reading.mark_sequence
         self.incarnation = max(last_incarnation + 1, wall)
         if aside or MARK_FILE not in self.files.names():
             # The mark is created before the log: a log without a mark is taken for a foreign file.
-            self._replace_file(MARK_FILE, [both_slots(Mark(self.mark_count, self.generation, 0))])
+            self._replace_file(MARK_FILE, [encode_mark_file(SyncMark(self.mark_count, self.generation, 0))])
         self.mark = self.files.open(MARK_FILE)
         self.compact()
-        saved = self.held.saved(last_incarnation)
+        saved = self.held.to_persisted_state(last_incarnation)
         has_state = saved is not None and bool(saved.view or saved.entries or saved.snapshot)
         lost = not has_state and any(ASIDE_INFIX in name for name in self.files.names())
-        return Opened(saved, self.incarnation, reading.fault, reading.why, aside, reading.torn, lost)
+        return Opened(saved, self.incarnation, reading.fault, reading.why, aside, reading.torn_bytes, lost)
 
     def append(self, writes: Sequence[Write]) -> None:
         """Make all writes durable under one sync.
@@ -158,9 +158,9 @@
         if self.error or self.log is None:
             raise DiskError(self.error or "closed")
         try:
-            lines = [line(write) for write in writes]
+            lines = [to_record(write) for write in writes]
             for one in lines:
-                self.held.fold(one)
+                self.held.apply(one)
             has_snapshot = any(one.snapshot for one in lines)
             if has_snapshot or self.log_size > max(
                 MIN_COMPACTION_BYTES, COMPACTION_GROWTH * self.compacted_size
@@ -169,26 +169,26 @@
                 return
             data, offset = bytearray(), self.log_size
             for one in lines:
-                data += frame(msgspec.msgpack.encode(one), self.generation, offset + len(data))
+                data += encode_frame(msgspec.msgpack.encode(one), self.generation, offset + len(data))
             self.log.append(bytes(data))
             self.log.sync()
             self.log_size += len(data)
             self.advance_mark()
-        except (OSError, ContradictionError) as error:
+        except (OSError, InconsistentLogError) as error:
             self.error = describe_error(error)
             raise DiskError(self.error) from error
 
     def compact(self) -> None:
         """Write the state that counts to a new file, which replaces the log once it is synced."""
         self.generation += 1
-        bodies: list[Head | Line] = [Head(self.group_name, self.member, self.incarnation)]
-        bodies += [self.held.line()] if self.held.written else []
+        bodies: list[LogHeader | LogRecord] = [LogHeader(self.group_name, self.member, self.incarnation)]
+        bodies += [self.held.to_record()] if self.held.written else []
         frames, size = list[bytes](), PREAMBLE.size
         for body in bodies:
-            frames.append(frame(msgspec.msgpack.encode(body), self.generation, size))
+            frames.append(encode_frame(msgspec.msgpack.encode(body), self.generation, size))
             size += len(frames[-1])
         old_log = self.log
-        self.log = self._replace_file(LOG_FILE, [preamble(self.generation, size), *frames], keep_open=True)
+        self.log = self._replace_file(LOG_FILE, [encode_preamble(self.generation, size), *frames], keep_open=True)
         if old_log is not None:
             old_log.close()
         self.log_size = self.compacted_size = size
@@ -198,8 +198,8 @@
         """Record that the log is synced to its end, in a second file, so that no one fault damages both."""
         assert self.mark is not None
         self.mark_count += 1
-        offset = self.mark_count % 2 * SLOT_BYTES
-        self.mark.write_at(offset, slot(Mark(self.mark_count, self.generation, self.log_size)))
+        offset = self.mark_count % 2 * MARK_SLOT_BYTES
+        self.mark.write_at(offset, encode_mark(SyncMark(self.mark_count, self.generation, self.log_size)))
         self.mark.sync()
 
     def _replace_file(self, name: str, parts: list[bytes], keep_open: bool = False) -> FileHandle | None:
--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -18,8 +18,8 @@
 from ambershift.coordinator.maintenance.words import Phase
 from ambershift.coordinator.promises.state import Held
 from ambershift.coordinator.replication.gossip import messages
-from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import Kind, Record
+from ambershift.coordinator.replication.gossip.store import GossipStore
+from ambershift.coordinator.replication.gossip.types import Record, RecordKind
 
 if TYPE_CHECKING:
     from ambershift.coordinator.group.member import Member
@@ -30,14 +30,14 @@
 # The clock must look skewed at so many publications in a row, a second each: a process that was stopped reads
 # old samples first, and must not let servers in because of them.
 SKEWED_PUBLICATIONS = 3
-# Bodies of records of kind DRAINED.
+# Bodies of records of kind PERMIT_DRAINED.
 NEITHER = b"0"
 DRAINED = b"1"
 LET_IN = b"2"
 
 
 class Steers(msgspec.Struct, frozen=True, array_like=True):
-    """The body of records of kind STEERS.
+    """The body of records of kind MEMBER_STATUS.
 
     Attributes:
         proxies: How many proxies the member steers.
@@ -62,7 +62,7 @@
     def __init__(self, member: Member) -> None:
         """Start without records."""
         self.member = member
-        self.store = Store(member.spec.name, 0)
+        self.store = GossipStore(member.spec.name, 0)
         self.clock_skew = ClockSkew(member.spec.clock_bound)
         self.count_steered: Callable[[], int] = lambda: 0
         self.round_listeners = list[Callable[[int], None]]()
@@ -115,15 +115,15 @@
 
     def _publish_own_records(self, now: int) -> None:
         steers = Steers(self.count_steered(), self.member.wall())
-        self.store.put(now, Kind.STEERS, "", msgspec.msgpack.encode(steers))
+        self.store.put(now, RecordKind.MEMBER_STATUS, "", msgspec.msgpack.encode(steers))
         permits = self.member.state.permits
         for held in permits.values():
             body = self.permit_progress(held)
-            if self.own_body(Kind.DRAINED, held.permit.id) != body:
-                self.store.put(now, Kind.DRAINED, held.permit.id, body)
-        for key in self.store.keys(Kind.DRAINED):
+            if self.own_body(RecordKind.PERMIT_DRAINED, held.permit.id) != body:
+                self.store.put(now, RecordKind.PERMIT_DRAINED, held.permit.id, body)
+        for key in self.store.keys(RecordKind.PERMIT_DRAINED):
             if key not in permits:
-                self.store.take_back(now, Kind.DRAINED, key)
+                self.store.withdraw(now, RecordKind.PERMIT_DRAINED, key)
 
     def permit_progress(self, held: Held) -> bytes:
         """Return how far a permit has come at this member: `DRAINED`, `LET_IN` or `NEITHER`.
@@ -138,9 +138,9 @@
         is_durable = replica is not None and held.number <= replica.durable
         return LET_IN if is_durable and not applier.is_held_out(permit.server) else NEITHER
 
-    def own_body(self, kind: Kind, key: str) -> bytes | None:
+    def own_body(self, kind: RecordKind, key: str) -> bytes | None:
         """Return the body of a record that this member published, None without one."""
-        held = self.store.found.get(kind, {}).get(key, {}).get(self.store.me)
+        held = self.store.by_kind.get(kind, {}).get(key, {}).get(self.store.me)
         return held.body if held is not None else None
 
     def receive(self, sender: str, payload: bytes) -> None:
@@ -151,13 +151,13 @@
         """
         now = self.member.now()
         try:
-            answers, news = self.store.hear(now, messages.decode(payload))
+            answers, news = self.store.receive(now, messages.decode(payload))
         except messages.UnreadableError as error:
             raise UnreadableError(str(error)) from None
         for answer in answers:
             self.member.links.send(sender, FrameKind.HEARD, messages.encode(answer))
         for record in news:
-            if record.kind == Kind.STEERS and record.body and (steers := _decode_steers(record)) is not None:
+            if record.kind == RecordKind.MEMBER_STATUS and record.body and (steers := _decode_steers(record)) is not None:
                 self.clock_skew.add_sample(now, self.member.wall(), record.origin, steers.wall, record.age_ns)
         if news:
             for listener in self.record_listeners:
@@ -171,7 +171,7 @@
         The offset is how far its clock is ahead of this member's. Times are in ns.
         """
         result = {self.store.me: (self.count_steered(), 0, 0)}
-        for record in self.store.all(now, Kind.STEERS):
+        for record in self.store.all(now, RecordKind.MEMBER_STATUS):
             if record.origin != self.store.me and (steers := _decode_steers(record)) is not None:
                 offset = self.clock_skew.offset(now, record.origin)
                 result[record.origin] = (steers.proxies, offset, record.age_ns)
@@ -179,8 +179,8 @@
 
     def permit_reports(self, now: int, permit: str) -> dict[str, bytes]:
         """Return, by member, the latest `permit_progress` of one permit, by its id."""
-        by_origin = self.store.found.get(Kind.DRAINED, {}).get(permit, {})
-        return {member: held.body for member, held in by_origin.items() if self.store.counts(now, held)}
+        by_origin = self.store.by_kind.get(RecordKind.PERMIT_DRAINED, {}).get(permit, {})
+        return {member: held.body for member, held in by_origin.items() if self.store.is_current(now, held)}
 
 
 def _decode_steers(record: Record) -> Steers | None:
--- a/ambershift/coordinator/group/interference_worker.py
+++ b/ambershift/coordinator/group/interference_worker.py
@@ -15,7 +15,7 @@
 from ambershift.coordinator.group.links.interfaces import log_failure
 from ambershift.coordinator.group.links.wire import UnreadableError
 from ambershift.coordinator.interference.words import Sample
-from ambershift.coordinator.replication.gossip.types import Kind, Record
+from ambershift.coordinator.replication.gossip.types import Record, RecordKind
 
 if TYPE_CHECKING:
     from ambershift.coordinator.interference.engine import Engine
@@ -23,7 +23,7 @@
 MAX_SAMPLES_PER_MESSAGE = 8_192
 MAX_QUEUED = 65_536  # Samples and records for the thread; beyond it the oldest are dropped.
 TURN_INTERVAL_S = 1.0
-SCORED_KINDS = (Kind.MET, Kind.BASELINE)
+SCORED_KINDS = (RecordKind.INTERFERENCE_EVIDENCE, RecordKind.INTERFERENCE_BASELINE)
 _decoder = msgspec.msgpack.Decoder(list[Sample])
 
 
@@ -120,7 +120,7 @@
             if put.body:
                 self._gossip.store.put(now, put.kind, put.key, put.body)
             else:
-                self._gossip.store.take_back(now, put.kind, put.key)
+                self._gossip.store.withdraw(now, put.kind, put.key)
         self.scores = scores
         if scores.weight_factors != self._applied_factors:
             self._applied_factors = scores.weight_factors
--- a/ambershift/coordinator/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -193,12 +193,12 @@
             message = messages.decode(payload)
         except messages.UnreadableError as error:
             raise UnreadableError(str(error)) from None
-        self.perform(self.replica.hear(self.now(), sender, message))
+        self.perform(self.replica.receive(self.now(), sender, message))
 
     def on_link_lost(self, member: str) -> None:
         """Tell the replica that messages to that member may be lost."""
         if self.replica is not None and not self.halted:
-            self.perform(self.replica.gone(self.now(), member))
+            self.perform(self.replica.link_lost(self.now(), member))
 
     def on_link_up(self, member: str) -> None:
         """Record that another member accepts this incarnation."""
@@ -233,7 +233,7 @@
     def synced(self, ticket: int) -> None:
         """Tell the replica that its writes up to this ticket are durable."""
         if self.replica is not None and not self.halted:
-            self.perform(self.replica.synced(self.now(), ticket))
+            self.perform(self.replica.write_synced(self.now(), ticket))
 
     def failed(self, reason: str) -> None:
         """Halt, as nothing more is durable; the coordinator goes on to steer its proxies."""
@@ -326,7 +326,7 @@
     def _arm_timer(self) -> None:
         if self.replica is None or self.halted or self.stopping:
             return
-        at = self.replica.next_at
+        at = self.replica.next_tick_at
         if self.timer is not None and not self.timer.cancelled():
             if self._timer_at == at:
                 return
@@ -340,7 +340,7 @@
         if self.replica is None or self.halted or self.stopping:
             return
         try:
-            self.perform(self.replica.due(self.now(), self.wall()))
+            self.perform(self.replica.tick(self.now(), self.wall()))
         except Exception as error:  # Without another timer the member would be silent for ever.
             log_failure(self.note, "replica", error)
             self.timer = asyncio.get_running_loop().call_later(FAILED_TICK_DELAY_S, self._on_timer)
--- a/ambershift/coordinator/group/observation_exchange.py
+++ b/ambershift/coordinator/group/observation_exchange.py
@@ -26,8 +26,14 @@
     remote_observations,
     sample_servers,
 )
-from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import BODY_MOST, KEY_MOST, Kind, Record, longest
+from ambershift.coordinator.replication.gossip.store import GossipStore
+from ambershift.coordinator.replication.gossip.types import (
+    MAX_BODY_BYTES,
+    MAX_KEY_LENGTH,
+    Record,
+    RecordKind,
+    max_age,
+)
 
 PUBLISH_INTERVAL_NS = 2 * SECOND
 # Starts that differ by less are the same start: the time on the way isn't part of a record's age.
@@ -69,7 +75,7 @@
         failing_for_some: Ids of servers that fail for some zones only.
     """
 
-    def __init__(self, store: Store, names: NameMapping, warmup_ns: int, now: int) -> None:
+    def __init__(self, store: GossipStore, names: NameMapping, warmup_ns: int, now: int) -> None:
         """Start with nothing known.
 
         Args:
@@ -122,7 +128,7 @@
         record = (
             None
             if name is None
-            else self.store.best(now, Kind.START, name, now - listed.since if listed.since else None)
+            else self.store.newest(now, RecordKind.SERVER_START, name, now - listed.since if listed.since else None)
         )
         remote_start = now - record.age_ns if record else 0
         # With each change the module forgets what it met at the server, so a start that it was told is kept.
@@ -145,7 +151,7 @@
             own = [event for event in events if self._delivered_events.pop(id(event), None) is not event]
         add, last_tried_at = self._traffic.add, self._last_tried_at
         for event in own:
-            if type(event) is api.ServerReport and event.tries:
+            if type(event) is api.ServerReport and event.attempts:
                 add(event)
                 last_tried_at[event.server] = now
         return own
@@ -153,7 +159,7 @@
     def process_records(self, now: int, news: Sequence[Record]) -> None:
         """Take records that are new to the store."""
         for record in news:
-            if record.kind == Kind.START and (server := self.names.index(record.key)) in self.listed:
+            if record.kind == RecordKind.SERVER_START and (server := self.names.index(record.key)) in self.listed:
                 assert server is not None
                 if self._latest_start(now, self.listed[server]) != self.listed[server].since:
                     self._changed_starts.add(server)
@@ -212,7 +218,7 @@
         name = self.names.server(entry.server)
         if name is not None and entry.since and now - entry.since < self._warmup_ns:
             age = max(0, now - entry.since)  # The list's clock may be ahead.
-            self._publish_if_new(now, Kind.START, name, msgspec.msgpack.encode(entry.since), age)
+            self._publish_if_new(now, RecordKind.SERVER_START, name, msgspec.msgpack.encode(entry.since), age)
 
     def publish_traffic(self, now: int) -> None:
         """Publish the totals since the last time: each outlier on its own, and a sample of the others."""
@@ -225,7 +231,7 @@
         # An outlier that was tried and is none any more is withdrawn; where it wasn't tried the record ages.
         for zone, server in (self.outliers - outliers) & totals.keys():
             key = f"{self.names.server(server)}{KEY_SEPARATOR}{self.names.zone(zone)}"
-            self.store.take_back(now, Kind.ILL, key)
+            self.store.withdraw(now, RecordKind.ATTEMPT_STATS, key)
         self.outliers = outliers | {
             place for place in self.outliers - totals.keys() if place[1] in self.listed
         }
@@ -250,7 +256,7 @@
         ]
         if name is not None and observations:
             body = msgspec.msgpack.encode(observations)
-            self._publish(now, Kind.ILL, f"{key}{KEY_SEPARATOR}{name}", body)
+            self._publish(now, RecordKind.ATTEMPT_STATS, f"{key}{KEY_SEPARATOR}{name}", body)
 
     def _publish_levels_and_shares(self, now: int, picture: Picture) -> None:
         """Publish the levels and shares of each zone, by the tables that its proxies use."""
@@ -264,24 +270,24 @@
             levels = [level for (table, _), level in picture.levels.items() if table in tables]
             if levels:
                 lowest = min(int(again) for again, _ in levels), min(part for _, part in levels)
-                self._publish_if_new(now, Kind.LEVEL, name, msgspec.msgpack.encode(lowest))
+                self._publish_if_new(now, RecordKind.ZONE_LEVEL, name, msgspec.msgpack.encode(lowest))
             weights = [
                 line.weight for table in tables for line in picture.tables[table].values() if line.weight
             ]
             share = msgspec.msgpack.encode((len(weights), round(sum(weights), 2)))
-            self._publish_if_new(now, Kind.SHARE, name, share)
+            self._publish_if_new(now, RecordKind.ZONE_SHARE, name, share)
 
-    def _publish_if_new(self, now: int, kind: Kind, key: str, body: bytes, age: int = 0) -> None:
+    def _publish_if_new(self, now: int, kind: RecordKind, key: str, body: bytes, age: int = 0) -> None:
         """Publish a record if it changed, or if the last one would soon be too old."""
         last = self.published.get((kind, key))
-        if last is None or last[0] != body or (kind != Kind.START and now - last[1] > longest(kind) // 3):
+        if last is None or last[0] != body or (kind != RecordKind.SERVER_START and now - last[1] > max_age(kind) // 3):
             self.published[kind, key] = body, now
             self._publish(now, kind, key, body, age)
         if len(self.published) > 4 * len(self.listed) + MAX_DELIVERED_SERVERS:
             self.published.clear()
 
-    def _publish(self, now: int, kind: Kind, key: str, body: bytes, age: int = 0) -> None:
+    def _publish(self, now: int, kind: RecordKind, key: str, body: bytes, age: int = 0) -> None:
         if (
-            len(key) <= KEY_MOST and len(body) <= BODY_MOST
+            len(key) <= MAX_KEY_LENGTH and len(body) <= MAX_BODY_BYTES
         ):  # Names come from outside, and may be of any length.
             self.store.put(now, kind, key, body, age)
--- a/ambershift/coordinator/group/observations.py
+++ b/ambershift/coordinator/group/observations.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from ambershift import interface as api
-from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import Kind, Record
+from ambershift.coordinator.replication.gossip.store import GossipStore
+from ambershift.coordinator.replication.gossip.types import Record, RecordKind
 
 SECOND = 1_000_000_000
 # Servers that fail, or are late, far more than the median one are published each on its own. Of the others a
@@ -119,12 +119,12 @@
 
 
 def remote_observations(
-    store: Store, now: int, max_age: int
+    store: GossipStore, now: int, max_age: int
 ) -> Iterator[tuple[Record, str, ServerObservation]]:
     """Yield other members' observations with their zone: outliers before samples, the newest first."""
     records = [
         record
-        for record in store.all(now, Kind.ILL)
+        for record in store.all(now, RecordKind.ATTEMPT_STATS)
         if record.origin != store.me and record.age_ns <= max_age
     ]
     records.sort(key=lambda record: (record.key.startswith(KEY_SEPARATOR), record.age_ns, record.origin))
@@ -135,7 +135,7 @@
                 yield record, zone, observation
 
 
-def failing_servers(store: Store, now: int, max_age: int) -> tuple[frozenset[str], frozenset[str]]:
+def failing_servers(store: GossipStore, now: int, max_age: int) -> tuple[frozenset[str], frozenset[str]]:
     """Judge servers by all members' observations, this one's included. A late response counts as a success.
 
     Returns:
@@ -143,7 +143,7 @@
         of these zones only.
     """
     failing_zones, working_zones = dict[str, set[str]](), dict[str, set[str]]()
-    for record in store.all(now, Kind.ILL):
+    for record in store.all(now, RecordKind.ATTEMPT_STATS):
         if record.age_ns <= max_age:
             zone, observations = decode_observations(record)
             for seen in observations:
--- a/ambershift/coordinator/group/standings.py
+++ b/ambershift/coordinator/group/standings.py
@@ -9,7 +9,7 @@
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.admin.mirror import NEVER_SHUT
 from ambershift.coordinator.maintenance.words import Standing, Trouble
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 
 
 class GroupObservations(NamedTuple):
@@ -27,7 +27,7 @@
 
 
 def standings(
-    desk: Desk, door: Door[str], zone_name: Callable[[int], str], now: int, observations: GroupObservations
+    desk: Desk, door: IdIndex[str], zone_name: Callable[[int], str], now: int, observations: GroupObservations
 ) -> dict[str, Standing]:
     """Return the standing of each listed server by its id; being kept out by a permit alone is no trouble."""
     result = dict[str, Standing]()
--- a/ambershift/coordinator/group/startup.py
+++ b/ambershift/coordinator/group/startup.py
@@ -13,7 +13,7 @@
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.words import Nothing
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.types import Saved
+from ambershift.coordinator.replication.types import PersistedState
 
 Note = Callable[..., None]
 
@@ -34,7 +34,7 @@
     """
 
     incarnation: int
-    saved: Saved | None
+    saved: PersistedState | None
     folder: Folder | None
     disk_error: str
     lost_state: bool = False
@@ -83,7 +83,7 @@
     spec: MemberSpec, machine: PromisesMachine, startup: StartupState, now: int, seed: int
 ) -> Replica:
     """Return the replica of a member that starts; `now` is in ns."""
-    options: dict[str, Any] = {"now": now, "noop": encode(Nothing()), "lost": startup.lost_state}
+    options: dict[str, Any] = {"now": now, "noop": encode(Nothing()), "lost_state": startup.lost_state}
     return Replica(
         spec.name,
         spec.voters,
--- a/ambershift/coordinator/group/status_rows.py
+++ b/ambershift/coordinator/group/status_rows.py
@@ -42,7 +42,7 @@
             {
                 "name": name,
                 "state": state,
-                "leader": bool(row and row.leads and is_present and not (is_local and halted)),
+                "leader": bool(row and row.is_leader and is_present and not (is_local and halted)),
                 "votes": name in member.spec.voters,
                 "incarnation": member.startup.incarnation if is_local else row.incarnation if row else 0,
                 "committed": (
--- a/ambershift/coordinator/group/tap.py
+++ b/ambershift/coordinator/group/tap.py
@@ -63,7 +63,7 @@
 
     def index(self, server: str) -> int | None:
         """Return the index of a server."""
-        return self._admit.door.known(server)
+        return self._admit.door.lookup(server)
 
     def zone(self, index: int) -> str | None:
         """Return the name of a zone."""
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -33,7 +33,7 @@
 from ambershift.coordinator.standins.processes import Member as Process
 from ambershift.coordinator.standins.rig import Rig
 from ambershift.coordinator.standins.world import until
-from ambershift.door import Door
+from ambershift.id_index import IdIndex
 from tests.support.operator_model import Operated, some_changes
 from tests.support.policy_model import S, entry, make_terms
 
@@ -44,7 +44,7 @@
     """A coordinator of a group in virtual time; `state` is the committed state."""
 
     def __init__(self, count: int = 6, zones: int = 2, ahead: int = 0, **terms: Any) -> None:
-        self.door, self.state, self.number, self.answers = Door[str](), EMPTY, 0, list[bytes]()
+        self.door, self.state, self.number, self.answers = IdIndex[str](), EMPTY, 0, list[bytes]()
         super().__init__(make_terms(zones=zones, **terms), [])
         self.desk_applier = DeskApplier(self.desk, self.door, lambda: self.now, ahead, lambda: None)
         self.validator = CommandValidator(
@@ -62,7 +62,7 @@
         self.tell(event)
 
     def validate(self, command: Command) -> bytes | None:
-        return self.machine.judge(self.state, self.now + self.ahead, encode(command))
+        return self.machine.validate(self.state, self.now + self.ahead, encode(command))
 
     def apply(self, command: Command) -> Outcome:
         """Apply a committed command, as `Member` does."""
@@ -166,7 +166,7 @@
     for member in (*members, fresh):
         assert member.desk.waiting.keys() <= set(), member.desk.waiting
         for one in range(8):
-            index = member.door.known(f"s{one}")
+            index = member.door.lookup(f"s{one}")
             assert index is not None
             assert member.desk.world.own(index)._replace(origin=NEVER) == member.state.wish(
                 f"s{one}"
@@ -182,7 +182,7 @@
     assert not member.desk.waiting
     member.list_servers([4, 5])
     member.settle()
-    four, five = member.door.known("s4"), member.door.known("s5")
+    four, five = member.door.lookup("s4"), member.door.lookup("s5")
     assert member.desk.told[four].phase == api.Phase.DRAINING  # type: ignore[index]
     assert member.desk.told[five].weight == pytest.approx(0.5 * entry(5, 1).weight)  # type: ignore[index]
     assert not any(
@@ -192,7 +192,7 @@
     member.list_servers([4], api.Phase.GONE)
     member.door.forget(four)  # type: ignore[arg-type]
     member.list_servers([4])
-    assert member.desk.world.wish(member.door.known("s4")).state is MAINT  # type: ignore[arg-type]
+    assert member.desk.world.wish(member.door.lookup("s4")).state is MAINT  # type: ignore[arg-type]
 
 
 def test_the_leader_refuses_to_drain_the_last_two_servers_of_a_zone() -> None:
@@ -202,7 +202,7 @@
     assert leader.validate(first) is None and leader.validate(second) is None
     committed, log = leader.state, leader.machine.apply(leader.state, Entry(1, 1, 1, "", encode(first)))[0]
     assert leader.desk.world.own(0).state is READY and committed is EMPTY
-    answer = leader.machine.judge(log, leader.now, encode(second))
+    answer = leader.machine.validate(log, leader.now, encode(second))
     assert answer is not None and Reason.ZONE_WITHOUT_WARM.value.encode() in answer
     # A server that the log enables again, committed or not, counts again.
     leader.apply(first)
@@ -210,7 +210,7 @@
         0
     ]
     assert leader.validate(second) is not None
-    assert leader.machine.judge(back, leader.now, encode(second)) is None
+    assert leader.machine.validate(back, leader.now, encode(second)) is None
     leader.desk_applier.apply_snapshot(EMPTY)
     # The same for a permit in the log, which counts until it is closed, whatever this clock shows.
     leader.state = EMPTY
@@ -485,7 +485,7 @@
 def test_a_committed_refusal_is_not_validated_itself() -> None:
     machine = PromisesMachine(lambda state, at, command: BARE)
     told = encode(Answered("x", BARE.reason, BARE.text))
-    assert machine.judge(EMPTY, 0, told) is None
+    assert machine.validate(EMPTY, 0, told) is None
     state, answer = machine.apply(EMPTY, Entry(1, 1, 0, "T", told))
     assert state is EMPTY and answer == encode_answer(BARE)
 
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -24,8 +24,8 @@
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.promises.words import Grant, Wishes, WishOne
 from ambershift.coordinator.replication.gossip.messages import encode
-from ambershift.coordinator.replication.gossip.store import Store
-from ambershift.coordinator.replication.gossip.types import Kind
+from ambershift.coordinator.replication.gossip.store import GossipStore
+from ambershift.coordinator.replication.gossip.types import RecordKind
 from ambershift.coordinator.replication.types import Applied, Entry, Halt, Note, Reason
 from ambershift.coordinator.standins.world import until
 from tests.coordinator.group.test_group import SimulatedMember, declare, out, permit
@@ -177,10 +177,10 @@
             0,
             0,
         )
-        other = Store("b", 7)
+        other = GossipStore("b", 7)
         for offset in (0, 90 * S):
-            other.put(now, Kind.STEERS, "", msgspec.msgpack.encode(Steers(4, member.wall() + offset)))
-            answers, _ = other.hear(now, gossip.store.digest())
+            other.put(now, RecordKind.MEMBER_STATUS, "", msgspec.msgpack.encode(Steers(4, member.wall() + offset)))
+            answers, _ = other.receive(now, gossip.store.digest())
             for answer in answers:
                 gossip.receive("b", encode(answer))
         proxies, ahead, age = gossip.steered_proxies(now)["b"]
@@ -218,7 +218,7 @@
             self.got.append(record)
 
         def due(self, now: int) -> list[Put]:
-            return [Put(Kind.MET, "k", b"body" if len(self.got) < 3 else b"")]
+            return [Put(RecordKind.INTERFERENCE_EVIDENCE, "k", b"body" if len(self.got) < 3 else b"")]
 
         def interfered(self, server: str) -> float:
             return 0.5 if server == "s0" else 0.0
@@ -243,11 +243,11 @@
         worker.on_counters("perf", msgspec.msgpack.encode([sample]))
         await until(lambda: eased == [{"s0": 0.8}])
         assert worker.scores.interfered == {"s0": 0.5} and FakeEngine.made == 1
-        assert member.gossip.own_body(Kind.MET, "k") == b"body"
+        assert member.gossip.own_body(RecordKind.INTERFERENCE_EVIDENCE, "k") == b"body"
         worker.on_counters("perf", msgspec.msgpack.encode([sample] * 2))
         await until(lambda: any(event == "failure" for event, _ in log))
         worker.on_counters("perf", msgspec.msgpack.encode([sample]))  # It goes on after an error.
-        await until(lambda: not member.gossip.own_body(Kind.MET, "k"))
+        await until(lambda: not member.gossip.own_body(RecordKind.INTERFERENCE_EVIDENCE, "k"))
         assert eased == [{"s0": 0.8}]
         worker.close()
 
--- a/tests/coordinator/group/test_observation_exchange.py
+++ b/tests/coordinator/group/test_observation_exchange.py
@@ -24,8 +24,8 @@
     find_outliers,
     sample_servers,
 )
-from ambershift.coordinator.replication.gossip import Kind
-from ambershift.coordinator.replication.gossip.store import Store
+from ambershift.coordinator.replication.gossip import RecordKind
+from ambershift.coordinator.replication.gossip.store import GossipStore
 from benchmarks.takeover import Numbered, Side, Takeover
 from tests.support.policy_model import S, entry, make_terms
 
@@ -36,8 +36,8 @@
 def pair(shift: int = 0) -> tuple[ObservationExchange, ObservationExchange]:
     """Return the exchanges of two coordinators whose server indices differ by `shift`."""
     return (
-        ObservationExchange(Store("a", 1), Numbered(2), COLD, NOW),
-        ObservationExchange(Store("b", 1), Numbered(2, shift), COLD, NOW),
+        ObservationExchange(GossipStore("a", 1), Numbered(2), COLD, NOW),
+        ObservationExchange(GossipStore("b", 1), Numbered(2, shift), COLD, NOW),
     )
 
 
@@ -46,7 +46,7 @@
 ) -> None:
     """Send all records of one member to the other, whose clock shows `there`."""
     known = {place.origin: place for place in receiver.store.digest().vector}
-    receiver.process_records(there, receiver.store.hear(there, sender.store.delta(now, known))[1])
+    receiver.process_records(there, receiver.store.receive(there, sender.store.delta(now, known))[1])
 
 
 def list_server(
@@ -81,7 +81,7 @@
     if list_first:
         assert list_server(b, there, 103, own) == own
     if heard_age is not None:
-        a.store.put(NOW, Kind.START, "s3", b"x", heard_age * S)
+        a.store.put(NOW, RecordKind.SERVER_START, "s3", b"x", heard_age * S)
     exchange_records(a, b, NOW, there)
     if list_first and told != own:
         events = b.exchange(there, BLANK)
@@ -97,8 +97,8 @@
         == list_server(b, there + 2 * S, 103, there + S)
     )
     if told != own:
-        assert next(one.age_ns for one in b.store.all(there + 2 * S, Kind.START) if one.origin == "b") <= S
-        b.store.put(there, Kind.STEERS, "", b"x")
+        assert next(one.age_ns for one in b.store.all(there + 2 * S, RecordKind.SERVER_START) if one.origin == "b") <= S
+        b.store.put(there, RecordKind.MEMBER_STATUS, "", b"x")
     for phase in (api.Phase.DRAINING, api.Phase.GONE):
         assert list_server(b, there + 2 * S, 103, own, phase) == own
 
@@ -107,12 +107,12 @@
     a, b = pair()
     for age in (0, 19, 20, -3):
         list_server(a, NOW, age + 10, NOW - age * S)
-    told = {one.key: one.age_ns for one in a.store.all(NOW, Kind.START)}
+    told = {one.key: one.age_ns for one in a.store.all(NOW, RecordKind.SERVER_START)}
     assert told == {"s10": 0, "s29": 19 * S, "s7": 0}
     list_server(b, NOW, 10, 0)
     exchange_records(a, b, NOW, NOW)
     list_server(b, NOW + S, 10, list_server(b, NOW + S, 10, 0))
-    assert {one.origin for one in b.store.all(NOW, Kind.START)} == {"a"}
+    assert {one.origin for one in b.store.all(NOW, RecordKind.SERVER_START)} == {"a"}
     b.process_list(NOW, api.Listed(True, False, (entry(11),)))
     assert not b.later_starts and set(b.listed) == {11}
 
@@ -123,7 +123,7 @@
 
 def delivered_reports(one: ObservationExchange, now: int) -> dict[int, tuple[int, int, int]]:
     return {
-        event.server: (event.tries, event.bad, event.zone)
+        event.server: (event.attempts, event.failures, event.zone)
         for event in one.exchange(now, BLANK)
         if isinstance(event, api.ServerReport)
     }
@@ -162,7 +162,7 @@
     b.exchange(NOW + 6 * S, BLANK)
     told = [
         row.server
-        for one in b.store.all(NOW + 6 * S, Kind.ILL)
+        for one in b.store.all(NOW + 6 * S, RecordKind.ATTEMPT_STATS)
         if one.origin == "b"
         for row in decode_observations(one)[1]
     ]
@@ -178,11 +178,11 @@
     # An outlier that does well again where it was tried is withdrawn.
     a.process_events(NOW + 8 * S, [report(0, 9, 0), report(1, 9, 0), report(2, 9, 0)])
     a.exchange(NOW + 8 * S, BLANK)
-    ill = {one.key for one in a.store.all(NOW + 8 * S, Kind.ILL) if not one.key.startswith(KEY_SEPARATOR)}
+    ill = {one.key for one in a.store.all(NOW + 8 * S, RecordKind.ATTEMPT_STATS) if not one.key.startswith(KEY_SEPARATOR)}
     assert ill == {f"s3{KEY_SEPARATOR}z1"}
     a.process_events(NOW + 10 * S, [report(3, 9, 0, 1), report(1, 9, 0)])
     a.exchange(NOW + 10 * S, BLANK)
-    assert all(one.key.startswith(KEY_SEPARATOR) for one in a.store.all(NOW + 10 * S, Kind.ILL))
+    assert all(one.key.startswith(KEY_SEPARATOR) for one in a.store.all(NOW + 10 * S, RecordKind.ATTEMPT_STATS))
 
 
 def test_servers_that_fail_for_all_zones_differ_from_those_that_fail_for_some() -> None:
@@ -249,14 +249,14 @@
         (f"s3{KEY_SEPARATOR}z0", msgspec.msgpack.encode([ServerObservation("s3", 0, 0, 1, S)])),
         ("", b"\x80"),
     ):
-        a.store.put(NOW, Kind.ILL, key, body)
-    a.store.put(NOW, Kind.START, "s9999", b"x")
+        a.store.put(NOW, RecordKind.ATTEMPT_STATS, key, body)
+    a.store.put(NOW, RecordKind.SERVER_START, "s9999", b"x")
     b.names = KnownZonesOnly(2)
     exchange_records(a, b, NOW, NOW)
     assert b.exchange(NOW, BLANK) == []
     for start in range(0, 3000, 100):
         body = msgspec.msgpack.encode([ServerObservation(f"s{start + at}", 5, 5, 1, S) for at in range(100)])
-        a.store.put(NOW, Kind.ILL, f"x{start}{KEY_SEPARATOR}z0", body)
+        a.store.put(NOW, RecordKind.ATTEMPT_STATS, f"x{start}{KEY_SEPARATOR}z0", body)
     exchange_records(a, b, NOW, NOW)
     assert (
         len(delivered_reports(b, NOW)) == MAX_DELIVERED_SERVERS
@@ -280,7 +280,7 @@
     )
     a.names = LongNames(2)
     list_server(a, NOW, 1, NOW)
-    assert all(len(one.key) < 600 for one in a.store.all(NOW, Kind.START))
+    assert all(len(one.key) < 600 for one in a.store.all(NOW, RecordKind.SERVER_START))
 
 
 class LongNames(Numbered):
@@ -294,21 +294,21 @@
 
 
 def test_levels_and_shares_are_published_from_the_mirror() -> None:
-    side = Side(make_terms(zones=2), [entry(i, i % 2) for i in range(8)], Store("a", 1), True, NOW)
+    side = Side(make_terms(zones=2), [entry(i, i % 2) for i in range(8)], GossipStore("a", 1), True, NOW)
     side.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(4)])
     for _ in range(4):
         side.run(S)
         side.learned.exchange(side.now, side.desk.view(side.now).picture)
     told = {
         (one.kind, one.key): msgspec.msgpack.decode(one.body)
-        for kind in (Kind.LEVEL, Kind.SHARE)
+        for kind in (RecordKind.ZONE_LEVEL, RecordKind.ZONE_SHARE)
         for one in side.store.all(side.now, kind)
     }
-    assert told.keys() == {(kind, zone) for kind in (Kind.LEVEL, Kind.SHARE) for zone in ("z0", "z1")}
-    assert told[Kind.LEVEL, "z0"] == [1, 1.0] and told[Kind.SHARE, "z0"][0] >= 4
-    version = side.store.origins["a"].upto
+    assert told.keys() == {(kind, zone) for kind in (RecordKind.ZONE_LEVEL, RecordKind.ZONE_SHARE) for zone in ("z0", "z1")}
+    assert told[RecordKind.ZONE_LEVEL, "z0"] == [1, 1.0] and told[RecordKind.ZONE_SHARE, "z0"][0] >= 4
+    version = side.store.origins["a"].last_version
     side.learned.exchange(side.now + 2 * S, side.desk.view(side.now).picture)
-    assert side.store.origins["a"].upto == version, "an unchanged record is not published again at once"
+    assert side.store.origins["a"].last_version == version, "an unchanged record is not published again at once"
 
 
 def test_after_a_takeover_fewer_tries_fail_and_cold_servers_are_spared() -> None:
@@ -319,16 +319,16 @@
 
 
 def test_a_member_that_reports_all_servers_cold_and_failing_leaves_no_proxy_without_servers() -> None:
-    store, liar = Store("a", 1), Store("liar", 1)
+    store, liar = GossipStore("a", 1), GossipStore("liar", 1)
     side = Side(make_terms(zones=2), [entry(i, i % 2) for i in range(8)], store, True, NOW)
     side.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(4)])
     for at in range(40):
         for server in range(8):
-            liar.put(side.now, Kind.START, f"s{server}", bytes([at + 1]))
+            liar.put(side.now, RecordKind.SERVER_START, f"s{server}", bytes([at + 1]))
             body = msgspec.msgpack.encode([ServerObservation(f"s{server}", 50, 50, 1, S)])
-            liar.put(side.now, Kind.ILL, f"s{server}{KEY_SEPARATOR}z{server % 2}", body)
+            liar.put(side.now, RecordKind.ATTEMPT_STATS, f"s{server}{KEY_SEPARATOR}z{server % 2}", body)
         known = {"liar": store.digest().vector[-1]} if at else {}
-        news = store.hear(side.now, liar.delta(side.now, known))[1]
+        news = store.receive(side.now, liar.delta(side.now, known))[1]
         side.learned.process_records(side.now, news)
         # A run checks the rules of the decision module.
         side.run(S, *side.learned.exchange(side.now, side.desk.view(side.now).picture))
