--- a/ambershift/coordinator/group/disk/folder.py
+++ b/ambershift/coordinator/group/disk/folder.py
@@ -9,19 +9,24 @@
 import msgspec
 
 from ambershift.coordinator.group.disk.files import FileHandle, Files
-from ambershift.coordinator.replication.log_recovery import FoldedLog, InconsistentLogError, RecoveredLog, recover_log
+from ambershift.coordinator.replication.log_recovery import (
+    FoldedLog,
+    InconsistentLogError,
+    RecoveredLog,
+    recover_log,
+)
 from ambershift.coordinator.replication.records import (
-    PREAMBLE,
     MARK_SLOT_BYTES,
+    PREAMBLE,
     LogFault,
     LogHeader,
     LogRecord,
     SyncMark,
-    encode_mark_file,
     encode_frame,
-    to_record,
-    encode_preamble,
     encode_mark,
+    encode_mark_file,
+    encode_preamble,
+    to_record,
 )
 from ambershift.coordinator.replication.types import PersistedState, Write
 
@@ -85,7 +90,7 @@
         self.files = files
         self.group_name = group_name
         self.member = member
-        self.held = FoldedLog()
+        self.folded_log = FoldedLog()
         self.generation = 0
         self.mark_count = 0  # Marks are written to two slots in turn.
         self.log: FileHandle | None = None
@@ -122,32 +127,34 @@
     def _read_files(self) -> RecoveredLog:
         names = set(self.files.names())
         log, mark = (self.files.read(name) if name in names else None for name in (LOG_FILE, MARK_FILE))
-        reading = recover_log(log, mark)
-        head = reading.header
-        if head is not None and (head.group_name, head.me) != (self.group_name, self.member):
+        recovered = recover_log(log, mark)
+        header = recovered.header
+        if header is not None and (header.group_name, header.me) != (self.group_name, self.member):
             raise RefusedError(
-                f"the folder is of member {head.me!r} of group {head.group_name!r}, not of "
+                f"the folder is of member {header.me!r} of group {header.group_name!r}, not of "
                 f"{self.member!r} of {self.group_name!r}"
             )
-        return reading
+        return recovered
 
-    def _recover(self, reading: RecoveredLog, wall: int, void: str) -> Opened:
+    def _recover(self, recovered: RecoveredLog, wall: int, void: str) -> Opened:
         aside: tuple[str, ...] = ()
-        if reason := void or reading.fault:
+        if reason := void or recovered.fault:
             aside = self._set_aside(str(reason), wall)
-        last_incarnation = reading.header.incarnation if reading.header else 0
-        self.held = FoldedLog() if reason else reading.log
-        self.generation, self.mark_count = reading.generation, reading.mark_sequence
+        last_incarnation = recovered.header.incarnation if recovered.header else 0
+        self.folded_log = FoldedLog() if reason else recovered.log
+        self.generation, self.mark_count = recovered.generation, recovered.mark_sequence
         self.incarnation = max(last_incarnation + 1, wall)
         if aside or MARK_FILE not in self.files.names():
             # The mark is created before the log: a log without a mark is taken for a foreign file.
             self._replace_file(MARK_FILE, [encode_mark_file(SyncMark(self.mark_count, self.generation, 0))])
         self.mark = self.files.open(MARK_FILE)
         self.compact()
-        saved = self.held.to_persisted_state(last_incarnation)
+        saved = self.folded_log.to_persisted_state(last_incarnation)
         has_state = saved is not None and bool(saved.view or saved.entries or saved.snapshot)
         lost = not has_state and any(ASIDE_INFIX in name for name in self.files.names())
-        return Opened(saved, self.incarnation, reading.fault, reading.why, aside, reading.torn_bytes, lost)
+        return Opened(
+            saved, self.incarnation, recovered.fault, recovered.why, aside, recovered.torn_bytes, lost
+        )
 
     def append(self, writes: Sequence[Write]) -> None:
         """Make all writes durable under one sync.
@@ -158,18 +165,18 @@
         if self.error or self.log is None:
             raise DiskError(self.error or "closed")
         try:
-            lines = [to_record(write) for write in writes]
-            for one in lines:
-                self.held.apply(one)
-            has_snapshot = any(one.snapshot for one in lines)
+            records = [to_record(write) for write in writes]
+            for record in records:
+                self.folded_log.apply(record)
+            has_snapshot = any(record.snapshot for record in records)
             if has_snapshot or self.log_size > max(
                 MIN_COMPACTION_BYTES, COMPACTION_GROWTH * self.compacted_size
             ):
                 self.compact()
                 return
             data, offset = bytearray(), self.log_size
-            for one in lines:
-                data += encode_frame(msgspec.msgpack.encode(one), self.generation, offset + len(data))
+            for record in records:
+                data += encode_frame(msgspec.msgpack.encode(record), self.generation, offset + len(data))
             self.log.append(bytes(data))
             self.log.sync()
             self.log_size += len(data)
@@ -182,13 +189,15 @@
         """Write the state that counts to a new file, which replaces the log once it is synced."""
         self.generation += 1
         bodies: list[LogHeader | LogRecord] = [LogHeader(self.group_name, self.member, self.incarnation)]
-        bodies += [self.held.to_record()] if self.held.written else []
+        bodies += [self.folded_log.to_record()] if self.folded_log.written else []
         frames, size = list[bytes](), PREAMBLE.size
         for body in bodies:
             frames.append(encode_frame(msgspec.msgpack.encode(body), self.generation, size))
             size += len(frames[-1])
         old_log = self.log
-        self.log = self._replace_file(LOG_FILE, [encode_preamble(self.generation, size), *frames], keep_open=True)
+        self.log = self._replace_file(
+            LOG_FILE, [encode_preamble(self.generation, size), *frames], keep_open=True
+        )
         if old_log is not None:
             old_log.close()
         self.log_size = self.compacted_size = size
--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -157,7 +157,11 @@
         for answer in answers:
             self.member.links.send(sender, FrameKind.HEARD, messages.encode(answer))
         for record in news:
-            if record.kind == RecordKind.MEMBER_STATUS and record.body and (steers := _decode_steers(record)) is not None:
+            if (
+                record.kind == RecordKind.MEMBER_STATUS
+                and record.body
+                and (steers := _decode_steers(record)) is not None
+            ):
                 self.clock_skew.add_sample(now, self.member.wall(), record.origin, steers.wall, record.age_ns)
         if news:
             for listener in self.record_listeners:
--- a/ambershift/coordinator/group/observation_exchange.py
+++ b/ambershift/coordinator/group/observation_exchange.py
@@ -2,8 +2,8 @@
 
 It stands between the server list and the desk, and between the proxies' reports and the decision module. What
 other members say only ever makes the module more careful, and only where it knows nothing itself: a server is
-at most colder than the list says, and others' tries count only where no proxy of this coordinator has tried
-lately. All rules, and the bound of the channel, remain the module's.
+at most colder than the list says, and others' attempts count only where no proxy of this coordinator made
+one lately. All rules, and the bound of the channel, remain the module's.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
 PUBLISH_INTERVAL_NS = 2 * SECOND
 # Starts that differ by less are the same start: the time on the way isn't part of a record's age.
 SAME_START_NS = 2 * SECOND
-# With tries of its own within this time a coordinator needs no others' of that server.
-OWN_TRIES_LIFETIME_NS = 5 * SECOND
+# With attempts of its own within this time a coordinator needs no others' of that server.
+OWN_ATTEMPTS_LIFETIME_NS = 5 * SECOND
 MAX_OBSERVATION_AGE_NS = 15 * SECOND
-# An observation of another member counts as so many tries at most: a few tries of one's own soon weigh more.
-MAX_DELIVERED_TRIES = 10
+# An observation of another member counts as so many attempts at most: a few own ones soon weigh more.
+MAX_DELIVERED_ATTEMPTS = 10
 MAX_DELIVERED_SERVERS = 2000  # Observations that the module is given at once.
 
 
@@ -91,7 +91,7 @@
         self._changed_starts = set[int]()  # Servers to list to the module again, with another start.
         self._traffic = TrafficCounter(now)
         self._published_at = now
-        self._last_tried_at = dict[int, int]()  # When a proxy of this coordinator last tried each server.
+        self._last_attempt_at = dict[int, int]()  # When a proxy of this coordinator last tried each server.
         self.outliers = set[tuple[int, int]]()
         self.delivered = dict[tuple[str, str], tuple[int, int]]()
         self._delivered_events = dict[int, api.ServerReport]()  # By id(): given, and not yet seen to pass.
@@ -128,7 +128,9 @@
         record = (
             None
             if name is None
-            else self.store.newest(now, RecordKind.SERVER_START, name, now - listed.since if listed.since else None)
+            else self.store.newest(
+                now, RecordKind.SERVER_START, name, now - listed.since if listed.since else None
+            )
         )
         remote_start = now - record.age_ns if record else 0
         # With each change the module forgets what it met at the server, so a start that it was told is kept.
@@ -149,17 +151,20 @@
         own = events
         if self._delivered_events:
             own = [event for event in events if self._delivered_events.pop(id(event), None) is not event]
-        add, last_tried_at = self._traffic.add, self._last_tried_at
+        add, last_attempt_at = self._traffic.add, self._last_attempt_at
         for event in own:
             if type(event) is api.ServerReport and event.attempts:
                 add(event)
-                last_tried_at[event.server] = now
+                last_attempt_at[event.server] = now
         return own
 
     def process_records(self, now: int, news: Sequence[Record]) -> None:
         """Take records that are new to the store."""
         for record in news:
-            if record.kind == RecordKind.SERVER_START and (server := self.names.index(record.key)) in self.listed:
+            if (
+                record.kind == RecordKind.SERVER_START
+                and (server := self.names.index(record.key)) in self.listed
+            ):
                 assert server is not None
                 if self._latest_start(now, self.listed[server]) != self.listed[server].since:
                     self._changed_starts.add(server)
@@ -196,18 +201,23 @@
                 continue
             version = (record.incarnation, record.version)
             place = (record.origin + KEY_SEPARATOR + zone, observation.server)
-            last_tried_at = self._last_tried_at.get(server, -OWN_TRIES_LIFETIME_NS)
-            if now - last_tried_at < OWN_TRIES_LIFETIME_NS or self.delivered.get(place, (0, 0)) >= version:
+            last_attempt_at = self._last_attempt_at.get(server, -OWN_ATTEMPTS_LIFETIME_NS)
+            if (
+                now - last_attempt_at < OWN_ATTEMPTS_LIFETIME_NS
+                or self.delivered.get(place, (0, 0)) >= version
+            ):
                 continue
             # What an earlier process of that server did says nothing of the present one.
             observed_since = now - record.age_ns - observation.span_ns
             if observed_since < self.later_starts.get(server, self.listed[server].since):
                 continue
             self.delivered[place] = version
-            tries = min(observation.tries, MAX_DELIVERED_TRIES)
-            bad = round(observation.bad * tries / observation.tries)
+            attempts = min(observation.attempts, MAX_DELIVERED_ATTEMPTS)
+            failures = round(observation.failures * attempts / observation.attempts)
             reports.append(
-                api.ServerReport(zone_index, server, tries, bad, observation.mean_ns, observation.span_ns, ())
+                api.ServerReport(
+                    zone_index, server, attempts, failures, observation.mean_ns, observation.span_ns, ()
+                )
             )
         if len(self.delivered) > 4 * len(self.listed) + MAX_DELIVERED_SERVERS:
             self.delivered.clear()  # Most are of servers long gone; at worst an observation counts twice.
@@ -235,8 +245,8 @@
         self.outliers = outliers | {
             place for place in self.outliers - totals.keys() if place[1] in self.listed
         }
-        self._last_tried_at = {
-            server: at for server, at in self._last_tried_at.items() if now - at < OWN_TRIES_LIFETIME_NS
+        self._last_attempt_at = {
+            server: at for server, at in self._last_attempt_at.items() if now - at < OWN_ATTEMPTS_LIFETIME_NS
         }
 
     def _publish_observations(
@@ -250,7 +260,7 @@
     ) -> None:
         name = self.names.zone(zone)
         observations = [
-            ServerObservation(server, total.tries, total.bad, total.mean_ns, span)
+            ServerObservation(server, total.attempts, total.failures, total.mean_ns, span)
             for index in servers
             if (server := self.names.server(index)) is not None and (total := totals[zone, index])
         ]
@@ -280,7 +290,11 @@
     def _publish_if_new(self, now: int, kind: RecordKind, key: str, body: bytes, age: int = 0) -> None:
         """Publish a record if it changed, or if the last one would soon be too old."""
         last = self.published.get((kind, key))
-        if last is None or last[0] != body or (kind != RecordKind.SERVER_START and now - last[1] > max_age(kind) // 3):
+        if (
+            last is None
+            or last[0] != body
+            or (kind != RecordKind.SERVER_START and now - last[1] > max_age(kind) // 3)
+        ):
             self.published[kind, key] = body, now
             self._publish(now, kind, key, body, age)
         if len(self.published) > 4 * len(self.listed) + MAX_DELIVERED_SERVERS:
--- a/ambershift/coordinator/group/observations.py
+++ b/ambershift/coordinator/group/observations.py
@@ -16,36 +16,36 @@
 SECOND = 1_000_000_000
 # Servers that fail, or are late, far more than the median one are published each on its own. Of the others a
 # sample is published too, as a reader needs to know what is usual.
-MIN_TRIES = 3
+MIN_ATTEMPTS = 3
 OUTLIER_FAILURE_RATIO = 0.2
 OUTLIER_FAILURE_FACTOR = 2  # Of the median failure ratio.
 OUTLIER_LATENCY_FACTOR = 2.0  # Of the median of the mean response times.
 MAX_OUTLIERS = 300
 SAMPLE_SIZE = 40  # Servers a zone.
-FAILING_RATIO = 0.5  # A server counts as failing with this share of failed tries.
+FAILING_RATIO = 0.5  # A server counts as failing with this share of failed attempts.
 KEY_SEPARATOR = "\x1f"  # Between a server's id and a zone's name in a key.
 Place = tuple[int, int]  # A zone and a server, by their indices.
 
 
 class TrafficTotals(NamedTuple):
-    """What the proxies of a zone met at a server; `good_ns` is the sum of the times of successful tries."""
+    """What the proxies of a zone met at a server; `success_ns` is the total time of successful attempts."""
 
-    tries: int
-    bad: int
-    good_ns: int
+    attempts: int
+    failures: int
+    success_ns: int
 
     @property
     def mean_ns(self) -> int:
-        """The mean time of a successful try, 0 without any."""
-        return self.good_ns // (self.tries - self.bad) if self.tries > self.bad else 0
+        """The mean time of a successful attempt, 0 without any."""
+        return self.success_ns // (self.attempts - self.failures) if self.attempts > self.failures else 0
 
 
 class ServerObservation(msgspec.Struct, frozen=True, array_like=True):
     """What the proxies of one zone met at one server over `span_ns`, as it is sent to other members."""
 
     server: str
-    tries: Annotated[int, msgspec.Meta(ge=1, le=10**9)]
-    bad: Annotated[int, msgspec.Meta(ge=0, le=10**9)]
+    attempts: Annotated[int, msgspec.Meta(ge=1, le=10**9)]
+    failures: Annotated[int, msgspec.Meta(ge=0, le=10**9)]
     mean_ns: Annotated[int, msgspec.Meta(ge=0, le=3600 * SECOND)]
     span_ns: Annotated[int, msgspec.Meta(ge=1, le=3600 * SECOND)]
 
@@ -56,18 +56,19 @@
     def __init__(self, now: int) -> None:
         """Start empty; `now` is in ns."""
         self._since = now
-        self._totals = dict[Place, list[int]]()  # Tries, failed tries, and the time of the successful ones.
+        # Attempts, failed ones, and the total time of the successful ones.
+        self._totals = dict[Place, list[int]]()
 
     def add(self, report: api.ServerReport) -> None:
         """Add a report. Thousands come in a step, so totals are lists that change in place."""
-        zone, server, tries, bad, mean, _, _ = report
+        zone, server, attempts, failures, mean, _, _ = report
         totals = self._totals.get((zone, server))
         if totals is None:
-            self._totals[zone, server] = [tries, bad, mean * (tries - bad)]
+            self._totals[zone, server] = [attempts, failures, mean * (attempts - failures)]
         else:
-            totals[0] += tries
-            totals[1] += bad
-            totals[2] += mean * (tries - bad)
+            totals[0] += attempts
+            totals[1] += failures
+            totals[2] += mean * (attempts - failures)
 
     def take(self, now: int) -> tuple[dict[Place, TrafficTotals], int]:
         """Return the totals and the span they cover in ns, and start anew."""
@@ -84,27 +85,32 @@
     """
     if not totals:
         return set()
-    median_failure_ratio = median([bad / tries for tries, bad, _ in totals.values()])
+    median_failure_ratio = median([failures / attempts for attempts, failures, _ in totals.values()])
     max_failure_ratio = max(OUTLIER_FAILURE_RATIO, OUTLIER_FAILURE_FACTOR * median_failure_ratio)
-    mean_times = [good / (tries - bad) for tries, bad, good in totals.values() if tries > bad]
+    mean_times = [
+        success_ns / (attempts - failures)
+        for attempts, failures, success_ns in totals.values()
+        if attempts > failures
+    ]
     max_mean_ns = OUTLIER_LATENCY_FACTOR * median(mean_times or [0.0])
     outliers = [
         place
-        for place, (tries, bad, good) in totals.items()
-        if tries >= MIN_TRIES and (bad > max_failure_ratio * tries or good > max_mean_ns * (tries - bad) > 0)
+        for place, (attempts, failures, success_ns) in totals.items()
+        if attempts >= MIN_ATTEMPTS
+        and (failures > max_failure_ratio * attempts or success_ns > max_mean_ns * (attempts - failures) > 0)
     ]
-    outliers.sort(key=lambda place: (-totals[place].bad / totals[place].tries, place))
+    outliers.sort(key=lambda place: (-totals[place].failures / totals[place].attempts, place))
     return set(outliers[:MAX_OUTLIERS])
 
 
 def sample_servers(totals: dict[Place, TrafficTotals], excluded: set[Place]) -> dict[int, list[int]]:
-    """Return, for each zone, the servers with the most tries, without the excluded ones."""
+    """Return, for each zone, the servers with the most attempts, without the excluded ones."""
     by_zone = dict[int, list[int]]()
     for zone, server in totals:
         if (zone, server) not in excluded:
             by_zone.setdefault(zone, []).append(server)
     return {
-        zone: nsmallest(SAMPLE_SIZE, servers, key=lambda server: (-totals[zone, server].tries, server))
+        zone: nsmallest(SAMPLE_SIZE, servers, key=lambda server: (-totals[zone, server].attempts, server))
         for zone, servers in by_zone.items()
     }
 
@@ -131,7 +137,7 @@
     for record in records:
         zone, observations = decode_observations(record)
         for observation in observations:
-            if observation.bad <= observation.tries:
+            if observation.failures <= observation.attempts:
                 yield record, zone, observation
 
 
@@ -147,8 +153,8 @@
         if record.age_ns <= max_age:
             zone, observations = decode_observations(record)
             for seen in observations:
-                if seen.tries >= MIN_TRIES and seen.bad <= seen.tries:
-                    zones = failing_zones if seen.bad >= FAILING_RATIO * seen.tries else working_zones
+                if seen.attempts >= MIN_ATTEMPTS and seen.failures <= seen.attempts:
+                    zones = failing_zones if seen.failures >= FAILING_RATIO * seen.attempts else working_zones
                     zones.setdefault(seen.server, set()).add(zone)
     failing_for_some = frozenset(
         server for server, zones in failing_zones.items() if working_zones.get(server, zones) - zones
--- a/tests/coordinator/group/test_disk.py
+++ b/tests/coordinator/group/test_disk.py
@@ -231,7 +231,9 @@
 
     cases: dict[records.LogFault, Damage] = {
         records.LogFault.NEWER: lambda files: files["log"].__setitem__(slice(None), newer),
-        records.LogFault.FOREIGN: lambda files: files["log"].__setitem__(slice(None), b"[settings]\nno log\n"),
+        records.LogFault.FOREIGN: lambda files: files["log"].__setitem__(
+            slice(None), b"[settings]\nno log\n"
+        ),
         records.LogFault.BEHIND: lambda files: files["log"].__setitem__(slice(None), older),
         records.LogFault.CONTRADICTS: torn,
     }
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -179,7 +179,9 @@
         )
         other = GossipStore("b", 7)
         for offset in (0, 90 * S):
-            other.put(now, RecordKind.MEMBER_STATUS, "", msgspec.msgpack.encode(Steers(4, member.wall() + offset)))
+            other.put(
+                now, RecordKind.MEMBER_STATUS, "", msgspec.msgpack.encode(Steers(4, member.wall() + offset))
+            )
             answers, _ = other.receive(now, gossip.store.digest())
             for answer in answers:
                 gossip.receive("b", encode(answer))
--- a/tests/coordinator/group/test_observation_exchange.py
+++ b/tests/coordinator/group/test_observation_exchange.py
@@ -10,8 +10,8 @@
 from ambershift import interface as api
 from ambershift.coordinator.admin.mirror import BLANK
 from ambershift.coordinator.group.observation_exchange import (
+    MAX_DELIVERED_ATTEMPTS,
     MAX_DELIVERED_SERVERS,
-    MAX_DELIVERED_TRIES,
     MAX_OBSERVATION_AGE_NS,
     ObservationExchange,
 )
@@ -97,7 +97,12 @@
         == list_server(b, there + 2 * S, 103, there + S)
     )
     if told != own:
-        assert next(one.age_ns for one in b.store.all(there + 2 * S, RecordKind.SERVER_START) if one.origin == "b") <= S
+        assert (
+            next(
+                one.age_ns for one in b.store.all(there + 2 * S, RecordKind.SERVER_START) if one.origin == "b"
+            )
+            <= S
+        )
         b.store.put(there, RecordKind.MEMBER_STATUS, "", b"x")
     for phase in (api.Phase.DRAINING, api.Phase.GONE):
         assert list_server(b, there + 2 * S, 103, own, phase) == own
@@ -117,8 +122,8 @@
     assert not b.later_starts and set(b.listed) == {11}
 
 
-def report(server: int, tries: int, bad: int, zone: int = 0, ms: int = 50) -> api.ServerReport:
-    return api.ServerReport(zone, server, tries, bad, ms * 1_000_000, S, ())
+def report(server: int, attempts: int, failures: int, zone: int = 0, ms: int = 50) -> api.ServerReport:
+    return api.ServerReport(zone, server, attempts, failures, ms * 1_000_000, S, ())
 
 
 def delivered_reports(one: ObservationExchange, now: int) -> dict[int, tuple[int, int, int]]:
@@ -153,7 +158,7 @@
     exchange_records(a, b, NOW + 2 * S, NOW + 2 * S)
     first = delivered_reports(b, NOW + 3 * S)
     # 102 was tried here, 105 has restarted since, 106 drains, 9 is unknown; 104 was not tried at all.
-    assert first == {100: (MAX_DELIVERED_TRIES, MAX_DELIVERED_TRIES, 0), 101: (4, 0, 1), 103: (3, 3, 1)}
+    assert first == {100: (MAX_DELIVERED_ATTEMPTS, MAX_DELIVERED_ATTEMPTS, 0), 101: (4, 0, 1), 103: (3, 3, 1)}
     assert not delivered_reports(b, NOW + 4 * S), "each observation once"
     # Delivered reports that pass are neither published nor counted as own.
     b.delivered.clear()
@@ -167,7 +172,7 @@
         for row in decode_observations(one)[1]
     ]
     assert set(told) <= {"s2", "s4"} and "s4" in told
-    # Own tries suppress it; later it counts again, until it is too old.
+    # Own attempts suppress it; later it counts again, until it is too old.
     b.delivered.clear()
     b.process_events(NOW + 7 * S, [report(100, 1, 0)])
     assert 100 not in delivered_reports(b, NOW + 7 * S)
@@ -178,11 +183,17 @@
     # An outlier that does well again where it was tried is withdrawn.
     a.process_events(NOW + 8 * S, [report(0, 9, 0), report(1, 9, 0), report(2, 9, 0)])
     a.exchange(NOW + 8 * S, BLANK)
-    ill = {one.key for one in a.store.all(NOW + 8 * S, RecordKind.ATTEMPT_STATS) if not one.key.startswith(KEY_SEPARATOR)}
+    ill = {
+        one.key
+        for one in a.store.all(NOW + 8 * S, RecordKind.ATTEMPT_STATS)
+        if not one.key.startswith(KEY_SEPARATOR)
+    }
     assert ill == {f"s3{KEY_SEPARATOR}z1"}
     a.process_events(NOW + 10 * S, [report(3, 9, 0, 1), report(1, 9, 0)])
     a.exchange(NOW + 10 * S, BLANK)
-    assert all(one.key.startswith(KEY_SEPARATOR) for one in a.store.all(NOW + 10 * S, RecordKind.ATTEMPT_STATS))
+    assert all(
+        one.key.startswith(KEY_SEPARATOR) for one in a.store.all(NOW + 10 * S, RecordKind.ATTEMPT_STATS)
+    )
 
 
 def test_servers_that_fail_for_all_zones_differ_from_those_that_fail_for_some() -> None:
@@ -215,7 +226,7 @@
 def test_outliers_are_found_and_an_overload_has_none() -> None:
     rng = random.Random(4)
     usual = {(0, at): TrafficTotals(rng.randrange(5, 90), 0, 0) for at in range(200)}
-    sums = {place: one._replace(good_ns=one.tries * 50) for place, one in usual.items()}
+    sums = {place: one._replace(success_ns=one.attempts * 50) for place, one in usual.items()}
     assert find_outliers(sums) == set() == find_outliers({})
     sums |= {
         (0, 500): TrafficTotals(9, 9, 0),
@@ -225,14 +236,15 @@
     }
     assert find_outliers(sums) == {(0, 500), (0, 501), (0, 502)}
     assert (
-        find_outliers({place: one._replace(bad=one.tries // 2 + 1) for place, one in usual.items()}) == set()
+        find_outliers({place: one._replace(failures=one.attempts // 2 + 1) for place, one in usual.items()})
+        == set()
     )
-    most = max(sums, key=lambda place: sums[place].tries)
+    most = max(sums, key=lambda place: sums[place].attempts)
     chosen = sample_servers(sums, {most})[0]
     assert (
         len(chosen) == SAMPLE_SIZE
         and most[1] not in chosen
-        and min(sums[0, one].tries for one in chosen) >= 60
+        and min(sums[0, one].attempts for one in chosen) >= 60
     )
 
 
@@ -304,11 +316,15 @@
         for kind in (RecordKind.ZONE_LEVEL, RecordKind.ZONE_SHARE)
         for one in side.store.all(side.now, kind)
     }
-    assert told.keys() == {(kind, zone) for kind in (RecordKind.ZONE_LEVEL, RecordKind.ZONE_SHARE) for zone in ("z0", "z1")}
+    assert told.keys() == {
+        (kind, zone) for kind in (RecordKind.ZONE_LEVEL, RecordKind.ZONE_SHARE) for zone in ("z0", "z1")
+    }
     assert told[RecordKind.ZONE_LEVEL, "z0"] == [1, 1.0] and told[RecordKind.ZONE_SHARE, "z0"][0] >= 4
     version = side.store.origins["a"].last_version
     side.learned.exchange(side.now + 2 * S, side.desk.view(side.now).picture)
-    assert side.store.origins["a"].last_version == version, "an unchanged record is not published again at once"
+    assert side.store.origins["a"].last_version == version, (
+        "an unchanged record is not published again at once"
+    )
 
 
 def test_after_a_takeover_fewer_tries_fail_and_cold_servers_are_spared() -> None:
