--- a/tests/coordinator/group/test_counters_of_members.py
+++ b/tests/coordinator/group/test_counters_of_members.py
@@ -13,13 +13,13 @@
 from ambershift.coordinator.standins import __main__ as trying
 from ambershift.coordinator.standins.counting import Counting
 from ambershift.coordinator.standins.rig import Rig
-from tests.coordinator.group.test_processes import group, holds, title
+from tests.coordinator.group.test_processes import await_wish, run_group, server_name
 
 pytestmark = pytest.mark.timeout(150)
 
 
-async def pairs(rig: Rig, name: str, nodes: int = 1) -> set[tuple[str, str]]:
-    """The pairs that this member has a score for, met at so many nodes at least."""
+async def scored_pairs(rig: Rig, name: str, nodes: int = 1) -> set[tuple[str, str]]:
+    """Return the pairs of jobs that this member has a score for, seen on at least so many nodes."""
     return {
         (row["victim"], row["suspect"])
         for row in await rig.rows(name, "show interference json")
@@ -27,7 +27,7 @@
     }
 
 
-def test_a_counter_source_lost_holds_up_nothing_and_scores_come_back_to_a_member_that_lost_them(
+def test_a_lost_counter_source_blocks_nothing_and_a_member_that_lost_its_scores_gets_them_back(
     tmp_path: Path,
 ) -> None:
     made = list[Counting]()
@@ -36,32 +36,32 @@
         made.append(Counting(rig, "100ms", "batch:games:0.1"))
         made[0].prepare()
 
-    async def act(rig: Rig) -> None:
+    async def scenario(rig: Rig) -> None:
         counting = made[0]
         await counting.start()
         try:
 
             async def pooled() -> bool:
-                return all([await pairs(rig, name, 2) for name in rig.names])
+                return all([await scored_pairs(rig, name, 2) for name in rig.names])
 
             await rig.eventually(pooled, 60, "scores pooled over nodes at every member")
             await counting.lose("n2")
             await rig.kill("n3", wipe=True)
-            await rig.tell("n2", f"set weight {title(rig, 0)} 3")
-            assert await pairs(rig, "n2")  # What is known of a node does not go with its source.
+            await rig.tell("n2", f"set weight {server_name(rig, 0)} 3")
+            assert await scored_pairs(rig, "n2")  # Scores outlive the source of their counters.
             await rig.start("n3")
             await rig.settled()
-            await holds(rig, rig.names, title(rig, 0), "weight=3")
-            await rig.eventually(pooled, 60, "scores at the member that came back without any")
+            await await_wish(rig, rig.names, server_name(rig, 0), "weight=3")
+            await rig.eventually(pooled, 60, "scores at the member that restarted without any")
             await counting.read("n2")
             assert all(process.returncode is None for process in counting.readers.values())
         finally:
             await counting.end()
 
-    group(tmp_path, act, prepare=prepare)
+    run_group(tmp_path, scenario, prepare=prepare)
 
 
-def test_try_tells_what_was_promised_and_who_holds_it(tmp_path: Path) -> None:
+def test_try_reports_committed_commands_and_the_members_that_hold_them(tmp_path: Path) -> None:
     told = subprocess.run(
         [sys.executable, "-m", "ambershift.coordinator.standins", "--seconds", "5"],
         timeout=140,
@@ -78,7 +78,9 @@
 
 
 @pytest.mark.parametrize("breaks", [True, False])
-def test_try_ends_by_what_broke(monkeypatch: pytest.MonkeyPatch, tmp_path: Path, breaks: bool) -> None:
+def test_try_exits_with_whether_a_rule_broke(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path, breaks: bool
+) -> None:
     @contextlib.asynccontextmanager
     async def rig(*words: object, **given: object) -> AsyncIterator[SimpleNamespace]:
         yield SimpleNamespace(discovery=SimpleNamespace(now={"servers": []}), tail=lambda: "")
