--- a/ambershift/system/proxy/routing.py
+++ b/ambershift/system/proxy/routing.py
@@ -142,7 +142,7 @@
         self.limits = ClientLimits()
         self.control_node_outdated = False
         self.route_count = 0
-        self._cleared_instances = frozenset[Key]()
+        self._collected_instances = frozenset[Key]()
         self._collected = NO_COLLECTED_TOMBSTONES
         self._collected_versions: Mapping[Key, int] = {}
         # Whether items may be left whose tombstones were collected while this proxy was away.
@@ -176,7 +176,7 @@
             if self._received is not None:
                 self._received.add(item.key)
             is_collected = item.version[0] <= self._collected_versions.get(item.key, -1)
-            if item.key in self._cleared_instances or is_collected:
+            if item.key in self._collected_instances or is_collected:
                 continue
             old = self.items.get(item.key)
             if old is not None and newest(old, item) is old:
@@ -195,10 +195,9 @@
         elif item.kind == kinds.LIMITS:
             self.limits = read_limits(_read_body(item))
         elif item.kind == kinds.COLLECTED_INSTANCES_KIND:
-            self._cleared_instances = frozenset(
-                (kinds.INSTANCE, id) for id in kinds.collected_instance_ids(item)
-            )
-            for key in self._cleared_instances:
+            ids = kinds.collected_instance_ids(item)
+            self._collected_instances = frozenset((kinds.INSTANCE, id) for id in ids)
+            for key in self._collected_instances:
                 self.items.pop(key, None)
         elif item.kind == COLLECTED_TOMBSTONES_KIND:
             self._collect(collected_tombstones_of(item), is_first)
