--- a/ambershift/coordinator/groupsim/judge.py
+++ b/ambershift/coordinator/groupsim/judge.py
@@ -156,4 +156,4 @@
     if process.replica is None:
         return False
     log = process.replica.core.log
-    return log.base >= number or (log.top >= number and log.at(number).token == token)
+    return log.base >= number or (log.last_number >= number and log.entry(number).token == token)
--- a/ambershift/coordinator/groupsim/process.py
+++ b/ambershift/coordinator/groupsim/process.py
@@ -91,7 +91,9 @@
     def crash(self, kept: int) -> None:
         """`kept` in thousandths: how many of the writes under way got to the disk."""
         self.world.tell(self.name, "crashes")
-        vouched = self.folder.newest() if self.folder else self.replica.core.log.top if self.replica else 0
+        vouched = (
+            self.folder.newest() if self.folder else self.replica.core.log.last_number if self.replica else 0
+        )
         self.forgot = max(self.forgot, vouched)
         self.replica = None
         self.runs += 1
--- a/ambershift/coordinator/replication/applying.py
+++ b/ambershift/coordinator/replication/applying.py
@@ -1,4 +1,4 @@
-"""The log and what it makes: taking entries over, committing, snapshots."""
+"""The log and the state that follows from it: appending, committing, snapshots."""
 
 from __future__ import annotations
 
@@ -6,117 +6,140 @@
 
 import msgspec
 
-from ambershift.coordinator.replication.core import GROUP, Core
-from ambershift.coordinator.replication.tokens import Tokens
+from ambershift.coordinator.replication.core import GROUP_TOKEN_PREFIX, Core
+from ambershift.coordinator.replication.tokens import TokenTable
 from ambershift.coordinator.replication.types import Applied, Entry, Reason, Restored, Snapshot
 
+# A log of too many bytes is snapshotted early, but not before this part of the interval was applied.
+EARLY_SNAPSHOT_DIVISOR = 16
 
-def append(core: Core, entries: tuple[Entry, ...]) -> bool:
-    """Take over entries that follow from where the two logs are the same. False: the other's past is not
-    ours, which no faults make that are borne; nobody may go on from there as if it were.
+
+def append_entries(core: Core, entries: tuple[Entry, ...]) -> bool:
+    """Append entries that follow an entry on which both logs agree; conflicting ones are truncated first.
+
+    Returns:
+        False where an entry contradicts a committed one; this member halts. No tolerated fault causes that:
+        the other member is of another history, and nobody may go on from its entries.
     """
     for entry in entries:
         if entry.number <= core.log.base:
             continue
-        held = core.log.view_at(entry.number)
-        if held == entry.view:
+        held_view = core.log.view_at(entry.number)
+        if held_view == entry.view:
             continue
-        if held >= 0 and entry.number <= core.committed:
+        if held_view >= 0 and entry.number <= core.committed:
             core.halt(
                 Reason.OTHER_GROUP,
-                f"entry {entry.number} was committed as of view {held}, told is another of view {entry.view}",
+                f"entry {entry.number} is committed with view {held_view}, another member sent it "
+                f"with view {entry.view}",
             )
             return False
-        if held >= 0:
-            void(core, entry.number)
-        core.log.put(entry)
+        if held_view >= 0:
+            truncate_log(core, entry.number)
+        core.log.append(entry)
     return True
 
 
-def void(core: Core, number: int) -> None:
-    assert number > core.committed, f"{number} is committed, and is to be void"
-    core.log.cut(number)
-    core.sure = min(core.sure, number - 1)
-    if number <= core.written_top:
-        core.cut = min(core.cut or number, number)
-        core.written_top = number - 1
-    core.durable_top = min(core.durable_top, number - 1)
-    core.writes = [(ticket, view, min(top, number - 1)) for ticket, view, top in core.writes]
+def truncate_log(core: Core, number: int) -> None:
+    """Remove the uncommitted entries from a number on, in memory and with the next write on the disk."""
+    assert number > core.committed, f"entry {number} is committed and can't be truncated"
+    core.log.truncate_from(number)
+    core.matched_number = min(core.matched_number, number - 1)
+    if number <= core.written_number:
+        core.truncate_disk_from = min(core.truncate_disk_from or number, number)
+        core.written_number = number - 1
+    core.durable_number = min(core.durable_number, number - 1)
+    core.unsynced_writes = [
+        (ticket, view, min(last_number, number - 1)) for ticket, view, last_number in core.unsynced_writes
+    ]
+
 
+def commit_up_to(core: Core, number: int) -> list[tuple[int, bytes]]:
+    """Commit and apply entries, as far as the log is known to equal the leader's.
 
-def commit_to(core: Core, number: int) -> list[tuple[int, bytes]]:
-    """Apply up to there, as far as the log is known to be the leader's. Gives numbers and answers."""
+    Returns:
+        The number and the answer of each entry that was applied.
+    """
     done = list[tuple[int, bytes]]()
-    number = min(number, core.log.top if core.leading else core.sure)
-    while core.committed < number:
-        entry = core.log.at(core.committed + 1)
-        if core.ahead:
-            core.state, answer = core.ahead.pop(0)
+    end = min(number, core.log.last_number if core.leading else core.matched_number)
+    while core.committed < end:
+        entry = core.log.entry(core.committed + 1)
+        if core.speculative_results:
+            core.state, answer = core.speculative_results.pop(0)
         else:
-            core.state, answer = run(core, core.state, entry, False)
+            core.state, answer = apply_once(core, core.state, entry, False)
         core.committed += 1
         if core.committed == 1:
-            core.group = entry.token.removeprefix(GROUP).split(" ")[0]
+            core.group = entry.token.removeprefix(GROUP_TOKEN_PREFIX).split(" ")[0]
         elif entry.token and not core.tokens.get(entry.token):
-            digest = core.fixed.machine.digest(entry.command)
+            digest = core.options.machine.digest(entry.command)
             core.tokens.keep(entry.token, digest, answer)
-        core.open.pop(entry.token, None)
-        core.out.append(Applied(entry, answer, core.state))
+        core.uncommitted_tokens.pop(entry.token, None)
+        core.effects.append(Applied(entry, answer, core.state))
         done.append((core.committed, answer))
     return done
 
 
-def run(core: Core, state: Any, entry: Entry, known: bool) -> tuple[Any, bytes]:
-    """The first use of a token counts, whatever a log holds. `known`: it is in the log before."""
-    before = core.tokens.get(entry.token) if entry.token else None
-    if before or known:
-        return state, before[1] if before else b""
-    found: tuple[Any, bytes] = core.fixed.machine.apply(state, entry)
-    return found
-
+def apply_once(core: Core, state: Any, entry: Entry, is_repeat: bool) -> tuple[Any, bytes]:
+    """Apply an entry, unless its token was applied before: only the first entry of a token takes effect.
 
-def compact(core: Core) -> None:
-    tuning = core.fixed.tuning
-    done = core.committed - (core.snapshot.number if core.snapshot else 0)
-    heavy = core.log.size > tuning.max_log_bytes and done >= tuning.snapshot_interval_entries // 16
-    if done < tuning.snapshot_interval_entries and not heavy:
+    `is_repeat`: an earlier uncommitted entry has the same token.
+    """
+    completed = core.tokens.get(entry.token) if entry.token else None
+    if completed or is_repeat:
+        return state, completed[1] if completed else b""
+    result: tuple[Any, bytes] = core.options.machine.apply(state, entry)
+    return result
+
+
+def compact_log(core: Core) -> None:
+    """Take a snapshot and remove entries that it covers, where enough was applied since the last one."""
+    tuning = core.options.tuning
+    applied = core.committed - (core.snapshot.number if core.snapshot else 0)
+    early_interval = tuning.snapshot_interval_entries // EARLY_SNAPSHOT_DIVISOR
+    too_large = core.log.size > tuning.max_log_bytes and applied >= early_interval
+    if applied < tuning.snapshot_interval_entries and not too_large:
         return
     core.snapshot = Snapshot(
         core.committed,
         core.log.view_at(core.committed),
-        core.fixed.machine.pack(core.state),
+        core.options.machine.pack(core.state),
         core.tokens.all(),
     )
     core.snapshot_due = True
-    keep = 0 if heavy else tuning.snapshot_interval_entries // 2  # For those that lag a little.
-    core.log.compact(min(core.committed, max(core.log.base, core.committed - keep)))
+    # Members that lag a little still get entries and need no snapshot.
+    kept = 0 if too_large else tuning.snapshot_interval_entries // 2
+    core.log.compact(min(core.committed, max(core.log.base, core.committed - kept)))
 
 
-def install(core: Core, snapshot: Snapshot, group: str) -> None:
-    """A snapshot from another member, or from the folder."""
+def install_snapshot(core: Core, snapshot: Snapshot, group: str) -> None:
+    """Replace the state by a snapshot of another member or of the folder, where it is newer."""
     if snapshot.number <= core.committed:
         return
-    if core.log.view_at(snapshot.number) != snapshot.view:  # What it held above may be of another past.
-        core.durable_top = min(core.durable_top, core.committed)
-        core.writes = [(ticket, view, min(top, core.committed)) for ticket, view, top in core.writes]
-        if core.written_top > snapshot.number:
-            core.cut = min(core.cut or snapshot.number + 1, snapshot.number + 1)
-            core.written_top = snapshot.number
-    core.log.restart(snapshot.number, snapshot.view)
+    if core.log.view_at(snapshot.number) != snapshot.view:  # Entries above it may be of another history.
+        core.durable_number = min(core.durable_number, core.committed)
+        core.unsynced_writes = [
+            (ticket, view, min(last_number, core.committed))
+            for ticket, view, last_number in core.unsynced_writes
+        ]
+        if core.written_number > snapshot.number:
+            core.truncate_disk_from = min(core.truncate_disk_from or snapshot.number + 1, snapshot.number + 1)
+            core.written_number = snapshot.number
+    core.log.reset_to(snapshot.number, snapshot.view)
     core.snapshot, core.snapshot_due = snapshot, True
     core.committed, core.group = snapshot.number, group
-    core.state = core.fixed.machine.unpack(snapshot.state)
-    core.tokens = Tokens(core.fixed.tuning.max_tokens, snapshot.answers)
-    core.sure = max(core.sure, snapshot.number)
-    core.out.append(Restored(snapshot.number, core.state))
+    core.state = core.options.machine.unpack(snapshot.state)
+    core.tokens = TokenTable(core.options.tuning.max_tokens, snapshot.answers)
+    core.matched_number = max(core.matched_number, snapshot.number)
+    core.effects.append(Restored(snapshot.number, core.state))
 
 
-def piece(core: Core, offset: int) -> tuple[int, bytes]:
-    """Bytes of the packed snapshot in all, and those from there on that go in one message."""
+def snapshot_chunk(core: Core, offset: int) -> tuple[int, bytes]:
+    """The size of the serialized snapshot, and its bytes from an offset on that go in one message."""
     assert core.snapshot is not None
-    if core.serving[0] != core.snapshot.number:
-        core.serving = core.snapshot.number, msgspec.msgpack.encode(core.snapshot)
-    data, end = core.serving[1], offset + core.fixed.tuning.max_chunk_bytes
+    if core.packed_snapshot[0] != core.snapshot.number:
+        core.packed_snapshot = core.snapshot.number, msgspec.msgpack.encode(core.snapshot)
+    data, end = core.packed_snapshot[1], offset + core.options.tuning.max_chunk_bytes
     if end >= len(data):
-        core.serving = 0, b""
+        core.packed_snapshot = 0, b""
     return len(data), data[offset:end]
--- a/ambershift/coordinator/replication/log.py
+++ b/ambershift/coordinator/replication/log.py
@@ -6,77 +6,83 @@
 
 from ambershift.coordinator.replication.types import Entry
 
+ENTRY_OVERHEAD_BYTES = 40  # Of an entry without its token and command, about.
+
 
 class Log:
-    """Numbers run without a gap from `base` + 1 to `top`. Views in it never go down."""
+    """Numbers run without a gap from `base` + 1 to `last_number`. Views of entries never decrease."""
 
     __slots__ = ("base", "base_view", "entries", "size")
 
     def __init__(self, base: int = 0, base_view: int = 0, entries: Iterable[Entry] = ()) -> None:
         self.base, self.base_view = base, base_view
         self.entries = list(entries)
-        self.size = sum(weight(entry) for entry in self.entries)
+        self.size = sum(entry_size(entry) for entry in self.entries)
 
     @property
-    def top(self) -> int:
+    def last_number(self) -> int:
+        """The number of the last entry."""
         return self.base + len(self.entries)
 
     @property
-    def last(self) -> int:
+    def last_view(self) -> int:
         """The view in which the last entry was written."""
         return self.entries[-1].view if self.entries else self.base_view
 
-    def at(self, number: int) -> Entry:
+    def entry(self, number: int) -> Entry:
+        """The entry of a number after the base."""
         assert number > self.base
         return self.entries[number - self.base - 1]
 
     def view_at(self, number: int) -> int:
-        """-1 where it can't be told."""
+        """The view in which an entry was written; -1 where the log does not tell."""
         if number == self.base:
             return self.base_view
-        return self.entries[number - self.base - 1].view if self.base < number <= self.top else -1
+        return self.entries[number - self.base - 1].view if self.base < number <= self.last_number else -1
 
-    def after(self, number: int, most: int) -> tuple[Entry, ...]:
-        """What follows, up to so many bytes but at least one entry if there is any."""
+    def entries_after(self, number: int, max_bytes: int) -> tuple[Entry, ...]:
+        """The entries after a number, up to so many bytes but at least one if there is any."""
         found = list[Entry]()
+        remaining = max_bytes
         for index in range(number - self.base, len(self.entries)):
-            most -= weight(self.entries[index])
-            if most < 0 and found:
+            remaining -= entry_size(self.entries[index])
+            if remaining < 0 and found:
                 break
             found.append(self.entries[index])
         return tuple(found)
 
-    def put(self, entry: Entry) -> None:
-        assert entry.number == self.top + 1, (entry.number, self.top)
-        assert entry.view >= self.last, (entry.number, self.top)
+    def append(self, entry: Entry) -> None:
+        """Add the next entry."""
+        assert entry.number == self.last_number + 1, (entry.number, self.last_number)
+        assert entry.view >= self.last_view, (entry.number, self.last_number)
         self.entries.append(entry)
-        self.size += weight(entry)
+        self.size += entry_size(entry)
 
-    def cut(self, number: int) -> None:
-        """Void from this number on."""
+    def truncate_from(self, number: int) -> None:
+        """Remove the entries from this number on."""
         assert number > self.base
-        gone = self.entries[number - self.base - 1 :]
-        self.size -= sum(weight(entry) for entry in gone)
+        removed = self.entries[number - self.base - 1 :]
+        self.size -= sum(entry_size(entry) for entry in removed)
         del self.entries[number - self.base - 1 :]
 
     def compact(self, number: int) -> None:
-        """Forget up to this number."""
+        """Remove the entries up to this number, which becomes the base."""
         if number <= self.base:
             return
         count = number - self.base
         self.base_view = self.entries[count - 1].view
-        self.size -= sum(weight(entry) for entry in self.entries[:count])
+        self.size -= sum(entry_size(entry) for entry in self.entries[:count])
         del self.entries[:count]
         self.base = number
 
-    def restart(self, number: int, view: int) -> None:
-        """A snapshot takes its place: what follows it stays where it follows from the same entry."""
+    def reset_to(self, number: int, view: int) -> None:
+        """Start after a snapshot. Later entries stay where the log has the snapshot's last entry."""
         if self.view_at(number) == view:
             self.compact(number)
         else:
             self.base, self.base_view, self.entries, self.size = number, view, [], 0
 
 
-def weight(entry: Entry) -> int:
-    """Bytes, about."""
-    return 40 + len(entry.command) + len(entry.token)
+def entry_size(entry: Entry) -> int:
+    """The size of an entry in bytes, about."""
+    return ENTRY_OVERHEAD_BYTES + len(entry.command) + len(entry.token)
--- a/ambershift/coordinator/replication/log_recovery.py
+++ b/ambershift/coordinator/replication/log_recovery.py
@@ -1,7 +1,7 @@
-"""Vouched: what the bytes of a member's folder vouch for, or why they vouch for nothing. No I/O.
+"""Recovers a member's state from the bytes of its folder, or names the fault for which it can't. No I/O.
 
-The rule: what was told as synced is given back whole, or the log is refused by a named fault. Less is never
-given silently.
+Everything that was reported as synced is recovered, or the log is refused by a named fault. A part of it is
+never returned without a fault.
 """
 
 from __future__ import annotations
@@ -23,6 +23,8 @@
 )
 from ambershift.coordinator.replication.types import Entry, PersistedState, Snapshot
 
+MARK_SLOTS = 2
+
 
 class InconsistentLogError(Exception):
     """A write that does not follow from those before it."""
@@ -30,7 +32,7 @@
 
 @dataclass
 class FoldedLog:
-    """All writes so far, folded into one."""
+    """The result of all writes so far."""
 
     group: str = ""
     view: int = 0
@@ -40,34 +42,39 @@
     entries: list[Entry] = field(default_factory=list)
     written: bool = False
 
-    def apply(self, line: LogRecord) -> None:
-        """ContradictionError, and nothing taken, where numbers have a gap or come twice."""
+    def apply(self, record: LogRecord) -> None:
+        """Take over one more write.
+
+        Raises:
+            InconsistentLogError: The numbers of entries have a gap or repeat; nothing is changed.
+        """
         entries = self.entries
-        start = self.snapshot.number if self.snapshot else 0
-        if line.truncate_from:
-            entries = entries[: max(0, line.truncate_from - 1 - start)]
-        if line.snapshot:
-            entries = entries[max(0, line.snapshot.number - start) :]
-            start = line.snapshot.number
-        following = start + len(entries) + 1
-        for place, entry in enumerate(line.entries, following):
-            if entry.number != place:
-                raise InconsistentLogError(f"entry {entry.number} where {place} belongs")
+        base = self.snapshot.number if self.snapshot else 0
+        if record.truncate_from:
+            entries = entries[: max(0, record.truncate_from - 1 - base)]
+        if record.snapshot:
+            entries = entries[max(0, record.snapshot.number - base) :]
+            base = record.snapshot.number
+        next_number = base + len(entries) + 1
+        for expected, entry in enumerate(record.entries, next_number):
+            if entry.number != expected:
+                raise InconsistentLogError(f"entry {entry.number} in place of entry {expected}")
         if entries is self.entries:
-            entries.extend(line.entries)
+            entries.extend(record.entries)
         else:
-            self.entries = [*entries, *line.entries]
-        self.group, self.view, self.last_entry_view = line.group, line.view, line.last_entry_view
-        self.committed, self.snapshot = line.committed, line.snapshot or self.snapshot
+            self.entries = [*entries, *record.entries]
+        self.group, self.view, self.last_entry_view = record.group, record.view, record.last_entry_view
+        self.committed, self.snapshot = record.committed, record.snapshot or self.snapshot
         self.written = True
 
     def to_record(self) -> LogRecord:
-        """One write that says all."""
+        """One write with the result of all."""
         return LogRecord(
             self.group, self.view, self.last_entry_view, self.committed, tuple(self.entries), 0, self.snapshot
         )
 
     def to_persisted_state(self, incarnation: int) -> PersistedState | None:
+        """What a replica starts from; None where nothing was written."""
         if not self.written:
             return None
         return PersistedState(
@@ -82,80 +89,79 @@
 
 
 class RecoveredLog(NamedTuple):
-    """What a folder holds. With a fault `held` vouches for nothing; `head` is told where it can be read."""
+    """What a folder holds. With a fault `log` is empty; `header` is given where it can be read."""
 
     fault: LogFault | None
     why: str
     header: LogHeader | None
     log: FoldedLog
     generation: int
-    torn_bytes: int  # Bytes of an append that was never told as synced; they go.
-    mark_sequence: int  # Of the last mark made.
+    torn_bytes: int  # Of a last append that was never reported as synced; they are dropped.
+    mark_sequence: int  # Of the last mark written.
 
 
 def recover_log(log: bytes | None, mark: bytes | None) -> RecoveredLog:
-    """Judge the two files; None where one is not there. Both missing: a new folder, no fault."""
+    """Recover the log from the two files; None for a file that does not exist.
+
+    A folder without both is new, which is no fault.
+    """
     slots = decode_marks(mark) if mark is not None else [None, None]
-    known = [one for one in slots if one is not None]
-    latest = max(known, default=SyncMark(0, 0, 0))
+    marks = [slot for slot in slots if slot is not None]
+    latest = max(marks, default=SyncMark(0, 0, 0))
     if log is None:
-        fault = LogFault.MISSING if latest.end else None  # A mark is made before its first log, and says 0.
-        return RecoveredLog(
-            fault,
-            "a mark and no log" if fault else "",
-            None,
-            FoldedLog(),
-            latest.generation,
-            0,
-            latest.sequence,
-        )
-    begun = decode_preamble(log)
-    if isinstance(begun, LogFault):
-        return RecoveredLog(
-            begun, "its first bytes", None, FoldedLog(), latest.generation, 0, latest.sequence
-        )
-    generation, base = begun
-    newest = max(generation, latest.generation)
+        fault = LogFault.MISSING if latest.end else None  # The first mark precedes its log, and its end is 0.
+        why = "the mark file has no log" if fault else ""
+        return RecoveredLog(fault, why, None, FoldedLog(), latest.generation, 0, latest.sequence)
+    preamble = decode_preamble(log)
+    if isinstance(preamble, LogFault):
+        why = "the preamble can't be read"
+        return RecoveredLog(preamble, why, None, FoldedLog(), latest.generation, 0, latest.sequence)
+    generation, base = preamble
+    newest_generation = max(generation, latest.generation)
     if latest.generation > generation:
-        why = f"generation {generation}, its mark {latest.generation}"
-        return RecoveredLog(LogFault.BEHIND, why, None, FoldedLog(), newest, 0, latest.sequence)
-    # A log gets its name only once `base` bytes are synced; its mark comes after.
-    vouched = max([base, *(one.end for one in known if one.generation == generation)])
-    head, held, at = None, FoldedLog(), 0
-    for one in decode_frames(log, generation):
-        if not isinstance(one, WholeFrame):
-            at = one.at
-            fault = classify_fault(one.at, one.fault, vouched, generation, known)
-            why = f"no whole record at byte {one.at} of {len(log)}, synced to {vouched}"
+        why = f"the log is of generation {generation}, its mark of {latest.generation}"
+        return RecoveredLog(LogFault.BEHIND, why, None, FoldedLog(), newest_generation, 0, latest.sequence)
+    # A log gets its name only once its first `base` bytes are synced; its mark is written after that.
+    synced_end = max([base, *(known.end for known in marks if known.generation == generation)])
+    header, folded = None, FoldedLog()
+    for frame in decode_frames(log, generation):
+        if not isinstance(frame, WholeFrame):
+            fault = classify_fault(frame.at, frame.fault, synced_end, generation, marks)
+            why = f"no whole record at byte {frame.at} of {len(log)}, synced up to byte {synced_end}"
             return RecoveredLog(
                 fault,
                 why if fault else "",
-                head,
-                FoldedLog() if fault else held,
-                newest,
-                len(log) - at,
+                header,
+                FoldedLog() if fault else folded,
+                newest_generation,
+                len(log) - frame.at,
                 latest.sequence,
             )
         try:
-            if head is None:
-                head = msgspec.msgpack.decode(one.body, type=LogHeader)
+            if header is None:
+                header = msgspec.msgpack.decode(frame.body, type=LogHeader)
             else:
-                held.apply(msgspec.msgpack.decode(one.body, type=LogRecord))
+                folded.apply(msgspec.msgpack.decode(frame.body, type=LogRecord))
         except (msgspec.MsgspecError, ValueError, InconsistentLogError) as error:
-            why = f"byte {one.at}: {error}"
-            return RecoveredLog(LogFault.CONTRADICTS, why, head, FoldedLog(), newest, 0, latest.sequence)
-    raise AssertionError("frames always end with where they stopped")
+            why = f"record at byte {frame.at}: {error}"
+            return RecoveredLog(
+                LogFault.CONTRADICTS, why, header, FoldedLog(), newest_generation, 0, latest.sequence
+            )
+    raise AssertionError("decode_frames ends with an EndOfFrames")
 
 
 def classify_fault(
-    at: int, fault: LogFault | None, vouched: int, generation: int, known: list[SyncMark]
+    at: int, fault: LogFault | None, synced_end: int, generation: int, marks: list[SyncMark]
 ) -> LogFault | None:
-    """A whole log, or one whose last append was never told as synced, is none."""
-    if at < vouched:
+    """The fault of a log whose whole frames end at `at`.
+
+    None where the log is whole, or where only its last append is cut short that was never reported as synced.
+    """
+    if at < synced_end:
         return fault or LogFault.SHORT
-    # One crash tears a mark or an append, never both: an append begins after the mark before it is synced.
-    # And the log goes on past the mark before a torn one, as it is synced first.
-    if len(known) == 2:
+    # One crash tears a mark or an append, never both, as an append begins after the mark before it is synced.
+    # And the log goes on past the mark before a torn one, as the log is synced first.
+    if len(marks) == MARK_SLOTS:
         return None
-    goes_on = bool(known) and (at > known[0].end or generation > known[0].generation)
+    goes_on = bool(marks) and (at > marks[0].end or generation > marks[0].generation)
     return None if fault is None and goes_on else LogFault.UNMARKED
--- a/ambershift/coordinator/replication/messages.py
+++ b/ambershift/coordinator/replication/messages.py
@@ -1,4 +1,7 @@
-"""What replicas tell each other, and how it is packed: a byte for the wire's version, then msgpack."""
+"""Messages between replicas. On the wire: one byte for the protocol version, then msgpack.
+
+The names follow Viewstamped Replication (Liskov, Cowling 2012) where a message is one of its.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +12,14 @@
 from ambershift.coordinator.replication.types import Entry
 
 WIRE_VERSION = 1
-MAX_MESSAGE_BYTES = 1 << 20  # Bytes; the rest of the program bounds what it asks to stay far below.
+MAX_MESSAGE_BYTES = 1 << 20  # The bounds on commands, batches and chunks keep messages far below it.
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Name = Annotated[str, msgspec.Meta(max_length=256)]
 Incarnations = tuple[tuple[Name, Count], ...]
 
 
 class UnreadableError(Exception):
-    """These bytes are no message of ours; `reason` is `unreadable`, `other-version` or `too-large`."""
+    """These bytes are not a message; `reason` is `unreadable`, `other-version` or `too-large`."""
 
     def __init__(self, reason: str, why: str) -> None:
         super().__init__(f"{reason}: {why}")
@@ -24,81 +27,90 @@
 
 
 class MemberProgress(msgspec.Struct, frozen=True, array_like=True):
-    """The most that a member is known to have vouched for: the view it was in, and a log that ends with
-    `number`, written in the view `last`. `status` is for people.
+    """The most that a member is known to have acknowledged.
+
+    It was in `view`, and its log ended with the entry `number`, written in `last_entry_view`. `status` is for
+    operators.
     """
 
     name: Name
     incarnation: Count
     view: Count
-    last: Count
+    last_entry_view: Count
     number: Count
     committed: Count
     status: Name
 
 
 class BaseMessage(msgspec.Struct, frozen=True, array_like=True, tag_field="kind", kw_only=True):
-    """All have these: who says it (by the incarnation), in which view."""
+    """What all messages have: the sender's incarnation and view."""
 
     incarnation: Count
     view: Count
 
 
 class RecoveryRequest(BaseMessage, frozen=True, tag=1):
-    """A blank voter asks all. Rounds count up: the second of birth starts after the first is complete.
-    Who answers it knows from `lives` which earlier lives have ended, and heeds nothing late of theirs.
+    """A blank voter asks all others for the group's state.
+
+    Rounds count up; a bootstrap takes two, and the second starts after the first is complete. From
+    `incarnations` the receiver learns which earlier ones have ended, and ignores their late messages.
     """
 
     round: Count
     voters: tuple[Name, ...]
-    lives: Incarnations
+    incarnations: Incarnations
 
 
 class BlankResponse(BaseMessage, frozen=True, tag=2):
-    """I hold nothing either. `asked` is the incarnation that asked."""
+    """The sender is blank too."""
 
-    asked: Count
+    requester_incarnation: Count
     round: Count
 
 
 class RecoveryResponse(BaseMessage, frozen=True, tag=3):
-    """I am in normal work in `view` (or not), with a log up to `number`. `birth`, if I know it yet, is who
-    was blank at the moment at which all were.
+    """The sender is in `view`, in normal operation or not, with a log up to `last_number`.
+
+    `founders` are the voters that formed the group and their incarnations; empty where the sender does not
+    know them.
     """
 
-    asked: Count
+    requester_incarnation: Count
     round: Count
-    normal: bool
+    is_normal: bool
     group: Name
-    number: Count
-    lives: Incarnations
-    birth: Incarnations
-    rows: tuple[MemberProgress, ...]
+    last_number: Count
+    incarnations: Incarnations
+    founders: Incarnations
+    progress: tuple[MemberProgress, ...]
 
 
 class Heartbeat(BaseMessage, frozen=True, tag=4):
-    """The leader is there. It also starts a view, and a read's round."""
+    """The leader is alive. It also starts a view, and a round that confirms the leader to reads."""
 
     group: Name
     round: Count
-    top: Count
+    last_number: Count
     committed: Count
-    rows: tuple[MemberProgress, ...]
+    progress: tuple[MemberProgress, ...]
     voters: tuple[Name, ...]
 
 
 class Prepare(BaseMessage, frozen=True, tag=5):
-    """Entries that follow the one of that number and view."""
+    """Entries that follow the entry `previous_number`, which was written in `previous_view`."""
 
     group: Name
-    after: Count
-    after_view: Count
+    previous_number: Count
+    previous_view: Count
     entries: tuple[Entry, ...]
     committed: Count
 
 
 class PrepareOk(BaseMessage, frozen=True, tag=6):
-    """My log is the leader's up to `number`, on the disk if I have one; `round` is the last that I heard."""
+    """The sender's log equals the leader's up to `number`, durably where it has a disk.
+
+    `round` is the round of the heartbeat that this answers; 0 for an answer to entries.
+    """
 
     round: Count
     number: Count
@@ -107,7 +119,10 @@
 
 
 class GetState(BaseMessage, frozen=True, tag=7):
-    """Tell me what follows `after`; `snapshot` and `offset` say how much of which I have."""
+    """Asks for the entries after `after`, or for a snapshot in their place.
+
+    `offset` is how many bytes the sender has of the snapshot numbered `snapshot`.
+    """
 
     after: Count
     snapshot: Count
@@ -115,12 +130,15 @@
 
 
 class StateChunk(BaseMessage, frozen=True, tag=8):
-    """Entries after `after`, or a piece of the snapshot of that number. `top` is where my log ends."""
+    """Entries after `after`, or a part of the snapshot numbered `snapshot`; 0: entries.
+
+    `last_number` is where the sender's log ends; `total` is the size of the whole snapshot, bytes.
+    """
 
     group: Name
     after: Count
     entries: tuple[Entry, ...]
-    top: Count
+    last_number: Count
     committed: Count
     snapshot: Count
     offset: Count
@@ -129,44 +147,44 @@
 
 
 class SuspectRequest(BaseMessage, frozen=True, tag=9):
-    """Do you hear the leader of this view? I don't."""
+    """The sender does not hear the leader of `view`, and asks whether the receiver does."""
 
     round: Count
-    rows: tuple[MemberProgress, ...]
+    progress: tuple[MemberProgress, ...]
 
 
 class SuspectResponse(BaseMessage, frozen=True, tag=10):
-    """`agree`: neither do I, or I have left that view. `view` is my own, `asked` the one asked about."""
+    """`agree`: the sender does not hear the leader of `asked_view` either. `view` is its own."""
 
-    asked: Count
+    asked_view: Count
     round: Count
     agree: bool
-    rows: tuple[MemberProgress, ...]
+    progress: tuple[MemberProgress, ...]
 
 
 class StartViewChange(BaseMessage, frozen=True, tag=11):
-    """I leave for `view` (the paper's StartViewChange)."""
+    """The sender has left its view for `view`, and accepts nothing of an earlier one."""
 
-    lives: Incarnations
-    rows: tuple[MemberProgress, ...]
+    incarnations: Incarnations
+    progress: tuple[MemberProgress, ...]
 
 
 class DoViewChange(BaseMessage, frozen=True, tag=12):
-    """To the leader of `view`: a majority leaves for it, and this is how far my log goes (DoViewChange)."""
+    """To the leader of `view`: a majority has left for it, and this is where the sender's log ends."""
 
-    last: Count
-    number: Count
+    last_entry_view: Count
+    last_number: Count
     committed: Count
-    lives: Incarnations
-    rows: tuple[MemberProgress, ...]
+    incarnations: Incarnations
+    progress: tuple[MemberProgress, ...]
 
 
 class NewerView(BaseMessage, frozen=True, tag=13):
-    """You speak for a view that I have left for this one."""
+    """The receiver's view is over: the sender has left it for `view`."""
 
 
 class CommandRequest(BaseMessage, frozen=True, tag=14):
-    """A client's command, from the member that it was given to. Attempts of one member count up."""
+    """A client's command, from the member that received it. Attempts of one member count up."""
 
     ticket: Count
     attempt: Count
@@ -175,9 +193,9 @@
 
 
 class CommandResponse(BaseMessage, frozen=True, tag=15):
-    """`reason` is "" where it stands. `asked` is the incarnation that forwarded it."""
+    """The leader's answer to the member that forwarded a command; `reason` is "" for a success."""
 
-    asked: Count
+    requester_incarnation: Count
     ticket: Count
     attempt: Count
     reason: Name
@@ -186,14 +204,16 @@
 
 
 class ReadIndexRequest(BaseMessage, frozen=True, tag=16):
+    """Asks the leader for the entry that a read must wait for (as ReadIndex of Raft)."""
+
     ticket: Count
-    group: Name = ""  # As far as it is known to whoever asks.
+    group: Name = ""  # The sender's group; "" while it does not know it.
 
 
 class ReadIndexResponse(BaseMessage, frozen=True, tag=17):
-    """Whoever has applied `number` has all that was promised when it was asked."""
+    """A member that has applied `number` has all that was committed when the request was made."""
 
-    asked: Count
+    requester_incarnation: Count
     ticket: Count
     number: Count
 
@@ -222,11 +242,16 @@
 
 
 def encode(message: Message) -> bytes:
+    """The bytes of a message on the wire."""
     return bytes((WIRE_VERSION,)) + _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Raises UnreadableError for all that `encode` of this version does not make."""
+    """The message of bytes that `encode` made.
+
+    Raises:
+        UnreadableError: `encode` of this protocol version makes no such bytes.
+    """
     if len(data) > MAX_MESSAGE_BYTES:
         raise UnreadableError("too-large", f"{len(data)} bytes, at most {MAX_MESSAGE_BYTES}")
     if not data or data[0] != WIRE_VERSION:
--- a/ambershift/coordinator/replication/pending_requests.py
+++ b/ambershift/coordinator/replication/pending_requests.py
@@ -1,27 +1,27 @@
-"""Clients' commands and reads that wait at this member, until they are answered or their time is over."""
+"""Commands and reads of this member's clients that wait until they are answered or expire."""
 
 from __future__ import annotations
 
-from ambershift.coordinator.replication.core import NEVER, Core, Want
+from ambershift.coordinator.replication.core import NEVER, Core, PendingRequest
 from ambershift.coordinator.replication.messages import CommandResponse, ReadIndexResponse
 from ambershift.coordinator.replication.types import Answer, Reason
 
-FINAL = {Reason.TOKEN_REUSED.value, Reason.TOO_LARGE.value}
+FINAL_REFUSALS = {Reason.TOKEN_REUSED.value, Reason.TOO_LARGE.value}
 
 
-def reply(
+def reply_to_command(
     core: Core, to: str, incarnation: int, ticket: int, attempt: int, reason: str, answer: bytes
 ) -> None:
-    """What a leader says of a command to the member that forwarded it, which may be itself."""
-    if to == core.fixed.me:
-        take_answer(core, ticket, attempt, reason, answer)
+    """The leader's answer to a command, for the member that forwarded it, which may be the leader itself."""
+    if to == core.options.me:
+        take_command_reply(core, ticket, attempt, reason, answer)
     else:
         core.send(
             to,
             CommandResponse(
                 incarnation=core.incarnation,
                 view=core.view,
-                asked=incarnation,
+                requester_incarnation=incarnation,
                 ticket=ticket,
                 attempt=attempt,
                 reason=reason,
@@ -31,69 +31,81 @@
         )
 
 
-def take_answer(core: Core, ticket: int, attempt: int, reason: str, answer: bytes) -> None:
-    want = core.wants.get(ticket)
-    if want is None or want.read:
+def take_command_reply(core: Core, ticket: int, attempt: int, reason: str, answer: bytes) -> None:
+    """Answer the client, or keep its command for another attempt where this one was refused."""
+    request = core.pending.get(ticket)
+    if request is None or request.read:
         return
     if not reason:
-        settle(core, ticket, None, answer)
+        answer_client(core, ticket, None, answer)
         return
-    # Refused: this attempt wrote nothing. Another that is open may have.
-    left = tuple(one for one in want.open if one != attempt)
-    core.keep_want(ticket, want._replace(open=left, reason=reason))
-    if not left and reason in FINAL:
-        settle(core, ticket, Reason(reason), b"")
+    # A refused attempt wrote nothing; another one that is open may have.
+    open_attempts = tuple(number for number in request.open_attempts if number != attempt)
+    core.keep_pending(ticket, request._replace(open_attempts=open_attempts, last_refusal=reason))
+    if not open_attempts and reason in FINAL_REFUSALS:
+        answer_client(core, ticket, Reason(reason), b"")
 
 
-def settle(core: Core, ticket: int, reason: Reason | None, answer: bytes) -> None:
-    del core.wants[ticket]
-    retry = core.fixed.tuning.client_retry_ns if reason in (Reason.NO_MAJORITY, Reason.TOO_MANY_WAIT) else 0
-    core.out.append(Answer(ticket, reason, answer, retry))
+def answer_client(core: Core, ticket: int, reason: Reason | None, answer: bytes) -> None:
+    """Answer a request, which is pending no more."""
+    del core.pending[ticket]
+    may_retry = reason in (Reason.NO_MAJORITY, Reason.TOO_MANY_WAIT)
+    retry_ns = core.options.tuning.client_retry_ns if may_retry else 0
+    core.effects.append(Answer(ticket, reason, answer, retry_ns))
 
 
-def reply_read(core: Core, to: str, incarnation: int, ticket: int, number: int) -> None:
-    if to == core.fixed.me:
-        take_read(core, ticket, number)
+def reply_to_read(core: Core, to: str, incarnation: int, ticket: int, number: int) -> None:
+    """The entry that a read must wait for, for the member that asked, which may be the leader itself."""
+    if to == core.options.me:
+        take_read_index(core, ticket, number)
     else:
         core.send(
             to,
             ReadIndexResponse(
-                incarnation=core.incarnation, view=core.view, asked=incarnation, ticket=ticket, number=number
+                incarnation=core.incarnation,
+                view=core.view,
+                requester_incarnation=incarnation,
+                ticket=ticket,
+                number=number,
             ),
         )
 
 
-def take_read(core: Core, ticket: int, number: int) -> None:
-    want = core.wants.get(ticket)
-    if want is not None and want.read and want.place < 0:
+def take_read_index(core: Core, ticket: int, number: int) -> None:
+    """Answer a read, at once or when the entry `number` is applied here."""
+    request = core.pending.get(ticket)
+    if request is not None and request.read and request.read_number < 0:
         if number <= core.committed:
-            settle(core, ticket, None, b"")
+            answer_client(core, ticket, None, b"")
         else:
-            core.keep_want(ticket, want._replace(place=number))
+            core.keep_pending(ticket, request._replace(read_number=number))
 
 
-def serve_reads(core: Core) -> None:
-    if core.served == core.committed:
+def answer_ready_reads(core: Core) -> None:
+    """Answer the reads whose entry has been applied."""
+    if core.served_number == core.committed:
         return
-    core.served = core.committed
-    for ticket, want in list(core.wants.items()):
-        if want.read and 0 <= want.place <= core.committed:
-            settle(core, ticket, None, b"")
+    core.served_number = core.committed
+    for ticket, request in list(core.pending.items()):
+        if request.read and 0 <= request.read_number <= core.committed:
+            answer_client(core, ticket, None, b"")
 
 
-def expire(core: Core, now: int) -> None:
-    if now < core.want_at:
+def expire_requests(core: Core, now: int) -> None:
+    """Answer the requests whose deadline has passed."""
+    if now < core.next_pending_check:
         return
-    for ticket, want in list(core.wants.items()):
-        if now >= want.until:
-            give_up(core, ticket, want)
-    core.want_at = min((want.due for want in core.wants.values()), default=NEVER)
-
-
-def give_up(core: Core, ticket: int, want: Want) -> None:
-    if want.open and not want.read:
-        settle(core, ticket, Reason.OUTCOME_UNKNOWN, b"")
-    elif want.reason:
-        settle(core, ticket, Reason(want.reason), b"")
+    for ticket, request in list(core.pending.items()):
+        if now >= request.deadline:
+            expire_request(core, ticket, request)
+    core.next_pending_check = min((request.next_due for request in core.pending.values()), default=NEVER)
+
+
+def expire_request(core: Core, ticket: int, request: PendingRequest) -> None:
+    """Answer a request whose deadline has passed; a command that may be written has an unknown outcome."""
+    if request.open_attempts and not request.read:
+        answer_client(core, ticket, Reason.OUTCOME_UNKNOWN, b"")
+    elif request.last_refusal:
+        answer_client(core, ticket, Reason(request.last_refusal), b"")
     else:
-        settle(core, ticket, Reason.NO_MAJORITY, b"")
+        answer_client(core, ticket, Reason.NO_MAJORITY, b"")
--- a/ambershift/coordinator/replication/records.py
+++ b/ambershift/coordinator/replication/records.py
@@ -1,10 +1,10 @@
-"""Records: how a member's log lies in a file, byte by byte, and where and why reading one stopped. No I/O.
+"""The file format of a member's log, and where and why reading one stops. No I/O.
 
-A file is a preamble and frames. A frame's own checksum covers its length, its body's checksum, and the file's
-generation and the place it lies at, so that a flipped length is not taken for a frame cut short, nor an old
-block for a new one. The mark, a second small file, says up to where the log was synced: with it a torn append
-is told from damage (Alagappan and others 2018, "Protocol-Aware Recovery": an identifier of each entry,
-stored apart).
+A file is a preamble and frames. The checksum in a frame's header covers its length, its body's checksum, the
+file's generation and the frame's offset: a corrupt length is then not taken for a frame that was cut short,
+nor an old block for a new one. The mark, a second small file, tells up to where the log was synced. It
+distinguishes a torn append from damage (Alagappan and others 2018, "Protocol-Aware Recovery", which stores an
+identifier of each entry apart for that).
 """
 
 from __future__ import annotations
@@ -19,32 +19,37 @@
 
 from ambershift.coordinator.replication.types import Entry, Snapshot, Write
 
-MAGIC, VERSION = b"amberlog", 1
-PREAMBLE = struct.Struct("<8sIQQI")  # Magic, version, generation, bytes synced before its name, checksum.
-FRAME_HEADER = struct.Struct("<III")  # Length, checksum of the body, checksum of both, generation and place.
-CHECKED_FIELDS = struct.Struct("<QQII")
-# Two slots far enough apart that no sector or page holds both: one torn write spoils one.
-MARK_FRAME, MARK_SLOT_BYTES = struct.Struct("<8sQQQI"), 4096
+MAGIC = b"amberlog"
+VERSION = 1
+# Magic, version, generation, bytes synced before the file got its name, checksum.
+PREAMBLE = struct.Struct("<8sIQQI")
+# Length, checksum of the body, checksum of `CHECKED_FIELDS`.
+FRAME_HEADER = struct.Struct("<III")
+CHECKED_FIELDS = struct.Struct("<QQII")  # Generation, offset, length, checksum of the body.
 MARK_MAGIC = b"ambermrk"
+MARK = struct.Struct("<8sQQQI")  # Magic, sequence, generation, end, checksum.
+# The two slots are so far apart that no sector or page holds both: a torn write damages one of them.
+MARK_SLOT_BYTES = 4096
+CHECKSUM = struct.Struct("<I")  # CRC-32C, at the end of the preamble and of a mark.
 MAX_FRAME_BYTES = 1 << 30
 
 
 class LogFault(StrEnum):
-    """Why a file is not what was written. The value is the name that logs, docs and set-aside files use."""
+    """Why a file is not what was written. Logs, documents and the names of set-aside files use the value."""
 
     EMPTY = "empty"
-    SHORT = "short"  # It ends before what was synced does.
-    FLIPPED = "flipped"  # Bytes that were synced are not those that were written.
-    FOREIGN = "foreign"  # Not a log of ours at all.
+    SHORT = "short"  # The file ends before the synced part does.
+    FLIPPED = "flipped"  # A checksum of synced bytes does not match.
+    FOREIGN = "foreign"  # The file is not a log of this program.
     NEWER = "newer-version"
-    UNMARKED = "unmarked"  # Damaged past a mark that is itself damaged: torn or lost, nobody can tell.
-    BEHIND = "behind-its-mark"  # The mark is of a later log: this one was put back.
+    UNMARKED = "unmarked"  # Damaged after the end of a mark whose other slot is damaged: maybe synced.
+    BEHIND = "behind-its-mark"  # The mark is of a later generation: an older file was put back.
     CONTRADICTS = "contradicts"  # Each record is whole, yet they don't follow from each other.
-    MISSING = "missing"  # A mark, and no log.
+    MISSING = "missing"  # There is a mark and no log.
 
 
 class LogHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The first record of a file: whose it is."""
+    """The first record of a file: the member that it belongs to."""
 
     group_name: str
     me: str
@@ -52,7 +57,7 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Every further record: one write of the replica's."""
+    """Every further record: one `Write` of the replica."""
 
     group: str
     view: int
@@ -72,7 +77,7 @@
 
 
 class WholeFrame(NamedTuple):
-    """One whole frame; `end` is where the next begins."""
+    """One whole frame at the offset `at`; the next begins at `end`."""
 
     at: int
     end: int
@@ -80,13 +85,14 @@
 
 
 class EndOfFrames(NamedTuple):
-    """No whole frame begins at `at`. `fault` None: the file ends there, between two frames."""
+    """No whole frame begins at the offset `at`. `fault` None: the file ends there, after a whole frame."""
 
     at: int
     fault: LogFault | None
 
 
 def to_record(write: Write) -> LogRecord:
+    """The record of a write."""
     return LogRecord(
         write.group,
         write.view,
@@ -99,21 +105,24 @@
 
 
 def encode_preamble(generation: int, base: int, version: int = VERSION) -> bytes:
-    plain = PREAMBLE.pack(MAGIC, version, generation, base, 0)[:-4]
-    return plain + struct.pack("<I", google_crc32c.value(plain))
+    """The beginning of a file, of which `base` bytes are synced before it gets its name."""
+    fields = PREAMBLE.pack(MAGIC, version, generation, base, 0)[: -CHECKSUM.size]
+    return fields + CHECKSUM.pack(google_crc32c.value(fields))
 
 
 def encode_frame(body: bytes, generation: int, at: int) -> bytes:
+    """The frame of a body at an offset of the file."""
     checksum = google_crc32c.value(body)
     return FRAME_HEADER.pack(len(body), checksum, frame_checksum(len(body), checksum, generation, at)) + body
 
 
 def frame_checksum(length: int, checksum: int, generation: int, at: int) -> int:
+    """The checksum in a frame's header; `checksum` is the body's."""
     return int(google_crc32c.value(CHECKED_FIELDS.pack(generation, at, length, checksum)))
 
 
 def decode_preamble(data: bytes) -> tuple[int, int] | LogFault:
-    """The generation and the bytes that were synced before the file got its name."""
+    """The generation, and the bytes that were synced before the file got its name; or why it has none."""
     if not data:
         return LogFault.EMPTY
     if not data.startswith(MAGIC[: len(data)]):
@@ -121,20 +130,20 @@
     if len(data) < PREAMBLE.size:
         return LogFault.SHORT
     _, version, generation, base, checksum = PREAMBLE.unpack_from(data)
-    if checksum != google_crc32c.value(data[: PREAMBLE.size - 4]):
+    if checksum != google_crc32c.value(data[: PREAMBLE.size - CHECKSUM.size]):
         return LogFault.FLIPPED
     return LogFault.NEWER if version > VERSION else (generation, base)
 
 
 def decode_frames(data: bytes, generation: int) -> Iterator[WholeFrame | EndOfFrames]:
-    """All whole frames from the first, and last where and why no further one is whole."""
+    """All whole frames from the first on, then where and why no further one is whole."""
     at = PREAMBLE.size
     while at < len(data):
         if len(data) - at < FRAME_HEADER.size:
             yield EndOfFrames(at, LogFault.SHORT)
             return
-        length, checksum, seal = FRAME_HEADER.unpack_from(data, at)
-        if seal != frame_checksum(length, checksum, generation, at) or length > MAX_FRAME_BYTES:
+        length, checksum, header_checksum = FRAME_HEADER.unpack_from(data, at)
+        if header_checksum != frame_checksum(length, checksum, generation, at) or length > MAX_FRAME_BYTES:
             yield EndOfFrames(at, LogFault.FLIPPED)
             return
         body = data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + length]
@@ -150,20 +159,23 @@
 
 
 def encode_mark(mark: SyncMark) -> bytes:
-    plain = MARK_FRAME.pack(MARK_MAGIC, *mark, 0)[:-4]
-    return plain + struct.pack("<I", google_crc32c.value(plain))
+    """The bytes of one slot."""
+    fields = MARK.pack(MARK_MAGIC, *mark, 0)[: -CHECKSUM.size]
+    return fields + CHECKSUM.pack(google_crc32c.value(fields))
 
 
 def encode_mark_file(mark: SyncMark) -> bytes:
+    """A mark file with the same mark in both slots."""
     return encode_mark(mark).ljust(MARK_SLOT_BYTES, b"\0") + encode_mark(mark)
 
 
 def decode_marks(data: bytes) -> list[SyncMark | None]:
-    """What the two slots say; None where one can't be read."""
-    found: list[SyncMark | None] = []
+    """The marks of the two slots; None for a slot that can't be read."""
+    marks: list[SyncMark | None] = []
     for at in (0, MARK_SLOT_BYTES):
-        one = data[at : at + MARK_FRAME.size]
-        whole = len(one) == MARK_FRAME.size and one.startswith(MARK_MAGIC)
-        whole = whole and struct.unpack("<I", one[-4:])[0] == google_crc32c.value(one[:-4])
-        found.append(SyncMark(*MARK_FRAME.unpack(one)[1:4]) if whole else None)
-    return found
+        slot = data[at : at + MARK.size]
+        is_whole = len(slot) == MARK.size and slot.startswith(MARK_MAGIC)
+        fields, checksum = slot[: -CHECKSUM.size], slot[-CHECKSUM.size :]
+        is_whole = is_whole and CHECKSUM.unpack(checksum)[0] == google_crc32c.value(fields)
+        marks.append(SyncMark(*MARK.unpack(slot)[1:4]) if is_whole else None)
+    return marks
--- a/ambershift/coordinator/replication/replica.py
+++ b/ambershift/coordinator/replication/replica.py
@@ -1,4 +1,7 @@
-"""The replica: events with their time in, effects out. See docs/design/group.md."""
+"""The replica: a state machine without I/O that takes events with their time and returns effects.
+
+See docs/design/group.md.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +17,13 @@
     pending_requests,
     view_change,
 )
-from ambershift.coordinator.replication.applying import commit_to, compact, install
-from ambershift.coordinator.replication.core import NEVER, Core, Fixed
+from ambershift.coordinator.replication.applying import commit_up_to, compact_log, install_snapshot
+from ambershift.coordinator.replication.core import NEVER, Core, ReplicaOptions
 from ambershift.coordinator.replication.frozen import Frozen, freeze, thaw
 from ambershift.coordinator.replication.log import Log
 from ambershift.coordinator.replication.messages import Message
-from ambershift.coordinator.replication.peers import all_rows, learn_life
-from ambershift.coordinator.replication.persistence import finish, on_synced
+from ambershift.coordinator.replication.peers import all_progress, learn_incarnation
+from ambershift.coordinator.replication.persistence import finish_call, on_synced
 from ambershift.coordinator.replication.tuning import DEFAULT_TUNING, Tuning
 from ambershift.coordinator.replication.types import (
     Effect,
@@ -32,32 +35,51 @@
 )
 
 HANDLERS: dict[type, Callable[[Core, int, str, Any], None]] = {
-    messages.RecoveryRequest: bootstrap.on_ask,
-    messages.BlankResponse: bootstrap.on_blank,
-    messages.RecoveryResponse: bootstrap.on_told,
-    messages.Heartbeat: following.on_beat,
+    messages.RecoveryRequest: bootstrap.on_recovery_request,
+    messages.BlankResponse: bootstrap.on_blank_response,
+    messages.RecoveryResponse: bootstrap.on_recovery_response,
+    messages.Heartbeat: following.on_heartbeat,
     messages.Prepare: following.on_prepare,
-    messages.PrepareOk: leading.on_have,
-    messages.GetState: following.on_fetch,
-    messages.StateChunk: following.on_chunk,
-    messages.SuspectRequest: view_change.on_suspect,
-    messages.SuspectResponse: view_change.on_suspected,
-    messages.StartViewChange: view_change.on_leave,
-    messages.DoViewChange: view_change.on_vote,
-    messages.NewerView: view_change.on_newer,
-    messages.CommandRequest: client_requests.on_forward,
-    messages.CommandResponse: client_requests.on_answered,
-    messages.ReadIndexRequest: client_requests.on_read_ask,
-    messages.ReadIndexResponse: client_requests.on_read_at,
+    messages.PrepareOk: leading.on_prepare_ok,
+    messages.GetState: following.on_get_state,
+    messages.StateChunk: following.on_state_chunk,
+    messages.SuspectRequest: view_change.on_suspect_request,
+    messages.SuspectResponse: view_change.on_suspect_response,
+    messages.StartViewChange: view_change.on_start_view_change,
+    messages.DoViewChange: view_change.on_do_view_change,
+    messages.NewerView: view_change.on_newer_view,
+    messages.CommandRequest: client_requests.on_command_request,
+    messages.CommandResponse: client_requests.on_command_response,
+    messages.ReadIndexRequest: client_requests.on_read_index_request,
+    messages.ReadIndexResponse: client_requests.on_read_index_response,
 }
 
 
+MAX_VOTERS = 7
+
+
 class Replica:
-    """One member's share in the log. `voters` are the same, in the same order, at all members: leaders follow
-    from it. `incarnation` is higher than of any start before; `saved` is what the folder vouches for, None
-    where there is none or it was set aside; `lost` then tells that it has vouched in an earlier life, so that
-    it waits for others to recover from and no group is born with it. Times are ns; `noop` is the command that
-    a new leader writes.
+    """One member of a group that replicates a log.
+
+    All times are ns. Each event returns the effects that the caller must carry out, in their order.
+
+    Args:
+        me: The member's name.
+        voters: The same, in the same order, at all members: who leads a view follows from it.
+        learners: Members that follow the log and do not vote.
+        machine: What the log is applied to.
+        seed: Of the pseudorandom numbers.
+        incarnation: Higher than at any earlier start of this member.
+        saved: What the folder holds; None where there is none or it was set aside.
+        disk: Whether the member has a folder, so that its writes are synced.
+        tuning: Timeouts, intervals and bounds.
+        now: The replica's clock.
+        noop: The command that a new leader writes.
+        lost_state: The member acknowledged entries in an earlier incarnation and lost its folder: it waits
+            for others to recover from, and no new group is formed with it.
+
+    Raises:
+        ValueError: The members or the incarnation are not valid.
     """
 
     def __init__(
@@ -76,163 +98,176 @@
         noop: bytes = b"",
         lost_state: bool = False,
     ) -> None:
-        if len(set(voters)) != len(voters) or len(voters) % 2 == 0 or len(voters) > 7:
-            raise ValueError("1, 3, 5 or 7 voters")
+        if len(set(voters)) != len(voters) or len(voters) % 2 == 0 or len(voters) > MAX_VOTERS:
+            raise ValueError("a group has 1, 3, 5 or 7 different voters")
         members = (*voters, *learners)
         if me not in members or len(set(members)) != len(members):
-            raise ValueError(f"{me} is not one of the members, or one is named twice")
-        fixed = Fixed(me, tuple(voters), members, machine, disk, tuning, noop)
-        core = self.core = Core(fixed, seed, incarnation)
-        core.leader_heard = core.ask_at = now
-        core.next_start = now
+            raise ValueError(f"{me} is not a member, or a member is named twice")
+        options = ReplicaOptions(me, tuple(voters), members, machine, disk, tuning, noop)
+        core = self.core = Core(options, seed, incarnation)
+        core.leader_last_heard = core.next_recovery_request = now
+        core.start_at = now
         core.lost_state = lost_state
-        view_change.new_patience(core)
-        if saved is not None and (saved.view or saved.entries or saved.snapshot or not fixed.votes):
-            self.take_saved(core, saved, now)  # One with nothing is as good as blank.
+        view_change.draw_leader_timeout(core)
+        if saved is not None and (saved.view or saved.entries or saved.snapshot or not options.is_voter):
+            self.restore(core, saved, now)  # A folder that holds nothing is as good as none.
 
     @staticmethod
-    def take_saved(core: Core, saved: PersistedState, now: int) -> None:
-        """It goes on as what it was, but for leading: what it wrote last as a leader may be gone."""
+    def restore(core: Core, saved: PersistedState, now: int) -> None:
+        """Go on from the folder, but not as a leader: what it last wrote as one may be lost."""
         if saved.incarnation >= core.incarnation:
-            raise ValueError(f"incarnation {core.incarnation} after {saved.incarnation}")
+            raise ValueError(
+                f"incarnation {core.incarnation} is not newer than {saved.incarnation}, the folder's"
+            )
         snapshot = saved.snapshot
         core.log = Log(snapshot.number if snapshot else 0, snapshot.view if snapshot else 0)
         if snapshot is not None:
-            install(core, snapshot, saved.group)
+            install_snapshot(core, snapshot, saved.group)
             core.snapshot_due = False
-            core.out.clear()  # Told with the first call.
+            core.effects.clear()  # `emit_restored_state` reports it with the first call.
         for entry in saved.entries:
-            core.log.put(entry)
+            core.log.append(entry)
         core.view, core.group = saved.view, saved.group
         core.status, core.voted = Status.VIEW_CHANGE, True
-        core.change_at = core.again_at = now + core.fixed.tuning.leader_timeout_ns
-        core.behind = saved.view, core.log.last, core.log.top
-        core.cut, core.written_top = 0, core.log.top
-        core.durable_top, core.durable_view = core.log.top, saved.view
-        core.sure = max(core.committed, min(saved.committed, core.log.top))
+        core.view_change_deadline = core.next_view_change_resend = now + core.options.tuning.leader_timeout_ns
+        core.restored_position = saved.view, core.log.last_view, core.log.last_number
+        core.truncate_disk_from, core.written_number = 0, core.log.last_number
+        core.durable_number, core.durable_view = core.log.last_number, saved.view
+        core.matched_number = max(core.committed, min(saved.committed, core.log.last_number))
 
     # Events
 
     def receive(self, now: int, sender: str, message: Message) -> list[Effect]:
-        """A message of another member, whose name the shell has checked."""
+        """Take a message of another member, whose identity the caller has checked."""
         core = self.core
-        if core.status is Status.HALTED or sender not in core.fixed.members or sender == core.fixed.me:
+        if core.status is Status.HALTED or sender not in core.options.members or sender == core.options.me:
             return []
-        if learn_life(core, sender, message.incarnation):
-            core.heard[sender] = now
+        if learn_incarnation(core, sender, message.incarnation):
+            core.last_heard[sender] = now
             HANDLERS[type(message)](core, now, sender, message)
-        return self.end(now)
+        return self.finish(now)
 
     def link_lost(self, now: int, member: str) -> list[Effect]:
-        """The link to it broke: what was under way may be lost."""
-        core = self.core
-        task = core.fetching
-        if task is not None and task.source == member and task.at:
-            core.fetching = task._replace(at=min(task.at, now - core.fixed.tuning.transfer_retry_ns // 2))
+        """The link to a member broke: messages in flight may be lost, so that timeouts are shortened."""
+        core, tuning = self.core, self.core.options.tuning
+        transfer = core.transfer
+        if transfer is not None and transfer.source == member and transfer.requested_at:
+            requested_at = min(transfer.requested_at, now - tuning.transfer_retry_ns // 2)
+            core.transfer = transfer._replace(requested_at=requested_at)
         if member == core.leader:
-            if core.status is Status.NORMAL and not core.leading:  # Half of the silence counts as over.
-                core.leader_heard = min(core.leader_heard, now - core.fixed.tuning.suspicion_delay_ns)
-            for ticket, want in core.wants.items():
-                core.keep_want(
-                    ticket, want._replace(retry_at=min(want.retry_at, now + core.fixed.tuning.heartbeat_ns))
-                )
-        return self.end(now)
+            if core.status is Status.NORMAL and not core.leading:  # As if half of its timeout were over.
+                core.leader_last_heard = min(core.leader_last_heard, now - tuning.suspicion_delay_ns)
+            for ticket, request in core.pending.items():
+                retry_at = min(request.retry_at, now + tuning.heartbeat_ns)
+                core.keep_pending(ticket, request._replace(retry_at=retry_at))
+        return self.finish(now)
 
     def write_synced(self, now: int, ticket: int) -> list[Effect]:
-        """That Write and all before it are on the disk. A sync that failed is never told."""
+        """The write of a ticket and all before it are on the disk. A sync that failed is never reported."""
         core = self.core
         if core.status is Status.HALTED:
             return []
         on_synced(core, ticket)
-        view_change.count_leavers(core, now)
-        following.have(core, 0)
-        return self.end(now)
+        view_change.count_view_change_joiners(core, now)
+        following.acknowledge(core, 0)
+        return self.finish(now)
+
+    def submit(
+        self, now: int, at: int, ticket: int, token: str, command: bytes, deadline: int
+    ) -> list[Effect]:
+        """Take a client's command, at any member.
 
-    def submit(self, now: int, at: int, ticket: int, token: str, command: bytes, until: int) -> list[Effect]:
-        """At any member. `Answer(ticket, ...)` comes once, by `until` at the latest (as `due` is called)."""
-        self.core.wall = at - now
-        client_requests.submit(self.core, now, ticket, token, command, until)
-        return self.end(now)
+        One `Answer` with the ticket follows, by the deadline at the latest where `tick` is called in time.
+        `at` is the wall clock.
+        """
+        self.core.wall_offset = at - now
+        client_requests.submit(self.core, now, ticket, token, command, deadline)
+        return self.finish(now)
 
-    def read(self, now: int, ticket: int, until: int) -> list[Effect]:
-        """Answered once the state here has all that was promised when this was called."""
-        client_requests.read(self.core, now, ticket, until)
-        return self.end(now)
+    def read(self, now: int, ticket: int, deadline: int) -> list[Effect]:
+        """Take a client's read: answered once `state` has all that was committed when this was called."""
+        client_requests.read(self.core, now, ticket, deadline)
+        return self.finish(now)
 
     def tick(self, now: int, at: int) -> list[Effect]:
-        """To be called at `next_at`; sooner does no harm."""
+        """Do what is due; to be called at `next_tick_at`, earlier does no harm. `at` is the wall clock."""
         core = self.core
-        core.wall = at - now
+        core.wall_offset = at - now
         if core.status is not Status.HALTED:
-            bootstrap.ask(core, now)
+            bootstrap.send_recovery_requests(core, now)
             leading.check_quorum(core, now)
-            view_change.look(core, now)
-            following.keep_fetching(core, now)
-            client_requests.push_late(core, now)
-        return self.end(now)
+            view_change.check_leader(core, now)
+            following.continue_transfer(core, now)
+            client_requests.retry_overdue(core, now)
+        return self.finish(now)
 
     def stop(self, now: int) -> list[Effect]:
-        """The program ends: all that wait are answered."""
-        client_requests.stop(self.core)
-        return self.end(now)
+        """The program is stopping: answer all pending requests."""
+        client_requests.stop_all(self.core)
+        return self.finish(now)
 
-    def end(self, now: int) -> list[Effect]:
+    def finish(self, now: int) -> list[Effect]:
+        """Do what follows from an event, and return its effects."""
         core = self.core
-        where = core.view, core.status
+        view_and_status = core.view, core.status
         if core.status is not Status.HALTED:
-            if core.next_start != NEVER:
-                self.tell_start(core)
-            if where != core.was and core.status is Status.NORMAL:
-                client_requests.push_all(core, now)
-            core.was = where
-            leading.work(core, now)
-            compact(core)
-            assert core.log.base <= core.committed <= core.log.top
-            assert core.sure <= core.log.top
-            pending_requests.serve_reads(core)
+            if core.start_at != NEVER:
+                self.emit_restored_state(core)
+            if view_and_status != core.previous_view_and_status and core.status is Status.NORMAL:
+                client_requests.forward_all(core, now)
+            core.previous_view_and_status = view_and_status
+            leading.lead(core, now)
+            compact_log(core)
+            assert core.log.base <= core.committed <= core.log.last_number
+            assert core.matched_number <= core.log.last_number
+            pending_requests.answer_ready_reads(core)
         else:
-            client_requests.halt(core)
-        pending_requests.expire(core, now)
-        return finish(core)
+            client_requests.refuse_all(core)
+        pending_requests.expire_requests(core, now)
+        return finish_call(core)
 
     @staticmethod
-    def tell_start(core: Core) -> None:
-        """With the first call: what the folder vouches for is applied."""
-        core.next_start = NEVER
+    def emit_restored_state(core: Core) -> None:
+        """With the first call, report the state of the folder, and apply what is known to be committed."""
+        core.start_at = NEVER
         if core.snapshot is not None and core.committed == core.snapshot.number:
-            core.out.insert(0, Restored(core.committed, core.state))
+            core.effects.insert(0, Restored(core.committed, core.state))
         if core.status is not Status.BLANK:
-            commit_to(core, core.sure)
+            commit_up_to(core, core.matched_number)
 
-    # What is seen from outside
+    # Observable state
 
     @property
     def next_tick_at(self) -> int:
-        """When `due` is to be called next."""
-        core = self.core
+        """When `tick` is to be called next, by the replica's clock."""
+        core, tuning = self.core, self.core.options.tuning
         if core.status is Status.HALTED:
             return NEVER
-        times = [core.next_start, core.want_at]
-        if core.fetching is not None:
-            times.append(core.fetching.at + core.fixed.tuning.transfer_retry_ns if core.fetching.at else 0)
-        if core.status is Status.NORMAL and core.fixed.votes and not core.view and not core.log.top:
-            times.append(core.leader_heard + core.fixed.tuning.first_entry_timeout_ns)
-        if core.status is Status.BLANK and core.fixed.votes and core.fetching is None:
-            times.append(core.ask_at)
-        if core.leading and not core.doubt:
-            times.append(core.beat_at)
-        elif core.status is not Status.BLANK and core.fixed.votes:
-            times.append(max(view_change.suspect_from(core), core.suspect_at))
+        times = [core.start_at, core.next_pending_check]
+        if core.transfer is not None:
+            requested_at = core.transfer.requested_at
+            times.append(requested_at + tuning.transfer_retry_ns if requested_at else 0)
+        has_no_entry = not core.view and not core.log.last_number
+        if core.status is Status.NORMAL and core.options.is_voter and has_no_entry:
+            times.append(core.leader_last_heard + tuning.first_entry_timeout_ns)
+        if core.status is Status.BLANK and core.options.is_voter and core.transfer is None:
+            times.append(core.next_recovery_request)
+        if core.leading and not core.lost_quorum:
+            times.append(core.next_heartbeat)
+        elif core.status is not Status.BLANK and core.options.is_voter:
+            times.append(max(view_change.suspicion_time(core), core.next_suspect_request))
             if core.status is Status.VIEW_CHANGE:
-                times.append(core.again_at)
+                times.append(core.next_view_change_resend)
         return min(times)
 
     @property
     def status(self) -> Status:
+        """How this member takes part."""
         return self.core.status
 
     @property
     def view(self) -> int:
+        """The view that this member is in."""
         return self.core.view
 
     @property
@@ -242,49 +277,52 @@
 
     @property
     def leader(self) -> str | None:
-        """Who leads as far as this member knows."""
+        """The leader, as far as this member knows."""
         core = self.core
-        return core.leader if core.status is Status.NORMAL and not core.doubt else None
+        return core.leader if core.status is Status.NORMAL and not core.lost_quorum else None
 
     @property
     def committed(self) -> int:
+        """The last entry that is committed and applied here."""
         return self.core.committed
 
     @property
     def durable(self) -> int:
-        """The last entry that a restart of this member surely finds again; without a disk a restart asks the
-        others for all that is committed.
+        """The last entry that this member has after a restart.
+
+        Without a disk it recovers all that is committed from the others.
         """
-        return self.core.durable_top if self.core.fixed.disk else self.core.committed
+        return self.core.durable_number if self.core.options.disk else self.core.committed
 
     @property
     def state(self) -> Any:
+        """The state that the committed entries result in."""
         return self.core.state
 
     def member_rows(self, now: int) -> tuple[MemberRow, ...]:
+        """What this member knows of each, in the order of the configuration."""
         core = self.core
-        rows = {row.name: row for row in all_rows(core)}
-        found = []
-        for name in core.fixed.members:
-            row, heard = rows.get(name), 0 if name == core.fixed.me else now - core.heard.get(name, now + 1)
-            status = core.status.value if name == core.fixed.me else row.status if row else "unknown"
-            found.append(
+        progress = {row.name: row for row in all_progress(core)}
+        rows = []
+        for name in core.options.members:
+            known, is_me = progress.get(name), name == core.options.me
+            rows.append(
                 MemberRow(
                     name,
-                    name in core.fixed.voters,
+                    name in core.options.voters,
                     name == self.leader,
-                    status,
-                    core.lives.get(name, 0),
-                    row.committed if row else 0,
-                    heard,
+                    core.status.value if is_me else known.status if known else "unknown",
+                    core.incarnations.get(name, 0),
+                    known.committed if known else 0,
+                    0 if is_me else now - core.last_heard.get(name, now + 1),
                 )
             )
-        return tuple(found)
+        return tuple(rows)
 
     # For the model checker
 
     def freeze(self) -> Frozen:
-        """All of it as plain values, between two calls."""
+        """The replica's state as plain values, between two calls."""
         return freeze(self.core)
 
     @classmethod
@@ -300,10 +338,10 @@
         *,
         noop: bytes = b"",
     ) -> Replica:
-        """The replica that was frozen."""
+        """The replica whose state was frozen."""
         replica = cls.__new__(cls)
-        fixed = Fixed(me, tuple(voters), (*voters, *learners), machine, disk, tuning, noop)
-        replica.core = thaw(Core(fixed, 0, 0), frozen)
+        options = ReplicaOptions(me, tuple(voters), (*voters, *learners), machine, disk, tuning, noop)
+        replica.core = thaw(Core(options, 0, 0), frozen)
         if replica.core.leading:
-            leading.look_ahead(replica.core)
+            leading.rebuild_speculative_results(replica.core)
         return replica
--- a/ambershift/coordinator/replication/types.py
+++ b/ambershift/coordinator/replication/types.py
@@ -1,7 +1,7 @@
-"""What a replica is told and what it wants done: types only, no decision.
+"""Types of the replica's interface: its events, its effects, and what it stores. No decisions.
 
-Times are whole nanoseconds. `now` of a replica is its own clock, which never goes back; `at` in an entry is
-the wall clock of the leader that wrote it. Members are known by their names.
+Times are whole nanoseconds. `now` of a replica is its own monotonic clock; `at` of an entry is the wall clock
+of the leader that wrote it. Members are known by their names.
 """
 
 from __future__ import annotations
@@ -17,40 +17,40 @@
 class Status(StrEnum):
     """How a member takes part."""
 
-    BLANK = "blank"  # It holds nothing that it can vouch for: asks for the group's birth, or recovers.
+    BLANK = "blank"  # It holds no state: a voter bootstraps a group with the others, or recovers from them.
     NORMAL = "normal"
-    VIEW_CHANGE = "changing"  # Between two views.
-    HALTED = "halted"  # It was refused by name, and takes no part until it is started anew.
+    VIEW_CHANGE = "changing"  # It has left a view, and the next has not begun.
+    HALTED = "halted"  # It was refused by name, and takes no part until it is started again.
 
 
 class Reason(StrEnum):
-    """Why something is refused or a link is closed. The value is the name that answers, logs and docs use."""
+    """Why a request is refused or a link is closed. Answers, logs and documents use the value."""
 
-    NO_MAJORITY = "no-majority"  # Nothing was written; come back after the time told.
-    OUTCOME_UNKNOWN = "outcome-unknown"  # It may stand or not; ask again with the same token.
+    NO_MAJORITY = "no-majority"  # Nothing was written; the client may retry after the given time.
+    OUTCOME_UNKNOWN = "outcome-unknown"  # It may have been written; the client may retry with the same token.
     TOO_MANY_WAIT = "too-many-promises-wait"
     TOKEN_REUSED = "token-reused"
-    TOO_LARGE = "too-large"  # A command of more bytes than a message carries.
+    TOO_LARGE = "too-large"  # The command has more bytes than a message carries.
     STOPPING = "stopping"
-    SUPERSEDED = "superseded"  # The same name lives under a newer incarnation.
-    CLONED = "cloned"  # The same name and incarnation, run by another process.
-    OLD_FOLDER = "old-folder"  # The folder is behind what this member has vouched for.
+    SUPERSEDED = "superseded"  # A newer incarnation of this member is running.
+    CLONED = "cloned"  # Another process runs the same member under the same incarnation.
+    OLD_FOLDER = "old-folder"  # The folder lacks entries that this member has acknowledged.
     OTHER_GROUP = "other-group"
-    OTHER_MEMBERS = "other-members"  # The two don't agree on who the voters are.
+    OTHER_MEMBERS = "other-members"  # The two disagree on who the voters are.
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One place of the log. `number` counts from 1; `view` is the one in which it was written."""
+    """One entry of the log. `number` counts from 1; `view` is the one in which the entry was written."""
 
     view: int
     number: int
     at: int
-    token: str  # "" for what the leader writes by itself and nobody asks again.
+    token: str  # The client's idempotency token; "" for an entry that the leader writes by itself.
     command: bytes
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that the entries up to `number` have made, packed."""
+    """The state that the entries up to `number` result in, serialized."""
 
     number: int
     view: int
@@ -59,7 +59,7 @@
 
 
 class PersistedState(msgspec.Struct, frozen=True, array_like=True):
-    """What a member's folder vouches for after a start."""
+    """What a member recovers from its folder when it starts."""
 
     group: str
     incarnation: int
@@ -71,33 +71,48 @@
 
 
 class StateMachine(Protocol, Generic[State]):
-    """What the log is applied to. States are values: whoever holds one sees no later change."""
+    """What the log is applied to. States are immutable: whoever holds one sees no later change."""
 
-    def initial(self) -> State: ...
+    def initial(self) -> State:
+        """The state of an empty log."""
 
     def validate(self, state: State, at: int, command: bytes) -> bytes | None:
-        """Before the leader writes it: the answer that refuses it, None where it may stand.
+        """Check a command before the leader writes it.
 
-        `state` has all that is in the leader's log, committed or not. Only the leader asks, so it may look
-        at what it knows by itself, the list for one.
+        Only the leader calls this, so it may use what the leader alone knows, the server list for one.
+
+        Args:
+            state: The result of the leader's whole log, committed or not.
+            at: The leader's wall clock, ns.
+            command: The command as the client sent it.
+
+        Returns:
+            The answer that refuses the command; None where it may be written.
         """
 
     def apply(self, state: State, entry: Entry) -> tuple[State, bytes]:
-        """The same on every member, from the state and the entry alone; bad commands answer, never raise."""
+        """The state after an entry and the answer to it, by the state and the entry alone.
+
+        The same on every member. A malformed command gets an answer and raises nothing.
+        """
 
     def digest(self, command: bytes) -> bytes:
-        """What must be the same where a token comes again: another one is TOKEN_REUSED. Who sent it, and
-        which servers a name meant at that moment, may differ and are left out.
+        """What must be equal where a token comes again; the request is else refused as TOKEN_REUSED.
+
+        Who sent the command, and which servers a name stood for at that moment, may differ and are left out.
         """
 
-    def pack(self, state: State) -> bytes: ...
+    def pack(self, state: State) -> bytes:
+        """Serialize a state for a snapshot."""
 
-    def unpack(self, data: bytes) -> State: ...
+    def unpack(self, data: bytes) -> State:
+        """The state that `pack` serialized."""
 
 
 class Write(NamedTuple):
-    """Append these to the folder and sync them; then tell `Replica.synced` the ticket. Tickets count up, and
-    one that is synced vouches for all before it.
+    """Append these to the folder and sync them; then report the ticket to `Replica.write_synced`.
+
+    Tickets count up, and a synced one implies all before it.
     """
 
     ticket: int
@@ -107,17 +122,19 @@
     last_entry_view: int
     committed: int
     entries: tuple[Entry, ...]
-    truncate_from: int  # Entries from this number on are void before `entries` are appended; 0: none.
-    snapshot: Snapshot | None  # In place of all entries up to its number.
+    truncate_from: int  # Entries from this number on are removed before `entries` are appended; 0: none.
+    snapshot: Snapshot | None  # Replaces all entries up to its number.
 
 
 class Send(NamedTuple):
+    """Send a message to a member."""
+
     to: str
     message: Any  # One of ambershift.coordinator.replication.messages.Message.
 
 
 class Applied(NamedTuple, Generic[State]):
-    """Committed: from here on it is a promise. In the order of the log, each once a run."""
+    """An entry was committed, so that it is not lost, and applied. In log order, each once a run."""
 
     entry: Entry
     answer: bytes
@@ -125,15 +142,17 @@
 
 
 class Restored(NamedTuple, Generic[State]):
-    """A snapshot took the place of all that was applied so far."""
+    """A snapshot replaced everything that was applied so far."""
 
     number: int
     state: State
 
 
 class Answer(NamedTuple):
-    """To one `submit` or `read`: `reason` is None where it stands; `retry_ns` says when to come back, 0: no
-    use.
+    """The answer to one `submit` or `read`.
+
+    `reason` is None where the request succeeded. `retry_ns` is how long the client should wait before it
+    retries; 0: a retry is of no use.
     """
 
     ticket: int
@@ -143,15 +162,17 @@
 
 
 class Note(NamedTuple):
-    """For the log: something worth telling."""
+    """An event for the log."""
 
     event: str
     fields: dict[str, Any]
 
 
 class Halt(NamedTuple):
-    """This member takes no further part under this incarnation; the shell sets its folder aside where
-    `reason` is OLD_FOLDER and starts a blank replica, for the others it waits for a person.
+    """This member takes no further part under this incarnation.
+
+    Where `reason` is OLD_FOLDER, the caller sets the folder aside and starts a blank replica; for any other
+    reason it waits for an operator.
     """
 
     reason: Reason
@@ -159,7 +180,7 @@
 
 
 class MemberRow(NamedTuple):
-    """What a member knows of one, for people. `heard_ns`: how long ago it was heard; -1: not yet."""
+    """What this member knows of another, for operators. `last_heard_ns` is an age; -1: not heard yet."""
 
     name: str
     is_voter: bool
--- a/ambershift/modelcheck/models/replication.py
+++ b/ambershift/modelcheck/models/replication.py
@@ -112,7 +112,7 @@
                 for name, ways in self.ways(place):
                     table = Table(world, self.folders)
                     table.wants.append(Want(100 + world.reads, "", world.acked))
-                    table.does(place, partial(Replica.read, now=0, ticket=100 + world.reads, until=LONG))
+                    table.does(place, partial(Replica.read, now=0, ticket=100 + world.reads, deadline=LONG))
                     table.exchange(ways)
                     yield Step(
                         f"{VOTERS[place]}: is asked to read; {name}", table.done(reads=world.reads - 1)
@@ -140,7 +140,7 @@
                             ticket=ticket,
                             token=token,
                             command=command,
-                            until=LONG,
+                            deadline=LONG,
                         ),
                     )
                     table.exchange(ways)
--- a/ambershift/modelcheck/models/replication_table.py
+++ b/ambershift/modelcheck/models/replication_table.py
@@ -13,7 +13,7 @@
 from ambershift.coordinator.groupsim.register import RegisterMachine
 from ambershift.coordinator.replication.log import Log
 from ambershift.coordinator.replication.replica import Replica
-from ambershift.coordinator.replication.tokens import Tokens
+from ambershift.coordinator.replication.tokens import TokenTable
 from ambershift.coordinator.replication.tuning import MODEL_TUNING
 from ambershift.coordinator.replication.types import (
     Answer,
@@ -106,14 +106,14 @@
             value = value.copy()
         elif isinstance(value, Log):
             value = Log(value.base, value.base_view, value.entries)
-        elif isinstance(value, Tokens):
-            value = Tokens(value.most, value.all())
+        elif isinstance(value, TokenTable):
+            value = TokenTable(value.capacity, value.all())
         setattr(other.core, name, value)
     return other
 
 
 def its_time(replica: Replica) -> list[Effect]:
-    replica.core.beat_at = 0
+    replica.core.next_heartbeat = 0
     return replica.tick(0, 0)
 
 
@@ -192,7 +192,7 @@
 
     def start(self, place: int, kept: bool) -> None:
         """Anew, with what its folder has synced if `kept`."""
-        self.forgot[place] = max(self.forgot[place], self.replica(place).core.log.top)
+        self.forgot[place] = max(self.forgot[place], self.replica(place).core.log.last_number)
         if not kept:
             self.folders[place] = []
         folder = Folder()
--- a/ambershift/modelcheck/mutants/replication.py
+++ b/ambershift/modelcheck/mutants/replication.py
@@ -16,7 +16,7 @@
     view_change,
 )
 from ambershift.coordinator.replication.core import Core
-from ambershift.coordinator.replication.tokens import Tokens
+from ambershift.coordinator.replication.tokens import TokenTable
 from ambershift.coordinator.replication.types import Status
 from ambershift.modelcheck.mutants.words import Mutant
 
@@ -24,63 +24,71 @@
 def born_at_once(real: Any) -> Any:
     """A blank one takes itself for a member and votes, whatever the others hold."""
 
-    def ask(core: Core, now: int) -> None:
-        if core.status is Status.BLANK and core.fixed.votes:
-            bootstrap.be_born(core, now, peers.all_lives(core))
+    def send_recovery_requests(core: Core, now: int) -> None:
+        if core.status is Status.BLANK and core.options.is_voter:
+            bootstrap.join_new_group(core, now, peers.known_incarnations(core))
 
-    return ask
+    return send_recovery_requests
 
 
 def born_with_a_majority(real: Any) -> Any:
-    def on_blank(core: Core, now: int, sender: str, message: messages.BlankResponse) -> None:
-        if core.status is Status.BLANK and message.asked == core.incarnation:
-            bootstrap.be_born(core, now, peers.all_lives(core))
+    def on_blank_response(core: Core, now: int, sender: str, message: messages.BlankResponse) -> None:
+        if core.status is Status.BLANK and message.requester_incarnation == core.incarnation:
+            bootstrap.join_new_group(core, now, peers.known_incarnations(core))
 
-    return {**real, messages.BlankResponse: on_blank}
+    return {**real, messages.BlankResponse: on_blank_response}
 
 
 def recovered_from_anyone(real: Any) -> Any:
     """What one member tells is enough, leader or not."""
 
-    def on_told(core: Core, now: int, sender: str, message: messages.RecoveryResponse) -> None:
-        if core.status is Status.BLANK and message.asked == core.incarnation and message.normal:
-            core.fetching = None
-            core.status, core.view, core.sure = Status.NORMAL, message.view, 0
+    def on_recovery_response(core: Core, now: int, sender: str, message: messages.RecoveryResponse) -> None:
+        if (
+            core.status is Status.BLANK
+            and message.requester_incarnation == core.incarnation
+            and message.is_normal
+        ):
+            core.transfer = None
+            core.status, core.view, core.matched_number = Status.NORMAL, message.view, 0
 
-    return {**real, messages.RecoveryResponse: on_told}
+    return {**real, messages.RecoveryResponse: on_recovery_response}
 
 
 def recovered_without_the_leader(real: Any) -> Any:
     """Recover after f + 1 answers, though the leader's is not among them."""
 
-    def on_told(core: Core, now: int, sender: str, message: messages.RecoveryResponse) -> None:
+    def on_recovery_response(core: Core, now: int, sender: str, message: messages.RecoveryResponse) -> None:
         real[messages.RecoveryResponse](core, now, sender, message)
-        counted = bootstrap.crash_consistent(core)
-        if core.status is Status.BLANK and core.fetching is None and len(counted) >= core.fixed.majority - 1:
-            core.status, core.view = Status.NORMAL, max(core.told[name][1] for name in counted)
+        counted = bootstrap.crash_consistent_responders(core)
+        if (
+            core.status is Status.BLANK
+            and core.transfer is None
+            and len(counted) >= core.options.majority - 1
+        ):
+            core.status, core.view = Status.NORMAL, max(core.recovery_responses[name][1] for name in counted)
 
-    return {**real, messages.RecoveryResponse: on_told}
+    return {**real, messages.RecoveryResponse: on_recovery_response}
 
 
 def counts_itself_alone(real: Any) -> Any:
-    def count(core: Core, now: int) -> None:
-        for name in core.fixed.voters:
-            core.have[name] = core.lives.get(name, 0), core.log.top
+    def advance_commit(core: Core, now: int) -> None:
+        for name in core.options.voters:
+            core.acknowledged[name] = core.incarnations.get(name, 0), core.log.last_number
         real(core, now)
 
-    return count
+    return advance_commit
 
 
 def reads_without_a_round(real: Any) -> Any:
-    def wait_for_round(core: Core, reader: Any) -> None:
+    def await_confirmation(core: Core, reader: Any) -> None:
         if reader.attempt:
             real(core, reader)
         else:
-            pending_requests.reply_read(
+            pending_requests.reply_to_read(
                 core, reader.member, reader.incarnation, reader.ticket, core.committed
             )
 
-    return wait_for_round
+    return await_confirmation
 
 
 def any_member_reads(real: Any) -> Any:
@@ -88,7 +96,7 @@
 
     def read(core: Core, now: int, ticket: int, until: int) -> None:
         real(core, now, ticket, until)
-        pending_requests.take_read(core, ticket, core.committed)
+        pending_requests.take_read_index(core, ticket, core.committed)
 
     return read
 
@@ -96,25 +104,27 @@
 def first_log_wins(real: Any) -> Any:
     """Who leads next begins with its own log, older or not."""
 
-    def count_votes(core: Core, now: int) -> None:
-        counted = view_change.current(core, {name: held[0] for name, held in core.votes.items()})
-        if len(counted) >= core.fixed.majority and core.fixed.me in counted and core.fetching is None:
+    def count_view_change_votes(core: Core, now: int) -> None:
+        counted = view_change.current_voters(
+            core, {name: held[0] for name, held in core.view_change_votes.items()}
+        )
+        if len(counted) >= core.options.majority and core.options.me in counted and core.transfer is None:
             leading.start_leading(core, now)
 
-    return count_votes
+    return count_view_change_votes
 
 
 def leaves_alone(real: Any) -> Any:
     """One vote, its own, makes a leader."""
 
-    def count_leavers(core: Core, now: int) -> None:
-        if core.status is Status.VIEW_CHANGE and core.leader == core.fixed.me:
+    def count_view_change_joiners(core: Core, now: int) -> None:
+        if core.status is Status.VIEW_CHANGE and core.leader == core.options.me:
             core.voted = True
             leading.start_leading(core, now)
         else:
             real(core, now)
 
-    return count_leavers
+    return count_view_change_joiners
 
 
 def tokens_are_forgotten(real: Any) -> Any:
@@ -124,8 +134,8 @@
 def tokens_count_once(real: Any) -> Any:
     """Asked after, a token is forgotten."""
 
-    def get(self: Tokens, token: str) -> None:
-        self.kept.pop(token, None)
+    def get(self: TokenTable, token: str) -> None:
+        self.answers.pop(token, None)
 
     return get
 
@@ -135,7 +145,7 @@
 
 
 def log_is_durable(real: Any) -> Any:
-    return property(lambda self: self.log.top)
+    return property(lambda self: self.log.last_number)
 
 
 def older_life_counts(real: Any) -> Any:
@@ -146,30 +156,30 @@
 def commits_what_it_has(real: Any) -> Any:
     """A follower applies up to the leader's mark whatever its own log holds there."""
 
-    def commit_to(core: Core, number: int) -> Any:
+    def commit_up_to(core: Core, number: int) -> Any:
         if not core.leading:
-            core.sure = max(core.sure, min(number, core.log.top))
+            core.matched_number = max(core.matched_number, min(number, core.log.last_number))
         return real(core, number)
 
-    return commit_to
+    return commit_up_to
 
 
 def keeps_its_tail(real: Any) -> Any:
     """Entries of another view in the same places stay."""
 
-    def append(core: Core, entries: Any) -> None:
-        real(core, tuple(one for one in entries if one.number > core.log.top))
+    def append_entries(core: Core, entries: Any) -> None:
+        real(core, tuple(one for one in entries if one.number > core.log.last_number))
 
-    return append
+    return append_entries
 
 
 def nothing_was_written(real: Any) -> Any:
     """A command whose time is over is told as not written."""
 
-    def give_up(core: Core, ticket: int, want: Any) -> None:
-        real(core, ticket, want._replace(open=()))
+    def expire_request(core: Core, ticket: int, want: Any) -> None:
+        real(core, ticket, want._replace(open_attempts=()))
 
-    return give_up
+    return expire_request
 
 
 HELD, ORDER, STALE = "acknowledged-is-held", "one-order", "reads-are-not-stale"
@@ -183,7 +193,7 @@
         ORDER,
         "a blank one takes itself for one that votes",
         bootstrap,
-        "ask",
+        "send_recovery_requests",
         born_at_once,
     ),
     Mutant(
@@ -201,7 +211,7 @@
         HELD,
         "the leader's own log is enough",
         leading,
-        "count",
+        "advance_commit",
         counts_itself_alone,
     ),
     Mutant(
@@ -210,7 +220,7 @@
         STALE,
         "a leader answers reads without a round to a majority",
         leading,
-        "wait_for_round",
+        "await_confirmation",
         reads_without_a_round,
     ),
     Mutant(
@@ -228,7 +238,7 @@
         ORDER,
         "a new leader begins with its own log",
         view_change,
-        "count_votes",
+        "count_view_change_votes",
         first_log_wins,
     ),
     Mutant(
@@ -237,7 +247,7 @@
         ORDER,
         "a new leader needs no other vote",
         view_change,
-        "count_leavers",
+        "count_view_change_joiners",
         leaves_alone,
     ),
     Mutant(
@@ -245,7 +255,7 @@
         "replication-tokens",
         GUARDS,
         "a token that comes again is written again",
-        Tokens,
+        TokenTable,
         "get",
         tokens_are_forgotten,
     ),
@@ -254,7 +264,7 @@
         "replication-tokens",
         "no-effect-twice",
         "a token is forgotten once asked after",
-        Tokens,
+        TokenTable,
         "get",
         tokens_count_once,
     ),
@@ -264,7 +274,7 @@
         ORDER,
         "a folder behind its member's word is taken",
         peers,
-        "judge_myself",
+        "check_own_identity",
         older_life_counts,
     ),
     Mutant(
@@ -285,7 +295,7 @@
         "elsewhere",
         "a follower applies what it has up to a mark",
         following,
-        "commit_to",
+        "commit_up_to",
         commits_what_it_has,
         36,
     ),
@@ -295,7 +305,7 @@
         "not done within",
         "entries of older views stay in newer places",
         following,
-        "append",
+        "append_entries",
         keeps_its_tail,
         1,
     ),
@@ -305,7 +315,7 @@
         "no order explains",
         "what timed out is told as not written",
         pending_requests,
-        "give_up",
+        "expire_request",
         nothing_was_written,
         71,
     ),
--- a/tests/coordinator/group/test_disk.py
+++ b/tests/coordinator/group/test_disk.py
@@ -258,7 +258,7 @@
     for at in range(400):
         folder.append([write(at, committed=at)])
     assert folder.log_size < 1100
-    with pytest.raises(DiskError, match="entry 3 where 1 belongs"):
+    with pytest.raises(DiskError, match="entry 3 in place of entry 1"):
         folder.append([write(401, new=entries(3, 3))])
     with pytest.raises(InconsistentLogError):
         folded(2).apply(records.to_record(write(1, new=entries(5, 5), cut=2)))
--- a/tests/coordinator/replication/test_replication.py
+++ b/tests/coordinator/replication/test_replication.py
@@ -193,7 +193,7 @@
         assert sim.sent["StateChunk"] - chunks > 20
         for host in sim.hosts.values():
             assert host.replica and len(host.replica.core.log.entries) <= 3 * SMALL.snapshot_interval_entries
-            assert len(host.replica.core.tokens.kept) <= SMALL.max_tokens
+            assert len(host.replica.core.tokens.answers) <= SMALL.max_tokens
 
 
 def test_a_token_writes_once_and_answers_again() -> None:
@@ -247,10 +247,10 @@
         other = Replica(
             name, sim.voters, [], Counting(), 1, held.core.incarnation + more, None, False, now=sim.now
         )
-        bootstrap.be_born(other.core, sim.now, ())
+        bootstrap.join_new_group(other.core, sim.now, ())
         found = list[Any]()
         for one in (other, held):
-            row = peers.own_row(one.core)
+            row = peers.own_progress(one.core)
             found += (held if one is other else other).receive(
                 sim.now,
                 leader(sim),
@@ -259,9 +259,9 @@
                     view=0,
                     group="",  # type: ignore[union-attr]
                     round=0,
-                    top=0,
+                    last_number=0,
                     committed=0,
-                    rows=(row,),
+                    progress=(row,),
                     voters=tuple(sim.voters),
                 ),
             )
@@ -289,7 +289,13 @@
             0,
             "n1",
             messages.Prepare(
-                incarnation=5, view=0, group="g", after=2, after_view=0, committed=4, entries=more
+                incarnation=5,
+                view=0,
+                group="g",
+                previous_number=2,
+                previous_view=0,
+                committed=4,
+                entries=more,
             ),
         )
     one.receive(
@@ -300,9 +306,9 @@
             view=0,
             group="g",
             round=0,
-            top=4,
+            last_number=4,
             committed=4,
-            rows=(row,),
+            progress=(row,),
             voters=("n1", "n2", "n3"),
         ),
     )
@@ -321,7 +327,7 @@
     assert sim.notes["group-stranger"] >= 1 and one.committed < len(sim.log)
     for other in sim.voters:
         if other != name:
-            bootstrap.strange(one.core, other, "group")
+            bootstrap.reject_foreign_member(one.core, other, "group")
     assert one.status is Status.HALTED
 
 
@@ -366,14 +372,14 @@
         RecoveryResponse(
             incarnation=1,
             view=2,
-            asked=3,
+            requester_incarnation=3,
             round=4,
-            normal=True,
+            is_normal=True,
             group="g",
-            number=5,
-            lives=(("n1", 1),),
-            birth=(),
-            rows=(),
+            last_number=5,
+            incarnations=(("n1", 1),),
+            founders=(),
+            progress=(),
         )
     )
     flipped = bytearray(good)
@@ -409,7 +415,7 @@
             group="",
             after=0,
             entries=(),
-            top=9,
+            last_number=9,
             committed=9,
             snapshot=0,
             offset=0,
@@ -419,9 +425,9 @@
     )
     row = messages.MemberProgress("stranger", 7, 0, 0, 0, 0, "")
     head.receive(
-        sim.now, name, messages.SuspectRequest(incarnation=life, view=head.view, round=1, rows=(row,))
+        sim.now, name, messages.SuspectRequest(incarnation=life, view=head.view, round=1, progress=(row,))
     )
-    assert "stranger" not in {**head.core.rows, **head.core.lives}
+    assert "stranger" not in {**head.core.progress, **head.core.incarnations}
     assert head.committed == before and head.status is Status.NORMAL
     sim.settle()
 
@@ -457,9 +463,13 @@
     one.write_synced(0, 1)
     asked = one.tick(SECOND, WALL)
     number = next(effect.message.round for effect in asked if isinstance(effect, Send))
-    said = messages.SuspectResponse(incarnation=1, view=0, asked=0, round=number, agree=True, rows=())
+    said = messages.SuspectResponse(
+        incarnation=1, view=0, asked_view=0, round=number, agree=True, progress=()
+    )
     found = one.receive(SECOND, "n2", said)
-    found += one.receive(SECOND, "n2", messages.StartViewChange(incarnation=1, view=1, lives=(), rows=()))
+    found += one.receive(
+        SECOND, "n2", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=())
+    )
     assert one.view == 1 and [effect.view for effect in found if isinstance(effect, Write)] == [1]
     assert not [effect for effect in found if isinstance(effect, Send)]
     sent = [effect.message for effect in one.write_synced(SECOND, 2) if isinstance(effect, Send)]
@@ -479,7 +489,13 @@
         sim.now,
         head,
         messages.Prepare(
-            incarnation=life, view=view, group=one.group, after=1, after_view=0, entries=wrong, committed=2
+            incarnation=life,
+            view=view,
+            group=one.group,
+            previous_number=1,
+            previous_view=0,
+            entries=wrong,
+            committed=2,
         ),
     )
     assert [effect.reason for effect in found if isinstance(effect, Halt)] == [Reason.OTHER_GROUP]
@@ -505,14 +521,14 @@
     return RecoveryResponse(
         incarnation=name,
         view=view,
-        asked=9,
+        requester_incarnation=9,
         round=1,
-        normal=normal,
+        is_normal=normal,
         group="g",
-        number=number,
-        lives=lives,
-        birth=(),
-        rows=(),
+        last_number=number,
+        incarnations=lives,
+        founders=(),
+        progress=(),
     )
 
 
@@ -537,7 +553,7 @@
     one = Replica("n3", ["n1", "n2", "n3", "n4", "n5"], [], Counting(), 1, 9, None, False, noop=b"noop")
     for name, answer in answers.items():
         one.receive(0, name, answer)
-    task = one.core.fetching
+    task = one.core.transfer
     assert (task.source if task else "") == source
 
 
@@ -552,7 +568,11 @@
         (3, (2, 4), Status.NORMAL),
     ):
         for name, life in zip(("n2", "n3"), lives, strict=True):
-            one.receive(0, name, messages.BlankResponse(incarnation=life, view=0, asked=9, round=round_))
+            one.receive(
+                0,
+                name,
+                messages.BlankResponse(incarnation=life, view=0, requester_incarnation=9, round=round_),
+            )
         assert one.status is status, (round_, lives)
 
 
@@ -561,17 +581,24 @@
     alone.tick(0, WALL)
     assert alone.status is Status.BLANK
     one = Replica("n1", ["n1", "n2", "n3"], [], Counting(), 1, 9, None, True, noop=b"noop", lost_state=True)
-    ask = messages.RecoveryRequest(incarnation=2, view=0, round=1, voters=("n1", "n2", "n3"), lives=())
-    for part in ({"lost_state": True}, {"lost_state": False, "log": Log(3), "committed": 3, "sure": 3}):
+    ask = messages.RecoveryRequest(incarnation=2, view=0, round=1, voters=("n1", "n2", "n3"), incarnations=())
+    for part in (
+        {"lost_state": True},
+        {"lost_state": False, "log": Log(3), "committed": 3, "matched_number": 3},
+    ):
         # The second recovered a part, then lost its source.
         for name, value in part.items():
             setattr(one.core, name, value)
         assert not [effect for effect in one.receive(0, "n2", ask) if isinstance(effect, Send)], part
         for round_ in (1, 2, 3):
             for name in ("n2", "n3"):
-                one.receive(0, name, messages.BlankResponse(incarnation=2, view=0, asked=9, round=round_))
+                one.receive(
+                    0,
+                    name,
+                    messages.BlankResponse(incarnation=2, view=0, requester_incarnation=9, round=round_),
+                )
         assert one.status is Status.BLANK, part
-    one.core.log, one.core.committed, one.core.sure = Log(), 0, 0
+    one.core.log, one.core.committed, one.core.matched_number = Log(), 0, 0
     assert [effect.message.round for effect in one.receive(0, "n2", ask) if isinstance(effect, Send)] == [1]
 
 
@@ -579,18 +606,20 @@
 def test_a_new_leader_counts_itself_once_synced_and_commits_by_entries_of_its_own_view(disk: bool) -> None:
     saved = PersistedState("g", 4, 0, 0, 1, None, tuple(Entry(0, number, 0, "", b"") for number in (1, 2)))
     one = Replica("n2", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, disk, noop=b"noop")
-    one.core.fixed = one.core.fixed._replace(disk=disk)
+    one.core.options = one.core.options._replace(disk=disk)
     one.tick(0, WALL)
-    one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, lives=(), rows=()))
+    one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=()))
     one.receive(
         0,
         "n3",
-        messages.DoViewChange(incarnation=1, view=1, last=0, number=1, committed=1, lives=(), rows=()),
+        messages.DoViewChange(
+            incarnation=1, view=1, last_entry_view=0, last_number=1, committed=1, incarnations=(), progress=()
+        ),
     )
     assert one.status is (Status.VIEW_CHANGE if disk else Status.NORMAL)
-    while disk and one.core.synced < one.core.ticket:
-        one.write_synced(0, one.core.synced + 1)
-    assert one.leader == "n2" and one.core.log.top == 3
+    while disk and one.core.synced_ticket < one.core.last_ticket:
+        one.write_synced(0, one.core.synced_ticket + 1)
+    assert one.leader == "n2" and one.core.log.last_number == 3
     for number, committed in ((2, 1), (3, 3)):
         one.receive(0, "n3", PrepareOk(incarnation=1, view=1, round=0, number=number, committed=0, status=""))
         assert one.committed == committed
@@ -601,20 +630,24 @@
     one = Replica("n2", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, True, noop=b"noop")
     one.tick(0, WALL)
     one.write_synced(0, 1)
-    one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, lives=(), rows=()))
+    one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=()))
     one.receive(
         0,
         "n3",
-        messages.DoViewChange(incarnation=1, view=1, last=0, number=1, committed=1, lives=(), rows=()),
+        messages.DoViewChange(
+            incarnation=1, view=1, last_entry_view=0, last_number=1, committed=1, incarnations=(), progress=()
+        ),
     )
-    assert one.status is Status.VIEW_CHANGE and one.core.log.top == 1
+    assert one.status is Status.VIEW_CHANGE and one.core.log.last_number == 1
 
 
 def test_a_vote_is_given_once_a_majority_is_known_to_have_left() -> None:
     one = Replica("n3", ["n1", "n2", "n3", "n4", "n5"], [], Counting(), 1, 5, None, False, noop=b"noop")
-    bootstrap.be_born(one.core, 0, ())
+    bootstrap.join_new_group(one.core, 0, ())
     for name, votes in (("n4", 0), ("n4", 0), ("n5", 1)):
-        found = one.receive(0, name, messages.StartViewChange(incarnation=1, view=1, lives=(), rows=()))
+        found = one.receive(
+            0, name, messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=())
+        )
         assert [
             effect.to
             for effect in found
@@ -641,14 +674,16 @@
                 incarnation=1, view=view, ticket=1, attempt=attempt, token="t", command=b"x"
             ),
         )
-        assert one.core.log.top == top
+        assert one.core.log.last_number == top
 
 
 def begin(one: Replica) -> None:
     """Born as the leader of the first view, which writes its first entry once a majority follows."""
-    bootstrap.be_born(one.core, 0, ())
-    for name in one.core.fixed.voters[1:]:
-        assert one.core.log.top == (1 if len(one.core.have) + 1 >= one.core.fixed.majority else 0)
+    bootstrap.join_new_group(one.core, 0, ())
+    for name in one.core.options.voters[1:]:
+        assert one.core.log.last_number == (
+            1 if len(one.core.acknowledged) + 1 >= one.core.options.majority else 0
+        )
         one.receive(0, name, PrepareOk(incarnation=1, view=0, round=0, number=0, committed=0, status=""))
 
 
@@ -661,7 +696,7 @@
         one = sim.hosts[late].replica
         assert one is not None
         lives = {name: 1 for name in sim.voters} | {late: one.core.incarnation}
-        bootstrap.be_born(one.core, sim.now, tuple(lives.items()))
+        bootstrap.join_new_group(one.core, sim.now, tuple(lives.items()))
         sim.run(5 * SECOND)
         assert leader(sim) and sim.notes["group-unborn"] == 1
         sim.settle()
@@ -678,7 +713,7 @@
 
     assert have("n3", 1) == 0
     one.receive(
-        0, "n3", messages.RecoveryRequest(incarnation=2, view=0, round=1, voters=names, lives=())
+        0, "n3", messages.RecoveryRequest(incarnation=2, view=0, round=1, voters=names, incarnations=())
     )  # A blank one.
     assert [have("n4", 1), have("n3", 1), have("n3", 2)] == [0, 0, 1]
 
@@ -686,8 +721,8 @@
 def test_what_a_member_once_vouched_for_is_not_forgotten_when_it_tells_less() -> None:
     core = group().hosts["n1"].replica.core  # type: ignore[union-attr]
     for incarnation, number, kept in ((500, 10, (500, 10)), (501, 3, (500, 10)), (501, 11, (501, 11))):
-        peers.learn_row(core, messages.MemberProgress("n3", incarnation, 0, 0, number, 0, ""))
-        assert (core.rows["n3"].incarnation, core.rows["n3"].number) == kept
+        peers.learn_member_progress(core, messages.MemberProgress("n3", incarnation, 0, 0, number, 0, ""))
+        assert (core.progress["n3"].incarnation, core.progress["n3"].number) == kept
 
 
 def test_a_follower_vouches_for_nothing_while_its_view_is_not_on_its_disk() -> None:
@@ -696,7 +731,14 @@
     one.tick(0, WALL)
     one.write_synced(0, 1)
     beat = messages.Heartbeat(
-        incarnation=1, view=1, group="g", round=3, top=1, committed=1, rows=(), voters=("n1", "n2", "n3")
+        incarnation=1,
+        view=1,
+        group="g",
+        round=3,
+        last_number=1,
+        committed=1,
+        progress=(),
+        voters=("n1", "n2", "n3"),
     )
     kinds = [type(effect.message) for effect in one.receive(0, "n2", beat) if isinstance(effect, Send)]
     assert kinds == [] and one.view == 1
@@ -711,10 +753,16 @@
     for view, ticket in ((0, 2), (1, 3)):
         entries = tuple(Entry(view, number, 0, "", b"v%d" % view) for number in (2, 3))
         said = messages.Prepare(
-            incarnation=1, view=view, group="g", after=1, after_view=0, entries=entries, committed=1
+            incarnation=1,
+            view=view,
+            group="g",
+            previous_number=1,
+            previous_view=0,
+            entries=entries,
+            committed=1,
         )
         one.receive(0, f"n{view + 1}", said)
-        assert one.core.ticket == ticket
+        assert one.core.last_ticket == ticket
     found = [
         [effect.message.number for effect in one.write_synced(0, ticket) if isinstance(effect, Send)]
         for ticket in (2, 3)
@@ -728,13 +776,13 @@
             incarnation=1,
             view=3,
             group="g",
-            after=1,
-            after_view=0,
+            previous_number=1,
+            previous_view=0,
             entries=(Entry(3, 2, 0, "", b"v3"),),
             committed=1,
         ),
     )
-    assert one.core.durable == 1 and one.core.vouched == -1
+    assert one.core.durable == 1 and one.core.acknowledgeable_number == -1
 
 
 @pytest.mark.parametrize("block", range(12))
--- a/tests/support/simulated_replicas.py
+++ b/tests/support/simulated_replicas.py
@@ -187,11 +187,11 @@
             return
         core = host.replica.core
         if not self.disk and host.replica.status is not Status.BLANK:
-            host.lost_mark = host.lost_mark or (core.log.last, core.log.top)
+            host.lost_mark = host.lost_mark or (core.log.last_view, core.log.last_number)
         for write in host.pending[: self.random.randint(0, len(host.pending)) if tear else 0]:
             host.saved = written(host.saved, write)
         if self.disk and host.saved is None and host.replica.status is not Status.BLANK:
-            host.lost_mark = host.lost_mark or (core.log.last, core.log.top)
+            host.lost_mark = host.lost_mark or (core.log.last_view, core.log.last_number)
         host.replica, host.pending, host.life = None, [], host.life + 1
         for other in self.hosts.values():
             if self.random.random() < 0.5 if tell is None else tell:
@@ -236,7 +236,10 @@
         saved = host.saved
         if self.disk and (saved is None or saved.incarnation != core.incarnation):
             return True
-        if (core.log.last, min(core.log.top if core.leading else core.sure, core.durable)) < host.lost_mark:
+        if (
+            core.log.last_view,
+            min(core.log.last_number if core.leading else core.matched_number, core.durable),
+        ) < host.lost_mark:
             return True
         host.lost_mark, host.old = None, False
         return False
