--- a/ambershift/coordinator/replication/gossip/messages.py
+++ b/ambershift/coordinator/replication/gossip/messages.py
@@ -1,4 +1,4 @@
-"""What members tell each other of heard state, and how it is packed: a byte for the version, then msgpack."""
+"""Gossip messages. On the wire: one byte for the protocol version, then msgpack."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 WIRE_VERSION = 1
 MAX_MESSAGE_BYTES = 1 << 20
-# A delta stops at so many bytes: below what links take, and soon over, as promises wait behind it.
+# The records of a delta: below what links accept, and soon sent, as messages of the replicas wait behind it.
 MAX_DELTA_BYTES = 64 << 10
 MAX_ORIGINS = 256
+MAX_ERROR_LENGTH = 200  # Characters of a decoder's error.
 
 
 class UnreadableError(Exception):
-    """These bytes are no message of ours, or one that contradicts itself."""
+    """These bytes are not a message, or are one that contradicts itself."""
 
 
 class OriginVersion(msgspec.Struct, frozen=True, array_like=True):
-    """All of an origin's records up to `version` are known, as far as they still count."""
+    """All unexpired records of an origin up to `version` are known."""
 
     origin: Name
     incarnation: Count
@@ -28,14 +29,14 @@
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """What I know. `ask`: if you lack something of it, say so."""
+    """The sender's version vector. `ask`: the receiver is to answer with its own if it lacks anything."""
 
     vector: Annotated[tuple[OriginVersion, ...], msgspec.Meta(max_length=MAX_ORIGINS)]
     ask: bool
 
 
 class DeltaRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A record, without whose it is."""
+    """A record without its origin."""
 
     version: Count
     kind: Count
@@ -45,17 +46,17 @@
 
 
 class OriginDelta(msgspec.Struct, frozen=True, array_like=True):
-    """All that still counts of an origin's versions after `since` up to `upto`, in their order."""
+    """All unexpired records of an origin with versions after `since` up to `last_version`, in their order."""
 
     origin: Name
     incarnation: Count
     since: Count
     last_version: Count
-    rows: tuple[DeltaRecord, ...]
+    records: tuple[DeltaRecord, ...]
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """What your digest lacks; `more`: there is more than fits, ask again."""
+    """Records that the receiver's digest lacks; `more`: not all fitted, so it is to send its digest again."""
 
     parts: Annotated[tuple[OriginDelta, ...], msgspec.Meta(max_length=MAX_ORIGINS)]
     more: bool
@@ -65,23 +66,28 @@
 
 
 def encode(message: Message) -> bytes:
+    """The bytes of a message on the wire."""
     return bytes([WIRE_VERSION]) + msgspec.msgpack.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """UnreadableError for whatever no member of this version may have sent."""
+    """The message of bytes that `encode` made.
+
+    Raises:
+        UnreadableError: No member of this protocol version sends such bytes.
+    """
     if len(data) > MAX_MESSAGE_BYTES or data[:1] != bytes([WIRE_VERSION]):
-        raise UnreadableError("too large" if len(data) > MAX_MESSAGE_BYTES else "another version")
+        raise UnreadableError("too large" if len(data) > MAX_MESSAGE_BYTES else "another protocol version")
     try:
         message: Message = msgspec.msgpack.decode(data[1:], type=Message)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise UnreadableError(str(error)[:200]) from error
+        raise UnreadableError(str(error)[:MAX_ERROR_LENGTH]) from error
     for part in message.parts if isinstance(message, Delta) else ():
-        at = part.since
-        for row in part.rows:
-            if row.version <= at:
-                raise UnreadableError("versions go back")
-            at = row.version
-        if at > part.last_version:
-            raise UnreadableError("a version beyond the last")
+        version = part.since
+        for record in part.records:
+            if record.version <= version:
+                raise UnreadableError("versions do not increase")
+            version = record.version
+        if version > part.last_version:
+            raise UnreadableError("a record is newer than the last version")
     return message
--- a/ambershift/coordinator/replication/gossip/origin.py
+++ b/ambershift/coordinator/replication/gossip/origin.py
@@ -1,4 +1,4 @@
-"""Origin: what one member has said in one of its lives, in the order of its versions. No I/O."""
+"""The records of one origin, in the order of their versions. No I/O."""
 
 from __future__ import annotations
 
@@ -7,39 +7,47 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-ROW_BYTES = 32  # Of a row besides its key and body, at most.
+RECORD_OVERHEAD_BYTES = 32  # Of an encoded record without its key and body, at most.
+# `OriginLog.order` may hold so many entries for each record, and so many more, before it is rebuilt.
+MAX_ORDER_PER_RECORD = 2
+SPARE_ORDER_ENTRIES = 1024
 
 
 class StoredRecord(NamedTuple):
+    """A record as this member keeps it."""
+
     version: int
     kind: int
     key: str
     body: bytes
-    since: int  # When its origin saw it, by this member's clock.
+    observed_at: int  # When its origin observed it, by this member's clock, ns.
 
 
 class OriginLog:
-    """One life of a member; records lie in the order of their versions."""
+    """The records of one incarnation of a member, in the order of their versions."""
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation, self.last_version = incarnation, 0
         self.records = dict[tuple[int, str], StoredRecord]()
-        # Versions with their records' places, those since replaced too, so that a delta finds its beginning.
+        # Each version with its kind and key, replaced records included: a delta finds its beginning by it.
         self.order = list[tuple[int, tuple[int, str]]]()
 
-    def add(self, held: StoredRecord) -> None:
-        self.records[held.kind, held.key] = held
-        self.order.append((held.version, (held.kind, held.key)))
-        if len(self.order) > 2 * len(self.records) + 1024:
-            self.order = [(one.version, (one.kind, one.key)) for one in self.records.values()]
+    def add(self, record: StoredRecord) -> None:
+        """Add a record with a newer version; it replaces the one of the same kind and key."""
+        self.records[record.kind, record.key] = record
+        self.order.append((record.version, (record.kind, record.key)))
+        if len(self.order) > MAX_ORDER_PER_RECORD * len(self.records) + SPARE_ORDER_ENTRIES:
+            self.order = [(kept.version, (kept.kind, kept.key)) for kept in self.records.values()]
 
     def after(self, version: int) -> Iterator[StoredRecord]:
-        for at in range(bisect_right(self.order, version, key=itemgetter(0)), len(self.order)):
-            number, place = self.order[at]
-            held = self.records.get(place)
-            if held is not None and held.version == number:
-                yield held
+        """The records with later versions."""
+        for index in range(bisect_right(self.order, version, key=itemgetter(0)), len(self.order)):
+            later_version, kind_and_key = self.order[index]
+            record = self.records.get(kind_and_key)
+            if record is not None and record.version == later_version:
+                yield record
 
 
-def encoded_size(held: StoredRecord) -> int:
-    return ROW_BYTES + len(held.key) + len(held.body)
+def encoded_size(record: StoredRecord) -> int:
+    """The size of a record in a message, bytes, at most."""
+    return RECORD_OVERHEAD_BYTES + len(record.key) + len(record.body)
--- a/ambershift/coordinator/replication/gossip/store.py
+++ b/ambershift/coordinator/replication/gossip/store.py
@@ -1,10 +1,10 @@
-"""Store: all heard records of a member, its own and others', and what two members tell each other of them.
+"""All gossip records that a member knows, its own and others', and their exchange with another member.
 
-Reconciliation by a version vector and deltas in the order of versions, as Scuttlebutt does it (van Renesse,
-Dumitriu, Gough, Thomas 2008): whoever has all up to a version needs only what is later, and a delta cut short
-leaves no hole. Ages take the place of clocks: a record says how old it was when it left, and grows older
-where it lies, so that the clocks of two members are never compared. The way itself is not counted: a record
-is at least as old as it seems.
+Reconciliation by a version vector and deltas in the order of versions, as in Scuttlebutt (van Renesse,
+Dumitriu, Gough, Thomas 2008): a member that has all versions up to one needs only later ones, and a delta
+that is cut short leaves no gap. Ages take the place of timestamps: a record carries its age when it is sent,
+and grows older where it is stored, so that the clocks of two members are never compared. The time a message
+is under way is not counted: a record is at least as old as its age says.
 """
 
 from __future__ import annotations
@@ -30,244 +30,279 @@
     max_age,
 )
 
+BEFORE_ALL_TIME = -(1 << 63)  # Earlier than any time of a clock, ns.
+
 
 class GossipStore:
-    """Times are the member's own clock, in ns, which never goes back."""
+    """The records of all origins. Times are the member's own monotonic clock, ns."""
 
-    def __init__(self, me: str, incarnation: int, bounds: StoreLimits | None = None) -> None:
-        self.me, self.bounds = me, bounds or StoreLimits()
+    def __init__(self, me: str, incarnation: int, limits: StoreLimits | None = None) -> None:
+        self.me, self.limits = me, limits or StoreLimits()
         self.origins = {me: OriginLog(incarnation)}
         self.by_kind = dict[int, dict[str, dict[str, StoredRecord]]]()  # By kind, key and origin.
         self.expiry = ExpiryQueue()
         self.count = self.bytes = 0
-        self.dropped = 0  # Records that went for want of room, and parts that could not be taken.
+        self.dropped = 0  # Records that exceeded the limits, and parts of deltas that could not be taken.
 
-    # One's own
+    # This member's records
 
     def put(self, now: int, kind: int, key: str, body: bytes, age_ns: int = 0) -> Record:
-        """Say it, or say it again; ValueError where key or body is too long for others to take."""
+        """Publish a record, or publish it again.
+
+        Raises:
+            ValueError: The key or the body is longer than other members accept.
+        """
         if len(key) > MAX_KEY_LENGTH or len(body) > MAX_BODY_BYTES or age_ns < 0:
             raise ValueError(f"a record of kind {kind} with {len(key)} characters, {len(body)} bytes")
         origin = self.origins[self.me]
         origin.last_version += 1
-        held = StoredRecord(origin.last_version, kind, key, body, now - age_ns)
-        self.insert(self.me, origin, held)
-        return self.record(now, self.me, held)
+        stored = StoredRecord(origin.last_version, kind, key, body, now - age_ns)
+        self.insert(self.me, origin, stored)
+        return self.record(now, self.me, stored)
 
     def withdraw(self, now: int, kind: int, key: str) -> None:
-        """Nothing is told where nothing stands."""
-        held = self.origins[self.me].records.get((kind, key))
-        if held is not None and held.body:
+        """Withdraw a record, if it is published."""
+        stored = self.origins[self.me].records.get((kind, key))
+        if stored is not None and stored.body:
             self.put(now, kind, key, b"")
 
-    # What is read
+    # Reading
 
     def newest(self, now: int, kind: int, key: str, own_age: int | None = None) -> Record | None:
-        """The newest word of another member, where it is newer than one's own evidence, `own_age` ns old."""
-        best: tuple[str, StoredRecord] | None = None
-        since = now - own_age if own_age is not None else -(1 << 63)
-        for name, held in self.by_kind.get(kind, {}).get(key, {}).items():
-            if not self.is_current(now, held):
+        """The newest record of another member, where it is newer than this member's own evidence.
+
+        `own_age` is the age of evidence that this member has besides its record, ns.
+        """
+        newest: tuple[str, StoredRecord] | None = None
+        newest_time = now - own_age if own_age is not None else BEFORE_ALL_TIME
+        for name, stored in self.by_kind.get(kind, {}).get(key, {}).items():
+            if not self.is_current(now, stored):
                 continue
-            if held.since > since or (name == self.me and held.since == since):
-                since, best = held.since, (name, held)
-        return None if best is None or best[0] == self.me else self.record(now, *best)
+            is_own_and_as_new = name == self.me and stored.observed_at == newest_time
+            if stored.observed_at > newest_time or is_own_and_as_new:
+                newest_time, newest = stored.observed_at, (name, stored)
+        return None if newest is None or newest[0] == self.me else self.record(now, *newest)
 
     def all(self, now: int, kind: int) -> Iterator[Record]:
-        """Every word that counts, one's own too."""
+        """Every current record of a kind, this member's own included."""
         for by_origin in self.by_kind.get(kind, {}).values():
-            for name, held in by_origin.items():
-                if self.is_current(now, held):
-                    yield self.record(now, name, held)
+            for name, stored in by_origin.items():
+                if self.is_current(now, stored):
+                    yield self.record(now, name, stored)
 
     def keys(self, kind: int) -> list[str]:
+        """The keys of all stored records of a kind."""
         return list(self.by_kind.get(kind, ()))
 
     @staticmethod
-    def is_current(now: int, held: StoredRecord) -> bool:
-        return bool(held.body) and now - held.since < max_age(held.kind)
+    def is_current(now: int, stored: StoredRecord) -> bool:
+        """Whether a record is neither withdrawn nor expired."""
+        return bool(stored.body) and now - stored.observed_at < max_age(stored.kind)
 
-    def record(self, now: int, name: str, held: StoredRecord) -> Record:
+    def record(self, now: int, name: str, stored: StoredRecord) -> Record:
+        """A stored record of an origin, with its present age."""
         return Record(
             name,
             self.origins[name].incarnation,
-            held.version,
-            held.kind,
-            held.key,
-            held.body,
-            max(0, now - held.since),
+            stored.version,
+            stored.kind,
+            stored.key,
+            stored.body,
+            max(0, now - stored.observed_at),
         )
 
-    # Between members
+    # Exchange with other members
 
     def digest(self, ask: bool = True) -> Digest:
-        places = (
-            OriginVersion(name, one.incarnation, one.last_version) for name, one in self.origins.items()
+        """The version vector of this store."""
+        vector = (
+            OriginVersion(name, origin.incarnation, origin.last_version)
+            for name, origin in self.origins.items()
         )
-        return Digest(tuple(places), ask)
+        return Digest(tuple(vector), ask)
 
     def receive(self, now: int, message: Message) -> tuple[list[Message], list[Record]]:
-        """What to answer to whom it came from, and what is new because of it."""
+        """Take a message; returns the answers to its sender, and the records that are new."""
         if isinstance(message, Delta):
-            news = self.take(now, message)
-            return ([self.digest(False)] if message.more else []), news
+            new_records = self.merge(now, message)
+            return ([self.digest(False)] if message.more else []), new_records
         answers = list[Message]()
-        theirs = {place.origin: place for place in message.vector}
-        delta = self.delta(now, theirs)
+        delta = self.delta(now, {known.origin: known for known in message.vector})
         if delta.parts:
             answers.append(delta)
-        if message.ask and any(self.lacks(place) for place in message.vector):
+        if message.ask and any(self.lacks(known) for known in message.vector):
             answers.append(self.digest(False))
         return answers, []
 
-    def lacks(self, place: OriginVersion) -> bool:
-        mine = self.origins.get(place.origin)
-        if mine is None:
-            return place.version > 0 and len(self.origins) < self.bounds.origins
-        return place.origin != self.me and (place.incarnation, place.version) > (
-            mine.incarnation,
-            mine.last_version,
-        )
+    def lacks(self, known: OriginVersion) -> bool:
+        """Whether another member has records of an origin that this store lacks and would take."""
+        origin = self.origins.get(known.origin)
+        if origin is None:
+            return known.version > 0 and len(self.origins) < self.limits.origins
+        position = origin.incarnation, origin.last_version
+        return known.origin != self.me and (known.incarnation, known.version) > position
+
+    def delta(
+        self, now: int, known_versions: dict[str, OriginVersion], max_bytes: int = MAX_DELTA_BYTES
+    ) -> Delta:
+        """The records that a member with these versions lacks.
 
-    def delta(self, now: int, theirs: dict[str, OriginVersion], most: int = MAX_DELTA_BYTES) -> Delta:
-        """Origins take turns, so that one with much to say holds up no other."""
+        Origins take turns, so that one with many records does not delay the others.
+        """
         pending = dict[str, tuple[int, list[StoredRecord]]]()
-        for name, one in self.origins.items():
-            place = theirs.get(name)
-            if place is None or place.incarnation < one.incarnation:
-                place = OriginVersion(name, one.incarnation, 0)
-            if place.incarnation == one.incarnation and place.version < one.last_version:
-                pending[name] = place.version, self.later(now, one, place.version, most)
-        sent, turns, left = dict.fromkeys(pending, 0), list(pending), most
-        while turns and left > 0:
+        for name, origin in self.origins.items():
+            known = known_versions.get(name)
+            if known is None or known.incarnation < origin.incarnation:
+                known = OriginVersion(name, origin.incarnation, 0)
+            if known.incarnation == origin.incarnation and known.version < origin.last_version:
+                pending[name] = known.version, self.records_after(now, origin, known.version, max_bytes)
+        sent, turns, remaining = dict.fromkeys(pending, 0), list(pending), max_bytes
+        while turns and remaining > 0:
             for name in list(turns):
-                rows = pending[name][1]
-                if sent[name] == len(rows):
+                records = pending[name][1]
+                if sent[name] == len(records):
                     turns.remove(name)
-                elif left > 0:
-                    left -= encoded_size(rows[sent[name]])
+                elif remaining > 0:
+                    remaining -= encoded_size(records[sent[name]])
                     sent[name] += 1
         parts, more = [], False
-        for name, (since, rows) in pending.items():
-            cut = rows[: sent[name]]
-            whole = len(cut) == len(rows) and not self.overflows(rows, most)
-            more |= not whole
-            if cut or whole:
+        for name, (since, records) in pending.items():
+            selected = records[: sent[name]]
+            is_complete = len(selected) == len(records) and not self.overflows(records, max_bytes)
+            more |= not is_complete
+            if selected or is_complete:
                 origin = self.origins[name]
-                last_version = origin.last_version if whole else cut[-1].version
                 parts.append(
                     OriginDelta(
                         name,
                         origin.incarnation,
                         since,
-                        last_version,
+                        origin.last_version if is_complete else selected[-1].version,
                         tuple(
-                            DeltaRecord(one.version, one.kind, one.key, one.body, max(0, now - one.since))
-                            for one in cut
+                            DeltaRecord(
+                                stored.version,
+                                stored.kind,
+                                stored.key,
+                                stored.body,
+                                max(0, now - stored.observed_at),
+                            )
+                            for stored in selected
                         ),
                     )
                 )
         return Delta(tuple(parts), more)
 
     @staticmethod
-    def overflows(rows: list[StoredRecord], most: int) -> bool:
-        return sum(map(encoded_size, rows)) > most
-
-    def later(self, now: int, one: OriginLog, version: int, most: int) -> list[StoredRecord]:
-        """The first ones after a version, a little over `most` bytes of them at the most."""
-        rows, room = list[StoredRecord](), most
-        for held in one.after(version):
-            if now - held.since < max_age(held.kind):
-                rows.append(held)
-                room -= encoded_size(held)
-                if room < 0:
+    def overflows(records: list[StoredRecord], max_bytes: int) -> bool:
+        """Whether records exceed a size, so that `records_after` may have stopped before the last."""
+        return sum(map(encoded_size, records)) > max_bytes
+
+    def records_after(self, now: int, origin: OriginLog, version: int, max_bytes: int) -> list[StoredRecord]:
+        """The first unexpired records after a version; the last of them may exceed `max_bytes`."""
+        records, remaining = list[StoredRecord](), max_bytes
+        for stored in origin.after(version):
+            if now - stored.observed_at < max_age(stored.kind):
+                records.append(stored)
+                remaining -= encoded_size(stored)
+                if remaining < 0:
                     break
-        return rows
+        return records
 
-    def take(self, now: int, delta: Delta) -> list[Record]:
-        news = list[Record]()
+    def merge(self, now: int, delta: Delta) -> list[Record]:
+        """Take over the records of a delta; returns the new ones."""
+        new_records = list[Record]()
         for part in delta.parts:
-            origin = self.origin(part)
+            origin = self.origin_of(part)
             if origin is None:
                 continue
-            if part.since > origin.last_version:  # It was meant for what this member knew in an earlier life.
+            if part.since > origin.last_version:  # It answers a digest of this member's earlier incarnation.
                 self.dropped += 1
                 continue
-            for row in part.rows:
-                held = StoredRecord(row.version, row.kind, row.key, row.body, now - row.age_ns)
-                if row.version <= origin.last_version:
-                    self.grow_older(part.origin, origin, held)
-                elif row.age_ns < max_age(row.kind):
-                    origin.last_version = row.version
-                    self.insert(part.origin, origin, held)
-                    news.append(self.record(now, part.origin, held))
+            for sent in part.records:
+                stored = StoredRecord(sent.version, sent.kind, sent.key, sent.body, now - sent.age_ns)
+                if sent.version <= origin.last_version:
+                    self.correct_age(part.origin, origin, stored)
+                elif sent.age_ns < max_age(sent.kind):
+                    origin.last_version = sent.version
+                    self.insert(part.origin, origin, stored)
+                    new_records.append(self.record(now, part.origin, stored))
             origin.last_version = max(origin.last_version, part.last_version)
-        return news
+        return new_records
 
-    def origin(self, part: OriginDelta) -> OriginLog | None:
-        """The life that a part is about; None where it is of no use."""
+    def origin_of(self, part: OriginDelta) -> OriginLog | None:
+        """The origin and incarnation that a part belongs to; None where the part is of no use."""
         known = self.origins.get(part.origin)
         if part.origin == self.me or (known is not None and known.incarnation > part.incarnation):
             return None
-        if known is None and len(self.origins) >= self.bounds.origins:
+        if known is None and len(self.origins) >= self.limits.origins:
             self.dropped += 1
             return None
         if known is None or known.incarnation < part.incarnation:
-            for held in list(known.records.values()) if known else ():
-                self.drop(part.origin, held)
+            for stored in list(known.records.values()) if known else ():
+                self.drop(part.origin, stored)
             known = self.origins[part.origin] = OriginLog(part.incarnation)
         return known
 
-    def grow_older(self, name: str, origin: OriginLog, held: StoredRecord) -> None:
-        """The same word by another way: the longer way tells more of its true age."""
-        mine = origin.records.get((held.kind, held.key))
-        if mine is not None and mine.version == held.version and held.since < mine.since:
-            older = mine._replace(since=held.since)
-            origin.records[held.kind, held.key] = self.by_kind[held.kind][held.key][name] = older
-            self.expires(name, origin, older)
-
-    # What is held
-
-    def insert(self, name: str, origin: OriginLog, held: StoredRecord) -> None:
-        if (old := origin.records.get((held.kind, held.key))) is not None:
-            self.drop(name, old)
-        origin.add(held)
-        self.by_kind.setdefault(held.kind, {}).setdefault(held.key, {})[name] = held
-        self.count, self.bytes = self.count + 1, self.bytes + encoded_size(held)
-        self.expires(name, origin, held)
-        while len(origin.records) > self.bounds.records_an_origin:
+    def correct_age(self, name: str, origin: OriginLog, received: StoredRecord) -> None:
+        """Take over the higher age of the same record from another path: it is closer to the true one."""
+        stored = origin.records.get((received.kind, received.key))
+        is_same = stored is not None and stored.version == received.version
+        if stored is not None and is_same and received.observed_at < stored.observed_at:
+            older = stored._replace(observed_at=received.observed_at)
+            origin.records[received.kind, received.key] = older
+            self.by_kind[received.kind][received.key][name] = older
+            self.schedule_expiry(name, origin, older)
+
+    # Storage
+
+    def insert(self, name: str, origin: OriginLog, stored: StoredRecord) -> None:
+        """Store a record of an origin, and drop what then exceeds the limits."""
+        if (replaced := origin.records.get((stored.kind, stored.key))) is not None:
+            self.drop(name, replaced)
+        origin.add(stored)
+        self.by_kind.setdefault(stored.kind, {}).setdefault(stored.key, {})[name] = stored
+        self.count, self.bytes = self.count + 1, self.bytes + encoded_size(stored)
+        self.schedule_expiry(name, origin, stored)
+        while len(origin.records) > self.limits.records_per_origin:
             self.dropped += 1
             self.drop(name, next(iter(origin.records.values())))
-        while self.count > self.bounds.records or self.bytes > self.bounds.bytes:
+        while self.count > self.limits.records or self.bytes > self.limits.bytes:
             self.dropped += 1
-            name, most = max(self.origins.items(), key=lambda one: len(one[1].records))
-            self.drop(name, next(iter(most.records.values())))
+            largest_name, largest = max(self.origins.items(), key=lambda item: len(item[1].records))
+            self.drop(largest_name, next(iter(largest.records.values())))
 
-    def expires(self, name: str, origin: OriginLog, held: StoredRecord) -> None:
+    def schedule_expiry(self, name: str, origin: OriginLog, stored: StoredRecord) -> None:
+        """Note when a record expires."""
         self.expiry.add(
-            held.since + max_age(held.kind),
+            stored.observed_at + max_age(stored.kind),
             name,
             origin.incarnation,
-            held.version,
-            (held.kind, held.key),
+            stored.version,
+            (stored.kind, stored.key),
             self.count,
         )
 
-    def drop(self, name: str, held: StoredRecord) -> None:
-        del self.origins[name].records[held.kind, held.key]
-        by_key = self.by_kind[held.kind]
-        del by_key[held.key][name]
-        if not by_key[held.key]:
-            del by_key[held.key]
-        self.count, self.bytes = self.count - 1, self.bytes - encoded_size(held)
+    def drop(self, name: str, stored: StoredRecord) -> None:
+        """Remove a record of an origin."""
+        del self.origins[name].records[stored.kind, stored.key]
+        by_key = self.by_kind[stored.kind]
+        del by_key[stored.key][name]
+        if not by_key[stored.key]:
+            del by_key[stored.key]
+        self.count, self.bytes = self.count - 1, self.bytes - encoded_size(stored)
 
     def sweep(self, now: int) -> int:
-        """Let go of what is too old; call it every second or so. Reading never gives any of it."""
-        gone = 0
-        for name, incarnation, version, place in self.expiry.due(now):
+        """Remove expired records; returns how many.
+
+        To be called about every second, to free memory; reading never returns an expired record.
+        """
+        removed = 0
+        for name, incarnation, version, kind_and_key in self.expiry.due(now):
             origin = self.origins.get(name)
-            held = origin.records.get(place) if origin and origin.incarnation == incarnation else None
-            if held is not None and held.version == version:
-                self.drop(name, held)
-                gone += 1
-        return gone
+            stored = (
+                origin.records.get(kind_and_key) if origin and origin.incarnation == incarnation else None
+            )
+            if stored is not None and stored.version == version:
+                self.drop(name, stored)
+                removed += 1
+        return removed
--- a/benchmarks/heard_state.py
+++ b/benchmarks/heard_state.py
@@ -72,7 +72,7 @@
             0,
             origin.last_version,
             tuple(
-                DeltaRecord(held.version, held.kind, held.key, held.body, now - held.since)
+                DeltaRecord(held.version, held.kind, held.key, held.body, now - held.observed_at)
                 for held in origin.records.values()
             ),
         )
--- a/tests/coordinator/replication/test_heard.py
+++ b/tests/coordinator/replication/test_heard.py
@@ -140,7 +140,7 @@
             store.sweep(world.now)
             rows = [one for origin in store.origins.values() for one in origin.records.values()]
             assert store.count == len(rows) and store.bytes == sum(map(encoded_size, rows))
-            assert all(world.now - row.since < max_age(row.kind) for row in rows)
+            assert all(world.now - row.observed_at < max_age(row.kind) for row in rows)
             assert sum(len(o) for k in store.by_kind.values() for o in k.values()) == len(rows)
         assert world.largest < 900
 
@@ -191,7 +191,9 @@
     a.put(0, RecordKind.SERVER_START, "t", b"y")
     a.put(0, RecordKind.ATTEMPT_STATS, "s", b"x")
     late = a.delta(30 * S, {})
-    assert [row.key for part in late.parts for row in part.rows] == ["t"] and late.parts[0].last_version == 2
+    assert [row.key for part in late.parts for row in part.records] == ["t"] and late.parts[
+        0
+    ].last_version == 2
     early = Delta(
         (
             OriginDelta(
