--- a/ambershift/policy/parts.py
+++ b/ambershift/policy/parts.py
@@ -4,14 +4,18 @@
 from statistics import fmean
 
 from ambershift.policy.state import QUEUE_SPAN, SECOND, State
-from ambershift.proxies import NO_PART, Proxy
+from ambershift.proxy_state import NO_PART, Proxy
 
 TRAFFIC_WINDOW, SHARE_MOVE, PART_LEAST = 30 * SECOND, 0.1, 8  # The least is servers of a part.
 
 
 def split(state: State, servers: int) -> None:
     """Part zones at size, each part with a table, so that the queue can hold a binding of all proxies."""
-    room = state.terms.lines_per_s * QUEUE_SPAN / SECOND / max(1, state.terms.proxies) - state.terms.head - 4
+    room = (
+        state.terms.lines_per_s * QUEUE_SPAN / SECOND / max(1, state.terms.expected_proxies)
+        - state.terms.message_overhead
+        - 4
+    )
     state.parts = max(1, int(servers / (max(PART_LEAST, min(room, servers)) * state.terms.zones)))
 
 
--- a/tests/coordinator/test_network.py
+++ b/tests/coordinator/test_network.py
@@ -28,10 +28,10 @@
 from ambershift.coordinator.transport.endings import MEANING, EndedError, Ending
 from ambershift.coordinator.transport.lines import Framer
 from ambershift.coordinator.transport.listener import Listener
-from ambershift.terms import Names
+from ambershift.policy_settings import FrontSettings
 from tests.support.policy_model import free_port
 
-NAMES = Names(("east", "west"), ("play", "slip"), ("util",), 8, 100.0, True, 100_000_000, 2000.0)
+NAMES = FrontSettings(("east", "west"), ("play", "slip"), ("util",), 8, 100.0, True, 100_000_000, 2000.0)
 
 
 def silent_book() -> Book:
@@ -217,8 +217,8 @@
         (api.Bind(17, 4, 0), "attach,17,4,*"),
         (api.Withdraw(0, True), "eject,s-a"),
         (api.Withdraw(0, False), "uneject,s-a"),
-        (api.Level(4, 5, api.Again.IF_NOT_RUN, 0.9), "gate,4,play+hot,0.9,1"),
-        (api.Level(65535, 0, api.Again.NEVER, 1.0), "gate,*,*,1,0"),
+        (api.Level(4, 5, api.RetryPolicy.IF_NOT_RUN, 0.9), "gate,4,play+hot,0.9,1"),
+        (api.Level(65535, 0, api.RetryPolicy.NEVER, 1.0), "gate,*,*,1,0"),
         (api.Mark(905, True), "fence,905,1"),
         (api.SetWeight(4, 1, 1e-5), "put,4,s-b,0.00001"),
     ],
