--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -16,10 +16,10 @@
 from ambershift.coordinator.replication.replica import Replica
 from ambershift.coordinator.replication.tuning import DEFAULT_TUNING, MS
 from ambershift.coordinator.replication.types import Answer, Entry, Send, Status, Write
-from tests.support.simulated_replicas import SECOND, WALL, Counting, Sim
+from tests.support.simulated_replicas import SECOND, WALL, CountingMachine, Simulation
 
 
-class Bulky(Counting):
+class Bulky(CountingMachine):
     """A state of so many bytes, which takes no time to change."""
 
     def __init__(self, size: int) -> None:
@@ -35,7 +35,7 @@
 class Direct:
     """Members in one process; each message is packed, and read where it arrives. Syncs are told at once."""
 
-    def __init__(self, count: int, disk: bool, machine: Counting | None = None) -> None:
+    def __init__(self, count: int, disk: bool, machine: CountingMachine | None = None) -> None:
         names = [f"n{index}" for index in range(count)]
         self.names, machine = names, machine or Bulky(0)
         self.members = {
@@ -101,7 +101,7 @@
 def without_leader(kind: str, voters: int, seeds: int) -> str:
     gaps = []
     for seed in range(seeds):
-        sim = Sim(seed, voters, tuning=DEFAULT_TUNING)
+        sim = Simulation(seed, voters, tuning=DEFAULT_TUNING)
         for name in sim.hosts:
             sim.start(name)
         sim.run(SECOND + sim.random.randint(0, 100) * MS)
--- a/tests/coordinator/group/test_disk.py
+++ b/tests/coordinator/group/test_disk.py
@@ -21,8 +21,8 @@
 from ambershift.coordinator.replication.log_recovery import FoldedLog, InconsistentLogError
 from ambershift.coordinator.replication.types import Entry, PersistedState, Snapshot, Write
 from tests.support import simulated_replicas
-from tests.support.fault_schedules import history
-from tests.support.simulated_disk import CrashError, SimFiles
+from tests.support.fault_schedules import run_history
+from tests.support.simulated_disk import CrashError, SimulatedFiles
 
 Damage = Callable[[dict[str, bytearray]], None]
 WALL = 1_800_000_000_000_000_000
@@ -71,7 +71,7 @@
 class Workload:
     """Appends all batches, and reopens the folder in their middle, until a fault interrupts it."""
 
-    def __init__(self, files: SimFiles) -> None:
+    def __init__(self, files: SimulatedFiles) -> None:
         self.files, self.acked, self.attempted = files, 0, 0
         self.interrupted, self.last_incarnation = False, 0
         try:
@@ -97,11 +97,11 @@
         return max(count for count, one in enumerate(SAVED_STATES) if one == saved)
 
 
-def reopened(files: SimFiles) -> Opened:
+def reopened(files: SimulatedFiles) -> Opened:
     return Folder(files, "archive", "n1").open(WALL + 2)
 
 
-FILE_CALLS = Workload(SimFiles()).files.calls
+FILE_CALLS = Workload(SimulatedFiles()).files.calls
 
 
 @pytest.mark.parametrize("keep", [0.0, 0.5, 0.8, 1.0])
@@ -109,16 +109,16 @@
     torn = 0
     for at in range(1, FILE_CALLS + 1):
         for seed in range(1 if keep in (0.0, 1.0) else 40):
-            run = Workload(SimFiles(seed * 1000 + at, crash_at=at))
+            run = Workload(SimulatedFiles(seed * 1000 + at, crash_at=at))
             assert run.interrupted
-            left = run.files.after(keep)
+            left = run.files.after_power_loss(keep)
             opened = reopened(left)
             assert opened.fault is None and not opened.aside, (at, seed, opened)
             assert run.acked <= run.count_held(opened) <= run.attempted, (at, seed)
             assert opened.incarnation > run.last_incarnation
             torn += opened.torn > 0
             # A second crash, during the recovery from the first.
-            again = left.after(0.5)
+            again = left.after_power_loss(0.5)
             twice = reopened(again)
             assert twice.fault is None and run.acked <= run.count_held(twice) <= run.attempted, (at, seed)
     assert keep in (0.0, 1.0) or torn > 50
@@ -126,14 +126,14 @@
 
 def test_a_crash_during_recovery_from_a_crash_loses_nothing() -> None:
     for at in range(1, FILE_CALLS + 1):
-        run = Workload(SimFiles(at, crash_at=at))
+        run = Workload(SimulatedFiles(at, crash_at=at))
         for second in range(1, 14):
-            left = run.files.after(0.6)
+            left = run.files.after_power_loss(0.6)
             left.crash_at = left.calls + second
             try:
                 reopened(left)
             except CrashError:
-                opened = reopened(left.after(0.6))
+                opened = reopened(left.after_power_loss(0.6))
                 assert opened.fault is None and run.acked <= run.count_held(opened) <= run.attempted, (
                     at,
                     second,
@@ -144,9 +144,12 @@
 def test_a_failed_call_fails_the_folder_for_good(code: int) -> None:
     for at in range(1, FILE_CALLS + 1):
         for keep in (0.0, 0.5, 1.0):
-            run = Workload(SimFiles(at, fail_at=at, code=code))
+            run = Workload(SimulatedFiles(at, fail_at=at, error_code=code))
             assert run.interrupted, at
-            for left in (run.files, run.files.after(keep)):  # The program restarts, or the machine does.
+            for left in (
+                run.files,
+                run.files.after_power_loss(keep),
+            ):  # The program restarts, or the machine does.
                 left.fail_at = 0
                 opened = reopened(left)
                 assert opened.fault is None and run.acked <= run.count_held(opened) <= run.attempted, (
@@ -156,18 +159,18 @@
 
 
 @cache
-def interrupted_workload(crash: int, keep: float) -> tuple[Workload, SimFiles]:
-    run = Workload(SimFiles(3, crash_at=crash))
-    return run, run.files.after(keep)
+def interrupted_workload(crash: int, keep: float) -> tuple[Workload, SimulatedFiles]:
+    run = Workload(SimulatedFiles(3, crash_at=crash))
+    return run, run.files.after_power_loss(keep)
 
 
 def damaged(change: Damage, crash: int = 0, keep: float = 1.0) -> tuple[Workload, Opened]:
     run, files = interrupted_workload(crash, keep)
-    left = files.after(1.0)
-    change({name: left.table[name].seen for name in left.table})
-    before = {bytes(left.table[name].seen) for name in ("log", "mark") if name in left.table}
+    left = files.after_power_loss(1.0)
+    change({name: left.files[name].seen for name in left.files})
+    before = {bytes(left.files[name].seen) for name in ("log", "mark") if name in left.files}
     opened = reopened(left)
-    kept = {bytes(inode.seen) for inode in left.table.values()}
+    kept = {bytes(inode.seen) for inode in left.files.values()}
     assert opened.fault is None or before <= kept, "something was deleted or overwritten"
     assert (opened.fault is None) == (not opened.aside) and (opened.saved is None) >= bool(opened.fault)
     # `lost` stays until a state is recovered.
@@ -178,7 +181,7 @@
 def test_a_flipped_bit_or_truncation_of_synced_data_is_detected() -> None:
     seen = dict.fromkeys(records.LogFault, 0)
     for name in ("log", "mark"):
-        size = len(SimFiles.read(Workload(SimFiles()).files, name))
+        size = len(SimulatedFiles.read(Workload(SimulatedFiles()).files, name))
         for at in range(size) if name == "log" else (*range(40), *range(size - 40, size)):
             for change in ("flip", "cut", "zero"):
                 # Complete; the last mark torn; the last append torn.
@@ -221,7 +224,7 @@
 
 def test_foreign_and_inconsistent_files_are_set_aside_with_the_reason() -> None:
     newer = records.encode_preamble(99, 0, records.VERSION + 1)
-    older = bytes(Workload(SimFiles(crash_at=FILE_CALLS - 20)).files.table["log"].seen)
+    older = bytes(Workload(SimulatedFiles(crash_at=FILE_CALLS - 20)).files.files["log"].seen)
 
     def torn(files: dict[str, bytearray]) -> None:
         log = records.encode_preamble(99, 0)
@@ -244,25 +247,25 @@
 
 
 def test_a_missing_log_a_void_folder_and_a_foreign_folder() -> None:
-    files = Workload(SimFiles()).files
-    del files.table["log"]
+    files = Workload(SimulatedFiles()).files
+    del files.files["log"]
     assert reopened(files).fault is records.LogFault.MISSING
     for count in (2, 3):
         opened = Folder(files, "archive", "n1").open(WALL, "old-folder")
         assert opened.saved is None and opened.fault is None and opened.incarnation > WALL
-        assert sum("old-folder" in name for name in files.table) == 2 * count - 2, opened
+        assert sum("old-folder" in name for name in files.files) == 2 * count - 2, opened
     for group, me in (("archive", "n2"), ("other", "n1")):
-        names = dict(files.table)
+        names = dict(files.files)
         with pytest.raises(RefusedError):
             Folder(files, group, me).open(WALL)
-        assert files.table == names
+        assert files.files == names
 
 
 def test_a_gap_in_the_numbers_fails_the_disk_and_a_grown_log_is_compacted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(folder_module, "MIN_COMPACTION_BYTES", 1000)
-    folder = Folder(SimFiles(), "archive", "n1")
+    folder = Folder(SimulatedFiles(), "archive", "n1")
     folder.open(WALL)
     for at in range(400):
         folder.append([write(at, committed=at)])
@@ -275,7 +278,7 @@
 
 def test_the_folder_holds_what_replicas_expect(monkeypatch: pytest.MonkeyPatch) -> None:
     """Compare the state after each write of generated histories with the plain model of the replica tests."""
-    plain, seen = simulated_replicas.written, list[int]()
+    plain, seen = simulated_replicas.folder_after, list[int]()
 
     def both(saved: PersistedState | None, one: Write) -> PersistedState:
         held, wanted = FoldedLog(), plain(saved, one)
@@ -287,9 +290,9 @@
         seen.append(len(one.entries))
         return wanted
 
-    monkeypatch.setattr(simulated_replicas, "written", both)
+    monkeypatch.setattr(simulated_replicas, "folder_after", both)
     for seed in range(8):
-        history(seed, acts=25)
+        run_history(seed, acts=25)
     assert len(seen) > 100 and 0 in seen and max(seen) > 5
 
 
@@ -333,7 +336,7 @@
 @pytest.mark.parametrize(("full", "fails"), [(False, True), (True, False), (True, True)])
 def test_a_failed_or_hanging_disk_is_reported_once_and_nothing_after_it(full: bool, fails: bool) -> None:
     async def scenario() -> None:
-        files, entered, hold = SimFiles(), threading.Event(), threading.Event()
+        files, entered, hold = SimulatedFiles(), threading.Event(), threading.Event()
         folder, listener = Folder(files, "archive", "n1"), RecordingListener()
         folder.open(WALL)
         disk = DiskWorker(folder, listener, asyncio.get_running_loop(), max_queued_writes=4)
@@ -345,7 +348,7 @@
             inner(writes)
 
         folder.append = held  # type: ignore[method-assign]
-        files.fail_at, files.code = files.calls + 1 if fails else 0, errno.ENOSPC
+        files.fail_at, files.error_code = files.calls + 1 if fails else 0, errno.ENOSPC
         disk.start()
         disk.write(write(1))
         entered.wait(20)
--- a/tests/coordinator/replication/test_replication.py
+++ b/tests/coordinator/replication/test_replication.py
@@ -33,12 +33,12 @@
     Status,
     Write,
 )
-from tests.support.fault_schedules import SMALL, history
-from tests.support.simulated_replicas import SECOND, WALL, Counting, Sim
+from tests.support.fault_schedules import SMALL_TUNING, run_history
+from tests.support.simulated_replicas import SECOND, WALL, CountingMachine, Simulation
 
 
-def group(voters: int = 3, copies: int = 0, seed: int = 1, disk: bool = False, **more: Any) -> Sim:
-    sim = Sim(seed, voters, copies, disk, **more)
+def group(voters: int = 3, copies: int = 0, seed: int = 1, disk: bool = False, **more: Any) -> Simulation:
+    sim = Simulation(seed, voters, copies, disk, **more)
     for name in sim.hosts:
         sim.start(name)
     sim.run(SECOND)
@@ -46,7 +46,7 @@
     return sim
 
 
-def leader(sim: Sim) -> str:
+def leader(sim: Simulation) -> str:
     """Who leads the newest view."""
     found = [
         (host.replica.view, name)
@@ -56,16 +56,16 @@
     return max(found)[1] if found else ""
 
 
-def follower(sim: Sim) -> str:
+def follower(sim: Simulation) -> str:
     return next(name for name in sim.voters if name != leader(sim) and sim.hosts[name].replica)
 
 
-def alone(sim: Sim, *names: str) -> None:
+def alone(sim: Simulation, *names: str) -> None:
     pairs = ((one, other) for one in sim.hosts for other in sim.hosts)
     sim.cuts = {(one, other) for one, other in pairs if (one in names) != (other in names)}
 
 
-def fill(sim: Sim, count: int, name: str = "", tag: str = "f") -> None:
+def fill(sim: Simulation, count: int, name: str = "", tag: str = "f") -> None:
     for number in range(count):
         sim.submit(name or leader(sim), f"{tag}{number}", b"x" * 20)
     sim.run(SECOND)
@@ -180,7 +180,7 @@
 
 def test_laggards_get_pieces_of_a_snapshot_and_logs_stay_bounded() -> None:
     for disk in (False, True):
-        sim = group(copies=1, disk=disk, tuning=SMALL)
+        sim = group(copies=1, disk=disk, tuning=SMALL_TUNING)
         late = follower(sim)
         alone(sim, late)
         for block in range(10):
@@ -192,8 +192,11 @@
         sim.settle()
         assert sim.sent["StateChunk"] - chunks > 20
         for host in sim.hosts.values():
-            assert host.replica and len(host.replica.core.log.entries) <= 3 * SMALL.snapshot_interval_entries
-            assert len(host.replica.core.tokens.answers) <= SMALL.max_tokens
+            assert (
+                host.replica
+                and len(host.replica.core.log.entries) <= 3 * SMALL_TUNING.snapshot_interval_entries
+            )
+            assert len(host.replica.core.tokens.answers) <= SMALL_TUNING.max_tokens
 
 
 def test_a_token_writes_once_and_answers_again() -> None:
@@ -245,7 +248,7 @@
         held = sim.hosts[name].replica
         assert held is not None
         other = Replica(
-            name, sim.voters, [], Counting(), 1, held.core.incarnation + more, None, False, now=sim.now
+            name, sim.voters, [], CountingMachine(), 1, held.core.incarnation + more, None, False, now=sim.now
         )
         bootstrap.join_new_group(other.core, sim.now, ())
         found = list[Any]()
@@ -267,11 +270,11 @@
             )
         assert [one.reason for one in found if hasattr(one, "why")] == [reason]
     # A member with another idea of who votes, and one of another group.
-    sim = Sim(3, 3)
+    sim = Simulation(3, 3)
     sim.start("n1")
     sim.start("n2")
     host = sim.hosts["n3"]
-    host.replica = Replica("n3", ["n3", "n2", "n1"], [], Counting(), 1, 1, None, False)
+    host.replica = Replica("n3", ["n3", "n2", "n1"], [], CountingMachine(), 1, 1, None, False)
     sim.wake(host)
     sim.run(SECOND)
     assert host.halts == [Reason.OTHER_MEMBERS] and sim.notes["group-born"] == 0
@@ -281,7 +284,7 @@
 def test_an_old_folder_that_has_caught_up_is_as_good_as_a_new_one(caught_up: bool) -> None:
     """Set aside then, it would be blank beside another voter that lost its memory meanwhile."""
     old = PersistedState("g", 8, 0, 0, 2, None, tuple(Entry(0, number, 0, "", b"") for number in (1, 2)))
-    one = Replica("n3", ["n1", "n2", "n3"], [], Counting(), 1, 9, old, True, noop=b"noop")
+    one = Replica("n3", ["n1", "n2", "n3"], [], CountingMachine(), 1, 9, old, True, noop=b"noop")
     row = MemberProgress("n3", 8, 0, 0, 4, 4, "normal")
     if caught_up:
         more = tuple(Entry(0, number, 0, "", b"") for number in (3, 4))
@@ -334,7 +337,7 @@
 def test_a_frozen_replica_goes_on_as_the_same() -> None:
     """Thawed before each call, a member does what it would have done."""
 
-    class Thawing(Sim):
+    class Thawing(Simulation):
         def feed(self, host: Any, life: int, call: Any) -> None:
             if host.replica is not None and host.life == life and not host.paused:
                 old = host.replica
@@ -344,7 +347,7 @@
                     host.name,
                     self.voters,
                     self.copies,
-                    Counting(),
+                    CountingMachine(),
                     self.disk,
                     self.tuning,
                     frozen,
@@ -353,7 +356,7 @@
                 assert host.replica.freeze() == frozen and host.replica.next_tick_at == old.next_tick_at
             super().feed(host, life, call)
 
-    sims = [kind(7, 3, 1, True, SMALL, lose=0.05, late=0.02) for kind in (Sim, Thawing)]
+    sims = [kind(7, 3, 1, True, SMALL_TUNING, lose=0.05, late=0.02) for kind in (Simulation, Thawing)]
     for sim in sims:
         for name in sim.hosts:
             sim.start(name)
@@ -433,7 +436,7 @@
 
 
 def test_effects_keep_their_order_and_what_vouches_waits_for_the_disk() -> None:
-    one = Replica("n1", ["n1"], [], Counting(), 1, 5, None, True, noop=b"noop")
+    one = Replica("n1", ["n1"], [], CountingMachine(), 1, 5, None, True, noop=b"noop")
     first = one.tick(0, WALL)
     assert [type(effect).__name__ for effect in first] == ["Write", "Note", "Note"] and one.committed == 0
     done = one.write_synced(MS, 1)
@@ -441,7 +444,7 @@
     one.submit(2 * MS, WALL, 1, "a", b"x", SECOND)
     assert one.committed == 1  # Not before its own write is synced.
     saved = PersistedState("g", 5, 0, 0, 1, None, tuple(one.core.log.entries[:1]))
-    again = Replica("n1", ["n1"], [], Counting(), 1, 6, saved, True, noop=b"noop")
+    again = Replica("n1", ["n1"], [], CountingMachine(), 1, 6, saved, True, noop=b"noop")
     assert again.status is Status.VIEW_CHANGE
     assert not [effect for effect in again.tick(0, WALL) if isinstance(effect, Send | Restored)]
 
@@ -452,7 +455,7 @@
         "n3",
         ["n1", "n2", "n3"],
         [],
-        Counting(),
+        CountingMachine(),
         1,
         5,
         PersistedState("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),)),
@@ -550,7 +553,9 @@
 def test_recovery_needs_a_majority_of_sound_answers(
     answers: dict[str, RecoveryResponse], source: str
 ) -> None:
-    one = Replica("n3", ["n1", "n2", "n3", "n4", "n5"], [], Counting(), 1, 9, None, False, noop=b"noop")
+    one = Replica(
+        "n3", ["n1", "n2", "n3", "n4", "n5"], [], CountingMachine(), 1, 9, None, False, noop=b"noop"
+    )
     for name, answer in answers.items():
         one.receive(0, name, answer)
     task = one.core.transfer
@@ -558,7 +563,7 @@
 
 
 def test_birth_needs_one_moment_at_which_all_were_blank() -> None:
-    one = Replica("n1", ["n1", "n2", "n3"], [], Counting(), 1, 9, None, False, noop=b"noop")
+    one = Replica("n1", ["n1", "n2", "n3"], [], CountingMachine(), 1, 9, None, False, noop=b"noop")
     one.tick(0, WALL)
     blank = Status.BLANK
     for round_, lives, status in (
@@ -577,10 +582,12 @@
 
 
 def test_no_group_is_born_with_one_that_knows_of_another() -> None:
-    alone = Replica("n1", ["n1"], [], Counting(), 1, 9, None, True, noop=b"noop", lost_state=True)
+    alone = Replica("n1", ["n1"], [], CountingMachine(), 1, 9, None, True, noop=b"noop", lost_state=True)
     alone.tick(0, WALL)
     assert alone.status is Status.BLANK
-    one = Replica("n1", ["n1", "n2", "n3"], [], Counting(), 1, 9, None, True, noop=b"noop", lost_state=True)
+    one = Replica(
+        "n1", ["n1", "n2", "n3"], [], CountingMachine(), 1, 9, None, True, noop=b"noop", lost_state=True
+    )
     ask = messages.RecoveryRequest(incarnation=2, view=0, round=1, voters=("n1", "n2", "n3"), incarnations=())
     for part in (
         {"lost_state": True},
@@ -605,7 +612,7 @@
 @pytest.mark.parametrize("disk", [False, True])
 def test_a_new_leader_counts_itself_once_synced_and_commits_by_entries_of_its_own_view(disk: bool) -> None:
     saved = PersistedState("g", 4, 0, 0, 1, None, tuple(Entry(0, number, 0, "", b"") for number in (1, 2)))
-    one = Replica("n2", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, disk, noop=b"noop")
+    one = Replica("n2", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, disk, noop=b"noop")
     one.core.options = one.core.options._replace(disk=disk)
     one.tick(0, WALL)
     one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=()))
@@ -627,7 +634,7 @@
 
 def test_who_led_a_view_before_a_restart_leads_it_no_more() -> None:
     saved = PersistedState("g", 4, 1, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
-    one = Replica("n2", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, True, noop=b"noop")
+    one = Replica("n2", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, True, noop=b"noop")
     one.tick(0, WALL)
     one.write_synced(0, 1)
     one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=()))
@@ -642,7 +649,9 @@
 
 
 def test_a_vote_is_given_once_a_majority_is_known_to_have_left() -> None:
-    one = Replica("n3", ["n1", "n2", "n3", "n4", "n5"], [], Counting(), 1, 5, None, False, noop=b"noop")
+    one = Replica(
+        "n3", ["n1", "n2", "n3", "n4", "n5"], [], CountingMachine(), 1, 5, None, False, noop=b"noop"
+    )
     bootstrap.join_new_group(one.core, 0, ())
     for name, votes in (("n4", 0), ("n4", 0), ("n5", 1)):
         found = one.receive(
@@ -656,7 +665,7 @@
 
 
 def test_a_command_that_was_refused_is_not_written_when_it_comes_once_more() -> None:
-    class Moody(Counting):
+    class Moody(CountingMachine):
         mood = b"refused"
 
         def validate(self, state: Any, at: int, command: bytes) -> bytes | None:
@@ -689,7 +698,7 @@
 
 def test_one_that_was_born_alone_is_blank_again_and_lets_the_others_be_born() -> None:
     for late in ("n1", "n3"):
-        sim = Sim(4, 3)
+        sim = Simulation(4, 3)
         for name in sim.voters:
             sim.start(name)
         # The two others answered blank, and went before they knew; these are their next lives.
@@ -704,7 +713,7 @@
 
 def test_what_a_member_said_in_an_earlier_life_counts_no_more() -> None:
     names = ("n1", "n2", "n3", "n4", "n5")
-    one = Replica("n1", names, [], Counting(), 1, 9, None, False, noop=b"noop")
+    one = Replica("n1", names, [], CountingMachine(), 1, 9, None, False, noop=b"noop")
     begin(one)
 
     def have(name: str, life: int) -> int:
@@ -727,7 +736,7 @@
 
 def test_a_follower_vouches_for_nothing_while_its_view_is_not_on_its_disk() -> None:
     saved = PersistedState("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
-    one = Replica("n3", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, True, noop=b"noop")
+    one = Replica("n3", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, True, noop=b"noop")
     one.tick(0, WALL)
     one.write_synced(0, 1)
     beat = messages.Heartbeat(
@@ -748,7 +757,7 @@
 
 def test_entries_that_took_the_place_of_others_are_vouched_for_after_their_own_sync() -> None:
     saved = PersistedState("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
-    one = Replica("n3", ["n1", "n2", "n3"], [], Counting(), 1, 5, saved, True, noop=b"noop")
+    one = Replica("n3", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, True, noop=b"noop")
     one.tick(0, WALL)
     for view, ticket in ((0, 2), (1, 3)):
         entries = tuple(Entry(view, number, 0, "", b"v%d" % view) for number in (2, 3))
@@ -788,4 +797,4 @@
 @pytest.mark.parametrize("block", range(12))
 def test_whatever_happens_what_was_acknowledged_stands(block: int) -> None:
     for seed in range(4):
-        history(block * 4 + seed, acts=40)
+        run_history(block * 4 + seed, acts=40)
--- a/tests/support/fault_schedules.py
+++ b/tests/support/fault_schedules.py
@@ -5,22 +5,22 @@
 from random import Random
 
 from ambershift.coordinator.replication.tuning import DEFAULT_TUNING, MS
-from tests.support.simulated_replicas import Sim
+from tests.support.simulated_replicas import Simulation
 
-SMALL = DEFAULT_TUNING._replace(
+SMALL_TUNING = DEFAULT_TUNING._replace(
     snapshot_interval_entries=24, max_chunk_bytes=200, max_batch_bytes=300, max_batches_in_flight=2
 )
 
 
-def history(seed: int, acts: int = 60) -> Sim:
+def run_history(seed: int, acts: int = 60) -> Simulation:
     random = Random(seed)
     voters = random.choice((1, 3, 3, 3, 5, 5, 7))
-    sim = Sim(
+    sim = Simulation(
         seed,
         voters,
         random.choice((0, 0, 1, 2)),
         disk=random.random() < 0.5,
-        tuning=random.choice((DEFAULT_TUNING, SMALL)),
+        tuning=random.choice((DEFAULT_TUNING, SMALL_TUNING)),
         lose=random.choice((0, 0, 0.02, 0.2)),
         repeat=random.choice((0, 0.1)),
         late=random.choice((0, 0, 0.05)),
@@ -36,12 +36,12 @@
     return sim
 
 
-def may_lose(sim: Sim, name: str) -> bool:
+def may_lose(sim: Simulation, name: str) -> bool:
     lost = {one for one in sim.voters if sim.is_lost(one)}
     return name not in sim.voters or len(lost | {name}) <= len(sim.voters) // 2
 
 
-def sound(sim: Sim) -> bool:
+def sound(sim: Simulation) -> bool:
     """An old folder is found out by those that know what it has vouched for: they are up, and heard."""
     cores = [host.replica.core for name, host in sim.hosts.items() if host.replica and name in sim.voters]
     return (
@@ -54,7 +54,7 @@
     )
 
 
-def act(sim: Sim, random: Random, token: str) -> None:
+def act(sim: Simulation, random: Random, token: str) -> None:
     name = random.choice(list(sim.hosts))
     host = sim.hosts[name]
     if any(one.old and sim.is_lost(one.name) for one in sim.hosts.values()):
--- a/tests/support/simulated_disk.py
+++ b/tests/support/simulated_disk.py
@@ -28,8 +28,8 @@
     base[at : at + len(data)] = data
 
 
-class SimHandle:
-    def __init__(self, disk: SimFiles, inode: Inode) -> None:
+class SimulatedHandle:
+    def __init__(self, disk: SimulatedFiles, inode: Inode) -> None:
         self.disk, self.inode = disk, inode
 
     def append(self, data: bytes) -> None:
@@ -56,10 +56,17 @@
         pass
 
 
-class SimFiles:
-    def __init__(self, seed: int = 0, crash_at: int = 0, fail_at: int = 0, code: int = errno.EIO) -> None:
-        self.rng, self.crash_at, self.fail_at, self.code = random.Random(seed), crash_at, fail_at, code
-        self.table: dict[str, Inode] = {}
+class SimulatedFiles:
+    def __init__(
+        self, seed: int = 0, crash_at: int = 0, fail_at: int = 0, error_code: int = errno.EIO
+    ) -> None:
+        self.rng, self.crash_at, self.fail_at, self.error_code = (
+            random.Random(seed),
+            crash_at,
+            fail_at,
+            error_code,
+        )
+        self.files: dict[str, Inode] = {}
         self.durable: dict[str, Inode] = {}
         self.pending: list[tuple[str | None, str, Inode]] = []
         self.calls = 0
@@ -68,7 +75,7 @@
         self.calls += 1
         if self.calls == self.crash_at:
             return CrashError(what)
-        return OSError(self.code, what) if self.calls == self.fail_at else None
+        return OSError(self.error_code, what) if self.calls == self.fail_at else None
 
     def must(self, what: str) -> None:
         if kind := self.call(what):
@@ -80,27 +87,27 @@
 
     def names(self) -> list[str]:
         self.must("names")
-        return sorted(self.table)
+        return sorted(self.files)
 
     def read(self, name: str) -> bytes:
         self.must("read")
-        return bytes(self.table[name].seen)
+        return bytes(self.files[name].seen)
 
-    def create(self, name: str) -> SimHandle:
+    def create(self, name: str) -> SimulatedHandle:
         self.must("create")
-        self.table[name] = Inode()
-        self.pending.append((None, name, self.table[name]))
-        return SimHandle(self, self.table[name])
+        self.files[name] = Inode()
+        self.pending.append((None, name, self.files[name]))
+        return SimulatedHandle(self, self.files[name])
 
-    def open(self, name: str) -> SimHandle:
+    def open(self, name: str) -> SimulatedHandle:
         self.must("open")
-        return SimHandle(self, self.table[name])
+        return SimulatedHandle(self, self.files[name])
 
     def rename(self, old: str, new: str) -> None:
         kind = self.call("rename")
         if not kind or self.rng.random() < 0.5:  # One that fails may have happened.
-            self.table[new] = self.table.pop(old)
-            self.pending.append((old, new, self.table[new]))
+            self.files[new] = self.files.pop(old)
+            self.pending.append((old, new, self.files[new]))
         if kind:
             raise kind
 
@@ -110,14 +117,14 @@
             renamed(self.durable, *step)
         self.pending.clear()
 
-    def after(self, keep: float) -> SimFiles:
+    def after_power_loss(self, keep: float) -> SimulatedFiles:
         """The folder once power is back: of what was not synced each part is there by the chance `keep`."""
-        left, chosen = SimFiles(self.rng.getrandbits(32)), dict(self.durable)
+        left, chosen = SimulatedFiles(self.rng.getrandbits(32)), dict(self.durable)
         for step in self.pending:
             if self.rng.random() < keep:
                 renamed(chosen, *step)
         for name, inode in chosen.items():
-            left.table[name] = left.durable[name] = new = Inode()
+            left.files[name] = left.durable[name] = new = Inode()
             new.durable = bytearray(inode.durable)
             for at, data in inode.pending:
                 for part in range(0, len(data), SECTOR):
--- a/tests/support/simulated_replicas.py
+++ b/tests/support/simulated_replicas.py
@@ -28,7 +28,7 @@
 WALL = 1_700_000_000 * SECOND
 
 
-class Counting:
+class CountingMachine:
     """State: how many entries, and a sum that tells their order apart. The answer is the place."""
 
     def initial(self) -> tuple[int, int]:
@@ -52,7 +52,7 @@
         return int(count), int(total)
 
 
-def written(saved: PersistedState | None, write: Write) -> PersistedState:
+def folder_after(saved: PersistedState | None, write: Write) -> PersistedState:
     """What a folder holds after that."""
     snapshot = write.snapshot or (saved.snapshot if saved else None)
     kept = [
@@ -104,7 +104,7 @@
     again: bool = False
 
 
-class Sim:
+class Simulation:
     """Parts of one: messages lost, repeated and very late, and syncs that take long."""
 
     def __init__(
@@ -164,7 +164,7 @@
             name,
             self.voters,
             self.copies,
-            Counting(),
+            CountingMachine(),
             self.random.getrandbits(63),
             self.incarnation,
             host.saved if self.disk else None,
@@ -189,7 +189,7 @@
         if not self.disk and host.replica.status is not Status.BLANK:
             host.lost_mark = host.lost_mark or (core.log.last_view, core.log.last_number)
         for write in host.pending[: self.random.randint(0, len(host.pending)) if tear else 0]:
-            host.saved = written(host.saved, write)
+            host.saved = folder_after(host.saved, write)
         if self.disk and host.saved is None and host.replica.status is not Status.BLANK:
             host.lost_mark = host.lost_mark or (core.log.last_view, core.log.last_number)
         host.replica, host.pending, host.life = None, [], host.life + 1
@@ -286,7 +286,7 @@
                 self.at(50 * MS, self.syncing(host, life, ticket))
                 return
             while host.pending and host.pending[0].ticket <= ticket:
-                host.saved = written(host.saved, host.pending.pop(0))
+                host.saved = folder_after(host.saved, host.pending.pop(0))
             if self.random.random() < 0.05 and host.saved is not None:
                 host.olds = [*host.olds[-3:], host.saved]
             self.feed(host, life, lambda replica: replica.write_synced(self.now, ticket))
