--- a/ambershift/coordinator/cli/run.py
+++ b/ambershift/coordinator/cli/run.py
@@ -12,10 +12,10 @@
 
 from ambershift.coordinator.cli.logs import make
 from ambershift.coordinator.program.assembly import Coordinator
-from ambershift.coordinator.program.configuration import PLACE, BadStartError, read
+from ambershift.coordinator.program.configuration import CONFIG_VARIABLE, ConfigurationError, load
 from ambershift.coordinator.program.log import LogWriter
 from ambershift.coordinator.program.signals import Signals
-from ambershift.coordinator.routing.book import Book
+from ambershift.coordinator.routing.event_log import EventLog
 from ambershift.version import VERSION
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 
 @click.command("run")
 @click.option("--settings", "file", type=click.Path(), help="Our own settings, in HCL.")
-@click.option("--config", type=click.Path(), help=f"The platform's JSON file, in place of {PLACE}.")
+@click.option("--config", type=click.Path(), help=f"The platform's JSON file, in place of {CONFIG_VARIABLE}.")
 def command(file: str | None, config: str | None) -> int:
     """Run a coordinator until SIGTERM, with the fronts that the settings turn on.
 
@@ -44,25 +44,25 @@
             print(f"ambershift: {error}", file=sys.stderr)
             return 2
     if config:
-        os.environ[PLACE] = config
+        os.environ[CONFIG_VARIABLE] = config
     writer = LogWriter(1, os.environ.get("BALANCER_NAME", ""))
     log = make(writer, root.log.level if root else "info")
     try:
         asyncio.run(serve(root, log, signals))
-    except BadStartError as error:
+    except ConfigurationError as error:
         log({"event": "bad_start", "why": str(error)})
         print(f"ambershift: {error}", file=sys.stderr)
         return 2
     finally:
-        writer.end()
+        writer.close()
     return 0
 
 
 async def serve(root: Root | None, log: Callable[[dict[str, Any]], None], signals: Signals) -> None:
-    start, book = read(os.environ), Book(log)
+    start, event_log = load(os.environ), EventLog(log)
     runtime, group = (root.runtime, root.group) if root else (None, None)
     if runtime is None or not (runtime.socket or runtime.tcp or group):
-        await Coordinator(start, book, signals).run()
+        await Coordinator(start, event_log, signals).run()
         return
     from ambershift.coordinator.runtime.front import RuntimeFront
     from ambershift.coordinator.runtime.places import TcpPlace, UnixPlace
@@ -78,7 +78,7 @@
     idle = duration(runtime.timeout)
     assert idle is not None  # Checked when the settings were read.
     talk = LINKS_OF_GROUP if group else 0
-    coordinator = Coordinator(start, book, signals, runtime.max_connections + talk)
+    coordinator = Coordinator(start, event_log, signals, runtime.max_connections + talk)
     given = coordinator, spots, runtime.max_connections, idle, VERSION
     if root and group:
         from ambershift.coordinator.group.service import GroupService
--- a/ambershift/coordinator/group/service.py
+++ b/ambershift/coordinator/group/service.py
@@ -22,7 +22,7 @@
 from ambershift.coordinator.maintenance.limits import Limits
 from ambershift.coordinator.maintenance.words import Standing
 from ambershift.coordinator.program.assembly import Coordinator
-from ambershift.coordinator.program.configuration import BadStartError
+from ambershift.coordinator.program.configuration import ConfigurationError
 from ambershift.coordinator.promises.machine import PromisesMachine
 from ambershift.coordinator.runtime.changes import why_refused
 from ambershift.coordinator.runtime.front import RuntimeFront
@@ -73,8 +73,8 @@
         """
         super().__init__(coordinator, spots, most, idle, version)
         spec = spec_of(group)
-        door, note = coordinator.admit.door, coordinator.book.note
-        start = coordinator.start
+        door, note = coordinator.admission.server_index, coordinator.event_log.record
+        start = coordinator.config
         self.desk_applier = DeskApplier(self.desk, door, self.now, spec.clock_ahead, self.moved)
         validator = CommandValidator(
             self.desk, door, self.now, partial(_describe_refusal, self.scene), self._is_clock_skewed
@@ -84,7 +84,7 @@
         gossip = self.member.gossip
         gossip.count_steered = lambda: len(self.desk.mirror.picture.seats)
         self.observation_exchange = ObservationExchange(
-            gossip.store, AdmittedNames(coordinator.admit), start.terms.cold, self.now()
+            gossip.store, AdmittedNames(coordinator.admission), start.policy_settings.cold, self.now()
         )
         self._exchanged_at = 0
         self._opening: asyncio.Future[None] | None = None
@@ -93,7 +93,7 @@
         self.commands = GroupCommands(self.member, door.ids.__getitem__)
         self.scene.common = self.commands
         self.tap = GroupTap(self.desk, self.now, self.moved, self.desk_applier, self.observation_exchange)
-        limits = Limits(clock_bound=spec.clock_bound, warm=start.terms.cold)
+        limits = Limits(clock_bound=spec.clock_bound, warm=start.policy_settings.cold)
         if isinstance(root.maintenance, MaintenanceBlock):
             limits = limits._replace(drain=duration(root.maintenance.drain) or limits.drain)
         self.maintenance_task = MaintenanceTask(
@@ -121,12 +121,12 @@
         if now >= self._exchanged_at + EXCHANGE_INTERVAL_NS and not self.desk.stopping:
             self._exchanged_at = now
             for event in self.observation_exchange.exchange(now, self.desk.mirror.picture):
-                self.coordinator.route.put(event)
+                self.coordinator.policy_driver.submit(event)
 
     def _server_standings(self) -> dict[str, Standing]:
         return standings(
             self.desk,
-            self.coordinator.admit.door,
+            self.coordinator.admission.server_index,
             self.scene.zone_name,
             self.now(),
             self._group_observations,
@@ -139,7 +139,7 @@
         """Start the member and the runtime API; a disk that hangs doesn't hold up the steering of proxies.
 
         Raises:
-            BadStartError: The folder or the address in the settings can't be used.
+            ConfigurationError: The folder or the address in the settings can't be used.
         """
         self._opening = asyncio.ensure_future(self.member.open())
         await asyncio.wait({self._opening}, timeout=OPEN_TIMEOUT_S)
@@ -147,12 +147,16 @@
             try:
                 self._opening.result()
             except NoFolderError as error:
-                raise BadStartError(f"key 'group.folder': {error}") from None
+                raise ConfigurationError(f"key 'group.folder': {error}") from None
             except OSError as error:
                 await self.member.close()
-                raise BadStartError(f"key 'group.listen': can't listen there ({error.strerror})") from None
+                raise ConfigurationError(
+                    f"key 'group.listen': can't listen there ({error.strerror})"
+                ) from None
         else:
-            self.coordinator.book.note("group_slow_start", why="the folder is not read yet; steering goes on")
+            self.coordinator.event_log.record(
+                "group_slow_start", why="the folder is not read yet; steering goes on"
+            )
             self._opening.add_done_callback(self._on_late_open)
         self.maintenance_task.open()
         self.interference_worker.open()
--- a/ambershift/coordinator/group/tap.py
+++ b/ambershift/coordinator/group/tap.py
@@ -8,7 +8,7 @@
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.group.desk_applier import DeskApplier
 from ambershift.coordinator.group.observation_exchange import ObservationExchange
-from ambershift.coordinator.routing.admit import Admit
+from ambershift.coordinator.routing.admission import Admission
 from ambershift.coordinator.runtime.tap import DeskTap
 
 
@@ -53,23 +53,23 @@
 class AdmittedNames:
     """The `NameMapping` of the servers and zones that the coordinator admits."""
 
-    def __init__(self, admit: Admit) -> None:
-        """Use the names of `admit`, as they are at each call."""
-        self._admit = admit
+    def __init__(self, admission: Admission) -> None:
+        """Use the names of `admission`, as they are at each call."""
+        self._admission = admission
 
     def server(self, index: int) -> str | None:
         """Return the id of a server."""
-        return self._admit.door.ids.get(index)
+        return self._admission.server_index.ids.get(index)
 
     def index(self, server: str) -> int | None:
         """Return the index of a server."""
-        return self._admit.door.lookup(server)
+        return self._admission.server_index.lookup(server)
 
     def zone(self, index: int) -> str | None:
         """Return the name of a zone."""
-        zones = self._admit.names.zones
+        zones = self._admission.settings.zones
         return zones[index] if 0 <= index < len(zones) else None
 
     def zone_index(self, zone: str) -> int | None:
         """Return the index of a zone."""
-        return self._admit.zones.get(zone)
+        return self._admission.zones.get(zone)
--- a/ambershift/coordinator/program/assembly.py
+++ b/ambershift/coordinator/program/assembly.py
@@ -10,23 +10,23 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.program.clock import Clock
-from ambershift.coordinator.program.configuration import BadStartError, Start, read, reread
+from ambershift.coordinator.program.configuration import ConfigurationError, CoordinatorConfig, load, reload
 from ambershift.coordinator.program.log import LogWriter
 from ambershift.coordinator.program.signals import Signals
-from ambershift.coordinator.protocol.relay import Orders
-from ambershift.coordinator.routing.admit import Admit
-from ambershift.coordinator.routing.book import Book
-from ambershift.coordinator.routing.call import Caller
-from ambershift.coordinator.routing.follow import Follower
-from ambershift.coordinator.routing.intake import Intake
-from ambershift.coordinator.routing.news import News
-from ambershift.coordinator.routing.probe import Prober
-from ambershift.coordinator.routing.relay import Relay
-from ambershift.coordinator.routing.route import Route
-from ambershift.coordinator.routing.send import Send
+from ambershift.coordinator.protocol.relay import OrderEncoder
+from ambershift.coordinator.routing.admission import Admission
+from ambershift.coordinator.routing.discovery_watcher import DiscoveryWatcher
+from ambershift.coordinator.routing.event_log import EventLog
+from ambershift.coordinator.routing.http_client import HttpClient
+from ambershift.coordinator.routing.order_dispatcher import OrderDispatcher
+from ambershift.coordinator.routing.policy_driver import PolicyDriver
+from ambershift.coordinator.routing.prober import Prober
+from ambershift.coordinator.routing.proxy_event_feed import ProxyEventFeed
+from ambershift.coordinator.routing.relay_client import RelayClient
+from ambershift.coordinator.routing.relay_follower import RelayFollower
+from ambershift.coordinator.routing.report_receiver import ReportReceiver
 from ambershift.coordinator.routing.tap import Tap
-from ambershift.coordinator.routing.watch import Watcher
-from ambershift.coordinator.transport.buffers import Pool
+from ambershift.coordinator.transport.buffers import BufferPool
 from ambershift.coordinator.transport.dialler import Dialler
 from ambershift.coordinator.transport.link import Link
 from ambershift.coordinator.transport.listener import Listener
@@ -47,7 +47,7 @@
     def tap(self) -> Tap: ...
 
     async def open(self) -> None:
-        """Serve from now on; what stands in the way is a BadStartError."""
+        """Serve from now on; what stands in the way is a ConfigurationError."""
 
     async def close(self) -> None:
         """Finish what is under way, within a moment."""
@@ -56,52 +56,65 @@
 class Coordinator:
     """`reserved` descriptors are left to a front that `attach` puts on top."""
 
-    def __init__(self, start: Start, book: Book, signals: Signals, reserved: int = 0) -> None:
-        self.start, self.book, self.signals = start, book, signals
+    def __init__(
+        self, start: CoordinatorConfig, event_log: EventLog, signals: Signals, reserved: int = 0
+    ) -> None:
+        self.config, self.event_log, self.signals = start, event_log, signals
         self.front: Front | None = None
         self.clock = clock = Clock()
-        pool = Pool(BUFFER_SIZE, max(16, int(start.memory_mb * BUFFERS_PART * (1 << 20)) // BUFFER_SIZE))
-        dialler, self.admit = Dialler(pool), Admit(start.names, clock.now)
-        self.route = Route(TableManager(), clock.now, book)
-        put = self.route.put
-        orders = Orders(self.admit.door.ids.__getitem__, start.names.groups)
-        self.relay = Relay(dialler, start.relay, orders, book)
-        self.follower = Follower(dialler, start.relay, News(self.admit, put, book), book)
-        self.caller = Caller(dialler, start.discovery, DIAL_LIMIT)
-        self.watcher = Watcher(
-            self.caller, start.known.version, start.terms.notification_deadline, self.admit, put, book
+        pool = BufferPool(
+            BUFFER_SIZE, max(16, int(start.memory_mb * BUFFERS_PART * (1 << 20)) // BUFFER_SIZE)
         )
-        prober = Prober(dialler, self.admit, clock.now, put, book)
-        self.route.carry = Send(self.route, self.relay, self.watcher, prober, self.admit, book).carry
-        self.intake = Intake(self.admit, put, book)
+        dialler, self.admission = Dialler(pool), Admission(start.front_settings, clock.now)
+        self.policy_driver = PolicyDriver(TableManager(), clock.now, event_log)
+        put = self.policy_driver.submit
+        orders = OrderEncoder(self.admission.server_index.ids.__getitem__, start.front_settings.groups)
+        self.relay_client = RelayClient(dialler, start.relay, orders, event_log)
+        self.follower = RelayFollower(
+            dialler, start.relay, ProxyEventFeed(self.admission, put, event_log), event_log
+        )
+        self.discovery_client = HttpClient(dialler, start.discovery, DIAL_LIMIT)
+        self.watcher = DiscoveryWatcher(
+            self.discovery_client,
+            start.initial_listing.version,
+            start.policy_settings.notification_deadline,
+            self.admission,
+            put,
+            event_log,
+        )
+        prober = Prober(dialler, self.admission, clock.now, put, event_log)
+        self.policy_driver.on_orders = OrderDispatcher(
+            self.policy_driver, self.relay_client, self.watcher, prober, self.admission, event_log
+        ).dispatch
+        self.report_receiver = ReportReceiver(self.admission, put, event_log)
         roomy = int(max(0.0, start.memory_mb - OWN_MB) * ACCEPTED_A_MB)
-        most = max(8, min(ACCEPTED_MOST, start.sockets - OWN_DESCRIPTORS - reserved, roomy))
-        self.listener = Listener(pool, most, self.serve, partial(book.ended, "accepted"))
+        most = max(8, min(ACCEPTED_MOST, start.max_sockets - OWN_DESCRIPTORS - reserved, roomy))
+        self.listener = Listener(pool, most, self.serve, partial(event_log.record_disconnect, "accepted"))
 
     def attach(self, front: Front) -> None:
         """Before `run`: from the first event on the front hears all."""
         self.front = front
-        self.route.tap = self.relay.tap = front.tap
+        self.policy_driver.tap = self.relay_client.tap = front.tap
 
     async def serve(self, link: Link) -> None:
-        await self.intake.serve(link, self.listener.keep)
+        await self.report_receiver.serve(link, self.listener.protect)
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
-        self.signals.attend()
+        self.signals.install()
         loop.set_exception_handler(self.lost)
-        self.route.put(api.Started(self.start.seed, self.start.terms))
-        self.route.put(self.admit.listed(self.start.known, True))
+        self.policy_driver.submit(api.Started(self.config.seed, self.config.policy_settings))
+        self.policy_driver.submit(self.admission.listed(self.config.initial_listing, True))
         # Whoever gets `alive` finds a module that is born: the first step runs before the listener opens.
         await asyncio.sleep(0)
-        if not self.book.counts["steps"]:
-            raise BadStartError("key 'settings': the module can't start with them")
+        if not self.event_log.counts["steps"]:
+            raise ConfigurationError("key 'settings': the module can't start with them")
         try:
-            await self.listener.open(self.start.listen)
+            await self.listener.open(self.config.listen)
         except OSError as error:
-            raise BadStartError(f"key 'listen': can't listen there ({error.strerror})") from None
+            raise ConfigurationError(f"key 'listen': can't listen there ({error.strerror})") from None
         parts: dict[str, Callable[[], Awaitable[None]]] = {
-            "relay": self.relay.run,
+            "relay": self.relay_client.run,
             "watch": self.watcher.run,
             "totals": self.totals,
             "reload": self.reload,
@@ -111,15 +124,15 @@
         if self.front:
             await self.front.open()
         tasks = [loop.create_task(self.keep(name, run)) for name, run in parts.items()]
-        self.book.note("ready", servers=len(self.start.known.servers))
+        self.event_log.record("ready", servers=len(self.config.initial_listing.servers))
         await self.signals.stop.wait()
         self.listener.close()
         if self.front:
             await self.front.close()
         for task in tasks:
             task.cancel()
-        self.book.totals()
-        self.book.note("stopped")
+        self.event_log.record_totals()
+        self.event_log.record("stopped")
 
     async def keep(self, name: str, run: Callable[[], Awaitable[None]]) -> None:
         """Run a part for as long as the program runs; an error that it did not foresee is told, not lost."""
@@ -127,7 +140,7 @@
             try:
                 await run()
             except Exception as error:
-                self.book.failure(name, error)
+                self.event_log.record_failure(name, error)
             await asyncio.sleep(RESTART_PAUSE)
 
     async def reload(self) -> None:
@@ -135,34 +148,36 @@
             await self.signals.reload.wait()
             self.signals.reload.clear()
             try:
-                moved = reread(os.environ, self.start)
-            except BadStartError as error:  # Half of a file, say: what is held goes on serving.
-                self.book.note("reload_failed", why=str(error))
+                moved = reload(os.environ, self.config)
+            except ConfigurationError as error:  # Half of a file, say: what is held goes on serving.
+                self.event_log.record("reload_failed", why=str(error))
                 continue
-            self.book.note("reloaded", discovery=moved.discovery, relay=moved.relay, unheeded=moved.unheeded)
+            self.event_log.record(
+                "reloaded", discovery=moved.discovery, relay=moved.relay, unheeded=moved.ignored_keys
+            )
             self.follower.move(moved.relay)  # First, as what joined or left must never be missed.
-            self.relay.move(moved.relay)
-            self.caller.move(moved.discovery)
+            self.relay_client.move(moved.relay)
+            self.discovery_client.move(moved.discovery)
 
     async def totals(self) -> None:
         while True:
             await asyncio.sleep(TOTALS_EVERY)
-            self.book.totals()
+            self.event_log.record_totals()
 
     def lost(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Errors that asyncio found in nobody's hands."""
         error = context.get("exception")
-        self.book.failure("loop", error or RuntimeError(str(context.get("message"))))
+        self.event_log.record_failure("loop", error or RuntimeError(str(context.get("message"))))
 
 
 def main() -> int:
     signals, log = Signals(), LogWriter(1, os.environ.get("BALANCER_NAME", ""))
     try:
-        start = read(os.environ)
-        asyncio.run(Coordinator(start, Book(log.write), signals).run())
-    except BadStartError as error:
+        start = load(os.environ)
+        asyncio.run(Coordinator(start, EventLog(log.write), signals).run())
+    except ConfigurationError as error:
         log.write({"event": "bad_start", "why": str(error)})
         return 2
     finally:
-        log.end()
+        log.close()
     return 0
--- a/ambershift/coordinator/program/configuration.py
+++ b/ambershift/coordinator/program/configuration.py
@@ -10,7 +10,7 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.protocol import discovery
-from ambershift.coordinator.protocol.words import UnreadableError
+from ambershift.coordinator.protocol.fields import UnreadableError
 from ambershift.coordinator.transport.dialler import split_address
 from ambershift.policy_settings import (
     FrontSettings,
@@ -19,86 +19,88 @@
     read_policy_settings,
 )
 
-PLACE = "BALANCER_CONFIG"
+CONFIG_VARIABLE = "BALANCER_CONFIG"
 
 
-class BadStartError(Exception):
+class ConfigurationError(Exception):
     """The program can't start with what it was told; the message names the key."""
 
 
-class Start(NamedTuple):
+class CoordinatorConfig(NamedTuple):
     name: str
     listen: str
     discovery: str
     relay: str
     seed: int
-    sockets: int
+    max_sockets: int
     memory_mb: float
-    known: discovery.Listing
-    terms: api.PolicySettings
-    names: FrontSettings
-    fixed: dict[str, Any]
+    initial_listing: discovery.Listing
+    policy_settings: api.PolicySettings
+    front_settings: FrontSettings
+    fixed_keys: dict[str, Any]
 
 
-class Moved(NamedTuple):
+class ReloadedConfig(NamedTuple):
     """What a configuration read anew can change, and the keys in which it differs for nothing."""
 
     discovery: str
     relay: str
-    unheeded: list[str]
+    ignored_keys: list[str]
 
 
-MOVING = {"discovery", "relay"}
+RELOADABLE_KEYS = {"discovery", "relay"}
 
 
-def read(environment: Mapping[str, str]) -> Start:
-    return build(load(environment))
+def load(environment: Mapping[str, str]) -> CoordinatorConfig:
+    return build(read_json(environment))
 
 
-def reread(environment: Mapping[str, str], start: Start) -> Moved:
+def reload(environment: Mapping[str, str], start: CoordinatorConfig) -> ReloadedConfig:
     """Only the addresses can move in a program that runs; that nothing else can must not hold them up."""
-    found = load(environment)
+    found = read_json(environment)
     unheeded = sorted(
-        key for key in (found.keys() | start.fixed.keys()) - MOVING if found.get(key) != start.fixed.get(key)
+        key
+        for key in (found.keys() | start.fixed_keys.keys()) - RELOADABLE_KEYS
+        if found.get(key) != start.fixed_keys.get(key)
     )
-    return Moved(*addresses(found), unheeded)
+    return ReloadedConfig(*addresses(found), unheeded)
 
 
-def load(environment: Mapping[str, str]) -> dict[str, Any]:
-    place = environment.get(PLACE)
+def read_json(environment: Mapping[str, str]) -> dict[str, Any]:
+    place = environment.get(CONFIG_VARIABLE)
     if not place:
-        raise BadStartError(f"{PLACE} is not set")
+        raise ConfigurationError(f"{CONFIG_VARIABLE} is not set")
     try:
         found = orjson.loads(Path(place).read_bytes())
     except OSError as error:
-        raise BadStartError(f"{PLACE}: can't be read ({error.strerror})") from None
+        raise ConfigurationError(f"{CONFIG_VARIABLE}: can't be read ({error.strerror})") from None
     except orjson.JSONDecodeError as error:
-        raise BadStartError(f"{PLACE}: not JSON ({error})") from None
+        raise ConfigurationError(f"{CONFIG_VARIABLE}: not JSON ({error})") from None
     if not isinstance(found, dict):
-        raise BadStartError(f"{PLACE}: not an object")
+        raise ConfigurationError(f"{CONFIG_VARIABLE}: not an object")
     return found
 
 
-def build(found: dict[str, Any]) -> Start:
+def build(found: dict[str, Any]) -> CoordinatorConfig:
     try:
-        known = discovery.build(needed(found, "known", dict))
+        known = discovery.from_json(needed(found, "known", dict))
     except UnreadableError as error:
-        raise BadStartError(f"key 'known': {error}") from None
+        raise ConfigurationError(f"key 'known': {error}") from None
     settings = needed(found, "settings", dict)
     try:
         terms, names = read_policy_settings(settings), read_front_settings(settings)
     except PolicySettingsError as error:
-        raise BadStartError(str(error)) from None
+        raise ConfigurationError(str(error)) from None
     seed = needed(found, "seed", str)
     try:
         number = int(seed, 16)
     except ValueError:
-        raise BadStartError("key 'seed' is no hexadecimal number") from None
+        raise ConfigurationError("key 'seed' is no hexadecimal number") from None
     limits = needed(found, "limits", dict)
     sockets = needed(limits, "sockets", int, "limits.")
     memory_mb = float(needed(limits, "memory_mb", (int, float), "limits."))
     name, listen = needed(found, "name", str), address(found, "listen")
-    return Start(
+    return CoordinatorConfig(
         name,
         listen,
         *addresses(found),
@@ -108,7 +110,7 @@
         known,
         terms,
         names,
-        fixed={key: value for key, value in found.items() if key not in MOVING},
+        fixed_keys={key: value for key, value in found.items() if key not in RELOADABLE_KEYS},
     )
 
 
@@ -118,9 +120,9 @@
 
 def needed(found: Mapping[str, Any], key: str, kind: type | tuple[type, ...], where: str = "") -> Any:
     if key not in found:
-        raise BadStartError(f"key '{where}{key}' is missing")
+        raise ConfigurationError(f"key '{where}{key}' is missing")
     if not isinstance(found[key], kind) or isinstance(found[key], bool):
-        raise BadStartError(f"key '{where}{key}' is of the wrong type")
+        raise ConfigurationError(f"key '{where}{key}' is of the wrong type")
     return found[key]
 
 
@@ -129,5 +131,5 @@
     try:
         split_address(text)
     except ValueError as error:
-        raise BadStartError(f"key '{where}{key}': {error}") from None
+        raise ConfigurationError(f"key '{where}{key}': {error}") from None
     return text
--- a/ambershift/coordinator/program/log.py
+++ b/ambershift/coordinator/program/log.py
@@ -53,7 +53,7 @@
         except OSError:
             pass  # Nobody reads the log any more; that is no reason to stop.
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Let the thread write what waits, for a moment at most."""
         until = time.monotonic() + END_WAIT
         while (self.lines or self.busy) and time.monotonic() < until:
--- a/ambershift/coordinator/program/signals.py
+++ b/ambershift/coordinator/program/signals.py
@@ -15,7 +15,7 @@
         self.early = False
         signal.signal(signal.SIGHUP, lambda *_: setattr(self, "early", True))
 
-    def attend(self) -> None:
+    def install(self) -> None:
         """From here on signals set events and interrupt nothing."""
         self.stop, self.reload, loop = asyncio.Event(), asyncio.Event(), asyncio.get_running_loop()
         for one in (signal.SIGTERM, signal.SIGINT):
--- a/ambershift/coordinator/protocol/discovery.py
+++ b/ambershift/coordinator/protocol/discovery.py
@@ -7,7 +7,7 @@
 import orjson
 
 from ambershift import interface as api
-from ambershift.coordinator.protocol.words import UnreadableError
+from ambershift.coordinator.protocol.fields import UnreadableError
 
 WHOLE = "/v1/endpoints"
 PHASES = {"up": api.Phase.READY, "draining": api.Phase.DRAINING, "removed": api.Phase.GONE}
@@ -33,14 +33,14 @@
     return f"{WHOLE}?after={version}&wait_ms={wait_ms}"
 
 
-def read(body: bytes) -> Listing:
+def parse(body: bytes) -> Listing:
     try:
-        return build(orjson.loads(body))
+        return from_json(orjson.loads(body))
     except orjson.JSONDecodeError as error:
         raise UnreadableError(f"not JSON: {error}") from None
 
 
-def build(found: Any) -> Listing:
+def from_json(found: Any) -> Listing:
     """From JSON already read: the answer of discovery, or `known` in the configuration."""
     if not isinstance(found, dict):
         raise UnreadableError("the list is no object")
--- a/ambershift/coordinator/protocol/http.py
+++ b/ambershift/coordinator/protocol/http.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from ambershift.coordinator.protocol.words import UnreadableError
+from ambershift.coordinator.protocol.fields import UnreadableError
 
 BODY_MOST = 8 << 20
 
--- a/ambershift/coordinator/protocol/lines.py
+++ b/ambershift/coordinator/protocol/lines.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ambershift.coordinator.protocol.words import UnreadableError, figure, pairs, show, whole
+from ambershift.coordinator.protocol.fields import UnreadableError, figure, pairs, show, whole
 
 ALIVE, ERROR = b"alive\r\n", b"error\r\n"
 
@@ -45,7 +45,7 @@
 }
 
 
-def read(line: bytes) -> Message:
+def parse(line: bytes) -> Message:
     try:
         kind, *rest = line.decode("ascii").split(" ")
     except UnicodeDecodeError:
--- a/ambershift/coordinator/protocol/probes.py
+++ b/ambershift/coordinator/protocol/probes.py
@@ -6,12 +6,12 @@
 
 import orjson
 
-from ambershift.coordinator.protocol.words import UnreadableError
+from ambershift.coordinator.protocol.fields import UnreadableError
 
 HEALTH, LOAD = "/health", "/status/load"
 
 
-def read_load(body: bytes) -> dict[str, float]:
+def parse_load(body: bytes) -> dict[str, float]:
     """The figures of a load report; an empty body is no report, and that is no error."""
     if not body.strip():
         return {}
--- a/ambershift/coordinator/protocol/relay.py
+++ b/ambershift/coordinator/protocol/relay.py
@@ -6,9 +6,9 @@
 from typing import Any, NamedTuple
 
 from ambershift import interface as api
-from ambershift.coordinator.protocol.words import UnreadableError, figure, show, whole, yes
+from ambershift.coordinator.protocol.fields import UnreadableError, figure, show, whole, yes
 
-ORDERS_MOST = 60_000
+MAX_ORDERS_BYTES = 60_000
 FOLLOW = b"follow\r\n"
 EVERY_TABLE = 0xFFFF
 RelayOrder = api.SetWeight | api.ClearTable | api.Withdraw | api.Level | api.Bind | api.Mark
@@ -43,16 +43,16 @@
     took_ms: float
 
 
-class Sign(NamedTuple):
+class KeepAlive(NamedTuple):
     """A sign of life, and nothing else."""
 
 
-class Following(NamedTuple):
+class FollowAccepted(NamedTuple):
     """The answer to `follow`: what stands comes next, then the news."""
 
 
 Answer = Done | Busy | Misread
-News = Hello | Bye | Ack | Sign
+ProxyEvent = Hello | Bye | Ack | KeepAlive
 
 
 def decimal(value: float) -> str:
@@ -60,7 +60,7 @@
     return f"{value:.6f}".rstrip("0").rstrip(".")
 
 
-class Orders:
+class OrderEncoder:
     """Writes orders with the ids and group names of one instance."""
 
     def __init__(self, server: Callable[[int], str], groups: Sequence[str]) -> None:
@@ -70,7 +70,7 @@
         chosen = [name for at, name in enumerate(self.groups) if mask >> at & 1]
         return "+".join(chosen) if chosen and len(chosen) < len(self.groups) else "*"
 
-    def write(self, order: RelayOrder) -> str:
+    def encode(self, order: RelayOrder) -> str:
         match order:
             case api.SetWeight():
                 return f"put,{order.table},{self.server(order.server)},{decimal(order.weight)}"
@@ -87,11 +87,11 @@
                 return f"fence,{order.mark},{int(order.everyone)}"
 
 
-def pack(orders: Sequence[str]) -> bytes:
+def encode_call(orders: Sequence[str]) -> bytes:
     return b"txn " + ";".join(orders).encode("ascii") + b"\r\n"
 
 
-def split(orders: Sequence[str], most: int = ORDERS_MOST) -> list[list[str]]:
+def split(orders: Sequence[str], most: int = MAX_ORDERS_BYTES) -> list[list[str]]:
     """Cut one reply into calls that each hold at most so many bytes of orders, never inside an order."""
     calls, size = list[list[str]](), most
     for order in orders:
@@ -107,7 +107,7 @@
 KEYS = {"put": (0, 1), "wipe": (0,), "attach": (0, 2), "eject": (0,), "gate": (0, 1), "fence": ()}
 
 
-def fold(orders: Sequence[str]) -> list[str]:
+def coalesce(orders: Sequence[str]) -> list[str]:
     """Leave out each order that a later one makes void, so that what has waited for long stays bounded."""
     left = dict[tuple[str, ...], str]()
     for order in orders:
@@ -126,7 +126,7 @@
     raise UnreadableError(f"'{show(line)}' is no answer of the relay")
 
 
-def read_answer(line: bytes, orders: int) -> Answer:
+def parse_answer(line: bytes, orders: int) -> Answer:
     words = line.decode("ascii", "replace").split()
     if len(words) == 2 and words[0] == "OK":
         return Done(whole(words[1], "OK", orders))
@@ -148,16 +148,16 @@
 }
 
 
-def read_news(line: bytes) -> News | Following | Busy | Misread:
+def parse_event(line: bytes) -> ProxyEvent | FollowAccepted | Busy | Misread:
     words = line.decode("ascii", "replace").split()
     if words == ["OK"]:
-        return Following()
+        return FollowAccepted()
     if not words or words[0] != "*":
         return read_refusal(words, line)
     if len(words) == 1:
-        return Sign()
+        return KeepAlive()
     count, build = READERS.get(words[1], (-1, None))
     if build is None or len(words) != count + 2:
         raise UnreadableError(f"'{show(line)}' is no news")
-    news: News = build(*words[2:])
+    news: ProxyEvent = build(*words[2:])
     return news
--- a/ambershift/coordinator/routing/admit.py
+++ b/ambershift/coordinator/routing/admission.py
@@ -1,4 +1,4 @@
-"""Admit: lets through what speaks of known things within bounds, in the module's terms."""
+"""Admission: lets through what speaks of known things within bounds, in the module's terms."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
         self.left -= 1
 
 
-class Admit:
+class Admission:
     def __init__(self, names: FrontSettings, now: Callable[[], int]) -> None:
-        self.names, self.door, self.pace = names, IdIndex[str](), Pace(names.reports_per_s, now)
+        self.settings, self.server_index, self.pace = names, IdIndex[str](), Pace(names.reports_per_s, now)
         self.mean_most = EXPIRIES * names.max_deadline_ms
         self.addresses = dict[int, str]()
         self.zones = {name: at for at, name in enumerate(names.zones)}
         self.groups = {name: at for at, name in enumerate(names.groups)}
 
     def proxy(self, number: int) -> int:
-        if number >= self.names.proxies:
-            raise RefusedError(f"proxy {number} is beyond the {self.names.proxies} of the settings")
+        if number >= self.settings.proxies:
+            raise RefusedError(f"proxy {number} is beyond the {self.settings.proxies} of the settings")
         return number
 
     def zone(self, name: str) -> int:
@@ -56,7 +56,7 @@
 
     def loads(self, report: dict[str, float]) -> tuple[float, ...]:
         """The figures in the order of the settings; a report that lacks one counts as none."""
-        fields = self.names.load_fields
+        fields = self.settings.load_fields
         return tuple(report[name] for name in fields) if all(name in report for name in fields) else ()
 
     def report(self, message: lines.Outcomes | lines.Demand) -> api.ServerReport | api.DemandReport:
@@ -68,7 +68,7 @@
         span, demand = to_ns(message.span_ms), isinstance(message, lines.Demand)
         if not SPAN_LEAST <= span <= SPAN_MOST:
             raise RefusedError("a span that can't be")
-        most = FLOWS_A_SECOND * max(1.0, span / SECOND) * (1 if demand else self.names.proxies)
+        most = FLOWS_A_SECOND * max(1.0, span / SECOND) * (1 if demand else self.settings.proxies)
         if max(message.tries, message.failed) > most:
             raise RefusedError("more tries than there can be")
         if isinstance(message, lines.Demand):
@@ -76,7 +76,7 @@
             if group is None:
                 raise RefusedError("unknown class")
             return api.DemandReport(self.proxy(message.proxy), group, message.tries, message.failed, span)
-        server = self.door.lookup(message.server)
+        server = self.server_index.lookup(message.server)
         if server is None:
             raise RefusedError("a server that was never listed")
         if message.mean_ms > self.mean_most:
@@ -100,13 +100,13 @@
 
     def forget(self, server: int) -> None:
         """Reports on it are refused from now on; listed again, it gets another index."""
-        self.door.forget(server)
+        self.server_index.forget(server)
         self.addresses.pop(server, None)
 
     def listed(self, listing: discovery.Listing, cached: bool) -> api.Listed:
         entries = []
         for one in listing.servers:
-            index = self.door.index(one.id)
+            index = self.server_index.index(one.id)
             self.addresses[index] = one.address
             entries.append(
                 api.Entry(index, self.zones.get(one.zone, -1), one.phase, one.weight, to_ns(one.started_ms))
--- a/ambershift/coordinator/routing/reading.py
+++ b/ambershift/coordinator/routing/decoding.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from ambershift.coordinator.protocol.words import UnreadableError
-from ambershift.coordinator.transport.endings import EndedError, Ending
+from ambershift.coordinator.protocol.fields import UnreadableError
+from ambershift.coordinator.transport.disconnect import DisconnectedError, DisconnectReason
 
 
 @contextmanager
@@ -14,4 +14,4 @@
     try:
         yield
     except UnreadableError as error:
-        raise EndedError(Ending.UNREADABLE, str(error)) from None
+        raise DisconnectedError(DisconnectReason.UNREADABLE, str(error)) from None
--- a/ambershift/coordinator/routing/watch.py
+++ b/ambershift/coordinator/routing/discovery_watcher.py
@@ -7,11 +7,15 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.protocol import discovery
-from ambershift.coordinator.routing.admit import Admit
-from ambershift.coordinator.routing.book import Book
-from ambershift.coordinator.routing.call import Caller
-from ambershift.coordinator.routing.reading import reading
-from ambershift.coordinator.transport.endings import MEANING, EndedError, Ending
+from ambershift.coordinator.routing.admission import Admission
+from ambershift.coordinator.routing.decoding import reading
+from ambershift.coordinator.routing.event_log import EventLog
+from ambershift.coordinator.routing.http_client import HttpClient
+from ambershift.coordinator.transport.disconnect import (
+    DISCONNECT_EFFECTS,
+    DisconnectedError,
+    DisconnectReason,
+)
 
 # A call is told as done 6 s after it at the latest, one that may wait 2 s after the wait, whether its answer
 # arrived or not. Answers come within milliseconds, so half of that leaves time to ask again.
@@ -21,21 +25,27 @@
 SECOND = 1_000_000_000
 
 
-class Watcher:
+class DiscoveryWatcher:
     """Asks again right after each answer, so that one watch goes on; when to ask again after a failure is
     the module's to say. A watch waits a fifth of the time in which an unasked change counts as told.
     """
 
     def __init__(
         self,
-        caller: Caller,
+        caller: HttpClient,
         version: int,
         told_after: int,
-        admit: Admit,
+        admit: Admission,
         put: Callable[[api.Event], None],
-        book: Book,
+        event_log: EventLog,
     ) -> None:
-        self.caller, self.version, self.admit, self.put, self.book = caller, version, admit, put, book
+        self.caller, self.version, self.admit, self.put, self.event_log = (
+            caller,
+            version,
+            admit,
+            put,
+            event_log,
+        )
         self.wait = min(told_after / 5 / SECOND, 60.0)
         self.watching, self.fetching, self.first = False, False, False
         self.wake = asyncio.Event()
@@ -70,21 +80,21 @@
         try:
             answer = await self.caller.call(target, limit)
             if answer.status != 200:
-                how = Ending.TURNED_AWAY if answer.status == 503 else Ending.UNREADABLE
-                raise EndedError(how, f"status {answer.status}")
+                how = DisconnectReason.TURNED_AWAY if answer.status == 503 else DisconnectReason.UNREADABLE
+                raise DisconnectedError(how, f"status {answer.status}")
             with reading():
-                listing = discovery.read(answer.body)
+                listing = discovery.parse(answer.body)
             if not listing.full and listing.version < self.version:
                 detail = f"changes to version {listing.version}, but {self.version} is held"
-                raise EndedError(Ending.UNREADABLE, detail)
-        except EndedError as end:
-            self.book.note("list_failed", how=end.ending.name.lower(), detail=end.detail)
-            if MEANING[end.ending].list_failed:
+                raise DisconnectedError(DisconnectReason.UNREADABLE, detail)
+        except DisconnectedError as end:
+            self.event_log.record("list_failed", how=end.reason.name.lower(), detail=end.detail)
+            if DISCONNECT_EFFECTS[end.reason].list_failed:
                 self.put(api.ListFailed())
             return False
         self.version = listing.version
         if tell or listing.full or listing.servers:
-            self.book.note(
+            self.event_log.record(
                 "listed",
                 version=listing.version,
                 full=listing.full,
--- a/ambershift/coordinator/routing/call.py
+++ b/ambershift/coordinator/routing/http_client.py
@@ -5,13 +5,17 @@
 import asyncio
 
 from ambershift.coordinator.protocol import http
-from ambershift.coordinator.routing.reading import reading
+from ambershift.coordinator.routing.decoding import reading
 from ambershift.coordinator.transport.dialler import Dialler
-from ambershift.coordinator.transport.endings import MEANING, EndedError, Ending
+from ambershift.coordinator.transport.disconnect import (
+    DISCONNECT_EFFECTS,
+    DisconnectedError,
+    DisconnectReason,
+)
 from ambershift.coordinator.transport.link import Link
 
 
-class Caller:
+class HttpClient:
     def __init__(self, dialler: Dialler, address: str, dial_limit: float) -> None:
         self.dialler, self.address, self.dial_limit = dialler, address, dial_limit
         self.link: Link | None = None
@@ -25,35 +29,37 @@
                     used, address = self.link is not None, self.address
                     try:
                         return await self.once(target)
-                    except EndedError as end:
+                    except DisconnectedError as end:
                         moved = address != self.address
                         # What lay idle may have been closed before our words came there.
-                        if not moved and not (used and MEANING[end.ending].fresh):
+                        if not moved and not (
+                            used and DISCONNECT_EFFECTS[end.reason].retry_on_new_connection
+                        ):
                             raise
                     self.close()
                     if moved:  # Another place, another call: it may wait as long as any.
                         bound.reschedule(asyncio.get_running_loop().time() + limit)
         except TimeoutError:
             self.close()
-            raise EndedError(Ending.SILENT) from None
+            raise DisconnectedError(DisconnectReason.SILENT) from None
         except BaseException:
             self.close()
             raise
 
     async def once(self, target: str) -> http.Answer:
-        if self.link is None or self.link.gone():
+        if self.link is None or self.link.closed_by_peer():
             self.close()
             self.link = await self.dialler.dial(self.address, self.dial_limit)
             if self.link.address != self.address:
-                raise EndedError(Ending.MOVED)
+                raise DisconnectedError(DisconnectReason.MOVED)
             self.exchange = http.Exchange(self.address)
         with reading():
             await self.link.write(self.exchange.ask(target), self.dial_limit)
             answer = None
             while not answer:
-                chunk = await self.link.chunk(None)
+                chunk = await self.link.read_chunk(None)
                 if not chunk and not self.exchange.begun:
-                    raise EndedError(Ending.CUT_SHORT)
+                    raise DisconnectedError(DisconnectReason.CUT_SHORT)
                 answer = self.exchange.hear(chunk)
         if not self.exchange.reusable():
             self.close()
@@ -64,7 +70,7 @@
         if address != self.address:
             self.address = address
             if self.link:
-                self.link.leave(Ending.MOVED)
+                self.link.disconnect(DisconnectReason.MOVED)
 
     def close(self) -> None:
         if self.link:
--- a/ambershift/coordinator/routing/news.py
+++ b/ambershift/coordinator/routing/proxy_event_feed.py
@@ -6,31 +6,31 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.protocol import relay as codec
-from ambershift.coordinator.routing.admit import Admit, RefusedError
-from ambershift.coordinator.routing.book import Book
-from ambershift.coordinator.routing.compared import Compared
+from ambershift.coordinator.routing.admission import Admission, RefusedError
+from ambershift.coordinator.routing.event_log import EventLog
+from ambershift.coordinator.routing.stream_merger import StreamMerger
 
 
-class News(Compared):
+class ProxyEventFeed(StreamMerger):
     """Hands what the comparing tells to the module, if it is admitted."""
 
-    def __init__(self, admit: Admit, put: Callable[[api.Event], None], book: Book) -> None:
+    def __init__(self, admit: Admission, put: Callable[[api.Event], None], event_log: EventLog) -> None:
         super().__init__(self.hand_on)
-        self.admit, self.put, self.book = admit, put, book
+        self.admit, self.put, self.event_log = admit, put, event_log
 
-    def hand_on(self, news: codec.News) -> bool:
+    def hand_on(self, news: codec.ProxyEvent) -> bool:
         try:
             match news:
                 case codec.Hello():
                     self.put(self.admit.joined(news))
-                    self.book.note("joined", proxy=news.proxy, zone=news.zone, fresh=news.fresh)
+                    self.event_log.record("joined", proxy=news.proxy, zone=news.zone, fresh=news.fresh)
                 case codec.Bye():
                     self.put(api.Left(news.proxy))
-                    self.book.note("left", proxy=news.proxy)
+                    self.event_log.record("left", proxy=news.proxy)
                 case codec.Ack():
                     self.put(self.admit.applied(news))
-                    self.book.count("acks")
+                    self.event_log.count("acks")
         except RefusedError as error:
-            self.book.note("refused", why=str(error))
+            self.event_log.record("refused", why=str(error))
             return False
         return True
--- a/ambershift/coordinator/routing/relay.py
+++ b/ambershift/coordinator/routing/relay_client.py
@@ -7,22 +7,24 @@
 from collections.abc import Sequence
 
 from ambershift.coordinator.protocol import relay as codec
-from ambershift.coordinator.routing.book import Book
-from ambershift.coordinator.routing.reading import reading
-from ambershift.coordinator.routing.row import Call, Row
+from ambershift.coordinator.routing.call_queue import Call, CallQueue
+from ambershift.coordinator.routing.decoding import reading
+from ambershift.coordinator.routing.event_log import EventLog
 from ambershift.coordinator.routing.tap import Tap
 from ambershift.coordinator.transport.dialler import Dialler
-from ambershift.coordinator.transport.endings import EndedError, Ending
+from ambershift.coordinator.transport.disconnect import DisconnectedError, DisconnectReason
 from ambershift.coordinator.transport.link import Link
 
 DIAL_LIMIT, WRITE_LIMIT, ANSWER_LIMIT, ANSWER_MOST = 0.3, 0.5, 0.25, 4096
 PAUSE_LEAST, PAUSE_MOST, BUSY_PAUSE = 0.02, 0.2, 0.1
 
 
-class Relay:
-    def __init__(self, dialler: Dialler, address: str, orders: codec.Orders, book: Book) -> None:
-        self.dialler, self.address, self.orders, self.book = dialler, address, orders, book
-        self.row = Row()
+class RelayClient:
+    def __init__(
+        self, dialler: Dialler, address: str, orders: codec.OrderEncoder, event_log: EventLog
+    ) -> None:
+        self.dialler, self.address, self.orders, self.event_log = dialler, address, orders, event_log
+        self.row = CallQueue()
         self.tap: Tap | None = None
         self.wake, self.pause = asyncio.Event(), 0.0
         self.link: Link | None = None
@@ -33,9 +35,9 @@
 
     def push(self, reply: Sequence[codec.RelayOrder]) -> None:
         if self.tap:
-            self.tap.ordered(self.row.replies + 1, reply)
-        if folded := self.row.push([self.orders.write(order) for order in reply]):
-            self.book.count("calls_folded", folded)
+            self.tap.ordered(self.row.reply_count + 1, reply)
+        if folded := self.row.push([self.orders.encode(order) for order in reply]):
+            self.event_log.count("calls_folded", folded)
         self.wake.set()
 
     async def run(self) -> None:
@@ -47,57 +49,57 @@
 
     async def attempt(self) -> None:
         """Make the first call of the row; it leaves the row only once its outcome is known."""
-        orders, clock = self.row.first().orders, asyncio.get_running_loop().time
+        orders, clock = self.row.head().orders, asyncio.get_running_loop().time
         try:
             link = await self.connect()
             started = clock()
-            await link.write(codec.pack(orders), WRITE_LIMIT)
+            await link.write(codec.encode_call(orders), WRITE_LIMIT)
             line = await self.answer(link)
             with reading():
-                answer = codec.read_answer(line, len(orders))
-        except EndedError as end:
+                answer = codec.parse_answer(line, len(orders))
+        except DisconnectedError as end:
             await self.broke(end)
             return
         self.pause = 0.0
-        outcome = self.row.answered(answer)
+        outcome = self.row.on_answer(answer)
         if outcome is None:
-            self.book.count("calls_turned_away")
+            self.event_log.count("calls_turned_away")
             await asyncio.sleep(BUSY_PAUSE)
             return
         if isinstance(answer, codec.Done):
             took = round((clock() - started) * 1e3, 1)
-            self.book.note("call", orders=len(orders), taken=answer.taken, ms=took)
-        if outcome.lost is not None:
-            self.book.note(outcome.why, order=outcome.lost)
+            self.event_log.record("call", orders=len(orders), taken=answer.taken, ms=took)
+        if outcome.lost_order is not None:
+            self.event_log.record(outcome.reason, order=outcome.lost_order)
             if self.tap:
-                self.tap.refused(outcome.lost)
-        if outcome.settled is not None and self.tap:
-            self.tap.settled(outcome.settled)
+                self.tap.refused(outcome.lost_order)
+        if outcome.settled_reply is not None and self.tap:
+            self.tap.settled(outcome.settled_reply)
 
     async def connect(self) -> Link:
         # The relay closes what is idle; after a move the call under way still ends where it began.
-        if self.link and (self.link.gone() or self.link.address != self.address):
+        if self.link and (self.link.closed_by_peer() or self.link.address != self.address):
             self.close()
         if not self.link:
             self.link = await self.dialler.dial(self.address, DIAL_LIMIT)
-            self.link.allow(ANSWER_MOST, ANSWER_LIMIT)
+            self.link.set_line_limits(ANSWER_MOST, ANSWER_LIMIT)
         return self.link
 
     async def answer(self, link: Link) -> bytes:
         try:
             async with asyncio.timeout(ANSWER_LIMIT):
-                while not (found := await link.lines(None)):
+                while not (found := await link.read_lines(None)):
                     pass
         except TimeoutError:
-            raise EndedError(Ending.SILENT) from None
+            raise DisconnectedError(DisconnectReason.SILENT) from None
         if len(found) > 1:
-            raise EndedError(Ending.UNREADABLE, "two answers to one call")
+            raise DisconnectedError(DisconnectReason.UNREADABLE, "two answers to one call")
         return found[0]
 
-    async def broke(self, end: EndedError) -> None:
+    async def broke(self, end: DisconnectedError) -> None:
         """The call may have been carried out or not: it stays first in the row, and goes out again."""
         self.close()
-        self.book.ended("call", end, waiting=len(self.calls))
+        self.event_log.record_disconnect("call", end, waiting=len(self.calls))
         await asyncio.sleep(self.pause)
         self.pause = min(PAUSE_MOST, max(PAUSE_LEAST, 2 * self.pause))
 
--- a/ambershift/coordinator/routing/follow.py
+++ b/ambershift/coordinator/routing/relay_follower.py
@@ -5,11 +5,11 @@
 import asyncio
 
 from ambershift.coordinator.protocol import relay as codec
-from ambershift.coordinator.routing.book import Book
-from ambershift.coordinator.routing.news import News
-from ambershift.coordinator.routing.reading import reading
+from ambershift.coordinator.routing.decoding import reading
+from ambershift.coordinator.routing.event_log import EventLog
+from ambershift.coordinator.routing.proxy_event_feed import ProxyEventFeed
 from ambershift.coordinator.transport.dialler import Dialler
-from ambershift.coordinator.transport.endings import EndedError, Ending
+from ambershift.coordinator.transport.disconnect import DisconnectedError, DisconnectReason
 from ambershift.coordinator.transport.link import Link
 
 DIAL_LIMIT, WRITE_LIMIT = 0.3, 0.5
@@ -18,9 +18,9 @@
 PAUSE_LEAST, PAUSE_MOST = 0.05, 0.2
 
 
-class Follower:
-    def __init__(self, dialler: Dialler, address: str, news: News, book: Book) -> None:
-        self.dialler, self.address, self.news, self.book = dialler, address, news, book
+class RelayFollower:
+    def __init__(self, dialler: Dialler, address: str, news: ProxyEventFeed, event_log: EventLog) -> None:
+        self.dialler, self.address, self.news, self.event_log = dialler, address, news, event_log
         self.turn = asyncio.Lock()  # One at a time is told what stands, or each would take it for news.
         self.links: list[Link | None] = [None, None]
 
@@ -29,10 +29,10 @@
         while True:
             try:
                 await self.connect(place)
-            except EndedError as end:
-                self.book.ended("news", end, place=place)
+            except DisconnectedError as end:
+                self.event_log.record_disconnect("news", end, place=place)
             finally:
-                pause = PAUSE_LEAST if self.news.end(place) else min(PAUSE_MOST, 2 * pause)
+                pause = PAUSE_LEAST if self.news.on_disconnected(place) else min(PAUSE_MOST, 2 * pause)
             await asyncio.sleep(pause)
 
     def move(self, address: str) -> None:
@@ -41,20 +41,20 @@
         """
         if address != self.address:
             self.address = address
-            first, second = (stream.level for stream in self.news.streams)
+            first, second = (stream.synced for stream in self.news.streams)
             for place in (1,) if first else (0,) if second else (0, 1):
                 self.leave_old(place)
 
     def leave_old(self, place: int) -> None:
         link = self.links[place]
         if link and link.address != self.address:
-            link.leave(Ending.MOVED)
+            link.disconnect(DisconnectReason.MOVED)
 
     async def connect(self, place: int) -> None:
         self.links[place] = link = await self.dialler.dial(self.address, DIAL_LIMIT)
         try:
             if link.address != self.address:
-                raise EndedError(Ending.MOVED)
+                raise DisconnectedError(DisconnectReason.MOVED)
             await self.follow(link, place)
         finally:
             self.links[place] = None
@@ -62,30 +62,30 @@
 
     async def follow(self, link: Link, place: int) -> None:
         async with self.turn:
-            self.news.begin(place)
+            self.news.on_connected(place)
             await link.write(codec.FOLLOW, WRITE_LIMIT)
             rest = await self.answered(link)
             self.pass_on(rest, place)
-            while not self.news.streams[place].level:
-                self.pass_on(await link.lines(SILENCE), place)
+            while not self.news.streams[place].synced:
+                self.pass_on(await link.read_lines(SILENCE), place)
         self.leave_old(1 - place)
         while True:
-            self.pass_on(await link.lines(SILENCE), place)
+            self.pass_on(await link.read_lines(SILENCE), place)
 
     async def answered(self, link: Link) -> list[bytes]:
         """Wait for `OK` and give the lines that came along with it."""
-        while not (lines := await link.lines(SILENCE)):
+        while not (lines := await link.read_lines(SILENCE)):
             pass
         with reading():
-            first = codec.read_news(lines[0])
-        if not isinstance(first, codec.Following):
-            raise EndedError(Ending.TURNED_AWAY, repr(first))
+            first = codec.parse_event(lines[0])
+        if not isinstance(first, codec.FollowAccepted):
+            raise DisconnectedError(DisconnectReason.TURNED_AWAY, repr(first))
         return lines[1:]
 
     def pass_on(self, lines: list[bytes], place: int) -> None:
         for line in lines:
             with reading():
-                news = codec.read_news(line)
-            if isinstance(news, codec.Busy | codec.Misread | codec.Following):
-                raise EndedError(Ending.UNREADABLE, repr(news))
-            self.news.take(place, news)
+                news = codec.parse_event(line)
+            if isinstance(news, codec.Busy | codec.Misread | codec.FollowAccepted):
+                raise DisconnectedError(DisconnectReason.UNREADABLE, repr(news))
+            self.news.on_event(place, news)
--- a/ambershift/coordinator/routing/compared.py
+++ b/ambershift/coordinator/routing/stream_merger.py
@@ -13,10 +13,10 @@
 
 from ambershift.coordinator.protocol import relay as codec
 
-AHEAD_MOST = 4096
+MAX_UNMATCHED = 4096
 
 
-class Stream:
+class EventStream:
     """How far one connection has come: who is joined by all that it told, and the news that it brought first.
 
     What was told because of what stood has no order among itself, and so a place of its own, by proxy.
@@ -24,32 +24,32 @@
 
     def __init__(self) -> None:
         self.view = dict[int, codec.Hello]()
-        self.level = False  # Whether all that stands has been told.
-        self.ahead = deque[codec.News](maxlen=AHEAD_MOST)
-        self.stated = dict[int, codec.News]()
+        self.synced = False  # Whether all that stands has been told.
+        self.unmatched = deque[codec.ProxyEvent](maxlen=MAX_UNMATCHED)
+        self.from_snapshot = dict[int, codec.ProxyEvent]()
         # So much of what the other had ahead and stated was there at this one's last sign of life.
-        self.old, self.old_stated = 0, set[int]()
+        self.stale_count, self.stale_proxies = 0, set[int]()
 
 
-class FrozenStream(NamedTuple):
+class StreamState(NamedTuple):
     view: tuple[codec.Hello, ...]
-    level: bool
-    ahead: tuple[codec.News, ...]
-    stated: tuple[codec.News, ...]
-    old: int
-    old_stated: tuple[int, ...]
+    synced: bool
+    unmatched: tuple[codec.ProxyEvent, ...]
+    from_snapshot: tuple[codec.ProxyEvent, ...]
+    stale_count: int
+    stale_proxies: tuple[int, ...]
 
 
-class Frozen(NamedTuple):
+class MergerState(NamedTuple):
     joined: tuple[codec.Hello, ...]
-    streams: tuple[FrozenStream, FrozenStream]
+    streams: tuple[StreamState, StreamState]
 
 
-def proxy_of(news: codec.News) -> int:
-    return -1 if isinstance(news, codec.Sign) else news.proxy
+def proxy_of(news: codec.ProxyEvent) -> int:
+    return -1 if isinstance(news, codec.KeepAlive) else news.proxy
 
 
-def same(one: codec.News, other: codec.News) -> bool:
+def equivalent(one: codec.ProxyEvent, other: codec.ProxyEvent) -> bool:
     """Whether both tell of the same. A join that stands may have other figures by now than when it
     happened.
     """
@@ -58,7 +58,7 @@
     return one == other
 
 
-class Compared:
+class StreamMerger:
     """Keeps the set of joined proxies. Where one connection breaks the other goes on, and nothing is missed;
     where both were broken, what stands is compared with what was known.
 
@@ -66,46 +66,46 @@
     told.
     """
 
-    def __init__(self, tell: Callable[[codec.News], bool]) -> None:
+    def __init__(self, tell: Callable[[codec.ProxyEvent], bool]) -> None:
         self.report = tell
         self.joined = dict[int, codec.Hello]()
-        self.streams = Stream(), Stream()
+        self.streams = EventStream(), EventStream()
 
-    def begin(self, place: int) -> None:
+    def on_connected(self, place: int) -> None:
         # What the other had ahead of this one's last connection stands by now. What that connection had ahead
         # of the other stays: the other may still bring it, and it must not be told twice for that.
         stream, other = self.streams[place], self.streams[1 - place]
-        other.ahead.clear()
-        other.stated.clear()
-        stream.old_stated.clear()
-        stream.old, stream.view, stream.level = 0, {}, False
+        other.unmatched.clear()
+        other.from_snapshot.clear()
+        stream.stale_proxies.clear()
+        stream.stale_count, stream.view, stream.synced = 0, {}, False
 
-    def end(self, place: int) -> bool:
+    def on_disconnected(self, place: int) -> bool:
         """The connection has broken, or never came up; tells whether it had told all that stands."""
         stream, other = self.streams[place], self.streams[1 - place]
-        was, stream.level = stream.level, False
-        if was and other.level:
+        was, stream.synced = stream.synced, False
+        if was and other.synced:
             # The other may know of joins and leaves that it left to this one to tell, as that one was level
             # too.
             self.reconcile(other, stream)
         return was
 
-    def take(self, place: int, news: codec.News) -> None:
+    def on_event(self, place: int, news: codec.ProxyEvent) -> None:
         stream, other = self.streams[place], self.streams[1 - place]
-        if not stream.level:
+        if not stream.synced:
             if isinstance(news, codec.Hello) and news.proxy not in stream.view:
                 stream.view[news.proxy] = news
-                if not other.level and news.proxy not in self.pending(other):
+                if not other.synced and news.proxy not in self.pending(other):
                     self.stands(news)  # At once, as the last to stand may be long in coming.
                 return
-            stream.level = True
+            stream.synced = True
             self.reconcile(stream, other, None, True)
         self.see(stream, news)
         self.match(stream, other, news)
-        if other.level:
-            self.agree(stream, other, None if isinstance(news, codec.Sign) else {news.proxy})
+        if other.synced:
+            self.agree(stream, other, None if isinstance(news, codec.KeepAlive) else {news.proxy})
 
-    def agree(self, stream: Stream, other: Stream, only: set[int] | None) -> None:
+    def agree(self, stream: EventStream, other: EventStream, only: set[int] | None) -> None:
         """Words that stand for two things may have been matched wrongly: what both have is true all the
         same.
         """
@@ -116,39 +116,41 @@
         for proxy in sorted(gone if only is None else gone & only):
             self.tell(codec.Bye(proxy))
 
-    def match(self, stream: Stream, other: Stream, news: codec.News) -> None:
+    def match(self, stream: EventStream, other: EventStream, news: codec.ProxyEvent) -> None:
         """Tell what this one brings first, and pass over what the other brought before."""
-        if isinstance(news, codec.Sign):
+        if isinstance(news, codec.KeepAlive):
             # What it has not brought since its last sign of life it never will; later news in the same words
             # must not be taken for that.
-            self.drop(stream, other, stream.old, stream.old_stated)
-            stream.old, stream.old_stated = len(other.ahead), set(other.stated)
+            self.drop(stream, other, stream.stale_count, stream.stale_proxies)
+            stream.stale_count, stream.stale_proxies = len(other.unmatched), set(other.from_snapshot)
             return
-        stated = other.stated.get(proxy_of(news))
-        if stated is not None and same(stated, news):
+        stated = other.from_snapshot.get(proxy_of(news))
+        if stated is not None and equivalent(stated, news):
             self.drop(stream, other, 0, {proxy_of(news)})
             return
         if stated is not None and not isinstance(news, codec.Ack):
             return  # From before what the other was told to stand: the word for that is still to come here.
-        for at, one in enumerate(other.ahead):
-            if same(one, news):
+        for at, one in enumerate(other.unmatched):
+            if equivalent(one, news):
                 # This one alone: what lies before it may still come, if this was an older one in the same
                 # words.
-                del other.ahead[at]
-                stream.old -= at < stream.old
+                del other.unmatched[at]
+                stream.stale_count -= at < stream.stale_count
                 if self.stale(other, at, news):
                     break
                 self.settle(stream, other, {proxy_of(news)})
                 return
-        stream.ahead.append(news)
+        stream.unmatched.append(news)
         self.tell(news)
 
-    def stale(self, other: Stream, at: int, news: codec.News) -> bool:
+    def stale(self, other: EventStream, at: int, news: codec.ProxyEvent) -> bool:
         """Whether what was found ahead is an older word that this one never brought: it does not hold now,
         and nothing behind it took it back.
         """
         proxy = proxy_of(news)
-        if any(proxy_of(one) == proxy and not isinstance(one, codec.Ack) for one in list(other.ahead)[at:]):
+        if any(
+            proxy_of(one) == proxy and not isinstance(one, codec.Ack) for one in list(other.unmatched)[at:]
+        ):
             return False
         match news:
             case codec.Hello():
@@ -157,7 +159,7 @@
                 return proxy in self.joined
         return False
 
-    def see(self, stream: Stream, news: codec.News) -> None:
+    def see(self, stream: EventStream, news: codec.ProxyEvent) -> None:
         match news:
             case codec.Hello():
                 stream.view[news.proxy] = news
@@ -166,27 +168,31 @@
             case codec.Ack() if news.proxy in stream.view:
                 stream.view[news.proxy] = stream.view[news.proxy]._replace(fresh=False)
 
-    def pending(self, other: Stream) -> set[int]:
-        return set(map(proxy_of, other.ahead)) | other.stated.keys()
+    def pending(self, other: EventStream) -> set[int]:
+        return set(map(proxy_of, other.unmatched)) | other.from_snapshot.keys()
 
-    def drop(self, stream: Stream, other: Stream, count: int, stated: set[int]) -> None:
+    def drop(self, stream: EventStream, other: EventStream, count: int, stated: set[int]) -> None:
         """The stream has brought these, the last ones of their kind, or will bring none of them any more."""
-        gone = {proxy_of(other.ahead.popleft()) for _ in range(min(count, len(other.ahead)))} | stated
+        gone = {proxy_of(other.unmatched.popleft()) for _ in range(min(count, len(other.unmatched)))} | stated
         for proxy in stated:
-            other.stated.pop(proxy, None)
-        stream.old = max(0, stream.old - count)
-        stream.old_stated -= stated
+            other.from_snapshot.pop(proxy, None)
+        stream.stale_count = max(0, stream.stale_count - count)
+        stream.stale_proxies -= stated
         self.settle(stream, other, gone)
 
-    def settle(self, stream: Stream, other: Stream, proxies: set[int]) -> None:
+    def settle(self, stream: EventStream, other: EventStream, proxies: set[int]) -> None:
         """Of these the other has nothing ahead any more; where it is broken, this one alone tells the
         truth.
         """
-        if not other.level and stream.level:
+        if not other.synced and stream.synced:
             self.reconcile(stream, other, proxies)
 
     def reconcile(
-        self, stream: Stream, other: Stream, only: Iterable[int] | None = None, just_told: bool = False
+        self,
+        stream: EventStream,
+        other: EventStream,
+        only: Iterable[int] | None = None,
+        just_told: bool = False,
     ) -> None:
         """Tell what is known otherwise than this connection has it, which is level.
 
@@ -200,10 +206,10 @@
         here = [hello for proxy, hello in stream.view.items() if proxy in known - pending]
         for hello in here:
             if (just_told or hello.proxy not in self.joined) and self.stands(hello):
-                stream.stated[hello.proxy] = hello
+                stream.from_snapshot[hello.proxy] = hello
         for proxy in sorted((known & self.joined.keys()) - pending - stream.view.keys()):
             self.tell(codec.Bye(proxy))
-            stream.stated[proxy] = codec.Bye(proxy)
+            stream.from_snapshot[proxy] = codec.Bye(proxy)
 
     def stands(self, hello: codec.Hello) -> bool:
         """A proxy known before is the same stream still, unless it has lost the tables it had from us."""
@@ -214,7 +220,7 @@
         self.joined[hello.proxy] = hello
         return False
 
-    def tell(self, news: codec.News) -> None:
+    def tell(self, news: codec.ProxyEvent) -> None:
         match news:
             case codec.Hello():
                 if self.report(news):
@@ -226,25 +232,29 @@
                 if self.report(news) and (known := self.joined.get(news.proxy)):
                     self.joined[news.proxy] = known._replace(fresh=False)
 
-    def freeze(self) -> Frozen:
+    def snapshot(self) -> MergerState:
         """The whole state as values, for the checker."""
         first, second = (
-            FrozenStream(
+            StreamState(
                 tuple(hello for _, hello in sorted(one.view.items())),
-                one.level,
-                tuple(one.ahead),
-                tuple(one.stated[at] for at in sorted(one.stated)),
-                one.old,
-                tuple(sorted(one.old_stated)),
+                one.synced,
+                tuple(one.unmatched),
+                tuple(one.from_snapshot[at] for at in sorted(one.from_snapshot)),
+                one.stale_count,
+                tuple(sorted(one.stale_proxies)),
             )
             for one in self.streams
         )
-        return Frozen(tuple(hello for _, hello in sorted(self.joined.items())), (first, second))
+        return MergerState(tuple(hello for _, hello in sorted(self.joined.items())), (first, second))
 
-    def thaw(self, state: Frozen) -> None:
+    def restore(self, state: MergerState) -> None:
         self.joined = {hello.proxy: hello for hello in state.joined}
         for stream, held in zip(self.streams, state.streams, strict=True):
             stream.view = {hello.proxy: hello for hello in held.view}
-            stream.level, stream.old, stream.old_stated = held.level, held.old, set(held.old_stated)
-            stream.stated = {proxy_of(news): news for news in held.stated}
-            stream.ahead = deque(held.ahead, maxlen=AHEAD_MOST)
+            stream.synced, stream.stale_count, stream.stale_proxies = (
+                held.synced,
+                held.stale_count,
+                set(held.stale_proxies),
+            )
+            stream.from_snapshot = {proxy_of(news): news for news in held.from_snapshot}
+            stream.unmatched = deque(held.unmatched, maxlen=MAX_UNMATCHED)
--- a/ambershift/coordinator/runtime/front.py
+++ b/ambershift/coordinator/runtime/front.py
@@ -9,7 +9,7 @@
 
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.program.assembly import Coordinator
-from ambershift.coordinator.program.configuration import BadStartError
+from ambershift.coordinator.program.configuration import ConfigurationError
 from ambershift.coordinator.routing.tap import Tap
 from ambershift.coordinator.runtime import places
 from ambershift.coordinator.runtime.execute import Executor
@@ -18,7 +18,7 @@
 from ambershift.coordinator.runtime.serving import SECOND, Serving
 from ambershift.coordinator.runtime.session import Session
 from ambershift.coordinator.runtime.tap import DeskTap
-from ambershift.coordinator.transport.buffers import Pool
+from ambershift.coordinator.transport.buffers import BufferPool
 from ambershift.coordinator.transport.link import Link
 from ambershift.coordinator.transport.listener import Listener
 
@@ -38,29 +38,29 @@
         version: str,
     ) -> None:
         self.coordinator, self.spots, self.idle = coordinator, spots, idle
-        start, admit, self.now = coordinator.start, coordinator.admit, coordinator.clock.now
-        self.desk = Desk(start.terms.cold, start.terms.report_period)
+        start, admit, self.now = coordinator.config, coordinator.admission, coordinator.clock.now
+        self.desk = Desk(start.policy_settings.cold, start.policy_settings.report_period)
         self.tap: Tap = DeskTap(self.desk, self.now, self.moved)
-        relay = coordinator.relay
+        relay = coordinator.relay_client
         self.scene = Scene(
             self.desk,
-            start.names,
-            admit.door,
+            start.front_settings,
+            admit.server_index,
             admit.addresses,
             self.now,
-            coordinator.book.counts,
+            coordinator.event_log.counts,
             lambda: Relaying(relay.address, len(relay.calls)),
             start.name,
-            len(start.terms.groups),
+            len(start.policy_settings.groups),
             version,
         )
         self.scene.pid, self.scene.memory_mb = os.getpid(), start.memory_mb
         self.executor = Executor(self.scene)
         self.listener = Listener(
-            Pool(BUFFER, BUFFERS_A_CLIENT * most),
+            BufferPool(BUFFER, BUFFERS_A_CLIENT * most),
             most,
             self.serve,
-            partial(coordinator.book.ended, "runtime"),
+            partial(coordinator.event_log.record_disconnect, "runtime"),
         )
         self.bound = list[Bound]()
         self.levels = dict[object, UnixPlace | TcpPlace]()
@@ -80,7 +80,7 @@
                 await self.listener.listen(one.socket)
         except PlaceError as error:
             self.release()
-            raise BadStartError(f"key 'runtime': {error}") from None
+            raise ConfigurationError(f"key 'runtime': {error}") from None
         self.scene.places = tuple(
             Place(
                 spot.title,
@@ -89,23 +89,25 @@
             )
             for spot in self.spots
         )
-        self.coordinator.book.note("runtime_open", places=[spot.title for spot in self.spots])
+        self.coordinator.event_log.record("runtime_open", places=[spot.title for spot in self.spots])
 
     async def close(self) -> None:
         """What was taken goes out; what comes now is refused; nothing is left half done."""
-        self.listener.close_doors()
+        self.listener.stop_accepting()
         if self.timer:
             self.timer.cancel()
         if (event := self.desk.flush(self.now())) is not None:
-            self.coordinator.route.put(event)
+            self.coordinator.policy_driver.submit(event)
         self.wake()
         clock = asyncio.get_running_loop().time
         until = clock() + END_WAIT
         await asyncio.sleep(0)
-        while clock() < until and (self.coordinator.route.events or self.coordinator.relay.calls):
+        while clock() < until and (
+            self.coordinator.policy_driver.events or self.coordinator.relay_client.calls
+        ):
             await asyncio.sleep(0.01)
         for link, session in list(self.sessions.items()):
-            if session.in_payload or link.framer.waiting.length:
+            if session.in_payload or link.framer.partial.length:
                 self.say(link, session, "Refused (stopping): the coordinator ends; nothing of this was done.")
         await asyncio.sleep(0)
         self.listener.close()
@@ -137,7 +139,7 @@
         if self.desk.stopping:
             return
         if (event := self.desk.due(self.now())) is not None:
-            self.coordinator.route.put(event)
+            self.coordinator.policy_driver.submit(event)
         if (at := self.desk.next_at(self.now())) is not None:
             self.arm(at)
 
--- a/ambershift/coordinator/runtime/serving.py
+++ b/ambershift/coordinator/runtime/serving.py
@@ -16,7 +16,7 @@
 from ambershift.coordinator.runtime.places import TcpPlace, UnixPlace
 from ambershift.coordinator.runtime.scene import Scene
 from ambershift.coordinator.runtime.session import LINE_MOST, Session, Severity
-from ambershift.coordinator.transport.endings import EndedError, Ending
+from ambershift.coordinator.transport.disconnect import DisconnectedError, DisconnectReason
 from ambershift.coordinator.transport.link import Link
 from ambershift.coordinator.transport.listener import Listener
 
@@ -47,23 +47,23 @@
         sock = link.writer.get_extra_info("socket")
         spot = self.levels[link.writer.get_extra_info("sockname")]
         session = Session(places.peer(sock), spot.level)
-        link.allow(LINE_MOST, LINE_WITHIN)
+        link.set_line_limits(LINE_MOST, LINE_WITHIN)
         self.sessions[link] = session
         self.scene.connections = len(self.sessions)
         self.scene.accepted += 1
         try:
             while not self.desk.stopping:
-                for line in await link.lines((session.idle or self.idle) / SECOND):
+                for line in await link.read_lines((session.idle or self.idle) / SECOND):
                     if not await self.line(link, session, line):
                         await self.linger(link)
                         return
-        except EndedError as end:
-            if end.ending is Ending.TOO_LONG:
+        except DisconnectedError as end:
+            if end.reason is DisconnectReason.TOO_LONG:
                 self.say(
                     link, session, f"Refused: a line may have {LINE_MOST} bytes; nothing of it was done."
                 )
                 await self.linger(link)
-            elif end.ending is Ending.SILENT:
+            elif end.reason is DisconnectReason.SILENT:
                 self.say(link, session, "Closed: nothing came for too long.")
             raise
         finally:
@@ -72,10 +72,10 @@
 
     async def linger(self, link: Link) -> None:
         """Read on for a moment after the last answer: closed with words unread, TCP would reset it away."""
-        with contextlib.suppress(EndedError, OSError, RuntimeError, TimeoutError):
+        with contextlib.suppress(DisconnectedError, OSError, RuntimeError, TimeoutError):
             link.writer.write_eof()
             async with asyncio.timeout(LINGER_MOST):
-                while await link.chunk(LAST_WORDS):
+                while await link.read_chunk(LAST_WORDS):
                     pass
 
     async def line(self, link: Link, session: Session, line: bytes) -> bool:
@@ -91,7 +91,7 @@
             if not await self.command(link, session, command):
                 return False
         if session.interactive:
-            self.listener.keep(link)
+            self.listener.protect(link)
         if session.prompted:
             uptime = (self.now() - self.scene.started) // SECOND
             await link.write(session.prompt(uptime).encode(), WRITE_LIMIT)
@@ -121,8 +121,8 @@
                 return Answer(("Done.",), Severity.INFO)
             if self.desk.stopping:
                 return Answer(("Interrupted: the coordinator ends.",), Severity.ERROR)
-            if link.writer.is_closing() or (session.interactive and link.gone()):
-                raise EndedError(Ending.IDLE)
+            if link.writer.is_closing() or (session.interactive and link.closed_by_peer()):
+                raise DisconnectedError(DisconnectReason.IDLE)
             await self.pulse(min(POLL, (wait.until - self.now()) / SECOND))
             await asyncio.sleep(LOOK_AGAIN)  # Steps may come by the hundred, and clients that wait too.
         if wait.done is None:
@@ -136,7 +136,7 @@
     async def stream(self, link: Link, session: Session, stream: Stream) -> None:
         after, ledger = stream.after, self.desk.ledger
         # Any key ends it; one-shot clients may have closed their side and still listen.
-        key = asyncio.ensure_future(link.lines(None)) if session.interactive else None
+        key = asyncio.ensure_future(link.read_lines(None)) if session.interactive else None
         try:
             await self.follow(link, ledger, after, key)
         finally:
@@ -175,8 +175,8 @@
         await link.write("\n".join([*piece, "", ""] if piece else ["", ""]).encode(), WRITE_LIMIT)
 
     def say(self, link: Link, session: Session, text: str) -> None:
-        with contextlib.suppress(EndedError):
-            link.say(session.answer(text, Severity.ERROR).encode())
+        with contextlib.suppress(DisconnectedError):
+            link.write_nowait(session.answer(text, Severity.ERROR).encode())
 
 
 def solid(lines: Iterable[str]) -> Iterable[str]:
--- a/ambershift/coordinator/transport/buffers.py
+++ b/ambershift/coordinator/transport/buffers.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ambershift.coordinator.transport.endings import EndedError, Ending
+from ambershift.coordinator.transport.disconnect import DisconnectedError, DisconnectReason
 
 
-class Pool:
+class BufferPool:
     """Hands out up to `most` buffers; who needs one more than that loses the connection, not the program."""
 
     def __init__(self, size: int, most: int) -> None:
@@ -14,7 +14,7 @@
 
     def take(self) -> bytearray:
         if self.out >= self.most:
-            raise EndedError(Ending.NO_ROOM, "all buffers are in use")
+            raise DisconnectedError(DisconnectReason.NO_ROOM, "all buffers are in use")
         self.out += 1
         return self.free.pop() if self.free else bytearray(self.size)
 
@@ -23,10 +23,10 @@
         self.free.extend(buffers)
 
 
-class Waiting:
+class PartialMessage:
     """The bytes of one unfinished message, in buffers of the pool."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: BufferPool) -> None:
         self.pool, self.buffers, self.length = pool, list[bytearray](), 0
 
     def add(self, piece: memoryview) -> None:
--- a/ambershift/coordinator/transport/dialler.py
+++ b/ambershift/coordinator/transport/dialler.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from ambershift.coordinator.transport.buffers import Pool
-from ambershift.coordinator.transport.endings import EndedError, Ending, ended
+from ambershift.coordinator.transport.buffers import BufferPool
+from ambershift.coordinator.transport.disconnect import DisconnectedError, DisconnectReason, disconnected
 from ambershift.coordinator.transport.link import Link
 
 
@@ -17,19 +17,19 @@
 
 
 class Dialler:
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
 
     async def dial(self, address: str, limit: float) -> Link:
         try:
             host, port = split_address(address)
         except ValueError as error:
-            raise EndedError(Ending.UNREACHABLE, str(error)) from None
+            raise DisconnectedError(DisconnectReason.UNREACHABLE, str(error)) from None
         try:
             async with asyncio.timeout(limit):
                 reader, writer = await asyncio.open_connection(host, port, limit=self.pool.size)
         except TimeoutError:
-            raise EndedError(Ending.NEVER_UP) from None
+            raise DisconnectedError(DisconnectReason.NEVER_UP) from None
         except OSError as error:
-            raise ended(error) from None
+            raise disconnected(error) from None
         return Link(reader, writer, self.pool, address)
--- a/ambershift/coordinator/transport/listener.py
+++ b/ambershift/coordinator/transport/listener.py
@@ -6,13 +6,13 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from ambershift.coordinator.transport.buffers import Pool
+from ambershift.coordinator.transport.buffers import BufferPool
 from ambershift.coordinator.transport.dialler import split_address
-from ambershift.coordinator.transport.endings import EndedError, Ending
+from ambershift.coordinator.transport.disconnect import DisconnectedError, DisconnectReason
 from ambershift.coordinator.transport.link import Link
 
 Handle = Callable[[Link], Awaitable[None]]
-Ends = Callable[[EndedError], None]
+Ends = Callable[[DisconnectedError], None]
 # A crowd waits in the system's queue and is let in by so many a turn of the loop, so that between two turns
 # room is made, whoever is here is read, and there are never more descriptors than may be.
 QUEUE, A_TURN = 1024, 4
@@ -25,7 +25,7 @@
     strangers who connect by the hundreds must keep no collector out, and push out none.
     """
 
-    def __init__(self, pool: Pool, most: int, handle: Handle, ends: Ends) -> None:
+    def __init__(self, pool: BufferPool, most: int, handle: Handle, ends: Ends) -> None:
         self.pool, self.most, self.handle, self.ends = pool, most, handle, ends
         self.passing: dict[Link, asyncio.Task[None]] = {}
         self.kept: dict[Link, asyncio.Task[None]] = {}
@@ -41,7 +41,7 @@
         )
         place.listen(QUEUE)  # asyncio has taken the number above for this too.
 
-    def keep(self, link: Link) -> None:
+    def protect(self, link: Link) -> None:
         """This one makes no room for others any more."""
         if link in self.passing:
             self.kept[link] = self.passing.pop(link)
@@ -50,31 +50,31 @@
         link, task = Link(reader, writer, self.pool), asyncio.current_task()
         assert task is not None
         self.passing[link] = task
-        end = EndedError(Ending.DONE)
+        end = DisconnectedError(DisconnectReason.DONE)
         try:
             if len(self.passing) + len(self.kept) > self.most:
                 oldest = next(iter(self.passing))
                 if oldest is link:
-                    raise EndedError(Ending.NO_ROOM)
+                    raise DisconnectedError(DisconnectReason.NO_ROOM)
                 self.passing.pop(oldest).cancel()
             await self.handle(link)
-        except EndedError as error:
+        except DisconnectedError as error:
             end = error
         except asyncio.CancelledError:
             serving = any(server.is_serving() for server in self.servers)
-            end = EndedError(Ending.NO_ROOM if serving else Ending.STOPPED)
+            end = DisconnectedError(DisconnectReason.NO_ROOM if serving else DisconnectReason.STOPPED)
         finally:
             self.passing.pop(link, None)
             self.kept.pop(link, None)
             link.close()
         self.ends(end)
 
-    def close_doors(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no more connections; those that are here go on."""
         for server in self.servers:
             server.close()
 
     def close(self) -> None:
-        self.close_doors()
+        self.stop_accepting()
         for task in (*self.passing.values(), *self.kept.values()):
             task.cancel()
--- a/ambershift/modelcheck/models/admin.py
+++ b/ambershift/modelcheck/models/admin.py
@@ -15,7 +15,7 @@
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.admin.words import Accepted, Change, State
 from ambershift.coordinator.protocol import relay as codec
-from ambershift.coordinator.routing.row import Call, Row
+from ambershift.coordinator.routing.call_queue import Call, CallQueue
 from ambershift.modelcheck.model import Base, Step, prop
 
 SECOND = 1_000_000_000
@@ -255,18 +255,18 @@
                     orders.append(api.Withdraw(entry.server, wanted))
         world = world._replace(told=tuple(told))
         if orders:
-            row = Row.thaw((world.calls, world.replies))
-            desk.ordered(world.now, row.replies + 1, orders)
-            row.push([codec.Orders(lambda server: f"s{server}", ()).write(order) for order in orders])
-            calls, replies = row.freeze()
+            row = CallQueue.restore((world.calls, world.replies))
+            desk.ordered(world.now, row.reply_count + 1, orders)
+            row.push([codec.OrderEncoder(lambda server: f"s{server}", ()).encode(order) for order in orders])
+            calls, replies = row.snapshot()
             world = world._replace(calls=calls, replies=replies)
         return self.after(world, desk)
 
     def relay_acts(self, world: World) -> Iterator[Step[World]]:
         if not world.calls:
             return
-        row = Row.thaw((world.calls, world.replies))
-        orders = row.first().orders
+        row = CallQueue.restore((world.calls, world.replies))
+        orders = row.head().orders
         if world.cuts:
             yield Step("relay: is cut off, the call is lost", world._replace(cuts=world.cuts - 1))
         held, acted, bare = set(world.held), list(world.acted), world.bare
@@ -279,11 +279,11 @@
         carried = world._replace(held=tuple(sorted(held)), acted=tuple(acted), bare=bare)
         if world.cuts:
             yield Step("relay: carries the call out and is cut off", carried._replace(cuts=world.cuts - 1))
-        outcome, desk = row.answered(codec.Done(len(orders))), load(world)
+        outcome, desk = row.on_answer(codec.Done(len(orders))), load(world)
         assert outcome is not None
-        if outcome.settled is not None:
-            desk.settled(outcome.settled)
-        calls, replies = row.freeze()
+        if outcome.settled_reply is not None:
+            desk.settled(outcome.settled_reply)
+        calls, replies = row.snapshot()
         after = carried._replace(calls=calls, replies=replies)
         wrong = [
             server
--- a/ambershift/modelcheck/models/collector.py
+++ b/ambershift/modelcheck/models/collector.py
@@ -1,6 +1,6 @@
 """Whoever connects to our own address: strangers, collectors of a zone, and what each may.
 
-Driven: `Conduct` and `Peers` of `coordinator/routing/peers.py`.
+Driven: `PeerSession` and `CollectorRegistry` of `coordinator/routing/peers.py`.
 """
 
 from __future__ import annotations
@@ -8,7 +8,13 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from ambershift.coordinator.routing.peers import COLLECTORS_A_ZONE, TABLE, Conduct, Peer, Peers
+from ambershift.coordinator.routing.peers import (
+    MAX_COLLECTORS_PER_ZONE,
+    PEER_LIMITS,
+    CollectorRegistry,
+    PeerKind,
+    PeerSession,
+)
 from ambershift.modelcheck.model import Base, Step, prop
 
 ZONE = "a"
@@ -47,7 +53,7 @@
 def a_zone_holds_three(world: World) -> str | None:
     """A zone has three collectors at the most, and the row of the zone has each that is here once."""
     here = sorted(at for at, one in enumerate(world.visitors) if one.what == COLLECTOR)
-    if len(here) > COLLECTORS_A_ZONE or sorted(world.order) != here:
+    if len(here) > MAX_COLLECTORS_PER_ZONE or sorted(world.order) != here:
         return f"here are {here}, the row has {world.order}"
     return None
 
@@ -74,16 +80,16 @@
     def initial(self) -> World:
         return World((Visitor(),) * self.visitors, (), "")
 
-    def conduct(self, one: Visitor) -> Conduct:
-        conduct = Conduct(0.0)
+    def conduct(self, one: Visitor) -> PeerSession:
+        conduct = PeerSession(0.0)
         if one.what == COLLECTOR:
-            conduct.become(Peer.COLLECTOR)
-        conduct.bad = one.bad
+            conduct.set_kind(PeerKind.COLLECTOR)
+        conduct.consecutive_invalid = one.bad
         return conduct
 
-    def peers(self, world: World) -> Peers[int]:
-        peers = Peers[int]()
-        peers.joined[ZONE] = list(world.order)
+    def peers(self, world: World) -> CollectorRegistry[int]:
+        peers = CollectorRegistry[int]()
+        peers.by_zone[ZONE] = list(world.order)
         return peers
 
     def steps(self, world: World) -> Iterator[Step[World]]:
@@ -106,13 +112,13 @@
     def leaves(self, world: World, at: int) -> World:
         peers = self.peers(world)
         if world.visitors[at].what == COLLECTOR:
-            peers.left(at, ZONE)
-        return self.put(world, at, Visitor())._replace(order=tuple(peers.joined[ZONE]))
+            peers.remove(at, ZONE)
+        return self.put(world, at, Visitor())._replace(order=tuple(peers.by_zone[ZONE]))
 
     def sends_rubbish(self, world: World, at: int, one: Visitor) -> Step[World]:
         conduct = self.conduct(one)
-        ends, really = conduct.unusable(), one.really_bad + 1
-        after = self.put(world, at, one._replace(bad=conduct.bad, really_bad=really))
+        ends, really = conduct.record_invalid(), one.really_bad + 1
+        after = self.put(world, at, one._replace(bad=conduct.consecutive_invalid, really_bad=really))
         if not ends:
             if really > 8:
                 after = after._replace(wrong="ended too late: over eight bad messages on end are borne")
@@ -123,11 +129,11 @@
 
     def joins(self, world: World, at: int) -> Step[World]:
         peers, conduct = self.peers(world), self.conduct(world.visitors[at])
-        conduct.become(Peer.COLLECTOR)
-        conduct.good()
-        gone = peers.join(at, ZONE)
-        after = self.heard(world, at, Visitor(COLLECTOR, conduct.bad))._replace(
-            order=tuple(peers.joined[ZONE])
+        conduct.set_kind(PeerKind.COLLECTOR)
+        conduct.record_valid()
+        gone = peers.add(at, ZONE)
+        after = self.heard(world, at, Visitor(COLLECTOR, conduct.consecutive_invalid))._replace(
+            order=tuple(peers.by_zone[ZONE])
         )
         if gone is None:
             return Step(f"visitor {at}: names its zone", after)
@@ -151,13 +157,13 @@
 
     def reports(self, world: World, at: int, one: Visitor) -> Step[World]:
         peers, conduct = self.peers(world), self.conduct(one)
-        conduct.good()
-        peers.heard(at, ZONE)
-        after = self.heard(world, at, one._replace(bad=conduct.bad, really_bad=0, silent=0))
-        return Step(f"visitor {at}: reports", after._replace(order=tuple(peers.joined[ZONE])))
+        conduct.record_valid()
+        peers.touch(at, ZONE)
+        after = self.heard(world, at, one._replace(bad=conduct.consecutive_invalid, really_bad=0, silent=0))
+        return Step(f"visitor {at}: reports", after._replace(order=tuple(peers.by_zone[ZONE])))
 
     def waits(self, world: World, at: int, one: Visitor) -> Step[World]:
-        left = self.conduct(one).time_left(float(one.age + 1))
+        left = self.conduct(one).remaining_s(float(one.age + 1))
         older = one._replace(age=one.age + 1)
         if left is not None and left <= 0:
             return Step(
@@ -176,5 +182,5 @@
 
 
 # The sentences above say so.
-assert TABLE[Peer.COLLECTOR].bad_most == 7
-assert TABLE[Peer.STRANGER].stays == 1.0
+assert PEER_LIMITS[PeerKind.COLLECTOR].max_consecutive_invalid == 7
+assert PEER_LIMITS[PeerKind.STRANGER].max_duration_s == 1.0
--- a/ambershift/modelcheck/models/news.py
+++ b/ambershift/modelcheck/models/news.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ambershift.coordinator.protocol import relay as codec
-from ambershift.coordinator.routing.compared import Compared, Frozen, FrozenStream
+from ambershift.coordinator.routing.stream_merger import MergerState, StreamMerger, StreamState
 from ambershift.modelcheck.model import Base, Step, prop
 
 LONGEST = 3  # News that wait on one connection.
@@ -27,7 +27,7 @@
     fresh: bool = False
     sole: bool = False
 
-    def news(self) -> codec.News:
+    def news(self) -> codec.ProxyEvent:
         match self.kind:
             case "hello":
                 return codec.Hello(self.proxy, "a", 1.0, self.fresh)
@@ -35,7 +35,7 @@
                 return codec.Bye(self.proxy)
             case "ack":
                 return codec.Ack(self.proxy, self.mark, 1.0)
-        return codec.Sign()
+        return codec.KeepAlive()
 
 
 class Stream(NamedTuple):
@@ -54,7 +54,7 @@
     streams: tuple[Stream, Stream]
 
 
-def line_of(news: codec.News) -> Line:
+def line_of(news: codec.ProxyEvent) -> Line:
     match news:
         case codec.Hello():
             return Line("hello", news.proxy, 0, news.fresh)
@@ -65,25 +65,25 @@
     return Line("sign")
 
 
-def freeze(machine: Compared) -> Held:
-    frozen = machine.freeze()
+def freeze(machine: StreamMerger) -> Held:
+    frozen = machine.snapshot()
     first, second = (
         Stream(
             one.view,
-            one.level,
-            tuple(map(line_of, one.ahead)),
-            tuple(map(line_of, one.stated)),
-            one.old,
-            one.old_stated,
+            one.synced,
+            tuple(map(line_of, one.unmatched)),
+            tuple(map(line_of, one.from_snapshot)),
+            one.stale_count,
+            one.stale_proxies,
         )
         for one in frozen.streams
     )
     return Held(frozen.joined, (first, second))
 
 
-def thaw(machine: Compared, held: Held) -> None:
+def thaw(machine: StreamMerger, held: Held) -> None:
     first, second = (
-        FrozenStream(
+        StreamState(
             one.view,
             one.level,
             tuple(line.news() for line in one.ahead),
@@ -93,7 +93,7 @@
         )
         for one in held.streams
     )
-    machine.thaw(Frozen(held.joined, (first, second)))
+    machine.restore(MergerState(held.joined, (first, second)))
 
 
 class Connection(NamedTuple):
@@ -185,7 +185,7 @@
     proxies, joins, breaks, acks = 2, 2, 2, 1
 
     def initial(self) -> World:
-        compared = Compared(lambda news: True)
+        compared = StreamMerger(lambda news: True)
         return World(
             (Proxy(),) * self.proxies,
             (Connection(False, ()),) * 2,
@@ -266,26 +266,26 @@
         first, second = world.connections
         return world._replace(connections=(connection, second) if place == 0 else (first, connection))
 
-    def machine(self, world: World, told: list[codec.News]) -> Compared:
-        def tell(news: codec.News) -> bool:
+    def machine(self, world: World, told: list[codec.ProxyEvent]) -> StreamMerger:
+        def tell(news: codec.ProxyEvent) -> bool:
             told.append(news)
             return True
 
-        machine = Compared(tell)
+        machine = StreamMerger(tell)
         thaw(machine, world.held)
         return machine
 
     def connects(self, world: World, place: int) -> Step[World]:
         machine = self.machine(world, [])
-        machine.begin(place)
+        machine.on_connected(place)
         stands = tuple(Line("hello", at, 0, one.fresh) for at, one in enumerate(world.proxies) if one.joined)
         after = self.set_connection(world._replace(held=freeze(machine)), place, Connection(True, stands))
         return Step(f"coordinator: connects {place}; relay: tells {len(stands)} that stand", self.gap(after))
 
     def hears(self, world: World, place: int) -> Step[World]:
-        connection, told = world.connections[place], list[codec.News]()
+        connection, told = world.connections[place], list[codec.ProxyEvent]()
         machine = self.machine(world, told)
-        machine.take(place, connection.lines[0].news())
+        machine.on_event(place, connection.lines[0].news())
         after = self.set_connection(world, place, connection._replace(lines=connection.lines[1:]))
         after = after._replace(held=freeze(machine))
         words = ", ".join(type(news).__name__.lower() for news in told) or "nothing new"
@@ -294,9 +294,9 @@
             self.count(after, told),
         )
 
-    def count(self, after: World, told: list[codec.News]) -> World:
+    def count(self, after: World, told: list[codec.ProxyEvent]) -> World:
         for news in told:
-            one = after.proxies[news.proxy] if not isinstance(news, codec.Sign) else Proxy()
+            one = after.proxies[news.proxy] if not isinstance(news, codec.KeepAlive) else Proxy()
             match news:
                 case codec.Hello():
                     after = self.put(
@@ -309,9 +309,9 @@
         return after
 
     def breaks_off(self, world: World, place: int) -> Step[World]:
-        told = list[codec.News]()
+        told = list[codec.ProxyEvent]()
         machine = self.machine(world, told)
-        machine.end(place)
+        machine.on_disconnected(place)
         after = self.set_connection(
             world._replace(breaks=world.breaks - 1, held=freeze(machine)), place, Connection(False, ())
         )
--- a/ambershift/modelcheck/models/row.py
+++ b/ambershift/modelcheck/models/row.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from ambershift.coordinator.protocol import relay as codec
-from ambershift.coordinator.routing.row import Call, Row
+from ambershift.coordinator.routing.call_queue import Call, CallQueue
 from ambershift.modelcheck.model import Base, Liveness, Step, prop
 
 POISON = "put,9,zz,1"  # An order that the relay can't read, whatever comes with it.
@@ -142,12 +142,12 @@
         return [*each, (f"put,1,sa,{number}", POISON, f"put,1,sb,{number}")]
 
     def steps(self, world: World) -> Iterator[Step[World]]:
-        row = Row.thaw((world.calls, world.replies))
+        row = CallQueue.restore((world.calls, world.replies))
         if world.replies < self.pushes:
             for texts in self.replies(world.replies + 1):
                 yield self.push(world, texts)
         if not world.wire.way and world.calls:
-            orders = row.first().orders
+            orders = row.head().orders
             wrong = world.wrong
             if world.unknown and orders != world.unknown:
                 wrong = (
@@ -167,14 +167,14 @@
                 yield Step("network: loses the answer", world._replace(wire=IDLE, losses=world.losses - 1))
 
     def push(self, world: World, texts: tuple[str, ...]) -> Step[World]:
-        row = Row.thaw((world.calls, world.replies))
+        row = CallQueue.restore((world.calls, world.replies))
         row.push(texts)
         wanted = {name: (value, reply) for name, value, reply in world.wanted}
         for text in texts:
             if text != POISON and not text.startswith("fence"):
                 name, value = what(text)
-                wanted[name] = value, row.replies
-        calls, replies = row.freeze()
+                wanted[name] = value, row.reply_count
+        calls, replies = row.snapshot()
         return Step(
             f"module: orders {';'.join(texts)}",
             world._replace(
@@ -215,17 +215,17 @@
             "relay",
         )
 
-    def arrives(self, world: World, row: Row) -> Step[World]:
+    def arrives(self, world: World, row: CallQueue) -> Step[World]:
         """The codec reads the answer and the row hears of it, as in the program."""
-        outcome = row.answered(codec.read_answer(world.wire.answer.encode(), len(world.wire.orders)))
-        calls, replies = row.freeze()
+        outcome = row.on_answer(codec.parse_answer(world.wire.answer.encode(), len(world.wire.orders)))
+        calls, replies = row.snapshot()
         after = world._replace(calls=calls, replies=replies, wire=IDLE, unknown=())
         if outcome is None:
             return Step("coordinator: hears that the relay is busy", after, "relay")
-        if outcome.lost is not None:
-            after = self.excuse(after, outcome.lost, world.wire.answer)
-        if outcome.settled is not None:
-            after = after._replace(settled=max(after.settled, outcome.settled))
+        if outcome.lost_order is not None:
+            after = self.excuse(after, outcome.lost_order, world.wire.answer)
+        if outcome.settled_reply is not None:
+            after = after._replace(settled=max(after.settled, outcome.settled_reply))
         return Step(f"coordinator: hears {world.wire.answer}", after, "relay")
 
     def excuse(self, world: World, order: str, answer: str) -> World:
--- a/ambershift/modelcheck/mutants/admin.py
+++ b/ambershift/modelcheck/mutants/admin.py
@@ -7,7 +7,7 @@
 
 from ambershift.coordinator.admin import coverage, desk, pace, weigh
 from ambershift.coordinator.admin.words import Stage
-from ambershift.coordinator.routing.row import Row
+from ambershift.coordinator.routing.call_queue import CallQueue
 from ambershift.modelcheck.mutants.words import Mutant
 
 
@@ -36,7 +36,7 @@
 
 
 def a_cut_drops_the_row(real: Any) -> Any:
-    def push(row: Row, texts: Sequence[str]) -> int:
+    def push(row: CallQueue, texts: Sequence[str]) -> int:
         while len(row.calls) > 1:
             row.calls.pop()
         folded: int = real(row, texts)
@@ -105,7 +105,7 @@
         "admin",
         "the-lost-are-stood-in-for",
         "what waits in a cut is dropped",
-        Row,
+        CallQueue,
         "push",
         a_cut_drops_the_row,
     ),
--- a/ambershift/modelcheck/mutants/collector.py
+++ b/ambershift/modelcheck/mutants/collector.py
@@ -17,11 +17,11 @@
 
 
 def one_bad_is_enough(real: Any) -> Any:
-    def unusable(self: peers.Conduct) -> bool:
-        self.bad += 1
+    def record_invalid(self: peers.PeerSession) -> bool:
+        self.consecutive_invalid += 1
         return True
 
-    return unusable
+    return record_invalid
 
 
 MUTANTS: tuple[Mutant, ...] = (
@@ -30,8 +30,8 @@
         "collector",
         "only-rubbish-ends-a-collector",
         "good reports forgive nothing",
-        peers.Conduct,
-        "good",
+        peers.PeerSession,
+        "record_valid",
         nothing,
     ),
     Mutant(
@@ -39,8 +39,8 @@
         "collector",
         "only-rubbish-ends-a-collector",
         "one bad message ends a collector",
-        peers.Conduct,
-        "unusable",
+        peers.PeerSession,
+        "record_invalid",
         one_bad_is_enough,
     ),
     Mutant(
@@ -48,8 +48,8 @@
         "collector",
         "the-silent-one-goes",
         "the one that joined first goes, silent or not",
-        peers.Peers,
-        "heard",
+        peers.CollectorRegistry,
+        "touch",
         nothing,
     ),
     Mutant(
@@ -57,8 +57,8 @@
         "collector",
         "no-stranger-stays",
         "a stranger has all the time it likes",
-        peers.Conduct,
-        "time_left",
+        peers.PeerSession,
+        "remaining_s",
         no_time,
     ),
     Mutant(
@@ -66,8 +66,8 @@
         "collector",
         "a-zone-holds-three",
         "who left is still in the row of its zone",
-        peers.Peers,
-        "left",
+        peers.CollectorRegistry,
+        "remove",
         nothing,
     ),
     Mutant(
@@ -75,10 +75,10 @@
         "collector",
         "",
         "who is heard goes behind by another way",
-        peers.Peers,
-        "heard",
+        peers.CollectorRegistry,
+        "touch",
         lambda real: (
-            lambda self, link, zone: (self.joined[zone].remove(link), self.joined[zone].append(link))[0]
+            lambda self, link, zone: (self.by_zone[zone].remove(link), self.by_zone[zone].append(link))[0]
         ),
     ),
 )
--- a/ambershift/modelcheck/mutants/news.py
+++ b/ambershift/modelcheck/mutants/news.py
@@ -4,24 +4,24 @@
 
 from typing import Any
 
-from ambershift.coordinator.routing import compared
+from ambershift.coordinator.routing import stream_merger
 from ambershift.modelcheck.mutants.words import Mutant
 
 
 def both_begin_anew(real: Any) -> Any:
-    def begin(self: compared.Compared, place: int) -> None:
+    def on_connected(self: stream_merger.StreamMerger, place: int) -> None:
         real(self, place)
-        self.streams[place].ahead.clear()
-        self.streams[place].stated.clear()
+        self.streams[place].unmatched.clear()
+        self.streams[place].from_snapshot.clear()
 
-    return begin
+    return on_connected
 
 
 def not_compared_while_the_other_is_up(real: Any) -> Any:
     def reconcile(
-        self: compared.Compared, stream: Any, other: Any, only: Any = None, just: bool = False
+        self: stream_merger.StreamMerger, stream: Any, other: Any, only: Any = None, just: bool = False
     ) -> None:
-        if not (just and other.level):
+        if not (just and other.synced):
             real(self, stream, other, only, just)
 
     return reconcile
@@ -29,7 +29,7 @@
 
 def wrong_side(real: Any) -> Any:
     def reconcile(
-        self: compared.Compared, stream: Any, other: Any, only: Any = None, just: bool = False
+        self: stream_merger.StreamMerger, stream: Any, other: Any, only: Any = None, just: bool = False
     ) -> None:
         real(self, other, stream, only, just)
 
@@ -54,8 +54,8 @@
         "news-small",
         "nothing-is-told-twice",
         "a new connection forgets what the old one told first",
-        compared.Compared,
-        "begin",
+        stream_merger.StreamMerger,
+        "on_connected",
         both_begin_anew,
     ),
     Mutant(
@@ -63,7 +63,7 @@
         "news-small",
         "nothing-is-told-twice",
         "what stands is not compared while the other is up",
-        compared.Compared,
+        stream_merger.StreamMerger,
         "reconcile",
         not_compared_while_the_other_is_up,
     ),
@@ -72,7 +72,7 @@
         "news",
         "nothing-is-told-twice",
         "the news are compared with the other's view",
-        compared.Compared,
+        stream_merger.StreamMerger,
         "reconcile",
         wrong_side,
     ),
@@ -81,7 +81,7 @@
         "news",
         "nothing-is-told-twice",
         "what the other told first is taken for missed",
-        compared.Compared,
+        stream_merger.StreamMerger,
         "pending",
         takes_no_heed_of_what_is_ahead,
     ),
@@ -90,7 +90,7 @@
         "news-small",
         "what-is-known-is-what-stands",
         "what stands is not compared on return",
-        compared.Compared,
+        stream_merger.StreamMerger,
         "reconcile",
         never_compared,
     ),
@@ -99,8 +99,8 @@
         "news-small",
         "nothing-is-told-twice",
         "what both bring is told twice",
-        compared,
-        "same",
+        stream_merger,
+        "equivalent",
         told_twice,
     ),
     Mutant(
@@ -108,8 +108,8 @@
         "news",
         "",
         "half as many news may be ahead",
-        compared,
-        "AHEAD_MOST",
+        stream_merger,
+        "MAX_UNMATCHED",
         lambda real: real // 2,
     ),
 )
--- a/ambershift/modelcheck/mutants/row.py
+++ b/ambershift/modelcheck/mutants/row.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ambershift.coordinator.protocol import relay as codec
-from ambershift.coordinator.routing.row import Call, Outcome, Row
+from ambershift.coordinator.routing.call_queue import Call, CallQueue, Outcome
 from ambershift.modelcheck.mutants.words import Mutant
 
 
@@ -17,7 +17,7 @@
 def goes_behind(real: Any) -> Any:
     """A call that is turned away goes to the end of the row."""
 
-    def answered(row: Row, answer: codec.Answer) -> Outcome | None:
+    def answered(row: CallQueue, answer: codec.Answer) -> Outcome | None:
         if isinstance(answer, codec.Busy):
             row.calls.rotate(-1)
         found: Outcome | None = real(row, answer)
@@ -39,7 +39,7 @@
 
 
 def busy_is_done(real: Any) -> Any:
-    def answered(row: Row, answer: codec.Answer) -> Outcome | None:
+    def answered(row: CallQueue, answer: codec.Answer) -> Outcome | None:
         if isinstance(answer, codec.Busy):
             row.calls.popleft()
             return None
@@ -50,10 +50,10 @@
 
 
 def rest_is_dropped(real: Any) -> Any:
-    def answered(row: Row, answer: codec.Answer) -> Outcome | None:
-        if isinstance(answer, codec.Done) and answer.taken < len(row.first().orders):
+    def answered(row: CallQueue, answer: codec.Answer) -> Outcome | None:
+        if isinstance(answer, codec.Done) and answer.taken < len(row.head().orders):
             call = row.calls.popleft()
-            return Outcome(call, call.orders[answer.taken], "order_not_taken", call.upto)
+            return Outcome(call, call.orders[answer.taken], "order_not_taken", call.settles)
         found: Outcome | None = real(row, answer)
         return found
 
@@ -61,25 +61,25 @@
 
 
 def misread_drops_all(real: Any) -> Any:
-    return lambda row, call: Outcome(call, call.orders[0], "order_not_read", call.upto)
+    return lambda row, call: Outcome(call, call.orders[0], "order_not_read", call.settles)
 
 
 def parts_settle_the_reply_before(real: Any) -> Any:
-    def misread(row: Row, call: Call) -> Outcome:
+    def misread(row: CallQueue, call: Call) -> Outcome:
         found: Outcome = real(row, call)
         if len(call.orders) > 1:
             for at in range(len(call.orders) - 1):
-                row.calls[at] = row.calls[at]._replace(upto=call.upto - 1)
+                row.calls[at] = row.calls[at]._replace(settles=call.settles - 1)
         return found
 
     return misread
 
 
 def settled_at_the_refusal(real: Any) -> Any:
-    def answered(row: Row, answer: codec.Answer) -> Outcome | None:
-        upto = row.first().upto
+    def answered(row: CallQueue, answer: codec.Answer) -> Outcome | None:
+        upto = row.head().settles
         found: Outcome | None = real(row, answer)
-        return found._replace(settled=upto) if found is not None and found.lost else found
+        return found._replace(settled_reply=upto) if found is not None and found.lost_order else found
 
     return answered
 
@@ -90,8 +90,8 @@
         "row",
         "settled-means-held",
         "a later call is sent before the unknown one",
-        Row,
-        "first",
+        CallQueue,
+        "head",
         first_is_last,
     ),
     Mutant(
@@ -99,8 +99,8 @@
         "row",
         "settled-means-held",
         "a call that is turned away goes last",
-        Row,
-        "answered",
+        CallQueue,
+        "on_answer",
         goes_behind,
     ),
     Mutant(
@@ -109,7 +109,7 @@
         "the-last-word-is-held",
         "folding loses who uses a table",
         codec,
-        "fold",
+        "coalesce",
         fold_without("attach"),
     ),
     Mutant(
@@ -118,7 +118,7 @@
         "the-last-word-is-held",
         "folding keeps what a later order made void",
         codec,
-        "fold",
+        "coalesce",
         fold_keeps_the_first,
     ),
     Mutant(
@@ -126,8 +126,8 @@
         "row",
         "the-last-word-is-held",
         "a call that was turned away counts as carried out",
-        Row,
-        "answered",
+        CallQueue,
+        "on_answer",
         busy_is_done,
     ),
     Mutant(
@@ -135,8 +135,8 @@
         "row",
         "the-last-word-is-held",
         "what follows a refused order is forgotten",
-        Row,
-        "answered",
+        CallQueue,
+        "on_answer",
         rest_is_dropped,
     ),
     Mutant(
@@ -144,8 +144,8 @@
         "row",
         "the-last-word-is-held",
         "a misread call is given up whole",
-        Row,
-        "misread",
+        CallQueue,
+        "on_misread",
         misread_drops_all,
     ),
     Mutant(
@@ -153,8 +153,8 @@
         "row",
         "settled-means-held",
         "parts of a folded call settle the reply before",
-        Row,
-        "misread",
+        CallQueue,
+        "on_misread",
         parts_settle_the_reply_before,
     ),
     Mutant(
@@ -162,8 +162,8 @@
         "row",
         "settled-means-held",
         "a reply settles while its rest still waits",
-        Row,
-        "answered",
+        CallQueue,
+        "on_answer",
         settled_at_the_refusal,
     ),
     Mutant(
@@ -172,7 +172,7 @@
         "what-waits-is-bounded",
         "what waits is not folded",
         codec,
-        "fold",
+        "coalesce",
         fold_nothing,
     ),
     Mutant(
@@ -181,7 +181,7 @@
         "",
         "folding leaves out marks, which nobody waits for in a cut",
         codec,
-        "fold",
+        "coalesce",
         fold_without("fence"),
     ),
 )
--- a/benchmarks/probe/sitecustomize.py
+++ b/benchmarks/probe/sitecustomize.py
@@ -13,21 +13,21 @@
 
 def instrument() -> None:
     sys.path.insert(0, os.getcwd())
-    from ambershift.coordinator.routing.route import Route
+    from ambershift.coordinator.routing.policy_driver import PolicyDriver
 
-    run, put, asked = Route.run, Route.put, [0]
+    run, submit, asked = PolicyDriver.run_step, PolicyDriver.submit, [0]
 
-    def timed_put(self, event):  # type: ignore[no-untyped-def]
+    def timed_submit(self, event):  # type: ignore[no-untyped-def]
         if not self.events:
             asked[0] = time.perf_counter_ns()
-        put(self, event)
+        submit(self, event)
 
     def timed_run(self):  # type: ignore[no-untyped-def]
         waited, started = time.perf_counter_ns() - asked[0], time.thread_time_ns()
         run(self)
         STEPS.append((time.thread_time_ns() - started, waited))
 
-    Route.run, Route.put = timed_run, timed_put
+    PolicyDriver.run_step, PolicyDriver.submit = timed_run, timed_submit
 
     def write() -> None:
         with open(PLACE.replace("%", os.environ.get("BALANCER_NAME", "x")), "w") as file:
--- a/tests/compatibility/plain_values.py
+++ b/tests/compatibility/plain_values.py
@@ -35,7 +35,7 @@
 
 def read_all(folder: Path) -> dict[str, Any]:
     """Read each settings file of a folder by the program that it belongs to."""
-    start = configuration.read({"BALANCER_CONFIG": str(folder / "coordinator.json")})
+    start = configuration.load({"BALANCER_CONFIG": str(folder / "coordinator.json")})
     return {
         "control": plain(process_settings.read_settings(str(folder / "control.toml")))[1:],
         "proxy": plain(process_settings.read_settings(str(folder / "proxy.toml")))[1:],
--- a/tests/coordinator/program/test_program.py
+++ b/tests/coordinator/program/test_program.py
@@ -345,7 +345,7 @@
 
 def test_a_signal_to_read_anew_ends_nothing_and_is_heeded_however_early() -> None:
     async def attend(signals: Signals, early: bool) -> None:
-        signals.attend()
+        signals.install()
         assert signals.reload.is_set() == early
         os.kill(os.getpid(), signal.SIGHUP)
         await asyncio.wait_for(signals.reload.wait(), 1)
--- a/tests/coordinator/test_network.py
+++ b/tests/coordinator/test_network.py
@@ -14,19 +14,23 @@
 from ambershift import interface as api
 from ambershift.coordinator.program.log import LogWriter
 from ambershift.coordinator.protocol import discovery, http, lines, probes, relay
-from ambershift.coordinator.protocol.words import UnreadableError
-from ambershift.coordinator.routing.admit import Admit, RefusedError
-from ambershift.coordinator.routing.book import LINES_A_SECOND, SECOND, Book
-from ambershift.coordinator.routing.call import Caller
-from ambershift.coordinator.routing.news import News
-from ambershift.coordinator.routing.probe import PROBES_MOST, Prober
-from ambershift.coordinator.routing.relay import Relay
-from ambershift.coordinator.routing.route import Route
-from ambershift.coordinator.routing.row import Row
-from ambershift.coordinator.transport.buffers import Pool
+from ambershift.coordinator.protocol.fields import UnreadableError
+from ambershift.coordinator.routing.admission import Admission, RefusedError
+from ambershift.coordinator.routing.call_queue import CallQueue
+from ambershift.coordinator.routing.event_log import MAX_LINES_PER_SECOND, SECOND, EventLog
+from ambershift.coordinator.routing.http_client import HttpClient
+from ambershift.coordinator.routing.policy_driver import PolicyDriver
+from ambershift.coordinator.routing.prober import MAX_PROBES, Prober
+from ambershift.coordinator.routing.proxy_event_feed import ProxyEventFeed
+from ambershift.coordinator.routing.relay_client import RelayClient
+from ambershift.coordinator.transport.buffers import BufferPool
 from ambershift.coordinator.transport.dialler import Dialler
-from ambershift.coordinator.transport.endings import MEANING, EndedError, Ending
-from ambershift.coordinator.transport.lines import Framer
+from ambershift.coordinator.transport.disconnect import (
+    DISCONNECT_EFFECTS,
+    DisconnectedError,
+    DisconnectReason,
+)
+from ambershift.coordinator.transport.framing import LineFramer
 from ambershift.coordinator.transport.listener import Listener
 from ambershift.policy_settings import FrontSettings
 from tests.support.policy_model import free_port
@@ -34,12 +38,12 @@
 NAMES = FrontSettings(("east", "west"), ("play", "slip"), ("util",), 8, 100.0, True, 100_000_000, 2000.0)
 
 
-def silent_book() -> Book:
-    return Book(lambda fields: None)
+def silent_event_log() -> EventLog:
+    return EventLog(lambda fields: None)
 
 
-def admitting(*ids: str) -> Admit:
-    admit = Admit(NAMES, lambda: 0)
+def admitting(*ids: str) -> Admission:
+    admit = Admission(NAMES, lambda: 0)
     admit.listed(
         discovery.Listing(
             1,
@@ -59,9 +63,9 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_lines_are_found_however_they_are_cut_and_no_buffer_stays_out(seed: int) -> None:
-    chance, pool = random.Random(seed), Pool(16, 64)
+    chance, pool = random.Random(seed), BufferPool(16, 64)
     wanted = [bytes(chance.choices(b"abc ", k=chance.choice((0, 3, 15, 16, 17, 100)))) for _ in range(50)]
-    stream, framer, found = b"".join(one + b"\r\n" for one in wanted), Framer(pool, 200), list[bytes]()
+    stream, framer, found = b"".join(one + b"\r\n" for one in wanted), LineFramer(pool, 200), list[bytes]()
     while stream:
         cut = chance.randint(1, 60)
         found += framer.feed(stream[:cut])
@@ -70,41 +74,44 @@
 
 
 def test_a_line_too_long_ends_the_connection_after_the_lines_before_it() -> None:
-    framer, found = Framer(Pool(16, 64), 20), list[bytes]()
-    with pytest.raises(EndedError) as caught:
+    framer, found = LineFramer(BufferPool(16, 64), 20), list[bytes]()
+    with pytest.raises(DisconnectedError) as caught:
         for line in framer.feed(b"one\r\n" + b"x" * 21):
             found.append(line)
-    assert found == [b"one"] and caught.value.ending is Ending.TOO_LONG
+    assert found == [b"one"] and caught.value.reason is DisconnectReason.TOO_LONG
 
 
 def test_who_needs_more_buffers_than_there_are_loses_the_connection_and_gives_back_what_it_has() -> None:
-    pool = Pool(16, 2)
-    framer = Framer(pool, 200)
-    with pytest.raises(EndedError) as caught:
+    pool = BufferPool(16, 2)
+    framer = LineFramer(pool, 200)
+    with pytest.raises(DisconnectedError) as caught:
         list(framer.feed(b"x" * 40))
-    assert caught.value.ending is Ending.NO_ROOM
+    assert caught.value.reason is DisconnectReason.NO_ROOM
     framer.close()
     assert pool.out == 0
 
 
 def test_each_ending_has_one_meaning() -> None:
-    assert MEANING.keys() == set(Ending)
-    assert not any(MEANING[one].fault for one in (Ending.IDLE, Ending.DONE, Ending.STOPPED))
+    assert DISCONNECT_EFFECTS.keys() == set(DisconnectReason)
+    assert not any(
+        DISCONNECT_EFFECTS[one].is_fault
+        for one in (DisconnectReason.IDLE, DisconnectReason.DONE, DisconnectReason.STOPPED)
+    )
 
 
 def test_a_crowd_pushes_out_neither_who_is_kept_nor_holds_more_than_may_be() -> None:
     async def act() -> None:
-        ends, most = list[EndedError](), 0
+        ends, most = list[DisconnectedError](), 0
 
         async def serve(link: Any) -> None:
             nonlocal most
             while True:
                 most = max(most, len(os.listdir("/proc/self/fd")))
-                for _ in await link.lines(None):
-                    listener.keep(link)
-                    link.say(b"heard\r\n")
+                for _ in await link.read_lines(None):
+                    listener.protect(link)
+                    link.write_nowait(b"heard\r\n")
 
-        listener, port = Listener(Pool(1024, 8), 20, serve, ends.append), free_port()
+        listener, port = Listener(BufferPool(1024, 8), 20, serve, ends.append), free_port()
         await listener.open(f"127.0.0.1:{port}")
 
         async def join() -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -120,7 +127,7 @@
             one.connect_ex(("127.0.0.1", port))
         second = await join()
         assert most < before + len(crowd) + 20 + 40
-        assert len(ends) > 200 and {end.ending for end in ends} == {Ending.NO_ROOM}
+        assert len(ends) > 200 and {end.reason for end in ends} == {DisconnectReason.NO_ROOM}
         for reader, writer in (first, second):
             writer.write(b"still\r\n")
             assert await reader.readline() == b"heard\r\n"
@@ -134,18 +141,18 @@
 
 def test_whole_lines_still_count_where_the_rest_finds_no_buffer() -> None:
     async def act() -> None:
-        found, ends = list[bytes](), asyncio.Queue[EndedError]()
+        found, ends = list[bytes](), asyncio.Queue[DisconnectedError]()
 
         async def serve(link: Any) -> None:
             while True:
-                found.extend(await link.lines(None))
+                found.extend(await link.read_lines(None))
 
-        listener, port = Listener(Pool(64, 0), 2, serve, ends.put_nowait), free_port()
+        listener, port = Listener(BufferPool(64, 0), 2, serve, ends.put_nowait), free_port()
         await listener.open(f"127.0.0.1:{port}")
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"one\r\ntwo\r\nthr")
         end = await asyncio.wait_for(ends.get(), 2)
-        assert found == [b"one", b"two"] and end.ending is Ending.NO_ROOM
+        assert found == [b"one", b"two"] and end.reason is DisconnectReason.NO_ROOM
         writer.close()
         listener.close()
 
@@ -178,7 +185,7 @@
     ],
 )
 def test_messages(text: str, message: lines.Message) -> None:
-    assert lines.read(text.encode()) == message
+    assert lines.parse(text.encode()) == message
 
 
 @pytest.mark.parametrize(
@@ -204,7 +211,7 @@
 )
 def test_messages_that_can_not_be_read(text: bytes) -> None:
     with pytest.raises(UnreadableError):
-        lines.read(text)
+        lines.parse(text)
 
 
 @pytest.mark.parametrize(
@@ -224,15 +231,15 @@
     ],
 )
 def test_orders(order: relay.RelayOrder, text: str) -> None:
-    assert relay.Orders(["s-a", "s-b"].__getitem__, ("play", "slip", "hot")).write(order) == text
+    assert relay.OrderEncoder(["s-a", "s-b"].__getitem__, ("play", "slip", "hot")).encode(order) == text
 
 
 def test_a_long_reply_is_cut_between_orders() -> None:
     orders = [f"put,{at},s-{at:08},1.5" for at in range(10_000)]
     calls = relay.split(orders)
     assert [order for call in calls for order in call] == orders
-    assert all(len(relay.pack(call)) <= relay.ORDERS_MOST + len("txn \r\n") for call in calls)
-    assert len(calls) == -(-sum(len(order) + 1 for order in orders) // relay.ORDERS_MOST)
+    assert all(len(relay.encode_call(call)) <= relay.MAX_ORDERS_BYTES + len("txn \r\n") for call in calls)
+    assert len(calls) == -(-sum(len(order) + 1 for order in orders) // relay.MAX_ORDERS_BYTES)
     assert relay.split([]) == [] and relay.split(["a", "b"], 1) == [["a"], ["b"]]
 
 
@@ -272,7 +279,7 @@
         lambda: f"gate,{chance.randrange(3)},{chance.choice(('*', 'play'))},{chance.random():.2f},1",
     ]
     orders = [chance.choice(makers)() for _ in range(300)]
-    folded = relay.fold(orders)
+    folded = relay.coalesce(orders)
     assert carried(folded) == carried(orders) and len(folded) <= 12 + 3 + 4 + 9 + 6 + 1
 
 
@@ -287,27 +294,27 @@
     ],
 )
 def test_answers(line: bytes, answer: relay.Answer) -> None:
-    assert relay.read_answer(line, 2) == answer
+    assert relay.parse_answer(line, 2) == answer
 
 
 @pytest.mark.parametrize("line", [b"", b"OK", b"OK 3", b"OK -1", b"OK 1 1", b"ok 1", b"\xff"])
 def test_answers_that_can_not_be_read(line: bytes) -> None:
     with pytest.raises(UnreadableError):
-        relay.read_answer(line, 2)
+        relay.parse_answer(line, 2)
 
 
 @pytest.mark.parametrize(
     ("line", "news"),
     [
-        (b"OK", relay.Following()),
+        (b"OK", relay.FollowAccepted()),
         (b"* hello 17 a 21.5 1", relay.Hello(17, "a", 21.5, True)),
-        (b"*", relay.Sign()),
+        (b"*", relay.KeepAlive()),
         (b"* bye 17", relay.Bye(17)),
         (b"* ack 17 905 310.4", relay.Ack(17, 905, 310.4)),
     ],
 )
-def test_news(line: bytes, news: relay.News) -> None:
-    assert relay.read_news(line) == news
+def test_news(line: bytes, news: relay.ProxyEvent) -> None:
+    assert relay.parse_event(line) == news
 
 
 @pytest.mark.parametrize(
@@ -325,7 +332,7 @@
 )
 def test_news_that_can_not_be_read(line: bytes) -> None:
     with pytest.raises(UnreadableError):
-        relay.read_news(line)
+        relay.parse_event(line)
 
 
 ENTRY = (
@@ -335,13 +342,13 @@
 
 
 def test_a_list_and_its_times() -> None:
-    found = discovery.read(b'{"version":41,"full":true,"servers":[' + ENTRY + b"]}")
+    found = discovery.parse(b'{"version":41,"full":true,"servers":[' + ENTRY + b"]}")
     assert found == discovery.Listing(
         41,
         True,
         (discovery.Server("s-5be2a07c", "10.1.0.18:5000", "a", api.Phase.READY, 1.0, 1796139701000.0),),
     )
-    assert Admit(NAMES, lambda: 0).listed(found, False) == api.Listed(
+    assert Admission(NAMES, lambda: 0).listed(found, False) == api.Listed(
         True, False, (api.Entry(0, -1, api.Phase.READY, 1.0, 1796139701 * SECOND),)
     )
 
@@ -363,7 +370,7 @@
 )
 def test_lists_that_can_not_be_read(old: bytes, new: bytes) -> None:
     with pytest.raises(UnreadableError):
-        discovery.read((b'{"version":41,"full":true,"servers":[' + ENTRY + b"]}").replace(old, new, 1))
+        discovery.parse((b'{"version":41,"full":true,"servers":[' + ENTRY + b"]}").replace(old, new, 1))
 
 
 @pytest.mark.parametrize("cut", [1, 3, 1000])
@@ -392,12 +399,12 @@
 
 
 def test_load_reports() -> None:
-    report = probes.read_load(b'{"inflight":7,"queue":2,"util":0.61,"name":"x"}')
-    assert report == {"inflight": 7.0, "queue": 2.0, "util": 0.61} and probes.read_load(b"") == {}
-    admit = Admit(NAMES, lambda: 0)
+    report = probes.parse_load(b'{"inflight":7,"queue":2,"util":0.61,"name":"x"}')
+    assert report == {"inflight": 7.0, "queue": 2.0, "util": 0.61} and probes.parse_load(b"") == {}
+    admit = Admission(NAMES, lambda: 0)
     assert admit.loads(report) == (0.61,) and admit.loads({"queue": 1.0}) == ()
     with pytest.raises(UnreadableError):
-        probes.read_load(b"[]")
+        probes.parse_load(b"[]")
 
 
 # Stages
@@ -420,7 +427,7 @@
 
 def test_a_flood_of_good_reports_is_let_in_at_twice_the_pace_that_the_settings_announce() -> None:
     now, let_in = 0, 0
-    admit = Admit(NAMES, lambda: now)
+    admit = Admission(NAMES, lambda: now)
     for turn in range(100_000):
         now = turn * SECOND // 10_000  # Ten seconds at 10,000 a second, where 100 are announced.
         with contextlib.suppress(RefusedError):
@@ -431,13 +438,15 @@
 
 def test_of_a_flood_of_one_kind_a_bounded_number_is_logged_and_the_rest_counted() -> None:
     logged, now = list[dict[str, Any]](), [0]
-    book = Book(logged.append, lambda: now[0])
-    for _ in range(LINES_A_SECOND + 60):
-        book.note("refused")
-    book.note("joined")
-    assert len(logged) == LINES_A_SECOND + 1 and book.counts["refused"] == LINES_A_SECOND + 60
+    event_log = EventLog(logged.append, lambda: now[0])
+    for _ in range(MAX_LINES_PER_SECOND + 60):
+        event_log.record("refused")
+    event_log.record("joined")
+    assert (
+        len(logged) == MAX_LINES_PER_SECOND + 1 and event_log.counts["refused"] == MAX_LINES_PER_SECOND + 60
+    )
     now[0] = SECOND
-    book.note("joined")
+    event_log.record("joined")
     assert logged[-2] == {"event": "left_out", "lines": {"refused": 60}}
 
 
@@ -447,7 +456,7 @@
         log = LogWriter(into, "n1")
         log.write({"event": "odd", "text": "\udcff"})
         log.write({"event": "last"})
-        log.end()
+        log.close()
         os.close(into)
         told = [json.loads(line)["event"] for line in os.read(out, 4096).splitlines()]
         os.close(out)
@@ -465,11 +474,11 @@
             return [api.Fetch()]
 
     async def act() -> None:
-        route = Route(Module(), lambda: 0, Book(logged.append))
-        route.carry = replies.append
+        driver = PolicyDriver(Module(), lambda: 0, EventLog(logged.append))
+        driver.on_orders = replies.append
         for proxies in ((1, 2, 3), (4, 5)):
             for proxy in proxies:
-                route.put(api.Left(proxy))
+                driver.submit(api.Left(proxy))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
 
@@ -498,8 +507,8 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    orders = relay.Orders(str, ("play", "slip"))
-    row = Relay(Dialler(Pool(1024, 8)), f"127.0.0.1:{port}", orders, silent_book())
+    orders = relay.OrderEncoder(str, ("play", "slip"))
+    row = RelayClient(Dialler(BufferPool(1024, 8)), f"127.0.0.1:{port}", orders, silent_event_log())
     row.tap = Told()
     row.push([api.SetWeight(1, at, 1.0) for at in range(count)])
     task = asyncio.create_task(row.run())
@@ -560,7 +569,9 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    row = Relay(Dialler(Pool(1024, 8)), place, relay.Orders(str, ("play", "slip")), silent_book())
+    row = RelayClient(
+        Dialler(BufferPool(1024, 8)), place, relay.OrderEncoder(str, ("play", "slip")), silent_event_log()
+    )
     for reply in (1, 2):
         row.push([api.SetWeight(reply, 0, 1.0), api.Mark(reply, False)])
     task = asyncio.create_task(row.run())
@@ -588,8 +599,8 @@
 
 
 def test_what_waits_for_a_relay_that_is_away_stays_bounded() -> None:
-    orders = relay.Orders("s-{}".format, ("play",))
-    calls = Relay(Dialler(Pool(64, 8)), "127.0.0.1:1", orders, silent_book())
+    orders = relay.OrderEncoder("s-{}".format, ("play",))
+    calls = RelayClient(Dialler(BufferPool(64, 8)), "127.0.0.1:1", orders, silent_event_log())
     for turn in range(2000):
         calls.push([api.SetWeight(turn % 3, turn % 50, 1.0 + turn), api.Mark(turn, False)])
     waiting = [order for call in calls.calls for order in call.orders]
@@ -602,12 +613,12 @@
 
     def __init__(self) -> None:
         self.events = list[api.Event]()
-        self.news = News(Admit(NAMES, lambda: 0), self.events.append, silent_book())
-        self.begin = self.news.begin
+        self.news = ProxyEventFeed(Admission(NAMES, lambda: 0), self.events.append, silent_event_log())
+        self.begin = self.news.on_connected
 
     def take(self, place: int, *texts: str) -> None:
         for text in texts:
-            self.news.take(place, relay.read_news(f"* {text}".strip().encode()))
+            self.news.on_event(place, relay.parse_event(f"* {text}".strip().encode()))
 
     def so_far(self) -> list[str]:
         found = [f"{type(event).__name__} {getattr(event, 'proxy', '')}" for event in self.events]
@@ -626,7 +637,7 @@
     told.take(1, "bye 1", "hello 2 east 5 1", "ack 2 7 1.5")
     told.take(0, "ack 2 7 1.5")
     assert told.so_far() == ["Left 1", "Joined 2", "Applied 2"]
-    told.news.end(0)
+    told.news.on_disconnected(0)
     told.take(1, "bye 2", "hello 2 east 5 0")
     told.begin(0)
     told.take(0, "hello 2 east 5 0", "", "bye 2")
@@ -641,13 +652,15 @@
     told.begin(1)
     told.take(0, "hello 1 east 5 0")  # Ahead of what the second is told to stand.
     told.take(1, "hello 1 east 5 0", "")
-    told.news.end(0)
+    told.news.on_disconnected(0)
     told.take(1, "", "bye 1", "hello 1 east 5 0")
     assert told.so_far() == ["Joined 1", "Left 1", "Joined 1"]
 
 
 def test_a_proxy_of_an_unknown_zone_joins_all_the_same() -> None:
-    assert Admit(NAMES, lambda: 0).joined(relay.Hello(1, "north", 5.0, True)) == api.Joined(1, -1, 5.0, True)
+    assert Admission(NAMES, lambda: 0).joined(relay.Hello(1, "north", 5.0, True)) == api.Joined(
+        1, -1, 5.0, True
+    )
 
 
 def test_on_return_only_who_has_lost_its_tables_has_joined_anew() -> None:
@@ -656,7 +669,7 @@
         told.begin(0)
         told.take(0, *(f"hello {proxy} east 5 {fresh}" for proxy in (1, 2, 3)), "")
         told.take(0, "ack 1 7 1.5")
-        told.news.end(0)
+        told.news.on_disconnected(0)
     assert told.so_far() == ["Joined 1", "Joined 2", "Joined 3", "Applied 1", "Applied 1"]
     told.begin(0)
     told.take(0, "hello 1 east 5 1", "hello 2 east 5 0", "hello 3 west 5 0", "")
@@ -669,7 +682,7 @@
     told.take(0, "hello 1 east 5 1", "hello 2 east 5 1", "")
     told.begin(1)
     told.take(1, "hello 2 east 5 1", "hello 3 west 5 1")
-    told.news.end(0)
+    told.news.on_disconnected(0)
     told.take(1, "")
     assert told.so_far() == ["Joined 1", "Joined 2", "Joined 3", "Left 1"]
 
@@ -685,7 +698,7 @@
     told.take(1, "hello 2 east 5 1", "")
     assert told.so_far() == ["Joined 1", "Joined 2", "Left 1"]
     told.take(0, "bye 1", "hello 2 east 5 1", "")  # If it was only slow, that is not told again.
-    told.news.end(0)
+    told.news.on_disconnected(0)
     assert told.so_far() == []
 
 
@@ -696,7 +709,7 @@
     told.begin(1)
     told.take(1, "hello 1 east 5 1")
     told.take(0, "bye 1", "hello 2 east 5 1")  # The second is told of both as news, after a sign of life.
-    told.news.end(0)
+    told.news.on_disconnected(0)
     told.take(1, "")
     assert told.so_far() == ["Joined 1", "Left 1", "Joined 2"]
     told.begin(0)
@@ -711,7 +724,7 @@
     told.take(0, "")
     told.begin(1)
     told.take(0, "hello 1 east 5 1", "bye 1")  # Told between the first's connecting and the second's list.
-    told.news.end(0)
+    told.news.on_disconnected(0)
     told.take(1, "")
     told.begin(0)
     told.take(0, "")
@@ -722,15 +735,15 @@
 
 
 def test_parts_of_a_folded_call_that_can_not_be_read_settle_no_reply() -> None:
-    row, settled = Row(), list[int]()
+    row, settled = CallQueue(), list[int]()
     for texts in (["eject,s-0"], ["put,1,s-1,1", "put,9,x,1", "put,1,s-2,1"], ["eject,s-3"]):
         row.push(texts)
-    row.answered(relay.Done(1))
-    row.answered(relay.Misread())
+    row.on_answer(relay.Done(1))
+    row.on_answer(relay.Misread())
     while row.calls:
-        outcome = row.answered(relay.Done(1))
+        outcome = row.on_answer(relay.Done(1))
         assert outcome is not None
-        settled += [outcome.settled] if outcome.settled is not None else []
+        settled += [outcome.settled_reply] if outcome.settled_reply is not None else []
         assert settled == ([] if row.calls else [3])
 
 
@@ -749,7 +762,7 @@
                 standing[proxy] = f"hello {proxy} east {len(sent)} 0"
                 sent.append(standing[proxy])
             case "break" if at[place] is not None:
-                told.news.end(place)
+                told.news.on_disconnected(place)
                 at[place] = None
             case "begin" if at[place] is None and at[1 - place] in (None, len(sent)):
                 told.begin(place)
@@ -792,7 +805,7 @@
         backend = await asyncio.start_server(lambda *both: answer(raw, *both), "127.0.0.1", 0)
         admit = admitting("s-1")
         admit.addresses[0] = f"127.0.0.1:{backend.sockets[0].getsockname()[1]}"
-        prober = Prober(Dialler(Pool(1024, 8)), admit, lambda: 0, told.put_nowait, silent_book())
+        prober = Prober(Dialler(BufferPool(1024, 8)), admit, lambda: 0, told.put_nowait, silent_event_log())
         prober.probe(0)
         found = await asyncio.wait_for(told.get(), 1)
         backend.close()
@@ -804,12 +817,14 @@
 def test_probes_are_bounded() -> None:
     async def act() -> None:
         told = list[api.Event]()
-        prober = Prober(Dialler(Pool(1024, 8)), admitting("s-1"), lambda: 0, told.append, silent_book())
-        for _ in range(PROBES_MOST + 5):
+        prober = Prober(
+            Dialler(BufferPool(1024, 8)), admitting("s-1"), lambda: 0, told.append, silent_event_log()
+        )
+        for _ in range(MAX_PROBES + 5):
             prober.probe(0)
-        assert len(told) == 5 and len(prober.tasks) == PROBES_MOST
+        assert len(told) == 5 and len(prober.tasks) == MAX_PROBES
         await asyncio.wait(prober.tasks)
-        assert told == [api.Probed(0, False, 0, ())] * (PROBES_MOST + 5)
+        assert told == [api.Probed(0, False, 0, ())] * (MAX_PROBES + 5)
 
     asyncio.run(act())
 
@@ -818,13 +833,15 @@
     async def act() -> None:
         body = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
         service = await asyncio.start_server(lambda *both: answer(body, *both), "127.0.0.1", 0)
-        caller = Caller(Dialler(Pool(1024, 8)), f"127.0.0.1:{service.sockets[0].getsockname()[1]}", 1.0)
+        caller = HttpClient(
+            Dialler(BufferPool(1024, 8)), f"127.0.0.1:{service.sockets[0].getsockname()[1]}", 1.0
+        )
         for _ in range(3):
             assert await caller.call("/", 2.0) == http.Answer(200, b"ok")
         service.close()
         await asyncio.sleep(0.05)
-        with pytest.raises(EndedError) as caught:
+        with pytest.raises(DisconnectedError) as caught:
             await caller.call("/", 2.0)
-        assert MEANING[caught.value.ending].list_failed
+        assert DISCONNECT_EFFECTS[caught.value.reason].list_failed
 
     asyncio.run(act())
--- a/tests/modelcheck/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -16,8 +16,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from ambershift.coordinator.protocol import discovery, http, lines, relay
-from ambershift.coordinator.protocol.words import UnreadableError
-from ambershift.coordinator.routing.row import Row
+from ambershift.coordinator.protocol.fields import UnreadableError
+from ambershift.coordinator.routing.call_queue import CallQueue
 from ambershift.modelcheck import liveness, trace
 from ambershift.modelcheck.explore import NO_DEADLOCK, NO_RAISE, Options, explore, explore_once, replay, walk
 from ambershift.modelcheck.model import Base, Liveness, Step, prop, write
@@ -312,7 +312,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.row, self.wanted, self.held = Row(), dict[str, str](), ()
+        self.row, self.wanted, self.held = CallQueue(), dict[str, str](), ()
 
     @rule(
         orders=st.lists(
@@ -329,16 +329,16 @@
     def call(self, fate: str) -> None:
         if not self.row.calls:
             return
-        call = self.row.first()
+        call = self.row.head()
         if fate in ("done", "carried and lost"):
             for order in call.orders:
                 self.held = set_in(self.held, order)
         if fate == "done":
-            outcome = self.row.answered(relay.Done(len(call.orders)))
-            assert outcome is not None and outcome.lost is None
+            outcome = self.row.on_answer(relay.Done(len(call.orders)))
+            assert outcome is not None and outcome.lost_order is None
         elif fate == "busy":
-            assert self.row.answered(relay.Busy()) is None
-        assert fate == "done" or self.row.first() == call
+            assert self.row.on_answer(relay.Busy()) is None
+        assert fate == "done" or self.row.head() == call
 
     @invariant()
     def the_last_word_is_held_once_nothing_waits(self) -> None:
@@ -360,7 +360,8 @@
 
 
 @pytest.mark.parametrize(
-    "read", [lines.read, relay.read_news, lambda data: relay.read_answer(data, 3), discovery.read, read_http]
+    "read",
+    [lines.parse, relay.parse_event, lambda data: relay.parse_answer(data, 3), discovery.parse, read_http],
 )
 @pytest.mark.parametrize(
     "base",
