--- a/ambershift/modelcheck/mutants/policy.py
+++ b/ambershift/modelcheck/mutants/policy.py
@@ -11,22 +11,22 @@
 
 
 def drains_count_from_the_next_list(real: Any) -> Any:
-    def hear_list(self: TableManager, event: api.Listed) -> None:
+    def update_servers(self: TableManager, event: api.Listed) -> None:
         """The grace counts from when the list speaks again, and not from when it told of the drain."""
         drains = {one.server for one in event.entries if one.phase == api.Phase.DRAINING}
         real(self, event._replace(entries=tuple(one for one in event.entries if one.server not in drains)))
 
-    return hear_list
+    return update_servers
 
 
 def keeps_the_old_table(real: Any) -> Any:
-    def join(self: TableManager, event: api.Joined) -> None:
+    def add_proxy(self: TableManager, event: api.Joined) -> None:
         held = self.proxies[event.proxy].table if event.proxy in self.proxies else None
         real(self, event)
         proxy = self.users[None].pop(event.proxy)
         self.users[held][event.proxy], proxy.table = proxy, held
 
-    return join
+    return add_proxy
 
 
 def room_for_all(real: Any) -> Any:
@@ -34,11 +34,11 @@
 
 
 def tries_once_more(real: Any) -> Any:
-    def judge(state: State) -> None:
+    def evaluate_health(state: State) -> None:
         real(state)
-        state.again = api.RetryPolicy.ONCE
+        state.retry_policy = api.RetryPolicy.ONCE
 
-    return judge
+    return evaluate_health
 
 
 MUTANTS: tuple[Mutant, ...] = (
@@ -48,7 +48,7 @@
         "a-drained-server-receives-nothing",
         "a drain counts from when the list speaks again",
         TableManager,
-        "hear_list",
+        "update_servers",
         drains_count_from_the_next_list,
     ),
     Mutant(
@@ -57,7 +57,7 @@
         "a-proxy-is-not-left-with-nothing",
         "who joins anew is thought to hold its table",
         TableManager,
-        "join",
+        "add_proxy",
         keeps_the_old_table,
     ),
     Mutant(
@@ -66,7 +66,7 @@
         "no-level-lets-a-flow-run-twice",
         "levels allow a try after a time-out",
         health,
-        "judge",
+        "evaluate_health",
         tries_once_more,
     ),
 )
--- a/ambershift/policy/health.py
+++ b/ambershift/policy/health.py
@@ -1,125 +1,219 @@
-"""Health: servers that fail far more than their peers are kept out; all failing alike is overload."""
+"""Health: servers that fail far more than their peers are ejected; all failing alike is overload."""
 
 from statistics import median
 
-from ambershift.policy.cold import CALM_SPELL
-from ambershift.policy.levels import SHARED_BAD, set_level
-from ambershift.policy.state import SECOND, Server, Spell, State
+from ambershift.policy.cold import CALM_TIME
+from ambershift.policy.levels import WIDESPREAD_FAILURE_RATE, update_admission
+from ambershift.policy.state import SECOND, Ejection, Server, State
 
-EVIDENCE, EVIDENCE_TRIES, CUT_SHARE, CUT_SERVERS = 5 * SECOND // 2, 5, 0.6, 2
-BAD_SHARE, LOST_SHARE, OUT_MOST = 0.5, 0.75, 0.34
-# Servers weaker than listed: times are parts of the latency budget, or multiples of the peers' time.
-LATE, LATE_PEERS, EASE_STEP, EASED_LEAST, EASED_MOST = 0.6, 2.0, 0.75, 0.6, 0.5
-EASE_SPELL, EASE_EVIDENCE, EASE_TRIES = 60 * SECOND, 5 * SECOND, 10
+# What a judgement needs: reports of this time (longer where they come seldom), and so many attempts.
+MIN_EVIDENCE_TIME = 5 * SECOND // 2
+MIN_EVIDENCE_ATTEMPTS = 5
+# A path from one zone to another has failed: so many of its servers fail at this rate, and others don't.
+PATH_FAILURE_RATE = 0.6
+MIN_FAILING_SERVERS = 2
+# The failure rate from which a server is ejected lies between these two, at a multiple of the median.
+MIN_EJECTION_RATE = 0.5
+MAX_EJECTION_RATE = 0.75
+EJECTION_MEDIAN_MULTIPLE = 3
+MAX_EJECTED_FRACTION = 0.34  # Of the servers.
+# Servers weaker than listed. Latencies are fractions of the latency budget, or multiples of the median.
+SLOW_LATENCY = 0.6
+SLOW_PEER_MULTIPLE = 2.0
+REDUCTION_FACTOR = 0.75  # Of the weight, in each step.
+MIN_REDUCED_FACTOR = 0.6  # At or below this the weight isn't reduced any more.
+MAX_REDUCED_FRACTION = 0.5  # Of the servers.
+REDUCTION_TIME = 60 * SECOND  # Then a server gets its whole weight back.
+MIN_REDUCTION_EVIDENCE_TIME = 5 * SECOND
+MIN_REDUCTION_ATTEMPTS = 10
 
 
-def recent(state: State, server: Server, since: int, only: int | None = None) -> tuple[int, int, float]:
-    """Tries, bad ones and mean time of the good; tries across a cut tell nothing of the server."""
-    tries, bad, took = 0, 0, 0.0
-    for at, met in reversed(server.met):
-        if at < since:
+def recent_results(
+    state: State, server: Server, since: int, only_zone: int | None = None
+) -> tuple[int, int, float]:
+    """Sum what was reported of a server.
+
+    Args:
+        state: The instance.
+        server: The server.
+        since: Only reports from then on count.
+        only_zone: The zone whose proxies' reports count. By default all count whose path to the server hasn't
+            failed, as attempts on a failed path tell nothing of the server.
+
+    Returns:
+        Attempts, failures, and the mean time of the successes in ns.
+    """
+    attempts = failures = 0
+    success_time = 0.0
+    for reported_at, report in reversed(server.reports):
+        if reported_at < since:
             break
-        if met.zone == only if only is not None else (met.zone, server.entry.zone) not in state.cut:
-            tries += met.attempts
-            bad += met.failures
-            took += met.mean_latency * (met.attempts - met.failures)
-    return tries, bad, took / (tries - bad) if tries > bad else 0.0
-
-
-def judge(state: State) -> None:
-    # Where reports are cut short, a line of each server comes only now and then and tells of longer.
-    lag = state.lag = max(state.terms.report_period, int(median(state.spans)))
-    state.settle, evidence = (
-        state.terms.propagation_delay + state.terms.report_period + lag,
-        max(EVIDENCE, 5 * lag // 4),
+        if (
+            report.zone == only_zone
+            if only_zone is not None
+            else (report.zone, server.entry.zone) not in state.failed_paths
+        ):
+            attempts += report.attempts
+            failures += report.failures
+            success_time += report.mean_latency * (report.attempts - report.failures)
+    return attempts, failures, success_time / (attempts - failures) if attempts > failures else 0.0
+
+
+def evaluate_health(state: State) -> None:
+    """Judge servers, paths and the load as a whole by the recent reports."""
+    # Where reports are cut short, one of each server comes only now and then and covers a longer time.
+    lag = state.report_lag = max(state.settings.report_period, int(median(state.report_spans)))
+    state.feedback_delay = state.settings.propagation_delay + state.settings.report_period + lag
+    evidence_time = max(MIN_EVIDENCE_TIME, 5 * lag // 4)
+    update_failed_paths(state, evidence_time)
+    results = {
+        index: recent_results(state, server, state.now - evidence_time)
+        for index, server in state.ready_servers()
+    }
+    # A few attempts count here too: while most flows are blocked, only failing servers might get many.
+    usual_failure_rate = median(
+        [failures / attempts for attempts, failures, _ in results.values() if attempts] or [0.0]
     )
-    find_cuts(state, evidence)
-    seen = {index: recent(state, server, state.now - evidence) for index, server in state.ready()}
-    # Few tries count here too: while most is blocked, only servers that fail might be met often.
-    usual = median([bad / tries for tries, bad, _ in seen.values() if tries] or [0.0])
-    # Late answers tell of load, which putting out moves on; not where few come while no flow is blocked.
-    shares = {
-        one: bad / tries
-        for one, (tries, bad, took) in seen.items()
-        if tries >= EVIDENCE_TRIES
-        and (took < LATE * state.budget or (bad > LOST_SHARE * tries and state.level == 1.0))
+    # Late answers tell of load, which an ejection moves on; but not where most fail while no flow is blocked.
+    failure_rates = {
+        index: failures / attempts
+        for index, (attempts, failures, latency) in results.items()
+        if attempts >= MIN_EVIDENCE_ATTEMPTS
+        and (
+            latency < SLOW_LATENCY * state.latency_budget
+            or (failures > MAX_EJECTION_RATE * attempts and state.admitted_fraction == 1.0)
+        )
     }
-    ease(state)
-    bound = max(BAD_SHARE, min(3 * usual, LOST_SHARE))  # So many may be lost that it is usual.
-    out = sum(server.ill is not None for server in state.servers.values())
-    for index in sorted(shares, key=lambda index: (-shares[index], index)):
-        if not state.servers[index].ill and shares[index] >= bound and out + 1 <= OUT_MOST * len(seen):
-            state.servers[index].ill, out = Spell(state.now), out + 1
+    reduce_slow_servers(state)
+    # Below this rate failures are usual.
+    failure_limit = max(
+        MIN_EJECTION_RATE, min(EJECTION_MEDIAN_MULTIPLE * usual_failure_rate, MAX_EJECTION_RATE)
+    )
+    ejected = sum(server.ejection is not None for server in state.servers.values())
+    for index in sorted(failure_rates, key=lambda index: (-failure_rates[index], index)):
+        if (
+            not state.servers[index].ejection
+            and failure_rates[index] >= failure_limit
+            and ejected + 1 <= MAX_EJECTED_FRACTION * len(results)
+        ):
+            state.servers[index].ejection = Ejection(state.now)
+            ejected += 1
     # Where most of what the list dropped fails, it is right about the rest too.
-    typical = median([share for one, share in shares.items() if state.servers[one].doubted] or [0.0])
-    for index, server in state.servers.items():
-        server.doubted &= max(2 * typical, shares.get(index, 0.0)) < BAD_SHARE
-        if server.ill:
-            tries, bad, _ = recent(state, server, server.ill.until + state.settle)
-            if server.ill.over(state.now, tries, bad, bound):
-                server.ill = None
-                server.met.clear()  # What it did before must not be held against it again.
-    fresh = [recent(state, server, state.now - 5 * lag // 4) for _, server in state.ready()]
-    tries, good = sum(one[0] for one in fresh), sum(one[0] - one[1] for one in fresh)
-    state.well = good / tries if tries else 0.0
-    # Whether proxies meet a line often enough to avoid it for failures on end before it is well again.
-    lines = max(map(len, state.laid.values()), default=1)
-    state.herds = (
-        tries * CALM_SPELL > state.terms.avoidance_failures * lines * len(state.joined) * lag * 5 / 4
+    doubted_rate = median(
+        [rate for index, rate in failure_rates.items() if state.servers[index].doubted] or [0.0]
     )
-    # Nothing met is no calm either: with all servers beyond a cut the first to return takes every flow.
-    if usual > SHARED_BAD or not tries:
-        state.calm_at = state.now
-    set_level(state, usual, median([one[2] for one in fresh if one[0] > one[1]] or [0.0]), tries, good)
+    for index, server in state.servers.items():
+        server.doubted &= max(2 * doubted_rate, failure_rates.get(index, 0.0)) < MIN_EJECTION_RATE
+        if server.ejection:
+            attempts, failures, _ = recent_results(
+                state, server, server.ejection.until + state.feedback_delay
+            )
+            if server.ejection.update(state.now, attempts, failures, failure_limit):
+                server.ejection = None
+                server.reports.clear()  # What it did before must not be held against it again.
+    newest = [recent_results(state, server, state.now - 5 * lag // 4) for _, server in state.ready_servers()]
+    attempts = sum(one[0] for one in newest)
+    successes = sum(one[0] - one[1] for one in newest)
+    state.success_rate = successes / attempts if attempts else 0.0
+    # Whether proxies use a server often enough to meet so many failures in a row before it recovers.
+    entries = max(map(len, state.table_weights.values()), default=1)
+    failures_needed = state.settings.avoidance_failures * entries * len(state.joined)
+    state.proxies_avoid_servers = attempts * CALM_TIME > failures_needed * lag * 5 / 4
+    # No attempts are no calm either: with all servers beyond failed paths the first to return gets all flows.
+    if usual_failure_rate > WIDESPREAD_FAILURE_RATE or not attempts:
+        state.disturbed_at = state.now
+    latency = median([one[2] for one in newest if one[0] > one[1]] or [0.0])
+    update_admission(state, usual_failure_rate, latency, attempts, successes)
+
 
+def path_results(
+    state: State, ready: list[Server], path: tuple[int, int], since: int
+) -> tuple[int, int, int]:
+    """Return attempts, failures and failing servers on a path; a server that is ejected doesn't count.
 
-def across(state: State, ready: list[Server], pair: tuple[int, int], since: int) -> tuple[int, int, int]:
-    """Tries, bad ones and failing servers from a zone to another; a server known as ill is no cut."""
-    met = [
-        recent(state, server, since, pair[0])
+    Args:
+        state: The instance.
+        ready: The ready servers.
+        path: Zone of the proxies and zone of the servers.
+        since: Only reports from then on count.
+    """
+    results = [
+        recent_results(state, server, since, path[0])
         for server in ready
-        if server.entry.zone == pair[1] and not server.ill
+        if server.entry.zone == path[1] and not server.ejection
     ]
-    # Late answers are answers: overloaded servers of another zone looked like a cut.
-    failing = sum(bad > CUT_SHARE * tries and took < LATE * state.budget for tries, bad, took in met)
-    return sum(one[0] for one in met), sum(one[1] for one in met), failing
-
-
-def find_cuts(state: State, evidence: int) -> None:
-    # It covers any trouble between two zones, a lost zone too; bad everywhere is overload and no cut.
-    ready = [server for _, server in state.ready()]
-    # Of most pairs of a hundred zones nothing is met, of zones whose proxies report elsewhere nothing here.
-    nears = set(state.zone_of.values())
-    pairs = {(met.zone, server.entry.zone) for server in ready for _, met in server.met if met.zone in nears}
-    met = {
-        pair: across(state, ready, pair, state.now - evidence)
-        for pair in sorted(pairs)
-        if 0 <= pair[1] < state.terms.zones
+    # Late answers are answers: overloaded servers of another zone looked like a failed path.
+    failing = sum(
+        failures > PATH_FAILURE_RATE * attempts and latency < SLOW_LATENCY * state.latency_budget
+        for attempts, failures, latency in results
+    )
+    return sum(one[0] for one in results), sum(one[1] for one in results), failing
+
+
+def update_failed_paths(state: State, evidence_time: int) -> None:
+    """Find paths between zones that have failed, and those that are in order again.
+
+    This covers any trouble between two zones, a lost zone too; failures everywhere are overload and no failed
+    path.
+    """
+    ready = [server for _, server in state.ready_servers()]
+    # With a hundred zones most pairs have no reports, and some zones' proxies report to other instances.
+    proxy_zones = set(state.partition_zones.values())
+    paths = {
+        (report.zone, server.entry.zone)
+        for server in ready
+        for _, report in server.reports
+        if report.zone in proxy_zones
+    }
+    results = {
+        path: path_results(state, ready, path, state.now - evidence_time)
+        for path in sorted(paths)
+        if 0 <= path[1] < state.settings.zones
     }
-    tries, bad = sum(one[0] for one in met.values()), sum(one[1] for one in met.values())
-    for pair, (some, failed, failing) in met.items():
-        clear = failing >= CUT_SERVERS and some >= EVIDENCE_TRIES and failed > CUT_SHARE * some
-        well = tries > some and (bad - failed) / (tries - some) < CUT_SHARE / 2
-        if pair[0] != pair[1] and pair not in state.cut and clear and well:
-            state.cut[pair] = Spell(state.now)
-    for pair, spell in list(state.cut.items()):
-        some, failed, _ = across(state, ready, pair, spell.until + state.settle)
-        if spell.over(state.now, some, failed, CUT_SHARE) or pair[0] not in state.zone_of.values():
-            del state.cut[pair]
-
-
-def ease(state: State) -> None:
-    """Lessen the line of a server that answers late while its peers don't: it is weaker than listed."""
-    # Many slow are an overload: hence the peers and a cap. A step waits till all seen is after the last.
-    since = state.now - max(EASE_EVIDENCE, 2 * state.lag)
-    seen = [(server, *recent(state, server, since)) for _, server in state.ready()]
-    usual = median([took for _, tries, _, took in seen if tries] or [0.0])
-    count = sum(server.eased[0] < 1.0 for server in state.servers.values())
-    for server, tries, _, took in seen:
-        part, at = server.eased
-        late = tries >= EASE_TRIES and took > max(LATE * state.budget, LATE_PEERS * usual)
-        room = count < EASED_MOST * len(seen) if part == 1.0 else part > EASED_LEAST
-        if late and room and state.now > at + state.settle + EASE_EVIDENCE:
-            server.eased, count = (part * EASE_STEP, state.now), count + (part == 1.0)
-        elif state.now > at + EASE_SPELL:
-            server.eased, count = (1.0, 0), count - (part < 1.0)
+    all_attempts = sum(one[0] for one in results.values())
+    all_failures = sum(one[1] for one in results.values())
+    for path, (attempts, failures, failing) in results.items():
+        has_failed = (
+            failing >= MIN_FAILING_SERVERS
+            and attempts >= MIN_EVIDENCE_ATTEMPTS
+            and failures > PATH_FAILURE_RATE * attempts
+        )
+        others_work = (
+            all_attempts > attempts
+            and (all_failures - failures) / (all_attempts - attempts) < PATH_FAILURE_RATE / 2
+        )
+        if path[0] != path[1] and path not in state.failed_paths and has_failed and others_work:
+            state.failed_paths[path] = Ejection(state.now)
+    for path, ejection in list(state.failed_paths.items()):
+        attempts, failures, _ = path_results(state, ready, path, ejection.until + state.feedback_delay)
+        has_recovered = ejection.update(state.now, attempts, failures, PATH_FAILURE_RATE)
+        if has_recovered or path[0] not in state.partition_zones.values():
+            del state.failed_paths[path]
+
+
+def reduce_slow_servers(state: State) -> None:
+    """Reduce the weight of a server that answers late while its peers don't: it is weaker than listed."""
+    # If many are slow it is overload: hence the comparison with the peers and the limit on how many. A step
+    # waits until all reports that count are from after the one before.
+    since = state.now - max(MIN_REDUCTION_EVIDENCE_TIME, 2 * state.report_lag)
+    results = [(server, *recent_results(state, server, since)) for _, server in state.ready_servers()]
+    usual_latency = median([latency for _, attempts, _, latency in results if attempts] or [0.0])
+    reduced = sum(server.weight_factor < 1.0 for server in state.servers.values())
+    for server, attempts, _, latency in results:
+        factor, changed_at = server.weight_factor, server.weight_reduced_at
+        is_slow = attempts >= MIN_REDUCTION_ATTEMPTS and latency > max(
+            SLOW_LATENCY * state.latency_budget, SLOW_PEER_MULTIPLE * usual_latency
+        )
+        may_reduce = (
+            reduced < MAX_REDUCED_FRACTION * len(results) if factor == 1.0 else factor > MIN_REDUCED_FACTOR
+        )
+        if (
+            is_slow
+            and may_reduce
+            and state.now > changed_at + state.feedback_delay + MIN_REDUCTION_EVIDENCE_TIME
+        ):
+            server.weight_factor, server.weight_reduced_at = factor * REDUCTION_FACTOR, state.now
+            reduced += factor == 1.0
+        elif state.now > changed_at + REDUCTION_TIME:
+            server.weight_factor, server.weight_reduced_at = 1.0, 0
+            reduced -= factor < 1.0
--- a/ambershift/policy/levels.py
+++ b/ambershift/policy/levels.py
@@ -1,31 +1,65 @@
-"""Overload: flows are blocked early while most servers answer late: too late is lost and delays the rest."""
+"""Overload: flows are blocked early while most servers answer late, as late answers only delay the rest."""
 
 from ambershift import interface as api
-from ambershift.policy.cold import usable
+from ambershift.policy.cold import usable_fractions
 from ambershift.policy.state import State
 
-# From when further tries stop, from when flows are blocked, as parts of the latency budget.
-BUSY_TIME, CALM_TIME, FULL_TIME, SHARED_BAD = 0.55, 0.38, 0.27, 0.12
-LEVEL_LEAST, LEVEL_RISE, LOAD_AIM = 0.05, 0.5, 0.9
+# Mean latencies as fractions of the latency budget.
+NO_RETRY_LATENCY = 0.55  # From here on no further attempts are made.
+BLOCKING_LATENCY = 0.38  # From here on flows are blocked.
+FAILING_LATENCY = 0.27  # From here on widespread failures are an overload.
+WIDESPREAD_FAILURE_RATE = 0.12  # Of the median server.
+MIN_ADMITTED_FRACTION = 0.05
+ADMISSION_RISE = 0.5  # Growth in one step with full headroom.
+TARGET_LOAD = 0.9  # Of the best throughput seen.
+# Bounds of the factor of one step down and one step up.
+MIN_STEP_DOWN = 0.95
+MAX_STEP_DOWN = 0.4
+MAX_STEP_UP = 2.0
 
 
-def set_level(state: State, usual: float, took: float, tries: int, good: int) -> None:
-    # Failures alone tell of servers lost or cut off: servers too full answer the rest late as well.
-    busy = took > BUSY_TIME * state.budget or (usual > SHARED_BAD and took > FULL_TIME * state.budget)
-    # A try after a time-out runs the flow twice; one after a refusal feeds an overload.
-    state.again = api.RetryPolicy.NEVER if busy else api.RetryPolicy.IF_NOT_RUN
-    busy = busy or took > CALM_TIME * state.budget
-    room = sum(state.servers[index].entry.weight * part for index, part in usable(state).items()) or 1.0
-    state.delivered.append(good / room / state.lag)
+def update_admission(
+    state: State, usual_failure_rate: float, latency: float, attempts: int, successes: int
+) -> None:
+    """Set the retry policy and the fraction of flows admitted.
+
+    Args:
+        state: The instance.
+        usual_failure_rate: Of the median server.
+        latency: Mean time of successes at the median server, ns.
+        attempts: At all servers, within the last reports.
+        successes: Those of them that succeeded.
+    """
+    # Failures alone tell of servers lost or unreachable: overloaded servers answer the rest late as well.
+    is_overloaded = latency > NO_RETRY_LATENCY * state.latency_budget or (
+        usual_failure_rate > WIDESPREAD_FAILURE_RATE and latency > FAILING_LATENCY * state.latency_budget
+    )
+    # A retry after a time-out may run the flow twice; one after a refusal adds to an overload.
+    state.retry_policy = api.RetryPolicy.NEVER if is_overloaded else api.RetryPolicy.IF_NOT_RUN
+    is_overloaded = is_overloaded or latency > BLOCKING_LATENCY * state.latency_budget
+    weights = (
+        state.servers[index].entry.weight * fraction for index, fraction in usable_fractions(state).items()
+    )
+    usable_weight = sum(weights) or 1.0
+    state.throughputs.append(successes / usable_weight / state.report_lag)
     # One step for each round trip of order and report, else the same overload is counted twice.
-    if state.now < state.level_at + state.settle or (not busy and state.level == 1.0):
+    if state.now < state.admission_changed_at + state.feedback_delay or (
+        not is_overloaded and state.admitted_fraction == 1.0
+    ):
         return
-    state.level_at = state.now
-    room *= LOAD_AIM * max(state.delivered) * state.lag / tries if tries else 0.0
-    if busy:
-        room *= min(1.0, CALM_TIME * state.budget / took if took else 1.0)
-        state.level = max(LEVEL_LEAST, state.level * min(0.95, max(0.4, room)))
+    state.admission_changed_at = state.now
+    # The factor that leads to the target load.
+    factor = usable_weight * (
+        TARGET_LOAD * max(state.throughputs) * state.report_lag / attempts if attempts else 0.0
+    )
+    if is_overloaded:
+        factor *= min(1.0, BLOCKING_LATENCY * state.latency_budget / latency if latency else 1.0)
+        state.admitted_fraction = max(
+            MIN_ADMITTED_FRACTION, state.admitted_fraction * min(MIN_STEP_DOWN, max(MAX_STEP_DOWN, factor))
+        )
     else:
-        # What was delivered says little when more proxies have come since: headroom alone lets it rise.
-        headroom = 1.0 - took / (CALM_TIME * state.budget)
-        state.level = min(1.0, state.level * min(2.0, max(1.0 + LEVEL_RISE * headroom, room)))
+        # The past throughput says little when more proxies have come since: headroom alone lets it rise.
+        headroom = 1.0 - latency / (BLOCKING_LATENCY * state.latency_budget)
+        state.admitted_fraction = min(
+            1.0, state.admitted_fraction * min(MAX_STEP_UP, max(1.0 + ADMISSION_RISE * headroom, factor))
+        )
--- a/ambershift/policy/shares.py
+++ b/ambershift/policy/shares.py
@@ -1,88 +1,137 @@
-"""Dealing: each part of a zone keeps its own servers up to its due and borrows from what others have left."""
+"""Which servers each table gets: a partition has its zone's up to its share, and borrows from the rest."""
 
 from collections import defaultdict
 
-from ambershift.policy.cold import usable
-from ambershift.policy.parts import split, zone_shares
-from ambershift.policy.state import TRIAL_PART, State
+from ambershift.policy.cold import usable_fractions
+from ambershift.policy.parts import choose_partition_count, update_traffic_shares
+from ambershift.policy.state import TRIAL_FRACTION, State
 
+# Bonuses, in servers, for a borrowed server to stay where it is, and to stay within its zone.
+KEEP_BONUS = 0.3
+OWN_ZONE_BONUS = 0.1
 
-def deal(state: State, worth: dict[int, float], shares: dict[int, float]) -> dict[int, list[int]]:
-    due = {part: share * sum(worth.values()) / sum(shares.values()) for part, share in shares.items()}
-    got, lines, terms = dict.fromkeys(shares, 0.0), {part: list[int]() for part in shares}, state.terms
-    spare, zone_of = sorted(worth, key=lambda index: (-worth[index], index)), state.zone_of
-    limit = terms.overload_calm if state.fallback else terms.overload_limit
-    at = dict(enumerate(terms.regions))
-    # Its own zone has a server first, then its region, where regions are known.
-    for places in ({}, at)[: 1 + bool(at)]:
-        homes, left, spare = defaultdict[int, list[int]](list), spare, list[int]()
-        for part in due:
-            homes[places.get(zone_of[part], zone_of[part])].append(part)
+
+def assign_servers(
+    state: State, capacity: dict[int, float], shares: dict[int, float]
+) -> dict[int, list[int]]:
+    """Split the servers among partitions, each to its share.
+
+    Args:
+        state: The instance.
+        capacity: What each server can take, as a fraction of its weight.
+        shares: The traffic share of each partition.
+
+    Returns:
+        The servers of each partition.
+    """
+    settings, partition_zones = state.settings, state.partition_zones
+    due = {
+        partition: share * sum(capacity.values()) / sum(shares.values())
+        for partition, share in shares.items()
+    }
+    assigned = dict.fromkeys(shares, 0.0)
+    servers = {partition: list[int]() for partition in shares}
+    spare = sorted(capacity, key=lambda index: (-capacity[index], index))
+    limit = settings.overload_calm if state.uses_shared_table else settings.overload_limit
+    regions = dict(enumerate(settings.regions))
+    # A server goes to its own zone first, then to its region, where regions are known.
+    for area_of in ({}, regions)[: 1 + bool(regions)]:
+        partitions_of, left, spare = defaultdict[int, list[int]](list), spare, list[int]()
+        for partition in due:
+            zone = partition_zones[partition]
+            partitions_of[area_of.get(zone, zone)].append(partition)
         for index in left:
-            zone, value = state.servers[index].entry.zone, worth[index]
-            fits = [part for part in homes[places.get(zone, zone)] if got[part] + value / 2 <= due[part]]
-            if fits:
-                # Parts of a zone are alike: a server stays in its own, else the worst off has it.
-                part = max(fits, key=lambda part: (index in state.laid.get(part, ()), due[part] - got[part]))
-                lines[part].append(index)
-                got[part] += value
+            zone, size = state.servers[index].entry.zone, capacity[index]
+            fitting = [
+                partition
+                for partition in partitions_of[area_of.get(zone, zone)]
+                if assigned[partition] + size / 2 <= due[partition]
+            ]
+            if fitting:
+                # Partitions of a zone are alike: a server stays in its own, else goes where most is lacking.
+                partition = max(
+                    fitting,
+                    key=lambda partition: (
+                        index in state.table_weights.get(partition, ()),
+                        due[partition] - assigned[partition],
+                    ),
+                )
+                servers[partition].append(index)
+                assigned[partition] += size
             else:
                 spare.append(index)
     for index in spare if due else ():
-        # The worst off borrows first, abroad only if over the limit; a server stays where it is, if it can.
+        # The partition that lacks most borrows first, from another region only if it is over the limit; a
+        # server stays where it is, if it can.
         zone = state.servers[index].entry.zone
-        part = max(
+        partition = max(
             due,
-            key=lambda part: (
-                bool(at) and due[part] - got[part] > limit * got[part],
-                at.get(zone_of[part], -1) == at.get(zone),
-                due[part]
-                - got[part]
-                + 0.3 * (index in state.laid.get(part, ()))
-                + 0.1 * (zone_of[part] == zone),
-                -part,
+            key=lambda partition: (
+                bool(regions) and due[partition] - assigned[partition] > limit * assigned[partition],
+                regions.get(partition_zones[partition], -1) == regions.get(zone),
+                due[partition]
+                - assigned[partition]
+                + KEEP_BONUS * (index in state.table_weights.get(partition, ()))
+                + OWN_ZONE_BONUS * (partition_zones[partition] == zone),
+                -partition,
             ),
         )
-        lines[part].append(index)
-        got[part] += worth[index]
-    worst = max(((due[part] - got[part]) / got[part] if got[part] else 1.0 for part in due), default=0.0)
-    state.fallback, state.got = worst > limit, got
-    return lines
+        servers[partition].append(index)
+        assigned[partition] += capacity[index]
+    overloads = (
+        (due[partition] - assigned[partition]) / assigned[partition] if assigned[partition] else 1.0
+        for partition in due
+    )
+    state.uses_shared_table = max(overloads, default=0.0) > limit
+    state.partition_capacity = assigned
+    return servers
 
 
-def plan(state: State) -> dict[int, dict[int, float]]:
-    worth = usable(state)
-    if worth and not state.parts:
-        split(state, len(worth))
-    if not worth or not (shares := zone_shares(state)):
+def plan_tables(state: State) -> dict[int, dict[int, float]]:
+    """Return the weights that each table should have; partitions without one use a shared table."""
+    capacity = usable_fractions(state)
+    if capacity and not state.partitions_per_zone:
+        choose_partition_count(state, len(capacity))
+    if not capacity or not (shares := update_traffic_shares(state)):
         return {}
-    weigh = {index: state.servers[index].entry.weight * part for index, part in worth.items()}
-    # With less, one sick server is much of a zone, and cold lines would take a traffic not yet seen.
-    apart = {}
-    for part in shares:
-        if any(near == state.zone_of[part] for near, _ in state.cut):
-            reached = reach(state, state.zone_of[part], weigh)
-            own = {one: weight for one, weight in reached.items() if (one - part) % state.parts == 0}
-            for lines in (reached, own):
-                if sum(worth[one] for one in lines) >= state.terms.min_partition_capacity:
-                    apart[part] = lines
-    near = {part: share for part, share in shares.items() if part not in apart}
-    dealt = deal(state, worth, near)
-    while small := sorted(
-        (had, part) for part, had in state.got.items() if had < state.terms.min_partition_capacity
+    weights = {index: state.servers[index].entry.weight * fraction for index, fraction in capacity.items()}
+    tables = dict[int, dict[int, float]]()
+    min_capacity = state.settings.min_partition_capacity
+    # With less, one failing server is much of a zone, and cold servers would take a traffic not yet seen.
+    for partition in shares:
+        zone = state.partition_zones[partition]
+        if any(proxy_zone == zone for proxy_zone, _ in state.failed_paths):
+            reachable = reachable_weights(state, zone, weights)
+            own = {
+                index: weight
+                for index, weight in reachable.items()
+                if (index - partition) % state.partitions_per_zone == 0
+            }
+            for candidate in (reachable, own):
+                if sum(capacity[index] for index in candidate) >= min_capacity:
+                    tables[partition] = candidate
+    connected = {partition: share for partition, share in shares.items() if partition not in tables}
+    servers = assign_servers(state, capacity, connected)
+    while too_small := sorted(
+        (size, partition) for partition, size in state.partition_capacity.items() if size < min_capacity
     ):
-        del near[small[0][1]]
-        dealt = deal(state, worth, near)
-    zoned = -1 not in near and all(state.servers[index].entry.zone >= 0 for index in worth)
-    if not state.fallback and zoned and len(worth) >= state.terms.zones:
-        apart |= {part: {index: weigh[index] for index in dealt[part]} for part in near}
-    return apart if apart.keys() >= shares.keys() else apart | {state.terms.zones * state.parts: weigh}
+        del connected[too_small[0][1]]
+        servers = assign_servers(state, capacity, connected)
+    all_zones_known = -1 not in connected and all(state.servers[index].entry.zone >= 0 for index in capacity)
+    if not state.uses_shared_table and all_zones_known and len(capacity) >= state.settings.zones:
+        tables |= {
+            partition: {index: weights[index] for index in servers[partition]} for partition in connected
+        }
+    if tables.keys() >= shares.keys():
+        return tables
+    return tables | {state.settings.zones * state.partitions_per_zone: weights}
 
 
-def reach(state: State, zone: int, weigh: dict[int, float]) -> dict[int, float]:
-    spells = {index: state.cut.get((zone, state.servers[index].entry.zone)) for index in weigh}
+def reachable_weights(state: State, zone: int, weights: dict[int, float]) -> dict[int, float]:
+    """Return the weights of servers that a zone reaches; a fraction where a failed path is on trial."""
+    ejections = {index: state.failed_paths.get((zone, state.servers[index].entry.zone)) for index in weights}
     return {
-        index: weigh[index] * (TRIAL_PART if spell else 1.0)
-        for index, spell in spells.items()
-        if spell is None or spell.trial
+        index: weights[index] * (TRIAL_FRACTION if ejection else 1.0)
+        for index, ejection in ejections.items()
+        if ejection is None or ejection.on_trial
     }
--- a/ambershift/policy/tables.py
+++ b/ambershift/policy/tables.py
@@ -1,109 +1,141 @@
-"""Tables: their lines and levels, who is bound to them, and who is shut out, as far as the channel goes."""
+"""Tables: their weights and levels, their proxies, and withdrawn servers, as far as the channel has room."""
 
 from ambershift import interface as api
-from ambershift.policy.channel import BINDING, GUARDING, ORDINARY, PRESSING, afford
-from ambershift.policy.cold import most
+from ambershift.policy.channel import (
+    BINDING_BUDGET,
+    COLD_BUDGET,
+    DRAIN_BUDGET,
+    ORDINARY_BUDGET,
+    try_reserve,
+)
+from ambershift.policy.cold import max_weight
 from ambershift.policy.state import SECOND, State
 
-FORGET = 300 * SECOND  # How long a server is gone before no table can still have it.
+RETENTION_TIME = 300 * SECOND  # How long a server is gone before no table can still have it.
+WEIGHT_TOLERANCE = 1e-6
 
 
-def withdraw(state: State, out: bool) -> None:
-    """Shut out beyond the ordinary budget; against a message for each of a wave the rest waits a part."""
-    spare = max(0, state.terms.grace - state.terms.max_propagation_delay)
-    patience, gap = spare // 4, spare // 2 if out and state.terms.message_limit else 0
-    if out and state.now < state.shut_at:
+def update_withdrawals(state: State, out: bool) -> None:
+    """Withdraw servers that must get no traffic (`out`), or end withdrawals of those that may again.
+
+    A drain may use more than the ordinary budget. Against a message for each server of a wave, the next
+    withdrawal waits for a part of the time that the grace leaves.
+    """
+    spare_time = max(0, state.settings.grace - state.settings.max_propagation_delay)
+    patience = spare_time // 4
+    gap = spare_time // 2 if out and state.settings.message_limit else 0
+    if out and state.now < state.next_withdrawal_at:
         return
     for index, server in state.servers.items():
-        if (index in state.shut) != out and (server.entry.phase in state.binding) == out:
-            # A proxy taken over gets a table without it, for less than a line for each of a wave.
-            if out and state.users[None] and not state.sliced and state.now < server.told + patience:
+        if (index in state.withdrawn) != out and (server.entry.phase in state.binding_phases) == out:
+            # A proxy without a table gets one without this server, for less than a line for each of a wave.
+            awaits_bindings = state.users[None] and not state.is_sliced
+            if out and awaits_bindings and state.now < server.phase_since + patience:
                 continue
             if not out and any(
-                laid.get(index, 0.0) > most(state, server)
-                for table, laid in state.laid.items()
+                weights.get(index, 0.0) > max_weight(state, server)
+                for table, weights in state.table_weights.items()
                 if state.users[table]
             ):
-                continue  # An old line may be larger than a cold server stands.
-            # It costs a line at each proxy whose table has it, or whose table is none of ours.
+                continue  # An old weight may be larger than a cold server can take.
+            # It costs a line at each proxy whose table has it, or that has no table of this instance.
             holders = [
                 proxy
                 for table, users in state.users.items()
-                if table is None or index in state.laid[table]
+                if table is None or index in state.table_weights[table]
                 for proxy in users
             ]
-            if not afford(state, holders, 1, BINDING if out else PRESSING):
-                state.shut_at = state.now + gap // 2
+            if not try_reserve(state, holders, 1, DRAIN_BUDGET if out else BINDING_BUDGET):
+                state.next_withdrawal_at = state.now + gap // 2
                 break
-            state.shut ^= {index}
-            state.shut_at = state.now + gap
+            state.withdrawn ^= {index}
+            state.next_withdrawal_at = state.now + gap
             state.orders.append(api.Withdraw(index, out))
 
 
-def shrink(state: State) -> None:
-    """Lower the lines of servers that started cold, in each table in use, also in one on its way out."""
-    stands = {index: most(state, server) for index, server in state.ready()}
-    for table, laid in state.laid.items():
-        for index, weight in laid.items():
-            if weight > stands.get(index, weight) and afford(state, state.users[table], 1, GUARDING):
-                laid[index] = stands[index]
-                state.orders.append(api.SetWeight(table, index, stands[index]))
+def limit_cold_weights(state: State) -> None:
+    """Lower weights of servers that started cold in each table in use, also in one on its way out."""
+    limits = {index: max_weight(state, server) for index, server in state.ready_servers()}
+    for table, weights in state.table_weights.items():
+        for index, weight in weights.items():
+            if weight > limits.get(index, weight) and try_reserve(state, state.users[table], 1, COLD_BUDGET):
+                weights[index] = limits[index]
+                state.orders.append(api.SetWeight(table, index, limits[index]))
 
 
-def lay(state: State, table: int, wanted: dict[int, float]) -> None:
-    laid, users = state.laid.setdefault(table, {}), state.users[table]
-    changes = [(one, weight) for one, weight in wanted.items() if abs(weight - laid.get(one, 0.0)) > 1e-6]
-    # Additions first: a table cut in two by the budget must never be the emptier. What is shut out can wait.
-    kept = wanted.keys() | (() if state.idle else state.shut)
-    changes += [(index, 0.0) for index in laid if index not in kept]
+def edit_table(state: State, table: int, wanted: dict[int, float]) -> None:
+    """Bring a table's weights and levels to what is wanted, as far as there is room."""
+    weights, users = state.table_weights.setdefault(table, {}), state.users[table]
+    changes = [
+        (index, weight)
+        for index, weight in wanted.items()
+        if abs(weight - weights.get(index, 0.0)) > WEIGHT_TOLERANCE
+    ]
+    # Additions first: an edit that the budget cuts in two must never leave a table emptier. What is withdrawn
+    # can be removed later.
+    kept = wanted.keys() | (() if state.channel_is_idle else state.withdrawn)
+    changes += [(index, 0.0) for index in weights if index not in kept]
     # A server that no table has yet brings what drains have taken; what only moves or changes can wait.
-    fresh = not any(index in laid and index not in state.shut for index in wanted)
-    changes.sort(key=lambda change: change[0] in state.placed)
+    reaches_nothing = not any(index in weights and index not in state.withdrawn for index in wanted)
+    changes.sort(key=lambda change: change[0] in state.placed_servers)
     for index, weight in changes:
-        new = fresh or (index not in state.placed and not state.servers[index].ill)
-        if (new or state.idle) and afford(state, users, 1, PRESSING if new else ORDINARY):
-            state.edited[table] = state.now
+        is_urgent = reaches_nothing or (
+            index not in state.placed_servers and not state.servers[index].ejection
+        )
+        budget = BINDING_BUDGET if is_urgent else ORDINARY_BUDGET
+        if (is_urgent or state.channel_is_idle) and try_reserve(state, users, 1, budget):
+            state.table_edited_at[table] = state.now
             state.orders.append(api.SetWeight(table, index, weight))
-            laid[index] = weight
+            weights[index] = weight
             if not weight:
-                del laid[index]
-    levels = state.laid_levels.setdefault(table, {})
+                del weights[index]
+    levels = state.table_levels.setdefault(table, {})
     for mask, yields in state.masks:
-        wish = state.again, round(state.level, 2) if yields else 1.0
-        if levels.get(mask) != wish and afford(state, users, 1, ORDINARY):
-            state.orders.append(api.Level(table, mask, *wish))
-            levels[mask] = wish
+        level = state.retry_policy, round(state.admitted_fraction, 2) if yields else 1.0
+        if levels.get(mask) != level and try_reserve(state, users, 1, ORDINARY_BUDGET):
+            state.orders.append(api.Level(table, mask, *level))
+            levels[mask] = level
 
 
-def bind(state: State, tables: dict[int, dict[int, float]]) -> None:
-    """Worst off first: proxies with no table of ours, of these the busiest."""
-    goals = {part: part if part in tables else state.terms.zones * state.parts for part in {-1, *state.share}}
-    moves = [(index, proxy) for index, proxy in state.joined.items() if proxy.table != goals[proxy.part]]
-    for index, proxy in sorted(moves, key=lambda one: (one[1].table is not None, -one[1].rate)):
-        lines = state.laid.get(table := goals[proxy.part], {})
-        if all(line in state.shut for line in lines):
+def bind_proxies(state: State, tables: dict[int, dict[int, float]]) -> None:
+    """Bind proxies to their tables: first those without a table of this instance, of these the busiest."""
+    shared_table = state.settings.zones * state.partitions_per_zone
+    targets = {
+        partition: partition if partition in tables else shared_table
+        for partition in {-1, *state.traffic_shares}
+    }
+    moves = [
+        (index, proxy) for index, proxy in state.joined.items() if proxy.table != targets[proxy.partition]
+    ]
+    for index, proxy in sorted(moves, key=lambda move: (move[1].table is not None, -move[1].rate)):
+        weights = state.table_weights.get(table := targets[proxy.partition], {})
+        if all(server in state.withdrawn for server in weights):
             continue
-        cost = 1 + len(lines) + len(state.shut & lines.keys()) + len(state.laid_levels.get(table, ()))
-        first = proxy.table is None
-        if (first or state.idle) and afford(state, [index], cost, PRESSING if first else ORDINARY):
+        withdrawn = state.withdrawn & weights.keys()
+        cost = 1 + len(weights) + len(withdrawn) + len(state.table_levels.get(table, ()))
+        is_first = proxy.table is None
+        budget = BINDING_BUDGET if is_first else ORDINARY_BUDGET
+        if (is_first or state.channel_is_idle) and try_reserve(state, [index], cost, budget):
             state.users[table][index] = state.users[proxy.table].pop(index)
             proxy.table = table
             state.orders.append(api.Bind(index, table, 0))
 
 
-def forget(state: State) -> None:
-    """Let go of servers long gone, or those that replacements leave behind would pile up for ever."""
+def forget_servers(state: State) -> None:
+    """Forget servers long gone: those that replacements leave behind would pile up for ever."""
     gone = [
         index
         for index, server in state.servers.items()
-        if server.entry.phase == api.Phase.GONE and not server.doubted and state.now > server.told + FORGET
+        if server.entry.phase == api.Phase.GONE
+        and not server.doubted
+        and state.now > server.phase_since + RETENTION_TIME
     ]
-    for index in gone if not state.users[None] and not state.sliced else ():
-        for table, laid in state.laid.items():
-            if index in laid and afford(state, state.users[table], 1, ORDINARY):
-                del laid[index]
+    for index in gone if not state.users[None] and not state.is_sliced else ():
+        for table, weights in state.table_weights.items():
+            if index in weights and try_reserve(state, state.users[table], 1, ORDINARY_BUDGET):
+                del weights[index]
                 state.orders.append(api.SetWeight(table, index, 0.0))
-        if not any(index in laid for laid in state.laid.values()):
-            state.orders += [api.Withdraw(index, False)] * (index in state.shut) + [api.Forget(index)]
-            state.shut.discard(index)
+        if not any(index in weights for weights in state.table_weights.values()):
+            state.orders += [api.Withdraw(index, False)] * (index in state.withdrawn) + [api.Forget(index)]
+            state.withdrawn.discard(index)
             del state.servers[index]
--- a/ambershift/proxy_state.py
+++ b/ambershift/proxy_state.py
@@ -1,32 +1,46 @@
-"""What an instance knows of one proxy: its zone and part, its table, its usage. Nothing is decided here."""
+"""What an instance knows of one proxy: zone, partition, table and demand. Nothing is decided here."""
 
 from collections import deque
 
 from ambershift import interface as api
 
-NO_PART, SAMPLES = -1, 40
+NO_PARTITION = -1
+MAX_SAMPLES = 40  # Of reports and messages that are kept.
 
 
-class Proxy:
-    """State of one proxy.
+class ProxyState:
+    """State of one proxy. Times and spans are ns.
 
-    Times and spans are ns. `usage` has the time, the requests and the span of each report that still counts.
+    Attributes:
+        zone: Its zone; -1 if it is unknown.
+        partition: Its partition, numbered over all zones; NO_PARTITION until one is assigned.
+        rate: The traffic that it announced when it joined.
+        table: The table that it is bound to; None if it has none of this instance.
+        usage: Time, requests and span of each demand report that still counts.
+        messages: When it was last sent messages.
+        requests: Sum of the requests in `usage`.
+        span: Sum of the spans in `usage`.
     """
 
     def __init__(self, zone: int) -> None:
-        self.zone, self.part, self.rate = zone, NO_PART, 0.0
+        self.zone = zone
+        self.partition = NO_PARTITION
+        self.rate = 0.0
         self.table: int | None = None
         self.usage: deque[tuple[int, int, int]] = deque()
-        self.messages: deque[int] = deque(maxlen=SAMPLES)
-        self.came = self.span = 0  # Sums over the usage held.
+        self.messages: deque[int] = deque(maxlen=MAX_SAMPLES)
+        self.requests = 0
+        self.span = 0
 
-    def hear(self, now: int, event: api.DemandReport) -> None:
-        """Add a usage report."""
+    def record_demand(self, now: int, event: api.DemandReport) -> None:
+        """Add a demand report."""
         self.usage.append((now, event.requests, event.span))
-        self.came, self.span = self.came + event.requests, self.span + event.span
+        self.requests += event.requests
+        self.span += event.span
 
-    def forget(self, before: int) -> None:
+    def drop_reports(self, before: int) -> None:
         """Drop reports from before a time."""
         while self.usage and self.usage[0][0] < before:
-            _, came, span = self.usage.popleft()
-            self.came, self.span = self.came - came, self.span - span
+            _, requests, span = self.usage.popleft()
+            self.requests -= requests
+            self.span -= span
--- a/ambershift/system/distribution/assigner.py
+++ b/ambershift/system/distribution/assigner.py
@@ -206,7 +206,7 @@
         )
         if self._started and limit != self.terms.overload_limit:
             self.terms = self.terms._replace(overload_limit=limit, overload_calm=CLEAR_FRACTION * limit)
-            self.module.terms = self.terms
+            self.module.settings = self.terms
         self._started = True  # By the step that follows.
 
     def _carry_out(self, orders: Iterable[api.Order]) -> TableChanges:
--- a/tests/policy/test_fleet_size.py
+++ b/tests/policy/test_fleet_size.py
@@ -10,7 +10,7 @@
 from ambershift import interface as api
 from ambershift.id_index import IdIndex
 from ambershift.policy import TableManager
-from ambershift.policy.health import recent
+from ambershift.policy.health import recent_results
 from tests.support.policy_model import READS, Plain, S, entry, make_terms
 
 ZONES = 4
@@ -180,17 +180,19 @@
             since, only = module.now - chance.randrange(9 * S), chance.choice([None, *range(ZONES)])
             told = [
                 met
-                for at, met in server.met
+                for at, met in server.reports
                 if at >= since
                 and (
-                    met.zone == only if only is not None else (met.zone, server.entry.zone) not in module.cut
+                    met.zone == only
+                    if only is not None
+                    else (met.zone, server.entry.zone) not in module.failed_paths
                 )
             ]
             tries, bad = sum(met.attempts for met in told), sum(met.failures for met in told)
             took = sum(met.mean_latency * (met.attempts - met.failures) for met in told) / max(1, tries - bad)
-            assert recent(module, server, since, only) == (tries, bad, took)
+            assert recent_results(module, server, since, only) == (tries, bad, took)
         for proxy in module.joined.values():
-            assert (proxy.came, proxy.span) == tuple(sum(one[at] for one in proxy.usage) for at in (1, 2))
+            assert (proxy.requests, proxy.span) == tuple(sum(one[at] for one in proxy.usage) for at in (1, 2))
         assert sorted(one for users in module.users.values() for one in users) == sorted(module.joined)
 
 
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -368,7 +368,7 @@
     for second in range(12):
         chosen = range(second % 4, 8, 4)
         plain.run(S, *[met(i, 20, 12 * (i == 0), i % 2)._replace(span=4 * S) for i in chosen])
-    assert plain.module.lag == 4 * S and plain.module.servers[0].ill
+    assert plain.module.report_lag == 4 * S and plain.module.servers[0].ejection
 
 
 def test_late_answers_ease_a_server_but_keep_it() -> None:
@@ -398,17 +398,17 @@
 def test_an_overloaded_zone_and_a_zone_of_cold_servers_are_no_reason_to_part() -> None:
     plain = small()
     plain.run(S, *[met(i, 9, 8, 0, 900) for i in (1, 3, 5, 7)], *[met(i, 9, 0, 0) for i in (0, 2, 4, 6)])
-    assert not plain.module.cut
+    assert not plain.module.failed_paths
     plain = small()
     plain.run(S, api.Listed(False, False, tuple(entry(i, 0, since=plain.now) for i in (0, 2, 4, 6))))
     plain.run(S, *[met(i, 9, 9, 0) for i in (1, 3, 5, 7)], *[met(i, 9, 0, 0) for i in (0, 2, 4, 6)])
-    assert plain.module.cut and any(i % 2 for i in lines(plain, 0))
+    assert plain.module.failed_paths and any(i % 2 for i in lines(plain, 0))
 
 
 def test_one_borrowed_server_that_dies_is_no_cut() -> None:
     plain = small()
     plain.run(S, met(1, 9, 9, 0), *[met(i, 9, 0, i % 2) for i in (0, 2, 3, 4, 5, 6, 7)])
-    assert not plain.module.cut
+    assert not plain.module.failed_paths
 
 
 def test_a_zone_dealt_under_three_servers_uses_all() -> None:
@@ -461,7 +461,7 @@
 ) -> None:
     plain = small()
     plain.run(20 * S)
-    for name in ("lay", "shrink"):
+    for name in ("edit_table", "limit_cold_weights"):
         monkeypatch.setattr(tables, name, lambda *_: None)  # As in a full channel.
     plain.run(S, api.Listed(False, False, (entry(0, 0, api.Phase.GONE),)))
     plain.run(3 * S, api.Listed(False, False, (entry(0, 0, since=plain.now),)))
@@ -473,7 +473,9 @@
 
 def test_servers_that_no_table_has_yet_do_not_wait_for_the_channel_to_be_idle() -> None:
     plain = large(120, 140, expected_proxies=40)
-    plain.module.usual *= 4  # Room there is, but the channel is busy: only edits may wait for it.
-    plain.module.written += 3 * plain.module.usual / 4
+    plain.module.ordinary_queue_limit *= (
+        4  # Room there is, but the channel is busy: only edits may wait for it.
+    )
+    plain.module.lines_written += 3 * plain.module.ordinary_queue_limit / 4
     plain.run(S // 5, api.Listed(False, False, tuple(entry(i, i % 4) for i in range(120, 126))))
     assert {i for proxy in plain.proxies for i in lines(plain, proxy)} >= set(range(120, 126))
