--- a/ambershift/benchlink/__init__.py
+++ b/ambershift/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: a codec and a host of instances. It carries; it decides nothing."""
+"""The test bench's protocol: a codec, and a host for instances of the decision module."""
--- a/ambershift/benchlink/__main__.py
+++ b/ambershift/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ambershift.benchlink`: the decisions on the bench's wire, over standard input and output."""
+"""`python -m ambershift.benchlink`: the decision module on the test bench's protocol, on stdin and stdout."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def main() -> int:
+    """Serve until the input ends; returns the exit status."""
     try:
         host.serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/ambershift/benchlink/host.py
+++ b/ambershift/benchlink/host.py
@@ -1,4 +1,4 @@
-"""Hosts the instances of one process: each has a module and a door of its own, and they share nothing."""
+"""Hosts the instances of one process: each has a module and indices of its own, and they share nothing."""
 
 from __future__ import annotations
 
@@ -9,31 +9,40 @@
 from ambershift.benchlink import wire
 from ambershift.id_index import IdIndex
 
+UPDATED_LIST, CACHED_LIST = 0, 2  # Kinds of lists; those that aren't updates are whole.
 
-class WireDoor(IdIndex[int]):
-    """Turns records with the wire's numbers into events with an instance's indices, and orders back."""
+
+class ServerIndex(IdIndex[int]):
+    """Turns records with the bench's server numbers into events with an instance's indices; orders back."""
 
     def __init__(self, zones: int) -> None:
+        """Start without servers.
+
+        Args:
+            zones: Number of zones; those from there on are unknown.
+        """
         super().__init__()
         self.zones = zones
 
     def zone(self, zone: int) -> int:
+        """Return a zone, -1 if it is unknown."""
         return zone if zone < self.zones else -1
 
     def event(self, record: Any) -> api.Event:
+        """Return a record as an event."""
         if isinstance(record, wire.RawList):
             return api.Listed(
-                record.kind != 0,
-                record.kind == 2,
+                record.kind != UPDATED_LIST,
+                record.kind == CACHED_LIST,
                 tuple(
                     api.Entry(
-                        self.index(one.server),
-                        self.zone(one.zone),
-                        api.Phase(one.phase),
-                        one.weight,
-                        one.since,
+                        self.index(entry.server),
+                        self.zone(entry.zone),
+                        api.Phase(entry.phase),
+                        entry.weight,
+                        entry.since,
                     )
-                    for one in record.entries
+                    for entry in record.entries
                 ),
             )
         match record:
@@ -46,22 +55,28 @@
         return cast(api.Event, record)
 
     def order(self, order: api.Order) -> api.Order:
+        """Return an order with the bench's server number."""
         if isinstance(order, (api.SetWeight, api.Withdraw, api.Probe)):
             return order._replace(server=self.ids[order.server])
         return order
 
 
 class Host:
-    """Runs batches: gathers each instance's events and asks its module once."""
+    """Runs batches: gathers each instance's events and steps its module once."""
 
     def __init__(self) -> None:
         self.reader = wire.Reader()
-        self.doors: dict[int, WireDoor] = {}
+        self.server_indices: dict[int, ServerIndex] = {}
         self.modules: dict[int, policy.TableManager] = {}
 
     def answer(self, frame: bytes) -> bytes:
+        """Return the reply to a batch.
+
+        Raises:
+            WireError: The batch breaks the protocol.
+        """
         now, records = self.reader.batch(frame)
-        gathered: dict[int, list[api.Event]] = {}
+        events_of: dict[int, list[api.Event]] = {}
         instance = None
         for record in records:
             if isinstance(record, wire.Instance):
@@ -70,37 +85,49 @@
             if instance is None:
                 raise wire.WireError("byte 12: a record comes before any instance is named")
             if isinstance(record, wire.Stopped):
-                self.doors.pop(instance, None)
+                self.server_indices.pop(instance, None)
                 self.modules.pop(instance, None)
-                gathered.pop(instance, None)
+                events_of.pop(instance, None)
             elif isinstance(record, api.Started):
-                self.doors[instance] = WireDoor(record.settings.zones)
+                self.server_indices[instance] = ServerIndex(record.settings.zones)
                 self.modules[instance] = policy.TableManager()
-                gathered[instance] = [record]
+                events_of[instance] = [record]
             elif instance in self.modules:
-                gathered.setdefault(instance, []).append(self.doors[instance].event(record))
+                events_of.setdefault(instance, []).append(self.server_indices[instance].event(record))
         body = b""
-        for instance, events in gathered.items():
-            body += self.ask(instance, now, events)
+        for instance, events in events_of.items():
+            body += self.step(instance, now, events)
         return wire.reply(body)
 
-    def ask(self, instance: int, now: int, events: list[api.Event]) -> bytes:
-        door = self.doors[instance]
+    def step(self, instance: int, now: int, events: list[api.Event]) -> bytes:
+        """Step an instance; returns its orders, or its failure, encoded."""
+        server_index = self.server_indices[instance]
         try:
             orders = self.modules[instance].step(now, events)
             body = b"".join(
-                [wire.write_order(door.order(order)) for order in orders if not isinstance(order, api.Forget)]
+                [
+                    wire.write_order(server_index.order(order))
+                    for order in orders
+                    if not isinstance(order, api.Forget)
+                ]
             )
             for order in orders:
                 if isinstance(order, api.Forget):
-                    door.forget(order.server)
-        except Exception as error:  # the wire wants any failure of the decisions told, then the day ends
+                    server_index.forget(order.server)
+        except (
+            Exception
+        ) as error:  # The protocol wants any failure of the module reported; then the run ends.
             cause = " ".join(f"{type(error).__name__}: {error}".split())
             body = wire.failure(cause)
         return wire.on_behalf(instance) + body if body else b""
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
+    """Return the next frame, None at the end of the input.
+
+    Raises:
+        WireError: The input ends inside a frame, or a frame is too short.
+    """
     head = stream.read(wire.U32.size)
     if not head:
         return None
@@ -116,6 +143,11 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer each frame until the input ends.
+
+    Raises:
+        WireError: The input breaks the protocol.
+    """
     host = Host()
     while (frame := read_frame(source)) is not None:
         sink.write(host.answer(frame))
