--- a/tests/coordinator/replication/test_heard.py
+++ b/tests/coordinator/replication/test_gossip.py
@@ -1,4 +1,4 @@
-"""Heard state: after any exchange members know the same, as old as it is, and never more than they bear."""
+"""Gossip: members converge to the same records with correct ages, within the bounds of their stores."""
 
 from __future__ import annotations
 
@@ -28,41 +28,47 @@
 
 S = 1_000_000_000
 KINDS = [RecordKind.SERVER_START, RecordKind.ATTEMPT_STATS, RecordKind.ZONE_LEVEL, 77]
-WAY = S  # The longest a message is under way.
+MAX_DELAY = S  # Of a message.
 
 
-class Plain:
-    """What is true: each member's latest words, and since when; slow, and known to all at once."""
+class ReferenceModel:
+    """The latest records of each member with the time that they were observed, known to all at once."""
 
     def __init__(self) -> None:
-        self.said = dict[tuple[str, int, str], tuple[int, int, bytes, int]]()
+        # By member, kind and key: incarnation, version, body and time.
+        self.records = dict[tuple[str, int, str], tuple[int, int, bytes, int]]()
 
-    def renew(self, name: str) -> None:
-        self.said = {place: one for place, one in self.said.items() if place[0] != name}
+    def restart(self, name: str) -> None:
+        self.records = {place: record for place, record in self.records.items() if place[0] != name}
 
-    def holds(self, now: int, slack: int) -> tuple[set[object], set[object]]:
-        """What must be known, and what may be: words near their end may be gone at one and not at another."""
-        rows = {(place, one[:3]): now - one[3] for place, one in self.said.items() if one[2]}
+    def known(self, now: int, slack: int) -> tuple[set[object], set[object]]:
+        """The records that must be known, and those that may be.
+
+        Records close to their maximum age may have expired at one member and not at another.
+        """
+        ages = {(place, record[:3]): now - record[3] for place, record in self.records.items() if record[2]}
         return (
-            {row for row, age in rows.items() if age < max_age(row[0][1])},
-            {row for row, age in rows.items() if age < max_age(row[0][1]) + slack},
+            {record for record, age in ages.items() if age < max_age(record[0][1])},
+            {record for record, age in ages.items() if age < max_age(record[0][1]) + slack},
         )
 
 
 class World:
+    """Members that publish and exchange records over a network that loses, repeats and reorders messages."""
+
     def __init__(self, seed: int, members: int) -> None:
         self.rng, self.now, self.names = random.Random(seed), 0, [f"n{i}" for i in range(members)]
-        self.lives = dict.fromkeys(self.names, 1)
+        self.incarnations = dict.fromkeys(self.names, 1)
         self.stores = {name: GossipStore(name, 1) for name in self.names}
-        self.plain, self.way = Plain(), list[tuple[int, str, str, bytes]]()
+        self.model, self.in_flight = ReferenceModel(), list[tuple[int, str, str, bytes]]()
         self.largest = 0
 
     def send(self, sender: str, to: str, messages: list[Message]) -> None:
         for message in messages:
             data = encode(message)
             self.largest = max(self.largest, len(data))
-            for _ in range(self.rng.choice([0, 1, 1, 1, 2])):  # Lost, or told twice.
-                self.way.append((self.now + self.rng.randrange(WAY), sender, to, data))
+            for _ in range(self.rng.choice([0, 1, 1, 1, 2])):  # Lost, or sent twice.
+                self.in_flight.append((self.now + self.rng.randrange(MAX_DELAY), sender, to, data))
 
     def step(self) -> None:
         self.now += self.rng.randrange(S // 2)
@@ -73,26 +79,29 @@
             age = self.rng.choice([0, 0, 5 * S])
             body = bytes([self.rng.randrange(1, 9)]) * self.rng.randrange(1, 50)
             made = store.put(self.now, kind, key, body, age)
-            self.plain.said[name, kind, key] = (self.lives[name], made.version, body, self.now - age)
+            self.model.records[name, kind, key] = (
+                self.incarnations[name],
+                made.version,
+                body,
+                self.now - age,
+            )
         elif roll < 0.45:
             kind, key = self.rng.choice(KINDS), f"s{self.rng.randrange(8)}"
             store.withdraw(self.now, kind, key)
-            self.plain.said.pop((name, kind, key), None)
-        elif roll < 0.47:  # It starts anew, with nothing.
-            self.lives[name] += 1
-            self.stores[name] = GossipStore(name, self.lives[name])
-            self.stores[name].put(
-                self.now, RecordKind.MEMBER_STATUS, "", b""
-            )  # Heard of, so that its old words go.
-            self.plain.renew(name)
+            self.model.records.pop((name, kind, key), None)
+        elif roll < 0.47:  # It restarts without any records.
+            self.incarnations[name] += 1
+            self.stores[name] = GossipStore(name, self.incarnations[name])
+            self.stores[name].put(self.now, RecordKind.MEMBER_STATUS, "", b"")  # Others drop its old records.
+            self.model.restart(name)
         elif roll < 0.8:
             to = self.rng.choice(self.names)
             self.send(name, to, [store.digest()])
         else:
             store.sweep(self.now)
-        self.rng.shuffle(self.way)
-        for one in [one for one in self.way if one[0] <= self.now]:
-            self.way.remove(one)
+        self.rng.shuffle(self.in_flight)
+        for one in [one for one in self.in_flight if one[0] <= self.now]:
+            self.in_flight.remove(one)
             self.deliver(one[1], one[2], one[3])
 
     def deliver(self, sender: str, to: str, data: bytes) -> None:
@@ -100,8 +109,8 @@
         self.send(to, sender, answers)
 
     def settle(self) -> None:
-        """Now everything arrives: pairs exchange until they know the same."""
-        self.way.clear()
+        """Without losses, all pairs exchange their records."""
+        self.in_flight.clear()
         for _ in range(3):
             for one in self.names:
                 for other in self.names:
@@ -113,7 +122,7 @@
 
 
 @pytest.mark.parametrize("members", [2, 3, 7])
-def test_members_know_the_same_after_losses_repeats_and_disorder(
+def test_members_converge_after_losses_repeats_and_reordering(
     members: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
@@ -123,20 +132,20 @@
         world = World(seed, members)
         for _ in range(300):
             world.step()
-        slack = 10 * WAY * members
+        slack = 10 * MAX_DELAY * members
         world.settle()
-        must, may = world.plain.holds(world.now, slack)
+        must, may = world.model.known(world.now, slack)
         for store in world.stores.values():
             seen = {}
             for kind in (*KINDS, RecordKind.MEMBER_STATUS):
                 for one in store.all(world.now, kind):
-                    word = (one.incarnation, one.version, one.body)
-                    seen[(one.origin, one.kind, one.key), word] = one.age_ns
+                    content = (one.incarnation, one.version, one.body)
+                    seen[(one.origin, one.kind, one.key), content] = one.age_ns
             assert must <= seen.keys() <= may, (seed, store.me)
-            for (place, word), age in seen.items():
-                true = world.now - world.plain.said[place][3]
-                assert true - slack <= age <= true, (seed, place, word)
-            # Nothing that is too old stays after a sweep, and the counts are right.
+            for (place, content), age in seen.items():
+                true = world.now - world.model.records[place][3]
+                assert true - slack <= age <= true, (seed, place, content)
+            # After a sweep no expired record remains, and the counts are right.
             store.sweep(world.now)
             rows = [one for origin in store.origins.values() for one in origin.records.values()]
             assert store.count == len(rows) and store.bytes == sum(map(encoded_size, rows))
@@ -145,7 +154,7 @@
         assert world.largest < 900
 
 
-def test_ones_own_newer_evidence_is_never_overruled() -> None:
+def test_newer_evidence_of_this_member_takes_precedence() -> None:
     one, other, third = GossipStore("a", 1), GossipStore("b", 1), GossipStore("c", 1)
     other.put(0, RecordKind.ATTEMPT_STATS, "s1", b"b")
     third.put(5 * S, RecordKind.ATTEMPT_STATS, "s1", b"c", 1 * S)
@@ -154,7 +163,9 @@
     for own_age, best in ((None, "c"), (3 * S, "c"), (2 * S, None), (S, None)):
         found = one.newest(6 * S, RecordKind.ATTEMPT_STATS, "s1", own_age)
         assert (found.origin if found else None) == best, own_age
-    one.put(6 * S, RecordKind.ATTEMPT_STATS, "s1", b"a", 2 * S)  # As new as the newest: one's own counts.
+    one.put(
+        6 * S, RecordKind.ATTEMPT_STATS, "s1", b"a", 2 * S
+    )  # As new as the newest: this member's own takes precedence.
     assert one.newest(6 * S, RecordKind.ATTEMPT_STATS, "s1") is None
     one.put(6 * S, RecordKind.ATTEMPT_STATS, "s1", b"a", 3 * S)
     assert one.newest(6 * S, RecordKind.ATTEMPT_STATS, "s1") == Record(
@@ -162,7 +173,7 @@
     )
     for _ in range(2):
         third.withdraw(7 * S, RecordKind.ATTEMPT_STATS, "s1")
-    assert third.origins["c"].last_version == 2, "nothing is told where nothing stands"
+    assert third.origins["c"].last_version == 2, "a withdrawn record is not withdrawn again"
     one.receive(7 * S, third.delta(7 * S, {"c": OriginVersion("c", 1, 1)}))
     assert one.newest(7 * S, RecordKind.ATTEMPT_STATS, "s1", 7 * S) is None, "b's is as old as that"
     found = one.newest(7 * S, RecordKind.ATTEMPT_STATS, "s1", 8 * S)
@@ -170,14 +181,14 @@
     assert one.newest(25 * S, RecordKind.ATTEMPT_STATS, "s1") is None and one.sweep(25 * S) == 2
 
 
-def test_ages_grow_by_every_way_and_the_longest_counts() -> None:
+def test_ages_grow_on_every_path_and_the_highest_is_kept() -> None:
     a, b, c = GossipStore("a", 1), GossipStore("b", 1), GossipStore("c", 1)
     a.put(100 * S, RecordKind.SERVER_START, "s", b"x", 2 * S)
-    # Clocks that have nothing to do with each other.
+    # The clocks of the members are unrelated.
     b.receive(7 * S, a.delta(110 * S, {}))
     c.receive(9_000 * S, a.delta(111 * S, {}))
     assert next(iter(c.all(9_001 * S, RecordKind.SERVER_START))).age_ns == 14 * S
-    late = b.delta(20 * S, {})  # 25 s old by b's way.
+    late = b.delta(20 * S, {})  # 25 s old on the path by b.
     c.receive(9_003 * S, late)
     assert [one.age_ns for one in c.all(9_003 * S, RecordKind.SERVER_START)] == [25 * S]
     found = c.newest(9_003 * S, RecordKind.SERVER_START, "s")
@@ -186,7 +197,7 @@
     assert [one.age_ns for one in c.all(9_003 * S, RecordKind.SERVER_START)] == [25 * S]
 
 
-def test_what_is_too_old_is_neither_told_nor_taken() -> None:
+def test_expired_records_are_neither_sent_nor_taken() -> None:
     a, b = GossipStore("a", 1), GossipStore("b", 1)
     a.put(0, RecordKind.SERVER_START, "t", b"y")
     a.put(0, RecordKind.ATTEMPT_STATS, "s", b"x")
@@ -213,7 +224,7 @@
     assert b.digest().vector[1] == OriginVersion("a", 1, 2)
 
 
-def test_stores_are_bounded_and_a_loud_member_pushes_out_its_own() -> None:
+def test_stores_are_bounded_and_drop_records_of_the_largest_origin() -> None:
     store = GossipStore("a", 1, StoreLimits(3, 50, 120, 1 << 20))
     for at in range(40):
         store.put(0, RecordKind.SERVER_START, f"a{at}", b"x")
@@ -252,7 +263,7 @@
             store.put(0, RecordKind.SERVER_START, key, body, age)
 
 
-def test_a_delta_is_bounded_leaves_no_hole_and_lets_no_origin_starve() -> None:
+def test_a_delta_is_bounded_has_no_gaps_and_starves_no_origin() -> None:
     full, empty = GossipStore("a", 1), GossipStore("z", 1)
     for at in range(2_000):
         full.put(0, RecordKind.SERVER_START, f"a{at}", b"x" * 60)
@@ -269,18 +280,18 @@
             break
         message = full.receive(0, answers[0])[0][0]
     assert len(empty.keys(RecordKind.SERVER_START)) == 2_003 and 3 <= rounds <= 5
-    # Many with one large word each.
+    # Many origins with one large record each.
     for at in range(40):
         row = DeltaRecord(1, RecordKind.SERVER_START, f"c{at}", b"x" * MAX_BODY_BYTES, 0)
         full.receive(0, Delta((OriginDelta(f"c{at}", 1, 0, 1, (row,)),), False))
     assert len(encode(full.delta(0, {}))) < 90 << 10
-    # A delta for what it knew in an earlier life, or twice, changes nothing.
+    # A delta that answers an earlier incarnation's digest, or comes twice, changes nothing.
     gap = Delta(
         (OriginDelta("a", 1, 5_000, 5_001, (DeltaRecord(5_001, RecordKind.SERVER_START, "late", b"", 0),)),),
         False,
     )
     assert empty.receive(0, gap) == ([], []) and empty.receive(0, message) == ([], [])
-    # A newer life replaces the older; what comes of the older then is of no use.
+    # A newer incarnation replaces the older one, of which nothing is taken any more.
     empty.receive(
         0,
         Delta((OriginDelta("b", 2, 0, 1, (DeltaRecord(1, RecordKind.ATTEMPT_STATS, "s", b"n", 0),)),), False),
@@ -297,7 +308,7 @@
     assert [one.key for one in empty.all(0, RecordKind.ATTEMPT_STATS)] == ["s"] and "b0" not in empty.keys(
         RecordKind.SERVER_START
     )
-    # Its own words come from itself alone.
+    # Records of its own name are never taken from others.
     empty.receive(
         0,
         Delta(
@@ -309,16 +320,16 @@
 
 @settings(max_examples=400, derandomize=True, deadline=None)
 @given(st.binary(max_size=60), st.integers(0, 200), st.integers(0, 255))
-def test_bytes_that_no_member_sends_are_refused_by_name(junk: bytes, at: int, value: int) -> None:
+def test_invalid_message_bytes_are_refused(junk: bytes, at: int, value: int) -> None:
     whole = encode(
         Delta(
             (OriginDelta("a", 1, 0, 9, (DeltaRecord(3, 1, "k", b"v", 5), DeltaRecord(4, 1, "l", b"v", 5))),),
             False,
         )
     )
-    spoilt = bytearray(whole)
-    spoilt[at % len(whole)] = value
-    for data in (junk, bytes([1]) + junk, bytes(spoilt)):
+    corrupted = bytearray(whole)
+    corrupted[at % len(whole)] = value
+    for data in (junk, bytes([1]) + junk, bytes(corrupted)):
         with suppress(UnreadableError):
             GossipStore("z", 1).receive(0, decode(data))
     for rows in (
--- a/tests/coordinator/replication/test_replication.py
+++ b/tests/coordinator/replication/test_replication.py
@@ -1,4 +1,4 @@
-"""Replicas over a simulated network: generated histories, failures by name, and guards taken out."""
+"""Replicas over a simulated network, generated histories of faults, and single replicas by their messages."""
 
 from __future__ import annotations
 
@@ -37,8 +37,9 @@
 from tests.support.simulated_replicas import SECOND, WALL, CountingMachine, Simulation
 
 
-def group(voters: int = 3, copies: int = 0, seed: int = 1, disk: bool = False, **more: Any) -> Simulation:
-    sim = Simulation(seed, voters, copies, disk, **more)
+def group(voters: int = 3, learners: int = 0, seed: int = 1, disk: bool = False, **more: Any) -> Simulation:
+    """A group that has a leader."""
+    sim = Simulation(seed, voters, learners, disk, **more)
     for name in sim.hosts:
         sim.start(name)
     sim.run(SECOND)
@@ -47,68 +48,70 @@
 
 
 def leader(sim: Simulation) -> str:
-    """Who leads the newest view."""
-    found = [
+    """The leader of the newest view."""
+    leaders = [
         (host.replica.view, name)
         for name, host in sim.hosts.items()
         if host.replica and host.replica.leader == name
     ]
-    return max(found)[1] if found else ""
+    return max(leaders)[1] if leaders else ""
 
 
 def follower(sim: Simulation) -> str:
     return next(name for name in sim.voters if name != leader(sim) and sim.hosts[name].replica)
 
 
-def alone(sim: Simulation, *names: str) -> None:
-    pairs = ((one, other) for one in sim.hosts for other in sim.hosts)
-    sim.cuts = {(one, other) for one, other in pairs if (one in names) != (other in names)}
+def isolate(sim: Simulation, *names: str) -> None:
+    """Cut these members off from all others."""
+    pairs = ((sender, to) for sender in sim.hosts for to in sim.hosts)
+    sim.cuts = {(sender, to) for sender, to in pairs if (sender in names) != (to in names)}
 
 
-def fill(sim: Simulation, count: int, name: str = "", tag: str = "f") -> None:
+def submit_many(sim: Simulation, count: int, name: str = "", tag: str = "f") -> None:
+    """Commands with tokens of their own, at a member or the leader."""
     for number in range(count):
         sim.submit(name or leader(sim), f"{tag}{number}", b"x" * 20)
     sim.run(SECOND)
 
 
-def test_a_killed_leader_takes_nothing_acknowledged_with_it() -> None:
+def test_acknowledged_commands_survive_a_crash_of_the_leader() -> None:
     for seed in range(10):
         sim = group(seed=seed)
         ticket = sim.submit(leader(sim), "a", b"x")
         while ticket in sim.waiting:
             sim.run(MS)
-        gone = leader(sim)
-        sim.crash(gone)  # In the moment of its answer, and it has no disk.
+        crashed = leader(sim)
+        sim.crash(crashed)  # Right after its answer, and it has no disk.
         for name in sim.voters:
-            sim.read(name)  # The next leader knows what is committed only once something of its own is.
+            sim.read(name)  # Answered once the next leader has committed an entry of its own view.
         began = sim.now
         while not leader(sim):
             sim.run(10 * MS)
         assert sim.now - began < SECOND
-        sim.start(gone)
+        sim.start(crashed)
         sim.settle()
         assert sim.acked["a"] in sim.log and sim.answers["done"] == 6
 
 
-def test_the_next_leader_is_one_that_is_there() -> None:
+def test_views_of_crashed_leaders_are_skipped() -> None:
     sim = group(voters=5)
     sim.crash("n2")
     sim.run(SECOND)
     sim.crash("n1")
     sim.run(700 * MS)
-    assert leader(sim) == "n3" and sim.notes["group-leaves"] == 3  # None for the view that n2 would lead.
+    assert leader(sim) == "n3" and sim.notes["group-leaves"] == 3  # No view change to the view of n2.
 
 
-def test_a_minority_answers_nothing_and_says_when_to_come_back() -> None:
+def test_a_minority_refuses_or_times_out_every_request() -> None:
     sim = group(voters=5)
     old = leader(sim)
     other = follower(sim)
-    alone(sim, old, other)
-    told = [sim.submit(old, "a", b"x"), sim.submit(other, "b", b"x"), sim.read(old)]
+    isolate(sim, old, other)
+    tickets = [sim.submit(old, "a", b"x"), sim.submit(other, "b", b"x"), sim.read(old)]
     sim.run(2500 * MS)
-    assert not set(told) & set(sim.waiting)  # Nobody waits for ever.
+    assert not set(tickets) & set(sim.waiting)
     assert sim.answers == {"outcome-unknown": 2, "no-majority": 1}
-    # Later it knows that it is alone: nothing of this can be written.
+    # By now the old leader knows that it has no majority: the command can't have been written.
     sim.submit(old, "c", b"x")
     sim.submit(leader(sim), "d", b"x")
     sim.run(2500 * MS)
@@ -116,7 +119,7 @@
     sim.settle()
 
 
-def test_a_member_that_was_stopped_answers_nothing_stale() -> None:
+def test_a_leader_that_was_paused_serves_no_stale_read() -> None:
     sim = group()
     old = leader(sim)
     sim.pause(old)
@@ -125,29 +128,31 @@
     sim.run(SECOND)
     assert "a" in sim.acked
     host = sim.hosts[old]
-    host.paused, host.inbox = False, []  # All that was sent to it meanwhile is lost.
+    host.paused, host.inbox = False, []  # All messages that were sent to it meanwhile are lost.
     ticket = sim.read(old)
-    assert ticket in sim.waiting  # It asks first.
+    assert ticket in sim.waiting  # It has to be confirmed by the others first.
     sim.run(2 * SECOND)
-    assert ticket not in sim.waiting and sim.answers["done"] == 2  # Checked against its floor.
+    assert (
+        ticket not in sim.waiting and sim.answers["done"] == 2
+    )  # `check_answer` checks that the read is not stale.
     sim.settle()
 
 
-def test_cut_one_way_the_leader_stays_where_a_majority_hears_it() -> None:
+def test_a_one_way_partition_changes_the_leader_only_if_it_hears_no_majority() -> None:
     sim = group()
-    first, deaf = leader(sim), follower(sim)
-    sim.cuts = {(first, deaf)}
+    first, unreached = leader(sim), follower(sim)
+    sim.cuts = {(first, unreached)}
     sim.run(5 * SECOND)
     assert leader(sim) == first and sim.notes["group-leaves"] == 0
-    sim.cuts = {(other, first) for other in sim.hosts}  # It hears nobody, and all hear it.
+    sim.cuts = {(other, first) for other in sim.hosts}  # It hears nobody, and all others hear it.
     sim.run(3 * SECOND)
     assert leader(sim) != first and sim.notes["group-doubts"] == 1
     sim.settle()
 
 
-def test_blank_ones_recover_and_lose_nothing_while_too_many_of_them_wait() -> None:
+def test_blank_voters_recover_from_a_majority_and_wait_without_one() -> None:
     sim = group(voters=5)
-    fill(sim, 5)
+    submit_many(sim, 5)
     two = [name for name in sim.voters if name != leader(sim)][:2]
     for name in two:
         sim.crash(name)
@@ -155,7 +160,7 @@
     sim.run(SECOND)
     assert sim.notes["group-recovered"] == 2
     sim.settle()
-    for name in sim.voters[:3]:  # A majority at once: no one may claim that all is empty.
+    for name in sim.voters[:3]:  # A majority at once: they must not form an empty group.
         sim.crash(name)
         sim.start(name)
     sim.run(5 * SECOND)
@@ -163,7 +168,7 @@
     assert all(sim.hosts[name].replica.status is Status.BLANK for name in sim.voters[:3])  # type: ignore[union-attr]
 
 
-def test_all_restart_from_their_folders_at_once() -> None:
+def test_a_group_restarts_from_its_folders() -> None:
     for seed in range(5):
         sim = group(seed=seed, disk=True)
         for number in range(20):
@@ -171,20 +176,19 @@
             sim.run(3 * MS)
         for name in sim.voters:
             sim.crash(name)
-        for name in sim.voters[:2]:  # One stays away.
+        for name in sim.voters[:2]:  # One stays down.
             sim.start(name)
         sim.run(3 * SECOND)
         assert leader(sim)
         sim.settle()
 
 
-def test_laggards_get_pieces_of_a_snapshot_and_logs_stay_bounded() -> None:
+def test_lagging_members_get_a_snapshot_in_chunks_and_logs_stay_bounded() -> None:
     for disk in (False, True):
-        sim = group(copies=1, disk=disk, tuning=SMALL_TUNING)
-        late = follower(sim)
-        alone(sim, late)
+        sim = group(learners=1, disk=disk, tuning=SMALL_TUNING)
+        isolate(sim, follower(sim))
         for block in range(10):
-            fill(sim, 20, tag=f"f{block}.")
+            submit_many(sim, 20, tag=f"f{block}.")
         assert len(sim.acked) == 200
         sim.crash("c1")
         sim.hosts["c1"].saved = None
@@ -199,7 +203,7 @@
             assert len(host.replica.core.tokens.answers) <= SMALL_TUNING.max_tokens
 
 
-def test_a_token_writes_once_and_answers_again() -> None:
+def test_a_repeated_token_is_written_once_and_answered_again() -> None:
     sim = group()
     sim.submit(leader(sim), "a", b"x")
     sim.submit(follower(sim), "a", b"x")
@@ -208,59 +212,67 @@
     sim.submit(leader(sim), "", b"bad")
     sim.run(SECOND)
     assert sim.answers == {"done": 3, "token-reused": 1} and list(sim.tokens).count("a") == 1
-    lonely = leader(sim)
-    alone(sim, lonely)
-    ticket = sim.submit(lonely, "b", b"bad")
-    sim.run(2500 * MS)  # It is no leader any more, and refuses nothing as one.
+    isolated = leader(sim)
+    isolate(sim, isolated)
+    ticket = sim.submit(isolated, "b", b"bad")
+    sim.run(2500 * MS)  # It leads no more, so that its refusal is not confirmed.
     assert ticket not in sim.waiting and sim.answers["done"] == 3
-    sim.submit(lonely, "big", b"x" * (DEFAULT_TUNING.max_command_bytes + 1))
+    sim.submit(isolated, "big", b"x" * (DEFAULT_TUNING.max_command_bytes + 1))
     assert sim.answers["too-large"] == 1
 
 
-def test_what_waits_is_bounded_and_ends_with_the_program() -> None:
+def test_pending_requests_are_bounded_and_answered_when_the_program_stops() -> None:
     sim = group(tuning=DEFAULT_TUNING._replace(max_pending_requests=4))
-    alone(sim, follower(sim))
+    isolate(sim, follower(sim))
     name = next(one for one in sim.voters if (one, leader(sim)) in sim.cuts)
     for number in range(6):
         sim.submit(name, f"a{number}", b"x")
     assert sim.answers == {"too-many-promises-wait": 2}
-    sim.do(sim.hosts[name], sim.hosts[name].replica.stop(sim.now))  # type: ignore[union-attr]
+    sim.carry_out(sim.hosts[name], sim.hosts[name].replica.stop(sim.now))  # type: ignore[union-attr]
     assert sim.answers["outcome-unknown"] == 4 and not sim.waiting
 
 
-def test_members_that_are_not_what_they_seem_halt_by_name() -> None:
+def test_old_folders_superseded_cloned_and_misconfigured_members_halt() -> None:
     sim = group(disk=True)
-    fill(sim, 3)
+    submit_many(sim, 3)
     name = follower(sim)
     folder = sim.hosts[name].saved
-    fill(sim, 3, tag="g")
+    submit_many(sim, 3, tag="g")
     sim.crash(name)
     assert folder is not None
     sim.start(name, folder)
     sim.run(2 * SECOND)
     assert sim.hosts[name].halts == [Reason.OLD_FOLDER]
     sim.settle()
-    # The same name under a newer incarnation, and under the same one in another process.
+    # Another process as the same member, under a newer incarnation and under the same one.
     for more, reason in ((1, Reason.SUPERSEDED), (0, Reason.CLONED)):
         sim = group()
-        fill(sim, 3)
+        submit_many(sim, 3)
         name = follower(sim)
-        held = sim.hosts[name].replica
-        assert held is not None
+        running = sim.hosts[name].replica
+        assert running is not None
         other = Replica(
-            name, sim.voters, [], CountingMachine(), 1, held.core.incarnation + more, None, False, now=sim.now
+            name,
+            sim.voters,
+            [],
+            CountingMachine(),
+            1,
+            running.core.incarnation + more,
+            None,
+            False,
+            now=sim.now,
         )
         bootstrap.join_new_group(other.core, sim.now, ())
-        found = list[Any]()
-        for one in (other, held):
+        effects = list[Any]()
+        for one in (other, running):
             row = peers.own_progress(one.core)
-            found += (held if one is other else other).receive(
+            effects += (running if one is other else other).receive(
                 sim.now,
                 leader(sim),
                 messages.Heartbeat(
-                    incarnation=sim.hosts[leader(sim)].replica.core.incarnation,
+                    incarnation=sim.hosts[leader(sim)].replica.core.incarnation,  # type: ignore[union-attr]
                     view=0,
-                    group="",  # type: ignore[union-attr]
+                    group="",
                     round=0,
                     last_number=0,
                     committed=0,
@@ -268,27 +280,27 @@
                     voters=tuple(sim.voters),
                 ),
             )
-        assert [one.reason for one in found if hasattr(one, "why")] == [reason]
-    # A member with another idea of who votes, and one of another group.
+        assert [one.reason for one in effects if hasattr(one, "why")] == [reason]
+    # A member that is configured with another order of voters.
     sim = Simulation(3, 3)
     sim.start("n1")
     sim.start("n2")
     host = sim.hosts["n3"]
     host.replica = Replica("n3", ["n3", "n2", "n1"], [], CountingMachine(), 1, 1, None, False)
-    sim.wake(host)
+    sim.schedule_tick(host)
     sim.run(SECOND)
     assert host.halts == [Reason.OTHER_MEMBERS] and sim.notes["group-born"] == 0
 
 
 @pytest.mark.parametrize("caught_up", [False, True])
-def test_an_old_folder_that_has_caught_up_is_as_good_as_a_new_one(caught_up: bool) -> None:
-    """Set aside then, it would be blank beside another voter that lost its memory meanwhile."""
+def test_an_old_folder_that_has_caught_up_is_kept(caught_up: bool) -> None:
+    """Set aside, it would be blank beside another voter that lost its state: too few to recover from."""
     old = PersistedState("g", 8, 0, 0, 2, None, tuple(Entry(0, number, 0, "", b"") for number in (1, 2)))
-    one = Replica("n3", ["n1", "n2", "n3"], [], CountingMachine(), 1, 9, old, True, noop=b"noop")
+    replica = Replica("n3", ["n1", "n2", "n3"], [], CountingMachine(), 1, 9, old, True, noop=b"noop")
     row = MemberProgress("n3", 8, 0, 0, 4, 4, "normal")
     if caught_up:
         more = tuple(Entry(0, number, 0, "", b"") for number in (3, 4))
-        one.receive(
+        replica.receive(
             0,
             "n1",
             messages.Prepare(
@@ -301,7 +313,7 @@
                 entries=more,
             ),
         )
-    one.receive(
+    replica.receive(
         0,
         "n1",
         messages.Heartbeat(
@@ -315,38 +327,38 @@
             voters=("n1", "n2", "n3"),
         ),
     )
-    assert one.status is (Status.NORMAL if caught_up else Status.HALTED)
+    assert replica.status is (Status.NORMAL if caught_up else Status.HALTED)
 
 
-def test_members_of_two_groups_that_meet_refuse_each_other() -> None:
+def test_members_of_different_groups_reject_each_other() -> None:
     sim = group()
     name = follower(sim)
-    one = sim.hosts[name].replica
-    assert one is not None
-    one.core.group = "another"
+    replica = sim.hosts[name].replica
+    assert replica is not None
+    replica.core.group = "another"
     sim.run(SECOND)
     sim.heal()
-    fill(sim, 1)
-    assert sim.notes["group-stranger"] >= 1 and one.committed < len(sim.log)
+    submit_many(sim, 1)
+    assert sim.notes["group-stranger"] >= 1 and replica.committed < len(sim.log)
     for other in sim.voters:
         if other != name:
-            bootstrap.reject_foreign_member(one.core, other, "group")
-    assert one.status is Status.HALTED
+            bootstrap.reject_foreign_member(replica.core, other, "group")
+    assert replica.status is Status.HALTED
 
 
-def test_a_frozen_replica_goes_on_as_the_same() -> None:
-    """Thawed before each call, a member does what it would have done."""
+def test_freezing_and_thawing_does_not_change_a_run() -> None:
+    """Members that are thawed before each call do the same as those that are not."""
 
     class Thawing(Simulation):
-        def feed(self, host: Any, life: int, call: Any) -> None:
-            if host.replica is not None and host.life == life and not host.paused:
+        def call_replica(self, host: Any, start_count: int, call: Any) -> None:
+            if host.replica is not None and host.start_count == start_count and not host.paused:
                 old = host.replica
                 frozen = old.freeze()
                 hash(frozen)
                 host.replica = Replica.thaw(
                     host.name,
                     self.voters,
-                    self.copies,
+                    self.learners,
                     CountingMachine(),
                     self.disk,
                     self.tuning,
@@ -354,23 +366,25 @@
                     noop=b"noop",
                 )
                 assert host.replica.freeze() == frozen and host.replica.next_tick_at == old.next_tick_at
-            super().feed(host, life, call)
+            super().call_replica(host, start_count, call)
 
-    sims = [kind(7, 3, 1, True, SMALL_TUNING, lose=0.05, late=0.02) for kind in (Simulation, Thawing)]
+    sims = [
+        kind(7, 3, 1, True, SMALL_TUNING, loss_rate=0.05, late_rate=0.02) for kind in (Simulation, Thawing)
+    ]
     for sim in sims:
         for name in sim.hosts:
             sim.start(name)
         sim.run(SECOND)
-        fill(sim, 40, "c1")
+        submit_many(sim, 40, "c1")
         sim.crash("n1")
-        fill(sim, 40, "n2", tag="g")
+        submit_many(sim, 40, "n2", tag="g")
         sim.settle()
     assert sims[0].log == sims[1].log and sims[0].sent == sims[1].sent
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.binary(max_size=60), st.integers(0, 200), st.integers(0, 255))
-def test_bytes_that_are_no_message_are_refused(junk: bytes, place: int, value: int) -> None:
+def test_invalid_message_bytes_are_refused(junk: bytes, place: int, value: int) -> None:
     good = encode(
         RecoveryResponse(
             incarnation=1,
@@ -397,24 +411,31 @@
         decode(good + bytes(messages.MAX_MESSAGE_BYTES))
 
 
-def test_messages_that_no_member_of_ours_sends_do_no_harm() -> None:
+def test_invalid_messages_change_nothing() -> None:
     sim = group()
-    name, head = follower(sim), sim.hosts[leader(sim)].replica
-    assert head is not None
-    life = sim.hosts[name].replica.core.incarnation  # type: ignore[union-attr]
-    before = head.committed
+    name, leader_replica = follower(sim), sim.hosts[leader(sim)].replica
+    assert leader_replica is not None
+    incarnation = sim.hosts[name].replica.core.incarnation  # type: ignore[union-attr]
+    before = leader_replica.committed
     for sender, number in ((name, 10**9), ("stranger", 1)):
-        head.receive(
+        leader_replica.receive(
             sim.now,
             sender,
-            PrepareOk(incarnation=life, view=head.view, round=9, number=number, committed=0, status=""),
+            PrepareOk(
+                incarnation=incarnation,
+                view=leader_replica.view,
+                round=9,
+                number=number,
+                committed=0,
+                status="",
+            ),
         )
-    head.receive(
+    leader_replica.receive(
         sim.now,
         name,
         StateChunk(
-            incarnation=life,
-            view=head.view,
+            incarnation=incarnation,
+            view=leader_replica.view,
             group="",
             after=0,
             entries=(),
@@ -427,31 +448,33 @@
         ),
     )
     row = messages.MemberProgress("stranger", 7, 0, 0, 0, 0, "")
-    head.receive(
-        sim.now, name, messages.SuspectRequest(incarnation=life, view=head.view, round=1, progress=(row,))
+    leader_replica.receive(
+        sim.now,
+        name,
+        messages.SuspectRequest(incarnation=incarnation, view=leader_replica.view, round=1, progress=(row,)),
     )
-    assert "stranger" not in {**head.core.progress, **head.core.incarnations}
-    assert head.committed == before and head.status is Status.NORMAL
+    assert "stranger" not in {**leader_replica.core.progress, **leader_replica.core.incarnations}
+    assert leader_replica.committed == before and leader_replica.status is Status.NORMAL
     sim.settle()
 
 
-def test_effects_keep_their_order_and_what_vouches_waits_for_the_disk() -> None:
-    one = Replica("n1", ["n1"], [], CountingMachine(), 1, 5, None, True, noop=b"noop")
-    first = one.tick(0, WALL)
-    assert [type(effect).__name__ for effect in first] == ["Write", "Note", "Note"] and one.committed == 0
-    done = one.write_synced(MS, 1)
+def test_the_write_comes_first_and_commits_wait_for_its_sync() -> None:
+    replica = Replica("n1", ["n1"], [], CountingMachine(), 1, 5, None, True, noop=b"noop")
+    first = replica.tick(0, WALL)
+    assert [type(effect).__name__ for effect in first] == ["Write", "Note", "Note"] and replica.committed == 0
+    done = replica.write_synced(MS, 1)
     assert [effect.entry.number for effect in done if isinstance(effect, Applied)] == [1]
-    one.submit(2 * MS, WALL, 1, "a", b"x", SECOND)
-    assert one.committed == 1  # Not before its own write is synced.
-    saved = PersistedState("g", 5, 0, 0, 1, None, tuple(one.core.log.entries[:1]))
+    replica.submit(2 * MS, WALL, 1, "a", b"x", SECOND)
+    assert replica.committed == 1  # The new entry is not synced yet.
+    saved = PersistedState("g", 5, 0, 0, 1, None, tuple(replica.core.log.entries[:1]))
     again = Replica("n1", ["n1"], [], CountingMachine(), 1, 6, saved, True, noop=b"noop")
     assert again.status is Status.VIEW_CHANGE
     assert not [effect for effect in again.tick(0, WALL) if isinstance(effect, Send | Restored)]
 
 
-def test_a_member_leaves_and_votes_only_once_that_is_on_its_disk() -> None:
-    """Else one that crashes between would come back in the old view, and help it commit."""
-    one = Replica(
+def test_a_view_change_is_announced_only_once_the_view_is_synced() -> None:
+    """A member that crashes before would else restart in the old view, and help to commit entries there."""
+    replica = Replica(
         "n3",
         ["n1", "n2", "n3"],
         [],
@@ -462,74 +485,76 @@
         True,
         noop=b"noop",
     )
-    one.tick(0, WALL)
-    one.write_synced(0, 1)
-    asked = one.tick(SECOND, WALL)
+    replica.tick(0, WALL)
+    replica.write_synced(0, 1)
+    asked = replica.tick(SECOND, WALL)
     number = next(effect.message.round for effect in asked if isinstance(effect, Send))
-    said = messages.SuspectResponse(
+    message = messages.SuspectResponse(
         incarnation=1, view=0, asked_view=0, round=number, agree=True, progress=()
     )
-    found = one.receive(SECOND, "n2", said)
-    found += one.receive(
+    effects = replica.receive(SECOND, "n2", message)
+    effects += replica.receive(
         SECOND, "n2", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=())
     )
-    assert one.view == 1 and [effect.view for effect in found if isinstance(effect, Write)] == [1]
-    assert not [effect for effect in found if isinstance(effect, Send)]
-    sent = [effect.message for effect in one.write_synced(SECOND, 2) if isinstance(effect, Send)]
+    assert replica.view == 1 and [effect.view for effect in effects if isinstance(effect, Write)] == [1]
+    assert not [effect for effect in effects if isinstance(effect, Send)]
+    sent = [effect.message for effect in replica.write_synced(SECOND, 2) if isinstance(effect, Send)]
     assert {type(message) for message in sent} == {messages.StartViewChange, messages.DoViewChange}
 
 
-def test_a_past_that_is_not_ours_halts_and_is_not_taken_over() -> None:
+def test_entries_that_contradict_committed_ones_halt_the_member() -> None:
     sim = group()
-    fill(sim, 3)
+    submit_many(sim, 3)
     name = follower(sim)
-    one = sim.hosts[name].replica
-    assert one is not None
-    head, view = "n3" if name != "n3" else "n1", 2 if name != "n3" else 3
-    life = sim.hosts[head].replica.core.incarnation  # type: ignore[union-attr]
+    replica = sim.hosts[name].replica
+    assert replica is not None
+    later_leader, view = "n3" if name != "n3" else "n1", 2 if name != "n3" else 3
+    incarnation = sim.hosts[later_leader].replica.core.incarnation  # type: ignore[union-attr]
     wrong = (Entry(view, 2, 0, "", b"another"),)
-    found = one.receive(
+    effects = replica.receive(
         sim.now,
-        head,
+        later_leader,
         messages.Prepare(
-            incarnation=life,
+            incarnation=incarnation,
             view=view,
-            group=one.group,
+            group=replica.group,
             previous_number=1,
             previous_view=0,
             entries=wrong,
             committed=2,
         ),
     )
-    assert [effect.reason for effect in found if isinstance(effect, Halt)] == [Reason.OTHER_GROUP]
-    told = one.submit(sim.now, WALL, 1, "z", b"x", sim.now + SECOND)
-    assert told == [Answer(1, Reason.OTHER_GROUP, b"", 0)]
+    assert [effect.reason for effect in effects if isinstance(effect, Halt)] == [Reason.OTHER_GROUP]
+    answers = replica.submit(sim.now, WALL, 1, "z", b"x", sim.now + SECOND)
+    assert answers == [Answer(1, Reason.OTHER_GROUP, b"", 0)]
 
 
-def test_a_blank_member_does_not_recover_from_one_that_is_behind() -> None:
+def test_a_blank_member_does_not_recover_from_a_member_of_an_old_view() -> None:
     sim = group()
-    alone(sim, "n1")
+    isolate(sim, "n1")
     sim.run(2 * SECOND)
-    fill(sim, 3)  # Held by n2 and n3 in a later view.
+    submit_many(sim, 3)  # In a later view of n2 and n3.
     sim.crash("n3")
     sim.start("n3")
-    alone(sim, "n2")  # Now n3 hears n1 alone, which still believes in its own view.
+    isolate(sim, "n2")  # Now n3 hears only n1, which is still in its old view.
     sim.run(3 * SECOND)
-    one = sim.hosts["n3"].replica
-    assert len(sim.acked) == 3 and one and one.status is Status.BLANK
+    replica = sim.hosts["n3"].replica
+    assert len(sim.acked) == 3 and replica and replica.status is Status.BLANK
     sim.settle()
 
 
-def told(name: int, view: int, normal: bool = True, lives: Any = (), number: int = 0) -> RecoveryResponse:
+def recovery_response(
+    incarnation: int, view: int, normal: bool = True, incarnations: Any = (), number: int = 0
+) -> RecoveryResponse:
     return RecoveryResponse(
-        incarnation=name,
+        incarnation=incarnation,
         view=view,
         requester_incarnation=9,
         round=1,
         is_normal=normal,
         group="g",
         last_number=number,
-        incarnations=lives,
+        incarnations=incarnations,
         founders=(),
         progress=(),
     )
@@ -538,54 +563,77 @@
 @pytest.mark.parametrize(
     ("answers", "source"),
     [
-        ({"n2": told(2, 1), "n4": told(4, 1)}, ""),  # Too few.
-        ({"n2": told(2, 1), "n4": told(4, 0), "n5": told(5, 1)}, "n2"),
+        ({"n2": recovery_response(2, 1), "n4": recovery_response(4, 1)}, ""),  # Too few.
+        ({"n2": recovery_response(2, 1), "n4": recovery_response(4, 0), "n5": recovery_response(5, 1)}, "n2"),
+        (
+            {
+                "n2": recovery_response(2, 1),
+                "n4": recovery_response(4, 1, normal=False),
+                "n5": recovery_response(5, 0),
+            },
+            "",
+        ),  # n4 is in a view change.
+        (
+            {"n1": recovery_response(1, 0), "n4": recovery_response(4, 1), "n5": recovery_response(5, 0)},
+            "",
+        ),  # Without the newest view's leader.
+        ({"n1": recovery_response(1, 5), "n2": recovery_response(2, 1), "n4": recovery_response(4, 0)}, "n1"),
         (
-            {"n2": told(2, 1), "n4": told(4, 1, normal=False), "n5": told(5, 0)},
+            {
+                "n2": recovery_response(2, 1),
+                "n4": recovery_response(4, 0),
+                "n5": recovery_response(5, 1, incarnations=(("n4", 40),)),
+            },
             "",
-        ),  # One is between two views.
-        ({"n1": told(1, 0), "n4": told(4, 1), "n5": told(5, 0)}, ""),  # Without the newest view's leader.
-        ({"n1": told(1, 5), "n2": told(2, 1), "n4": told(4, 0)}, "n1"),
-        ({"n2": told(2, 1), "n4": told(4, 0), "n5": told(5, 1, lives=(("n4", 40),))}, ""),  # n4 lives anew.
-        ({"n4": told(40, 0), "n2": told(2, 1), "n5": told(5, 1, lives=(("n4", 40),))}, "n2"),
+        ),  # n4 has restarted.
+        (
+            {
+                "n4": recovery_response(40, 0),
+                "n2": recovery_response(2, 1),
+                "n5": recovery_response(5, 1, incarnations=(("n4", 40),)),
+            },
+            "n2",
+        ),
     ],
 )
-def test_recovery_needs_a_majority_of_sound_answers(
+def test_recovery_needs_a_crash_consistent_majority_with_the_newest_leader(
     answers: dict[str, RecoveryResponse], source: str
 ) -> None:
-    one = Replica(
+    replica = Replica(
         "n3", ["n1", "n2", "n3", "n4", "n5"], [], CountingMachine(), 1, 9, None, False, noop=b"noop"
     )
     for name, answer in answers.items():
-        one.receive(0, name, answer)
-    task = one.core.transfer
+        replica.receive(0, name, answer)
+    task = replica.core.transfer
     assert (task.source if task else "") == source
 
 
-def test_birth_needs_one_moment_at_which_all_were_blank() -> None:
-    one = Replica("n1", ["n1", "n2", "n3"], [], CountingMachine(), 1, 9, None, False, noop=b"noop")
-    one.tick(0, WALL)
+def test_bootstrap_needs_a_moment_at_which_all_voters_were_blank() -> None:
+    replica = Replica("n1", ["n1", "n2", "n3"], [], CountingMachine(), 1, 9, None, False, noop=b"noop")
+    replica.tick(0, WALL)
     blank = Status.BLANK
-    for round_, lives, status in (
+    for round_, incarnations, status in (
         (1, (2, 3), blank),
         (2, (2, 4), blank),
         (2, (2, 4), blank),
         (3, (2, 4), Status.NORMAL),
     ):
-        for name, life in zip(("n2", "n3"), lives, strict=True):
-            one.receive(
+        for name, incarnation in zip(("n2", "n3"), incarnations, strict=True):
+            replica.receive(
                 0,
                 name,
-                messages.BlankResponse(incarnation=life, view=0, requester_incarnation=9, round=round_),
+                messages.BlankResponse(
+                    incarnation=incarnation, view=0, requester_incarnation=9, round=round_
+                ),
             )
-        assert one.status is status, (round_, lives)
+        assert replica.status is status, (round_, incarnations)
 
 
-def test_no_group_is_born_with_one_that_knows_of_another() -> None:
-    alone = Replica("n1", ["n1"], [], CountingMachine(), 1, 9, None, True, noop=b"noop", lost_state=True)
-    alone.tick(0, WALL)
-    assert alone.status is Status.BLANK
-    one = Replica(
+def test_no_group_is_formed_with_a_member_that_lost_its_state() -> None:
+    single = Replica("n1", ["n1"], [], CountingMachine(), 1, 9, None, True, noop=b"noop", lost_state=True)
+    single.tick(0, WALL)
+    assert single.status is Status.BLANK
+    replica = Replica(
         "n1", ["n1", "n2", "n3"], [], CountingMachine(), 1, 9, None, True, noop=b"noop", lost_state=True
     )
     ask = messages.RecoveryRequest(incarnation=2, view=0, round=1, voters=("n1", "n2", "n3"), incarnations=())
@@ -593,152 +641,163 @@
         {"lost_state": True},
         {"lost_state": False, "log": Log(3), "committed": 3, "matched_number": 3},
     ):
-        # The second recovered a part, then lost its source.
+        # In the second case it has recovered a part of the log, then lost its source.
         for name, value in part.items():
-            setattr(one.core, name, value)
-        assert not [effect for effect in one.receive(0, "n2", ask) if isinstance(effect, Send)], part
+            setattr(replica.core, name, value)
+        assert not [effect for effect in replica.receive(0, "n2", ask) if isinstance(effect, Send)], part
         for round_ in (1, 2, 3):
             for name in ("n2", "n3"):
-                one.receive(
+                replica.receive(
                     0,
                     name,
                     messages.BlankResponse(incarnation=2, view=0, requester_incarnation=9, round=round_),
                 )
-        assert one.status is Status.BLANK, part
-    one.core.log, one.core.committed, one.core.matched_number = Log(), 0, 0
-    assert [effect.message.round for effect in one.receive(0, "n2", ask) if isinstance(effect, Send)] == [1]
+        assert replica.status is Status.BLANK, part
+    replica.core.log, replica.core.committed, replica.core.matched_number = Log(), 0, 0
+    assert [effect.message.round for effect in replica.receive(0, "n2", ask) if isinstance(effect, Send)] == [
+        1
+    ]
 
 
 @pytest.mark.parametrize("disk", [False, True])
 def test_a_new_leader_counts_itself_once_synced_and_commits_by_entries_of_its_own_view(disk: bool) -> None:
     saved = PersistedState("g", 4, 0, 0, 1, None, tuple(Entry(0, number, 0, "", b"") for number in (1, 2)))
-    one = Replica("n2", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, disk, noop=b"noop")
-    one.core.options = one.core.options._replace(disk=disk)
-    one.tick(0, WALL)
-    one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=()))
-    one.receive(
+    replica = Replica("n2", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, disk, noop=b"noop")
+    replica.core.options = replica.core.options._replace(disk=disk)
+    replica.tick(0, WALL)
+    replica.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=()))
+    replica.receive(
         0,
         "n3",
         messages.DoViewChange(
             incarnation=1, view=1, last_entry_view=0, last_number=1, committed=1, incarnations=(), progress=()
         ),
     )
-    assert one.status is (Status.VIEW_CHANGE if disk else Status.NORMAL)
-    while disk and one.core.synced_ticket < one.core.last_ticket:
-        one.write_synced(0, one.core.synced_ticket + 1)
-    assert one.leader == "n2" and one.core.log.last_number == 3
+    assert replica.status is (Status.VIEW_CHANGE if disk else Status.NORMAL)
+    while disk and replica.core.synced_ticket < replica.core.last_ticket:
+        replica.write_synced(0, replica.core.synced_ticket + 1)
+    assert replica.leader == "n2" and replica.core.log.last_number == 3
     for number, committed in ((2, 1), (3, 3)):
-        one.receive(0, "n3", PrepareOk(incarnation=1, view=1, round=0, number=number, committed=0, status=""))
-        assert one.committed == committed
+        replica.receive(
+            0, "n3", PrepareOk(incarnation=1, view=1, round=0, number=number, committed=0, status="")
+        )
+        assert replica.committed == committed
 
 
-def test_who_led_a_view_before_a_restart_leads_it_no_more() -> None:
+def test_a_restarted_leader_does_not_lead_its_old_view() -> None:
     saved = PersistedState("g", 4, 1, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
-    one = Replica("n2", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, True, noop=b"noop")
-    one.tick(0, WALL)
-    one.write_synced(0, 1)
-    one.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=()))
-    one.receive(
+    replica = Replica("n2", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, True, noop=b"noop")
+    replica.tick(0, WALL)
+    replica.write_synced(0, 1)
+    replica.receive(0, "n3", messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=()))
+    replica.receive(
         0,
         "n3",
         messages.DoViewChange(
             incarnation=1, view=1, last_entry_view=0, last_number=1, committed=1, incarnations=(), progress=()
         ),
     )
-    assert one.status is Status.VIEW_CHANGE and one.core.log.last_number == 1
+    assert replica.status is Status.VIEW_CHANGE and replica.core.log.last_number == 1
 
 
-def test_a_vote_is_given_once_a_majority_is_known_to_have_left() -> None:
-    one = Replica(
+def test_a_vote_is_given_once_a_majority_is_known_to_have_left_its_view() -> None:
+    replica = Replica(
         "n3", ["n1", "n2", "n3", "n4", "n5"], [], CountingMachine(), 1, 5, None, False, noop=b"noop"
     )
-    bootstrap.join_new_group(one.core, 0, ())
+    bootstrap.join_new_group(replica.core, 0, ())
     for name, votes in (("n4", 0), ("n4", 0), ("n5", 1)):
-        found = one.receive(
+        effects = replica.receive(
             0, name, messages.StartViewChange(incarnation=1, view=1, incarnations=(), progress=())
         )
         assert [
             effect.to
-            for effect in found
+            for effect in effects
             if isinstance(effect, Send) and isinstance(effect.message, messages.DoViewChange)
         ] == ["n2"] * votes
 
 
-def test_a_command_that_was_refused_is_not_written_when_it_comes_once_more() -> None:
-    class Moody(CountingMachine):
-        mood = b"refused"
+def test_a_late_copy_of_a_refused_command_is_not_written() -> None:
+    class ChangingMachine(CountingMachine):
+        refusal = b"refused"
 
         def validate(self, state: Any, at: int, command: bytes) -> bytes | None:
-            return self.mood or None
-
-    machine = Moody()
-    one = Replica("n1", ["n1", "n2", "n3"], [], machine, 1, 9, None, False, noop=b"noop")
-    begin(one)
-    for mood, view, attempt, top in ((b"refused", 0, 1, 1), (b"", 0, 1, 1), (b"", 3, 2, 1), (b"", 0, 2, 2)):
-        machine.mood = mood
-        one.receive(
+            return self.refusal or None
+
+    machine = ChangingMachine()
+    replica = Replica("n1", ["n1", "n2", "n3"], [], machine, 1, 9, None, False, noop=b"noop")
+    form_group(replica)
+    for refusal, view, attempt, last_number in (
+        (b"refused", 0, 1, 1),
+        (b"", 0, 1, 1),
+        (b"", 3, 2, 1),
+        (b"", 0, 2, 2),
+    ):
+        machine.refusal = refusal
+        replica.receive(
             0,
             "n3",
             messages.CommandRequest(
                 incarnation=1, view=view, ticket=1, attempt=attempt, token="t", command=b"x"
             ),
         )
-        assert one.core.log.last_number == top
+        assert replica.core.log.last_number == last_number
 
 
-def begin(one: Replica) -> None:
-    """Born as the leader of the first view, which writes its first entry once a majority follows."""
-    bootstrap.join_new_group(one.core, 0, ())
-    for name in one.core.options.voters[1:]:
-        assert one.core.log.last_number == (
-            1 if len(one.core.acknowledged) + 1 >= one.core.options.majority else 0
+def form_group(replica: Replica) -> None:
+    """Make it the leader of a new group, which writes the first entry once a majority follows."""
+    bootstrap.join_new_group(replica.core, 0, ())
+    for name in replica.core.options.voters[1:]:
+        assert replica.core.log.last_number == (
+            1 if len(replica.core.acknowledged) + 1 >= replica.core.options.majority else 0
         )
-        one.receive(0, name, PrepareOk(incarnation=1, view=0, round=0, number=0, committed=0, status=""))
+        replica.receive(0, name, PrepareOk(incarnation=1, view=0, round=0, number=0, committed=0, status=""))
 
 
-def test_one_that_was_born_alone_is_blank_again_and_lets_the_others_be_born() -> None:
+def test_a_bootstrap_without_a_first_entry_is_abandoned() -> None:
     for late in ("n1", "n3"):
         sim = Simulation(4, 3)
         for name in sim.voters:
             sim.start(name)
-        # The two others answered blank, and went before they knew; these are their next lives.
-        one = sim.hosts[late].replica
-        assert one is not None
-        lives = {name: 1 for name in sim.voters} | {late: one.core.incarnation}
-        bootstrap.join_new_group(one.core, sim.now, tuple(lives.items()))
+        # The two others answered blank, and restarted before they joined the group.
+        replica = sim.hosts[late].replica
+        assert replica is not None
+        incarnations = {name: 1 for name in sim.voters} | {late: replica.core.incarnation}
+        bootstrap.join_new_group(replica.core, sim.now, tuple(incarnations.items()))
         sim.run(5 * SECOND)
         assert leader(sim) and sim.notes["group-unborn"] == 1
         sim.settle()
 
 
-def test_what_a_member_said_in_an_earlier_life_counts_no_more() -> None:
+def test_acknowledgements_of_an_ended_incarnation_do_not_count() -> None:
     names = ("n1", "n2", "n3", "n4", "n5")
-    one = Replica("n1", names, [], CountingMachine(), 1, 9, None, False, noop=b"noop")
-    begin(one)
+    replica = Replica("n1", names, [], CountingMachine(), 1, 9, None, False, noop=b"noop")
+    form_group(replica)
 
-    def have(name: str, life: int) -> int:
-        one.receive(0, name, PrepareOk(incarnation=life, view=0, round=0, number=1, committed=0, status=""))
-        return one.committed
+    def acknowledge(name: str, incarnation: int) -> int:
+        replica.receive(
+            0, name, PrepareOk(incarnation=incarnation, view=0, round=0, number=1, committed=0, status="")
+        )
+        return replica.committed
 
-    assert have("n3", 1) == 0
-    one.receive(
+    assert acknowledge("n3", 1) == 0
+    replica.receive(
         0, "n3", messages.RecoveryRequest(incarnation=2, view=0, round=1, voters=names, incarnations=())
-    )  # A blank one.
-    assert [have("n4", 1), have("n3", 1), have("n3", 2)] == [0, 0, 1]
+    )  # n3 has restarted blank.
+    assert [acknowledge("n4", 1), acknowledge("n3", 1), acknowledge("n3", 2)] == [0, 0, 1]
 
 
-def test_what_a_member_once_vouched_for_is_not_forgotten_when_it_tells_less() -> None:
+def test_the_most_that_a_member_has_acknowledged_is_kept() -> None:
     core = group().hosts["n1"].replica.core  # type: ignore[union-attr]
     for incarnation, number, kept in ((500, 10, (500, 10)), (501, 3, (500, 10)), (501, 11, (501, 11))):
         peers.learn_member_progress(core, messages.MemberProgress("n3", incarnation, 0, 0, number, 0, ""))
         assert (core.progress["n3"].incarnation, core.progress["n3"].number) == kept
 
 
-def test_a_follower_vouches_for_nothing_while_its_view_is_not_on_its_disk() -> None:
+def test_a_follower_acknowledges_nothing_before_its_view_is_synced() -> None:
     saved = PersistedState("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
-    one = Replica("n3", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, True, noop=b"noop")
-    one.tick(0, WALL)
-    one.write_synced(0, 1)
+    replica = Replica("n3", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, True, noop=b"noop")
+    replica.tick(0, WALL)
+    replica.write_synced(0, 1)
     beat = messages.Heartbeat(
         incarnation=1,
         view=1,
@@ -749,19 +808,19 @@
         progress=(),
         voters=("n1", "n2", "n3"),
     )
-    kinds = [type(effect.message) for effect in one.receive(0, "n2", beat) if isinstance(effect, Send)]
-    assert kinds == [] and one.view == 1
-    sent = [effect.message for effect in one.write_synced(0, 2) if isinstance(effect, Send)]
+    kinds = [type(effect.message) for effect in replica.receive(0, "n2", beat) if isinstance(effect, Send)]
+    assert kinds == [] and replica.view == 1
+    sent = [effect.message for effect in replica.write_synced(0, 2) if isinstance(effect, Send)]
     assert [(type(message), message.view, message.number) for message in sent] == [(PrepareOk, 1, 1)]
 
 
-def test_entries_that_took_the_place_of_others_are_vouched_for_after_their_own_sync() -> None:
+def test_entries_that_replaced_others_are_acknowledged_after_their_own_sync() -> None:
     saved = PersistedState("g", 4, 0, 0, 1, None, (Entry(0, 1, 0, "group:g", b"noop"),))
-    one = Replica("n3", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, True, noop=b"noop")
-    one.tick(0, WALL)
+    replica = Replica("n3", ["n1", "n2", "n3"], [], CountingMachine(), 1, 5, saved, True, noop=b"noop")
+    replica.tick(0, WALL)
     for view, ticket in ((0, 2), (1, 3)):
         entries = tuple(Entry(view, number, 0, "", b"v%d" % view) for number in (2, 3))
-        said = messages.Prepare(
+        message = messages.Prepare(
             incarnation=1,
             view=view,
             group="g",
@@ -770,15 +829,15 @@
             entries=entries,
             committed=1,
         )
-        one.receive(0, f"n{view + 1}", said)
-        assert one.core.last_ticket == ticket
-    found = [
-        [effect.message.number for effect in one.write_synced(0, ticket) if isinstance(effect, Send)]
+        replica.receive(0, f"n{view + 1}", message)
+        assert replica.core.last_ticket == ticket
+    effects = [
+        [effect.message.number for effect in replica.write_synced(0, ticket) if isinstance(effect, Send)]
         for ticket in (2, 3)
     ]
-    assert found == [[], [3]]
-    one.receive(0, "n3", messages.NewerView(incarnation=1, view=9))
-    one.receive(
+    assert effects == [[], [3]]
+    replica.receive(0, "n3", messages.NewerView(incarnation=1, view=9))
+    replica.receive(
         0,
         "n1",
         messages.Prepare(
@@ -791,10 +850,10 @@
             committed=1,
         ),
     )
-    assert one.core.durable == 1 and one.core.acknowledgeable_number == -1
+    assert replica.core.durable == 1 and replica.core.acknowledgeable_number == -1
 
 
 @pytest.mark.parametrize("block", range(12))
-def test_whatever_happens_what_was_acknowledged_stands(block: int) -> None:
+def test_acknowledged_commands_survive_generated_histories(block: int) -> None:
     for seed in range(4):
         run_history(block * 4 + seed, acts=40)
