--- a/ambershift/coordinator/replication/core.py
+++ b/ambershift/coordinator/replication/core.py
@@ -41,7 +41,7 @@
     deadline: int
     retry_at: int
     open_attempts: tuple[int, ...]
-    read_number: int  # A read is answered once this entry is applied; -1: the leader has not told it yet.
+    read_number: int  # A read is answered once this entry is applied; -1: not known yet.
     last_refusal: str  # A `Reason` value; "": not refused.
 
     @property
@@ -118,7 +118,7 @@
         self.tokens = TokenTable(options.tuning.max_tokens)
         self.snapshot: Snapshot | None = None
         self.matched_number = 0  # Up to this entry the log is known to equal that of the view's leader.
-        self.wall_offset = 0  # Wall clock minus `now`, as of the last call that told both.
+        self.wall_offset = 0  # Wall clock minus `now`, as of the last call with both.
         self.halted: tuple[str, str] = ("", "")
         # The other members.
         self.incarnations: dict[str, int] = {options.me: incarnation}
@@ -144,7 +144,7 @@
         self.unsynced_writes: list[tuple[int, int, int]] = []  # Ticket, view, last number.
         self.messages_awaiting_sync: list[tuple[int, str, Message]] = []
         # Bootstrap and recovery.
-        self.round = 0
+        self.round = 0  # Of this member's requests and heartbeats, to tell late answers from current ones.
         self.next_recovery_request = 0
         self.blank_in_last_round: dict[str, int] = {}
         self.blank_in_this_round: dict[str, int] = {}
@@ -208,7 +208,7 @@
     def known_group(self) -> str:
         """The group's id as its first entry has it, committed or not.
 
-        With the uncommitted entry, a newly formed group is told from another one from its first message on.
+        As the uncommitted entry counts, a newly formed group differs from others from its first message on.
         """
         if self.group or self.log.base or not self.log.last_number:
             return self.group
--- a/ambershift/coordinator/replication/tuning.py
+++ b/ambershift/coordinator/replication/tuning.py
@@ -19,7 +19,7 @@
     transfer_retry_ns: int = 200 * MS  # A chunk that has not come by then is requested again.
     request_retry_ns: int = 300 * MS  # A forwarded request without an answer by then is sent again.
     client_retry_ns: int = 1000 * MS  # Told to clients that are refused for want of a majority.
-    commit_notice_delay_ns: int = 5 * MS  # How late a commit is told when no other message carries it.
+    commit_notice_delay_ns: int = 5 * MS  # Until a heartbeat announces a commit that no entries carry.
     max_batches_in_flight: int = 4  # Commands that come meanwhile make up the next batch.
     max_batch_bytes: int = 256 << 10
     max_chunk_bytes: int = 256 << 10
