--- a/tests/coordinator/program/test_program.py
+++ b/tests/coordinator/program/test_program.py
@@ -13,29 +13,29 @@
 from ambershift.coordinator.program.signals import Signals
 from tests.support.coordinator_process import (
     SETTINGS,
-    Stage,
+    RunningCoordinator,
     configure,
-    launch,
+    launch_process,
     listing,
-    play,
-    playing,
+    run_scenario,
+    running_coordinator,
     server,
-    start,
+    start_process,
     until,
 )
 from tests.support.policy_model import free_port
 
 
 def test_starts_from_a_stale_list_and_follows_the_true_one(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         assert await stage.probe() == b"alive\r\n"
         await until(lambda: stage.logged("listed"))
         stage.relay.news("hello 3 east 21.5 1")
-        table = (await until(stage.bound))[3]
-        await until(lambda: stage.stands(table) == {"s-1", "s-2", "s-3", "s-4", "s-5", "s-6"})
+        table = (await until(stage.attached_tables))[3]
+        await until(lambda: stage.servers_in_table(table) == {"s-1", "s-2", "s-3", "s-4", "s-5", "s-6"})
         assert "wait_ms=400" in stage.discovery.asked[0] and "after=3&" in stage.discovery.asked[0]
 
-    play(
+    run_scenario(
         tmp_path,
         act,
         listing(3, *(server(number) for number in range(6))),
@@ -44,9 +44,9 @@
 
 
 def test_a_drain_is_ordered_and_its_answer_told(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         stage.relay.news("hello 3 east 21.5 1")
-        await until(stage.bound)
+        await until(stage.attached_tables)
         fence = next(order for order in stage.relay.carried if order.startswith("fence"))
         stage.relay.news(f"ack 3 {fence.split(',')[1]} 120.5")
         stage.discovery.change(server(2, "draining"))
@@ -54,60 +54,62 @@
         stage.discovery.change(server(2))
         await until(lambda: "uneject,s-2" in stage.relay.carried)
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 @pytest.mark.parametrize(
     "mood", ["break before", "break after", "mute", "garbage", "endless", "busy", "in pieces"]
 )
 def test_a_call_with_no_known_outcome_goes_out_again_before_any_later_one(tmp_path: Path, mood: str) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         stage.relay.moods.extend([mood, mood])
         stage.relay.news("hello 3 east 21.5 1")
         stage.relay.news("hello 4 west 11.5 1")
         first = 1 if mood == "in pieces" else 3
-        await until(lambda: stage.bound().keys() == {3, 4} and len(stage.relay.heard) >= first)
+        await until(lambda: stage.attached_tables().keys() == {3, 4} and len(stage.relay.heard) >= first)
         assert stage.relay.heard[0] == stage.relay.heard[first - 1]
         assert all(one != stage.relay.heard[0] for one in stage.relay.heard[first:])
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 def test_an_order_that_is_not_taken_is_left_out_and_the_rest_sent(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         stage.relay.moods.append("no attach")
         stage.relay.news("hello 3 east 21.5 1")
         told = (await until(lambda: stage.logged("order_not_taken")))[0]
         await until(lambda: any(order.startswith("fence") for order in stage.relay.carried))
-        assert told["order"].startswith("attach,3,") and not stage.bound()
+        assert told["order"].startswith("attach,3,") and not stage.attached_tables()
         assert stage.relay.heard[1] == stage.relay.heard[0][stage.relay.heard[0].index(told["order"]) + 1 :]
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 def test_of_a_call_that_is_not_understood_each_order_goes_out_alone(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         stage.relay.moods.extend(["unread", "unread"])
         stage.relay.news("hello 3 east 21.5 1")
-        await until(stage.bound)
+        await until(stage.attached_tables)
         # A later reply may join the row and fold with what still waits there; tests of the row by itself say
         # in which order all goes out. Here: the first goes out alone, is lost, and takes no other with it.
         whole = stage.relay.heard[0]
         assert stage.relay.heard[1] == whole[:1]
         assert [line["order"] for line in stage.logged("order_not_read")] == whole[:1]
         await until(lambda: any(order.startswith("fence") for order in stage.relay.carried))
-        assert stage.stands(stage.bound()[3]) | {whole[0].split(",")[2]} == {f"s-{at}" for at in range(6)}
+        assert stage.servers_in_table(stage.attached_tables()[3]) | {whole[0].split(",")[2]} == {
+            f"s-{at}" for at in range(6)
+        }
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 @pytest.mark.parametrize("silent", [False, True])
 def test_news_that_break_or_fall_silent_are_compared_on_return(tmp_path: Path, silent: bool) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         relay = stage.relay
         for proxy in (1, 2, 3):
             relay.news(f"hello {proxy} east 21.5 1")
-        await until(lambda: len(stage.bound()) == 3 and relay.followed == 2)
+        await until(lambda: len(stage.attached_tables()) == 3 and relay.followed == 2)
         del relay.standing[2]
         relay.standing[4] = "* hello 4 west 9 0\r\n"
         if silent:
@@ -117,15 +119,15 @@
             relay.quiet = False
         else:
             relay.drop()
-        await until(lambda: 4 in stage.bound() and stage.logged("left"))
+        await until(lambda: 4 in stage.attached_tables() and stage.logged("left"))
         assert [line["proxy"] for line in stage.logged("joined")] == [1, 2, 3, 4]
         assert [line["proxy"] for line in stage.logged("left")] == [2]
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 def test_one_of_two_news_connections_breaks_and_nothing_is_missed(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         relay = stage.relay
         relay.news("hello 1 east 21.5 1")
         await until(lambda: relay.followed == 2)
@@ -140,12 +142,12 @@
         assert [line["proxy"] for line in stage.logged("joined")] == [1, 2, 1, 3, 1, 4, 1, 5, 1]
         assert [line["proxy"] for line in stage.logged("left")] == [1, 1, 1, 1]
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 @pytest.mark.parametrize("mood", ["503", "reset", "mute", "garbage", "old", "large"])
 def test_discovery_that_fails_is_asked_again_and_misses_nothing(tmp_path: Path, mood: str) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         await until(lambda: stage.logged("listed"))
         stage.discovery.mood = mood
         await until(lambda: stage.logged("list_failed"))
@@ -153,14 +155,16 @@
         stage.discovery.change(server(7))
         await until(lambda: stage.discovery.asked[-1].startswith("/v1/endpoints?after=6&"))
         stage.relay.news("hello 3 east 21.5 1")
-        await until(lambda: any("s-7" in stage.stands(table) for table in stage.bound().values()))
+        await until(
+            lambda: any("s-7" in stage.servers_in_table(table) for table in stage.attached_tables().values())
+        )
         assert len(stage.discovery.asked) < 40
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 def test_discovery_that_answers_at_once_is_not_stormed(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         await until(lambda: stage.logged("listed"))
         stage.discovery.mood, before = "eager", len(stage.discovery.asked)
         await asyncio.sleep(1.0)
@@ -169,7 +173,7 @@
         stage.discovery.change(server(7))
         await until(lambda: stage.logged("listed")[-1]["changes"] == {"s-7": "READY"})
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 REPORT = b"outcomes zone=east server=s-1 tries=2 failed=0 mean_ms=41.7 span_ms=1000.0 load=util:0.5\r\n"
@@ -196,7 +200,7 @@
 def test_strangers_get_a_close_or_error_in_time_and_keep_no_collector_out(
     tmp_path: Path, pieces: list[bytes], wait: float, due: bytes
 ) -> None:
-    async def strange(stage: Stage) -> bytes:
+    async def strange(stage: RunningCoordinator) -> bytes:
         heard = b""
         reader, writer = await asyncio.open_connection(*stage.address)
         with contextlib.suppress(ConnectionError):
@@ -209,7 +213,7 @@
         writer.close()
         return heard
 
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         _, collector = await stage.join("east")
         many = asyncio.gather(*(asyncio.wait_for(strange(stage), 2.5) for _ in range(300)))
         await asyncio.sleep(0.1)
@@ -230,14 +234,14 @@
         counts = (await until(lambda: stage.logged("totals")))[-1]["counts"]
         assert counts["reports"] == 2
 
-    play(tmp_path, act, sockets=256)
+    run_scenario(tmp_path, act, sockets=256)
 
 
 SPOILT = ("", "s-zz", "nan", "-3", "1e+30", "38654705664", "[1]", "\xff")
 
 
 def test_a_spoilt_message_costs_itself_alone_and_rubbish_the_connection(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         reader, writer = await stage.join("east")
         words, rows = REPORT.decode().split(), 0
         for spoilt in SPOILT:
@@ -258,11 +262,11 @@
         counts = (await until(lambda: stage.logged("totals")))[-1]["counts"]
         assert counts["reports"] == rows + 2 + 4 and counts["unreadable"] + counts["refused"] >= rows + 2
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 def test_of_many_collectors_of_a_zone_the_one_silent_for_longest_goes(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         first, silent, third = [await stage.join("east") for _ in range(3)]
         first[1].write(REPORT)
         await asyncio.sleep(0.1)
@@ -270,24 +274,24 @@
         assert await asyncio.wait_for(silent[0].read(), 1) == b""
         assert not any(reader.at_eof() for reader, _ in (first, third, last))
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 def test_a_log_that_nobody_reads_holds_nothing_up(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         for turn in range(100):
             stage.relay.news(("hello 3 east 21.5 1", "bye 3")[turn % 2])
         stage.relay.news("hello 5 west 21.5 1")
-        await until(lambda: 5 in stage.bound())
+        await until(lambda: 5 in stage.attached_tables())
         assert await stage.probe() == b"alive\r\n"
         stage.process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(stage.process.wait(), 1) == 0
 
-    play(tmp_path, act, read=False)
+    run_scenario(tmp_path, act, read=False)
 
 
 def test_ends_promptly_on_sigterm_with_all_connections_open(tmp_path: Path) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         await until(lambda: stage.relay.followed and stage.discovery.asked)
         _, writer = await asyncio.open_connection(*stage.address)
         stage.process.send_signal(signal.SIGTERM)
@@ -295,15 +299,15 @@
         await until(lambda: stage.logged("stopped"))
         writer.close()
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 @pytest.mark.parametrize("times", [1, 3])
 def test_a_new_configuration_moves_both_and_nothing_is_lost(tmp_path: Path, times: int) -> None:
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         relay, discovery = stage.relay, stage.discovery
         relay.news("hello 3 east 21.5 1")
-        await until(lambda: stage.bound() and len(relay.followers) == 2 and discovery.asked)
+        await until(lambda: stage.attached_tables() and len(relay.followers) == 2 and discovery.asked)
         old, (news, lists) = list(relay.followers), (relay.places[0], discovery.places[0])
         servers = [await asyncio.start_server(one.serve, "127.0.0.1", 0) for one in (relay, discovery)]
         ports = [one.sockets[0].getsockname()[1] for one in servers]
@@ -326,7 +330,7 @@
         await until(lambda: len(relay.followers) == 2)
         relay.news("bye 3")
         relay.news("hello 5 east 21.5 1")
-        await until(lambda: {4, 5} <= stage.bound().keys() and "eject,s-2" in relay.carried)
+        await until(lambda: {4, 5} <= stage.attached_tables().keys() and "eject,s-2" in relay.carried)
         discovery.change(server(2))
         await until(lambda: "uneject,s-2" in relay.carried)
         assert discovery.places[-1] == ports[1] != lists and relay.places[-1] == ports[0] != news
@@ -340,7 +344,7 @@
         for one in servers:
             one.close()
 
-    play(tmp_path, act)
+    run_scenario(tmp_path, act)
 
 
 def test_a_signal_to_read_anew_ends_nothing_and_is_heeded_however_early() -> None:
@@ -381,7 +385,7 @@
     tmp_path: Path, change: dict[str, Any], words: str
 ) -> None:
     async def act() -> None:
-        process = await start(tmp_path, configure(free_port(), 1, 1, listing(1)) | change)
+        process = await start_process(tmp_path, configure(free_port(), 1, 1, listing(1)) | change)
         out, _ = await process.communicate()
         told = [json.loads(line) for line in out.splitlines()]
         assert process.returncode == 2 and len(told) == 1 and words in told[0]["why"]
@@ -393,7 +397,7 @@
     async def act(text: str | None) -> None:
         if text is not None:
             (tmp_path / "config.json").write_text(text)
-        process = await launch(tmp_path)
+        process = await launch_process(tmp_path)
         out, _ = await process.communicate()
         assert process.returncode == 2 and len(out.splitlines()) == 1 and b"BALANCER_CONFIG" in out
 
@@ -404,7 +408,7 @@
 def test_bad_input_loses_no_good_proxy_while_hundreds_join_anew(tmp_path: Path) -> None:
     info = {**SETTINGS["family_info"], "proxies": 640, "egress_per_s": 100_000.0, "most_waiting": 200_000.0}
 
-    async def act(stage: Stage) -> None:
+    async def act(stage: RunningCoordinator) -> None:
         relay, discovery = stage.relay, stage.discovery
         reader, writer = await stage.join("east")
         for proxy in range(640):
@@ -419,17 +423,19 @@
         strangers = [await asyncio.open_connection(*stage.address) for _ in range(100)]
         for _, stranger in strangers[::2]:
             stranger.write(b"GET / HTTP/1.1\r\n\r\n")
-        await until(lambda: len(stage.bound()) == 640)
+        await until(lambda: len(stage.attached_tables()) == 640)
         assert await stage.probe() == b"alive\r\n"
         await until(lambda: len(stage.logged("refused")) >= 8 and len(stage.logged("unreadable")) >= 8)
         await until(lambda: stage.logged("list_failed"))
         discovery.now = listing(10, *(server(number) for number in range(7)))
         await until(lambda: any("s-6" in order for order in relay.carried))
-        assert 640 not in stage.bound() and not writer.transport.is_closing() and not reader.at_eof()
+        assert (
+            640 not in stage.attached_tables() and not writer.transport.is_closing() and not reader.at_eof()
+        )
         for _, stranger in strangers:
             stranger.close()
 
-    play(tmp_path, act, settings={**SETTINGS, "family_info": info})
+    run_scenario(tmp_path, act, settings={**SETTINGS, "family_info": info})
 
 
 def test_coordinators_restarted_one_at_a_time_with_an_old_list_and_discovery_moved_break_nothing(
@@ -439,14 +445,14 @@
 
     async def whole() -> None:
         async with contextlib.AsyncExitStack() as stack:
-            stages = list[Stage]()
+            stages = list[RunningCoordinator]()
             for number in range(3):
                 (place := tmp_path / str(number)).mkdir()
-                stages.append(await stack.enter_async_context(playing(place, usual, usual)))
+                stages.append(await stack.enter_async_context(running_coordinator(place, usual, usual)))
             for stage in stages:
                 for proxy, zone in enumerate(("east", "west", "east", "west")):
                     stage.relay.news(f"hello {proxy} {zone} 5 1")
-                await until(lambda stage=stage: len(stage.bound()) == 4)
+                await until(lambda stage=stage: len(stage.attached_tables()) == 4)
             for number, stage in enumerate(stages):
                 for each in stages:
                     each.discovery.change(server(number, "draining"))
@@ -460,7 +466,7 @@
                 stack.callback(moved.close)
                 place, before = tmp_path / str(number) / "config.json", len(stage.relay.carried)
                 told, asked = json.loads(place.read_text()), len(stage.discovery.asked)
-                stage.process = await launch(place.parent)
+                stage.process = await launch_process(place.parent)
                 log = asyncio.create_task(stage.read_log())
                 stack.callback(log.cancel)
                 await until(lambda: len(stage.discovery.asked) > asked)  # noqa: B023
--- a/tests/coordinator/runtime/test_runtime.py
+++ b/tests/coordinator/runtime/test_runtime.py
@@ -15,9 +15,17 @@
 
 from ambershift.coordinator.runtime.client import Client, ClientError, Reply
 from ambershift.coordinator.runtime.session import LINE_MOST
-from tests.support.coordinator_process import SETTINGS, Stage, configure, listing, play, server, until
+from tests.support.coordinator_process import (
+    SETTINGS,
+    RunningCoordinator,
+    configure,
+    listing,
+    run_scenario,
+    server,
+    until,
+)
 
-Act = Callable[[Stage, str], Awaitable[None]]
+Act = Callable[[RunningCoordinator, str], Awaitable[None]]
 
 
 def runtime(
@@ -31,15 +39,17 @@
     )
     usual = listing(5, *(server(number) for number in range(count)))
 
-    async def whole(stage: Stage) -> None:
+    async def whole(stage: RunningCoordinator) -> None:
         stage.relay.answering = True
         await until(lambda: stage.logged("ready"))
         for proxy, zone in ((3, "east"), (4, "west")):
             stage.relay.news(f"hello {proxy} {zone} 21.5 1")
-        await until(lambda: stage.bound().keys() == {3, 4})
+        await until(lambda: stage.attached_tables().keys() == {3, 4})
         await act(stage, path)
 
-    play(place, whole, usual, usual, words=("run", "--settings", str(place / "run.hcl")), settings=settings)
+    run_scenario(
+        place, whole, usual, usual, words=("run", "--settings", str(place / "run.hcl")), settings=settings
+    )
 
 
 async def say(path: str, *commands: str) -> list[Reply]:
@@ -69,7 +79,7 @@
     return heard
 
 
-def ejects(stage: Stage, which: str = "") -> list[str]:
+def ejects(stage: RunningCoordinator, which: str = "") -> list[str]:
     return [
         order
         for order in stage.relay.carried
@@ -78,7 +88,7 @@
 
 
 def test_one_shot_and_interactive_as_by_hand(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         assert await raw(path, b"show version; show cli level\nshow info\n") == b"0.2.0\n\nadmin\n\n"
         heard = await raw(path, b"prompt\nshow version\n\nquit\n")
         assert heard == b"\n> 0.2.0\n\n> > "
@@ -98,7 +108,7 @@
 
 
 def test_show_commands_agree_with_what_the_relay_was_told(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         await good(
             path,
             "set server east/s-0 state drain",
@@ -146,7 +156,7 @@
 
 
 def test_a_command_again_by_others_at_once_or_after_a_lost_answer_acts_once(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         async def lost(token: str) -> None:
             """Sends, and is gone before the answer."""
             _, writer = await asyncio.open_unix_connection(path)
@@ -170,7 +180,7 @@
 
 @pytest.mark.parametrize("moved", [False, True])
 def test_commands_of_a_cut_wait_in_order_and_go_out_as_one_folded_reply(tmp_path: Path, moved: bool) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         relay = stage.relay
         relay.moods.extend(["mute"] * 1000)
         before = len(relay.heard)
@@ -225,12 +235,12 @@
 def test_a_flood_ends_at_the_last_words_within_the_channel_and_holds_nothing_up(tmp_path: Path) -> None:
     info = SETTINGS["family_info"] | {"most_waiting": 400.0, "messages_most": 60, "reload_span": 10000}
 
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         stage.relay.channel.__init__(info)
         for proxy in (0, 1, 2, 5, 6, 7):
             stage.relay.news(f"hello {proxy} {['east', 'west'][proxy % 2]} 21.5 1")
         _, collector = await stage.join("east")
-        await until(lambda: len(stage.bound()) == 8)
+        await until(lambda: len(stage.attached_tables()) == 8)
         stage.relay.channel.lines = 0
         chance, wanted = random.Random(5), dict[str, bool]()
         names = [f"{['east', 'west'][at % 2]}/s-{at}" for at in range(32)]
@@ -283,7 +293,7 @@
 
 
 def test_the_lists_word_and_the_operators(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         stage.discovery.change(server(0, "draining"))
         await until(lambda: "eject,s-0" in stage.relay.carried)
         await good(
@@ -325,7 +335,7 @@
 
 
 def test_a_server_leaves_only_once_its_heir_is_let_in(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         await good(path, "disable server east/s-0", "wait 3s srv-applied east/s-0")
         async with Client(path) as client:
             assert not (await client.run("apply", "disable server east/s-2\nenable server east/s-0")).failed
@@ -336,7 +346,7 @@
 
 
 def test_the_last_warm_one_is_refused_by_name_and_after_a_loss_the_drained_is_lent(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         await good(path, "disable server east/s-0", "wait 3s srv-applied east/s-0")
         replies = await say(
             path,
@@ -403,7 +413,7 @@
 def test_bad_clients_get_an_answer_or_a_close_and_change_nothing(
     tmp_path: Path, data: bytes, due: bytes
 ) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         heard = await raw(path, data, 8.0)
         assert due in heard and len(heard) < 40 << 20
         assert (await good(path, "show info"))[0].count("Commands_accepted: 0") == 1
@@ -413,7 +423,7 @@
 
 
 def test_hundreds_of_clients_keep_no_operator_out_and_memory_and_descriptors_bounded(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         def used() -> tuple[int, int]:
             status = Path(f"/proc/{stage.process.pid}/status").read_text()
             memory = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmRSS"))
@@ -448,7 +458,7 @@
 
 
 def test_one_who_never_reads_is_cut_off_and_costs_little(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         one = socket.socket(socket.AF_UNIX)
         one.connect(path)
         one.setblocking(False)
@@ -469,7 +479,7 @@
 
     port = free_port()
 
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         place = f"127.0.0.1:{port}"
         replies = await say(
             place,
@@ -499,7 +509,7 @@
 
 
 def test_sigterm_in_the_middle_answers_or_refuses_and_leaves_no_file(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         waiting = asyncio.create_task(say(path, "wait 60s srv-drained west/s-1"))
         half, writer = await asyncio.open_unix_connection(path)
         writer.write(b"prompt i\nshow version\napply <<\ndisable server west/s-1\n")
@@ -516,7 +526,7 @@
 
 
 def test_events_are_followed_as_they_come(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         async with Client(path) as client:
             lines = client.follow("show events admin -nw")
             first = asyncio.ensure_future(anext(lines))
@@ -564,10 +574,10 @@
     (tmp_path / "run.hcl").write_text(f'runtime {{\n socket "{path}" {{}}\n {block}\n}}\n')
 
     async def act() -> None:
-        from tests.support.coordinator_process import start
+        from tests.support.coordinator_process import start_process
         from tests.support.policy_model import free_port
 
-        process = await start(
+        process = await start_process(
             tmp_path,
             configure(free_port(), 1, 1, listing(1)),
             words=("run", "--settings", str(tmp_path / "run.hcl")),
@@ -594,7 +604,7 @@
 
 
 def test_lines_of_the_longest_length_are_taken(tmp_path: Path) -> None:
-    async def act(stage: Stage, path: str) -> None:
+    async def act(stage: RunningCoordinator, path: str) -> None:
         text = b"show version;" + b" " * (LINE_MOST - 13)
         assert await raw(path, text + b"\n") == b"0.2.0\n\n"
         assert b"a line may have" in await raw(path, text + b" \n")
--- a/tests/support/coordinator_process.py
+++ b/tests/support/coordinator_process.py
@@ -17,11 +17,11 @@
 from ambershift.coordinator.standins.world import SETTINGS, listing, server, until
 from tests.support.policy_model import free_port
 
-__all__ = ["SETTINGS", "Discovery", "Relay", "Stage", "listing", "server", "until"]
+__all__ = ["SETTINGS", "Discovery", "Relay", "RunningCoordinator", "listing", "server", "until"]
 ROOT = Path(__file__).parents[2]
 
 
-class Stage:
+class RunningCoordinator:
     """A program that runs, and all that is around it."""
 
     def __init__(
@@ -59,7 +59,7 @@
         await until(lambda: len(self.logged("collector")) > before, 1.0)
         return reader, writer
 
-    def stands(self, table: int) -> set[str]:
+    def servers_in_table(self, table: int) -> set[str]:
         """The servers in a table, by what the relay has carried out."""
         found = set[str]()
         for words in (order.split(",") for order in self.relay.carried):
@@ -67,7 +67,7 @@
                 (found.add if float(words[3]) else found.discard)(words[2])
         return found
 
-    def bound(self) -> dict[int, int]:
+    def attached_tables(self) -> dict[int, int]:
         return {
             int(words[1]): int(words[2])
             for words in (order.split(",") for order in self.relay.carried)
@@ -80,14 +80,14 @@
     return [sys.executable if word.endswith("bin/python") else word for word in shlex.split(run)[1:]]
 
 
-async def start(
+async def start_process(
     place: Path, configuration: Any, out: int = asyncio.subprocess.PIPE, words: Sequence[str] = ()
 ) -> asyncio.subprocess.Process:
     (place / "config.json").write_text(json.dumps(configuration))
-    return await launch(place, out, words)
+    return await launch_process(place, out, words)
 
 
-async def launch(
+async def launch_process(
     place: Path, out: int = asyncio.subprocess.PIPE, words: Sequence[str] = ()
 ) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
@@ -114,7 +114,7 @@
 
 
 @contextlib.asynccontextmanager
-async def playing(
+async def running_coordinator(
     place: Path,
     known: dict[str, Any],
     listed: dict[str, Any],
@@ -122,7 +122,7 @@
     sockets: int = 1024,
     words: Sequence[str] = (),
     settings: Any = None,
-) -> AsyncIterator[Stage]:
+) -> AsyncIterator[RunningCoordinator]:
     relay, discovery = Relay(), Discovery()
     discovery.now = listed
     servers = [await asyncio.start_server(one.serve, "127.0.0.1", 0) for one in (relay, discovery)]
@@ -132,9 +132,9 @@
     configuration = configure(listen, ports[1], ports[0], known)
     configuration["limits"]["sockets"] = sockets
     configuration["settings"] = settings or SETTINGS
-    process = await start(place, configuration, asyncio.subprocess.PIPE if read else out, words)
+    process = await start_process(place, configuration, asyncio.subprocess.PIPE if read else out, words)
     os.close(out)
-    stage = Stage(relay, discovery, process, ("127.0.0.1", listen))
+    stage = RunningCoordinator(relay, discovery, process, ("127.0.0.1", listen))
     tasks = [asyncio.create_task(relay.live())]
     if read:
         tasks.append(asyncio.create_task(stage.read_log()))
@@ -153,12 +153,12 @@
         relay.drop()
 
 
-Play = Callable[[Stage], Awaitable[None]]
+Scenario = Callable[[RunningCoordinator], Awaitable[None]]
 
 
-def play(
+def run_scenario(
     place: Path,
-    act: Play,
+    act: Scenario,
     known: dict[str, Any] | None = None,
     listed: dict[str, Any] | None = None,
     read: bool = True,
@@ -169,7 +169,9 @@
     usual = listing(5, *(server(number) for number in range(6)))
 
     async def whole() -> None:
-        async with playing(place, known or usual, listed or usual, read, sockets, words, settings) as stage:
+        async with running_coordinator(
+            place, known or usual, listed or usual, read, sockets, words, settings
+        ) as stage:
             await act(stage)
 
     asyncio.run(whole())
