--- a/tests/system/proxy/test_collected_tombstones.py
+++ b/tests/system/proxy/test_collected_tombstones.py
@@ -27,19 +27,19 @@
     collected = CollectedTombstones().with_batch([drop("r1", 11)])
     routing.begin_link()
     items = {item.key: item for item in (route("r1", 1), route("r2", 2))}
-    for push in updates.add_proxy("proxy", items.values(), BackendUpdate((), (), True)):
-        routing.merge(getattr(push.message, "items", ()))
+    for update in updates.add_proxy("proxy", items.values(), BackendUpdate((), (), True)):
+        routing.merge(getattr(update.message, "items", ()))
     routing.complete_link()
-    for push in updates.update_items([drop("r1", 11)]) + updates.update_items([collected.as_item]):
-        assert isinstance(push.message, ItemUpdate)
-        routing.merge(push.message.items)
+    for update in updates.update_items([drop("r1", 11)]) + updates.update_items([collected.as_item]):
+        assert isinstance(update.message, ItemUpdate)
+        routing.merge(update.message.items)
     assert routing.items.keys() == {(ROUTE, "r2"), COLLECTED_TOMBSTONES_KEY} and routing.route_count == 1
     routing.merge([route("r1", 1)])
     assert routing.find(b"h", b"/r1") is None and not routing.control_node_outdated
     # A new link isn't sent what was collected.
     held = [route("r2", 2), collected.as_item]
     sent = updates.add_proxy("other", held, BackendUpdate((), (), True))
-    assert [list(push.message.items) for push in sent if isinstance(push.message, ItemUpdate)] == [held]
+    assert [list(update.message.items) for update in sent if isinstance(update.message, ItemUpdate)] == [held]
 
 
 def collected_batches(first: int = 1) -> CollectedTombstones:
