--- a/tests/support/coordinator_process.py
+++ b/tests/support/coordinator_process.py
@@ -1,4 +1,4 @@
-"""A program that runs on a stage of stand-ins."""
+"""Runs a coordinator as a process, with a stand-in relay and a stand-in discovery service."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 
 class RunningCoordinator:
-    """A program that runs, and all that is around it."""
+    """A coordinator process, its log, and the stand-ins that it works with."""
 
     def __init__(
         self,
@@ -42,9 +42,10 @@
     def logged(self, event: str) -> list[dict[str, Any]]:
         return [line for line in self.log if line["event"] == event]
 
-    async def probe(self, *ahead: bytes) -> bytes:
+    async def probe(self, *first: bytes) -> bytes:
+        """Send `first` and a probe, in pieces, and return the answer."""
         reader, writer = await asyncio.open_connection(*self.address)
-        for piece in (*ahead, b"pro", b"be\r\n"):
+        for piece in (*first, b"pro", b"be\r\n"):
             writer.write(piece)
             await writer.drain()
             await asyncio.sleep(0.01)
@@ -53,6 +54,7 @@
         return answer
 
     async def join(self, zone: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Connect as the collector of a zone, and wait until that is logged."""
         reader, writer = await asyncio.open_connection(*self.address)
         before = len(self.logged("collector"))
         writer.write(f"agent zone={zone}\r\n".encode())
@@ -60,7 +62,7 @@
         return reader, writer
 
     def servers_in_table(self, table: int) -> set[str]:
-        """The servers in a table, by what the relay has carried out."""
+        """Return the servers in a table, by the orders that the relay has carried out."""
         found = set[str]()
         for words in (order.split(",") for order in self.relay.carried):
             if words[0] == "put" and int(words[1]) == table:
@@ -68,6 +70,7 @@
         return found
 
     def attached_tables(self) -> dict[int, int]:
+        """Return the table that each proxy is attached to, by the orders that the relay has carried out."""
         return {
             int(words[1]): int(words[2])
             for words in (order.split(",") for order in self.relay.carried)
@@ -76,19 +79,20 @@
 
 
 def command() -> list[str]:
+    """Return the command that `deploy/` runs, with this interpreter."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     return [sys.executable if word.endswith("bin/python") else word for word in shlex.split(run)[1:]]
 
 
 async def start_process(
-    place: Path, configuration: Any, out: int = asyncio.subprocess.PIPE, words: Sequence[str] = ()
+    folder: Path, configuration: Any, out: int = asyncio.subprocess.PIPE, words: Sequence[str] = ()
 ) -> asyncio.subprocess.Process:
-    (place / "config.json").write_text(json.dumps(configuration))
-    return await launch_process(place, out, words)
+    (folder / "config.json").write_text(json.dumps(configuration))
+    return await launch_process(folder, out, words)
 
 
 async def launch_process(
-    place: Path, out: int = asyncio.subprocess.PIPE, words: Sequence[str] = ()
+    folder: Path, out: int = asyncio.subprocess.PIPE, words: Sequence[str] = ()
 ) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         *command(),
@@ -96,7 +100,7 @@
         cwd=ROOT,
         stdout=out,
         stderr=asyncio.subprocess.STDOUT,
-        env={**os.environ, "BALANCER_NAME": "n1", "BALANCER_CONFIG": str(place / "config.json")},
+        env={**os.environ, "BALANCER_NAME": "n1", "BALANCER_CONFIG": str(folder / "config.json")},
     )
 
 
@@ -115,7 +119,7 @@
 
 @contextlib.asynccontextmanager
 async def running_coordinator(
-    place: Path,
+    folder: Path,
     known: dict[str, Any],
     listed: dict[str, Any],
     read: bool = True,
@@ -123,6 +127,7 @@
     words: Sequence[str] = (),
     settings: Any = None,
 ) -> AsyncIterator[RunningCoordinator]:
+    """Run a coordinator; `known` and `listed` are the first and the current server list."""
     relay, discovery = Relay(), Discovery()
     discovery.now = listed
     servers = [await asyncio.start_server(one.serve, "127.0.0.1", 0) for one in (relay, discovery)]
@@ -132,21 +137,21 @@
     configuration = configure(listen, ports[1], ports[0], known)
     configuration["limits"]["sockets"] = sockets
     configuration["settings"] = settings or SETTINGS
-    process = await start_process(place, configuration, asyncio.subprocess.PIPE if read else out, words)
+    process = await start_process(folder, configuration, asyncio.subprocess.PIPE if read else out, words)
     os.close(out)
-    stage = RunningCoordinator(relay, discovery, process, ("127.0.0.1", listen))
+    running = RunningCoordinator(relay, discovery, process, ("127.0.0.1", listen))
     tasks = [asyncio.create_task(relay.live())]
     if read:
-        tasks.append(asyncio.create_task(stage.read_log()))
+        tasks.append(asyncio.create_task(running.read_log()))
     try:
         await until(lambda: relay.followed)
-        yield stage
-        assert not stage.logged("failure")
-        assert stage.process.returncode in (None, 0)
+        yield running
+        assert not running.logged("failure")
+        assert running.process.returncode in (None, 0)
     finally:
-        if stage.process.returncode is None:  # It may have been started anew meanwhile.
-            stage.process.kill()
-        await stage.process.wait()
+        if running.process.returncode is None:  # The process may have been restarted meanwhile.
+            running.process.kill()
+        await running.process.wait()
         os.close(unread)
         for one in (*tasks, *servers):
             (one.cancel if isinstance(one, asyncio.Task) else one.close)()
@@ -157,8 +162,8 @@
 
 
 def run_scenario(
-    place: Path,
-    act: Scenario,
+    folder: Path,
+    scenario: Scenario,
     known: dict[str, Any] | None = None,
     listed: dict[str, Any] | None = None,
     read: bool = True,
@@ -170,8 +175,8 @@
 
     async def whole() -> None:
         async with running_coordinator(
-            place, known or usual, listed or usual, read, sockets, words, settings
-        ) as stage:
-            await act(stage)
+            folder, known or usual, listed or usual, read, sockets, words, settings
+        ) as running:
+            await scenario(running)
 
     asyncio.run(whole())
