--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -36,7 +36,7 @@
 LET_IN = b"2"
 
 
-class Steers(msgspec.Struct, frozen=True, array_like=True):
+class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
     """The body of records of kind MEMBER_STATUS.
 
     Attributes:
@@ -114,8 +114,8 @@
             self.member.links.send(peer.name, FrameKind.HEARD, payload)
 
     def _publish_own_records(self, now: int) -> None:
-        steers = Steers(self.count_steered(), self.member.wall())
-        self.store.put(now, RecordKind.MEMBER_STATUS, "", msgspec.msgpack.encode(steers))
+        status = MemberStatus(self.count_steered(), self.member.wall())
+        self.store.put(now, RecordKind.MEMBER_STATUS, "", msgspec.msgpack.encode(status))
         permits = self.member.state.permits
         for held in permits.values():
             body = self.permit_progress(held)
@@ -160,9 +160,9 @@
             if (
                 record.kind == RecordKind.MEMBER_STATUS
                 and record.body
-                and (steers := _decode_steers(record)) is not None
+                and (status := _decode_status(record)) is not None
             ):
-                self.clock_skew.add_sample(now, self.member.wall(), record.origin, steers.wall, record.age_ns)
+                self.clock_skew.add_sample(now, self.member.wall(), record.origin, status.wall, record.age_ns)
         if news:
             for listener in self.record_listeners:
                 listener(now, news)
@@ -176,9 +176,9 @@
         """
         result = {self.store.me: (self.count_steered(), 0, 0)}
         for record in self.store.all(now, RecordKind.MEMBER_STATUS):
-            if record.origin != self.store.me and (steers := _decode_steers(record)) is not None:
+            if record.origin != self.store.me and (status := _decode_status(record)) is not None:
                 offset = self.clock_skew.offset(now, record.origin)
-                result[record.origin] = (steers.proxies, offset, record.age_ns)
+                result[record.origin] = (status.proxies, offset, record.age_ns)
         return result
 
     def permit_reports(self, now: int, permit: str) -> dict[str, bytes]:
@@ -187,8 +187,8 @@
         return {member: held.body for member, held in by_origin.items() if self.store.is_current(now, held)}
 
 
-def _decode_steers(record: Record) -> Steers | None:
+def _decode_status(record: Record) -> MemberStatus | None:
     try:
-        return msgspec.msgpack.decode(record.body, type=Steers)
+        return msgspec.msgpack.decode(record.body, type=MemberStatus)
     except (msgspec.MsgspecError, ValueError):
         return None
--- a/tests/compatibility/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -64,7 +64,7 @@
     "link reply": Form(links.Welcome | links.Refusal, links.encode, links.decode_reply),
     "samples": plain(list[Sample]),
     "heard body ill": plain(tuple[observations.ServerObservation, ...]),
-    "heard body steers": plain(gossip.Steers),
+    "heard body steers": plain(gossip.MemberStatus),
     "heard body met": Form(interference.Evidence, msgspec.msgpack.encode, interference.READ_EVIDENCE.decode),
     "heard body baseline": Form(
         interference.Baseline, msgspec.msgpack.encode, interference.READ_BASELINE.decode
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -10,7 +10,7 @@
 
 from ambershift.coordinator.admin.words import State, Weight
 from ambershift.coordinator.group.disk.folder import DiskError, Folder
-from ambershift.coordinator.group.gossip import Steers
+from ambershift.coordinator.group.gossip import MemberStatus
 from ambershift.coordinator.group.interference_worker import InterferenceWorker
 from ambershift.coordinator.group.links.interfaces import Peer
 from ambershift.coordinator.group.links.wire import CloseReason, FrameKind, Refusal, UnreadableError
@@ -180,7 +180,10 @@
         other = GossipStore("b", 7)
         for offset in (0, 90 * S):
             other.put(
-                now, RecordKind.MEMBER_STATUS, "", msgspec.msgpack.encode(Steers(4, member.wall() + offset))
+                now,
+                RecordKind.MEMBER_STATUS,
+                "",
+                msgspec.msgpack.encode(MemberStatus(4, member.wall() + offset)),
             )
             answers, _ = other.receive(now, gossip.store.digest())
             for answer in answers:
