--- a/ambershift/coordinator/program/__init__.py
+++ b/ambershift/coordinator/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: configuration, log, clock, signals, and how the parts are put together."""
+"""The process of a coordinator: configuration, log, clock, signals, and the assembly of its parts."""
--- a/ambershift/coordinator/program/clock.py
+++ b/ambershift/coordinator/program/clock.py
@@ -1,4 +1,4 @@
-"""The clock: Unix time at the start, carried on by the monotonic clock, so that it never goes back."""
+"""A clock that starts at Unix time and advances with the monotonic clock, so that it never goes back."""
 
 from __future__ import annotations
 
@@ -6,8 +6,11 @@
 
 
 class Clock:
+    """Unix time in nanoseconds, without later corrections of the system's clock."""
+
     def __init__(self) -> None:
-        self.anchor = time.time_ns() - time.monotonic_ns()
+        self.offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        return self.anchor + time.monotonic_ns()
+        """Return the time, ns."""
+        return self.offset + time.monotonic_ns()
--- a/ambershift/coordinator/program/configuration.py
+++ b/ambershift/coordinator/program/configuration.py
@@ -1,4 +1,4 @@
-"""Reads what a coordinator is told at its start."""
+"""Reads the configuration file of a coordinator."""
 
 from __future__ import annotations
 
@@ -20,13 +20,17 @@
 )
 
 CONFIG_VARIABLE = "BALANCER_CONFIG"
+RELOADABLE_KEYS = {"discovery", "relay"}
+SEED_BITS = 64
 
 
 class ConfigurationError(Exception):
-    """The program can't start with what it was told; the message names the key."""
+    """The coordinator can't start with its configuration; the message names the key."""
 
 
 class CoordinatorConfig(NamedTuple):
+    """The configuration of a coordinator; `fixed_keys` is what a reload doesn't change, as in the file."""
+
     name: str
     listen: str
     discovery: str
@@ -41,37 +45,48 @@
 
 
 class ReloadedConfig(NamedTuple):
-    """What a configuration read anew can change, and the keys in which it differs for nothing."""
+    """What a reload changes, and the changed keys that it ignores."""
 
     discovery: str
     relay: str
     ignored_keys: list[str]
 
 
-RELOADABLE_KEYS = {"discovery", "relay"}
-
-
 def load(environment: Mapping[str, str]) -> CoordinatorConfig:
+    """Read and check the file that the environment names.
+
+    Raises:
+        ConfigurationError: The file can't be read, or its content is invalid.
+    """
     return build(read_json(environment))
 
 
-def reload(environment: Mapping[str, str], start: CoordinatorConfig) -> ReloadedConfig:
-    """Only the addresses can move in a program that runs; that nothing else can must not hold them up."""
+def reload(environment: Mapping[str, str], config: CoordinatorConfig) -> ReloadedConfig:
+    """Read the file again; other changes than those of addresses are ignored, and don't hold these up.
+
+    Raises:
+        ConfigurationError: The file can't be read, or an address in it is invalid.
+    """
     found = read_json(environment)
-    unheeded = sorted(
+    ignored_keys = sorted(
         key
-        for key in (found.keys() | start.fixed_keys.keys()) - RELOADABLE_KEYS
-        if found.get(key) != start.fixed_keys.get(key)
+        for key in (found.keys() | config.fixed_keys.keys()) - RELOADABLE_KEYS
+        if found.get(key) != config.fixed_keys.get(key)
     )
-    return ReloadedConfig(*addresses(found), unheeded)
+    return ReloadedConfig(*addresses(found), ignored_keys)
 
 
 def read_json(environment: Mapping[str, str]) -> dict[str, Any]:
-    place = environment.get(CONFIG_VARIABLE)
-    if not place:
+    """Return the JSON object in the file that the environment names.
+
+    Raises:
+        ConfigurationError: There is none.
+    """
+    path = environment.get(CONFIG_VARIABLE)
+    if not path:
         raise ConfigurationError(f"{CONFIG_VARIABLE} is not set")
     try:
-        found = orjson.loads(Path(place).read_bytes())
+        found = orjson.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigurationError(f"{CONFIG_VARIABLE}: can't be read ({error.strerror})") from None
     except orjson.JSONDecodeError as error:
@@ -82,54 +97,74 @@
 
 
 def build(found: dict[str, Any]) -> CoordinatorConfig:
+    """Check the content of a configuration file.
+
+    Raises:
+        ConfigurationError: It is invalid.
+    """
     try:
-        known = discovery.from_json(needed(found, "known", dict))
+        initial_listing = discovery.from_json(required(found, "known", dict))
     except UnreadableError as error:
         raise ConfigurationError(f"key 'known': {error}") from None
-    settings = needed(found, "settings", dict)
+    settings = required(found, "settings", dict)
     try:
-        terms, names = read_policy_settings(settings), read_front_settings(settings)
+        policy_settings, front_settings = read_policy_settings(settings), read_front_settings(settings)
     except PolicySettingsError as error:
         raise ConfigurationError(str(error)) from None
-    seed = needed(found, "seed", str)
+    seed_text = required(found, "seed", str)
     try:
-        number = int(seed, 16)
+        seed = int(seed_text, 16)
     except ValueError:
         raise ConfigurationError("key 'seed' is no hexadecimal number") from None
-    limits = needed(found, "limits", dict)
-    sockets = needed(limits, "sockets", int, "limits.")
-    memory_mb = float(needed(limits, "memory_mb", (int, float), "limits."))
-    name, listen = needed(found, "name", str), address(found, "listen")
+    limits = required(found, "limits", dict)
+    max_sockets = required(limits, "sockets", int, "limits.")
+    memory_mb = float(required(limits, "memory_mb", (int, float), "limits."))
+    name, listen = required(found, "name", str), address(found, "listen")
     return CoordinatorConfig(
         name,
         listen,
         *addresses(found),
-        number % (1 << 64),
-        sockets,
+        seed % (1 << SEED_BITS),
+        max_sockets,
         memory_mb,
-        known,
-        terms,
-        names,
+        initial_listing,
+        policy_settings,
+        front_settings,
         fixed_keys={key: value for key, value in found.items() if key not in RELOADABLE_KEYS},
     )
 
 
 def addresses(found: Mapping[str, Any]) -> tuple[str, str]:
-    return address(found, "discovery"), address(needed(found, "relay", dict), "address", "relay.")
+    """Return the addresses of the discovery service and of the relay.
 
+    Raises:
+        ConfigurationError: One is missing or invalid.
+    """
+    return address(found, "discovery"), address(required(found, "relay", dict), "address", "relay.")
 
-def needed(found: Mapping[str, Any], key: str, kind: type | tuple[type, ...], where: str = "") -> Any:
+
+def required(found: Mapping[str, Any], key: str, kind: type | tuple[type, ...], prefix: str = "") -> Any:
+    """Return the value of a key; `prefix` names the object that holds it, for the message.
+
+    Raises:
+        ConfigurationError: The key is missing, or its value has another type.
+    """
     if key not in found:
-        raise ConfigurationError(f"key '{where}{key}' is missing")
+        raise ConfigurationError(f"key '{prefix}{key}' is missing")
     if not isinstance(found[key], kind) or isinstance(found[key], bool):
-        raise ConfigurationError(f"key '{where}{key}' is of the wrong type")
+        raise ConfigurationError(f"key '{prefix}{key}' is of the wrong type")
     return found[key]
 
 
-def address(found: Mapping[str, Any], key: str, where: str = "") -> str:
-    text: str = needed(found, key, str, where)
+def address(found: Mapping[str, Any], key: str, prefix: str = "") -> str:
+    """Return the value of a key that is an address.
+
+    Raises:
+        ConfigurationError: The key is missing, or its value is no address.
+    """
+    text: str = required(found, key, str, prefix)
     try:
         split_address(text)
     except ValueError as error:
-        raise ConfigurationError(f"key '{where}{key}': {error}") from None
+        raise ConfigurationError(f"key '{prefix}{key}': {error}") from None
     return text
--- a/ambershift/coordinator/program/signals.py
+++ b/ambershift/coordinator/program/signals.py
@@ -1,4 +1,4 @@
-"""Signals: SIGTERM and SIGINT ask the program to end, SIGHUP to read its configuration anew."""
+"""Signals: SIGTERM and SIGINT stop the process, SIGHUP makes it reload its configuration."""
 
 from __future__ import annotations
 
@@ -7,19 +7,21 @@
 
 
 class Signals:
-    """Made first of all: from then on SIGHUP, whose default would end the program, ends nothing any more,
-    and one that came before anybody could heed it is not lost.
+    """Handles signals from its creation on.
+
+    Create it first of all: the default of SIGHUP would end the process, and a SIGHUP that arrives before
+    `install` isn't lost.
     """
 
     def __init__(self) -> None:
-        self.early = False
-        signal.signal(signal.SIGHUP, lambda *_: setattr(self, "early", True))
+        self.reload_requested_early = False
+        signal.signal(signal.SIGHUP, lambda *_: setattr(self, "reload_requested_early", True))
 
     def install(self) -> None:
-        """From here on signals set events and interrupt nothing."""
+        """From now on, let signals set the events `stop` and `reload`, in the running event loop."""
         self.stop, self.reload, loop = asyncio.Event(), asyncio.Event(), asyncio.get_running_loop()
-        for one in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(one, self.stop.set)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload.set)
-        if self.early:
+        if self.reload_requested_early:
             self.reload.set()
--- a/ambershift/coordinator/protocol/__init__.py
+++ b/ambershift/coordinator/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What the bytes mean: pure codecs, with no input or output of their own."""
+"""Codecs of the coordinator's protocols, without input or output of their own."""
--- a/ambershift/coordinator/protocol/fields.py
+++ b/ambershift/coordinator/protocol/fields.py
@@ -1,51 +1,71 @@
-"""Reads single words as figures and refuses what no sender may mean."""
+"""Parses single fields of a line and rejects values that no sender may mean."""
 
 from __future__ import annotations
 
 import math
 
+MAX_INTEGER = (1 << 32) - 1
+MAX_NUMBER = 1e12
+MAX_DIGITS = 20  # Longer texts are rejected before they are converted.
+MAX_SHOWN_BYTES = 80
+
 
 class UnreadableError(Exception):
     """Input that is not of the protocol; the message says what is wrong with it."""
 
 
-WHOLE_MOST = (1 << 32) - 1
-FIGURE_MOST = 1e12
-
+def printable_prefix(raw: bytes) -> str:
+    """Return the beginning of received bytes as printable ASCII, for a log."""
+    return raw[:MAX_SHOWN_BYTES].decode("ascii", "backslashreplace")
 
-def show(raw: bytes) -> str:
-    """The beginning of what came, fit for a log."""
-    return raw[:80].decode("ascii", "backslashreplace")
 
+def parse_integer(text: str, name: str, most: int = MAX_INTEGER) -> int:
+    """Parse a whole number from 0 to `most`.
 
-def whole(text: str, what: str, most: int = WHOLE_MOST) -> int:
-    if not text.isascii() or not text.isdigit() or len(text) > 20 or int(text) > most:
-        raise UnreadableError(f"'{what}' is no whole number from 0 to {most}")
+    Raises:
+        UnreadableError: The text is something else.
+    """
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_DIGITS or int(text) > most:
+        raise UnreadableError(f"'{name}' is no whole number from 0 to {most}")
     return int(text)
 
 
-def figure(text: str, what: str) -> float:
+def parse_number(text: str, name: str) -> float:
+    """Parse a finite number that is not negative.
+
+    Raises:
+        UnreadableError: The text is something else.
+    """
     try:
         value = float(text)
     except ValueError:
-        raise UnreadableError(f"'{what}' is no number") from None
-    if not math.isfinite(value) or not 0 <= value <= FIGURE_MOST:
-        raise UnreadableError(f"'{what}' is out of range")
+        raise UnreadableError(f"'{name}' is no number") from None
+    if not math.isfinite(value) or not 0 <= value <= MAX_NUMBER:
+        raise UnreadableError(f"'{name}' is out of range")
     return value
 
 
-def yes(text: str, what: str) -> bool:
+def parse_flag(text: str, name: str) -> bool:
+    """Parse 0 or 1.
+
+    Raises:
+        UnreadableError: The text is something else.
+    """
     if text not in ("0", "1"):
-        raise UnreadableError(f"'{what}' is neither 0 nor 1")
+        raise UnreadableError(f"'{name}' is neither 0 nor 1")
     return text == "1"
 
 
-def pairs(text: str, what: str) -> dict[str, float]:
-    """Pairs of a name and a figure, joined with a colon and listed with commas."""
+def parse_pairs(text: str, name: str) -> dict[str, float]:
+    """Parse a comma-separated list of `name:number` pairs.
+
+    Raises:
+        UnreadableError: The text is something else, or has a name twice.
+    """
     found = dict[str, float]()
-    for one in text.split(",") if text else ():
-        name, colon, value = one.partition(":")
-        if not colon or not name or name in found:
-            raise UnreadableError(f"'{what}' is no list of pairs")
-        found[name] = figure(value, what)
+    for pair in text.split(",") if text else ():
+        key, colon, value = pair.partition(":")
+        if not colon or not key or key in found:
+            raise UnreadableError(f"'{name}' is no list of pairs")
+        found[key] = parse_number(value, name)
     return found
--- a/ambershift/coordinator/protocol/http.py
+++ b/ambershift/coordinator/protocol/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a client that reads one answer at a time, by h11."""
+"""The client side of HTTP/1.1, one answer at a time, on top of h11."""
 
 from __future__ import annotations
 
@@ -8,40 +8,52 @@
 
 from ambershift.coordinator.protocol.fields import UnreadableError
 
-BODY_MOST = 8 << 20
+MAX_BODY_BYTES = 8 << 20
+MAX_HEADER_BYTES = 64 * 1024
 
 
 class Answer(NamedTuple):
+    """The answer to a request."""
+
     status: int
     body: bytes
 
 
 class Exchange:
-    """The calls that go over one connection, one after the other."""
+    """The sequential requests and answers of one connection."""
 
     def __init__(self, host: str) -> None:
-        self.host, self.state = host, h11.Connection(h11.CLIENT, max_incomplete_event_size=64 * 1024)
-        self.status, self.parts, self.size, self.begun = 0, list[bytes](), 0, False
+        self.host = host
+        self.connection = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES)
+        self.status, self.parts, self.size, self.answer_started = 0, list[bytes](), 0, False
 
-    def ask(self, target: str) -> bytes:
-        if self.state.our_state is h11.DONE:
-            self.state.start_next_cycle()
-        self.status, self.parts, self.size, self.begun = 0, [], 0, False
+    def encode_request(self, target: str) -> bytes:
+        """Start the next exchange; return the bytes of its GET request."""
+        if self.connection.our_state is h11.DONE:
+            self.connection.start_next_cycle()
+        self.status, self.parts, self.size, self.answer_started = 0, [], 0, False
         head = h11.Request(method="GET", target=target, headers=[("Host", self.host)])
-        return (self.state.send(head) or b"") + (self.state.send(h11.EndOfMessage()) or b"")
+        return (self.connection.send(head) or b"") + (self.connection.send(h11.EndOfMessage()) or b"")
+
+    def receive(self, chunk: bytes) -> Answer | None:
+        """Process received bytes, b"" if the server has closed its side.
+
+        Returns:
+            The answer, once it is complete.
 
-    def hear(self, chunk: bytes) -> Answer | None:
-        """Take bytes in (none: the other side has ended) and give the answer once it is whole."""
-        self.begun |= bool(chunk)
+        Raises:
+            UnreadableError: The answer is malformed, too large or cut off.
+        """
+        self.answer_started |= bool(chunk)
         try:
-            self.state.receive_data(chunk)
+            self.connection.receive_data(chunk)
             while True:
-                event = self.state.next_event()
+                event = self.connection.next_event()
                 if isinstance(event, h11.Response):
                     self.status = event.status_code
                 elif isinstance(event, h11.Data):
                     self.size += len(event.data)
-                    if self.size > BODY_MOST:
+                    if self.size > MAX_BODY_BYTES:
                         raise UnreadableError("the answer is too large")
                     self.parts.append(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
@@ -54,4 +66,5 @@
             raise UnreadableError(f"no HTTP/1.1: {error}") from None
 
     def reusable(self) -> bool:
-        return self.state.our_state is h11.DONE and self.state.their_state is h11.DONE
+        """Tell whether the connection can carry another request."""
+        return self.connection.our_state is h11.DONE and self.connection.their_state is h11.DONE
--- a/ambershift/coordinator/protocol/lines.py
+++ b/ambershift/coordinator/protocol/lines.py
@@ -1,23 +1,34 @@
-"""The lines that come to the coordinator's own address, and the answer to a probe."""
+"""The lines that arrive at the coordinator's own address, and the answer to a probe."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from ambershift.coordinator.protocol.fields import UnreadableError, figure, pairs, show, whole
+from ambershift.coordinator.protocol.fields import (
+    UnreadableError,
+    parse_integer,
+    parse_number,
+    parse_pairs,
+    printable_prefix,
+)
 
-ALIVE, ERROR = b"alive\r\n", b"error\r\n"
+ALIVE = b"alive\r\n"
+ERROR = b"error\r\n"
 
 
 class Probe(NamedTuple):
-    pass
+    """Asks whether the coordinator is alive."""
 
 
 class Agent(NamedTuple):
+    """The peer is a collector of this zone."""
+
     zone: str
 
 
 class Outcomes(NamedTuple):
+    """What a zone's proxies saw of one server in a time span."""
+
     zone: str
     server: str
     tries: int
@@ -28,6 +39,8 @@
 
 
 class Demand(NamedTuple):
+    """How many requests of one class a proxy had in a time span."""
+
     proxy: int
     group: str
     tries: int
@@ -36,8 +49,8 @@
 
 
 Message = Probe | Agent | Outcomes | Demand
-# The words that each kind must have; others may be added to the protocol and are passed over.
-WORDS: dict[str, set[str]] = {
+# The keys that each kind must have; the protocol may add others, which are ignored.
+REQUIRED_KEYS: dict[str, set[str]] = {
     "probe": set(),
     "agent": {"zone"},
     "outcomes": {"zone", "server", "tries", "failed", "mean_ms", "span_ms"},
@@ -46,40 +59,51 @@
 
 
 def parse(line: bytes) -> Message:
+    """Parse one line, without its line break.
+
+    Raises:
+        UnreadableError: The line is not of the protocol.
+    """
     try:
-        kind, *rest = line.decode("ascii").split(" ")
+        kind, *words = line.decode("ascii").split(" ")
     except UnicodeDecodeError:
         raise UnreadableError("not ASCII") from None
-    if kind not in WORDS:
-        raise UnreadableError(f"unknown kind '{show(kind.encode())}'")
-    given = dict[str, str]()
-    for word in rest:
-        name, equals, value = word.partition("=")
-        if not equals or name in given:
-            raise UnreadableError(f"{kind}: '{show(word.encode())}' is no word of its own")
-        given[name] = value
-    if missing := WORDS[kind] - given.keys():
+    if kind not in REQUIRED_KEYS:
+        raise UnreadableError(f"unknown kind '{printable_prefix(kind.encode())}'")
+    values = dict[str, str]()
+    for word in words:
+        key, equals, value = word.partition("=")
+        if not equals or key in values:
+            raise UnreadableError(f"{kind}: '{printable_prefix(word.encode())}' is no word of its own")
+        values[key] = value
+    if missing := REQUIRED_KEYS[kind] - values.keys():
         raise UnreadableError(f"{kind}: '{min(missing)}' is missing")
-    return build(kind, given)
+    return build(kind, values)
+
 
+def build(kind: str, values: dict[str, str]) -> Message:
+    """Build the message of a kind from its values, which are complete.
 
-def build(kind: str, given: dict[str, str]) -> Message:
+    Raises:
+        UnreadableError: A value is malformed.
+    """
     if kind == "probe":
         return Probe()
     if kind == "agent":
-        return Agent(given["zone"])
-    tries, failed = whole(given["tries"], "tries"), whole(given["failed"], "failed")
-    span = figure(given["span_ms"], "span_ms")
-    if kind == "demand":  # What failed in this span may have come in an earlier one.
-        return Demand(whole(given["proxy"], "proxy"), given["class"], tries, failed, span)
+        return Agent(values["zone"])
+    tries, failed = parse_integer(values["tries"], "tries"), parse_integer(values["failed"], "failed")
+    span_ms = parse_number(values["span_ms"], "span_ms")
+    if kind == "demand":  # A request that failed in this span may have arrived in an earlier one.
+        proxy = parse_integer(values["proxy"], "proxy")
+        return Demand(proxy, values["class"], tries, failed, span_ms)
     if failed > tries:
         raise UnreadableError(f"{kind}: more failed than were tried")
     return Outcomes(
-        given["zone"],
-        given["server"],
+        values["zone"],
+        values["server"],
         tries,
         failed,
-        figure(given["mean_ms"], "mean_ms"),
-        span,
-        pairs(given.get("load", ""), "load"),
+        parse_number(values["mean_ms"], "mean_ms"),
+        span_ms,
+        parse_pairs(values.get("load", ""), "load"),
     )
--- a/ambershift/coordinator/protocol/probes.py
+++ b/ambershift/coordinator/protocol/probes.py
@@ -1,4 +1,4 @@
-"""Probes of a server: where to ask, and the load report in the answer."""
+"""Probes of a server: the targets of the requests, and the load report in the answer."""
 
 from __future__ import annotations
 
@@ -8,11 +8,16 @@
 
 from ambershift.coordinator.protocol.fields import UnreadableError
 
-HEALTH, LOAD = "/health", "/status/load"
+HEALTH_TARGET = "/health"
+LOAD_TARGET = "/status/load"
 
 
 def parse_load(body: bytes) -> dict[str, float]:
-    """The figures of a load report; an empty body is no report, and that is no error."""
+    """Return the numbers in a load report; an empty body is a missing report, and no error.
+
+    Raises:
+        UnreadableError: The body is no JSON object.
+    """
     if not body.strip():
         return {}
     try:
--- a/ambershift/coordinator/routing/__init__.py
+++ b/ambershift/coordinator/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a message: take in, admit, route, send, relay, book; each stage is a unit of its own."""
+"""The path of a message: received, admitted, passed to the policy module, and its orders sent and logged."""
--- a/ambershift/coordinator/routing/call_queue.py
+++ b/ambershift/coordinator/routing/call_queue.py
@@ -1,6 +1,6 @@
-"""The row of calls to the relay, without input or output: what goes out next, and what an outcome means.
+"""The queue of calls to the relay, without input or output: what goes out next, and what an answer means.
 
-The relay driver makes the first call and tells the outcome; the model checker drives the same row.
+`RelayClient` makes the first call and passes its answer on; the model checker drives the same queue.
 """
 
 from __future__ import annotations
@@ -11,13 +11,15 @@
 
 from ambershift.coordinator.protocol import relay as codec
 
-NONE = 0
+SETTLES_NOTHING = 0
 
 
 class Call(NamedTuple):
-    """Orders that go out together; `settles` is the last reply that is settled once they are answered, NONE
-    where
-    they settle none.
+    """Orders that go out together.
+
+    Attributes:
+        orders: The encoded orders.
+        settles: The last reply that is settled once the orders are answered, or `SETTLES_NOTHING`.
     """
 
     orders: tuple[str, ...]
@@ -25,8 +27,13 @@
 
 
 class Outcome(NamedTuple):
-    """What an answer means: the call it was for, the order that the relay will never carry out, if any, why,
-    and the reply up to which all is settled, if that is known now.
+    """What an answer means.
+
+    Attributes:
+        call: The call that was answered.
+        lost_order: The order that the relay will never carry out, if any.
+        reason: Why it won't, as the name of a log event.
+        settled_reply: The reply up to which everything is settled, if that is known now.
     """
 
     call: Call
@@ -36,35 +43,44 @@
 
 
 class CallQueue:
-    """Calls strictly in order and one at a time. The first one leaves only once its outcome is known."""
+    """Calls in strict order and one at a time; the first leaves the queue only once its outcome is known."""
 
     def __init__(self) -> None:
-        self.calls, self.reply_count = deque[Call](), 0
+        self.calls = deque[Call]()
+        self.reply_count = 0
+
+    def push(self, orders: Sequence[str]) -> int:
+        """Append the orders of one reply of the policy module.
 
-    def push(self, texts: Sequence[str]) -> int:
-        """Take one reply's orders in; gives the number of calls that were folded into it."""
+        Returns:
+            How many queued calls were merged with it.
+        """
         self.reply_count += 1
-        folded = 0
+        merged = 0
         if len(self.calls) > 1:
-            # The relay is away. The first call may have been carried out and stays as it is; the rest becomes
-            # one reply, or on its return a row of stale ones would fill the channel with messages.
+            # The relay is unavailable. The first call may have been carried out and stays as it is; the rest
+            # becomes one reply, or outdated calls would fill the channel when the relay returns.
             first, *rest = self.calls
-            texts = codec.coalesce([order for call in rest for order in call.orders] + list(texts))
-            self.calls, folded = deque([first]), len(rest)
-        *parts, last = codec.split(texts)
-        # Of what is cut only the last part settles anything: not even the reply before this one, which may be
-        # folded into it.
-        self.calls.extend(Call(tuple(part), NONE) for part in parts)
+            orders = codec.coalesce([order for call in rest for order in call.orders] + list(orders))
+            self.calls, merged = deque([first]), len(rest)
+        *parts, last = codec.split(orders)
+        # Of a reply that is split only the last part settles anything: not even the reply before this one,
+        # which may have been merged into it.
+        self.calls.extend(Call(tuple(part), SETTLES_NOTHING) for part in parts)
         self.calls.append(Call(tuple(last), self.reply_count))
-        return folded
+        return merged
 
     def head(self) -> Call:
+        """Return the call to make next."""
         return self.calls[0]
 
     def on_answer(self, answer: codec.Answer) -> Outcome | None:
-        """The relay has answered for the first call; None where it was turned away and goes out again.
+        """Process the relay's answer to the first call.
+
+        A call without an answer isn't reported here: it stays first, and is repeated before any later one.
 
-        A call without an answer needs no word here: it stays first, and goes out again before any later one.
+        Returns:
+            The outcome; None if the relay was busy and the call has to be repeated.
         """
         if isinstance(answer, codec.Busy):
             return None
@@ -72,29 +88,29 @@
         if isinstance(answer, codec.Misread):
             return self.on_misread(call)
         if answer.taken < len(call.orders):
-            # Those before it stand and it never will: it would hold up all that come after.
+            # The orders before the rejected one stand. It will never be accepted, and would hold up the rest.
             rest = call.orders[answer.taken + 1 :]
             if rest:
                 self.calls.appendleft(Call(rest, call.settles))
-            return Outcome(
-                call, call.orders[answer.taken], "order_not_taken", None if rest else call.settles or None
-            )
+            settled = None if rest else call.settles or None
+            return Outcome(call, call.orders[answer.taken], "order_not_taken", settled)
         return Outcome(call, settled_reply=call.settles or None)
 
     def on_misread(self, call: Call) -> Outcome:
-        """Nothing of the call was carried out: its orders go out singly, so that one alone is lost."""
+        """Split a call of which nothing was carried out into single orders, so that only one is lost."""
         if len(call.orders) == 1:
             return Outcome(call, call.orders[0], "order_not_read", call.settles or None)
-        parts = [Call((order,), NONE) for order in call.orders[:-1]]
+        parts = [Call((order,), SETTLES_NOTHING) for order in call.orders[:-1]]
         self.calls.extendleft(reversed([*parts, Call(call.orders[-1:], call.settles)]))
         return Outcome(call)
 
     def snapshot(self) -> tuple[tuple[Call, ...], int]:
-        """The whole state as values, for the checker."""
+        """Return the whole state as values, for the model checker."""
         return tuple(self.calls), self.reply_count
 
     @classmethod
     def restore(cls, state: tuple[tuple[Call, ...], int]) -> CallQueue:
-        row = cls()
-        row.calls, row.reply_count = deque(state[0]), state[1]
-        return row
+        """Build a queue from a state that `snapshot` returned."""
+        queue = cls()
+        queue.calls, queue.reply_count = deque(state[0]), state[1]
+        return queue
--- a/ambershift/coordinator/routing/decoding.py
+++ b/ambershift/coordinator/routing/decoding.py
@@ -1,4 +1,4 @@
-"""Reading: what a codec can't make out is an end of the connection that brought it, told in one way."""
+"""Turns errors of the codecs into the end of the connection that brought the input."""
 
 from __future__ import annotations
 
@@ -10,7 +10,12 @@
 
 
 @contextmanager
-def reading() -> Iterator[None]:
+def decoding() -> Iterator[None]:
+    """Decode input within this context.
+
+    Raises:
+        DisconnectedError: A codec raised `UnreadableError`.
+    """
     try:
         yield
     except UnreadableError as error:
--- a/ambershift/coordinator/routing/event_log.py
+++ b/ambershift/coordinator/routing/event_log.py
@@ -1,4 +1,4 @@
-"""EventLog: counts of all that passes, and the log lines, bounded for each kind of event."""
+"""Counters of all events, and log lines limited for each kind of event."""
 
 from __future__ import annotations
 
@@ -11,51 +11,59 @@
 from ambershift.coordinator.transport.disconnect import DISCONNECT_EFFECTS, DisconnectedError
 
 Log = Callable[[dict[str, Any]], None]
-SECOND = 1_000_000_000
+NS_PER_S = 1_000_000_000
 MAX_LINES_PER_SECOND = 40
+MAX_ERROR_LENGTH = 500
+MAX_TRACE_LENGTH = 4000
 
 
 class EventLog:
-    """Against a flood of bad input: of each kind of event a bounded number of lines a second is logged."""
+    """Logs and counts events; a flood of bad input yields a bounded number of lines a second of each kind."""
 
     def __init__(self, log: Log, clock: Callable[[], int] = time.monotonic_ns) -> None:
+        """Log by `log`, with a monotonic clock in nanoseconds."""
         self.log, self.clock = log, clock
         self.counts = Counter[str]()
-        self.since, self.written = clock(), Counter[str]()
+        self.window_start, self.window_counts = clock(), Counter[str]()
 
     def count(self, event: str, more: int = 1) -> None:
+        """Count events without a log line."""
         self.counts[event] += more
 
     def record(self, event: str, **fields: Any) -> None:
+        """Count an event and log it, unless its kind has used up this second's lines."""
         self.counts[event] += 1
         now = self.clock()
-        if now - self.since >= SECOND:
-            self.since = now
-            missed = {
+        if now - self.window_start >= NS_PER_S:
+            self.window_start = now
+            suppressed = {
                 kind: count - MAX_LINES_PER_SECOND
-                for kind, count in self.written.items()
+                for kind, count in self.window_counts.items()
                 if count > MAX_LINES_PER_SECOND
             }
-            self.written.clear()
-            if missed:
-                self.log({"event": "left_out", "lines": missed})
-        self.written[event] += 1
-        if self.written[event] <= MAX_LINES_PER_SECOND:
+            self.window_counts.clear()
+            if suppressed:
+                self.log({"event": "left_out", "lines": suppressed})
+        self.window_counts[event] += 1
+        if self.window_counts[event] <= MAX_LINES_PER_SECOND:
             self.log({"event": event, **fields})
 
-    def record_disconnect(self, what: str, end: DisconnectedError, **fields: Any) -> None:
-        self.count(f"{what}_{end.reason.name.lower()}")
-        if DISCONNECT_EFFECTS[end.reason].is_fault:
-            self.record(f"{what}_ended", how=end.reason.name.lower(), detail=end.detail, **fields)
+    def record_disconnect(self, what: str, error: DisconnectedError, **fields: Any) -> None:
+        """Count the end of a connection, and log it if it is a fault."""
+        reason = error.reason.name.lower()
+        self.count(f"{what}_{reason}")
+        if DISCONNECT_EFFECTS[error.reason].is_fault:
+            self.record(f"{what}_ended", how=reason, detail=error.detail, **fields)
 
     def record_failure(self, where: str, error: BaseException) -> None:
-        """An error that nobody foresaw: told in full, and the work goes on."""
+        """Log an unexpected exception with its traceback."""
         self.record(
             "failure",
             where=where,
-            error=repr(error)[:500],
-            trace="".join(traceback.format_exception(error))[-4000:],
+            error=repr(error)[:MAX_ERROR_LENGTH],
+            trace="".join(traceback.format_exception(error))[-MAX_TRACE_LENGTH:],
         )
 
     def record_totals(self) -> None:
+        """Log all counters."""
         self.log({"event": "totals", "counts": dict(sorted(self.counts.items()))})
--- a/ambershift/coordinator/routing/order_dispatcher.py
+++ b/ambershift/coordinator/routing/order_dispatcher.py
@@ -1,4 +1,4 @@
-"""OrderDispatcher: gives each order of a reply to whoever carries it out."""
+"""Passes each order of the policy module to the part that carries it out."""
 
 from __future__ import annotations
 
@@ -13,27 +13,34 @@
 from ambershift.coordinator.routing.prober import Prober
 from ambershift.coordinator.routing.relay_client import RelayClient
 
+NS_PER_S = 1e9
+MAX_NOTE_LENGTH = 1000
+
 
 class OrderDispatcher:
+    """Dispatches the orders of one reply; those for the relay stay together."""
+
     def __init__(
         self,
-        route: PolicyDriver,
-        relay: RelayClient,
+        driver: PolicyDriver,
+        relay_client: RelayClient,
         watcher: DiscoveryWatcher,
         prober: Prober,
-        admit: Admission,
+        admission: Admission,
         event_log: EventLog,
     ) -> None:
-        self.policy_driver, self.relay, self.watcher, self.prober = route, relay, watcher, prober
-        self.admit, self.event_log = admit, event_log
+        self.driver, self.relay_client, self.watcher, self.prober = driver, relay_client, watcher, prober
+        self.admission, self.event_log = admission, event_log
 
     def dispatch(self, orders: list[api.Order]) -> None:
-        reply, forgotten = list[RelayOrder](), list[int]()
+        """Dispatch the orders of one reply."""
+        relay_orders, forgotten = list[RelayOrder](), list[int]()
         for order in orders:
             match order:
                 case api.StartTimer():
                     loop = asyncio.get_running_loop()
-                    loop.call_later(order.after / 1e9, self.policy_driver.submit, api.TimerFired(order.token))
+                    fired = api.TimerFired(order.token)
+                    loop.call_later(order.after / NS_PER_S, self.driver.submit, fired)
                 case api.Watch():
                     self.watcher.watch(order.on)
                 case api.Fetch():
@@ -43,15 +50,14 @@
                 case api.Forget():
                     forgotten.append(order.server)
                 case api.Note():
-                    self.event_log.record("module", text=order.text[:1000])
+                    self.event_log.record("module", text=order.text[:MAX_NOTE_LENGTH])
                 case api.SendToPeer():
-                    self.event_log.record(
-                        "untold", why="the protocol has no way from coordinator to coordinator"
-                    )
+                    why = "the protocol has no way from coordinator to coordinator"
+                    self.event_log.record("untold", why=why)
                 case _:
-                    reply.append(order)
-        if reply:
-            self.relay.push(reply)
-        # A front above keeps wishes and pictures by index, and shows names for them.
-        for server in forgotten if not self.policy_driver.tap else ():
-            self.admit.forget(server)
+                    relay_orders.append(order)
+        if relay_orders:
+            self.relay_client.push(relay_orders)
+        # A tap keeps state by index and shows the names behind it, so with one no index is given up.
+        for server in forgotten if not self.driver.tap else ():
+            self.admission.forget(server)
--- a/ambershift/coordinator/routing/peers.py
+++ b/ambershift/coordinator/routing/peers.py
@@ -1,4 +1,4 @@
-"""Peers: what whoever connects to our own address is, what that allows, and what bad input from it earns."""
+"""Peers that connect to the coordinator's own address: their kinds, limits, and the handling of bad input."""
 
 from __future__ import annotations
 
@@ -9,73 +9,89 @@
 
 
 class PeerKind(Enum):
+    """What a peer is known to be."""
+
     STRANGER = "has not named a zone that we know"
     COLLECTOR = "has joined as the collector of a zone"
 
 
 class PeerLimits(NamedTuple):
-    """What a peer may do, and what earns it the end of its connection."""
-
-    max_line_bytes: int  # Bytes of a line.
-    line_timeout_s: float  # Seconds from a line's first byte to its last.
-    max_duration_s: float | None  # Seconds from its beginning to the end of the connection, whatever comes.
-    max_consecutive_invalid: (
-        int  # Messages on end that can't be used; of one who has joined, each costs itself alone.
-    )
-    sends_error: bool  # Whether it hears `error` before the close.
-
-
-# A stranger must name its zone within the second that the protocol grants. Collectors bring a row of reports
-# a second, and of a spoilt row most are good: as many bad ones on end are no reports at all, but rubbish.
+    """What a peer may do, and what closes its connection.
+
+    Attributes:
+        max_line_bytes: The longest line.
+        line_timeout_s: Seconds from a line's first byte to its last.
+        max_duration_s: Seconds after which the connection is closed, whatever arrives; None for no limit.
+        max_consecutive_invalid: Unusable messages in a row that are tolerated. Up to there a collector only
+            loses the message itself.
+        sends_error: Whether the peer is sent `error` before the close.
+    """
+
+    max_line_bytes: int
+    line_timeout_s: float
+    max_duration_s: float | None
+    max_consecutive_invalid: int
+    sends_error: bool
+
+
+# A stranger must name its zone within the second that the protocol grants. Collectors send a batch of reports
+# a second, and most of a damaged batch is valid: eight invalid messages in a row are not reports at all.
 PEER_LIMITS = {
     PeerKind.STRANGER: PeerLimits(4096, 1.0, 1.0, 0, True),
     PeerKind.COLLECTOR: PeerLimits(1 << 20, 1.0, None, 7, False),
 }
-# A collector that comes anew may have left its old connection open and silent, as a machine cut off does.
+# A collector that reconnects may leave its old connection open and silent, as after a network partition.
 MAX_COLLECTORS_PER_ZONE = 3
 
 
 class CollectorRegistry(Generic[Connection]):
-    """Keeps who has joined for each zone, whatever a connection is: links here, numbers in the checker."""
+    """The collectors of each zone, least recently heard first.
+
+    A connection is a `Link` here and a number in the model checker.
+    """
 
     def __init__(self) -> None:
         self.by_zone = dict[str, list[Connection]]()
 
     def add(self, link: Connection, zone: str) -> Connection | None:
-        """Gives the one that must go for it, if there are too many."""
+        """Add a collector; return the connection to close for it, if the zone has too many."""
         links = self.by_zone.setdefault(zone, [])
         links.append(link)
-        # The one that has been silent for longest stands first.
         return links[0] if len(links) > MAX_COLLECTORS_PER_ZONE else None
 
     def touch(self, link: Connection, zone: str) -> None:
+        """Mark a collector as the one heard last."""
         links = self.by_zone[zone]
         if links[-1] is not link:
             links.remove(link)
             links.append(link)
 
     def remove(self, link: Connection, zone: str) -> None:
+        """Remove a collector whose connection has ended."""
         self.by_zone[zone].remove(link)
 
 
 class PeerSession:
-    """How one peer has behaved so far, measured by the table. Times are seconds of any clock that goes on."""
+    """The behaviour of one peer so far, and its limits. Times are seconds of any monotonic clock."""
 
     def __init__(self, now: float) -> None:
         self.consecutive_invalid, self.since = 0, now
         self.set_kind(PeerKind.STRANGER)
 
-    def set_kind(self, peer: PeerKind) -> None:
-        self.kind, self.limits = peer, PEER_LIMITS[peer]
+    def set_kind(self, kind: PeerKind) -> None:
+        """Set what the peer is, and with it its limits."""
+        self.kind, self.limits = kind, PEER_LIMITS[kind]
 
     def remaining_s(self, now: float) -> float | None:
-        stays = self.limits.max_duration_s
-        return None if stays is None else max(0.0, self.since + stays - now)
+        """Return the time until the connection has to end, or None if it has no limit."""
+        max_duration_s = self.limits.max_duration_s
+        return None if max_duration_s is None else max(0.0, self.since + max_duration_s - now)
 
     def record_valid(self) -> None:
+        """Count a valid message, which ends a row of invalid ones."""
         self.consecutive_invalid = 0
 
     def record_invalid(self) -> bool:
-        """One more message that can't be used; tells whether that ends the connection."""
+        """Count a message that can't be used; return whether the connection has to end."""
         self.consecutive_invalid += 1
         return self.consecutive_invalid > self.limits.max_consecutive_invalid
--- a/ambershift/coordinator/routing/prober.py
+++ b/ambershift/coordinator/routing/prober.py
@@ -1,4 +1,4 @@
-"""Probe: asks a server for its health and load when the module orders it."""
+"""Probes servers for their health and load, on order of the policy module."""
 
 from __future__ import annotations
 
@@ -14,50 +14,58 @@
 from ambershift.coordinator.transport.dialler import Dialler
 from ambershift.coordinator.transport.disconnect import DisconnectedError
 
-MAX_PROBES = 64
+MAX_PROBES = 64  # Probes at once, so that they can't use up the process's file descriptors.
+NS_PER_S = 1e9
+HTTP_OK = 200
 
 
 class Prober:
+    """Makes probes, each over a connection of its own, and submits their results."""
+
     def __init__(
         self,
         dialler: Dialler,
-        admit: Admission,
+        admission: Admission,
         now: Callable[[], int],
-        put: Callable[[api.Event], None],
+        submit: Callable[[api.Event], None],
         event_log: EventLog,
     ) -> None:
-        self.dialler, self.admit, self.now, self.put, self.event_log = dialler, admit, now, put, event_log
-        self.limit = admit.settings.probe_timeout / 1e9
+        self.dialler, self.admission, self.now = dialler, admission, now
+        self.submit, self.event_log = submit, event_log
+        self.timeout_s = admission.settings.probe_timeout / NS_PER_S
         self.tasks = set[asyncio.Task[None]]()
 
     def probe(self, server: int) -> None:
-        # A bound of its own, against more open connections than the program may hold.
-        if not self.admit.settings.may_probe or len(self.tasks) >= MAX_PROBES:
-            self.event_log.record("probe_left_out", server=self.admit.server_index.ids[server])
-            self.put(api.Probed(server, False, 0, ()))
+        """Start the probe of a server; one too many fails at once."""
+        if not self.admission.settings.may_probe or len(self.tasks) >= MAX_PROBES:
+            self.event_log.record("probe_left_out", server=self.admission.server_index.ids[server])
+            self.submit(api.Probed(server, False, 0, ()))
             return
-        task = asyncio.get_running_loop().create_task(self.ask(server))
+        task = asyncio.get_running_loop().create_task(self.run_probe(server))
         self.tasks.add(task)
-        task.add_done_callback(self.done)
+        task.add_done_callback(self.on_done)
 
-    def done(self, task: asyncio.Task[None]) -> None:
+    def on_done(self, task: asyncio.Task[None]) -> None:
+        """Forget the task of a probe, and log an unexpected exception."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
             self.event_log.record_failure("probe", error)
 
-    async def ask(self, server: int) -> None:
-        started, good, loads = self.now(), False, tuple[float, ...]()
-        caller = HttpClient(self.dialler, self.admit.addresses[server], self.limit)
-        target = probes.LOAD if self.admit.settings.load_fields else probes.HEALTH
+    async def run_probe(self, server: int) -> None:
+        """Probe a server and submit the result."""
+        started, healthy, loads = self.now(), False, tuple[float, ...]()
+        client = HttpClient(self.dialler, self.admission.addresses[server], self.timeout_s)
+        target = probes.LOAD_TARGET if self.admission.settings.load_fields else probes.HEALTH_TARGET
         try:
-            answer = await caller.call(target, self.limit)
-            good = answer.status == 200
-            loads = self.admit.loads(probes.parse_load(answer.body)) if target == probes.LOAD else ()
-        except DisconnectedError as end:
-            self.event_log.record_disconnect("probe", end, server=self.admit.server_index.ids[server])
+            answer = await client.call(target, self.timeout_s)
+            healthy = answer.status == HTTP_OK
+            if target == probes.LOAD_TARGET:
+                loads = self.admission.loads(probes.parse_load(answer.body))
+        except DisconnectedError as error:
+            self.event_log.record_disconnect("probe", error, server=self.admission.server_index.ids[server])
         except UnreadableError as error:
-            good = False
+            healthy = False
             self.event_log.record("refused", why=str(error))
         finally:
-            caller.close()
-        self.put(api.Probed(server, good, self.now() - started, loads))
+            client.close()
+        self.submit(api.Probed(server, healthy, self.now() - started, loads))
--- a/ambershift/coordinator/routing/proxy_event_feed.py
+++ b/ambershift/coordinator/routing/proxy_event_feed.py
@@ -1,4 +1,4 @@
-"""News: what the relay tells of the proxies on two connections alike, told to the module once."""
+"""Submits the proxy events that the relay sends on two connections to the policy module, each once."""
 
 from __future__ import annotations
 
@@ -12,23 +12,26 @@
 
 
 class ProxyEventFeed(StreamMerger):
-    """Hands what the comparing tells to the module, if it is admitted."""
+    """Merges the two streams and submits the events that are admitted."""
 
-    def __init__(self, admit: Admission, put: Callable[[api.Event], None], event_log: EventLog) -> None:
-        super().__init__(self.hand_on)
-        self.admit, self.put, self.event_log = admit, put, event_log
+    def __init__(
+        self, admission: Admission, submit: Callable[[api.Event], None], event_log: EventLog
+    ) -> None:
+        super().__init__(self.submit_event)
+        self.admission, self.submit, self.event_log = admission, submit, event_log
 
-    def hand_on(self, news: codec.ProxyEvent) -> bool:
+    def submit_event(self, event: codec.ProxyEvent) -> bool:
+        """Submit an event; return whether it was admitted."""
         try:
-            match news:
+            match event:
                 case codec.Hello():
-                    self.put(self.admit.joined(news))
-                    self.event_log.record("joined", proxy=news.proxy, zone=news.zone, fresh=news.fresh)
+                    self.submit(self.admission.joined(event))
+                    self.event_log.record("joined", proxy=event.proxy, zone=event.zone, fresh=event.fresh)
                 case codec.Bye():
-                    self.put(api.Left(news.proxy))
-                    self.event_log.record("left", proxy=news.proxy)
+                    self.submit(api.Left(event.proxy))
+                    self.event_log.record("left", proxy=event.proxy)
                 case codec.Ack():
-                    self.put(self.admit.applied(news))
+                    self.submit(self.admission.applied(event))
                     self.event_log.count("acks")
         except RefusedError as error:
             self.event_log.record("refused", why=str(error))
--- a/ambershift/coordinator/routing/report_receiver.py
+++ b/ambershift/coordinator/routing/report_receiver.py
@@ -1,4 +1,4 @@
-"""Take in: reads the lines of each connection at our own address and passes on what is admitted."""
+"""Reads the lines of each connection at the coordinator's own address and submits admitted reports."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.protocol import lines
-from ambershift.coordinator.protocol.fields import UnreadableError, show
+from ambershift.coordinator.protocol.fields import UnreadableError, printable_prefix
 from ambershift.coordinator.routing.admission import Admission, RefusedError
 from ambershift.coordinator.routing.event_log import EventLog
 from ambershift.coordinator.routing.peers import CollectorRegistry, PeerKind, PeerSession
@@ -16,70 +16,93 @@
 
 
 class ReportReceiver:
-    def __init__(self, admit: Admission, put: Callable[[api.Event], None], event_log: EventLog) -> None:
-        self.admit, self.put, self.event_log = admit, put, event_log
-        self.peers = CollectorRegistry[Link]()
+    """Serves collectors and answers probes."""
 
-    async def serve(self, link: Link, keep: Callable[[Link], None]) -> None:
-        """Serve a connection until it ends. A collector is written nothing but answers to its own probes."""
+    def __init__(
+        self, admission: Admission, submit: Callable[[api.Event], None], event_log: EventLog
+    ) -> None:
+        self.admission, self.submit, self.event_log = admission, submit, event_log
+        self.collectors = CollectorRegistry[Link]()
+
+    async def serve(self, link: Link, protect: Callable[[Link], None]) -> None:
+        """Serve a connection until it ends. A collector is sent nothing but answers to its own probes.
+
+        Args:
+            link: The connection.
+            protect: Called once the peer has joined as a collector.
+
+        Raises:
+            DisconnectedError: The connection has ended.
+        """
         clock = asyncio.get_running_loop().time
-        conduct, zone = PeerSession(clock()), ""
-        self.bound(link, conduct)
+        session, zone = PeerSession(clock()), ""
+        self.apply_line_limits(link, session)
         try:
             while True:
-                for line in await link.read_lines(conduct.remaining_s(clock())):
-                    named = self.take(link, conduct, line)
-                    if named and not zone:
-                        zone = named
-                        if gone := self.peers.add(link, zone):
-                            gone.disconnect(DisconnectReason.NO_ROOM)
-                        keep(link)
+                for line in await link.read_lines(session.remaining_s(clock())):
+                    joined_zone = self.process_line(link, session, line)
+                    if joined_zone and not zone:
+                        zone = joined_zone
+                        if evicted := self.collectors.add(link, zone):
+                            evicted.disconnect(DisconnectReason.NO_ROOM)
+                        protect(link)
                 if zone:
-                    self.peers.touch(link, zone)
-        except DisconnectedError as end:
-            # Only what came tells of rubbish; whoever was too slow may be a collector all the same.
-            if conduct.limits.sends_error and end.reason in (
-                DisconnectReason.UNREADABLE,
-                DisconnectReason.TOO_LONG,
-            ):
+                    self.collectors.touch(link, zone)
+        except DisconnectedError as error:
+            # Only input shows that the peer is no collector; one that was merely too slow may be one.
+            invalid_input = error.reason in (DisconnectReason.UNREADABLE, DisconnectReason.TOO_LONG)
+            if session.limits.sends_error and invalid_input:
                 link.write_nowait(lines.ERROR)
             raise
         finally:
             if zone:
-                self.peers.remove(link, zone)
+                self.collectors.remove(link, zone)
 
-    def bound(self, link: Link, conduct: PeerSession) -> None:
-        link.set_line_limits(conduct.limits.max_line_bytes, conduct.limits.line_timeout_s)
+    def apply_line_limits(self, link: Link, session: PeerSession) -> None:
+        """Set the limits of the peer's kind on its connection."""
+        link.set_line_limits(session.limits.max_line_bytes, session.limits.line_timeout_s)
 
-    def unusable(self, conduct: PeerSession, why: str) -> None:
-        if conduct.record_invalid():
+    def record_invalid(self, session: PeerSession, why: str) -> None:
+        """Count an invalid message.
+
+        Raises:
+            DisconnectedError: It was one too many.
+        """
+        if session.record_invalid():
             raise DisconnectedError(DisconnectReason.UNREADABLE, why)
 
-    def take(self, link: Link, conduct: PeerSession, line: bytes) -> str:
-        """Pass a message on; of one that joins this tells the zone."""
+    def process_line(self, link: Link, session: PeerSession, line: bytes) -> str:
+        """Process one line.
+
+        Returns:
+            The zone if the line joins as its collector, else an empty string.
+
+        Raises:
+            DisconnectedError: The line is invalid, and one too many.
+        """
         try:
             message = lines.parse(line)
             match message:
                 case lines.Probe():
                     link.write_nowait(lines.ALIVE)
-                    return ""  # Says nothing about the rest that a peer sends.
+                    return ""  # Counts neither as valid nor as invalid.
                 case lines.Agent():
-                    self.admit.zone(message.zone)
+                    self.admission.zone(message.zone)
                     self.event_log.record("collector", zone=message.zone)
-                    conduct.set_kind(PeerKind.COLLECTOR)
-                    self.bound(link, conduct)
-                    conduct.record_valid()
+                    session.set_kind(PeerKind.COLLECTOR)
+                    self.apply_line_limits(link, session)
+                    session.record_valid()
                     return message.zone
-                case _ if conduct.kind is PeerKind.STRANGER:
+                case _ if session.kind is PeerKind.STRANGER:
                     raise RefusedError("a report before a joining")
                 case _:
-                    self.put(self.admit.report(message))
+                    self.submit(self.admission.report(message))
                     self.event_log.count("reports")
-                    conduct.record_valid()
+                    session.record_valid()
         except UnreadableError as error:
-            self.event_log.record("unreadable", why=str(error), line=show(line))
-            self.unusable(conduct, str(error))
+            self.event_log.record("unreadable", why=str(error), line=printable_prefix(line))
+            self.record_invalid(session, str(error))
         except RefusedError as error:
-            self.event_log.record("refused", why=str(error), line=show(line))
-            self.unusable(conduct, str(error))
+            self.event_log.record("refused", why=str(error), line=printable_prefix(line))
+            self.record_invalid(session, str(error))
         return ""
--- a/ambershift/coordinator/transport/__init__.py
+++ b/ambershift/coordinator/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes over sockets: connections, their ends, time limits, lines and buffers."""
+"""Connections over sockets: their ends, timeouts, line framing and buffers."""
--- a/ambershift/coordinator/transport/disconnect.py
+++ b/ambershift/coordinator/transport/disconnect.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection can end, and what each means for what went over it."""
+"""The reasons for which a connection ends, and what each means for the owner of the connection."""
 
 from __future__ import annotations
 
@@ -9,6 +9,8 @@
 
 
 class DisconnectReason(Enum):
+    """Why a connection ended; names and values are part of the log."""
+
     DONE = "we had what we wanted"
     STOPPED = "the program stops"
     MOVED = "the other side has another address now"
@@ -27,12 +29,15 @@
 
 
 class DisconnectEffect(NamedTuple):
-    """What the parts that own a connection make of its end, and the module is told through them.
+    """What the owner of a connection does when it ends; the policy module learns of it through the owner.
+
+    Otherwise all ends are alike: a call to the relay is repeated, and a probe has failed.
 
-    `list_failed`: a call on discovery that ended so is told as failed. `retry_on_new_connection`: a used
-    connection may have been closed before our words reached it, so a new one is tried at once. `is_fault`: it
-    is logged as one.
-    For the rest all ends are alike: a call on the relay goes out again, and a probe has found no server.
+    Attributes:
+        list_failed: Whether a call to the discovery service that ends so is reported as failed.
+        retry_on_new_connection: Whether a reused connection may have been closed before the request reached
+            the server, so that the call is repeated at once on a new one.
+        is_fault: Whether it is logged as a fault.
     """
 
     list_failed: bool
@@ -58,7 +63,7 @@
     DisconnectReason.NO_ROOM: DisconnectEffect(True, False, True),
 }
 
-WAYS = {
+REASONS = {
     errno.ECONNREFUSED: DisconnectReason.REFUSED,
     errno.ECONNRESET: DisconnectReason.RESET,
     errno.EPIPE: DisconnectReason.RESET,
@@ -70,17 +75,17 @@
 
 
 class DisconnectedError(Exception):
-    """A connection is at its end; `ending` tells how."""
+    """A connection has ended, or was never established."""
 
     def __init__(self, reason: DisconnectReason, detail: str = "") -> None:
         super().__init__(f"{reason.value}{': ' if detail else ''}{detail}")
         self.reason, self.detail = reason, detail
 
 
-def disconnected(error: OSError | EOFError) -> DisconnectedError:
-    """Name the end that an error of the operating system or of asyncio stands for."""
+def from_os_error(error: OSError | EOFError) -> DisconnectedError:
+    """Return the end that an error of the operating system or of asyncio stands for."""
     if isinstance(error, asyncio.IncompleteReadError | EOFError):
         return DisconnectedError(DisconnectReason.CUT_SHORT)
     if isinstance(error, ConnectionResetError | BrokenPipeError):
         return DisconnectedError(DisconnectReason.RESET)
-    return DisconnectedError(WAYS.get(error.errno or 0, DisconnectReason.UNREACHABLE), str(error))
+    return DisconnectedError(REASONS.get(error.errno or 0, DisconnectReason.UNREACHABLE), str(error))
--- a/ambershift/coordinator/transport/framing.py
+++ b/ambershift/coordinator/transport/framing.py
@@ -1,4 +1,4 @@
-"""Finds the lines in what arrives, however it is cut up."""
+"""Splits received bytes into lines, however they are fragmented."""
 
 from __future__ import annotations
 
@@ -9,23 +9,35 @@
 
 
 class LineFramer:
-    def __init__(self, pool: BufferPool, most: int) -> None:
-        self.partial, self.most = PartialMessage(pool), most
+    """Collects the lines of one connection, each of at most `max_line_bytes`."""
+
+    def __init__(self, pool: BufferPool, max_line_bytes: int) -> None:
+        self.partial, self.max_line_bytes = PartialMessage(pool), max_line_bytes
 
     def feed(self, chunk: bytes) -> Iterator[bytes]:
-        """Yield each line that is whole by now; the lines ahead of one that is too long still count."""
+        """Yield each line that is complete now; the lines before one that is too long still count.
+
+        Raises:
+            DisconnectedError: A line is too long, or no buffer is left for an incomplete one.
+        """
         view, start = memoryview(chunk), 0
         while (end := chunk.find(b"\n", start)) >= 0:
-            self.check(end - start)
-            line = self.partial.end() + chunk[start:end] if self.partial.length else chunk[start:end]
+            self.check_length(end - start)
+            line = self.partial.take() + chunk[start:end] if self.partial.length else chunk[start:end]
             yield line.removesuffix(b"\r")
             start = end + 1
-        self.check(len(chunk) - start)
-        self.partial.add(view[start:])
+        self.check_length(len(chunk) - start)
+        self.partial.append(view[start:])
+
+    def check_length(self, added: int) -> None:
+        """Check the length of the incomplete line with the bytes to add.
 
-    def check(self, more: int) -> None:
-        if self.partial.length + more > self.most:
-            raise DisconnectedError(DisconnectReason.TOO_LONG, f"over {self.most} bytes")
+        Raises:
+            DisconnectedError: It is too long.
+        """
+        if self.partial.length + added > self.max_line_bytes:
+            raise DisconnectedError(DisconnectReason.TOO_LONG, f"over {self.max_line_bytes} bytes")
 
     def close(self) -> None:
-        self.partial.end()
+        """Release the buffers of an incomplete line."""
+        self.partial.take()
--- a/ambershift/coordinator/transport/listener.py
+++ b/ambershift/coordinator/transport/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections at one address, a bounded number at once."""
+"""Accepts connections, up to a maximum at once."""
 
 from __future__ import annotations
 
@@ -11,70 +11,85 @@
 from ambershift.coordinator.transport.disconnect import DisconnectedError, DisconnectReason
 from ambershift.coordinator.transport.link import Link
 
-Handle = Callable[[Link], Awaitable[None]]
-Ends = Callable[[DisconnectedError], None]
-# A crowd waits in the system's queue and is let in by so many a turn of the loop, so that between two turns
-# room is made, whoever is here is read, and there are never more descriptors than may be.
-QUEUE, A_TURN = 1024, 4
+Handler = Callable[[Link], Awaitable[None]]
+DisconnectHandler = Callable[[DisconnectedError], None]
+LISTEN_BACKLOG = 1024
+# Many new connections wait in the backlog, and only so many are accepted in each turn of the event loop. So
+# connections are evicted and read between two turns, and there are never more descriptors than allowed.
+ACCEPTS_PER_TURN = 4
 
 
 class Listener:
-    """Runs `handle` for each connection and tells `ends` how it ended, whatever happened in between.
+    """Runs `handler` for each connection and then tells `on_disconnect` how it ended, whatever happened.
 
-    Where there are as many as may be, the one that came first makes room, but for those that are to be kept:
-    strangers who connect by the hundreds must keep no collector out, and push out none.
+    At the maximum, the oldest connection is evicted unless it is protected: strangers that connect by the
+    hundreds must neither keep a collector out nor evict one.
     """
 
-    def __init__(self, pool: BufferPool, most: int, handle: Handle, ends: Ends) -> None:
-        self.pool, self.most, self.handle, self.ends = pool, most, handle, ends
-        self.passing: dict[Link, asyncio.Task[None]] = {}
-        self.kept: dict[Link, asyncio.Task[None]] = {}
+    def __init__(
+        self, pool: BufferPool, max_links: int, handler: Handler, on_disconnect: DisconnectHandler
+    ) -> None:
+        self.pool, self.max_links = pool, max_links
+        self.handler, self.on_disconnect = handler, on_disconnect
+        self.evictable: dict[Link, asyncio.Task[None]] = {}
+        self.protected: dict[Link, asyncio.Task[None]] = {}
         self.servers = list[asyncio.Server]()
 
     async def open(self, address: str) -> None:
+        """Accept at an address.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         await self.listen(socket.create_server(split_address(address)))
 
-    async def listen(self, place: socket.socket) -> None:
-        """Accept at one more socket, already bound; all of them share the bound."""
+    async def listen(self, bound_socket: socket.socket) -> None:
+        """Accept at one more socket, already bound; all sockets share the maximum."""
         self.servers.append(
-            await asyncio.start_server(self.accept, sock=place, limit=self.pool.size, backlog=A_TURN)
+            await asyncio.start_server(
+                self.accept, sock=bound_socket, limit=self.pool.buffer_size, backlog=ACCEPTS_PER_TURN
+            )
         )
-        place.listen(QUEUE)  # asyncio has taken the number above for this too.
+        bound_socket.listen(LISTEN_BACKLOG)  # asyncio has set the socket's backlog to the number above.
 
     def protect(self, link: Link) -> None:
-        """This one makes no room for others any more."""
-        if link in self.passing:
-            self.kept[link] = self.passing.pop(link)
+        """Never evict this connection."""
+        if link in self.evictable:
+            self.protected[link] = self.evictable.pop(link)
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one new connection until it ends."""
         link, task = Link(reader, writer, self.pool), asyncio.current_task()
         assert task is not None
-        self.passing[link] = task
-        end = DisconnectedError(DisconnectReason.DONE)
+        self.evictable[link] = task
+        disconnected = DisconnectedError(DisconnectReason.DONE)
         try:
-            if len(self.passing) + len(self.kept) > self.most:
-                oldest = next(iter(self.passing))
+            if len(self.evictable) + len(self.protected) > self.max_links:
+                oldest = next(iter(self.evictable))
                 if oldest is link:
                     raise DisconnectedError(DisconnectReason.NO_ROOM)
-                self.passing.pop(oldest).cancel()
-            await self.handle(link)
+                self.evictable.pop(oldest).cancel()
+            await self.handler(link)
         except DisconnectedError as error:
-            end = error
+            disconnected = error
         except asyncio.CancelledError:
             serving = any(server.is_serving() for server in self.servers)
-            end = DisconnectedError(DisconnectReason.NO_ROOM if serving else DisconnectReason.STOPPED)
+            disconnected = DisconnectedError(
+                DisconnectReason.NO_ROOM if serving else DisconnectReason.STOPPED
+            )
         finally:
-            self.passing.pop(link, None)
-            self.kept.pop(link, None)
+            self.evictable.pop(link, None)
+            self.protected.pop(link, None)
             link.close()
-        self.ends(end)
+        self.on_disconnect(disconnected)
 
     def stop_accepting(self) -> None:
-        """Take no more connections; those that are here go on."""
+        """Accept no more connections; the open ones go on."""
         for server in self.servers:
             server.close()
 
     def close(self) -> None:
+        """Accept no more connections and close the open ones."""
         self.stop_accepting()
-        for task in (*self.passing.values(), *self.kept.values()):
+        for task in (*self.evictable.values(), *self.protected.values()):
             task.cancel()
--- a/ambershift/modelcheck/models/admin.py
+++ b/ambershift/modelcheck/models/admin.py
@@ -1,7 +1,7 @@
 """The operator's desk, the row and a relay that is cut off, with two clients, repeats and a list that loses
 servers.
 
-Driven: all of `admin/`, and `coordinator/routing/row.py`. The module between them is a plain one that
+Driven: all of `admin/`, and `coordinator/routing/call_queue.py`. The module between them is a plain one that
 orders what its entries say, at once; the real one is in the world `policy`.
 """
 
--- a/ambershift/modelcheck/models/news.py
+++ b/ambershift/modelcheck/models/news.py
@@ -1,6 +1,6 @@
 """The two connections on which news come, with a relay whose proxies join and leave while they break.
 
-Driven: `coordinator/routing/compared.py`.
+Driven: `coordinator/routing/stream_merger.py`.
 """
 
 from __future__ import annotations
--- a/ambershift/modelcheck/models/row.py
+++ b/ambershift/modelcheck/models/row.py
@@ -1,6 +1,6 @@
 """The row of calls to the relay, with a wire that loses calls and answers, and a relay that refuses.
 
-Driven: `coordinator/routing/row.py`, and by it `fold` and `split` of the relay's codec.
+Driven: `coordinator/routing/call_queue.py`, and by it `coalesce` and `split` of the relay's codec.
 """
 
 from __future__ import annotations
--- a/ambershift/modelcheck/mutants/row.py
+++ b/ambershift/modelcheck/mutants/row.py
@@ -17,13 +17,13 @@
 def goes_behind(real: Any) -> Any:
     """A call that is turned away goes to the end of the row."""
 
-    def answered(row: CallQueue, answer: codec.Answer) -> Outcome | None:
+    def on_answer(row: CallQueue, answer: codec.Answer) -> Outcome | None:
         if isinstance(answer, codec.Busy):
             row.calls.rotate(-1)
         found: Outcome | None = real(row, answer)
         return found
 
-    return answered
+    return on_answer
 
 
 def fold_without(word: str) -> Callable[[Any], Any]:
@@ -39,25 +39,25 @@
 
 
 def busy_is_done(real: Any) -> Any:
-    def answered(row: CallQueue, answer: codec.Answer) -> Outcome | None:
+    def on_answer(row: CallQueue, answer: codec.Answer) -> Outcome | None:
         if isinstance(answer, codec.Busy):
             row.calls.popleft()
             return None
         found: Outcome | None = real(row, answer)
         return found
 
-    return answered
+    return on_answer
 
 
 def rest_is_dropped(real: Any) -> Any:
-    def answered(row: CallQueue, answer: codec.Answer) -> Outcome | None:
+    def on_answer(row: CallQueue, answer: codec.Answer) -> Outcome | None:
         if isinstance(answer, codec.Done) and answer.taken < len(row.head().orders):
             call = row.calls.popleft()
             return Outcome(call, call.orders[answer.taken], "order_not_taken", call.settles)
         found: Outcome | None = real(row, answer)
         return found
 
-    return answered
+    return on_answer
 
 
 def misread_drops_all(real: Any) -> Any:
@@ -65,23 +65,23 @@
 
 
 def parts_settle_the_reply_before(real: Any) -> Any:
-    def misread(row: CallQueue, call: Call) -> Outcome:
+    def on_misread(row: CallQueue, call: Call) -> Outcome:
         found: Outcome = real(row, call)
         if len(call.orders) > 1:
             for at in range(len(call.orders) - 1):
                 row.calls[at] = row.calls[at]._replace(settles=call.settles - 1)
         return found
 
-    return misread
+    return on_misread
 
 
 def settled_at_the_refusal(real: Any) -> Any:
-    def answered(row: CallQueue, answer: codec.Answer) -> Outcome | None:
+    def on_answer(row: CallQueue, answer: codec.Answer) -> Outcome | None:
         upto = row.head().settles
         found: Outcome | None = real(row, answer)
         return found._replace(settled_reply=upto) if found is not None and found.lost_order else found
 
-    return answered
+    return on_answer
 
 
 MUTANTS: tuple[Mutant, ...] = (
--- a/tests/coordinator/test_network.py
+++ b/tests/coordinator/test_network.py
@@ -1,4 +1,4 @@
-"""Transport, codecs and stages of the coordinator, each by itself."""
+"""Unit tests of the transport, the codecs and the request path of a coordinator."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 from ambershift.coordinator.protocol.fields import UnreadableError
 from ambershift.coordinator.routing.admission import Admission, RefusedError
 from ambershift.coordinator.routing.call_queue import CallQueue
-from ambershift.coordinator.routing.event_log import MAX_LINES_PER_SECOND, SECOND, EventLog
+from ambershift.coordinator.routing.event_log import MAX_LINES_PER_SECOND, NS_PER_S, EventLog
 from ambershift.coordinator.routing.http_client import HttpClient
 from ambershift.coordinator.routing.policy_driver import PolicyDriver
 from ambershift.coordinator.routing.prober import MAX_PROBES, Prober
@@ -35,15 +35,15 @@
 from ambershift.policy_settings import FrontSettings
 from tests.support.policy_model import free_port
 
-NAMES = FrontSettings(("east", "west"), ("play", "slip"), ("util",), 8, 100.0, True, 100_000_000, 2000.0)
+SETTINGS = FrontSettings(("east", "west"), ("play", "slip"), ("util",), 8, 100.0, True, 100_000_000, 2000.0)
 
 
 def silent_event_log() -> EventLog:
     return EventLog(lambda fields: None)
 
 
-def admitting(*ids: str) -> Admission:
-    admit = Admission(NAMES, lambda: 0)
+def admission_with(*ids: str) -> Admission:
+    admit = Admission(SETTINGS, lambda: 0)
     admit.listed(
         discovery.Listing(
             1,
@@ -62,18 +62,18 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_lines_are_found_however_they_are_cut_and_no_buffer_stays_out(seed: int) -> None:
-    chance, pool = random.Random(seed), BufferPool(16, 64)
-    wanted = [bytes(chance.choices(b"abc ", k=chance.choice((0, 3, 15, 16, 17, 100)))) for _ in range(50)]
+def test_lines_are_found_in_any_fragments_and_all_buffers_are_released(seed: int) -> None:
+    rng, pool = random.Random(seed), BufferPool(16, 64)
+    wanted = [bytes(rng.choices(b"abc ", k=rng.choice((0, 3, 15, 16, 17, 100)))) for _ in range(50)]
     stream, framer, found = b"".join(one + b"\r\n" for one in wanted), LineFramer(pool, 200), list[bytes]()
     while stream:
-        cut = chance.randint(1, 60)
+        cut = rng.randint(1, 60)
         found += framer.feed(stream[:cut])
         stream = stream[cut:]
-    assert found == wanted and pool.out == 0 and len(pool.free) <= 8
+    assert found == wanted and pool.in_use == 0 and len(pool.free) <= 8
 
 
-def test_a_line_too_long_ends_the_connection_after_the_lines_before_it() -> None:
+def test_a_line_that_is_too_long_ends_the_connection_after_the_lines_before_it() -> None:
     framer, found = LineFramer(BufferPool(16, 64), 20), list[bytes]()
     with pytest.raises(DisconnectedError) as caught:
         for line in framer.feed(b"one\r\n" + b"x" * 21):
@@ -81,17 +81,17 @@
     assert found == [b"one"] and caught.value.reason is DisconnectReason.TOO_LONG
 
 
-def test_who_needs_more_buffers_than_there_are_loses_the_connection_and_gives_back_what_it_has() -> None:
+def test_a_connection_that_exhausts_the_buffer_pool_ends_and_releases_its_buffers() -> None:
     pool = BufferPool(16, 2)
     framer = LineFramer(pool, 200)
     with pytest.raises(DisconnectedError) as caught:
         list(framer.feed(b"x" * 40))
     assert caught.value.reason is DisconnectReason.NO_ROOM
     framer.close()
-    assert pool.out == 0
+    assert pool.in_use == 0
 
 
-def test_each_ending_has_one_meaning() -> None:
+def test_each_disconnect_reason_has_an_effect() -> None:
     assert DISCONNECT_EFFECTS.keys() == set(DisconnectReason)
     assert not any(
         DISCONNECT_EFFECTS[one].is_fault
@@ -99,8 +99,8 @@
     )
 
 
-def test_a_crowd_pushes_out_neither_who_is_kept_nor_holds_more_than_may_be() -> None:
-    async def act() -> None:
+def test_many_connections_evict_no_protected_one_and_stay_below_the_maximum() -> None:
+    async def run() -> None:
         ends, most = list[DisconnectedError](), 0
 
         async def serve(link: Any) -> None:
@@ -136,11 +136,11 @@
         for one in crowd:
             one.close()
 
-    asyncio.run(act())
+    asyncio.run(run())
 
 
-def test_whole_lines_still_count_where_the_rest_finds_no_buffer() -> None:
-    async def act() -> None:
+def test_complete_lines_count_when_no_buffer_is_left_for_the_rest() -> None:
+    async def run() -> None:
         found, ends = list[bytes](), asyncio.Queue[DisconnectedError]()
 
         async def serve(link: Any) -> None:
@@ -156,7 +156,7 @@
         writer.close()
         listener.close()
 
-    asyncio.run(act())
+    asyncio.run(run())
 
 
 # Codecs
@@ -180,7 +180,7 @@
             "demand proxy=17 class=lookup tries=19 failed=0 span_ms=1000.0 later=1",
             lines.Demand(17, "lookup", 19, 0, 1000.0),
         ),
-        # What failed in this span may have come in the one before.
+        # A request that failed in this span may have arrived in the one before.
         ("demand proxy=8 class=read tries=1 failed=2 span_ms=1000.0", lines.Demand(8, "read", 1, 2, 1000.0)),
     ],
 )
@@ -209,7 +209,7 @@
         b"outcomes zone=a server=s tries=99999999999 failed=0 mean_ms=1 span_ms=1",
     ],
 )
-def test_messages_that_can_not_be_read(text: bytes) -> None:
+def test_malformed_messages(text: bytes) -> None:
     with pytest.raises(UnreadableError):
         lines.parse(text)
 
@@ -234,7 +234,7 @@
     assert relay.OrderEncoder(["s-a", "s-b"].__getitem__, ("play", "slip", "hot")).encode(order) == text
 
 
-def test_a_long_reply_is_cut_between_orders() -> None:
+def test_a_long_reply_is_split_between_orders() -> None:
     orders = [f"put,{at},s-{at:08},1.5" for at in range(10_000)]
     calls = relay.split(orders)
     assert [order for call in calls for order in call] == orders
@@ -243,8 +243,8 @@
     assert relay.split([]) == [] and relay.split(["a", "b"], 1) == [["a"], ["b"]]
 
 
-def carried(orders: Sequence[str]) -> dict[tuple[str, ...], Any]:
-    """What stands after the orders, one after the other: the plain meaning that folding must keep."""
+def state_after(orders: Sequence[str]) -> dict[tuple[str, ...], Any]:
+    """Return the state that orders lead to, applied one after the other: coalescing must keep it."""
     state = dict[tuple[str, ...], Any]()
     for kind, *words in (order.split(",") for order in orders):
         if kind == "wipe":
@@ -267,20 +267,20 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_folding_keeps_what_the_orders_come_to(seed: int) -> None:
-    chance = random.Random(seed)
+def test_coalescing_keeps_the_state_that_the_orders_lead_to(seed: int) -> None:
+    rng = random.Random(seed)
     makers = [
-        lambda: f"put,{chance.randrange(3)},s-{chance.randrange(4)},{chance.randrange(3)}",
-        lambda: f"wipe,{chance.randrange(3)}",
-        lambda: f"eject,s-{chance.randrange(4)}",
-        lambda: f"uneject,s-{chance.randrange(4)}",
-        lambda: f"fence,{chance.randrange(100)},0",
-        lambda: f"attach,{chance.randrange(3)},{chance.randrange(3)},{chance.choice(('*', 'play'))}",
-        lambda: f"gate,{chance.randrange(3)},{chance.choice(('*', 'play'))},{chance.random():.2f},1",
+        lambda: f"put,{rng.randrange(3)},s-{rng.randrange(4)},{rng.randrange(3)}",
+        lambda: f"wipe,{rng.randrange(3)}",
+        lambda: f"eject,s-{rng.randrange(4)}",
+        lambda: f"uneject,s-{rng.randrange(4)}",
+        lambda: f"fence,{rng.randrange(100)},0",
+        lambda: f"attach,{rng.randrange(3)},{rng.randrange(3)},{rng.choice(('*', 'play'))}",
+        lambda: f"gate,{rng.randrange(3)},{rng.choice(('*', 'play'))},{rng.random():.2f},1",
     ]
-    orders = [chance.choice(makers)() for _ in range(300)]
+    orders = [rng.choice(makers)() for _ in range(300)]
     folded = relay.coalesce(orders)
-    assert carried(folded) == carried(orders) and len(folded) <= 12 + 3 + 4 + 9 + 6 + 1
+    assert state_after(folded) == state_after(orders) and len(folded) <= 12 + 3 + 4 + 9 + 6 + 1
 
 
 @pytest.mark.parametrize(
@@ -298,7 +298,7 @@
 
 
 @pytest.mark.parametrize("line", [b"", b"OK", b"OK 3", b"OK -1", b"OK 1 1", b"ok 1", b"\xff"])
-def test_answers_that_can_not_be_read(line: bytes) -> None:
+def test_malformed_answers(line: bytes) -> None:
     with pytest.raises(UnreadableError):
         relay.parse_answer(line, 2)
 
@@ -313,7 +313,7 @@
         (b"* ack 17 905 310.4", relay.Ack(17, 905, 310.4)),
     ],
 )
-def test_news(line: bytes, news: relay.ProxyEvent) -> None:
+def test_events(line: bytes, news: relay.ProxyEvent) -> None:
     assert relay.parse_event(line) == news
 
 
@@ -330,7 +330,7 @@
         b"* hello 17 a 21.5 yes",
     ],
 )
-def test_news_that_can_not_be_read(line: bytes) -> None:
+def test_malformed_events(line: bytes) -> None:
     with pytest.raises(UnreadableError):
         relay.parse_event(line)
 
@@ -341,15 +341,15 @@
 )
 
 
-def test_a_list_and_its_times() -> None:
+def test_a_list_of_servers_and_its_times() -> None:
     found = discovery.parse(b'{"version":41,"full":true,"servers":[' + ENTRY + b"]}")
     assert found == discovery.Listing(
         41,
         True,
         (discovery.Server("s-5be2a07c", "10.1.0.18:5000", "a", api.Phase.READY, 1.0, 1796139701000.0),),
     )
-    assert Admission(NAMES, lambda: 0).listed(found, False) == api.Listed(
-        True, False, (api.Entry(0, -1, api.Phase.READY, 1.0, 1796139701 * SECOND),)
+    assert Admission(SETTINGS, lambda: 0).listed(found, False) == api.Listed(
+        True, False, (api.Entry(0, -1, api.Phase.READY, 1.0, 1796139701 * NS_PER_S),)
     )
 
 
@@ -368,18 +368,18 @@
         (b"1796139701000", b"1e400"),
     ],
 )
-def test_lists_that_can_not_be_read(old: bytes, new: bytes) -> None:
+def test_malformed_lists(old: bytes, new: bytes) -> None:
     with pytest.raises(UnreadableError):
         discovery.parse((b'{"version":41,"full":true,"servers":[' + ENTRY + b"]}").replace(old, new, 1))
 
 
 @pytest.mark.parametrize("cut", [1, 3, 1000])
-def test_answers_by_http_in_pieces_on_one_connection(cut: int) -> None:
+def test_fragmented_http_answers_on_one_connection(cut: int) -> None:
     exchange = http.Exchange("10.0.0.1:80")
     for body in (b"hello", b""):
-        assert exchange.ask("/health") == b"GET /health HTTP/1.1\r\nHost: 10.0.0.1:80\r\n\r\n"
+        assert exchange.encode_request("/health") == b"GET /health HTTP/1.1\r\nHost: 10.0.0.1:80\r\n\r\n"
         raw = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-        found = [exchange.hear(raw[at : at + cut]) for at in range(0, len(raw), cut)]
+        found = [exchange.receive(raw[at : at + cut]) for at in range(0, len(raw), cut)]
         assert found[-1] == http.Answer(200, body) and not any(found[:-1]) and exchange.reusable()
 
 
@@ -391,23 +391,23 @@
         b"HTTP/1.1 200 OK\r\nX: " + b"y" * 70_000,
     ],
 )
-def test_what_is_no_http(raw: bytes) -> None:
+def test_malformed_http(raw: bytes) -> None:
     exchange = http.Exchange("10.0.0.1:80")
-    exchange.ask("/health")
+    exchange.encode_request("/health")
     with pytest.raises(UnreadableError):
-        exchange.hear(raw)
+        exchange.receive(raw)
 
 
 def test_load_reports() -> None:
     report = probes.parse_load(b'{"inflight":7,"queue":2,"util":0.61,"name":"x"}')
     assert report == {"inflight": 7.0, "queue": 2.0, "util": 0.61} and probes.parse_load(b"") == {}
-    admit = Admission(NAMES, lambda: 0)
+    admit = Admission(SETTINGS, lambda: 0)
     assert admit.loads(report) == (0.61,) and admit.loads({"queue": 1.0}) == ()
     with pytest.raises(UnreadableError):
         probes.parse_load(b"[]")
 
 
-# Stages
+# Request path
 
 
 @pytest.mark.parametrize(
@@ -420,23 +420,23 @@
         lines.Outcomes("east", "s-2", 1, 0, 1.0, 1000.0, {}),
     ],
 )
-def test_what_is_unknown_or_out_of_bounds_is_not_admitted(message: lines.Outcomes | lines.Demand) -> None:
+def test_unknown_names_and_impossible_figures_are_refused(message: lines.Outcomes | lines.Demand) -> None:
     with pytest.raises(RefusedError):
-        admitting("s-1").report(message)
+        admission_with("s-1").report(message)
 
 
-def test_a_flood_of_good_reports_is_let_in_at_twice_the_pace_that_the_settings_announce() -> None:
+def test_a_flood_of_valid_reports_is_admitted_at_twice_the_announced_rate() -> None:
     now, let_in = 0, 0
-    admit = Admission(NAMES, lambda: now)
+    admit = Admission(SETTINGS, lambda: now)
     for turn in range(100_000):
-        now = turn * SECOND // 10_000  # Ten seconds at 10,000 a second, where 100 are announced.
+        now = turn * NS_PER_S // 10_000  # Ten seconds at 10,000 a second, where 100 are announced.
         with contextlib.suppress(RefusedError):
             admit.report(lines.Demand(1, "play", 1, 0, 1000.0))
             let_in += 1
     assert 3990 <= let_in <= 4001
 
 
-def test_of_a_flood_of_one_kind_a_bounded_number_is_logged_and_the_rest_counted() -> None:
+def test_a_flood_of_one_kind_of_event_is_logged_up_to_a_limit_and_the_rest_counted() -> None:
     logged, now = list[dict[str, Any]](), [0]
     event_log = EventLog(logged.append, lambda: now[0])
     for _ in range(MAX_LINES_PER_SECOND + 60):
@@ -445,12 +445,12 @@
     assert (
         len(logged) == MAX_LINES_PER_SECOND + 1 and event_log.counts["refused"] == MAX_LINES_PER_SECOND + 60
     )
-    now[0] = SECOND
+    now[0] = NS_PER_S
     event_log.record("joined")
     assert logged[-2] == {"event": "left_out", "lines": {"refused": 60}}
 
 
-def test_the_log_writes_what_is_no_text_and_loses_no_last_line() -> None:
+def test_the_log_writes_invalid_text_and_loses_no_last_line() -> None:
     for _ in range(50):
         out, into = os.pipe()
         log = LogWriter(into, "n1")
@@ -458,12 +458,12 @@
         log.write({"event": "last"})
         log.close()
         os.close(into)
-        told = [json.loads(line)["event"] for line in os.read(out, 4096).splitlines()]
+        logged = [json.loads(line)["event"] for line in os.read(out, 4096).splitlines()]
         os.close(out)
-        assert told == ["unwritable", "last"]
+        assert logged == ["unwritable", "last"]
 
 
-def test_events_that_came_together_go_into_one_step_and_a_failing_step_ends_nothing() -> None:
+def test_events_of_one_loop_turn_form_one_step_and_a_failed_step_ends_nothing() -> None:
     steps, replies, logged = list[list[api.Event]](), list[list[api.Order]](), list[dict[str, Any]]()
 
     class Module:
@@ -473,7 +473,7 @@
                 raise ValueError("no")
             return [api.Fetch()]
 
-    async def act() -> None:
+    async def run() -> None:
         driver = PolicyDriver(Module(), lambda: 0, EventLog(logged.append))
         driver.on_orders = replies.append
         for proxies in ((1, 2, 3), (4, 5)):
@@ -482,48 +482,50 @@
             await asyncio.sleep(0)
             await asyncio.sleep(0)
 
-    asyncio.run(act())
+    asyncio.run(run())
     assert steps == [[api.Left(proxy) for proxy in proxies] for proxies in ((1, 2, 3), (4, 5))]
     assert replies == [[api.Fetch()]] and [line["event"] for line in logged] == ["failure"]
 
 
-async def row_against(answer: Callable[[int], bytes], count: int) -> list[tuple[str, Any]]:
-    """Push one reply of so many orders to a relay that answers each call by its number, until it is settled;
-    gives all that the tap was told, and the calls that were heard, in their order.
+async def calls_and_tap_events(answer: Callable[[int], bytes], count: int) -> list[tuple[str, Any]]:
+    """Push one reply of so many orders to a relay that answers each call by its number, until it is settled.
+
+    Returns:
+        The calls of the tap, and as `heard` the calls that the relay received, in their order.
     """
-    told, calls = list[tuple[str, Any]](), 0
+    events, calls = list[tuple[str, Any]](), 0
 
-    class Told:
+    class RecordingTap:
         def __getattr__(self, name: str) -> Any:
-            return lambda *words: told.append((name, words[0]))
+            return lambda *words: events.append((name, words[0]))
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal calls
         while line := await reader.readline():
             calls += 1
-            told.append(("heard", line.decode().removeprefix("txn ").strip()))
+            events.append(("heard", line.decode().removeprefix("txn ").strip()))
             writer.write(answer(calls))
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     orders = relay.OrderEncoder(str, ("play", "slip"))
-    row = RelayClient(Dialler(BufferPool(1024, 8)), f"127.0.0.1:{port}", orders, silent_event_log())
-    row.tap = Told()
-    row.push([api.SetWeight(1, at, 1.0) for at in range(count)])
-    task = asyncio.create_task(row.run())
+    client = RelayClient(Dialler(BufferPool(1024, 8)), f"127.0.0.1:{port}", orders, silent_event_log())
+    client.tap = RecordingTap()
+    client.push([api.SetWeight(1, at, 1.0) for at in range(count)])
+    task = asyncio.create_task(client.run())
     async with asyncio.timeout(5):
-        while ("settled", 1) not in told:
+        while ("settled", 1) not in events:
             await asyncio.sleep(0.001)
     task.cancel()
-    row.close()
+    client.close()
     server.close()
-    return told
+    return events
 
 
-def test_a_reply_is_settled_only_once_all_that_is_left_of_it_is_answered() -> None:
-    told = asyncio.run(row_against(lambda call: b"OK 1\r\n" if call == 1 else b"OK 2\r\n", 4))
-    assert told == [
+def test_a_reply_is_settled_only_once_all_its_remaining_orders_are_answered() -> None:
+    events = asyncio.run(calls_and_tap_events(lambda call: b"OK 1\r\n" if call == 1 else b"OK 2\r\n", 4))
+    assert events == [
         ("ordered", 1),
         ("heard", "put,1,0,1;put,1,1,1;put,1,2,1;put,1,3,1"),
         ("refused", "put,1,1,1"),
@@ -532,11 +534,13 @@
     ]
 
 
-def test_of_a_row_that_is_not_understood_each_order_goes_out_alone_and_in_its_order() -> None:
-    told = asyncio.run(row_against(lambda call: b"bad_request\r\n" if call < 3 else b"OK 1\r\n", 4))
+def test_the_orders_of_a_misread_call_are_sent_singly_and_in_order() -> None:
+    events = asyncio.run(
+        calls_and_tap_events(lambda call: b"bad_request\r\n" if call < 3 else b"OK 1\r\n", 4)
+    )
     orders = [f"put,1,{at},1" for at in range(4)]
-    # The first, misread alone as well, is lost; the reply counts as settled once the last is answered.
-    assert told == [
+    # The first order, misread alone as well, is lost; the reply is settled once the last is answered.
+    assert events == [
         ("ordered", 1),
         ("heard", ";".join(orders)),
         ("heard", orders[0]),
@@ -546,9 +550,15 @@
     ]
 
 
-async def calls_heard(read: int | None, answered: int) -> list[str]:
-    """What a relay hears that breaks the first connection after so many bytes of the call, or of its answer;
-    two replies of two orders each are pushed.
+async def calls_received(read: int | None, answered: int) -> list[str]:
+    """Push two replies of two orders each to a relay that breaks the first connection.
+
+    Args:
+        read: The bytes of the call after which it breaks, or None.
+        answered: Else the bytes of the answer after which it breaks.
+
+    Returns:
+        The calls that the relay received.
     """
     heard, broken = list[str](), False
 
@@ -569,17 +579,17 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    row = RelayClient(
+    client = RelayClient(
         Dialler(BufferPool(1024, 8)), place, relay.OrderEncoder(str, ("play", "slip")), silent_event_log()
     )
     for reply in (1, 2):
-        row.push([api.SetWeight(reply, 0, 1.0), api.Mark(reply, False)])
-    task = asyncio.create_task(row.run())
+        client.push([api.SetWeight(reply, 0, 1.0), api.Mark(reply, False)])
+    task = asyncio.create_task(client.run())
     async with asyncio.timeout(5):
-        while row.calls:
+        while client.calls:
             await asyncio.sleep(0)
     task.cancel()
-    row.close()
+    client.close()
     server.close()
     return heard
 
@@ -588,173 +598,174 @@
 
 
 @pytest.mark.parametrize("at", range(len(CALLS[0]) + 3))
-def test_a_call_that_breaks_at_any_byte_goes_out_again_before_the_next(at: int) -> None:
-    assert asyncio.run(calls_heard(at, 6)) == CALLS
+def test_a_call_cut_off_at_any_byte_is_repeated_before_the_next(at: int) -> None:
+    assert asyncio.run(calls_received(at, 6)) == CALLS
 
 
 @pytest.mark.parametrize("at", range(6))
-def test_a_call_whose_answer_breaks_at_any_byte_goes_out_again_before_the_next(at: int) -> None:
-    # It may have been carried out: the same words again do no harm, other words or none would.
-    assert asyncio.run(calls_heard(None, at)) == [CALLS[0], *CALLS]
+def test_a_call_whose_answer_is_cut_off_at_any_byte_is_repeated_before_the_next(at: int) -> None:
+    # It may have been carried out: repeating it does no harm, another call or none would.
+    assert asyncio.run(calls_received(None, at)) == [CALLS[0], *CALLS]
 
 
-def test_what_waits_for_a_relay_that_is_away_stays_bounded() -> None:
+def test_the_queue_for_an_unavailable_relay_stays_bounded() -> None:
     orders = relay.OrderEncoder("s-{}".format, ("play",))
-    calls = RelayClient(Dialler(BufferPool(64, 8)), "127.0.0.1:1", orders, silent_event_log())
+    client = RelayClient(Dialler(BufferPool(64, 8)), "127.0.0.1:1", orders, silent_event_log())
     for turn in range(2000):
-        calls.push([api.SetWeight(turn % 3, turn % 50, 1.0 + turn), api.Mark(turn, False)])
-    waiting = [order for call in calls.calls for order in call.orders]
+        client.push([api.SetWeight(turn % 3, turn % 50, 1.0 + turn), api.Mark(turn, False)])
+    waiting = [order for call in client.calls for order in call.orders]
     assert waiting[:2] == ["put,0,s-0,1", "fence,0,0"] and waiting[-1] == "fence,1999,0"
-    assert len(calls.calls) == 2 and len(waiting) == 2 + 150 + 1
+    assert len(client.calls) == 2 and len(waiting) == 2 + 150 + 1
 
 
-class Told:
-    """News with what it tells the module, written short."""
+class RecordedFeed:
+    """A feed of proxy events that records what it submits to the policy module."""
 
     def __init__(self) -> None:
         self.events = list[api.Event]()
-        self.news = ProxyEventFeed(Admission(NAMES, lambda: 0), self.events.append, silent_event_log())
-        self.begin = self.news.on_connected
+        self.merger = ProxyEventFeed(Admission(SETTINGS, lambda: 0), self.events.append, silent_event_log())
+        self.connect = self.merger.on_connected
 
-    def take(self, place: int, *texts: str) -> None:
+    def receive(self, place: int, *texts: str) -> None:
         for text in texts:
-            self.news.on_event(place, relay.parse_event(f"* {text}".strip().encode()))
+            self.merger.on_event(place, relay.parse_event(f"* {text}".strip().encode()))
 
-    def so_far(self) -> list[str]:
+    def take_events(self) -> list[str]:
         found = [f"{type(event).__name__} {getattr(event, 'proxy', '')}" for event in self.events]
         self.events.clear()
         return found
 
 
-def test_what_both_connections_bring_is_told_once_whoever_is_first() -> None:
-    told = Told()
-    told.begin(0)
-    told.take(0, "hello 1 east 5 1", "")
-    told.begin(1)
-    told.take(1, "hello 1 east 5 1", "")
-    assert told.so_far() == ["Joined 1"]
-    told.take(0, "bye 1", "hello 2 east 5 1")
-    told.take(1, "bye 1", "hello 2 east 5 1", "ack 2 7 1.5")
-    told.take(0, "ack 2 7 1.5")
-    assert told.so_far() == ["Left 1", "Joined 2", "Applied 2"]
-    told.news.on_disconnected(0)
-    told.take(1, "bye 2", "hello 2 east 5 0")
-    told.begin(0)
-    told.take(0, "hello 2 east 5 0", "", "bye 2")
-    told.take(1, "bye 2", "")
-    assert told.so_far() == ["Left 2", "Joined 2", "Left 2"]
-
-
-def test_old_news_of_a_broken_connection_hide_no_new_ones_in_the_same_words() -> None:
-    told = Told()
-    told.begin(0)
-    told.take(0, "")
-    told.begin(1)
-    told.take(0, "hello 1 east 5 0")  # Ahead of what the second is told to stand.
-    told.take(1, "hello 1 east 5 0", "")
-    told.news.on_disconnected(0)
-    told.take(1, "", "bye 1", "hello 1 east 5 0")
-    assert told.so_far() == ["Joined 1", "Left 1", "Joined 1"]
+def test_events_of_both_connections_are_emitted_once_whichever_is_first() -> None:
+    feed = RecordedFeed()
+    feed.connect(0)
+    feed.receive(0, "hello 1 east 5 1", "")
+    feed.connect(1)
+    feed.receive(1, "hello 1 east 5 1", "")
+    assert feed.take_events() == ["Joined 1"]
+    feed.receive(0, "bye 1", "hello 2 east 5 1")
+    feed.receive(1, "bye 1", "hello 2 east 5 1", "ack 2 7 1.5")
+    feed.receive(0, "ack 2 7 1.5")
+    assert feed.take_events() == ["Left 1", "Joined 2", "Applied 2"]
+    feed.merger.on_disconnected(0)
+    feed.receive(1, "bye 2", "hello 2 east 5 0")
+    feed.connect(0)
+    feed.receive(0, "hello 2 east 5 0", "", "bye 2")
+    feed.receive(1, "bye 2", "")
+    assert feed.take_events() == ["Left 2", "Joined 2", "Left 2"]
+
+
+def test_old_events_of_a_broken_connection_hide_no_new_equal_ones() -> None:
+    feed = RecordedFeed()
+    feed.connect(0)
+    feed.receive(0, "")
+    feed.connect(1)
+    feed.receive(0, "hello 1 east 5 0")  # Before the second connection receives its snapshot.
+    feed.receive(1, "hello 1 east 5 0", "")
+    feed.merger.on_disconnected(0)
+    feed.receive(1, "", "bye 1", "hello 1 east 5 0")
+    assert feed.take_events() == ["Joined 1", "Left 1", "Joined 1"]
 
 
 def test_a_proxy_of_an_unknown_zone_joins_all_the_same() -> None:
-    assert Admission(NAMES, lambda: 0).joined(relay.Hello(1, "north", 5.0, True)) == api.Joined(
+    assert Admission(SETTINGS, lambda: 0).joined(relay.Hello(1, "north", 5.0, True)) == api.Joined(
         1, -1, 5.0, True
     )
 
 
-def test_on_return_only_who_has_lost_its_tables_has_joined_anew() -> None:
-    told = Told()
+def test_after_a_reconnect_only_proxies_that_lost_their_tables_join_again() -> None:
+    feed = RecordedFeed()
     for fresh in ("1", "0"):
-        told.begin(0)
-        told.take(0, *(f"hello {proxy} east 5 {fresh}" for proxy in (1, 2, 3)), "")
-        told.take(0, "ack 1 7 1.5")
-        told.news.on_disconnected(0)
-    assert told.so_far() == ["Joined 1", "Joined 2", "Joined 3", "Applied 1", "Applied 1"]
-    told.begin(0)
-    told.take(0, "hello 1 east 5 1", "hello 2 east 5 0", "hello 3 west 5 0", "")
-    assert told.so_far() == ["Joined 1", "Joined 3"]
-
-
-def test_the_last_connection_breaks_while_the_other_still_tells_what_stands() -> None:
-    told = Told()
-    told.begin(0)
-    told.take(0, "hello 1 east 5 1", "hello 2 east 5 1", "")
-    told.begin(1)
-    told.take(1, "hello 2 east 5 1", "hello 3 west 5 1")
-    told.news.on_disconnected(0)
-    told.take(1, "")
-    assert told.so_far() == ["Joined 1", "Joined 2", "Joined 3", "Left 1"]
-
-
-# What the model checker found, each by the way that it showed.
-
-
-def test_what_stands_is_compared_also_while_the_other_is_up() -> None:
-    told = Told()
-    told.begin(0)
-    told.take(0, "hello 1 east 5 1", "")
-    told.begin(1)  # Of what the first was cut off from, or lags behind with: 1 has left, 2 has come.
-    told.take(1, "hello 2 east 5 1", "")
-    assert told.so_far() == ["Joined 1", "Joined 2", "Left 1"]
-    told.take(0, "bye 1", "hello 2 east 5 1", "")  # If it was only slow, that is not told again.
-    told.news.on_disconnected(0)
-    assert told.so_far() == []
-
-
-def test_what_a_broken_one_told_first_is_neither_taken_back_nor_told_again() -> None:
-    told = Told()
-    told.begin(0)
-    told.take(0, "hello 1 east 5 1", "")
-    told.begin(1)
-    told.take(1, "hello 1 east 5 1")
-    told.take(0, "bye 1", "hello 2 east 5 1")  # The second is told of both as news, after a sign of life.
-    told.news.on_disconnected(0)
-    told.take(1, "")
-    assert told.so_far() == ["Joined 1", "Left 1", "Joined 2"]
-    told.begin(0)
-    told.take(0, "hello 2 east 5 1", "")
-    told.take(1, "bye 1", "hello 2 east 5 1", "", "")
-    assert told.so_far() == [] and set(told.news.joined) == {2}
-
-
-def test_a_word_that_was_used_before_is_found_out_where_both_agree() -> None:
-    told = Told()
-    told.begin(0)
-    told.take(0, "")
-    told.begin(1)
-    told.take(0, "hello 1 east 5 1", "bye 1")  # Told between the first's connecting and the second's list.
-    told.news.on_disconnected(0)
-    told.take(1, "")
-    told.begin(0)
-    told.take(0, "")
-    told.take(1, "hello 1 east 5 1")
-    told.take(0, "hello 1 east 5 1")
-    told.take(1, "", "")
-    assert set(told.news.joined) == {1} and told.so_far() == ["Joined 1", "Left 1", "Joined 1"]
-
-
-def test_parts_of_a_folded_call_that_can_not_be_read_settle_no_reply() -> None:
-    row, settled = CallQueue(), list[int]()
+        feed.connect(0)
+        feed.receive(0, *(f"hello {proxy} east 5 {fresh}" for proxy in (1, 2, 3)), "")
+        feed.receive(0, "ack 1 7 1.5")
+        feed.merger.on_disconnected(0)
+    assert feed.take_events() == ["Joined 1", "Joined 2", "Joined 3", "Applied 1", "Applied 1"]
+    feed.connect(0)
+    feed.receive(0, "hello 1 east 5 1", "hello 2 east 5 0", "hello 3 west 5 0", "")
+    assert feed.take_events() == ["Joined 1", "Joined 3"]
+
+
+def test_one_connection_breaks_while_the_other_still_receives_its_snapshot() -> None:
+    feed = RecordedFeed()
+    feed.connect(0)
+    feed.receive(0, "hello 1 east 5 1", "hello 2 east 5 1", "")
+    feed.connect(1)
+    feed.receive(1, "hello 2 east 5 1", "hello 3 west 5 1")
+    feed.merger.on_disconnected(0)
+    feed.receive(1, "")
+    assert feed.take_events() == ["Joined 1", "Joined 2", "Joined 3", "Left 1"]
+
+
+# Each of these failures was found by the model checker.
+
+
+def test_a_snapshot_is_reconciled_also_while_the_other_connection_is_up() -> None:
+    feed = RecordedFeed()
+    feed.connect(0)
+    feed.receive(0, "hello 1 east 5 1", "")
+    feed.connect(1)  # What the first missed, or has not received yet: 1 has left, 2 has joined.
+    feed.receive(1, "hello 2 east 5 1", "")
+    assert feed.take_events() == ["Joined 1", "Joined 2", "Left 1"]
+    feed.receive(0, "bye 1", "hello 2 east 5 1", "")  # If it was only slow, this isn't emitted again.
+    feed.merger.on_disconnected(0)
+    assert feed.take_events() == []
+
+
+def test_events_first_sent_by_a_broken_connection_are_neither_undone_nor_repeated() -> None:
+    feed = RecordedFeed()
+    feed.connect(0)
+    feed.receive(0, "hello 1 east 5 1", "")
+    feed.connect(1)
+    feed.receive(1, "hello 1 east 5 1")
+    feed.receive(0, "bye 1", "hello 2 east 5 1")  # The second gets both as events, after a keep-alive.
+    feed.merger.on_disconnected(0)
+    feed.receive(1, "")
+    assert feed.take_events() == ["Joined 1", "Left 1", "Joined 2"]
+    feed.connect(0)
+    feed.receive(0, "hello 2 east 5 1", "")
+    feed.receive(1, "bye 1", "hello 2 east 5 1", "", "")
+    assert feed.take_events() == [] and set(feed.merger.joined) == {2}
+
+
+def test_a_wrongly_matched_older_event_is_corrected_where_both_views_agree() -> None:
+    feed = RecordedFeed()
+    feed.connect(0)
+    feed.receive(0, "")
+    feed.connect(1)
+    feed.receive(0, "hello 1 east 5 1", "bye 1")  # Between the first's connect and the second's snapshot.
+    feed.merger.on_disconnected(0)
+    feed.receive(1, "")
+    feed.connect(0)
+    feed.receive(0, "")
+    feed.receive(1, "hello 1 east 5 1")
+    feed.receive(0, "hello 1 east 5 1")
+    feed.receive(1, "", "")
+    assert set(feed.merger.joined) == {1} and feed.take_events() == ["Joined 1", "Left 1", "Joined 1"]
+
+
+def test_single_orders_of_a_misread_merged_call_settle_no_reply() -> None:
+    queue, settled = CallQueue(), list[int]()
     for texts in (["eject,s-0"], ["put,1,s-1,1", "put,9,x,1", "put,1,s-2,1"], ["eject,s-3"]):
-        row.push(texts)
-    row.on_answer(relay.Done(1))
-    row.on_answer(relay.Misread())
-    while row.calls:
-        outcome = row.on_answer(relay.Done(1))
+        queue.push(texts)
+    queue.on_answer(relay.Done(1))
+    queue.on_answer(relay.Misread())
+    while queue.calls:
+        outcome = queue.on_answer(relay.Done(1))
         assert outcome is not None
         settled += [outcome.settled_reply] if outcome.settled_reply is not None else []
-        assert settled == ([] if row.calls else [3])
+        assert settled == ([] if queue.calls else [3])
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_whatever_breaks_the_module_is_told_what_stands(seed: int) -> None:
-    chance, told, standing, sent = random.Random(seed), Told(), dict[int, str](), list[str]()
-    at: list[int | None] = [None, None]  # How much each connection has been given, or None while it is down.
+def test_random_disconnects_leave_the_module_with_the_true_set_of_proxies(seed: int) -> None:
+    rng, feed, standing, sent = random.Random(seed), RecordedFeed(), dict[int, str](), list[str]()
+    # How many events each connection has received, or None while it is down.
+    at: list[int | None] = [None, None]
     joined = set[int]()
     for _ in range(400):
-        place, proxy = chance.randrange(2), chance.randrange(8)
-        match chance.choice(("news", "news", "give", "give", "give", "break", "begin")):
+        place, proxy = rng.randrange(2), rng.randrange(8)
+        match rng.choice(("news", "news", "give", "give", "give", "break", "begin")):
             case "news" if proxy in standing:
                 del standing[proxy]
                 sent.append(f"bye {proxy}")
@@ -762,19 +773,19 @@
                 standing[proxy] = f"hello {proxy} east {len(sent)} 0"
                 sent.append(standing[proxy])
             case "break" if at[place] is not None:
-                told.news.on_disconnected(place)
+                feed.merger.on_disconnected(place)
                 at[place] = None
             case "begin" if at[place] is None and at[1 - place] in (None, len(sent)):
-                told.begin(place)
-                told.take(place, *standing.values(), "")
+                feed.connect(place)
+                feed.receive(place, *standing.values(), "")
                 at[place] = len(sent)
             case "give" if at[place] is not None:
-                told.take(place, *sent[at[place] : len(sent)])
+                feed.receive(place, *sent[at[place] : len(sent)])
                 at[place] = len(sent)
-        for event in told.events:
+        for event in feed.events:
             assert isinstance(event, api.Joined) or (isinstance(event, api.Left) and event.proxy in joined)
             joined = joined | {event.proxy} if isinstance(event, api.Joined) else joined - {event.proxy}
-        told.events.clear()
+        feed.events.clear()
         if len(sent) in at:
             assert joined == set(standing)
 
@@ -799,38 +810,40 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{", (False, ())),
     ],
 )
-def test_probes_end_within_their_limit_whatever_comes(raw: bytes | None, event: tuple[Any, ...]) -> None:
-    async def act() -> api.Event:
-        told = asyncio.Queue[api.Event]()
+def test_probes_end_within_their_timeout_whatever_arrives(raw: bytes | None, event: tuple[Any, ...]) -> None:
+    async def run() -> api.Event:
+        results = asyncio.Queue[api.Event]()
         backend = await asyncio.start_server(lambda *both: answer(raw, *both), "127.0.0.1", 0)
-        admit = admitting("s-1")
+        admit = admission_with("s-1")
         admit.addresses[0] = f"127.0.0.1:{backend.sockets[0].getsockname()[1]}"
-        prober = Prober(Dialler(BufferPool(1024, 8)), admit, lambda: 0, told.put_nowait, silent_event_log())
+        prober = Prober(
+            Dialler(BufferPool(1024, 8)), admit, lambda: 0, results.put_nowait, silent_event_log()
+        )
         prober.probe(0)
-        found = await asyncio.wait_for(told.get(), 1)
+        found = await asyncio.wait_for(results.get(), 1)
         backend.close()
         return found
 
-    assert asyncio.run(act()) == api.Probed(0, event[0], 0, event[1])
+    assert asyncio.run(run()) == api.Probed(0, event[0], 0, event[1])
 
 
 def test_probes_are_bounded() -> None:
-    async def act() -> None:
-        told = list[api.Event]()
+    async def run() -> None:
+        results = list[api.Event]()
         prober = Prober(
-            Dialler(BufferPool(1024, 8)), admitting("s-1"), lambda: 0, told.append, silent_event_log()
+            Dialler(BufferPool(1024, 8)), admission_with("s-1"), lambda: 0, results.append, silent_event_log()
         )
         for _ in range(MAX_PROBES + 5):
             prober.probe(0)
-        assert len(told) == 5 and len(prober.tasks) == MAX_PROBES
+        assert len(results) == 5 and len(prober.tasks) == MAX_PROBES
         await asyncio.wait(prober.tasks)
-        assert told == [api.Probed(0, False, 0, ())] * (MAX_PROBES + 5)
+        assert results == [api.Probed(0, False, 0, ())] * (MAX_PROBES + 5)
 
-    asyncio.run(act())
+    asyncio.run(run())
 
 
-def test_a_used_connection_that_was_closed_meanwhile_is_no_failure() -> None:
-    async def act() -> None:
+def test_a_reused_connection_that_was_closed_meanwhile_is_no_failure() -> None:
+    async def run() -> None:
         body = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
         service = await asyncio.start_server(lambda *both: answer(body, *both), "127.0.0.1", 0)
         caller = HttpClient(
@@ -844,4 +857,4 @@
             await caller.call("/", 2.0)
         assert DISCONNECT_EFFECTS[caught.value.reason].list_failed
 
-    asyncio.run(act())
+    asyncio.run(run())
--- a/tests/modelcheck/test_modelcheck.py
+++ b/tests/modelcheck/test_modelcheck.py
@@ -355,8 +355,8 @@
 
 def read_http(data: bytes) -> None:
     exchange = http.Exchange("a:1")
-    exchange.ask("/")
-    exchange.hear(data)
+    exchange.encode_request("/")
+    exchange.receive(data)
 
 
 @pytest.mark.parametrize(
