--- a/benchmarks/same_orders.py
+++ b/benchmarks/same_orders.py
@@ -194,7 +194,7 @@
     return orders, repr(orders).encode()
 
 
-class World(policy_model.Plain):
+class World(policy_model.PolicyModel):
     """The plain model without its complaints: drawn days are worse than any that the rules hold for."""
 
     def check(self) -> None:
@@ -309,8 +309,8 @@
         found = list[api.Event]()
         if rng.random() < 0.05:
             found.append(api.Applied(rng.randrange(60), S, rng.randrange(self.crowd)))
-        if world.way and rng.random() < 0.05:
-            del world.way[: rng.randrange(len(world.way))]
+        if world.pending_acks and rng.random() < 0.05:
+            del world.pending_acks[: rng.randrange(len(world.pending_acks))]
         for number in range(self.terms.slices):
             if rng.random() < 0.03:
                 found.append(api.SliceAssigned(number) if rng.random() < 0.5 else api.SliceRevoked(number))
@@ -345,7 +345,7 @@
             if rng.random() < 0.001:
                 world.run(310 * S)
             if rng.random() < 0.002:
-                world.wakes.clear()
+                world.timers.clear()
                 world.tell(api.Started(rng.randrange(1 << 30), self.terms))
 
 
--- a/tests/support/operator_model.py
+++ b/tests/support/operator_model.py
@@ -1,4 +1,4 @@
-"""The plain model with an operator's desk between the list and the module, in virtual time."""
+"""The model of the policy tests with an operator's desk between the list and the module, in virtual time."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from ambershift import interface as api
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.admin.words import Accepted, Change, Refused
-from tests.support.policy_model import Plain, S
+from tests.support.policy_model import PolicyModel, S
 
 RELAYED = (api.SetWeight, api.ClearTable, api.Withdraw, api.Level, api.Bind, api.Mark)
 
 
-class Operated(Plain):
+class Operated(PolicyModel):
     """`away` holds the relay's answers back, as a cut does; what was ordered goes on in the model."""
 
     def __init__(self, terms: api.PolicySettings, servers: list[api.Entry], now: int = 100 * S) -> None:
