--- a/ambershift/coordinator/group/command_validator.py
+++ b/ambershift/coordinator/group/command_validator.py
@@ -29,7 +29,7 @@
     def __init__(
         self,
         desk: Desk,
-        door: IdIndex[str],
+        server_index: IdIndex[str],
         now: Callable[[], int],
         describe: Callable[[Refused], str],
         is_clock_skewed: Callable[[], bool],
@@ -38,13 +38,13 @@
 
         Args:
             desk: This member's desk.
-            door: Maps server ids to the desk's indices.
+            server_index: Maps server ids to the desk's indices.
             now: The desk's clock, ns.
             describe: Returns a refusal of the desk in words.
             is_clock_skewed: Whether this member's clock is too far from the others'.
         """
         self._desk = desk
-        self._door = door
+        self._server_index = server_index
         self._now = now
         self._describe = describe
         self._is_clock_skewed = is_clock_skewed
@@ -84,7 +84,7 @@
         return None
 
     def _listed_index(self, server: str) -> int | None:
-        index = self._door.lookup(server)
+        index = self._server_index.lookup(server)
         return index if index is not None and index in self._desk.world.listed else None
 
     def _world_under(self, state: Promises) -> World:
@@ -99,7 +99,7 @@
             if (index := self._listed_index(server)) is not None and world.standing.get(index) is not wish:
                 standing = standing.insert(index, wish)
         for index in world.standing:
-            if self._door.ids.get(index, "") not in wishes:
+            if self._server_index.ids.get(index, "") not in wishes:
                 standing = standing.remove(index)
         permitted = {
             index: held.permit.ends
--- a/ambershift/coordinator/group/desk_applier.py
+++ b/ambershift/coordinator/group/desk_applier.py
@@ -27,7 +27,7 @@
     def __init__(
         self,
         desk: Desk,
-        door: IdIndex[str],
+        server_index: IdIndex[str],
         now: Callable[[], int],
         clock_ahead: int,
         on_change: Callable[[], None],
@@ -36,13 +36,13 @@
 
         Args:
             desk: The desk.
-            door: Maps server ids to the desk's indices.
+            server_index: Maps server ids to the desk's indices.
             now: The desk's clock, ns.
             clock_ahead: How far the member's wall clock is ahead of the desk's, ns.
             on_change: Called when the desk may have something new to tell.
         """
         self.desk = desk
-        self.door = door
+        self._server_index = server_index
         self._now = now
         self._clock_ahead = clock_ahead
         self._on_change = on_change
@@ -78,7 +78,7 @@
         self.state = state
         wishes = dict[int, Standing]()
         for server in servers:
-            index = self.door.lookup(server)
+            index = self._server_index.lookup(server)
             if index is not None:
                 wishes[index] = state.wish(server)
         self.desk.adopt(self._now(), wishes, commands)
@@ -92,7 +92,11 @@
 
     def apply_snapshot(self, state: Promises) -> None:
         """Apply all of a state that replaces what was known."""
-        wished_here = [self.door.ids[index] for index in self.desk.world.standing if index in self.door.ids]
+        wished_here = [
+            self._server_index.ids[index]
+            for index in self.desk.world.standing
+            if index in self._server_index.ids
+        ]
         servers = dict.fromkeys((*wished_here, *state.wishes))
         self.apply_wishes(state, servers, [("group", "what stands in the group")])
         self.apply_permits(state)
@@ -101,7 +105,7 @@
         """Give the desk, ahead of a list, the wishes and permits for servers that are new in it."""
         new = [entry.server for entry in event.entries if entry.server not in self.desk.world.listed]
         for server in new if self.state.wishes else ():
-            if (wish := self.state.wish(self.door.ids[server])) != AS_LISTED:
+            if (wish := self.state.wish(self._server_index.ids[server])) != AS_LISTED:
                 self.desk.ahead[server] = wish
         if new and self.state.permits:
             self.desk.permits = self.permit_deadlines()
@@ -113,7 +117,7 @@
             {
                 index: factor
                 for server, factor in factors.items()
-                if (index := self.door.lookup(server)) is not None
+                if (index := self._server_index.lookup(server)) is not None
             },
         )
         self._on_change()
@@ -141,18 +145,18 @@
         for server, permit in self.state.kept_out(wall).items():
             uncommitted = self.uncommitted_ends.get(permit.id)
             ends = permit.ends if uncommitted is None else min(permit.ends, uncommitted.ends)
-            if ends > wall and (index := self.door.lookup(server)) is not None:
+            if ends > wall and (index := self._server_index.lookup(server)) is not None:
                 deadlines[index] = ends - self._clock_ahead
         return deadlines
 
     def is_drained(self, server: str) -> bool:
         """Return whether a server is shut out at all proxies of this coordinator, and no try is reported."""
-        index = self.door.lookup(server)
+        index = self._server_index.lookup(server)
         return index is None or index not in self.desk.world.listed or self.desk.drained([index], self._now())
 
     def is_held_out(self, server: str) -> bool:
         """Return whether a permit keeps that server out here."""
-        index = self.door.lookup(server)
+        index = self._server_index.lookup(server)
         return index is not None and index in self.desk.permits
 
 
--- a/ambershift/coordinator/group/links/wire.py
+++ b/ambershift/coordinator/group/links/wire.py
@@ -32,9 +32,9 @@
 class FrameKind(IntEnum):
     """What a frame holds. The numbers are on the wire and stay as they are."""
 
-    REPLICA = 1
-    HEARD = 2
-    COUNTERS = 3
+    REPLICA = 1  # A message of the replicated log.
+    HEARD = 2  # A gossip message.
+    COUNTERS = 3  # Samples of a counter source.
 
 
 class Role(StrEnum):
--- a/ambershift/coordinator/group/service.py
+++ b/ambershift/coordinator/group/service.py
@@ -73,11 +73,11 @@
         """
         super().__init__(coordinator, spots, most, idle, version)
         spec = spec_of(group)
-        door, note = coordinator.admit.door, coordinator.book.note
+        server_index, note = coordinator.admit.door, coordinator.book.note
         start = coordinator.start
-        self.desk_applier = DeskApplier(self.desk, door, self.now, spec.clock_ahead, self.moved)
+        self.desk_applier = DeskApplier(self.desk, server_index, self.now, spec.clock_ahead, self.moved)
         validator = CommandValidator(
-            self.desk, door, self.now, partial(_describe_refusal, self.scene), self._is_clock_skewed
+            self.desk, server_index, self.now, partial(_describe_refusal, self.scene), self._is_clock_skewed
         )
         seed = start.seed ^ _stable_hash(spec.name)
         self.member = Member(spec, PromisesMachine(validator), self.desk_applier, self.now, note, seed)
@@ -90,7 +90,7 @@
         self._opening: asyncio.Future[None] | None = None
         gossip.record_listeners.append(self.observation_exchange.process_records)
         gossip.round_listeners.append(self._exchange_observations)
-        self.commands = GroupCommands(self.member, door.ids.__getitem__)
+        self.commands = GroupCommands(self.member, server_index.ids.__getitem__)
         self.scene.common = self.commands
         self.tap = GroupTap(self.desk, self.now, self.moved, self.desk_applier, self.observation_exchange)
         limits = Limits(clock_bound=spec.clock_bound, warm=start.terms.cold)
@@ -104,7 +104,7 @@
         self.interference_worker = InterferenceWorker(
             self.member.gossip,
             partial(_make_engine, spec.name, interference),
-            lambda: list(door.indices),
+            lambda: list(server_index.indices),
             self.desk_applier.ease,
             note,
         )
--- a/ambershift/coordinator/group/standings.py
+++ b/ambershift/coordinator/group/standings.py
@@ -27,12 +27,16 @@
 
 
 def standings(
-    desk: Desk, door: IdIndex[str], zone_name: Callable[[int], str], now: int, observations: GroupObservations
+    desk: Desk,
+    server_index: IdIndex[str],
+    zone_name: Callable[[int], str],
+    now: int,
+    observations: GroupObservations,
 ) -> dict[str, Standing]:
     """Return the standing of each listed server by its id; being kept out by a permit alone is no trouble."""
     result = dict[str, Standing]()
     for server, entry in desk.world.listed.items():
-        name = door.ids.get(server)
+        name = server_index.ids.get(server)
         if name is None:
             continue
         trouble, warm_at = _local_trouble(desk, server, entry, now), desk.warmth.warm_at(entry)
