--- a/benchmarks/heard_state.py
+++ b/benchmarks/heard_state.py
@@ -29,7 +29,7 @@
 
 
 def say(store: GossipStore, now: int, servers: int, rng: random.Random) -> None:
-    """As group/observation_exchange.py does: starts, ill ones and a sample every 2 s, shares and levels seldom."""
+    """As group/observation_exchange.py: starts, outliers and a sample every 2 s, shares and levels seldom."""
     for _ in range(rng.randrange(2) + int(STARTS * servers)):
         store.put(
             now, RecordKind.SERVER_START, f"server-{rng.randrange(servers):05d}", now.to_bytes(8, "big")
