--- a/ambershift/attempt/__init__.py
+++ b/ambershift/attempt/__init__.py
@@ -1,1 +1,1 @@
-"""A flow at a proxy: when it is sent again, and when it must not be."""
+"""The attempts of a flow at a proxy: when it may be sent again, and when it must not be."""
--- a/ambershift/modelcheck/models/attempt.py
+++ b/ambershift/modelcheck/models/attempt.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from ambershift.attempt.machine import Attempt, Bearing, Evidence
+from ambershift.attempt.machine import AttemptHistory, Evidence, RetryConstraints
 from ambershift.interface import Idempotency, RetryPolicy
 from ambershift.modelcheck.model import Base, Liveness, Step, prop
 
@@ -46,7 +46,7 @@
     repeat: Idempotency
     again: RetryPolicy
     phase: int
-    attempt: Attempt
+    attempt: AttemptHistory
     server: int
     sent_at: int
     now: int
@@ -91,7 +91,7 @@
             RetryPolicy(world.free)
         ]
     )
-    return f"{world.attempt.tries} tries, {most} allowed" if world.attempt.tries > most else None
+    return f"{world.attempt.attempts} tries, {most} allowed" if world.attempt.attempts > most else None
 
 
 @prop
@@ -124,7 +124,7 @@
             Idempotency.RETRIABLE,
             RetryPolicy.NEVER,
             BEGUN,
-            Attempt(),
+            AttemptHistory(),
             -1,
             -1,
             0,
@@ -176,12 +176,12 @@
             older = tuple(sorted(one._replace(age=min(WAY, one.age + 1)) for one in world.packets))
             yield Step("time: goes on", world._replace(now=world.now + 1, packets=older), "time")
 
-    def bearing(self, world: World) -> Bearing:
-        return Bearing(world.repeat, self.everywhere, WINDOW, WAY)
+    def bearing(self, world: World) -> RetryConstraints:
+        return RetryConstraints(world.repeat, self.everywhere, WINDOW, WAY)
 
     def sends(self, world: World, server: int, how: str) -> Step[World]:
         """A refused connection is proof that nothing ran; a server that drains turns it away unrun."""
-        attempt = world.attempt.sent()
+        attempt = world.attempt.record_attempt()
         after = world._replace(attempt=attempt, phase=WAITING, server=server, sent_at=world.now)
         if world.servers[server].phase == DEAD:
             return Step(
@@ -189,22 +189,23 @@
                 self.fails(after, Evidence.NOT_RUN),
                 "ends",
             )
-        packets = tuple(sorted((*world.packets, Packet(server, attempt.tries, False))))
+        packets = tuple(sorted((*world.packets, Packet(server, attempt.attempts, False))))
         return Step(f"proxy: the flow {how} sent to server {server}", after._replace(packets=packets), "ends")
 
     def fails(self, world: World, evidence: Evidence) -> World:
-        attempt = world.attempt.failed(evidence, world.server, world.sent_at)
+        attempt = world.attempt.record_failure(evidence, world.server, world.sent_at)
         return world._replace(attempt=attempt, phase=IDLE)
 
     def tries_again(self, world: World) -> Iterator[Step[World]]:
         may = [
             server
             for server in range(self.servers)
-            if world.now < EXPIRY and world.attempt.may(world.again, self.bearing(world), server, world.now)
+            if world.now < EXPIRY
+            and world.attempt.may_send(world.again, self.bearing(world), server, world.now)
         ]
         for server in may:
             step = self.sends(world, server, "is again")
-            if world.attempt.first >= 0 and world.again <= RetryPolicy.IF_NOT_RUN:
+            if world.attempt.first_server >= 0 and world.again <= RetryPolicy.IF_NOT_RUN:
                 step = step._replace(
                     state=step.state._replace(
                         wrong=f"sent again under {world.again.name} after a try that may have run"
@@ -218,7 +219,7 @@
         rest = (*world.packets[:at], *world.packets[at + 1 :])
         less = world._replace(packets=rest)
         words = f"{'answer to' if packet.back else 'try'} {packet.number} of server {packet.server}"
-        if packet.back and (packet.number != world.attempt.tries or world.phase != WAITING):
+        if packet.back and (packet.number != world.attempt.attempts or world.phase != WAITING):
             # Once too late it is so for good, whatever else happens, and nobody looks at it: it may go
             # first. To lose it would be the same, and is left out.
             yield Step(f"proxy: passes over the late {words}", less, local=True)
@@ -235,7 +236,7 @@
 
     def arrives(self, world: World, packet: Packet, words: str) -> Step[World]:
         server = world.servers[packet.server]
-        mine = packet.number == world.attempt.tries and world.phase == WAITING
+        mine = packet.number == world.attempt.attempts and world.phase == WAITING
         if server.phase == DEAD:
             after = self.fails(world, Evidence.MAY_HAVE_RUN) if mine else world
             return Step(f"server {packet.server}: is gone, {words} is reset", after)
@@ -276,7 +277,7 @@
             yield world._replace(
                 server=other(world.server),
                 servers=world.servers[::-1],
-                attempt=world.attempt._replace(first=other(world.attempt.first)),
+                attempt=world.attempt._replace(first_server=other(world.attempt.first_server)),
                 packets=tuple(sorted(one._replace(server=other(one.server)) for one in world.packets)),
             )
 
--- a/ambershift/modelcheck/mutants/attempt.py
+++ b/ambershift/modelcheck/mutants/attempt.py
@@ -6,18 +6,18 @@
 from typing import Any
 
 from ambershift import interface as api
-from ambershift.attempt.machine import Attempt, Evidence
+from ambershift.attempt.machine import AttemptHistory, Evidence
 from ambershift.modelcheck.mutants.words import Mutant
 
 
 def slips_run_again(real: Any) -> Any:
-    def may(self: Attempt, again: Any, bearing: Any, server: int, now: int) -> bool:
-        if bearing.repeat is api.Idempotency.NON_RETRIABLE:
-            bearing = bearing._replace(repeat=api.Idempotency.RETRIABLE)
-        allowed: bool = real(self, again, bearing, server, now)
+    def may_send(self: AttemptHistory, policy: Any, constraints: Any, server: int, now: int) -> bool:
+        if constraints.idempotency is api.Idempotency.NON_RETRIABLE:
+            constraints = constraints._replace(idempotency=api.Idempotency.RETRIABLE)
+        allowed: bool = real(self, policy, constraints, server, now)
         return allowed
 
-    return may
+    return may_send
 
 
 def resets_prove_nothing_ran(real: Any) -> Any:
@@ -25,27 +25,27 @@
 
 
 def only_the_last_try_counts(real: Any) -> Any:
-    def failed(self: Attempt, evidence: Evidence, server: int, sent_at: int) -> Attempt:
+    def record_failure(self: AttemptHistory, evidence: Evidence, server: int, sent_at: int) -> AttemptHistory:
         if evidence is Evidence.NOT_RUN:
-            return self._replace(first=-1, since=-1)
-        found: Attempt = real(self, evidence, server, sent_at)
+            return self._replace(first_server=-1, first_sent_at=-1)
+        found: AttemptHistory = real(self, evidence, server, sent_at)
         return found
 
-    return failed
+    return record_failure
 
 
-def bearing_with(**changes: Any) -> Callable[[Any], Any]:
+def with_constraints(**changes: Any) -> Callable[[Any], Any]:
     def change(real: Any) -> Any:
-        return lambda self, again, bearing, server, now: real(
-            self, again, bearing._replace(**changes), server, now
+        return lambda self, policy, constraints, server, now: real(
+            self, policy, constraints._replace(**changes), server, now
         )
 
     return change
 
 
 def one_try_too_many(real: Any) -> Any:
-    return lambda self, again, bearing, server, now: real(
-        self._replace(tries=max(0, self.tries - 1)), again, bearing, server, now
+    return lambda self, policy, constraints, server, now: real(
+        self._replace(attempts=max(0, self.attempts - 1)), policy, constraints, server, now
     )
 
 
@@ -55,8 +55,8 @@
         "attempt-small",
         "no-slip-takes-effect-twice",
         "a slip is sent again after a time-out",
-        Attempt,
-        "may",
+        AttemptHistory,
+        "may_send",
         slips_run_again,
     ),
     Mutant(
@@ -64,8 +64,8 @@
         "attempt-small",
         "no-slip-takes-effect-twice",
         "a reset with bytes sent counts as proof",
-        Attempt,
-        "failed",
+        AttemptHistory,
+        "record_failure",
         resets_prove_nothing_ran,
     ),
     Mutant(
@@ -73,8 +73,8 @@
         "attempt-one-table",
         "deduped-takes-effect-once",
         "a refusal makes the time-out before it forgotten",
-        Attempt,
-        "failed",
+        AttemptHistory,
+        "record_failure",
         only_the_last_try_counts,
     ),
     Mutant(
@@ -82,35 +82,35 @@
         "attempt-small",
         "deduped-takes-effect-once",
         "the window of a key does not count",
-        Attempt,
-        "may",
-        bearing_with(window=1 << 60),
+        AttemptHistory,
+        "may_send",
+        with_constraints(dedup_window=1 << 60),
     ),
     Mutant(
         "arrives-too-late",
         "attempt-small",
         "deduped-takes-effect-once",
         "the way of a try does not count",
-        Attempt,
-        "may",
-        bearing_with(way=0),
+        AttemptHistory,
+        "may_send",
+        with_constraints(travel_time=0),
     ),
     Mutant(
         "outside-the-group",
         "attempt-apart",
         "deduped-takes-effect-once",
         "a key is taken for known everywhere",
-        Attempt,
-        "may",
-        bearing_with(everywhere=True),
+        AttemptHistory,
+        "may_send",
+        with_constraints(dedup_everywhere=True),
     ),
     Mutant(
         "one-try-too-many",
         "attempt-small",
         "no-more-tries-than-the-way-allows",
         "the first try is not counted",
-        Attempt,
-        "may",
+        AttemptHistory,
+        "may_send",
         one_try_too_many,
     ),
 )
