--- a/benchmarks/fleet_beat.py
+++ b/benchmarks/fleet_beat.py
@@ -1,8 +1,9 @@
-"""Measures what a beat costs and orders at size: `python -m benchmarks.fleet_beat [--quick]`, from the root.
+"""Measures what a tick costs and orders in large fleets: `python -m benchmarks.fleet_beat [--quick]`.
 
-The module as it was before the fleet grew (`--old`, a commit of this repository) is played in the same run on
-events drawn alike. A plain model of the channel carries the orders out: a coordinator's proxies join in one
-turn, servers and proxies are reported on, and after half of the time a tenth of the servers is replaced.
+Run it from the root. An older version of the decision module (`--old`, a commit of this repository) runs in the
+same process on events drawn alike. A simple model of the channel carries the orders out: a coordinator's
+proxies join in one turn, servers and proxies are reported on, and after half of the time a tenth of the servers
+is replaced.
 """
 
 from __future__ import annotations
@@ -23,8 +24,10 @@
 
 ROOT = Path(__file__).parent.parent
 OLD = "1c4e2ca"
-SECOND, BEAT = 1_000_000_000, 100_000_000
-LINES_PER_S, HEAD = 1200.0, 3.0
+SECOND = 1_000_000_000  # Times are ns.
+TICK = 100_000_000
+LINES_PER_S = 1200.0
+MESSAGE_OVERHEAD = 3.0  # Lines.
 # Names that types of the interface had at older commits.
 FORMER_NAMES = {
     "Started": "Born",
@@ -38,10 +41,14 @@
 
 
 def unpack(revision: str, place: str) -> None:
-    """Puts the package as it was at a commit into a folder."""
-    words = ["git", "archive", revision, "ambershift"]
+    """Put the package as it was at a commit into a folder.
+
+    Raises:
+        SystemExit: This checkout has no such commit.
+    """
+    command = ["git", "archive", revision, "ambershift"]
     try:
-        done = subprocess.run(words, cwd=ROOT, check=True, capture_output=True)
+        done = subprocess.run(command, cwd=ROOT, check=True, capture_output=True)
     except (subprocess.CalledProcessError, FileNotFoundError):
         raise SystemExit(f"{revision}: this checkout holds no such commit") from None
     with tarfile.open(fileobj=io.BytesIO(done.stdout)) as file:
@@ -49,7 +56,7 @@
 
 
 def module_at(revision: str | None) -> tuple[Any, Any]:
-    """The module and its interface: as they are here, or as they were at a commit."""
+    """Return the decision module and its interface, as they are here or as they were at a commit."""
     for name in [name for name in sys.modules if name.split(".")[0] == "ambershift"]:
         del sys.modules[name]
     place = str(ROOT)
@@ -69,14 +76,16 @@
 
 
 class Channel:
-    """Counts lines as the platform does and answers marks once they have left."""
+    """Counts lines as the platform does, and answers marks once the lines before them are sent."""
 
     def __init__(self, api: Any) -> None:
         self.api = api
         self.tables, self.bound = dict[int, set[int]](), dict[int, int]()
-        self.lines, self.left, self.waiting = 0.0, 0.0, list[tuple[float, Any]]()
+        self.lines, self.lines_sent = 0.0, 0.0
+        self.waiting = list[tuple[float, Any]]()
 
     def carry(self, orders: list[Any]) -> None:
+        """Carry out the orders of a step."""
         api, cost, marks = self.api, dict[int, int](), list[int]()
         users = dict[int, list[int]]()
         for proxy, table in self.bound.items():
@@ -85,11 +94,13 @@
             if isinstance(order, api.SetWeight):
                 held = self.tables.setdefault(order.table, set())
                 (held.add if order.weight else held.discard)(order.server)
-                told = users.get(order.table, [])
+                receivers = users.get(order.table, [])
             elif isinstance(order, api.Level):
-                told = users.get(order.table, [])
+                receivers = users.get(order.table, [])
             elif isinstance(order, api.Withdraw):
-                told = [proxy for proxy, table in self.bound.items() if order.server in self.tables[table]]
+                receivers = [
+                    proxy for proxy, table in self.bound.items() if order.server in self.tables[table]
+                ]
             elif isinstance(order, api.Bind):
                 self.bound[order.proxy] = order.table
                 cost[order.proxy] = cost.get(order.proxy, 0) + 3 + len(self.tables.get(order.table, ()))
@@ -98,22 +109,24 @@
                 if isinstance(order, api.Mark):
                     marks.append(order.mark)
                 continue
-            for proxy in told:
+            for proxy in receivers:
                 cost[proxy] = cost.get(proxy, 0) + 1
         for proxy, count in cost.items():
-            self.lines += HEAD + count + len(marks)
+            self.lines += MESSAGE_OVERHEAD + count + len(marks)
             self.waiting += [(self.lines, api.Applied(mark, 0, proxy)) for mark in marks]
 
     def answers(self) -> list[Any]:
-        self.left = min(self.lines, self.left + LINES_PER_S * BEAT / SECOND)
-        done = [one for at, one in self.waiting if at <= self.left]
+        """Let a tick pass; returns the answers to marks that come in it."""
+        self.lines_sent = min(self.lines, self.lines_sent + LINES_PER_S * TICK / SECOND)
+        done = [one for at, one in self.waiting if at <= self.lines_sent]
         self.waiting = self.waiting[len(done) :]
         return done
 
 
 def play(revision: str | None, proxies: int, servers: int, seconds: int) -> dict[str, float]:
+    """Run one version with a fleet for some virtual time; returns the measurements."""
     policy, api = module_at(revision)
-    chance, module, channel = random.Random(5), policy.TableManager(), Channel(api)
+    rng, module, channel = random.Random(5), policy.TableManager(), Channel(api)
     group = api.Group(600_000_000, 2 * SECOND, 1.0, api.Idempotency.RETRIABLE, True, 0)
     terms = {
         "zones": 4,
@@ -127,7 +140,7 @@
         "collapse_multiple": 4.0,
         "blackhole_limit": 45 * SECOND,
         "lines_per_s": LINES_PER_S,
-        "message_overhead": HEAD,
+        "message_overhead": MESSAGE_OVERHEAD,
         "queue_limit": 30_000.0,
         "message_limit": 0,
         "message_window": 10 * SECOND,
@@ -160,15 +173,15 @@
     step(*[api.Joined(proxy, proxy % 4, 1.0 + proxy % 7, True) for proxy in range(proxies)])
     first = costs.pop()
     live, bound_at = list(range(servers)), 0.0
-    for beat in range(seconds * 10):
-        now += BEAT
+    for tick in range(seconds * 10):
+        now += TICK
         events = channel.answers()
         events += [
             api.ServerReport(
-                chance.randrange(4),
-                chance.choice(live),
+                rng.randrange(4),
+                rng.choice(live),
                 4,
-                chance.random() < 0.02,
+                rng.random() < 0.02,
                 110_000_000,
                 2 * SECOND,
                 (),
@@ -176,9 +189,9 @@
             for _ in range(20)
         ]
         events += [
-            api.DemandReport(chance.randrange(proxies), 0, chance.randrange(6), 0, SECOND) for _ in range(10)
+            api.DemandReport(rng.randrange(proxies), 0, rng.randrange(6), 0, SECOND) for _ in range(10)
         ]
-        if beat == seconds * 5:
+        if tick == seconds * 5:
             gone, new = live[: servers // 10], range(servers, servers + servers // 10)
             live = [*live[servers // 10 :], *new]
             events.append(
@@ -193,7 +206,7 @@
             )
         step(*events, api.TimerFired(module.token))
         if not bound_at and len(channel.bound) == proxies:
-            bound_at = (beat + 1) / 10
+            bound_at = (tick + 1) / 10
     costs.sort()
     return {
         "proxies": proxies,
@@ -208,6 +221,7 @@
 
 
 def main() -> int:
+    """Run the measurement; returns the exit status."""
     parser = argparse.ArgumentParser(
         description=__doc__, epilog="example: python -m benchmarks.fleet_beat --quick"
     )
--- a/benchmarks/same_orders.py
+++ b/benchmarks/same_orders.py
@@ -31,7 +31,8 @@
 
 ROOT = Path(__file__).parent.parent
 
-S, MS = 1_000_000_000, 1_000_000
+S = 1_000_000_000  # Times are ns.
+MS = 1_000_000
 
 Types = dict[type, type]
 
@@ -72,6 +73,7 @@
         self._module, self._types = module, types
 
     def step(self, now: int, events: list[api.Event]) -> list[api.Order]:
+        """Step the form."""
         orders = self._module.step(now, [translate(event, self._types.to_form) for event in events])
         return [translate(order, self._types.from_form) for order in orders]
 
@@ -149,6 +151,7 @@
 
 
 def field_types(record: Any, interface: ModuleType) -> list[Any]:
+    """Return the types of a class's fields, in order."""
     hints = typing.get_type_hints(record, globalns=vars(interface))
     return [hints[name] for name in record._fields]
 
@@ -167,11 +170,18 @@
 
 
 class DifferError(Exception):
-    pass
+    """The orders of the two forms differ."""
 
 
-class Both:
-    """Stands for the module in the model: both forms take the steps, and their orders are compared."""
+class ComparedModules:
+    """Stands for the decision module in the model: both forms take each step, and their orders are compared.
+
+    Attributes:
+        forms: The two forms.
+        events: How many events of each type there were, in all instances.
+        orders: How many orders of each type the first form gave.
+        steps: How many steps there were.
+    """
 
     forms: tuple[Form, ...] = ()
     events, orders, steps = Counter[str](), Counter[str](), 0
@@ -180,32 +190,40 @@
         self.pair = [form.manager() for form in self.forms]
 
     def step(self, now: int, events: list[api.Event]) -> list[api.Order]:
-        told = [outcome(one, now, events) for one in self.pair]
-        Both.steps += 1
-        Both.events.update(type(event).__name__ for event in events)
-        Both.orders.update(type(order).__name__ for order in told[0][0])
-        if told[0][1] != told[1][1]:
-            raise DifferError(f"at {now} on {events}:\n  {told[0][1]}\n  {told[1][1]}")
-        return told[0][0]
+        """Step both forms; returns the first one's orders.
+
+        Raises:
+            DifferError: The second one's are others.
+        """
+        outcomes = [outcome(one, now, events) for one in self.pair]
+        ComparedModules.steps += 1
+        ComparedModules.events.update(type(event).__name__ for event in events)
+        ComparedModules.orders.update(type(order).__name__ for order in outcomes[0][0])
+        if outcomes[0][1] != outcomes[1][1]:
+            raise DifferError(f"at {now} on {events}:\n  {outcomes[0][1]}\n  {outcomes[1][1]}")
+        return outcomes[0][0]
 
 
 def outcome(module: Any, now: int, events: list[api.Event]) -> tuple[list[api.Order], bytes]:
+    """Step a module; returns its orders, and the text by which they are compared, floats exactly."""
     orders = module.step(now, events)
     return orders, repr(orders).encode()
 
 
 class World(policy_model.PolicyModel):
-    """The plain model without its complaints: drawn days are worse than any that the rules hold for."""
+    """The model of the policy tests without checks: its rules don't hold for days as bad as these."""
 
     def check(self) -> None:
-        pass
+        """Check nothing."""
 
     def carry_out(self, order: api.Order) -> list[int]:
+        """Carry out an order."""
         if isinstance(order, api.SetWeight):  # A slice may be held by a server that was never listed.
             self.listed.setdefault(order.server, policy_model.entry(order.server, 0, api.Phase.GONE))
         return super().carry_out(order)
 
 
+# Settings of each world; the names are seeds too, so that another name would draw other days.
 TERMS: dict[str, dict[str, Any]] = {
     "two zones": {},
     "one zone, small grace": {
@@ -234,52 +252,69 @@
 
 
 class Day:
-    """Draws what happens: moods of servers and of ways between zones that last a while, and changes."""
+    """Draws what happens: conditions of servers and of paths between zones, which last a while, and changes.
+
+    Attributes:
+        servers: How many servers were listed so far.
+        proxies: How many proxies there can be.
+        max_attempts: Of a report.
+        conditions: Failure rate and mean latency in ms, by server, by path, or of "all" paths.
+    """
 
     def __init__(self, name: str, seed: int) -> None:
         self.rng = rng = random.Random(f"{name} {seed}")
         large = name in LARGE
-        self.servers, self.crowd = rng.randint(40, 130) if large else rng.randint(1, 24), 140 if large else 12
+        self.servers = rng.randint(40, 130) if large else rng.randint(1, 24)
+        self.proxies = 140 if large else 12
         self.terms = policy_model.make_terms(**TERMS[name])
-        self.tries = rng.choice([3, 15, 40])
+        self.max_attempts = rng.choice([3, 15, 40])
         self.world = World(self.terms, [self.entry(index) for index in range(self.servers)], 100 * S)
-        self.mood: dict[Any, tuple[float, int]] = {}
+        self.conditions: dict[Any, tuple[float, int]] = {}
 
     def entry(self, index: int, phase: api.Phase = api.Phase.READY, since: int = 0) -> api.Entry:
         zone = -1 if self.rng.random() < 0.002 else index % self.terms.zones
         weight = self.rng.choice([0.0, 0.5]) if self.rng.random() < 0.01 else 1.0 + index % 3
         return api.Entry(index, zone, phase, weight, since)
 
-    def moods(self) -> None:
+    def change_conditions(self) -> None:
+        """End some conditions and begin others."""
         rng, zones = self.rng, range(self.terms.zones)
-        self.mood = {key: one for key, one in self.mood.items() if rng.random() < 0.9}
-        share, ms = rng.choice([0.3, 0.7, 1.0]), rng.choice([0, 90, 250, 320, 600])
+        self.conditions = {key: one for key, one in self.conditions.items() if rng.random() < 0.9}
+        rate, ms = rng.choice([0.3, 0.7, 1.0]), rng.choice([0, 90, 250, 320, 600])
         if rng.random() < 0.1:
             chosen = rng.sample(range(self.servers), min(self.servers, rng.randint(1, 4)))
-            self.mood |= {index: (share, ms) for index in chosen}
+            self.conditions |= {index: (rate, ms) for index in chosen}
         if rng.random() < 0.04:
-            self.mood[rng.choice(zones), rng.choice(zones)] = share, ms
+            self.conditions[rng.choice(zones), rng.choice(zones)] = rate, ms
         if rng.random() < 0.04:
-            self.mood |= {(near, rng.choice(zones)): (1.0, 0) for near in zones}
+            self.conditions |= {(proxy_zone, rng.choice(zones)): (1.0, 0) for proxy_zone in zones}
         if rng.random() < 0.04:
-            self.mood["all"] = rng.choice([0.0, 0.15, 0.5]), rng.choice([200, 270, 400, 900])
+            self.conditions["all"] = rng.choice([0.0, 0.15, 0.5]), rng.choice([200, 270, 400, 900])
 
-    def met(self) -> list[api.Event]:
+    def server_reports(self) -> list[api.Event]:
+        """Draw reports of servers, by the conditions."""
         rng, found = self.rng, list[api.Event]()
         for _ in range(rng.choice([0, 4, 16, 30])):
-            server, near = rng.randrange(self.servers + 1), rng.randrange(self.terms.zones)
-            ways = server, (near, server % self.terms.zones), "all"
-            share, ms = max((self.mood[way] for way in ways if way in self.mood), default=(0.01, 100))
-            tries = rng.randrange(self.tries)
-            bad = sum(rng.random() < share for _ in range(tries))
+            server, proxy_zone = rng.randrange(self.servers + 1), rng.randrange(self.terms.zones)
+            places = server, (proxy_zone, server % self.terms.zones), "all"
+            rate, ms = max(
+                (self.conditions[place] for place in places if place in self.conditions), default=(0.01, 100)
+            )
+            attempts = rng.randrange(self.max_attempts)
+            failures = sum(rng.random() < rate for _ in range(attempts))
             span = rng.choice([S // 2, S, S, 2 * S, 5 * S]) if rng.random() < 0.1 else S
-            found.append(api.ServerReport(near, server, tries, bad, ms * MS + rng.randrange(MS), span, ()))
+            found.append(
+                api.ServerReport(
+                    proxy_zone, server, attempts, failures, ms * MS + rng.randrange(MS), span, ()
+                )
+            )
         return found
 
     def joins(self) -> list[api.Event]:
+        """Draw proxies that join and leave."""
         rng, found = self.rng, list[api.Event]()
-        for _ in range(rng.choice([0, 0, 1, 3, self.crowd]) if rng.random() < 0.2 else 0):
-            proxy = rng.randrange(self.crowd)
+        for _ in range(rng.choice([0, 0, 1, 3, self.proxies]) if rng.random() < 0.2 else 0):
+            proxy = rng.randrange(self.proxies)
             zone = -1 if rng.random() < 0.005 else proxy % self.terms.zones
             found.append(
                 api.Left(proxy)
@@ -289,6 +324,7 @@
         return found
 
     def lists(self) -> list[api.Event]:
+        """Draw changes of the list."""
         rng, found = self.rng, list[api.Event]()
         if rng.random() < 0.12:
             new = rng.choice([0, 0, 0, 1, self.servers // 8])
@@ -303,12 +339,12 @@
             found.append(api.Listed(True, rng.random() < 0.3, tuple(self.entry(index) for index in some)))
         return found + [api.ListFailed()] * (rng.random() < 0.03)
 
-    def odd(self) -> list[api.Event]:
-        """Slices come and go; answers to marks are lost, late and made up; what the module does not heed."""
+    def unusual_events(self) -> list[api.Event]:
+        """Slices come and go; answers to marks are lost, late or made up; events that the module ignores."""
         rng, world = self.rng, self.world
         found = list[api.Event]()
         if rng.random() < 0.05:
-            found.append(api.Applied(rng.randrange(60), S, rng.randrange(self.crowd)))
+            found.append(api.Applied(rng.randrange(60), S, rng.randrange(self.proxies)))
         if world.pending_acks and rng.random() < 0.05:
             del world.pending_acks[: rng.randrange(len(world.pending_acks))]
         for number in range(self.terms.slices):
@@ -328,18 +364,19 @@
         return found
 
     def play(self, rounds: int) -> None:
+        """Play the day."""
         rng, world = self.rng, self.world
         for _ in range(rounds):
-            self.moods()
-            usage = [
+            self.change_conditions()
+            demand = [
                 api.DemandReport(
-                    rng.randrange(self.crowd), 0, rng.randrange(20), 0, rng.choice([S, S, 5 * S])
+                    rng.randrange(self.proxies), 0, rng.randrange(20), 0, rng.choice([S, S, 5 * S])
                 )
                 for _ in range(rng.choice([0, 4, 12]))
             ]
-            events = [*self.joins(), *self.lists(), *self.met(), *usage, *self.odd()]
+            events = [*self.joins(), *self.lists(), *self.server_reports(), *demand, *self.unusual_events()]
             if rng.random() < 0.3:
-                world.tell(*events)  # Between two wakes.
+                world.tell(*events)  # Between two timers.
                 events = []
             world.run(rng.choice([S // 10, S // 10, S // 2, S, 2 * S]), *events)
             if rng.random() < 0.001:
@@ -349,37 +386,42 @@
                 world.tell(api.Started(rng.randrange(1 << 30), self.terms))
 
 
-def drawn(events: int, seed: int, rounds: int) -> Iterator[str]:
-    """Plays days until so many events have passed; tells the name of each."""
-    start = Both.events.total()
+def play_days(events: int, seed: int, rounds: int) -> Iterator[str]:
+    """Play days until so many events have passed; yields the name of each."""
+    start = ComparedModules.events.total()
     while True:
         for name in TERMS:
             Day(name, seed).play(rounds)
             yield f"{name}, seed {seed}"
-            if Both.events.total() >= start + events:
+            if ComparedModules.events.total() >= start + events:
                 return
         seed += 1
 
 
 def use(old: Form, new: Form) -> None:
-    Both.forms = (old, new)
-    policy_model.TableManager = Both  # The name that the model starts its module by.
+    """Let the model run these two forms."""
+    ComparedModules.forms = (old, new)
+    policy_model.TableManager = ComparedModules  # The model creates its module by this name.
 
 
-def recorded(tests: list[str]) -> list[list[tuple[int, list[api.Event]]]]:
-    """Runs tests with a tap on the module; gives what reached each instance, step by step."""
+def record_steps(tests: list[str]) -> list[list[tuple[int, list[api.Event]]]]:
+    """Run tests while recording; returns time and events of each step of each instance.
+
+    Raises:
+        SystemExit: A test failed.
+    """
     import pytest
 
     from ambershift.policy import TableManager
 
     real, found = TableManager.step, list[list[tuple[int, list[api.Event]]]]()
-    rows = dict[int, tuple[Any, list[tuple[int, list[api.Event]]]]]()
+    instances = dict[int, tuple[Any, list[tuple[int, list[api.Event]]]]]()
 
     def step(self: TableManager, now: int, events: Any) -> list[api.Order]:
-        if id(self) not in rows:  # Also keeps the module, lest another get its id.
-            rows[id(self)] = self, []
-            found.append(rows[id(self)][1])
-        rows[id(self)][1].append((now, list(events)))
+        if id(self) not in instances:  # Keeps the module too, so that no other gets its id.
+            instances[id(self)] = self, []
+            found.append(instances[id(self)][1])
+        instances[id(self)][1].append((now, list(events)))
         return real(self, now, events)
 
     TableManager.step = step  # type: ignore[method-assign]
@@ -391,7 +433,8 @@
     return found
 
 
-def values(package: dict[str, ModuleType]) -> list[str]:
+def constants(package: dict[str, ModuleType]) -> list[str]:
+    """Return the names of the numeric constants of a form."""
     return sorted(
         {
             name
@@ -403,8 +446,8 @@
 
 
 @contextlib.contextmanager
-def changed(package: dict[str, ModuleType], name: str) -> Iterator[None]:
-    """A value changed wherever it was imported to; what was computed from it on import stays."""
+def changed_constant(package: dict[str, ModuleType], name: str) -> Iterator[None]:
+    """Change a constant in each module that has it; what was computed from it on import stays."""
     owners = [(module, getattr(module, name)) for module in package.values() if hasattr(module, name)]
     for module, real in owners:
         setattr(module, name, type(real)(real * 1.5) + (real in (1, -1)))
@@ -415,20 +458,22 @@
             setattr(module, name, real)
 
 
-def shown(new: dict[str, ModuleType], name: str, asked: argparse.Namespace) -> str:
+def first_difference(package: dict[str, ModuleType], name: str, asked: argparse.Namespace) -> str:
+    """Say on which day a changed constant shows."""
     days = 1
-    with changed(new, name):
+    with changed_constant(package, name):
         try:
-            for _ in drawn(asked.events, asked.seed, asked.rounds):
+            for _ in play_days(asked.events, asked.seed, asked.rounds):
                 days += 1
         except DifferError:
             return f"seen on day {days}"
-        except Exception as error:  # A value that makes the module fail is a difference too.
+        except Exception as error:  # A constant that makes the module fail is a difference too.
             return f"seen on day {days}, by {type(error).__name__}"
     return f"seen on none of {days - 1} days"
 
 
 def main() -> int:
+    """Run the comparison; returns the exit status."""
     parser = argparse.ArgumentParser(
         description=__doc__, epilog="example: python -m benchmarks.same_orders HEAD~1"
     )
@@ -440,29 +485,29 @@
     parser.add_argument("--tests", nargs="+", default=[], help="files of tests to record from")
     parser.add_argument("--values", nargs="*", help="change each value, or these: what shows it?")
     asked = parser.parse_args()
-    rows = recorded(asked.tests) if asked.tests else []
+    instances = record_steps(asked.tests) if asked.tests else []
     old, new = Form(asked.old), Form(asked.new)
     use(old, new)
     if asked.values is not None:
-        for name in asked.values or values(new.package):
-            print(f"{name}: {shown(new.package, name, asked)}", flush=True)
+        for name in asked.values or constants(new.package):
+            print(f"{name}: {first_difference(new.package, name, asked)}", flush=True)
         return 0
     try:
-        for row in rows:
-            pair = Both()
-            for now, events in row:
+        for steps in instances:
+            pair = ComparedModules()
+            for now, events in steps:
                 pair.step(now, events)
-        if rows:
+        if instances:
             print(
-                f"recorded: {len(rows)} instances, {Both.steps} steps, {Both.events.total()} events, "
-                f"{Both.orders.total()} orders, the same"
+                f"recorded: {len(instances)} instances, {ComparedModules.steps} steps, "
+                f"{ComparedModules.events.total()} events, {ComparedModules.orders.total()} orders, the same"
             )
-        days = sum(1 for _ in drawn(asked.events, asked.seed, asked.rounds))
+        days = sum(1 for _ in play_days(asked.events, asked.seed, asked.rounds))
     except DifferError as error:
-        print(f"not the same after {Both.steps} steps, {error}")
+        print(f"not the same after {ComparedModules.steps} steps, {error}")
         return 1
-    print(f"{days} drawn days of {len(TERMS)} terms; in all {Both.steps} steps, the same orders")
-    for word, counts in (("events", Both.events), ("orders", Both.orders)):
+    print(f"{days} drawn days of {len(TERMS)} terms; in all {ComparedModules.steps} steps, the same orders")
+    for word, counts in (("events", ComparedModules.events), ("orders", ComparedModules.orders)):
         told = ", ".join(f"{name} {count}" for name, count in counts.most_common())
         print(f"{word}: {counts.total()} ({told})")
     return 0
