--- a/ambershift/coordinator/group/client_calls.py
+++ b/ambershift/coordinator/group/client_calls.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from ambershift.coordinator.group.spec import MemberSpec
-from ambershift.coordinator.promises.answers import encode
-from ambershift.coordinator.promises.state import EMPTY, Promises
-from ambershift.coordinator.promises.words import Command
+from ambershift.coordinator.promises.codec import encode_command
+from ambershift.coordinator.promises.commands import Command
+from ambershift.coordinator.promises.state import EMPTY, GroupState
 from ambershift.coordinator.replication.replica import Replica
 from ambershift.coordinator.replication.types import Answer, Reason
 
@@ -51,7 +51,7 @@
         """
         return await self._call(
             lambda now, ticket: self._running_replica().submit(
-                now, self.wall(), ticket, token, encode(command), now + wait
+                now, self.wall(), ticket, token, encode_command(command), now + wait
             ),
             wait,
         )
@@ -99,9 +99,9 @@
         return self.now() + self.spec.clock_ahead
 
     @property
-    def state(self) -> Promises:
+    def state(self) -> GroupState:
         """The committed state, as far as this member knows."""
-        state: Promises = self.replica.state if self.replica is not None else EMPTY
+        state: GroupState = self.replica.state if self.replica is not None else EMPTY
         return state
 
     @property
--- a/ambershift/coordinator/group/clock_skew.py
+++ b/ambershift/coordinator/group/clock_skew.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ambershift.coordinator.maintenance.permits import clock_apart
+from ambershift.coordinator.maintenance.permits import is_clock_skewed
 
 SAMPLE_LIFETIME_NS = 10_000_000_000
 MAX_EARLIER_SAMPLES = 32  # Kept of each member beside the newest one.
@@ -46,4 +46,4 @@
             for member, samples in self._samples.items()
             if any(now - at < SAMPLE_LIFETIME_NS for at, _ in samples)
         ]
-        return clock_apart([0, *(self.offset(now, member) for member in recent)], self._bound)
+        return is_clock_skewed([0, *(self.offset(now, member) for member in recent)], self._bound)
--- a/ambershift/coordinator/group/command_validator.py
+++ b/ambershift/coordinator/group/command_validator.py
@@ -15,11 +15,11 @@
 from ambershift.coordinator.admin.weigh import weigh
 from ambershift.coordinator.admin.words import NEVER, Refused
 from ambershift.coordinator.admin.world import World
-from ambershift.coordinator.maintenance.words import Phase, Refusal
-from ambershift.coordinator.promises.answers import Outcome, refused
-from ambershift.coordinator.promises.machine import change_of
-from ambershift.coordinator.promises.state import Promises
-from ambershift.coordinator.promises.words import Command, Grant, Wishes
+from ambershift.coordinator.maintenance.types import Phase, Refusal
+from ambershift.coordinator.promises.codec import Outcome, refused
+from ambershift.coordinator.promises.commands import Command, Grant, Wishes
+from ambershift.coordinator.promises.state import GroupState
+from ambershift.coordinator.promises.state_machine import to_desk_change
 from ambershift.id_index import IdIndex
 
 
@@ -49,7 +49,7 @@
         self._describe = describe
         self._is_clock_skewed = is_clock_skewed
 
-    def __call__(self, state: Promises, at: int, command: Command) -> Outcome | None:
+    def __call__(self, state: GroupState, at: int, command: Command) -> Outcome | None:
         """Return the refusal of a command on top of `state`, or None."""
         now = self._now()
         match command:
@@ -63,7 +63,7 @@
                 changes = [
                     change._replace(server=index)
                     for index, wish in listed
-                    if (change := change_of(wish)) is not None
+                    if (change := to_desk_change(wish)) is not None
                 ]
                 verdict = weigh(self._world_under(state), changes, NEVER, self._desk.warmth, now)
                 return (
@@ -87,7 +87,7 @@
         index = self._door.lookup(server)
         return index if index is not None and index in self._desk.world.listed else None
 
-    def _world_under(self, state: Promises) -> World:
+    def _world_under(self, state: GroupState) -> World:
         """Return this member's list under the wishes and permits of a state.
 
         A permit counts until it is closed, whatever this clock says: the clocks of others may be behind.
--- a/ambershift/coordinator/group/desk_applier.py
+++ b/ambershift/coordinator/group/desk_applier.py
@@ -7,8 +7,8 @@
 from ambershift import interface as api
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.admin.words import AS_LISTED, Standing
-from ambershift.coordinator.promises.state import EMPTY, Promises
-from ambershift.coordinator.promises.unconfirmed import SoonerEnd
+from ambershift.coordinator.promises.state import EMPTY, GroupState
+from ambershift.coordinator.promises.uncommitted_ends import UncommittedEnd
 from ambershift.id_index import IdIndex
 
 
@@ -49,10 +49,10 @@
         self.state = EMPTY
         self._queued_servers = dict[str, None]()  # Used as an ordered set.
         self._queued_commands = list[tuple[str, str]]()
-        self.uncommitted_ends = dict[str, SoonerEnd]()
+        self.uncommitted_ends = dict[str, UncommittedEnd]()
         self.permits_enabled = True
 
-    def queue_wishes(self, state: Promises, servers: Iterable[str], who: str, text: str) -> None:
+    def queue_wishes(self, state: GroupState, servers: Iterable[str], who: str, text: str) -> None:
         """Queue the wishes that one command changed, for `flush` to apply all queued ones at once."""
         self._queued_servers.update(dict.fromkeys(servers))
         self._queued_commands.append((who, summarize_command(text)))
@@ -66,7 +66,7 @@
             self.apply_wishes(self.state, servers, commands)
 
     def apply_wishes(
-        self, state: Promises, servers: Iterable[str], commands: Sequence[tuple[str, str]]
+        self, state: GroupState, servers: Iterable[str], commands: Sequence[tuple[str, str]]
     ) -> None:
         """Apply the wishes for some servers in one go, as each call costs a pass over all pending changes.
 
@@ -84,13 +84,13 @@
         self.desk.adopt(self._now(), wishes, commands)
         self._on_change()
 
-    def apply_permits(self, state: Promises) -> None:
+    def apply_permits(self, state: GroupState) -> None:
         """Apply the permits of a state."""
         self.state = state
         self.desk.permit(self._now(), self.permit_deadlines())
         self._on_change()
 
-    def apply_snapshot(self, state: Promises) -> None:
+    def apply_snapshot(self, state: GroupState) -> None:
         """Apply all of a state that replaces what was known."""
         wished_here = [self.door.ids[index] for index in self.desk.world.standing if index in self.door.ids]
         servers = dict.fromkeys((*wished_here, *state.wishes))
@@ -138,7 +138,7 @@
             return {}
         wall = self._now() + self._clock_ahead
         deadlines = dict[int, int]()
-        for server, permit in self.state.kept_out(wall).items():
+        for server, permit in self.state.held_out(wall).items():
             uncommitted = self.uncommitted_ends.get(permit.id)
             ends = permit.ends if uncommitted is None else min(permit.ends, uncommitted.ends)
             if ends > wall and (index := self.door.lookup(server)) is not None:
--- a/ambershift/coordinator/group/gossip.py
+++ b/ambershift/coordinator/group/gossip.py
@@ -15,8 +15,8 @@
 from ambershift.coordinator.group.clock_skew import ClockSkew
 from ambershift.coordinator.group.links.interfaces import log_failure
 from ambershift.coordinator.group.links.wire import FrameKind, UnreadableError
-from ambershift.coordinator.maintenance.words import Phase
-from ambershift.coordinator.promises.state import Held
+from ambershift.coordinator.maintenance.types import Phase
+from ambershift.coordinator.promises.state import OpenPermit
 from ambershift.coordinator.replication.gossip import messages
 from ambershift.coordinator.replication.gossip.store import GossipStore
 from ambershift.coordinator.replication.gossip.types import Record, RecordKind
@@ -125,7 +125,7 @@
             if key not in permits:
                 self.store.withdraw(now, RecordKind.PERMIT_DRAINED, key)
 
-    def permit_progress(self, held: Held) -> bytes:
+    def permit_progress(self, held: OpenPermit) -> bytes:
         """Return how far a permit has come at this member: `DRAINED`, `LET_IN` or `NEITHER`.
 
         `LET_IN` is published only once a restart can't undo it: when the log entry that returns the permit is
--- a/ambershift/coordinator/group/group_commands.py
+++ b/ambershift/coordinator/group/group_commands.py
@@ -9,8 +9,8 @@
 from ambershift.coordinator.admin.words import Change
 from ambershift.coordinator.group.member import Member
 from ambershift.coordinator.group.status_rows import member_rows, permit_rows
-from ambershift.coordinator.promises.answers import Outcome, read_answer
-from ambershift.coordinator.promises.words import Answered, Wishes, WishOne
+from ambershift.coordinator.promises.codec import Outcome, decode_outcome
+from ambershift.coordinator.promises.commands import Answered, ServerWish, Wishes
 from ambershift.coordinator.replication.types import Answer as Reply
 from ambershift.coordinator.replication.types import Reason
 from ambershift.coordinator.runtime.changing import BAD_COMMAND
@@ -50,7 +50,7 @@
         client_token, token = token, token or f"own-{secrets.token_hex(8)}"
         wishes = Wishes(who, text, tuple(self._to_wish(change) for change in changes))
         reply = await self._member.submit(token, wishes, wait)
-        outcome = read_answer(reply.answer) if reply.reason is None else None
+        outcome = decode_outcome(reply.answer) if reply.reason is None else None
         if client_token and outcome is not None and not outcome.done:
             # The leader refused it before anything was written. Under a client's token the refusal is
             # committed too, so that the same token always gets the same answer.
@@ -77,9 +77,9 @@
             f"majority of the voters; {_retry_hint(reply)}. 'show servers state' tells what holds here."
         )
 
-    def _to_wish(self, change: Change) -> WishOne:
+    def _to_wish(self, change: Change) -> ServerWish:
         weight = (change.weight.figure, change.weight.relative) if change.weight is not None else None
-        return WishOne(
+        return ServerWish(
             self._server_id(change.server),
             None if change.state is None else int(change.state),
             None if change.health is None else int(change.health),
@@ -89,7 +89,7 @@
 
     def _to_answer(self, reply: Reply, token: str) -> Answer:
         if reply.reason is None:
-            return _outcome_answer(read_answer(reply.answer))
+            return _outcome_answer(decode_outcome(reply.answer))
         match reply.reason:
             case Reason.OUTCOME_UNKNOWN:
                 return error(
--- a/ambershift/coordinator/group/maintenance_task.py
+++ b/ambershift/coordinator/group/maintenance_task.py
@@ -1,7 +1,7 @@
 """What a member does for maintenance, every half second or after a commit.
 
-The leader grants and moves permits, by the steward. Each member declares the maintenance of its settings,
-until that is committed or refused.
+The leader grants and moves permits, by the permit controller. Each member declares the maintenance of its
+settings, until that is committed or refused.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from ambershift.coordinator.group.links.interfaces import log_failure
 from ambershift.coordinator.group.member import Member
 from ambershift.coordinator.maintenance.limits import Limits
-from ambershift.coordinator.maintenance.permits import Heard, Steers
-from ambershift.coordinator.maintenance.words import Declared, Standing
-from ambershift.coordinator.promises.answers import read_answer
-from ambershift.coordinator.promises.steward import Steward
-from ambershift.coordinator.promises.words import Command, Declare
+from ambershift.coordinator.maintenance.permits import MemberReports, SteeringReport
+from ambershift.coordinator.maintenance.types import Declared, Standing
+from ambershift.coordinator.promises.codec import decode_outcome
+from ambershift.coordinator.promises.commands import Command, Declare
+from ambershift.coordinator.promises.permit_controller import PermitController
 from ambershift.coordinator.replication.types import Status
 
 SECOND = 1_000_000_000
@@ -54,7 +54,7 @@
         self._limits = limits
         self._declared = declared
         self._get_standings = get_standings
-        self._steward = Steward(limits)
+        self._controller = PermitController(limits)
         self._was_leader = False
         self._in_flight = set[asyncio.Task[None]]()
         self._task: asyncio.Task[None] | None = None
@@ -101,10 +101,10 @@
             ):
                 self._send(Declare(self._declared))
         if member.leads != self._was_leader:
-            self._was_leader, self._steward = member.leads, Steward(self._limits)
+            self._was_leader, self._controller = member.leads, PermitController(self._limits)
         if not self._was_leader or not (member.state.declared.works or member.state.permits):
             return
-        commands = self._steward.due(
+        commands = self._controller.due(
             member.now(), member.wall(), member.state, self._get_standings(), self._member_reports()
         )
         for command in commands:
@@ -119,7 +119,7 @@
     async def _submit(self, command: Command) -> None:
         """Submit a command; one that isn't committed is judged again by a later turn."""
         reply = await self._member.submit("", command, SUBMIT_TIMEOUT_NS)
-        outcome = read_answer(reply.answer) if reply.reason is None else None
+        outcome = decode_outcome(reply.answer) if reply.reason is None else None
         refusal = "" if outcome is None or outcome.done else f"{outcome.reason}: {outcome.text}"
         if refusal and refusal != self._last_refusal:
             self._member.note(
@@ -130,7 +130,7 @@
             # The same file would be refused again and again; an operator must give it another revision.
             self._declared = None
 
-    def _member_reports(self) -> Heard:
+    def _member_reports(self) -> MemberReports:
         """Return what all members say of the proxies they steer and of each permit."""
         gossip, now = self._member.gossip, self._member.now()
         drained, let_in = dict[str, set[str]](), dict[str, set[str]]()
@@ -138,15 +138,15 @@
             reports = gossip.permit_reports(now, permit)
             drained[permit] = {name for name, progress in reports.items() if progress == DRAINED}
             let_in[permit] = {name for name, progress in reports.items() if progress == LET_IN}
-        steers = {name: Steers(*report) for name, report in gossip.steered_proxies(now).items()}
+        steers = {name: SteeringReport(*report) for name, report in gossip.steered_proxies(now).items()}
         spec = self._member.spec
-        return Heard((*spec.voters, *spec.learners), steers, drained, let_in)
+        return MemberReports((*spec.voters, *spec.learners), steers, drained, let_in)
 
     def rows(self) -> list[dict[str, Any]]:
         """Return the rows of `show maintenance`; times are whole seconds of Unix time."""
         return [
             _plain_row(msgspec.structs.asdict(row))
-            for row in self._steward.rows(self._member.state, self._member.now())
+            for row in self._controller.rows(self._member.state, self._member.now())
         ]
 
 
--- a/ambershift/coordinator/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -21,11 +21,11 @@
 from ambershift.coordinator.group.links.wire import CloseReason, FrameKind, Refusal, UnreadableError
 from ambershift.coordinator.group.spec import MemberSpec
 from ambershift.coordinator.group.startup import Note, StartupState, create_replica, start_incarnation
-from ambershift.coordinator.promises.answers import decode, read_answer
-from ambershift.coordinator.promises.machine import PromisesMachine
-from ambershift.coordinator.promises.state import Promises
-from ambershift.coordinator.promises.unconfirmed import sooner_ends
-from ambershift.coordinator.promises.words import Command, Wishes
+from ambershift.coordinator.promises.codec import decode_command, decode_outcome
+from ambershift.coordinator.promises.commands import Command, Wishes
+from ambershift.coordinator.promises.state import GroupState
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
+from ambershift.coordinator.promises.uncommitted_ends import uncommitted_ends
 from ambershift.coordinator.replication import messages, types
 from ambershift.coordinator.replication.replica import Replica
 from ambershift.coordinator.replication.types import Answer, Applied, Halt, Reason, Restored, Send, Write
@@ -53,7 +53,7 @@
     def __init__(
         self,
         spec: MemberSpec,
-        machine: PromisesMachine,
+        machine: GroupStateMachine,
         desk_applier: DeskApplier,
         now: Callable[[], int],
         note: Note,
@@ -89,7 +89,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self._timer_at = 0
         self.gossip = Gossip(self)
-        self.commit_listeners = list[Callable[[Promises, Command | None], None]]()
+        self.commit_listeners = list[Callable[[GroupState, Command | None], None]]()
         self.counters_handler: Callable[[str, bytes], None] | None = None
         self._restarts = set[asyncio.Task[None]]()
 
@@ -127,7 +127,7 @@
             self._disk.start()
         saved = self.startup.saved
         self.desk_applier.uncommitted_ends = (
-            sooner_ends(saved.entries, saved.committed) if saved is not None else {}
+            uncommitted_ends(saved.entries, saved.committed) if saved is not None else {}
         )
         self.replica = create_replica(self.spec, self.machine, self.startup, self.now(), self._seed)
         self.gossip.set_incarnation(self.startup.incarnation)
@@ -280,7 +280,7 @@
         self._arm_timer()
 
     def _apply_entry(self, effect: Applied[Any]) -> None:
-        command, outcome = decode(effect.entry.command), read_answer(effect.answer)
+        command, outcome = decode_command(effect.entry.command), decode_outcome(effect.answer)
         if outcome.done and outcome.changed:
             if isinstance(command, Wishes):
                 self.desk_applier.queue_wishes(effect.state, outcome.changed, command.who, command.text)
@@ -291,7 +291,7 @@
         for listener in self.commit_listeners:
             listener(effect.state, command)
 
-    def _apply_snapshot(self, state: Promises) -> None:
+    def _apply_snapshot(self, state: GroupState) -> None:
         self.desk_applier.apply_snapshot(state)
         for listener in self.commit_listeners:
             listener(state, None)
--- a/ambershift/coordinator/group/service.py
+++ b/ambershift/coordinator/group/service.py
@@ -20,10 +20,10 @@
 from ambershift.coordinator.group.startup import NoFolderError
 from ambershift.coordinator.group.tap import AdmittedNames, GroupTap
 from ambershift.coordinator.maintenance.limits import Limits
-from ambershift.coordinator.maintenance.words import Standing
+from ambershift.coordinator.maintenance.types import Standing
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import BadStartError
-from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
 from ambershift.coordinator.runtime.changes import why_refused
 from ambershift.coordinator.runtime.front import RuntimeFront
 from ambershift.coordinator.runtime.places import TcpPlace, UnixPlace
@@ -80,7 +80,7 @@
             self.desk, door, self.now, partial(_describe_refusal, self.scene), self._is_clock_skewed
         )
         seed = start.seed ^ _stable_hash(spec.name)
-        self.member = Member(spec, PromisesMachine(validator), self.desk_applier, self.now, note, seed)
+        self.member = Member(spec, GroupStateMachine(validator), self.desk_applier, self.now, note, seed)
         gossip = self.member.gossip
         gossip.count_steered = lambda: len(self.desk.mirror.picture.seats)
         self.observation_exchange = ObservationExchange(
@@ -93,9 +93,9 @@
         self.commands = GroupCommands(self.member, door.ids.__getitem__)
         self.scene.common = self.commands
         self.tap = GroupTap(self.desk, self.now, self.moved, self.desk_applier, self.observation_exchange)
-        limits = Limits(clock_bound=spec.clock_bound, warm=start.terms.cold)
+        limits = Limits(clock_bound_ns=spec.clock_bound, warmup_ns=start.terms.cold)
         if isinstance(root.maintenance, MaintenanceBlock):
-            limits = limits._replace(drain=duration(root.maintenance.drain) or limits.drain)
+            limits = limits._replace(drain_ns=duration(root.maintenance.drain) or limits.drain_ns)
         self.maintenance_task = MaintenanceTask(
             self.member, limits, declared(root.blocks), self._server_standings
         )
--- a/ambershift/coordinator/group/standings.py
+++ b/ambershift/coordinator/group/standings.py
@@ -8,7 +8,7 @@
 from ambershift import interface as api
 from ambershift.coordinator.admin.desk import Desk
 from ambershift.coordinator.admin.mirror import NEVER_SHUT
-from ambershift.coordinator.maintenance.words import Standing, Trouble
+from ambershift.coordinator.maintenance.types import Standing, Trouble
 from ambershift.id_index import IdIndex
 
 
--- a/ambershift/coordinator/group/startup.py
+++ b/ambershift/coordinator/group/startup.py
@@ -9,9 +9,9 @@
 from ambershift.coordinator.group.disk.files import LockedError, RealFiles
 from ambershift.coordinator.group.disk.folder import DiskError, Folder, RefusedError
 from ambershift.coordinator.group.spec import MemberSpec
-from ambershift.coordinator.promises.answers import encode
-from ambershift.coordinator.promises.machine import PromisesMachine
-from ambershift.coordinator.promises.words import Nothing
+from ambershift.coordinator.promises.codec import encode_command
+from ambershift.coordinator.promises.commands import Nothing
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
 from ambershift.coordinator.replication.replica import Replica
 from ambershift.coordinator.replication.types import PersistedState
 
@@ -80,10 +80,14 @@
 
 
 def create_replica(
-    spec: MemberSpec, machine: PromisesMachine, startup: StartupState, now: int, seed: int
+    spec: MemberSpec, machine: GroupStateMachine, startup: StartupState, now: int, seed: int
 ) -> Replica:
     """Return the replica of a member that starts; `now` is in ns."""
-    options: dict[str, Any] = {"now": now, "noop": encode(Nothing()), "lost_state": startup.lost_state}
+    options: dict[str, Any] = {
+        "now": now,
+        "noop": encode_command(Nothing()),
+        "lost_state": startup.lost_state,
+    }
     return Replica(
         spec.name,
         spec.voters,
--- a/ambershift/coordinator/group/status_rows.py
+++ b/ambershift/coordinator/group/status_rows.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ambershift.coordinator.promises.state import Promises
+from ambershift.coordinator.promises.state import GroupState
 
 if TYPE_CHECKING:
     from ambershift.coordinator.group.member import Member
@@ -56,7 +56,7 @@
     return rows
 
 
-def permit_rows(state: Promises, wall: int) -> list[dict[str, Any]]:
+def permit_rows(state: GroupState, wall: int) -> list[dict[str, Any]]:
     """Return a row for each open permit; `wall` is the wall clock, Unix ns."""
     return [
         {
--- a/ambershift/coordinator/maintenance/agreements.py
+++ b/ambershift/coordinator/maintenance/agreements.py
@@ -10,14 +10,14 @@
 from math import ceil
 from typing import NamedTuple
 
-from ambershift.coordinator.maintenance.words import Permit, Refusal, Standing, Tenant, Trouble
+from ambershift.coordinator.maintenance.types import Permit, Refusal, Standing, Tenant, Trouble
 
 # Weights are summed as whole millionths: sums that are taken apart again end where they began, and members
 # that sum in another order agree.
 FINE = 1_000_000
 
 
-class Binds(NamedTuple):
+class Constraint(NamedTuple):
     """What is in the way, and whose; "" where it is nobody's agreement."""
 
     reason: Refusal
@@ -28,7 +28,7 @@
     return not tenant.zones or zone in tenant.zones
 
 
-class Users:
+class TenantIndex:
     """The tenants that use the servers of a zone, looked for once a zone."""
 
     def __init__(self, tenants: Sequence[Tenant]) -> None:
@@ -40,14 +40,14 @@
         return found
 
 
-def usable(standing: Standing, at: int) -> bool:
+def is_usable(standing: Standing, at: int) -> bool:
     """Whether it carries traffic at this time, if it goes on as it stands: who is only cold gets warm."""
     if standing.trouble is Trouble.COLD:
         return 0 < standing.warm_at <= at
     return standing.trouble is None and standing.warm_at <= at
 
 
-def worth(standing: Standing) -> int:
+def effective_capacity(standing: Standing) -> int:
     """Its capacity in millionths: what neighbours take from it is not there."""
     left = standing.weight
     if standing.interfered > 0:
@@ -55,21 +55,21 @@
     return int(left * FINE) if left > 0 else 0
 
 
-class Room:
+class CapacityTracker:
     """What is there for each tenant, and who is out, kept up to date one server at a time."""
 
     def __init__(self, tenants: Sequence[Tenant], servers: Mapping[str, Standing], at: int) -> None:
-        self.tenants, self.servers, self.at, self.users = tuple(tenants), servers, at, Users(tenants)
+        self.tenants, self.servers, self.at, self.users = tuple(tenants), servers, at, TenantIndex(tenants)
         self.named = {tenant.name: tenant for tenant in tenants}
         self.capacity = {tenant.name: 0 for tenant in tenants}
         self.needed = {tenant.name: ceil(tenant.agreement.capacity * FINE) for tenant in tenants}
         self.outs = {tenant.name: 0 for tenant in tenants}
         self.out = dict[str, tuple[str, ...]]()  # Those that permits keep out, and whose they are.
         for standing in servers.values():
-            here, counts = usable(standing, at), standing.trouble is not Trouble.LISTED_OUT
+            here, counts = is_usable(standing, at), standing.trouble is not Trouble.LISTED_OUT
             for tenant in self.users.of(standing.zone):
                 if here:
-                    self.capacity[tenant.name] += worth(standing)
+                    self.capacity[tenant.name] += effective_capacity(standing)
                 elif counts:
                     self.outs[tenant.name] += 1
 
@@ -82,10 +82,10 @@
     def shift(self, server: str, by: int) -> None:
         """Take it out by 1, or back by -1."""
         standing = self.servers.get(server)
-        here = standing is not None and usable(standing, self.at)
+        here = standing is not None and is_usable(standing, self.at)
         for name in self.out[server]:
             if here and standing is not None:
-                self.capacity[name] -= by * worth(standing)
+                self.capacity[name] -= by * effective_capacity(standing)
             if here or standing is None or standing.trouble is Trouble.LISTED_OUT:
                 self.outs[name] += by
 
@@ -99,15 +99,15 @@
             self.shift(server, -1)
             del self.out[server]
 
-    def lacks(self, tenant: Tenant) -> Binds | None:
+    def lacks(self, tenant: Tenant) -> Constraint | None:
         """What its agreement lacks as it stands."""
         if self.capacity[tenant.name] < self.needed[tenant.name]:
-            return Binds(Refusal.CAPACITY, tenant.name)
-        if self.outs[tenant.name] > tenant.agreement.out_most:
-            return Binds(Refusal.OUT_MOST, tenant.name)
+            return Constraint(Refusal.CAPACITY, tenant.name)
+        if self.outs[tenant.name] > tenant.agreement.max_out:
+            return Constraint(Refusal.OUT_MOST, tenant.name)
         return None
 
-    def refuses(self, server: str) -> Binds | None:
+    def refuses(self, server: str) -> Constraint | None:
         """What would not hold were it out too."""
         known = server in self.out
         self.take(server)
--- a/ambershift/coordinator/maintenance/limits.py
+++ b/ambershift/coordinator/maintenance/limits.py
@@ -13,23 +13,23 @@
     take to drain, `warm` how long it is cold after a start.
     """
 
-    clock_bound: int = SECOND
-    drain: int = 2 * MINUTE
-    warm: int = 17 * SECOND
+    clock_bound_ns: int = SECOND
+    drain_ns: int = 2 * MINUTE
+    warmup_ns: int = 17 * SECOND
     # A member that says nothing for so long steers no more: others have taken its proxies over. One that is
     # cut off and still steers sees the server stop as if it had failed.
-    silent: int = 30 * SECOND
+    report_timeout_ns: int = 30 * SECOND
     # A server that broke off is tried again after so long, twice that after the second time, and so on.
-    again: int = 30 * MINUTE
+    retry_delay_ns: int = 30 * MINUTE
     # One that is not back so long after it should be warm is closed: it is ill, and counts as such.
-    missing: int = 10 * MINUTE
+    return_timeout_ns: int = 10 * MINUTE
     # How far ahead a time is looked for.
-    ahead: int = 120 * 24 * 60 * MINUTE
+    planning_horizon_ns: int = 120 * 24 * 60 * MINUTE
 
-    def let_in(self, ends: int) -> int:
+    def let_in_by_all(self, ends: int) -> int:
         """From when on, by the clock of any member that is not apart, no member holds it out any longer."""
-        return ends + 2 * self.clock_bound
+        return ends + 2 * self.clock_bound_ns
 
-    def whole(self, takes: int) -> int:
+    def total_time(self, takes: int) -> int:
         """From the grant until it is back and warm."""
-        return self.let_in(self.drain + takes) + self.warm
+        return self.let_in_by_all(self.drain_ns + takes) + self.warmup_ns
--- a/ambershift/coordinator/maintenance/permits.py
+++ b/ambershift/coordinator/maintenance/permits.py
@@ -12,10 +12,10 @@
 from typing import NamedTuple
 
 from ambershift.coordinator.maintenance.limits import Limits
-from ambershift.coordinator.maintenance.words import Permit, Phase, Standing, Trouble
+from ambershift.coordinator.maintenance.types import Permit, Phase, Standing, Trouble
 
 
-class Steers(NamedTuple):
+class SteeringReport(NamedTuple):
     """What a member last said of itself: how many proxies it steers, how far its wall clock is ahead of
     ours, and how long ago it said so.
     """
@@ -25,18 +25,18 @@
     age: int
 
 
-class Heard(NamedTuple):
+class MemberReports(NamedTuple):
     """What the leader has heard. `members` are all of the group; `steers` has what each said, itself among
     them; `drained` and `let_in` who said so of a permit, by its id.
     """
 
     members: tuple[str, ...]
-    steers: Mapping[str, Steers]
+    steers: Mapping[str, SteeringReport]
     drained: Mapping[str, AbstractSet[str]]
     let_in: Mapping[str, AbstractSet[str]]
 
 
-def clock_apart(ahead: Iterable[int], bound: int) -> bool:
+def is_clock_skewed(ahead: Iterable[int], bound: int) -> bool:
     """Whether our clock is apart by more than the bound from the middle of the members' clocks; `ahead` has
     how far each is ahead of ours, 0 for our own among them.
     """
@@ -52,23 +52,25 @@
     return permit.phase <= Phase.OUT and at < permit.ends
 
 
-def steering(heard: Heard, limits: Limits) -> list[str]:
+def steering(heard: MemberReports, limits: Limits) -> list[str]:
     """Those whose proxies count. One that is silent for long has lost its proxies to others."""
-    return [name for name, one in heard.steers.items() if one.proxies > 0 and one.age <= limits.silent]
+    return [
+        name for name, one in heard.steers.items() if one.proxies > 0 and one.age <= limits.report_timeout_ns
+    ]
 
 
-def all_drained(permit: Permit, heard: Heard, limits: Limits) -> bool:
+def all_drained(permit: Permit, heard: MemberReports, limits: Limits) -> bool:
     """Whether all members that steer have drained it. Without a word of anybody it is not known."""
     said = heard.drained.get(permit.id, frozenset())
     return bool(heard.steers) and all(name in said for name in steering(heard, limits))
 
 
-def all_let_in(permit: Permit, heard: Heard, limits: Limits, at: int) -> bool:
+def all_let_in(permit: Permit, heard: MemberReports, limits: Limits, at: int) -> bool:
     """Whether no member can hold it out any longer. One that is cut off still may, so that the silent count
     too, until the end has passed by any clock.
     """
     said = heard.let_in.get(permit.id, frozenset())
-    return at >= limits.let_in(permit.ends) or (
+    return at >= limits.let_in_by_all(permit.ends) or (
         bool(heard.members) and all(name in said for name in heard.members)
     )
 
@@ -81,5 +83,5 @@
     if standing is not None and standing.trouble is Trouble.WISHED_OUT:
         return True
     if standing is not None and standing.trouble is None and standing.warm_at <= at:
-        return not stopped or at >= permit.ends + limits.warm
-    return at >= limits.let_in(permit.ends) + limits.warm + limits.missing
+        return not stopped or at >= permit.ends + limits.warmup_ns
+    return at >= limits.let_in_by_all(permit.ends) + limits.warmup_ns + limits.return_timeout_ns
--- a/ambershift/coordinator/maintenance/waves.py
+++ b/ambershift/coordinator/maintenance/planning.py
@@ -13,11 +13,18 @@
 
 import msgspec
 
-from ambershift.coordinator.maintenance.agreements import Binds, Room
-from ambershift.coordinator.maintenance.board import NEVER, Board, Group, Job, Spans, make_groups
+from ambershift.coordinator.maintenance.agreements import CapacityTracker, Constraint
 from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.types import Declared, Permit, Refusal, Standing, Work
+from ambershift.coordinator.maintenance.wave_selection import (
+    NEVER,
+    Board,
+    Group,
+    Job,
+    WindowCache,
+    make_groups,
+)
 from ambershift.coordinator.maintenance.windows import Span, tenant_spans
-from ambershift.coordinator.maintenance.words import Declared, Permit, Refusal, Standing, Work
 
 # Plans are for people to read; beyond it the rest is told as not laid.
 STEPS_MOST = 100_000
@@ -30,33 +37,33 @@
     back: int
 
 
-class Laid(NamedTuple):
+class ScheduledDrain(NamedTuple):
     work: str
     server: str
     at: int
     back: int
 
 
-class Unlaid(NamedTuple):
+class UnscheduledDrain(NamedTuple):
     """`nearest` is the earliest `before` that would do as things stand, 0 where none is in sight."""
 
     work: str
     server: str
-    binds: Binds
+    binds: Constraint
     nearest: int
 
 
 class Plan(NamedTuple):
-    laid: tuple[Laid, ...]
-    unlaid: tuple[Unlaid, ...]
+    scheduled: tuple[ScheduledDrain, ...]
+    unscheduled: tuple[UnscheduledDrain, ...]
 
 
 class Run(NamedTuple):
-    laid: list[Laid]
-    left: list[tuple[Job, Binds]]
+    scheduled: list[ScheduledDrain]
+    left: list[tuple[Job, Constraint]]
 
 
-def lay(
+def plan_maintenance(
     declared: Declared,
     jobs: Iterable[tuple[Work, str, int]],
     out: Sequence[Open],
@@ -64,27 +71,27 @@
     servers: Mapping[str, Standing],
     at: int,
     limits: Limits,
-    spans: Spans | None = None,
+    spans: WindowCache | None = None,
 ) -> Plan:
     """`jobs` are a work, a server and the time before which it is not tried; `drains` when each tenant last
     had a server drained.
     """
-    spans, jobs = spans or Spans(at, limits.ahead), list(jobs)
+    spans, jobs = spans or WindowCache(at, limits.planning_horizon_ns), list(jobs)
     unlaid = [
-        Unlaid(work.name, server, Binds(Refusal.NO_SUCH_SERVER), 0)
+        UnscheduledDrain(work.name, server, Constraint(Refusal.NO_SUCH_SERVER), 0)
         for work, server, _ in jobs
         if server not in servers
     ]
     there = [job for job in jobs if job[1] in servers]
     first = run(declared, there, out, drains, servers, at, limits, spans)
     if not first.left:
-        return Plan(tuple(first.laid), tuple(unlaid))
+        return Plan(tuple(first.scheduled), tuple(unlaid))
     # What has no place in time is laid once more without its end, behind all that has: it is asked when it
     # could be, and pushes nobody.
     late = {(job.work.name, job.server) for job, _ in first.left}
     again = [
         (
-            msgspec.structs.replace(work, before=NEVER) if (work.name, server) in late else work,
+            msgspec.structs.replace(work, deadline=NEVER) if (work.name, server) in late else work,
             server,
             not_before,
         )
@@ -92,11 +99,13 @@
     ]
     backs = {
         (one.work, one.server): one.back
-        for one in run(declared, again, out, drains, servers, at, limits, spans).laid
+        for one in run(declared, again, out, drains, servers, at, limits, spans).scheduled
     }
     for job, binds in first.left:
-        unlaid.append(Unlaid(job.work.name, job.server, binds, backs.get((job.work.name, job.server), 0)))
-    return Plan(tuple(first.laid), tuple(unlaid))
+        unlaid.append(
+            UnscheduledDrain(job.work.name, job.server, binds, backs.get((job.work.name, job.server), 0))
+        )
+    return Plan(tuple(first.scheduled), tuple(unlaid))
 
 
 def run(
@@ -107,10 +116,10 @@
     servers: Mapping[str, Standing],
     at: int,
     limits: Limits,
-    spans: Spans,
+    spans: WindowCache,
 ) -> Run:
     """One pass over time, until all is laid or nothing comes any more that could help."""
-    room, groups, out_of = Room(declared.tenants, servers, at), list[Group](), dict[str, int]()
+    room, groups, out_of = CapacityTracker(declared.tenants, servers, at), list[Group](), dict[str, int]()
     backs = list[tuple[int, str, str]]()
     for one in out:
         room.take(one.permit.server, one.permit)
@@ -120,14 +129,14 @@
     board = Board(room, drains, out_of, limits)
     groups = make_groups(declared, jobs, servers, at, spans, limits)
     warms = sorted({one.warm_at for one in servers.values() if one.warm_at > at}, reverse=True)
-    laid, now, last = list[Laid](), at, dict[int, Binds]()
+    laid, now, last = list[ScheduledDrain](), at, dict[int, Constraint]()
     for _ in range(STEPS_MOST):
         while backs and backs[0][0] <= now:
             _, work, server = heappop(backs)
             board.give(work, server)
         for job in board.pick(now, groups):
-            back = now + limits.whole(job.work.takes_ns)
-            laid.append(Laid(job.work.name, job.server, now, back))
+            back = now + limits.total_time(job.work.duration_ns)
+            laid.append(ScheduledDrain(job.work.name, job.server, now, back))
             heappush(backs, (back, job.work.name, job.server))
         for place, group in enumerate(groups):
             if not group.jobs or group.binds is None or group.binds.reason is Refusal.NO_WINDOW:
@@ -155,25 +164,25 @@
                 ),
                 {},
             )
-    left = list[tuple[Job, Binds]]()
+    left = list[tuple[Job, Constraint]]()
     for place, group in enumerate(groups):
         if group.jobs:
-            binds = window_binds(group, at, limits) or last.get(place) or Binds(Refusal.TOO_LATE)
+            binds = window_binds(group, at, limits) or last.get(place) or Constraint(Refusal.TOO_LATE)
             left += [(job, binds) for job in group.jobs]
     return Run(laid, left)
 
 
 def renew(board: Board, declared: Declared, servers: Mapping[str, Standing], at: int) -> None:
     """Somebody got warm: sum up anew."""
-    out, board.room = board.room.out, Room(declared.tenants, servers, at)
+    out, board.room = board.room.out, CapacityTracker(declared.tenants, servers, at)
     for server, names in out.items():
         board.room.out[server] = names
         board.room.shift(server, 1)
 
 
-def window_binds(group: Group, at: int, limits: Limits) -> Binds | None:
+def window_binds(group: Group, at: int, limits: Limits) -> Constraint | None:
     """Whether, and whose, windows alone are why this can't be laid in time."""
-    bound, before = limits.clock_bound, min(group.work.before, at + limits.ahead)
+    bound, before = limits.clock_bound_ns, min(group.work.deadline, at + limits.planning_horizon_ns)
     start = group.earliest(at, bound)
     if start is not None and start + group.whole <= before:
         return None
@@ -183,15 +192,15 @@
             min(span.closes - bound, before) - max(span.opens + bound, at) >= group.whole for span in found
         )
 
-    def binds(found: Sequence[Span], tenant: str) -> Binds:
+    def binds(found: Sequence[Span], tenant: str) -> Constraint:
         short = any(span.closes > at and span.opens < before for span in found)
-        return Binds(Refusal.WINDOW_TOO_SHORT if short else Refusal.NO_WINDOW, tenant)
+        return Constraint(Refusal.WINDOW_TOO_SHORT if short else Refusal.NO_WINDOW, tenant)
 
     if before - at < group.whole:
-        return Binds(Refusal.TOO_LATE)
+        return Constraint(Refusal.TOO_LATE)
     for tenant in group.tenants:
         if not fits(found := tenant_spans(tenant, at, before)):
             if fits(tenant_spans(tenant, at, before, closed=False)):
-                return Binds(Refusal.CLOSED_DAY, tenant.name)
+                return Constraint(Refusal.CLOSED_DAY, tenant.name)
             return binds(found, tenant.name)
     return binds(group.spans, "")
--- a/ambershift/coordinator/maintenance/words.py
+++ b/ambershift/coordinator/maintenance/types.py
@@ -15,9 +15,9 @@
     """What must hold for a tenant at every moment, as far as maintenance can break it."""
 
     capacity: float  # Least sum of the warm usable weights of its servers.
-    out_most: int  # Servers of its own that may be out at once.
-    apart_ns: int  # Least time between two drains.
-    closed: tuple[str, ...]  # Days, such as "2026-12-24", in the tenant's zone of time.
+    max_out: int  # Servers of its own that may be out at once.
+    min_drain_interval_ns: int  # Least time between two drains.
+    closed_days: tuple[str, ...]  # Days, such as "2026-12-24", in the tenant's zone of time.
 
 
 class Window(msgspec.Struct, frozen=True, array_like=True):
@@ -48,9 +48,9 @@
 
     name: str
     servers: tuple[str, ...]
-    takes_ns: int
-    before: int
-    at_once: int
+    duration_ns: int
+    deadline: int
+    max_concurrent: int
 
 
 class Declared(msgspec.Struct, frozen=True, array_like=True):
@@ -85,7 +85,7 @@
 
 
 class Trouble(StrEnum):
-    """Why a server does not count as usable at this moment."""
+    """CommandRefusal a server does not count as usable at this moment."""
 
     LISTED_OUT = "listed-out"
     WISHED_OUT = "wished-out"
--- a/ambershift/coordinator/maintenance/sound.py
+++ b/ambershift/coordinator/maintenance/validation.py
@@ -4,10 +4,10 @@
 
 from math import isfinite
 
-from ambershift.coordinator.maintenance.words import Declared
+from ambershift.coordinator.maintenance.types import Declared
 
 YEAR = 366 * 86_400 * 1_000_000_000
-AMOUNT_MOST = 1e12
+MAX_CAPACITY = 1e12
 
 
 def unsound(declared: Declared) -> str:
@@ -21,14 +21,14 @@
                 return f"{what} '{name[:100]}' has no name of its own without '/'"
     for tenant in declared.tenants:
         agreement = tenant.agreement
-        if not isfinite(agreement.capacity) or not 0 <= agreement.capacity <= AMOUNT_MOST:
+        if not isfinite(agreement.capacity) or not 0 <= agreement.capacity <= MAX_CAPACITY:
             return f"tenant '{tenant.name}': capacity {agreement.capacity} is none"
-        if agreement.out_most < 0 or not 0 <= agreement.apart_ns <= YEAR:
+        if agreement.max_out < 0 or not 0 <= agreement.min_drain_interval_ns <= YEAR:
             return f"tenant '{tenant.name}': servers out and time apart can't be below 0"
         if any(not 0 < window.length_ns <= YEAR for window in tenant.windows):
             return f"tenant '{tenant.name}': a window has no length"
     for work in declared.works:
-        if not 0 < work.takes_ns <= YEAR or work.at_once < 0:
+        if not 0 < work.duration_ns <= YEAR or work.max_concurrent < 0:
             return f"work '{work.name}' takes no time, or less than none at once"
         if len(set(work.servers)) != len(work.servers):
             return f"work '{work.name}' names a server twice"
--- a/ambershift/coordinator/maintenance/board.py
+++ b/ambershift/coordinator/maintenance/wave_selection.py
@@ -12,10 +12,16 @@
 from heapq import heapify, heappop, heappush
 from typing import NamedTuple
 
-from ambershift.coordinator.maintenance.agreements import Binds, Room, Users, usable, worth
+from ambershift.coordinator.maintenance.agreements import (
+    CapacityTracker,
+    Constraint,
+    TenantIndex,
+    effective_capacity,
+    is_usable,
+)
 from ambershift.coordinator.maintenance.limits import Limits
+from ambershift.coordinator.maintenance.types import Declared, Refusal, Standing, Tenant, Work
 from ambershift.coordinator.maintenance.windows import DAY, Span, common, tenant_spans
-from ambershift.coordinator.maintenance.words import Declared, Refusal, Standing, Tenant, Work
 
 WAVE_MOST = 256  # A grant is one entry of the log.
 TRIES_MOST = 64  # Servers of a group that are looked at past one that weighs too much.
@@ -39,7 +45,7 @@
     def __init__(self, work: Work, tenants: tuple[Tenant, ...], spans: Sequence[Span], whole: int) -> None:
         self.work, self.tenants, self.spans, self.whole = work, tenants, spans, whole
         self.jobs = list[Job]()
-        self.binds: Binds | None = None  # Why it did not go on when it was last looked at.
+        self.binds: Constraint | None = None  # CommandRefusal it did not go on when it was last looked at.
         self.retry: int | None = None  # When that ends by itself, None: when somebody comes back.
 
     def earliest(self, at: int, bound: int) -> int | None:
@@ -52,7 +58,7 @@
         return None
 
 
-class Spans:
+class WindowCache:
     """When all tenants of a server let maintenance be, from two days back to as far as is looked ahead."""
 
     def __init__(self, at: int, ahead: int) -> None:
@@ -77,8 +83,8 @@
 def order(work: Work, place: int, standing: Standing) -> Order:
     # Work that is only asked for when it could be done pushes nobody.
     hurt = standing.interfered
-    rank = 2.0 if work.before == NEVER else -round(hurt, 2) if hurt > 0 else 0.0
-    return rank, work.before, -work.takes_ns, place, standing.server
+    rank = 2.0 if work.deadline == NEVER else -round(hurt, 2) if hurt > 0 else 0.0
+    return rank, work.deadline, -work.duration_ns, place, standing.server
 
 
 def make_groups(
@@ -86,29 +92,31 @@
     jobs: Iterable[tuple[Work, str, int]],
     servers: Mapping[str, Standing],
     at: int,
-    spans: Spans,
+    spans: WindowCache,
     limits: Limits,
 ) -> list[Group]:
     """The jobs, each a work, a server that is listed and a time, in groups; best first in each."""
     places = {work.name: place for place, work in enumerate(declared.works)}
-    users, groups = Users(declared.tenants), dict[tuple[str, int, tuple[str, ...], bool], Group]()
+    users, groups = TenantIndex(declared.tenants), dict[tuple[str, int, tuple[str, ...], bool], Group]()
     known = dict[tuple[str, int, str, bool], Group]()  # By zone, so that tenants are looked at once a zone.
     for work, server, not_before in jobs:
         standing = servers[server]
-        here = usable(standing, at)
-        short = work.name, work.before, standing.zone, here
+        here = is_usable(standing, at)
+        short = work.name, work.deadline, standing.zone, here
         if (group := known.get(short)) is None:
             tenants = users.of(standing.zone)
-            key = work.name, work.before, tuple(tenant.name for tenant in tenants), here
+            key = work.name, work.deadline, tuple(tenant.name for tenant in tenants), here
             if (group := groups.get(key)) is None:
-                group = groups[key] = Group(work, tenants, spans.of(tenants), limits.whole(work.takes_ns))
+                group = groups[key] = Group(
+                    work, tenants, spans.of(tenants), limits.total_time(work.duration_ns)
+                )
             known[short] = group
         group.jobs.append(
             Job(
                 order(work, places[work.name], standing),
                 work,
                 server,
-                worth(standing) if here else 0,
+                effective_capacity(standing) if here else 0,
                 not_before,
             )
         )
@@ -121,29 +129,29 @@
     """Who is out, of which work, and when each tenant last had a server drained."""
 
     def __init__(
-        self, room: Room, drains: Mapping[str, int], out_of: Mapping[str, int], limits: Limits
+        self, room: CapacityTracker, drains: Mapping[str, int], out_of: Mapping[str, int], limits: Limits
     ) -> None:
         self.room, self.limits = room, limits
         self.drains, self.out_of = dict(drains), dict(out_of)
 
     def gate(self, group: Group, at: int) -> bool:
         """Whether a job of this group could start now, but for capacity and who is out."""
-        start = group.earliest(at, self.limits.clock_bound)
+        start = group.earliest(at, self.limits.clock_bound_ns)
         work, group.retry = group.work, None
-        if start is None or start + group.whole > work.before:
-            group.binds = Binds(Refusal.TOO_LATE if start is not None else Refusal.NO_WINDOW)
+        if start is None or start + group.whole > work.deadline:
+            group.binds = Constraint(Refusal.TOO_LATE if start is not None else Refusal.NO_WINDOW)
         elif start > at:
-            group.binds, group.retry = Binds(Refusal.NO_WINDOW), start
-        elif work.at_once and self.out_of.get(work.name, 0) >= work.at_once:
-            group.binds = Binds(Refusal.OUT_MOST)
+            group.binds, group.retry = Constraint(Refusal.NO_WINDOW), start
+        elif work.max_concurrent and self.out_of.get(work.name, 0) >= work.max_concurrent:
+            group.binds = Constraint(Refusal.OUT_MOST)
         else:
             group.binds = None
             for tenant in group.tenants:
-                apart = tenant.agreement.apart_ns
+                apart = tenant.agreement.min_drain_interval_ns
                 # Two leaders' clocks may be apart by twice the bound.
-                free = self.drains.get(tenant.name, 0) + apart + 2 * self.limits.clock_bound
+                free = self.drains.get(tenant.name, 0) + apart + 2 * self.limits.clock_bound_ns
                 if apart and at < free and (group.retry is None or free > group.retry):
-                    group.binds, group.retry = Binds(Refusal.APART, tenant.name), free
+                    group.binds, group.retry = Constraint(Refusal.APART, tenant.name), free
         return group.binds is None
 
     def pick(self, at: int, groups: Sequence[Group]) -> list[Job]:
@@ -155,7 +163,7 @@
             if group.jobs and self.gate(group, at)
         ]
         heapify(heap)
-        too_much, tries = dict[int, tuple[int, Binds]](), dict[int, int]()
+        too_much, tries = dict[int, tuple[int, Constraint]](), dict[int, int]()
         while heap and len(chosen) < WAVE_MOST:
             _, place, to = heappop(heap)
             group = groups[place]
@@ -166,7 +174,7 @@
                 group.retry = min(job.not_before, group.retry or job.not_before)
                 to += 1
             elif job.server in self.room.out:
-                group.binds = Binds(Refusal.ALREADY_OUT)
+                group.binds = Constraint(Refusal.ALREADY_OUT)
                 to += 1
             elif place in too_much and job.worth >= too_much[place][0]:
                 group.binds = too_much[place][1]
--- a/ambershift/coordinator/maintenance/windows.py
+++ b/ambershift/coordinator/maintenance/windows.py
@@ -16,7 +16,7 @@
 
 from dateutil.rrule import rrulestr
 
-from ambershift.coordinator.maintenance.words import Tenant, Window
+from ambershift.coordinator.maintenance.types import Tenant, Window
 
 SECOND = 1_000_000_000
 DAY = 86_400 * SECOND
@@ -40,7 +40,7 @@
 LENGTH_LEAST = 60 * SECOND
 
 
-class BadWindowError(ValueError):
+class InvalidWindowError(ValueError):
     """A window that can't be read; `key` says what of it is wrong."""
 
     def __init__(self, key: str, what: str) -> None:
@@ -55,12 +55,12 @@
     closes: int
 
 
-def zone_of(name: str) -> ZoneInfo:
-    """Raises BadWindowError for what is no zone of time."""
+def parse_zone(name: str) -> ZoneInfo:
+    """Raises InvalidWindowError for what is no zone of time."""
     try:
         return ZoneInfo(name)
     except (KeyError, ValueError, OSError):
-        raise BadWindowError("zone", f"'{name}' is no zone of time such as \"Europe/Budapest\"") from None
+        raise InvalidWindowError("zone", f"'{name}' is no zone of time such as \"Europe/Budapest\"") from None
 
 
 def instant(local: datetime, zone: ZoneInfo) -> int:
@@ -69,7 +69,7 @@
     return (passed.days * 86_400 + passed.seconds) * SECOND + passed.microseconds * 1000
 
 
-def read_day(text: str) -> date:
+def parse_day(text: str) -> date:
     """Raises ValueError for what is no day such as "2026-12-24"."""
     if not re.fullmatch(r"\d{4}-\d\d-\d\d", text, re.ASCII):
         raise ValueError(f"'{text}' is no day such as \"2026-12-24\"")
@@ -77,20 +77,20 @@
 
 
 def occurrences(window: Window) -> Iterator[datetime]:
-    """The local times of its openings, in order. Raises BadWindowError."""
+    """The local times of its openings, in order. Raises InvalidWindowError."""
     try:
         if not re.fullmatch(r"\d{4}-\d\d-\d\dT\d\d:\d\d(:\d\d)?", window.start, re.ASCII):
             raise ValueError
         start = datetime.fromisoformat(window.start)
     except ValueError:
-        raise BadWindowError(
+        raise InvalidWindowError(
             "start", f"'{window.start}' is no local time such as \"2026-12-01T02:00:00\""
         ) from None
     check_rule(window.rrule.upper())
     try:
         return iter(rrulestr(window.rrule.upper(), dtstart=start))
     except (ValueError, TypeError, KeyError, IndexError, OverflowError) as error:
-        raise BadWindowError("rrule", f"'{window.rrule[:80]}' is no recurrence ({error})") from None
+        raise InvalidWindowError("rrule", f"'{window.rrule[:80]}' is no recurrence ({error})") from None
 
 
 def check_rule(rrule: str) -> None:
@@ -101,43 +101,43 @@
     for part in rrule.split(";"):
         key, _, value = part.partition("=")
         if key not in KEYS or key in parts or not re.fullmatch(r"[A-Z0-9,+-]+", value):
-            raise BadWindowError("rrule", f"'{part[:40]}' is no part of a recurrence such as FREQ=DAILY")
+            raise InvalidWindowError("rrule", f"'{part[:40]}' is no part of a recurrence such as FREQ=DAILY")
         parts[key] = value
     if (frequency := parts.get("FREQ")) not in FREQUENCIES:
-        raise BadWindowError("rrule", f"FREQ must be one of {', '.join(FREQUENCIES)}")
+        raise InvalidWindowError("rrule", f"FREQ must be one of {', '.join(FREQUENCIES)}")
     for key in ("INTERVAL", "COUNT"):
         if not re.fullmatch(r"0*[1-9]\d{0,3}", parts.get(key, "1")):
-            raise BadWindowError("rrule", f"{key} must be a number from 1 to 9999")
+            raise InvalidWindowError("rrule", f"{key} must be a number from 1 to 9999")
     if "COUNT" in parts and "UNTIL" in parts:
-        raise BadWindowError("rrule", "COUNT and UNTIL can't both stand")
+        raise InvalidWindowError("rrule", "COUNT and UNTIL can't both stand")
     times = [parts[key].count(",") for key in ("BYHOUR", "BYMINUTE") if key in parts]
     if any(one >= PER_DAY_MOST for one in times) or (all(times) and len(times) > 1):
-        raise BadWindowError("rrule", f"opens more than {PER_DAY_MOST} times a day")
+        raise InvalidWindowError("rrule", f"opens more than {PER_DAY_MOST} times a day")
     if re.search(r"\d", parts.get("BYDAY", "")) and (
         frequency in ("DAILY", "WEEKLY") or "BYMONTHDAY" in parts or "BYSETPOS" in parts
     ):
-        raise BadWindowError("rrule", "BYDAY counts days only in MONTHLY and YEARLY, and alone")
+        raise InvalidWindowError("rrule", "BYDAY counts days only in MONTHLY and YEARLY, and alone")
     if "BYSETPOS" in parts and (
         frequency in ("DAILY", "WEEKLY")
         or "BYDAY" not in parts
         or not re.fullmatch(r"-?[1-4]", parts["BYSETPOS"])
     ):
-        raise BadWindowError("rrule", "BYSETPOS is -4 to 4, in MONTHLY and YEARLY, beside BYDAY")
+        raise InvalidWindowError("rrule", "BYSETPOS is -4 to 4, in MONTHLY and YEARLY, beside BYDAY")
     if "BYMONTHDAY" in parts:
         days, months = parts["BYMONTHDAY"], parts.get("BYMONTH", "1")
         if not re.fullmatch(r"-?\d\d?(,-?\d\d?)*", days) or not re.fullmatch(r"\d\d?(,\d\d?)*", months):
-            raise BadWindowError("rrule", "BYMONTHDAY and BYMONTH must be numbers")
+            raise InvalidWindowError("rrule", "BYMONTHDAY and BYMONTH must be numbers")
         most = max((DAYS_MOST[int(one) - 1] for one in months.split(",") if 1 <= int(one) <= 12), default=0)
         if not any(1 <= abs(int(one)) <= most for one in days.split(",")):
-            raise BadWindowError("rrule", "no month of it has such a day")
+            raise InvalidWindowError("rrule", "no month of it has such a day")
 
 
 class Openings:
     """One window's openings, found once each and only as far as somebody asks."""
 
     def __init__(self, window: Window) -> None:
-        """Raises BadWindowError."""
-        self.zone, self.length = zone_of(window.zone), window.length_ns
+        """Raises InvalidWindowError."""
+        self.zone, self.length = parse_zone(window.zone), window.length_ns
         self.rest, self.found = occurrences(window), list[int]()
 
     def spans(self, since: int, until: int) -> list[Span]:
@@ -160,7 +160,7 @@
     """None where this program can't read it, a newer one that declared it may: it never opens then."""
     try:
         return Openings(window)
-    except BadWindowError:
+    except InvalidWindowError:
         return None
 
 
@@ -169,9 +169,9 @@
     """The closed days as spans, in each zone of time of the tenant's windows: the stricter counts."""
     found = []
     for name in zones:
-        zone = zone_of(name)
+        zone = parse_zone(name)
         for text in closed:
-            start = datetime.combine(read_day(text), datetime.min.time())
+            start = datetime.combine(parse_day(text), datetime.min.time())
             found.append(Span(instant(start, zone), instant(start + timedelta(days=1), zone)))
     return tuple(joined(found))
 
@@ -227,6 +227,6 @@
         return spans
     zones = tuple(sorted({window.zone for window, _ in found}))
     try:
-        return without(spans, closed_spans(tenant.agreement.closed, zones))
+        return without(spans, closed_spans(tenant.agreement.closed_days, zones))
     except ValueError:
         return []  # A closed day that can't be read may be any day.
--- a/ambershift/coordinator/promises/__init__.py
+++ b/ambershift/coordinator/promises/__init__.py
@@ -1,1 +1,1 @@
-"""Promises: what the replicated log says, as one value: wishes, agreements and permits. No I/O."""
+"""GroupState: what the replicated log says, as one value: wishes, agreements and permits. No I/O."""
--- a/ambershift/coordinator/promises/answers.py
+++ b/ambershift/coordinator/promises/codec.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from ambershift.coordinator.promises.words import Command
+from ambershift.coordinator.promises.commands import Command
 
 COMMAND_MOST = 1 << 20  # A thousand wishes take about 30 KB; whatever is larger was not made by this program.
 
 
-class Why(StrEnum):
+class CommandRefusal(StrEnum):
     """Why a command is refused, beside the reasons of `admin.words` and `maintenance.words`."""
 
     UNKNOWN = "unknown"  # A kind of command that this program can't read; a newer one may.
@@ -47,11 +47,11 @@
 COMMANDS: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
 
 
-def encode(command: Command) -> bytes:
+def encode_command(command: Command) -> bytes:
     return msgspec.msgpack.encode(command)
 
 
-def decode(data: bytes) -> Command | None:
+def decode_command(data: bytes) -> Command | None:
     """None where it is torn, or of a kind that only a newer program knows."""
     if len(data) > COMMAND_MOST:
         return None
@@ -61,13 +61,13 @@
         return None
 
 
-def encode_answer(outcome: Outcome) -> bytes:
+def encode_outcome(outcome: Outcome) -> bytes:
     return msgspec.msgpack.encode(outcome)
 
 
-def read_answer(data: bytes) -> Outcome:
+def decode_outcome(data: bytes) -> Outcome:
     """An answer of a replica; what can't be read is told as unknown."""
     try:
         return OUTCOMES.decode(data)
     except (msgspec.MsgspecError, ValueError):
-        return refused(Why.UNKNOWN, "the answer can't be read")
+        return refused(CommandRefusal.UNKNOWN, "the answer can't be read")
--- a/ambershift/coordinator/promises/words.py
+++ b/ambershift/coordinator/promises/commands.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from ambershift.coordinator.maintenance.words import Declared, Permit, Phase
+from ambershift.coordinator.maintenance.types import Declared, Permit, Phase
 
 
-class WishOne(msgspec.Struct, frozen=True, array_like=True):
+class ServerWish(msgspec.Struct, frozen=True, array_like=True):
     """As `admin.words.Change`, by the server's id in the list, which means the same at every member."""
 
     server: str
@@ -24,7 +24,7 @@
 
     who: str
     text: str
-    changes: tuple[WishOne, ...]
+    changes: tuple[ServerWish, ...]
 
 
 class Declare(msgspec.Struct, frozen=True, tag="declare", array_like=True):
--- a/ambershift/coordinator/promises/rows.py
+++ b/ambershift/coordinator/promises/maintenance_rows.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from ambershift.coordinator.maintenance.agreements import Binds
-from ambershift.coordinator.maintenance.waves import Plan
-from ambershift.coordinator.maintenance.words import Refusal
-from ambershift.coordinator.promises.state import Promises
+from ambershift.coordinator.maintenance.agreements import Constraint
+from ambershift.coordinator.maintenance.planning import Plan
+from ambershift.coordinator.maintenance.types import Refusal
+from ambershift.coordinator.promises.state import GroupState
 
 SERVERS_NAMED = 8
 TEXTS = {
@@ -43,7 +43,7 @@
     text: str = ""
 
 
-def permit_rows(state: Promises) -> list[Row]:
+def permit_rows(state: GroupState) -> list[Row]:
     return [
         Row(
             permit.id,
@@ -62,18 +62,18 @@
     """Of each work the next wave, and what can't be laid, by what binds."""
     rows, waves = list[Row](), dict[str, list[str]]()
     starts = dict[str, tuple[int, int]]()
-    for laid in plan.laid:
+    for laid in plan.scheduled:
         at, _ = starts.setdefault(laid.work, (laid.at, laid.back))
         if laid.at == at:
             waves.setdefault(laid.work, []).append(laid.server)
     for work, servers in waves.items():
         rows.append(Row(work, work, named(servers), "next", *starts[work]))
-    bound = dict[tuple[str, Binds, int], list[str]]()
-    for one in plan.unlaid:
+    bound = dict[tuple[str, Constraint, int], list[str]]()
+    for one in plan.unscheduled:
         # A row for each reason, not for each server; the latest of their times lets all of them be done.
         bound.setdefault((one.work, one.binds, int(one.nearest > 0)), []).append(one.server)
-    latest = dict[tuple[str, Binds, int], int]()
-    for one in plan.unlaid:
+    latest = dict[tuple[str, Constraint, int], int]()
+    for one in plan.unscheduled:
         key = one.work, one.binds, int(one.nearest > 0)
         latest[key] = max(latest.get(key, 0), one.nearest)
     for key, servers in bound.items():
--- a/ambershift/coordinator/promises/steward.py
+++ b/ambershift/coordinator/promises/permit_controller.py
@@ -1,4 +1,4 @@
-"""Steward: what the leader does for maintenance, from what stands promised and what it hears.
+"""PermitController: what the leader does for maintenance, from what stands promised and what it hears.
 
 It holds nothing that a change of leader may lose: all it goes by is the committed state, so that whoever
 leads next goes on with the same wave. Each command stands only on the state that it was judged by.
@@ -11,16 +11,27 @@
 
 import msgspec
 
-from ambershift.coordinator.maintenance.agreements import Room, Users, usable, worth
-from ambershift.coordinator.maintenance.board import Board, Spans, make_groups
+from ambershift.coordinator.maintenance.agreements import (
+    CapacityTracker,
+    TenantIndex,
+    effective_capacity,
+    is_usable,
+)
 from ambershift.coordinator.maintenance.limits import MINUTE, SECOND, Limits
-from ambershift.coordinator.maintenance.permits import Heard, all_drained, all_let_in, clock_apart, is_back
-from ambershift.coordinator.maintenance.waves import Open, Plan, lay
+from ambershift.coordinator.maintenance.permits import (
+    MemberReports,
+    all_drained,
+    all_let_in,
+    is_back,
+    is_clock_skewed,
+)
+from ambershift.coordinator.maintenance.planning import Open, Plan, plan_maintenance
+from ambershift.coordinator.maintenance.types import Permit, Phase, Standing, Tenant, Trouble, Work
+from ambershift.coordinator.maintenance.wave_selection import Board, WindowCache, make_groups
 from ambershift.coordinator.maintenance.windows import DAY
-from ambershift.coordinator.maintenance.words import Permit, Phase, Standing, Tenant, Trouble, Work
-from ambershift.coordinator.promises.rows import Row, permit_rows, plan_rows, stopped_row
-from ambershift.coordinator.promises.state import NOTHING_DECLARED, Held, Promises
-from ambershift.coordinator.promises.words import Command, Grant, Move
+from ambershift.coordinator.promises.commands import Command, Grant, Move
+from ambershift.coordinator.promises.maintenance_rows import Row, permit_rows, plan_rows, stopped_row
+from ambershift.coordinator.promises.state import NOTHING_DECLARED, GroupState, OpenPermit
 
 SEND_AGAIN = 3 * SECOND  # A command that is lost is sent again; it stands once, whatever comes of it.
 # Who may go next is looked for so often where nothing changed; each look goes through the whole fleet, so
@@ -35,23 +46,23 @@
 
     at: int
     servers: Mapping[str, Standing]
-    heard: Heard
+    heard: MemberReports
 
 
-class Steward:
+class PermitController:
     """`limits` come from the settings; the same at every member, so that a new leader judges alike."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.sent = dict[str, tuple[int, int]]()  # By permit, "" for grants: what it stood on, and when.
-        self.spans, self.spans_of, self.users = Spans(0, DAYS_AHEAD), NOTHING_DECLARED, Users(())
+        self.spans, self.spans_of, self.users = WindowCache(0, DAYS_AHEAD), NOTHING_DECLARED, TenantIndex(())
         self.granted_at, self.granted_on = -(1 << 60), -1
         self.planned: tuple[int, int, list[Row]] | None = None
         self.drains: dict[str, tuple[int, int]] | None = None  # As granted, and as seen.
-        self.apart, self.seen = False, Seen(0, {}, Heard((), {}, {}, {}))
+        self.apart, self.seen = False, Seen(0, {}, MemberReports((), {}, {}, {}))
 
     def due(
-        self, now: int, at: int, state: Promises, servers: Mapping[str, Standing], heard: Heard
+        self, now: int, at: int, state: GroupState, servers: Mapping[str, Standing], heard: MemberReports
     ) -> list[Command]:
         """What to submit now, at the leader alone, every second or when something changed.
 
@@ -59,17 +70,17 @@
         without our permits: one that only a permit keeps out has no trouble.
         """
         self.seen = Seen(at, servers, heard)
-        own = [one.ahead for one in heard.steers.values() if one.age <= self.limits.silent]
-        self.apart = clock_apart(own, self.limits.clock_bound)
+        own = [one.ahead for one in heard.steers.values() if one.age <= self.limits.report_timeout_ns]
+        self.apart = is_clock_skewed(own, self.limits.clock_bound_ns)
         if self.apart or not own:
             return []  # Every member lets in what ends by its own clock; nothing depends on us here.
         if not self.spans.fresh(at) or self.spans_of != state.declared:
-            self.spans, self.spans_of = Spans(at, DAYS_AHEAD), state.declared
-            self.users = Users(state.declared.tenants)
+            self.spans, self.spans_of = WindowCache(at, DAYS_AHEAD), state.declared
+            self.users = TenantIndex(state.declared.tenants)
         self.drains = self.drains_seen(at, state)
         works = {work.name: work for work in state.declared.works}
         recalled = self.recalled(at, state, servers)
-        moves = list[tuple[Held, Move]]()
+        moves = list[tuple[OpenPermit, Move]]()
         for _, held in sorted(state.permits.items()):
             move = self.next_move(
                 at, held, works.get(held.permit.work), state, servers, heard, held.permit.id in recalled
@@ -78,14 +89,14 @@
                 moves.append((held, move))
         if moves:
             return [move for held, move in moves if self.may_send(now, move.permit, held.number)]
-        pause = len(servers) * LOOK_COSTS + (GRANT_EVERY if self.granted_on == state.permits_touched else 0)
+        pause = len(servers) * LOOK_COSTS + (GRANT_EVERY if self.granted_on == state.last_permit_entry else 0)
         if now < self.granted_at + pause:
             return []
-        self.granted_at, self.granted_on = now, state.permits_touched
+        self.granted_at, self.granted_on = now, state.last_permit_entry
         permits = self.next_wave(at, state, servers)
-        if not permits or not self.may_send(now, "", state.permits_touched):
+        if not permits or not self.may_send(now, "", state.last_permit_entry):
             return []
-        return [Grant(state.permits_touched, permits)]
+        return [Grant(state.last_permit_entry, permits)]
 
     def may_send(self, now: int, key: str, based_on: int) -> bool:
         before = self.sent.get(key)
@@ -99,14 +110,14 @@
     def next_move(
         self,
         at: int,
-        held: Held,
+        held: OpenPermit,
         work: Work | None,
-        state: Promises,
+        state: GroupState,
         servers: Mapping[str, Standing],
-        heard: Heard,
+        heard: MemberReports,
         recall: bool,
     ) -> Move | None:
-        permit, limits, on = held.permit, self.limits, state.permits_touched
+        permit, limits, on = held.permit, self.limits, state.last_permit_entry
         standing = servers.get(permit.server)
         if permit.phase is Phase.RETURNING:
             # Some may not have heard of a sooner end.
@@ -123,15 +134,15 @@
         if at >= permit.ends or recall or not self.fits(at, permit, standing, permit.ends, work):
             return returning
         if all_drained(permit, heard, limits):
-            ends = at + work.takes_ns
+            ends = at + work.duration_ns
             if self.fits(at, permit, standing, ends, work):
                 return Move(on, permit.id, Phase.OUT, ends)
             return returning
-        if at + work.takes_ns < permit.ends:
+        if at + work.duration_ns < permit.ends:
             return None
         # The drain takes longer than it should: no end before the work has its time, if that still fits.
-        ends = permit.ends + max(limits.drain // 2, SECOND)
-        if at < permit.granted + DRAIN_MOST * limits.drain and self.fits(at, permit, standing, ends, work):
+        ends = permit.ends + max(limits.drain_ns // 2, SECOND)
+        if at < permit.granted + DRAIN_MOST * limits.drain_ns and self.fits(at, permit, standing, ends, work):
             return Move(on, permit.id, Phase.DRAINING, ends)
         return returning
 
@@ -143,12 +154,13 @@
             if standing is not None
             else tuple(tenant for tenant in declared.tenants if tenant.name in permit.tenants)
         )
-        back = limits.let_in(ends) + limits.warm
-        return back <= work.before and any(
-            span.opens <= at and back + limits.clock_bound <= span.closes for span in self.spans.of(tenants)
+        back = limits.let_in_by_all(ends) + limits.warmup_ns
+        return back <= work.deadline and any(
+            span.opens <= at and back + limits.clock_bound_ns <= span.closes
+            for span in self.spans.of(tenants)
         )
 
-    def recalled(self, at: int, state: Promises, servers: Mapping[str, Standing]) -> set[str]:
+    def recalled(self, at: int, state: GroupState, servers: Mapping[str, Standing]) -> set[str]:
         """The drains to break off, as a fault took capacity meanwhile: as few as let all agreements hold.
 
         A new leader that does not know yet how servers are takes nothing back for that.
@@ -162,12 +174,14 @@
             else msgspec.structs.replace(one, trouble=None, warm_at=0)
             for name, one in servers.items()
         }
-        room, found = Room(state.declared.tenants, known, at), set[str]()
+        room, found = CapacityTracker(state.declared.tenants, known, at), set[str]()
         for held in state.permits.values():
             if held.permit.phase <= Phase.OUT:
                 room.take(held.permit.server, held.permit)
-        helps = [permit for permit in draining if permit.server in known and usable(known[permit.server], at)]
-        helps.sort(key=lambda permit: (-worth(known[permit.server]), permit.id))
+        helps = [
+            permit for permit in draining if permit.server in known and is_usable(known[permit.server], at)
+        ]
+        helps.sort(key=lambda permit: (-effective_capacity(known[permit.server]), permit.id))
         for tenant in state.declared.tenants:
             for permit in helps if room.lacks(tenant) else ():
                 if permit.id not in found and tenant.name in room.out[permit.server] and room.lacks(tenant):
@@ -175,7 +189,7 @@
                     found.add(permit.id)
         return found
 
-    def next_wave(self, at: int, state: Promises, servers: Mapping[str, Standing]) -> tuple[Permit, ...]:
+    def next_wave(self, at: int, state: GroupState, servers: Mapping[str, Standing]) -> tuple[Permit, ...]:
         """The servers that may all start now. What counts as out here counts so by any member's clock."""
         declared, limits = state.declared, self.limits
         if not any(self.open_now(at, self.users.of(zone)) for zone in {one.zone for one in servers.values()}):
@@ -183,7 +197,7 @@
         jobs = [job for job in self.jobs(state) if job[1] in servers and job[2] <= at]
         if not jobs:
             return ()
-        room, out_of = Room(declared.tenants, servers, at), dict[str, int]()
+        room, out_of = CapacityTracker(declared.tenants, servers, at), dict[str, int]()
         for held in state.permits.values():
             room.take(held.permit.server, held.permit)
             out_of[held.permit.work] = out_of.get(held.permit.work, 0) + 1
@@ -196,7 +210,7 @@
                 job.server,
                 Phase.DRAINING,
                 at,
-                at + limits.drain + job.work.takes_ns,
+                at + limits.drain_ns + job.work.duration_ns,
                 room.users_of(job.server),
                 servers[job.server].weight,
             )
@@ -206,7 +220,7 @@
     def open_now(self, at: int, tenants: tuple[Tenant, ...]) -> bool:
         return any(span.opens <= at < span.closes for span in self.spans.of(tenants))
 
-    def drains_seen(self, at: int, state: Promises) -> dict[str, tuple[int, int]]:
+    def drains_seen(self, at: int, state: GroupState) -> dict[str, tuple[int, int]]:
         """When each tenant last had a server drained, as granted and as seen. A grant may lie in the log for
         long before it is committed, so that the drain counts from when we saw it stand; a new leader counts
         it from its own beginning where the server still is out.
@@ -220,11 +234,11 @@
             for name, granted in state.drains.items()
         }
 
-    def tries(self, state: Promises, work: str, server: str) -> int:
+    def tries(self, state: GroupState, work: str, server: str) -> int:
         past = state.past.get((work, server))
         return past.tries if past else 0
 
-    def jobs(self, state: Promises) -> list[tuple[Work, str, int]]:
+    def jobs(self, state: GroupState) -> list[tuple[Work, str, int]]:
         """What is still to be done and not under way, and before when it is not tried again."""
         out, found = {held.permit.server for held in state.permits.values()}, []
         for work in state.declared.works:
@@ -232,16 +246,20 @@
                 past = state.past.get((work.name, server))
                 if server in out or (past is not None and past.done):
                     continue
-                found.append((work, server, past.granted + past.tries * self.limits.again if past else 0))
+                found.append(
+                    (work, server, past.granted + past.tries * self.limits.retry_delay_ns if past else 0)
+                )
         return found
 
-    def plan(self, state: Promises) -> Plan:
+    def plan(self, state: GroupState) -> Plan:
         """What would come from here on if nothing failed, by what the last look saw."""
         at, servers, _ = self.seen
         out = [Open(held.permit, self.back(held.permit, servers, at)) for held in state.permits.values()]
-        return lay(state.declared, self.jobs(state), out, dict(state.drains), servers, at, self.limits)
+        return plan_maintenance(
+            state.declared, self.jobs(state), out, dict(state.drains), servers, at, self.limits
+        )
 
-    def rows(self, state: Promises, now: int) -> list[Row]:
+    def rows(self, state: GroupState, now: int) -> list[Row]:
         """For `show maintenance`, at any member; what comes next is known only where `due` looks, and worked
         out anew once a minute or when something changed.
         """
@@ -250,7 +268,7 @@
             return [*rows, stopped_row()]
         if not self.seen.servers:
             return rows
-        on = state.permits_touched
+        on = state.last_permit_entry
         if self.planned is None or self.planned[0] != on or now >= self.planned[1] + MINUTE:
             self.planned = on, now, plan_rows(self.plan(state))
         return [*rows, *self.planned[2]]
@@ -258,4 +276,4 @@
     def back(self, permit: Permit, servers: Mapping[str, Standing], at: int) -> int:
         if permit.phase is Phase.RETURNING:
             return max(at + SECOND, servers[permit.server].warm_at if permit.server in servers else 0)
-        return self.limits.let_in(permit.ends) + self.limits.warm
+        return self.limits.let_in_by_all(permit.ends) + self.limits.warmup_ns
--- a/ambershift/coordinator/promises/state.py
+++ b/ambershift/coordinator/promises/state.py
@@ -8,7 +8,7 @@
 from rpds import HashTrieMap
 
 from ambershift.coordinator.admin.words import AS_LISTED, Health, Origin, Standing, State, Weight
-from ambershift.coordinator.maintenance.words import Declared, Permit, Phase
+from ambershift.coordinator.maintenance.types import Declared, Permit, Phase
 
 VERSION = 1
 NOTHING_DECLARED = Declared(0, (), ())
@@ -18,7 +18,7 @@
     """A packed state that is torn, or of a newer program; nothing of it is taken."""
 
 
-class Held(NamedTuple):
+class OpenPermit(NamedTuple):
     """An open permit; `number` is the entry that changed it last, `done` whether the work had its time.
 
     `latest` is the last `ends` that it ever had: a member that has not heard of a sooner one holds the server
@@ -31,7 +31,7 @@
     latest: int
 
 
-class Past(NamedTuple):
+class ServerHistory(NamedTuple):
     """What became of one server of a work: how often it was tried, whether the work was done there, and when
     it was granted last.
     """
@@ -41,7 +41,7 @@
     granted: int
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
+class UnreadableCommand(msgspec.Struct, frozen=True, array_like=True):
     """A command that this program can't read, as it stood in the log."""
 
     number: int
@@ -49,23 +49,23 @@
     command: bytes
 
 
-class Promises(NamedTuple):
+class GroupState(NamedTuple):
     """Whoever holds one sees no later change. Servers that stand as listed have no wish here."""
 
     wishes: HashTrieMap[str, Standing]
     declared: Declared
-    permits: HashTrieMap[str, Held]  # The open ones, by id.
-    past: HashTrieMap[tuple[str, str], Past]  # By work and server, of the works declared.
+    permits: HashTrieMap[str, OpenPermit]  # The open ones, by id.
+    past: HashTrieMap[tuple[str, str], ServerHistory]  # By work and server, of the works declared.
     drains: HashTrieMap[str, int]  # When each tenant last had a server drained.
-    permits_touched: int  # The number of the last entry that touched permits or what is declared.
+    last_permit_entry: int  # The number of the last entry that touched permits or what is declared.
     commands: int  # Operators' commands that changed something.
-    kept: tuple[Kept, ...]  # The last ones that could not be read.
-    unread: int  # How many there were.
+    unreadable: tuple[UnreadableCommand, ...]  # The last ones that could not be read.
+    unreadable_count: int  # How many there were.
 
     def wish(self, server: str) -> Standing:
         return self.wishes.get(server, AS_LISTED)
 
-    def kept_out(self, at: int) -> dict[str, Permit]:
+    def held_out(self, at: int) -> dict[str, Permit]:
         """The servers that permits keep out for a member whose wall clock shows `at`, in the order of their
         ids. The operator's word counts beside it: whichever is stricter holds.
         """
@@ -88,7 +88,7 @@
         )
 
 
-EMPTY = Promises(HashTrieMap(), NOTHING_DECLARED, HashTrieMap(), HashTrieMap(), HashTrieMap(), 0, 0, (), 0)
+EMPTY = GroupState(HashTrieMap(), NOTHING_DECLARED, HashTrieMap(), HashTrieMap(), HashTrieMap(), 0, 0, (), 0)
 
 
 class Packed(msgspec.Struct, frozen=True, array_like=True):
@@ -98,16 +98,16 @@
     permits: list[tuple[Permit, int, bool, int]]
     past: list[tuple[str, str, int, bool, int]]
     drains: list[tuple[str, int]]
-    permits_touched: int
+    last_permit_entry: int
     commands: int
-    kept: tuple[Kept, ...]
-    unread: int
+    unreadable: tuple[UnreadableCommand, ...]
+    unreadable_count: int
 
 
 DECODER = msgspec.msgpack.Decoder(Packed)
 
 
-def pack(state: Promises) -> bytes:
+def pack(state: GroupState) -> bytes:
     """The same bytes on every member for the same state."""
     wishes = [
         (
@@ -131,15 +131,15 @@
             permits,
             past,
             sorted(state.drains.items()),
-            state.permits_touched,
+            state.last_permit_entry,
             state.commands,
-            state.kept,
-            state.unread,
+            state.unreadable,
+            state.unreadable_count,
         )
     )
 
 
-def unpack(data: bytes) -> Promises:
+def unpack(data: bytes) -> GroupState:
     try:
         version: Any = msgspec.msgpack.decode(data)[0]
     except (msgspec.MsgspecError, ValueError, RecursionError, TypeError, LookupError) as error:
@@ -154,16 +154,19 @@
         }
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise UnreadableStateError(str(error)) from None
-    return Promises(
+    return GroupState(
         HashTrieMap(wishes),
         packed.declared,
-        HashTrieMap({one[0].id: Held(*one) for one in packed.permits}),
+        HashTrieMap({one[0].id: OpenPermit(*one) for one in packed.permits}),
         HashTrieMap(
-            {(work, server): Past(tries, done, granted) for work, server, tries, done, granted in packed.past}
+            {
+                (work, server): ServerHistory(tries, done, granted)
+                for work, server, tries, done, granted in packed.past
+            }
         ),
         HashTrieMap(dict(packed.drains)),
-        packed.permits_touched,
+        packed.last_permit_entry,
         packed.commands,
-        packed.kept,
-        packed.unread,
+        packed.unreadable,
+        packed.unreadable_count,
     )
--- a/ambershift/coordinator/settings/maintenance.py
+++ b/ambershift/coordinator/settings/maintenance.py
@@ -24,9 +24,9 @@
 
 import msgspec
 
-from ambershift.coordinator.maintenance.sound import AMOUNT_MOST
-from ambershift.coordinator.maintenance.windows import BadWindowError, occurrences, read_day, zone_of
-from ambershift.coordinator.maintenance.words import Agreement, Declared, Tenant, Window, Work
+from ambershift.coordinator.maintenance.types import Agreement, Declared, Tenant, Window, Work
+from ambershift.coordinator.maintenance.validation import MAX_CAPACITY
+from ambershift.coordinator.maintenance.windows import InvalidWindowError, occurrences, parse_day, parse_zone
 from ambershift.coordinator.settings.checks import Complaint, duration
 
 NAME = re.compile(r"[A-Za-z0-9_.-]{1,64}")
@@ -185,7 +185,7 @@
     for name, values in (("groups", tenant.groups), ("zones", tenant.zones), ("proxies", tenant.proxies)):
         distinct(values, f"{key}.{name}", complain)
     agreement, key = tenant.agreement, f"{key}.agreement"
-    if not 0 <= agreement.capacity <= AMOUNT_MOST:
+    if not 0 <= agreement.capacity <= MAX_CAPACITY:
         raise complain(f"{key}.capacity", f"{agreement.capacity} is no sum of weights")
     if not agreement.servers_out:
         raise complain(f"{key}.servers_out", "0 lets no server out ever, so that no work can be done")
@@ -194,7 +194,7 @@
     distinct(agreement.closed, f"{key}.closed", complain)
     for day in agreement.closed:
         try:
-            read_day(day)
+            parse_day(day)
         except ValueError as error:
             raise complain(f"{key}.closed", str(error)) from None
 
@@ -211,9 +211,9 @@
             )
     time(window.length, f"{key}.length", complain)
     try:
-        zone_of(window.zone)
+        parse_zone(window.zone)
         first = next(occurrences(Window(window.name, window.rrule, window.start, 1, window.zone)), None)
-    except BadWindowError as error:
+    except InvalidWindowError as error:
         raise complain(f"{key}.{error.key}", str(error)) from None
     if first is None:
         raise complain(f"{key}.rrule", "never opens")
--- a/ambershift/modelcheck/models/permits.py
+++ b/ambershift/modelcheck/models/permits.py
@@ -1,7 +1,8 @@
 """Two members that both believe they lead, a third, two servers of which one may be out at a time.
 
-Driven: `promises/machine.py`, `promises/steward.py` and all of `maintenance/` that it uses. The log is one
-list: what is sent lands at once, later, twice or never. Clocks are apart by the whole bound, each its way.
+Driven: `promises/state_machine.py`, `promises/permit_controller.py` and all of `maintenance/` that it uses.
+The log is one list: what is sent lands at once, later, twice or never. Clocks are apart by the whole bound,
+each its way.
 """
 
 from __future__ import annotations
@@ -11,21 +12,26 @@
 from typing import Any, NamedTuple
 
 from ambershift.coordinator.maintenance.limits import SECOND, Limits
-from ambershift.coordinator.maintenance.permits import Heard, Steers, clock_apart
-from ambershift.coordinator.maintenance.words import Agreement, Declared, Standing, Tenant, Window, Work
+from ambershift.coordinator.maintenance.permits import MemberReports, SteeringReport, is_clock_skewed
+from ambershift.coordinator.maintenance.types import Agreement, Declared, Standing, Tenant, Window, Work
 from ambershift.coordinator.promises import state as promised
-from ambershift.coordinator.promises.answers import decode, encode
-from ambershift.coordinator.promises.machine import PromisesMachine
-from ambershift.coordinator.promises.state import EMPTY, Promises
-from ambershift.coordinator.promises.steward import Steward
-from ambershift.coordinator.promises.words import Declare, Grant, Move
+from ambershift.coordinator.promises.codec import decode_command, encode_command
+from ambershift.coordinator.promises.commands import Declare, Grant, Move
+from ambershift.coordinator.promises.permit_controller import PermitController
+from ambershift.coordinator.promises.state import EMPTY, GroupState
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
 from ambershift.coordinator.replication.types import Entry
 from ambershift.modelcheck.model import Base, Step
 from ambershift.modelcheck.models.replication import broken
 
 START = int(datetime(2026, 12, 2, 3, 0, tzinfo=UTC).timestamp()) * SECOND
 LIMITS = Limits(
-    clock_bound=SECOND, drain=4 * SECOND, warm=SECOND, silent=3600 * SECOND, again=0, missing=2 * SECOND
+    clock_bound_ns=SECOND,
+    drain_ns=4 * SECOND,
+    warmup_ns=SECOND,
+    report_timeout_ns=3600 * SECOND,
+    retry_delay_ns=0,
+    return_timeout_ns=2 * SECOND,
 )
 CLOCKS = (-SECOND, SECOND, 0)  # How far each member's is ahead of true time; the first two may lead.
 LEADERS = (0, 1)
@@ -33,7 +39,7 @@
 JUMP = 5 * SECOND
 TAKES = 6 * SECOND
 SERVERS = ("s0", "s1")
-MACHINE = PromisesMachine()
+MACHINE = GroupStateMachine()
 DECLARED = Declared(
     1,
     (
@@ -86,22 +92,22 @@
     wrong: tuple[str, str]
 
 
-def known(world: World, member: int) -> Promises:
+def known(world: World, member: int) -> GroupState:
     return promised.unpack(world.states[world.knows[member]])
 
 
 def apart(world: World, member: int) -> bool:
-    return clock_apart([one - world.clocks[member] for one in world.clocks], LIMITS.clock_bound)
+    return is_clock_skewed([one - world.clocks[member] for one in world.clocks], LIMITS.clock_bound_ns)
 
 
 def held_by(world: World, member: int) -> dict[str, Any]:
     """What a member keeps out now, by its own clock; one that is apart, nothing."""
     if apart(world, member):
         return {}
-    return dict(known(world, member).kept_out(world.at + world.clocks[member]))
+    return dict(known(world, member).held_out(world.at + world.clocks[member]))
 
 
-def heard(world: World, member: int) -> Heard:
+def heard(world: World, member: int) -> MemberReports:
     """Who has drained what, and who lets in what, as all say it at once."""
     drained, let_in = dict[str, set[str]](), dict[str, set[str]]()
     for other in range(len(CLOCKS)):
@@ -112,13 +118,14 @@
             if permit_id in state.permits and state.permits[permit_id].permit.server not in mine:
                 let_in.setdefault(permit_id, set()).add(name)
     ahead = {
-        f"n{other}": Steers(1, world.clocks[other] - world.clocks[member], 0) for other in range(len(CLOCKS))
+        f"n{other}": SteeringReport(1, world.clocks[other] - world.clocks[member], 0)
+        for other in range(len(CLOCKS))
     }
-    return Heard(tuple(ahead), ahead, drained, let_in)
+    return MemberReports(tuple(ahead), ahead, drained, let_in)
 
 
-def steward(world: World, member: int) -> Steward:
-    mind, one = world.minds[member], Steward(LIMITS)
+def controller(world: World, member: int) -> PermitController:
+    mind, one = world.minds[member], PermitController(LIMITS)
     one.sent, one.granted_at, one.granted_on = dict(mind.sent), mind.granted_at, mind.granted_on
     one.drains = None if mind.drains is None else dict(mind.drains)
     if "all" in spans:
@@ -142,7 +149,7 @@
     third_learns = False  # The third member learns at its own time, not at once.
 
     def initial(self) -> World:
-        state, _ = MACHINE.apply(EMPTY, Entry(1, 1, START, "", encode(Declare(DECLARED))))
+        state, _ = MACHINE.apply(EMPTY, Entry(1, 1, START, "", encode_command(Declare(DECLARED))))
         return World(
             START,
             (promised.pack(state),),
@@ -174,10 +181,12 @@
                 yield Step(f"n{member}: starts anew", world._replace(minds=minds, crashes=world.crashes - 1))
         for at, command in enumerate(world.wire):
             left = world.wire[:at] + world.wire[at + 1 :]
-            yield Step(f"log: takes {decode(command)}", self.lands(world._replace(wire=left), command))
+            yield Step(
+                f"log: takes {decode_command(command)}", self.lands(world._replace(wire=left), command)
+            )
             if world.repeats:
                 yield Step(
-                    f"log: takes {decode(command)}, to come again",
+                    f"log: takes {decode_command(command)}, to come again",
                     self.lands(world._replace(repeats=world.repeats - 1), command),
                 )
         for member, knows in enumerate(world.knows):
@@ -197,7 +206,7 @@
             yield Step("n1: its clock is set ahead", looked(world._replace(clocks=clocks, jumps=0)))
 
     def thinks(self, world: World, member: int) -> Iterator[Step[World]]:
-        one, state = steward(world, member), known(world, member)
+        one, state = controller(world, member), known(world, member)
         at = world.at + world.clocks[member]
         commands = one.due(world.at, at, state, STANDINGS[member], heard(world, member))
         spans.setdefault("all", one.spans)
@@ -218,7 +227,7 @@
             return
         if apart(world, member) and any(isinstance(command, Grant) for command in commands):
             after = after._replace(wrong=("no-grant-while-apart", f"n{member} grants"))
-        sent = tuple(encode(command) for command in commands)
+        sent = tuple(encode_command(command) for command in commands)
         if len(after.wire) + len(sent) <= self.wire_most:
             yield Step(f"n{member}: sends {commands}, on its way", after._replace(wire=after.wire + sent))
         for command in sent:
@@ -226,16 +235,16 @@
         knows = tuple(len(after.states) - 1 if at == member else old for at, old in enumerate(after.knows))
         yield Step(f"n{member}: sends {commands}, it stands", looked(after._replace(knows=knows)))
 
-    def forgotten(self, world: World, member: int, state: Promises) -> str | None:
+    def forgotten(self, world: World, member: int, state: GroupState) -> str | None:
         """A permit that is long over, and that this leader says nothing of, though nothing holds it back."""
         if world.knows[member] < len(world.states) - 1 or apart(world, member) or world.minds[member].sent:
             return None
-        over = LIMITS.warm + LIMITS.missing + 2 * LIMITS.clock_bound
+        over = LIMITS.warmup_ns + LIMITS.return_timeout_ns + 2 * LIMITS.clock_bound_ns
         return next(
             (
                 name
                 for name, one in state.permits.items()
-                if world.at + world.clocks[member] > LIMITS.let_in(one.permit.ends) + over
+                if world.at + world.clocks[member] > LIMITS.let_in_by_all(one.permit.ends) + over
             ),
             None,
         )
@@ -245,7 +254,7 @@
         before = promised.unpack(world.states[-1])
         entry = Entry(1, len(world.states) + 1, world.at, "", command)
         after, _ = MACHINE.apply(before, entry)
-        grants, done, wrong, move = world.grants, world.done, world.wrong, decode(command)
+        grants, done, wrong, move = world.grants, world.done, world.wrong, decode_command(command)
         if isinstance(move, Move) and move.done and move.permit in before.permits:
             done = tuple(sorted({*done, before.permits[move.permit].permit.server}))
         for name, one in after.permits.items():
--- a/ambershift/modelcheck/mutants/permits.py
+++ b/ambershift/modelcheck/mutants/permits.py
@@ -7,19 +7,19 @@
 import msgspec
 
 from ambershift.coordinator.maintenance.limits import Limits
-from ambershift.coordinator.maintenance.words import Phase
-from ambershift.coordinator.promises import machine, steward
-from ambershift.coordinator.promises.state import Held, Promises
-from ambershift.coordinator.promises.steward import Steward
-from ambershift.coordinator.promises.words import Grant, Move
+from ambershift.coordinator.maintenance.types import Phase
+from ambershift.coordinator.promises import permit_controller, state_machine
+from ambershift.coordinator.promises.commands import Grant, Move
+from ambershift.coordinator.promises.permit_controller import PermitController
+from ambershift.coordinator.promises.state import GroupState, OpenPermit
 from ambershift.modelcheck.mutants.words import Mutant
 
 
 def judged_by_anything(real: Any) -> Any:
     """A grant stands whatever was granted since it was judged."""
 
-    def grant(state: Promises, number: int, at: int, command: Grant) -> Any:
-        return real(state, number, at, msgspec.structs.replace(command, based_on=state.permits_touched))
+    def grant(state: GroupState, number: int, at: int, command: Grant) -> Any:
+        return real(state, number, at, msgspec.structs.replace(command, based_on=state.last_permit_entry))
 
     return grant
 
@@ -30,7 +30,7 @@
 
 
 def done_is_dropped(real: Any) -> Any:
-    def move(state: Promises, number: int, command: Move) -> Any:
+    def move(state: GroupState, number: int, command: Move) -> Any:
         held = state.permits.get(command.permit)
         if held is not None:
             permits = state.permits.insert(command.permit, held._replace(done=False))
@@ -41,7 +41,7 @@
 
 
 def ended_ones_are_left(real: Any) -> Any:
-    def next_move(self: Steward, at: int, held: Held, *words: Any) -> Any:
+    def next_move(self: PermitController, at: int, held: OpenPermit, *words: Any) -> Any:
         if held.permit.phase is Phase.DRAINING and at >= held.permit.ends:
             return None
         return real(self, at, held, *words)
@@ -61,7 +61,7 @@
         "permits",
         TWO,
         "a grant stands, whatever came since it was judged",
-        machine,
+        state_machine,
         "grant",
         judged_by_anything,
     ),
@@ -71,7 +71,7 @@
         TWO,
         "ended by one clock is ended by all",
         Limits,
-        "let_in",
+        "let_in_by_all",
         no_bound,
     ),
     Mutant(
@@ -79,8 +79,8 @@
         "permits-small",
         TWO,
         "who learns nothing keeps a server out for good",
-        Promises,
-        "kept_out",
+        GroupState,
+        "held_out",
         no_end,
     ),
     Mutant(
@@ -88,7 +88,7 @@
         "permits-small",
         TWO,
         "closed while others keep its server out",
-        steward,
+        permit_controller,
         "all_let_in",
         lambda real: lambda *words: True,
     ),
@@ -97,7 +97,7 @@
         "permits-small",
         "never-drained-twice",
         "that the work is done is not kept",
-        machine,
+        state_machine,
         "move",
         done_is_dropped,
     ),
@@ -106,7 +106,7 @@
         "permits-small",
         "never-forgotten-out",
         "a drain that ran over stays",
-        Steward,
+        PermitController,
         "next_move",
         ended_ones_are_left,
     ),
@@ -115,8 +115,8 @@
         "permits",
         "no-grant-while-apart",
         "a leader trusts its own clock",
-        steward,
-        "clock_apart",
+        permit_controller,
+        "is_clock_skewed",
         lambda real: lambda *words: False,
     ),
 )
--- a/benchmarks/maintenance.py
+++ b/benchmarks/maintenance.py
@@ -14,13 +14,11 @@
 from math import log
 from typing import NamedTuple
 
-from ambershift.coordinator.maintenance.agreements import Users, usable
-from ambershift.coordinator.maintenance.board import Spans
+from ambershift.coordinator.maintenance.agreements import TenantIndex, is_usable
 from ambershift.coordinator.maintenance.limits import Limits
-from ambershift.coordinator.maintenance.permits import Heard, Steers
-from ambershift.coordinator.maintenance.waves import lay
-from ambershift.coordinator.maintenance.windows import Span
-from ambershift.coordinator.maintenance.words import (
+from ambershift.coordinator.maintenance.permits import MemberReports, SteeringReport
+from ambershift.coordinator.maintenance.planning import plan_maintenance
+from ambershift.coordinator.maintenance.types import (
     Agreement,
     Declared,
     Standing,
@@ -29,18 +27,20 @@
     Window,
     Work,
 )
-from ambershift.coordinator.promises.answers import encode
-from ambershift.coordinator.promises.machine import PromisesMachine
-from ambershift.coordinator.promises.state import EMPTY, Promises
-from ambershift.coordinator.promises.steward import Steward
-from ambershift.coordinator.promises.words import Declare
+from ambershift.coordinator.maintenance.wave_selection import WindowCache
+from ambershift.coordinator.maintenance.windows import Span
+from ambershift.coordinator.promises.codec import encode_command
+from ambershift.coordinator.promises.commands import Declare
+from ambershift.coordinator.promises.permit_controller import PermitController
+from ambershift.coordinator.promises.state import EMPTY, GroupState
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
 from ambershift.coordinator.replication.types import Entry
 
 S = 1_000_000_000
 HOUR = 3600 * S
 START = int(datetime(2026, 12, 1, 23, 30, tzinfo=UTC).timestamp()) * S
 LOOK = START + 2 * HOUR
-LIMITS = Limits(warm=17 * S)
+LIMITS = Limits(warmup_ns=17 * S)
 
 
 class Out(NamedTuple):
@@ -56,7 +56,7 @@
 
     @property
     def whole(self) -> int:
-        return LIMITS.whole(self.work.takes_ns)
+        return LIMITS.total_time(self.work.duration_ns)
 
 
 def some_world(size: int, seed: int) -> World:
@@ -109,16 +109,16 @@
     return World(Declared(1, tuple(tenants), (work,)), servers, work)
 
 
-def starts(world: World) -> tuple[Callable[[str, int], int], Users]:
+def starts(world: World) -> tuple[Callable[[str, int], int], TenantIndex]:
     """The next moment at which a server's work fits into the windows of all that use it."""
-    users, known = Users(world.declared.tenants), dict[str, list[Span]]()
-    spans = Spans(START, 600 * 24 * HOUR)
+    users, known = TenantIndex(world.declared.tenants), dict[str, list[Span]]()
+    spans = WindowCache(START, 600 * 24 * HOUR)
 
     def fit(server: str, at: int) -> int:
         zone = world.servers[server].zone
         if zone not in known:
             known[zone] = spans.of(users.of(zone))
-        bound = LIMITS.clock_bound
+        bound = LIMITS.clock_bound_ns
         return next(
             max(at, opens + bound)
             for opens, closes in known[zone]
@@ -129,7 +129,7 @@
 
 
 def ours(world: World) -> list[Out]:
-    plan = lay(
+    plan = plan_maintenance(
         world.declared,
         [(world.work, server, 0) for server in world.work.servers],
         [],
@@ -138,8 +138,8 @@
         START,
         LIMITS,
     )
-    assert not plan.unlaid, plan.unlaid[:3]
-    return [Out(one.server, one.at, one.back) for one in plan.laid]
+    assert not plan.unscheduled, plan.unscheduled[:3]
+    return [Out(one.server, one.at, one.back) for one in plan.scheduled]
 
 
 def one_at_a_time(world: World) -> list[Out]:
@@ -174,8 +174,7 @@
                 if begin < at + world.whole and end > at
             ]
             if all(
-                deepest(busy[tenant.name], at, at + world.whole) < tenant.agreement.out_most
-                for tenant in mine
+                deepest(busy[tenant.name], at, at + world.whole) < tenant.agreement.max_out for tenant in mine
             ):
                 break
             at = fit(server, min(ends))
@@ -209,7 +208,9 @@
         events = [(one.at, 1, one) for one in outs if one.server in mine]
         events += [(one.back, -1, one) for one in outs if one.server in mine]
         here = {
-            name: other.weight * (1 - other.interfered) for name, other in mine.items() if usable(other, LOOK)
+            name: other.weight * (1 - other.interfered)
+            for name, other in mine.items()
+            if is_usable(other, LOOK)
         }  # By the first opening the cold are warm.
         good, out, agreed = sum(here.values()), len(mine) - len(here), tenant.agreement
         at_before, short, away = START, False, 0
@@ -221,7 +222,7 @@
             away += way
             if one.server in here:
                 good, out = good - way * here[one.server], out + way
-            short = away > 0 and (good < agreed.capacity - 1e-6 or out > agreed.out_most)
+            short = away > 0 and (good < agreed.capacity - 1e-6 or out > agreed.max_out)
             if short and way > 0:
                 drains.add(one.server)
             at_before = at
@@ -264,15 +265,19 @@
         world = some_world(size, 1)
         ours(world)  # Openings are found once a window, and kept.
         laying = best(partial(ours, world))
-        state, _ = PromisesMachine().apply(EMPTY, Entry(1, 1, 1, "", encode(Declare(world.declared))))
-        idle, _ = PromisesMachine().apply(
-            EMPTY, Entry(1, 1, 1, "", encode(Declare(Declared(1, world.declared.tenants, ()))))
+        state, _ = GroupStateMachine().apply(
+            EMPTY, Entry(1, 1, 1, "", encode_command(Declare(world.declared)))
+        )
+        idle, _ = GroupStateMachine().apply(
+            EMPTY, Entry(1, 1, 1, "", encode_command(Declare(Declared(1, world.declared.tenants, ()))))
+        )
+        heard = MemberReports(
+            ("n1", "n2"), {"n1": SteeringReport(9, 0, 0), "n2": SteeringReport(9, 0, 0)}, {}, {}
         )
-        heard = Heard(("n1", "n2"), {"n1": Steers(9, 0, 0), "n2": Steers(9, 0, 0)}, {}, {})
-        steward = Steward(LIMITS)
-        (grant,) = steward.due(0, LOOK, state, world.servers, heard)
-        waves, _ = PromisesMachine().apply(state, Entry(1, 2, LOOK, "", encode(grant)))
-        granting, running, quiet = (look(steward, one, world, heard) for one in (state, waves, idle))
+        controller = PermitController(LIMITS)
+        (grant,) = controller.due(0, LOOK, state, world.servers, heard)
+        waves, _ = GroupStateMachine().apply(state, Entry(1, 2, LOOK, "", encode_command(grant)))
+        granting, running, quiet = (look(controller, one, world, heard) for one in (state, waves, idle))
         points.append((size, laying, granting))
         print(
             f"| {size} | {len(world.declared.tenants)} | {laying * 1e3:.1f} | {granting * 1e3:.2f} | "
@@ -286,10 +291,10 @@
         print(f"\n{name}: time grows with servers to the power of {slope:.2f}")
 
 
-def look(steward: Steward, state: Promises, world: World, heard: Heard) -> float:
+def look(controller: PermitController, state: GroupState, world: World, heard: MemberReports) -> float:
     """Seconds of one look; each is far enough from the last one that nothing is left out."""
     ticks = count(5 * S, 5 * S)
-    return best(lambda: steward.due(next(ticks), LOOK, state, world.servers, heard))
+    return best(lambda: controller.due(next(ticks), LOOK, state, world.servers, heard))
 
 
 def best(what: Callable[[], object], times: int = 5) -> float:
--- a/tests/compatibility/encoded_forms.py
+++ b/tests/compatibility/encoded_forms.py
@@ -17,9 +17,9 @@
 from ambershift.coordinator.group.links import wire as links
 from ambershift.coordinator.interference import records as interference
 from ambershift.coordinator.interference.words import Sample
-from ambershift.coordinator.promises import answers
+from ambershift.coordinator.promises import codec as group_codec
+from ambershift.coordinator.promises.commands import Command
 from ambershift.coordinator.promises.state import Packed
-from ambershift.coordinator.promises.words import Command
 from ambershift.coordinator.replication import messages as group_messages
 from ambershift.coordinator.replication import records
 from ambershift.coordinator.replication.gossip import messages as heard
@@ -81,7 +81,7 @@
     "backends.list": plain(Snapshot),
     "log head": plain(records.LogHeader),
     "log line": plain(records.LogRecord),
-    "log command": Form(Command, answers.encode, answers.decode),
-    "log outcome": Form(answers.Outcome, answers.encode_answer, answers.read_answer),
+    "log command": Form(Command, group_codec.encode_command, group_codec.decode_command),
+    "log outcome": Form(group_codec.Outcome, group_codec.encode_outcome, group_codec.decode_outcome),
     "log snapshot state": plain(Packed),
 }
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -17,7 +17,7 @@
 
 from ambershift.coordinator.group.disk.files import RealFiles
 from ambershift.coordinator.group.disk.folder import Folder
-from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
 from ambershift.coordinator.replication.gossip import messages as heard
 from ambershift.coordinator.replication.gossip.store import GossipStore
 from ambershift.coordinator.replication.types import Entry, Write
@@ -252,7 +252,7 @@
     number, in_view, state, answers = snapshot
     assert (number, in_view) == (6, 1)
     assert msgspec.msgpack.decode(state) == STATE
-    machine = PromisesMachine()
+    machine = GroupStateMachine()
     assert machine.pack(machine.unpack(state)) == state
     assert [(token, len(digest)) for token, digest, _ in answers] == [(f"t{at}", 16) for at in range(1, 7)]
     assert [msgspec.msgpack.decode(answer) for _, _, answer in answers] == [
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -20,12 +20,26 @@
 from ambershift.coordinator.group.gossip import LET_IN, NEITHER, Gossip
 from ambershift.coordinator.group.group_commands import GroupCommands
 from ambershift.coordinator.group.standings import GroupObservations, standings
-from ambershift.coordinator.maintenance.words import Declared, Permit, Phase, Trouble, Work
-from ambershift.coordinator.promises.answers import Outcome, encode, encode_answer, read_answer, refused
-from ambershift.coordinator.promises.machine import PromisesMachine
-from ambershift.coordinator.promises.state import EMPTY, Held
-from ambershift.coordinator.promises.unconfirmed import SoonerEnd, sooner_ends
-from ambershift.coordinator.promises.words import Answered, Command, Declare, Grant, Move, Wishes, WishOne
+from ambershift.coordinator.maintenance.types import Declared, Permit, Phase, Trouble, Work
+from ambershift.coordinator.promises.codec import (
+    Outcome,
+    decode_outcome,
+    encode_command,
+    encode_outcome,
+    refused,
+)
+from ambershift.coordinator.promises.commands import (
+    Answered,
+    Command,
+    Declare,
+    Grant,
+    Move,
+    ServerWish,
+    Wishes,
+)
+from ambershift.coordinator.promises.state import EMPTY, OpenPermit
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
+from ambershift.coordinator.promises.uncommitted_ends import UncommittedEnd, uncommitted_ends
 from ambershift.coordinator.replication.types import Answer, Entry
 from ambershift.coordinator.replication.types import Reason as Why
 from ambershift.coordinator.settings.model import read_text
@@ -50,7 +64,7 @@
         self.validator = CommandValidator(
             self.desk, self.door, lambda: self.now, lambda one: one.reason.value, lambda: self.clock_skewed
         )
-        self.machine, self.clock_skewed, self.ahead = PromisesMachine(self.validator), False, ahead
+        self.machine, self.clock_skewed, self.ahead = GroupStateMachine(self.validator), False, ahead
         self.tell(*[api.Joined(proxy, proxy % zones, 5.0, True) for proxy in range(2 * zones)])
         self.list_servers(range(count))
 
@@ -62,14 +76,14 @@
         self.tell(event)
 
     def validate(self, command: Command) -> bytes | None:
-        return self.machine.validate(self.state, self.now + self.ahead, encode(command))
+        return self.machine.validate(self.state, self.now + self.ahead, encode_command(command))
 
     def apply(self, command: Command) -> Outcome:
         """Apply a committed command, as `Member` does."""
         self.number += 1
-        entry_ = Entry(1, self.number, self.now + self.ahead, "", encode(command))
+        entry_ = Entry(1, self.number, self.now + self.ahead, "", encode_command(command))
         self.state, answer = self.machine.apply(self.state, entry_)
-        outcome = read_answer(answer)
+        outcome = decode_outcome(answer)
         if outcome.done and outcome.changed:
             if isinstance(command, Wishes):
                 self.desk_applier.apply_wishes(self.state, outcome.changed, [(command.who, command.text)])
@@ -78,7 +92,7 @@
         return outcome
 
     def wish(self, *changes: tuple[int, dict[str, Any]], who: str = "op") -> Wishes:
-        return Wishes(who, f"{changes}", tuple(WishOne(f"s{at}", **what) for at, what in changes))
+        return Wishes(who, f"{changes}", tuple(ServerWish(f"s{at}", **what) for at, what in changes))
 
     def shut_out_orders(self) -> list[int]:
         """Return the server of each order that shuts one out, repeated ones too."""
@@ -141,7 +155,7 @@
             "op",
             "x",
             tuple(
-                WishOne(
+                ServerWish(
                     f"s{one.server}",
                     None if one.state is None else int(one.state),
                     None if one.health is None else int(one.health),
@@ -200,28 +214,31 @@
     leader = SimulatedMember(count=4)  # Of zone 0: s0 and s2.
     first, second = leader.wish(*out(0)), leader.wish(*out(2))
     assert leader.validate(first) is None and leader.validate(second) is None
-    committed, log = leader.state, leader.machine.apply(leader.state, Entry(1, 1, 1, "", encode(first)))[0]
+    committed, log = (
+        leader.state,
+        leader.machine.apply(leader.state, Entry(1, 1, 1, "", encode_command(first)))[0],
+    )
     assert leader.desk.world.own(0).state is READY and committed is EMPTY
-    answer = leader.machine.validate(log, leader.now, encode(second))
+    answer = leader.machine.validate(log, leader.now, encode_command(second))
     assert answer is not None and Reason.ZONE_WITHOUT_WARM.value.encode() in answer
     # A server that the log enables again, committed or not, counts again.
     leader.apply(first)
-    back = leader.machine.apply(leader.state, Entry(1, 9, 1, "", encode(leader.wish(*out(0, state=READY)))))[
-        0
-    ]
+    back = leader.machine.apply(
+        leader.state, Entry(1, 9, 1, "", encode_command(leader.wish(*out(0, state=READY))))
+    )[0]
     assert leader.validate(second) is not None
-    assert leader.machine.validate(back, leader.now, encode(second)) is None
+    assert leader.machine.validate(back, leader.now, encode_command(second)) is None
     leader.desk_applier.apply_snapshot(EMPTY)
     # The same for a permit in the log, which counts until it is closed, whatever this clock shows.
     leader.state = EMPTY
     leader.apply(declare(0, 2))
-    leader.apply(Grant(leader.state.permits_touched, (permit(leader, 0, leader.now + S),)))
+    leader.apply(Grant(leader.state.last_permit_entry, (permit(leader, 0, leader.now + S),)))
     leader.settle()
     assert not leader.shut and not leader.desk.world.permitted  # By its own clock the permit has ended.
     assert leader.validate(second) is not None
-    grant = leader.validate(Grant(leader.state.permits_touched, (permit(leader, 2, leader.now + S),)))
+    grant = leader.validate(Grant(leader.state.last_permit_entry, (permit(leader, 2, leader.now + S),)))
     assert grant is not None and b"zone-without-warm" in grant
-    leader.apply(Move(leader.state.permits_touched, "w/s0/1", Phase.RETURNING, 0))
+    leader.apply(Move(leader.state.last_permit_entry, "w/s0/1", Phase.RETURNING, 0))
     assert leader.validate(second) is None
     # A server that its list lacks isn't checked; refusals by its list alone have a reason too.
     assert leader.validate(leader.wish(*out(77))) is None
@@ -231,7 +248,7 @@
 def test_a_leader_with_a_skewed_clock_grants_no_permit() -> None:
     leader = SimulatedMember(count=8)
     leader.apply(declare(0, 1))
-    grant = Grant(leader.state.permits_touched, (permit(leader, 0, leader.now + S),))
+    grant = Grant(leader.state.last_permit_entry, (permit(leader, 0, leader.now + S),))
     assert leader.validate(grant) is None
     leader.clock_skewed = True
     answer = leader.validate(grant)
@@ -244,7 +261,7 @@
     member = SimulatedMember(count=8, ahead=ahead)
     member.apply(declare(0, 1, 2))
     ends = member.now + ahead + 20 * S
-    member.apply(Grant(member.state.permits_touched, (permit(member, 0, ends), permit(member, 1, ends))))
+    member.apply(Grant(member.state.last_permit_entry, (permit(member, 0, ends), permit(member, 1, ends))))
     member.apply(member.wish(*out(1, state=DRAIN)))
     member.settle(4)
     assert member.shut >= {0, 1} and member.desk.world.wish(1).state is MAINT
@@ -266,12 +283,12 @@
     member.apply(declare(0, 1, 2, 4))
     ends = member.now + 600 * S
     member.apply(
-        Grant(member.state.permits_touched, tuple(permit(member, one, ends) for one in (0, 2, 4, 1)))
+        Grant(member.state.last_permit_entry, tuple(permit(member, one, ends) for one in (0, 2, 4, 1)))
     )
     member.settle()
     assert member.shut == {0, 2, 4, 1} and member.desk_applier.is_drained("s0")
     for server, phase in ((0, Phase.RETURNING), (2, Phase.CLOSED), (4, Phase.OUT)):
-        member.apply(Move(member.state.permits_touched, f"w/s{server}/1", phase, ends))
+        member.apply(Move(member.state.last_permit_entry, f"w/s{server}/1", phase, ends))
     member.settle()
     assert (
         member.shut == {4, 1}
@@ -294,23 +311,23 @@
         Move(3, "work/1/1", Phase.RETURNING, 99 * S),
         Move(2, "work/2/1", Phase.OUT, 7 * S),
     ]
-    log = [Entry(1, number, 0, "", encode(one)) for number, one in enumerate(moves, 3)]
-    found = sooner_ends(log, 5)
-    assert found == {"work/2/1": SoonerEnd(6, 7 * S)}
-    found = sooner_ends(log, 2)
+    log = [Entry(1, number, 0, "", encode_command(one)) for number, one in enumerate(moves, 3)]
+    found = uncommitted_ends(log, 5)
+    assert found == {"work/2/1": UncommittedEnd(6, 7 * S)}
+    found = uncommitted_ends(log, 2)
     assert found == {
-        "work/0/1": SoonerEnd(3, 5 * S),
-        "work/1/1": SoonerEnd(5, 0),
-        "work/2/1": SoonerEnd(6, 7 * S),
+        "work/0/1": UncommittedEnd(3, 5 * S),
+        "work/1/1": UncommittedEnd(5, 0),
+        "work/2/1": UncommittedEnd(6, 7 * S),
     }
     member = SimulatedMember()
     member.apply(declare(0, 1, 2))
     assert member.apply(Grant(1, tuple(permit(member, at, member.now + 30 * S) for at in (0, 1, 2)))).done
     names = {held.permit.server: held.permit.id for held in member.state.permits.values()}
     member.desk_applier.uncommitted_ends = {
-        names["s0"]: SoonerEnd(3, 0),
-        names["s1"]: SoonerEnd(4, member.now + 5 * S),
-        names["s2"]: SoonerEnd(5, member.now + 40 * S),
+        names["s0"]: UncommittedEnd(3, 0),
+        names["s1"]: UncommittedEnd(4, member.now + 5 * S),
+        names["s2"]: UncommittedEnd(5, member.now + 40 * S),
     }
     kept = {member.door.ids[server]: ends for server, ends in member.desk_applier.permit_deadlines().items()}
     assert kept == {"s1": member.now + 5 * S, "s2": member.now + 30 * S}
@@ -334,14 +351,14 @@
         desk_applier=member.desk_applier,  # type: ignore[assignment]
         replica=SimpleNamespace(durable=durable),
     )
-    assert gossip.permit_progress(Held(returning, 7, True, returning.ends)) == word
+    assert gossip.permit_progress(OpenPermit(returning, 7, True, returning.ends)) == word
 
 
 def test_a_proxy_keeps_a_server_in_spite_of_committed_wishes() -> None:
     """Committed wishes apply at a member whose list lost all other servers; it lends some back there."""
     member = SimulatedMember(count=4)
     member.apply(declare(0))
-    member.apply(Grant(member.state.permits_touched, (permit(member, 0, member.now + 600 * S),)))
+    member.apply(Grant(member.state.last_permit_entry, (permit(member, 0, member.now + 600 * S),)))
     member.apply(member.wish(*out(1)))
     member.settle()
     member.list_servers([2, 3], api.Phase.GONE)
@@ -377,7 +394,7 @@
 def test_standings_of_servers_for_maintenance() -> None:
     member = SimulatedMember(count=8, cold=60 * S)
     member.apply(declare(0))
-    member.apply(Grant(member.state.permits_touched, (permit(member, 0, member.now + 600 * S),)))
+    member.apply(Grant(member.state.last_permit_entry, (permit(member, 0, member.now + 600 * S),)))
     member.apply(member.wish(*out(1), (2, {"weight": (0.5, True)})))
     member.settle()
     member.list_servers([3], api.Phase.DRAINING)
@@ -438,7 +455,7 @@
 
 
 def committed(outcome: Outcome) -> Answer:
-    return Answer(1, None, encode_answer(outcome), 0)
+    return Answer(1, None, encode_outcome(outcome), 0)
 
 
 def failed(reason: Why, retry: int = 0) -> Answer:
@@ -473,21 +490,21 @@
     text = "\n".join(answer.lines)
     assert all(part in text for part in words.split("|")), text
     assert len(member.submitted) == asked and len({one for one, _ in member.submitted}) == 1
-    assert member.submitted[0][1] == Wishes("op", "the text", (WishOne("s0", 2, None, (0.5, True)),))
+    assert member.submitted[0][1] == Wishes("op", "the text", (ServerWish("s0", 2, None, (0.5, True)),))
     if asked == 2:
         assert member.submitted[1] == (token, Answered("the text", BARE.reason, BARE.text))
-        machine = PromisesMachine()
-        assert machine.digest(encode(member.submitted[0][1])) == machine.digest(
-            encode(member.submitted[1][1])
+        machine = GroupStateMachine()
+        assert machine.digest(encode_command(member.submitted[0][1])) == machine.digest(
+            encode_command(member.submitted[1][1])
         )
 
 
 def test_a_committed_refusal_is_not_validated_itself() -> None:
-    machine = PromisesMachine(lambda state, at, command: BARE)
-    told = encode(Answered("x", BARE.reason, BARE.text))
+    machine = GroupStateMachine(lambda state, at, command: BARE)
+    told = encode_command(Answered("x", BARE.reason, BARE.text))
     assert machine.validate(EMPTY, 0, told) is None
     state, answer = machine.apply(EMPTY, Entry(1, 1, 0, "T", told))
-    assert state is EMPTY and answer == encode_answer(BARE)
+    assert state is EMPTY and answer == encode_outcome(BARE)
 
 
 # Settings
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -19,10 +19,9 @@
 from ambershift.coordinator.group.startup import NoFolderError
 from ambershift.coordinator.group.status_rows import member_rows
 from ambershift.coordinator.interference.records import Put
-from ambershift.coordinator.promises.answers import encode as encode_command
-from ambershift.coordinator.promises.answers import read_answer
-from ambershift.coordinator.promises.machine import PromisesMachine
-from ambershift.coordinator.promises.words import Grant, Wishes, WishOne
+from ambershift.coordinator.promises.codec import decode_outcome, encode_command
+from ambershift.coordinator.promises.commands import Grant, ServerWish, Wishes
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
 from ambershift.coordinator.replication.gossip.messages import encode
 from ambershift.coordinator.replication.gossip.store import GossipStore
 from ambershift.coordinator.replication.gossip.types import RecordKind
@@ -56,7 +55,7 @@
 
         member = Member(
             spec,
-            PromisesMachine(),
+            GroupStateMachine(),
             simulated.desk_applier,
             now,
             lambda event, **fields: log.append((event, fields)),
@@ -78,7 +77,7 @@
 def test_a_single_member_commits_and_a_restart_from_its_folder_has_it(tmp_path: Path) -> None:
     async def first(member: Member, simulated: SimulatedMember, log: Any) -> None:
         reply = await member.submit("T", simulated.wish(*out(0)), 5 * S)
-        assert reply.reason is None and read_answer(reply.answer).done and member.leads
+        assert reply.reason is None and decode_outcome(reply.answer).done and member.leads
         assert is_under_maintenance(simulated) and (await member.read(5 * S)).reason is None
         with pytest.raises(NoFolderError, match="in use"):
             await Member(
@@ -165,7 +164,7 @@
         gossip = member.gossip
         await member.submit("", declare(0), 5 * S)
         one = permit(simulated, 0, member.wall() + 60 * S)
-        await member.submit("", Grant(member.state.permits_touched, (one,)), 5 * S)
+        await member.submit("", Grant(member.state.last_permit_entry, (one,)), 5 * S)
         now = member.now()
         gossip.run_round(now)
         assert gossip.permit_reports(now, "w/s0/1") == {"a": b"0"}  # The module hasn't shut it out yet.
@@ -273,7 +272,7 @@
             entry = Entry(1, number, 1, "", encode_command(command))
             state, answer = member.machine.apply(state, entry)
             effects.append(Applied(entry, answer, state))
-        wide = Wishes("op", "apply\nset a\nset b", (WishOne("s5", 2),))
+        wide = Wishes("op", "apply\nset a\nset b", (ServerWish("s5", 2),))
         entry = Entry(1, 401, 1, "", encode_command(wide))
         state, answer = member.machine.apply(state, entry)
         effects.append(Applied(entry, answer, state))
--- a/tests/coordinator/maintenance/simulated_permits.py
+++ b/tests/coordinator/maintenance/simulated_permits.py
@@ -8,8 +8,8 @@
 from datetime import UTC, datetime
 
 from ambershift.coordinator.maintenance.limits import Limits
-from ambershift.coordinator.maintenance.permits import Heard, Steers, clock_apart
-from ambershift.coordinator.maintenance.words import (
+from ambershift.coordinator.maintenance.permits import MemberReports, SteeringReport, is_clock_skewed
+from ambershift.coordinator.maintenance.types import (
     Agreement,
     Declared,
     Phase,
@@ -19,16 +19,23 @@
     Window,
     Work,
 )
-from ambershift.coordinator.promises.answers import encode, read_answer
-from ambershift.coordinator.promises.machine import PromisesMachine
-from ambershift.coordinator.promises.state import EMPTY, Promises
-from ambershift.coordinator.promises.steward import Steward
-from ambershift.coordinator.promises.words import Command, Declare, Grant
+from ambershift.coordinator.promises.codec import decode_outcome, encode_command
+from ambershift.coordinator.promises.commands import Command, Declare, Grant
+from ambershift.coordinator.promises.permit_controller import PermitController
+from ambershift.coordinator.promises.state import EMPTY, GroupState
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
 from ambershift.coordinator.replication.types import Entry
 
 S = 1_000_000_000
 OPENS = int(datetime(2026, 12, 2, 1, 0, tzinfo=UTC).timestamp())
-LIMITS = Limits(clock_bound=S, drain=20 * S, warm=15 * S, silent=20 * S, again=5 * 60 * S, missing=60 * S)
+LIMITS = Limits(
+    clock_bound_ns=S,
+    drain_ns=20 * S,
+    warmup_ns=15 * S,
+    report_timeout_ns=20 * S,
+    retry_delay_ns=5 * 60 * S,
+    return_timeout_ns=60 * S,
+)
 
 
 class Server:
@@ -46,13 +53,13 @@
             return Trouble.WISHED_OUT
         if self.ill or not self.up:
             return Trouble.ILL
-        return Trouble.COLD if at < self.since + LIMITS.warm // S else None
+        return Trouble.COLD if at < self.since + LIMITS.warmup_ns // S else None
 
 
 class Member:
     def __init__(self, name: str, offset: int) -> None:
         self.name, self.offset, self.state, self.known = name, offset, EMPTY, 0
-        self.alive, self.lag, self.steward, self.leads = True, 0, Steward(LIMITS), False
+        self.alive, self.lag, self.controller, self.leads = True, 0, PermitController(LIMITS), False
         self.out_since = dict[str, int]()  # By permit, as long as it holds it out.
         self.slow = 5
         self.proxies, self.silent_since = 3, 0
@@ -65,16 +72,16 @@
         self, rng: random.Random, declared: Declared, servers: dict[str, Server], offsets: list[int]
     ) -> None:
         self.rng, self.at, self.servers = rng, OPENS - 120, servers
-        self.machine, self.log = PromisesMachine(), list[Entry]()
+        self.machine, self.log = GroupStateMachine(), list[Entry]()
         self.states = [EMPTY]
         self.members = [Member(f"n{i}", offset) for i, offset in enumerate(offsets)]
         self.wire = list[tuple[int, int, bytes]]()
         self.wrong, self.granted, self.restarting = list[str](), list[tuple[int, str]](), dict[str, int]()
         self.fault_at, self.refused = 0, 0
-        self.write(encode(Declare(declared)), self.at * S)
+        self.write(encode_command(Declare(declared)), self.at * S)
 
     @property
-    def state(self) -> Promises:
+    def state(self) -> GroupState:
         return self.states[-1]
 
     def write(self, command: bytes, at: int) -> None:
@@ -82,14 +89,14 @@
         state, answer = self.machine.apply(self.state, self.log[-1])
         before = self.state
         self.states.append(state)
-        self.refused += not read_answer(answer).done
+        self.refused += not decode_outcome(answer).done
         for name in state.permits:
             if name not in before.permits:
                 self.grants(name, before)
 
     # The plain rules
 
-    def grants(self, name: str, before: Promises) -> None:
+    def grants(self, name: str, before: GroupState) -> None:
         """At the moment of a grant every agreement holds with all that is out, the granted among them."""
         permit = self.state.permits[name].permit
         out = {held.permit.server for held in self.state.permits.values()}
@@ -103,7 +110,7 @@
             if lack := self.lack(tenant, out):
                 self.wrong.append(f"{self.at - OPENS}: {name} granted: {lack}")
             spell = [at for at, other in self.granted if other == tenant.name][-1:]
-            if spell and (self.at - spell[0]) * S < tenant.agreement.apart_ns:
+            if spell and (self.at - spell[0]) * S < tenant.agreement.min_drain_interval_ns:
                 self.wrong.append(f"{self.at - OPENS}: {name} granted {self.at - spell[0]} s after another")
             self.granted.append((self.at, tenant.name))
         past = before.past.get((permit.work, permit.server))
@@ -125,7 +132,7 @@
             for one in mine
             if one.name not in out and one.trouble(self.at) is None
         )
-        if good >= tenant.agreement.capacity - 1e-6 and len(away) <= tenant.agreement.out_most:
+        if good >= tenant.agreement.capacity - 1e-6 and len(away) <= tenant.agreement.max_out:
             return ""
         return f"{tenant.name} has {good} without {away}"
 
@@ -172,7 +179,7 @@
             if (now - start).total_seconds() >= 0 and (
                 now - start
             ).total_seconds() % 86400 * S < window.length_ns:
-                return now.date().isoformat() not in tenant.agreement.closed
+                return now.date().isoformat() not in tenant.agreement.closed_days
         return False
 
     # How it goes on
@@ -181,14 +188,14 @@
         heard = [
             one.offset - member.offset
             for one in self.members
-            if one.alive or self.at <= one.silent_since + LIMITS.silent // S
+            if one.alive or self.at <= one.silent_since + LIMITS.report_timeout_ns // S
         ]
-        return clock_apart([one * S for one in heard], LIMITS.clock_bound)
+        return is_clock_skewed([one * S for one in heard], LIMITS.clock_bound_ns)
 
     def held_by(self, member: Member) -> dict[str, object]:
         if not member.alive or self.is_apart(member):
             return {}
-        return dict(member.state.kept_out((self.at + member.offset) * S))
+        return dict(member.state.held_out((self.at + member.offset) * S))
 
     def step(self) -> None:
         self.at += 1
@@ -196,7 +203,7 @@
             if member.alive and self.rng.random() >= member.lag / 10:
                 member.known = min(len(self.log), member.known + self.rng.randint(1, 3))
                 member.state = self.states[member.known]
-            held = {permit.id for permit in member.state.kept_out((self.at + member.offset) * S).values()}
+            held = {permit.id for permit in member.state.held_out((self.at + member.offset) * S).values()}
             member.out_since = {one: member.out_since.get(one, self.at) for one in held}
         for due, number, command in sorted(self.wire):
             if due <= self.at:
@@ -213,7 +220,7 @@
                         one.zone,
                         one.weight,
                         one.trouble(self.at),
-                        (one.since * S + LIMITS.warm + member.offset * S) if one.since else 0,
+                        (one.since * S + LIMITS.warmup_ns + member.offset * S) if one.since else 0,
                         one.interfered,
                     )
                     for one in self.servers.values()
@@ -221,7 +228,7 @@
                 }
                 own = heard._replace(
                     steers={
-                        one.name: Steers(
+                        one.name: SteeringReport(
                             one.proxies,
                             (one.offset - member.offset) * S,
                             0 if one.alive else (self.at - one.silent_since) * S,
@@ -229,7 +236,7 @@
                         for one in self.members
                     }
                 )
-                for command in member.steward.due(self.at * S, clock, member.state, standings, own):
+                for command in member.controller.due(self.at * S, clock, member.state, standings, own):
                     self.send(number, command)
         self.look()
 
@@ -237,9 +244,9 @@
         if self.is_apart(self.members[number]) and isinstance(command, Grant):
             self.wrong.append(f"{self.members[number].name} grants though its clock is apart")
         for _ in range(self.rng.choice([0, 1, 1, 1, 1, 2])):
-            self.wire.append((self.at + self.rng.randint(0, 2), number, encode(command)))
+            self.wire.append((self.at + self.rng.randint(0, 2), number, encode_command(command)))
 
-    def heard(self) -> Heard:
+    def heard(self) -> MemberReports:
         drained, let_in = dict[str, set[str]](), dict[str, set[str]]()
         for member in self.members:
             if not member.alive:
@@ -253,7 +260,7 @@
                     held is None and permit not in member.out_since and member.known == len(self.log)
                 ):
                     let_in.setdefault(permit, set()).add(member.name)
-        return Heard(tuple(one.name for one in self.members), {}, drained, let_in)
+        return MemberReports(tuple(one.name for one in self.members), {}, drained, let_in)
 
     def work(self) -> None:
         """Whoever does the work stops the machine once the permit says OUT, and starts it before its end."""
--- a/tests/coordinator/maintenance/test_maintenance.py
+++ b/tests/coordinator/maintenance/test_maintenance.py
@@ -9,12 +9,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ambershift.coordinator.maintenance.agreements import Room, usable
+from ambershift.coordinator.maintenance.agreements import CapacityTracker, is_usable
 from ambershift.coordinator.maintenance.limits import Limits
-from ambershift.coordinator.maintenance.permits import clock_apart
-from ambershift.coordinator.maintenance.waves import Plan, lay
+from ambershift.coordinator.maintenance.permits import is_clock_skewed
+from ambershift.coordinator.maintenance.planning import Plan, plan_maintenance
+from ambershift.coordinator.maintenance.types import (
+    Agreement,
+    Declared,
+    Refusal,
+    Standing,
+    Tenant,
+    Trouble,
+    Window,
+    Work,
+)
 from ambershift.coordinator.maintenance.windows import (
-    BadWindowError,
+    InvalidWindowError,
     Span,
     common,
     instant,
@@ -24,17 +34,7 @@
     tenant_spans,
     without,
 )
-from ambershift.coordinator.maintenance.words import (
-    Agreement,
-    Declared,
-    Refusal,
-    Standing,
-    Tenant,
-    Trouble,
-    Window,
-    Work,
-)
-from ambershift.coordinator.promises.rows import plan_rows
+from ambershift.coordinator.promises.maintenance_rows import plan_rows
 from ambershift.coordinator.settings.maintenance import declared
 from ambershift.coordinator.settings.model import read_text
 from ambershift.coordinator.settings.tree import SettingsError
@@ -231,14 +231,14 @@
     ],
 )
 def test_rules_that_are_none_or_would_cost_without_bound_are_refused(rrule: str, what: str) -> None:
-    with pytest.raises(BadWindowError, match=what):
+    with pytest.raises(InvalidWindowError, match=what):
         occurrences(window(rrule=rrule))
     assert tenant_spans(Tenant("t", (), (), (), Agreement(0, 1, 0, ()), (window(rrule=rrule),)), 0, H) == []
 
 
 # Plans, against a plain model that goes through every second.
 
-LIMITS = Limits(clock_bound=0, drain=2 * S, warm=3 * S, ahead=3 * 24 * H)
+LIMITS = Limits(clock_bound_ns=0, drain_ns=2 * S, warmup_ns=3 * S, planning_horizon_ns=3 * 24 * H)
 START = moment("2026-12-02T01:59:00+00:00")
 
 
@@ -291,7 +291,7 @@
     )
     found = Declared(1, tuple(tenants), works)
     jobs = [(work, server, 0) for work in works for server in (*work.servers, "gone")]
-    return found, servers, lay(found, jobs, [], {}, servers, START, LIMITS), jobs
+    return found, servers, plan_maintenance(found, jobs, [], {}, servers, START, LIMITS), jobs
 
 
 @pytest.mark.parametrize("seed", range(150))
@@ -299,23 +299,25 @@
     """From the words of the agreements alone: no room, no spans, no order of the planner's."""
     rng = random.Random(seed)
     found, servers, plan, jobs = some_plan(rng)
-    assert sorted([(one.work, one.server) for one in (*plan.laid, *plan.unlaid)]) == sorted(
+    assert sorted([(one.work, one.server) for one in (*plan.scheduled, *plan.unscheduled)]) == sorted(
         [(work.name, server) for work, server, _ in jobs]
     )
-    assert {(one.server, one.binds.reason) for one in plan.unlaid if one.server == "gone"} == {
+    assert {(one.server, one.binds.reason) for one in plan.unscheduled if one.server == "gone"} == {
         ("gone", Refusal.NO_SUCH_SERVER)
     }
     works = {work.name: work for work in found.works}
-    for one in plan.laid:
-        assert one.back == one.at + LIMITS.whole(works[one.work].takes_ns) <= works[one.work].before
+    for one in plan.scheduled:
+        assert one.back == one.at + LIMITS.total_time(works[one.work].duration_ns) <= works[one.work].deadline
     # Whoever is out is so from its start until it is back; what changes, changes at these moments only.
-    moments = sorted({one.at for one in plan.laid})
+    moments = sorted({one.at for one in plan.scheduled})
     for at in moments:
-        here = [one for one in plan.laid if one.at <= at < one.back]
+        here = [one for one in plan.scheduled if one.at <= at < one.back]
         out = [one.server for one in here]
         assert len(set(out)) == len(out), "out twice at once"
         for work in found.works:
-            assert not work.at_once or sum(one.work == work.name for one in here) <= work.at_once
+            assert (
+                not work.max_concurrent or sum(one.work == work.name for one in here) <= work.max_concurrent
+            )
         for tenant in found.tenants:
             mine = {
                 name: one for name, one in servers.items() if not tenant.zones or one.zone in tenant.zones
@@ -325,25 +327,25 @@
             good = sum(
                 one.weight * (1 - one.interfered)
                 for name, one in mine.items()
-                if name not in out and usable(one, at)
+                if name not in out and is_usable(one, at)
             )
             away = [
                 name
                 for name, one in mine.items()
-                if name in out or (not usable(one, at) and one.trouble is not Trouble.LISTED_OUT)
+                if name in out or (not is_usable(one, at) and one.trouble is not Trouble.LISTED_OUT)
             ]
-            assert good >= tenant.agreement.capacity - 1e-6 and len(away) <= tenant.agreement.out_most
+            assert good >= tenant.agreement.capacity - 1e-6 and len(away) <= tenant.agreement.max_out
     for tenant in found.tenants:
         drains = sorted(
-            one.at for one in plan.laid if not tenant.zones or servers[one.server].zone in tenant.zones
+            one.at for one in plan.scheduled if not tenant.zones or servers[one.server].zone in tenant.zones
         )
-        assert all(b - a >= tenant.agreement.apart_ns for a, b in pairwise(drains))
-        for one in plan.laid:
+        assert all(b - a >= tenant.agreement.min_drain_interval_ns for a, b in pairwise(drains))
+        for one in plan.scheduled:
             if tenant.zones and servers[one.server].zone not in tenant.zones:
                 continue
             for at in range(one.at // S, one.back // S):  # Every second of it lies in an opening.
                 day = datetime.fromtimestamp(at, UTC)
-                assert day.date().isoformat() not in tenant.agreement.closed
+                assert day.date().isoformat() not in tenant.agreement.closed_days
                 assert any(
                     (day - datetime.fromisoformat(w.start + "+00:00")).total_seconds() >= 0
                     and (day - datetime.fromisoformat(w.start + "+00:00")).total_seconds() % 86400 * S
@@ -351,12 +353,16 @@
                     for w in tenant.windows
                 )
     # What is told as the nearest time that would do does: with it, the server has its place.
-    for one in plan.unlaid:
+    for one in plan.unscheduled:
         if one.nearest:
             longer = [
                 (
                     work.__class__(
-                        work.name, work.servers, work.takes_ns, max(work.before, one.nearest), work.at_once
+                        work.name,
+                        work.servers,
+                        work.duration_ns,
+                        max(work.deadline, one.nearest),
+                        work.max_concurrent,
                     ),
                     server,
                     at,
@@ -364,8 +370,8 @@
                 for work, server, at in jobs
             ]
             again = Declared(1, found.tenants, tuple({work.name: work for work, _, _ in longer}.values()))
-            others = lay(again, longer, [], {}, servers, START, LIMITS)
-            assert len(others.laid) > len(plan.laid)
+            others = plan_maintenance(again, longer, [], {}, servers, START, LIMITS)
+            assert len(others.scheduled) > len(plan.scheduled)
     assert len(plan_rows(plan)) <= len(jobs) * 2
 
 
@@ -376,7 +382,7 @@
     tenant = Tenant("t", (), (), (), Agreement(1.4, 1, 0, ()), (window(hours=3),))
     work = Work("k", ("a", "b", "c"), 60 * S, START + 10 * H, 0)
     soon = Work("soon", ("a",), 60 * S, START + 9 * H, 0)
-    plan = lay(
+    plan = plan_maintenance(
         Declared(1, (tenant,), (work, soon)),
         [(w, s, 0) for w in (work, soon) for s in w.servers],
         [],
@@ -385,7 +391,7 @@
         START,
         LIMITS,
     )
-    assert [(one.work, one.server) for one in plan.laid] == [
+    assert [(one.work, one.server) for one in plan.scheduled] == [
         ("k", "b"),
         ("k", "c"),
         ("soon", "a"),
@@ -412,9 +418,9 @@
     servers = {name: Standing(name, "z", 1.0, None, 0) for name in "abc"}
     work = Work("k", tuple("abc"), 60 * S, START + int(before * H), 0)
     found = Declared(1, (Tenant("t", (), (), (), agreement, windows),), (work,))
-    plan = lay(found, [(work, name, 0) for name in "abc"], [], {}, servers, START, LIMITS)
-    assert {one.binds.reason for one in plan.unlaid} == {reason}
-    assert plan.unlaid[0].binds.tenant == ("t" if reason is not Refusal.TOO_LATE else "")
+    plan = plan_maintenance(found, [(work, name, 0) for name in "abc"], [], {}, servers, START, LIMITS)
+    assert {one.binds.reason for one in plan.unscheduled} == {reason}
+    assert plan.unscheduled[0].binds.tenant == ("t" if reason is not Refusal.TOO_LATE else "")
 
 
 @settings(derandomize=True, max_examples=200)
@@ -439,7 +445,7 @@
         Tenant(name, (), zones, (), Agreement(2.0, 2, 0, ()), ())
         for name, zones in (("all", ()), ("one", ("z1",)))
     ]
-    room = Room(tenants, servers, 3)
+    room = CapacityTracker(tenants, servers, 3)
     for shift in shifts:
         name = f"s{shift}"
         if name in room.out:
@@ -447,16 +453,20 @@
         else:
             room.refuses(name)
             room.take(name)
-        anew = Room(tenants, servers, 3)
+        anew = CapacityTracker(tenants, servers, 3)
         for one in room.out:
             anew.take(one)
         assert (room.capacity, room.outs) == (anew.capacity, anew.outs)
 
 
 def test_a_clock_is_apart_from_the_middle_of_all() -> None:
-    assert not clock_apart([0, 5, -9], 5) and not clock_apart([0], 1) and not clock_apart([], 1)
-    assert clock_apart([0, 6, 7], 5) and clock_apart([0, -6, -6], 5) and not clock_apart([0, 0, 999], 5)
-    assert clock_apart([0, 12], 5) and not clock_apart([0, 10], 5)
+    assert not is_clock_skewed([0, 5, -9], 5) and not is_clock_skewed([0], 1) and not is_clock_skewed([], 1)
+    assert (
+        is_clock_skewed([0, 6, 7], 5)
+        and is_clock_skewed([0, -6, -6], 5)
+        and not is_clock_skewed([0, 0, 999], 5)
+    )
+    assert is_clock_skewed([0, 12], 5) and not is_clock_skewed([0, 10], 5)
 
 
 # Settings
--- a/tests/coordinator/maintenance/test_maintenance_faults.py
+++ b/tests/coordinator/maintenance/test_maintenance_faults.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from ambershift.coordinator.maintenance.words import Phase, Refusal
-from ambershift.coordinator.promises.answers import encode
-from ambershift.coordinator.promises.steward import Steward
-from ambershift.coordinator.promises.words import Declare
+from ambershift.coordinator.maintenance.types import Phase, Refusal
+from ambershift.coordinator.promises.codec import encode_command
+from ambershift.coordinator.promises.commands import Declare
+from ambershift.coordinator.promises.permit_controller import PermitController
 from tests.coordinator.maintenance.simulated_permits import OPENS, Group, S, Server, some_world
 
 CLOCKS = [[0, 0, 0], [-1, 0, 1], [0, -1, 0], [1, 0, 0]]
@@ -18,7 +18,7 @@
     for at, member in enumerate(group.members):
         member.leads = at == number
         if at == number:
-            member.steward = Steward(member.steward.limits)
+            member.controller = PermitController(member.controller.limits)
 
 
 def settle(group: Group, until: int = 4500) -> None:
@@ -44,17 +44,17 @@
     lead(group, 0)
     group.step()
     group.step()
-    planned = group.members[0].steward.plan(group.state)
+    planned = group.members[0].controller.plan(group.state)
     settle(group)
-    late = {(one.work, one.server) for one in planned.laid if one.back > (OPENS + 3600) * S}
+    late = {(one.work, one.server) for one in planned.scheduled if one.back > (OPENS + 3600) * S}
     missed = (
-        {(one.work, one.server) for one in planned.laid}
+        {(one.work, one.server) for one in planned.scheduled}
         - late
         - {key for key, past in group.state.past.items() if past.done}
     )
     # Real waves lag behind the plan by lost commands; what was laid with room to spare is done.
-    assert len(missed) <= max(1, len(planned.laid) // 2), missed
-    assert all(one.binds.reason for one in planned.unlaid)
+    assert len(missed) <= max(1, len(planned.scheduled) // 2), missed
+    assert all(one.binds.reason for one in planned.unscheduled)
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -94,12 +94,18 @@
             group.fault_at = group.at
         if rng.random() < 0.001:  # All members restart; the log is on their disks.
             for member in group.members:
-                member.steward, member.out_since, member.leads = Steward(member.steward.limits), {}, False
+                member.controller, member.out_since, member.leads = (
+                    PermitController(member.controller.limits),
+                    {},
+                    False,
+                )
             lead(group, rng.randrange(3))
         if rng.random() < 0.001:
             old = group.state.declared
             works = old.works if rng.random() < 0.5 else old.works[1:]
-            group.write(encode(Declare(old.__class__(old.revision + 1, old.tenants, works))), group.at * S)
+            group.write(
+                encode_command(Declare(old.__class__(old.revision + 1, old.tenants, works))), group.at * S
+            )
     settle(group)
 
 
@@ -128,7 +134,7 @@
     while group.at < OPENS + 300:
         group.step()
     assert not len(group.state.permits)
-    rows = group.members[0].steward.rows(group.state, group.at * S)
+    rows = group.members[0].controller.rows(group.state, group.at * S)
     assert [row.reason for row in rows] == [Refusal.CLOCK_APART.value]
     lead(group, 1)
     while group.at < OPENS + 600:
--- a/tests/coordinator/promises/test_promises.py
+++ b/tests/coordinator/promises/test_promises.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ambershift.coordinator.admin.words import AS_LISTED, NEVER, Health, State, Weight
-from ambershift.coordinator.maintenance.words import (
+from ambershift.coordinator.maintenance.types import (
     Agreement,
     Declared,
     Permit,
@@ -16,10 +16,25 @@
     Window,
     Work,
 )
-from ambershift.coordinator.promises.answers import Outcome, Why, decode, encode, read_answer, refused
-from ambershift.coordinator.promises.machine import KEPT_MOST, WISHES_MOST, PromisesMachine
-from ambershift.coordinator.promises.state import EMPTY, Promises, UnreadableStateError, pack, unpack
-from ambershift.coordinator.promises.words import Command, Declare, Grant, Move, Nothing, Wishes, WishOne
+from ambershift.coordinator.promises.codec import (
+    CommandRefusal,
+    Outcome,
+    decode_command,
+    decode_outcome,
+    encode_command,
+    refused,
+)
+from ambershift.coordinator.promises.commands import (
+    Command,
+    Declare,
+    Grant,
+    Move,
+    Nothing,
+    ServerWish,
+    Wishes,
+)
+from ambershift.coordinator.promises.state import EMPTY, GroupState, UnreadableStateError, pack, unpack
+from ambershift.coordinator.promises.state_machine import KEPT_MOST, WISHES_MOST, GroupStateMachine
 from ambershift.coordinator.replication.types import Entry
 
 WORK = Work("kernel", ("a", "b", "c"), 600, 10_000, 0)
@@ -34,52 +49,57 @@
 
 
 class Log:
-    def __init__(self, state: Promises = EMPTY) -> None:
-        self.machine, self.state, self.entries = PromisesMachine(), state, list[Entry]()
+    def __init__(self, state: GroupState = EMPTY) -> None:
+        self.machine, self.state, self.entries = GroupStateMachine(), state, list[Entry]()
 
     def write(self, command: Command | bytes, later: int = 0) -> Outcome:
-        data = command if isinstance(command, bytes) else encode(command)
+        data = command if isinstance(command, bytes) else encode_command(command)
         number = len(self.entries) + 1
         self.entries.append(Entry(1, number, number * 1000 + later, "", data))
         self.state, answer = self.machine.apply(self.state, self.entries[-1])
-        return read_answer(answer)
+        return decode_outcome(answer)
 
 
-def wishes(*changes: WishOne) -> Wishes:
+def wishes(*changes: ServerWish) -> Wishes:
     return Wishes("cli", "text", changes)
 
 
 def test_wishes_stand_as_at_the_desk_with_who_when_and_which() -> None:
     log = Log()
-    assert log.write(wishes(WishOne("a", 2), WishOne("b", weight=(0.5, True)))) == Outcome(
+    assert log.write(wishes(ServerWish("a", 2), ServerWish("b", weight=(0.5, True)))) == Outcome(
         True, number=1, changed=("a", "b")
     )
     assert log.state.wish("a").origin == ("cli", 1000, 1) and log.state.wish("b").weight == Weight(0.5, True)
     before = log.state
-    assert log.write(wishes(WishOne("a", 2))) == Outcome(True, number=1)  # Again: no change, no new origin.
+    assert log.write(wishes(ServerWish("a", 2))) == Outcome(
+        True, number=1
+    )  # Again: no change, no new origin.
     assert log.state == before
     # All of its changes or none.
     assert (
-        log.write(wishes(WishOne("a", 0), WishOne("b", weight=(1.5, True)))).reason == "weight-out-of-range"
+        log.write(wishes(ServerWish("a", 0), ServerWish("b", weight=(1.5, True)))).reason
+        == "weight-out-of-range"
         and log.state == before
     )
-    assert log.write(wishes(WishOne("a", 0), WishOne("a", 2), WishOne("c", 1))).changed == ("c",)
+    assert log.write(wishes(ServerWish("a", 0), ServerWish("a", 2), ServerWish("c", 1))).changed == ("c",)
     assert log.state.wish("a").origin.number == 1
-    assert log.write(wishes(WishOne("b", as_listed=True))).changed == ("b",) and "b" not in log.state.wishes
+    assert (
+        log.write(wishes(ServerWish("b", as_listed=True))).changed == ("b",) and "b" not in log.state.wishes
+    )
     assert before.wish("c") == AS_LISTED  # Whoever holds a state sees no later change.
-    for bad in (WishOne("a", 9), WishOne("a", health=7), WishOne("", 1)):
-        assert log.write(wishes(bad)).reason == Why.BAD_WISH
-    assert log.write(wishes(WishOne("a", weight=(float("nan"), False)))).reason == "weight-out-of-range"
-    many = wishes(*[WishOne(f"s{i}", 1) for i in range(WISHES_MOST)])
-    assert log.write(many).reason == Why.TOO_MANY_WISHES
+    for bad in (ServerWish("a", 9), ServerWish("a", health=7), ServerWish("", 1)):
+        assert log.write(wishes(bad)).reason == CommandRefusal.BAD_WISH
+    assert log.write(wishes(ServerWish("a", weight=(float("nan"), False)))).reason == "weight-out-of-range"
+    many = wishes(*[ServerWish(f"s{i}", 1) for i in range(WISHES_MOST)])
+    assert log.write(many).reason == CommandRefusal.TOO_MANY_WISHES
 
 
 def test_declared_goes_up_and_the_same_revision_has_one_meaning() -> None:
     log = Log()
-    assert log.write(Declare(declared(2))).done and log.state.permits_touched == 1
-    assert log.write(Declare(declared(2))).done and log.state.permits_touched == 1
-    assert log.write(Declare(declared(1))).reason == Why.OLDER_REVISION
-    assert log.write(Declare(declared(2, ()))).reason == Why.OTHER_CONTENTS
+    assert log.write(Declare(declared(2))).done and log.state.last_permit_entry == 1
+    assert log.write(Declare(declared(2))).done and log.state.last_permit_entry == 1
+    assert log.write(Declare(declared(1))).reason == CommandRefusal.OLDER_REVISION
+    assert log.write(Declare(declared(2, ()))).reason == CommandRefusal.OTHER_CONTENTS
     assert (
         log.write(Grant(1, (permit("a"),))).done
         and log.write(Move(5, "kernel/a/1", Phase.CLOSED, 0, True)).done
@@ -97,8 +117,8 @@
         ({"agreement": Agreement(1.0, 1, -1, ())}, {}),
         ({"windows": (Window("w", "FREQ=DAILY", "2026-12-01T02:00:00", 0, "UTC"),)}, {}),
         ({"name": "a/b"}, {}),
-        ({}, {"takes_ns": 0}),
-        ({}, {"at_once": -1}),
+        ({}, {"duration_ns": 0}),
+        ({}, {"max_concurrent": -1}),
         ({}, {"servers": ("a", "a")}),
         ({}, {"name": ""}),
     ],
@@ -110,8 +130,11 @@
     bad = Declared(
         1, (msgspec.structs.replace(whole.tenants[0], **tenant),), (msgspec.structs.replace(WORK, **work),)
     )
-    assert log.write(Declare(bad)).reason == Why.UNSOUND and not log.state.permits_touched
-    assert log.write(Declare(msgspec.structs.replace(whole, tenants=whole.tenants * 2))).reason == Why.UNSOUND
+    assert log.write(Declare(bad)).reason == CommandRefusal.UNSOUND and not log.state.last_permit_entry
+    assert (
+        log.write(Declare(msgspec.structs.replace(whole, tenants=whole.tenants * 2))).reason
+        == CommandRefusal.UNSOUND
+    )
 
 
 def test_of_two_leaders_that_judged_by_one_state_one_is_refused() -> None:
@@ -122,51 +145,51 @@
     assert log.write(Grant(1, (permit("b"),))).reason == Refusal.CHANGED_MEANWHILE
     assert log.write(Grant(3, (permit("a", 2),))).reason == Refusal.ALREADY_OUT
     assert log.write(Grant(3, (permit("b"), permit("b")))).reason == Refusal.ALREADY_OUT
-    assert log.write(Grant(3, (permit("z"),))).reason == Why.NO_SUCH_WORK
-    assert log.write(Grant(3, (permit("b", ends=100),))).reason == Why.PHASE
+    assert log.write(Grant(3, (permit("z"),))).reason == CommandRefusal.NO_SUCH_WORK
+    assert log.write(Grant(3, (permit("b", ends=100),))).reason == CommandRefusal.PHASE
     assert log.write(Grant(3, (permit("b"),))).done
     # Moves of two permits judged by one state both stand; two of the same permit do not.
-    based = log.state.permits_touched
+    based = log.state.last_permit_entry
     assert log.write(Move(based, "kernel/a/1", Phase.OUT, 900)).done
     assert log.write(Move(based, "kernel/b/1", Phase.OUT, 900)).done
     assert log.write(Move(based, "kernel/a/1", Phase.RETURNING, 0)).reason == Refusal.CHANGED_MEANWHILE
-    based = log.state.permits_touched
-    assert log.write(Move(based, "kernel/a/1", Phase.DRAINING, 900)).reason == Why.PHASE
+    based = log.state.last_permit_entry
+    assert log.write(Move(based, "kernel/a/1", Phase.DRAINING, 900)).reason == CommandRefusal.PHASE
     assert log.write(Move(based, "kernel/a/1", Phase.RETURNING, 0, True)).done
-    assert log.state.kept_out(899) == {"b": log.state.permits["kernel/b/1"].permit}
-    assert log.state.kept_out(900) == {} and log.state.next_end(899) == 900
-    assert log.write(Move(log.state.permits_touched, "kernel/a/1", Phase.CLOSED, 0)).done
+    assert log.state.held_out(899) == {"b": log.state.permits["kernel/b/1"].permit}
+    assert log.state.held_out(900) == {} and log.state.next_end(899) == 900
+    assert log.write(Move(log.state.last_permit_entry, "kernel/a/1", Phase.CLOSED, 0)).done
     assert log.state.past["kernel", "a"] == (1, True, 100)
     assert log.state.past["kernel", "b"] == (1, False, 100)
-    assert log.write(Move(99, "kernel/a/1", Phase.CLOSED, 0)).reason == Why.NO_SUCH_PERMIT
+    assert log.write(Move(99, "kernel/a/1", Phase.CLOSED, 0)).reason == CommandRefusal.NO_SUCH_PERMIT
 
 
 def test_newer_and_torn_commands_are_kept_and_answered_never_raised() -> None:
     log, rng = Log(), random.Random(1)
     newer = msgspec.msgpack.encode(["later-kind", 1, {"x": 2}])
-    assert log.write(newer).reason == Why.UNKNOWN and log.state.kept[0].command == newer
+    assert log.write(newer).reason == CommandRefusal.UNKNOWN and log.state.unreadable[0].command == newer
     longer = msgspec.msgpack.encode(["nothing", "a field of a newer program"])
     assert log.write(longer).done
-    whole = encode(Declare(declared()))
+    whole = encode_command(Declare(declared()))
     for _ in range(2000):
         torn = bytearray(whole[: rng.randrange(len(whole) + 1)])
         for _ in range(rng.randrange(3)):
             if torn:
                 torn[rng.randrange(len(torn))] = rng.randrange(256)
         log.write(bytes(torn))
-    assert log.write(bytes(2 << 20)).reason == Why.TOO_LARGE
-    assert len(log.state.kept) == KEPT_MOST < log.state.unread
-    assert read_answer(b"\xc1").reason == Why.UNKNOWN
+    assert log.write(bytes(2 << 20)).reason == CommandRefusal.TOO_LARGE
+    assert len(log.state.unreadable) == KEPT_MOST < log.state.unreadable_count
+    assert decode_outcome(b"\xc1").reason == CommandRefusal.UNKNOWN
 
 
-def some_command(rng: random.Random, state: Promises) -> Command:
-    based = state.permits_touched - (rng.random() < 0.2)
+def some_command(rng: random.Random, state: GroupState) -> Command:
+    based = state.last_permit_entry - (rng.random() < 0.2)
     held = [one.permit.id for one in state.permits.values()] or ["none"]
     match rng.randrange(5):
         case 0:
             return wishes(
                 *[
-                    WishOne(
+                    ServerWish(
                         rng.choice("abc"),
                         rng.choice([None, 0, 1, 2]),
                         rng.choice([None, 0, 2]),
@@ -194,9 +217,9 @@
     rng, log, other = random.Random(seed), Log(), Log()
     for _ in range(120):
         command = some_command(rng, log.state)
-        known = log.machine.validate(log.state, 0, encode(command))
+        known = log.machine.validate(log.state, 0, encode_command(command))
         outcome = log.write(command)
-        assert (known is None) == outcome.done and (known is None or read_answer(known) == outcome)
+        assert (known is None) == outcome.done and (known is None or decode_outcome(known) == outcome)
         assert other.write(command) == outcome
         if rng.random() < 0.2:
             other.state = unpack(pack(other.state))
@@ -209,17 +232,17 @@
 def test_a_guard_is_asked_at_the_leader_only_and_not_for_what_changes_nothing() -> None:
     asked = list[Command]()
 
-    def guard(state: Promises, at: int, command: Command) -> Outcome | None:
+    def guard(state: GroupState, at: int, command: Command) -> Outcome | None:
         asked.append(command)
         return refused("zone-without-warm-server", "b")
 
-    machine, command = PromisesMachine(guard), wishes(WishOne("b", 1, int(Health.UP)))
-    answer = machine.validate(EMPTY, 5, encode(command))
-    assert answer is not None and read_answer(answer).reason == "zone-without-warm-server"
-    state, told = machine.apply(EMPTY, Entry(1, 1, 5, "", encode(command)))
-    assert read_answer(told).done and state.wish("b").state is State.DRAIN and asked == [command]
-    assert machine.validate(state, 6, encode(command)) is None and asked == [command]
-    assert decode(encode(command)) == command
+    machine, command = GroupStateMachine(guard), wishes(ServerWish("b", 1, int(Health.UP)))
+    answer = machine.validate(EMPTY, 5, encode_command(command))
+    assert answer is not None and decode_outcome(answer).reason == "zone-without-warm-server"
+    state, told = machine.apply(EMPTY, Entry(1, 1, 5, "", encode_command(command)))
+    assert decode_outcome(told).done and state.wish("b").state is State.DRAIN and asked == [command]
+    assert machine.validate(state, 6, encode_command(command)) is None and asked == [command]
+    assert decode_command(encode_command(command)) == command
 
 
 def test_a_packed_state_of_another_version_or_torn_is_refused_by_name() -> None:
--- a/tests/coordinator/promises/test_steward.py
+++ b/tests/coordinator/promises/test_steward.py
@@ -7,8 +7,8 @@
 import pytest
 
 from ambershift.coordinator.maintenance.limits import Limits
-from ambershift.coordinator.maintenance.permits import Heard, Steers
-from ambershift.coordinator.maintenance.words import (
+from ambershift.coordinator.maintenance.permits import MemberReports, SteeringReport
+from ambershift.coordinator.maintenance.types import (
     Agreement,
     Declared,
     Phase,
@@ -19,17 +19,24 @@
     Window,
     Work,
 )
-from ambershift.coordinator.promises.answers import Outcome, encode, read_answer
-from ambershift.coordinator.promises.machine import PromisesMachine
+from ambershift.coordinator.promises.codec import Outcome, decode_outcome, encode_command
+from ambershift.coordinator.promises.commands import Command, Declare, Grant, Move
+from ambershift.coordinator.promises.permit_controller import PermitController
 from ambershift.coordinator.promises.state import EMPTY
-from ambershift.coordinator.promises.steward import Steward
-from ambershift.coordinator.promises.words import Command, Declare, Grant, Move
+from ambershift.coordinator.promises.state_machine import GroupStateMachine
 from ambershift.coordinator.replication.types import Entry
 
 S = 1_000_000_000
 M = 60 * S
 OPENS = int(datetime(2026, 12, 2, 1, 0, tzinfo=UTC).timestamp()) * S
-LIMITS = Limits(clock_bound=S, drain=M, warm=15 * S, silent=30 * S, again=30 * M, missing=5 * M)
+LIMITS = Limits(
+    clock_bound_ns=S,
+    drain_ns=M,
+    warmup_ns=15 * S,
+    report_timeout_ns=30 * S,
+    retry_delay_ns=30 * M,
+    return_timeout_ns=5 * M,
+)
 FOUR = {name: Standing(name, "z", 1.0, None, 0) for name in "abcd"}
 AGREED = Agreement(2.0, 1, 0, ())
 
@@ -50,28 +57,28 @@
             "t", (), (), (), agreement, (Window("w", "FREQ=DAILY", "2026-12-01T01:00:00", length, "UTC"),)
         )
         self.declared = Declared(1, (tenant,), (Work("k", tuple("abc"), takes, before, at_once),))
-        self.machine, self.state, self.number = PromisesMachine(), EMPTY, 0
-        self.at, self.steward, self.servers = at, Steward(LIMITS), dict(FOUR)
-        self.steers = {"n1": Steers(5, 0, 0), "n2": Steers(5, 0, 0)}
+        self.machine, self.state, self.number = GroupStateMachine(), EMPTY, 0
+        self.at, self.controller, self.servers = at, PermitController(LIMITS), dict(FOUR)
+        self.steers = {"n1": SteeringReport(5, 0, 0), "n2": SteeringReport(5, 0, 0)}
         self.drained, self.let_in = set[str](), set[str]()
         self.put(Declare(self.declared))
 
     def put(self, command: Command) -> Outcome:
         self.number += 1
         self.state, answer = self.machine.apply(
-            self.state, Entry(1, self.number, self.at, "", encode(command))
+            self.state, Entry(1, self.number, self.at, "", encode_command(command))
         )
-        return read_answer(answer)
+        return decode_outcome(answer)
 
     def look(self, later: int = 0) -> list[Command]:
         self.at += later
         ids = list(self.state.permits)
-        return self.steward.due(
+        return self.controller.due(
             self.at,
             self.at,
             self.state,
             self.servers,
-            Heard(
+            MemberReports(
                 ("n1", "n2"),
                 self.steers,
                 {one: self.drained for one in ids},
@@ -91,7 +98,7 @@
 
     @property
     def bound(self) -> set[str]:
-        return {row.reason for row in self.steward.rows(self.state, self.at) if row.reason}
+        return {row.reason for row in self.controller.rows(self.state, self.at) if row.reason}
 
 
 def test_one_server_from_its_permit_to_its_end_and_the_next() -> None:
@@ -187,7 +194,7 @@
     while leader.at < granted + 10 * M + 13 * S:
         leader.go(S)
     assert list(leader.phases) == ["b"]
-    leader.steward, began = Steward(LIMITS), leader.at + 5 * S
+    leader.controller, began = PermitController(LIMITS), leader.at + 5 * S
     leader.go(5 * S)
     while leader.at < began + 10 * M + S:
         assert not any(isinstance(one, Grant) for one in leader.go(S))
@@ -213,12 +220,12 @@
 
 def test_a_member_that_is_silent_is_not_waited_for_to_drain_but_is_until_it_can_hold_nothing() -> None:
     leader = Leader(OPENS + 2 * S)
-    leader.steward = Steward(LIMITS._replace(warm=0))
+    leader.controller = PermitController(LIMITS._replace(warmup_ns=0))
     leader.go()
     leader.drained, leader.let_in = {"n1"}, {"n1"}
-    leader.steers["n2"] = Steers(5, 0, 29 * S)
+    leader.steers["n2"] = SteeringReport(5, 0, 29 * S)
     assert not leader.go(5 * S)
-    leader.steers["n2"] = Steers(5, 0, 31 * S)
+    leader.steers["n2"] = SteeringReport(5, 0, 31 * S)
     assert leader.go(2 * S) and leader.phases == {"a": "out"}
     held = leader.state.permits["k/a/1"]
     assert leader.go(held.permit.ends - leader.at) and leader.phases == {"a": "returning"}
@@ -228,7 +235,7 @@
 
 def test_a_member_that_has_not_heard_of_a_sooner_end_holds_it_out_to_the_one_that_it_knows() -> None:
     leader = Leader(OPENS + 2 * S)
-    leader.steward = Steward(LIMITS._replace(warm=0))
+    leader.controller = PermitController(LIMITS._replace(warmup_ns=0))
     leader.go()
     first = leader.state.permits["k/a/1"].permit.ends
     leader.drained, leader.let_in = {"n1", "n2"}, {"n1"}
@@ -281,7 +288,7 @@
         leader.go(2 * S)
     assert leader.phases == {"a": "draining"} and leader.state.past["k", "b"] == (1, False, OPENS + 2 * S)
     # A new leader that has heard of nobody yet calls nothing back, and grants nothing.
-    leader.steward = Steward(LIMITS)
+    leader.controller = PermitController(LIMITS)
     leader.servers = {
         name: Standing(name, "z", 1.0, Trouble.UNKNOWN if name != "a" else None, 0) for name in "abcd"
     }
@@ -290,7 +297,7 @@
     for _ in range(120):
         leader.go(10 * S)  # It is tried again, but not within the half hour.
     assert leader.state.past["k", "b"].tries == 1
-    leader.steward = Steward(LIMITS)
+    leader.controller = PermitController(LIMITS)
     for _ in range(120):
         leader.go(10 * S)
     assert leader.state.past["k", "b"].tries == 2
@@ -312,10 +319,10 @@
     assert not leader.look(2 * S)
     (again,) = leader.look(2 * S)
     assert leader.put(first).done and leader.put(again).reason == Refusal.CHANGED_MEANWHILE
-    leader.steers["n2"] = Steers(5, 9 * S, 0)
+    leader.steers["n2"] = SteeringReport(5, 9 * S, 0)
     leader.drained = {"n1", "n2"}
     assert not leader.look(9 * M) and leader.bound == {"clock-apart"}
-    leader.steers["n3"] = Steers(0, 0, 0)  # With a third the middle is ours.
+    leader.steers["n3"] = SteeringReport(0, 0, 0)  # With a third the middle is ours.
     assert leader.look(S)
 
 
