--- a/ambershift/coordinator/maintenance/types.py
+++ b/ambershift/coordinator/maintenance/types.py
@@ -85,7 +85,7 @@
 
 
 class Trouble(StrEnum):
-    """CommandRefusal a server does not count as usable at this moment."""
+    """Why a server does not count as usable at this moment."""
 
     LISTED_OUT = "listed-out"
     WISHED_OUT = "wished-out"
--- a/ambershift/coordinator/maintenance/wave_selection.py
+++ b/ambershift/coordinator/maintenance/wave_selection.py
@@ -45,7 +45,7 @@
     def __init__(self, work: Work, tenants: tuple[Tenant, ...], spans: Sequence[Span], whole: int) -> None:
         self.work, self.tenants, self.spans, self.whole = work, tenants, spans, whole
         self.jobs = list[Job]()
-        self.binds: Constraint | None = None  # CommandRefusal it did not go on when it was last looked at.
+        self.binds: Constraint | None = None  # Why it did not go on when it was last looked at.
         self.retry: int | None = None  # When that ends by itself, None: when somebody comes back.
 
     def earliest(self, at: int, bound: int) -> int | None:
