--- a/benchmarks/fleet_beat.py
+++ b/benchmarks/fleet_beat.py
@@ -1,9 +1,9 @@
 """Measures what a tick costs and orders in large fleets: `python -m benchmarks.fleet_beat [--quick]`.
 
-Run it from the root. An older version of the decision module (`--old`, a commit of this repository) runs in the
-same process on events drawn alike. A simple model of the channel carries the orders out: a coordinator's
-proxies join in one turn, servers and proxies are reported on, and after half of the time a tenth of the servers
-is replaced.
+Run it from the root. An older version of the decision module (`--old`, a commit of this repository) runs in
+the same process on events drawn alike. A simple model of the channel carries the orders out: a coordinator's
+proxies join in one turn, servers and proxies are reported on, and after half of the time a tenth of the
+servers is replaced.
 """
 
 from __future__ import annotations
--- a/tests/coordinator/benchlink/test_wire.py
+++ b/tests/coordinator/benchlink/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against bytes worked out by hand from the wire page's field tables."""
+"""The codec against bytes worked out by hand from the field tables of the protocol's page."""
 
 import io
 import struct
@@ -106,12 +106,12 @@
 )
 
 
-def test_rebirth_in_one_batch_and_a_failure_told_by_bail_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    born = struct.pack("<BQI", 21, 1, len(SETTINGS)) + SETTINGS
-    one = host.Host()
-    assert one.answer(frame(b"\x12\x03\0\0\0", born))[4:9] == wire.on_behalf(3)
-    before = one.modules[3]
-    one.answer(frame(b"\x12\x03\0\0\0", b"\x18", born))
-    assert one.modules[3] is not before
+def test_a_restart_in_one_batch_and_a_reported_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+    started = struct.pack("<BQI", 21, 1, len(SETTINGS)) + SETTINGS
+    served = host.Host()
+    assert served.answer(frame(b"\x12\x03\0\0\0", started))[4:9] == wire.on_behalf(3)
+    before = served.modules[3]
+    served.answer(frame(b"\x12\x03\0\0\0", b"\x18", started))
+    assert served.modules[3] is not before
     monkeypatch.setattr(before.__class__, "step", lambda *_: 1 // 0)
-    assert b"ZeroDivisionError" in one.answer(frame(b"\x12\x03\0\0\0", b"\x1c\x01\0"))
+    assert b"ZeroDivisionError" in served.answer(frame(b"\x12\x03\0\0\0", b"\x1c\x01\0"))
