--- a/ambershift/benchlink/host.py
+++ b/ambershift/benchlink/host.py
@@ -9,7 +9,9 @@
 from ambershift.benchlink import wire
 from ambershift.id_index import IdIndex
 
-UPDATED_LIST, CACHED_LIST = 0, 2  # Kinds of lists; those that aren't updates are whole.
+# Kinds of lists; all but updates are whole.
+UPDATED_LIST = 0
+CACHED_LIST = 2
 
 
 class ServerIndex(IdIndex[int]):
--- a/ambershift/policy/health.py
+++ b/ambershift/policy/health.py
@@ -85,7 +85,7 @@
         )
     }
     reduce_slow_servers(state)
-    # Below this rate failures are usual.
+    # So many servers may be lost that a high failure rate is usual.
     failure_limit = max(
         MIN_EJECTION_RATE, min(EJECTION_MEDIAN_MULTIPLE * usual_failure_rate, MAX_EJECTION_RATE)
     )
--- a/ambershift/policy/tables.py
+++ b/ambershift/policy/tables.py
@@ -29,8 +29,12 @@
     for index, server in state.servers.items():
         if (index in state.withdrawn) != out and (server.entry.phase in state.binding_phases) == out:
             # A proxy without a table gets one without this server, for less than a line for each of a wave.
-            awaits_bindings = state.users[None] and not state.is_sliced
-            if out and awaits_bindings and state.now < server.phase_since + patience:
+            if (
+                out
+                and state.users[None]
+                and not state.is_sliced
+                and state.now < server.phase_since + patience
+            ):
                 continue
             if not out and any(
                 weights.get(index, 0.0) > max_weight(state, server)
