--- a/tests/coordinator/maintenance/simulated_permits.py
+++ b/tests/coordinator/maintenance/simulated_permits.py
@@ -1,7 +1,7 @@
-"""A group whose members hold permits, second by second in virtual time, and the plain rules beside it.
+"""A simulated group that grants permits, second by second in virtual time, with independent checks.
 
-The log is one list on which commands land late, twice or never; members know of it with a lag. Two may
-believe that they lead. Servers restart under their work, fail by themselves, and leave the list.
+The log is one list to which commands are appended late, twice or never; members learn of it with a lag. Two
+members may believe that they lead. Servers restart for their work, fail by themselves, and leave the list.
 """
 
 import random
@@ -39,7 +39,7 @@
 
 
 class Server:
-    """The machine itself: `up` whether it runs, `since` when it started, `ill` a failure of its own."""
+    """A server: `up` if it runs, `since` when it started, `ill` if it failed by itself."""
 
     def __init__(self, name: str, zone: str, weight: float) -> None:
         self.name, self.zone, self.weight = name, zone, weight
@@ -60,13 +60,13 @@
     def __init__(self, name: str, offset: int) -> None:
         self.name, self.offset, self.state, self.known = name, offset, EMPTY, 0
         self.alive, self.lag, self.controller, self.leads = True, 0, PermitController(LIMITS), False
-        self.out_since = dict[str, int]()  # By permit, as long as it holds it out.
+        self.out_since = dict[str, int]()  # By permit, since when it keeps the server out.
         self.slow = 5
         self.proxies, self.silent_since = 3, 0
 
 
 class Group:
-    """`at` is true time in seconds: the middle of the members' clocks."""
+    """The group; `at` is true time in seconds, from which the members' clocks differ by their offsets."""
 
     def __init__(
         self, rng: random.Random, declared: Declared, servers: dict[str, Server], offsets: list[int]
@@ -94,17 +94,17 @@
             if name not in before.permits:
                 self.grants(name, before)
 
-    # The plain rules
+    # Checks
 
     def grants(self, name: str, before: GroupState) -> None:
-        """At the moment of a grant every agreement holds with all that is out, the granted among them."""
+        """Check that at the moment of a grant every agreement holds, the granted server counted as out."""
         permit = self.state.permits[name].permit
         out = {held.permit.server for held in self.state.permits.values()}
         for tenant in self.state.declared.tenants:
             mine = [one for one in self.servers.values() if not tenant.zones or one.zone in tenant.zones]
             if permit.server not in [one.name for one in mine]:
                 continue
-            # A fault of this same moment can't be known to whoever granted.
+            # The leader that granted can't know of a fault just before.
             if self.at <= self.fault_at + 4:
                 continue
             if lack := self.lack(tenant, out):
@@ -120,7 +120,7 @@
             self.wrong.append(f"{name} is drained twice at once")
 
     def lack(self, tenant: Tenant, out: set[str]) -> str:
-        """What its agreement lacks with these out, counted from the servers as they are."""
+        """Return how the agreement of a tenant is violated with these servers out; empty if it holds."""
         mine = [one for one in self.servers.values() if not tenant.zones or one.zone in tenant.zones]
         away = [
             one.name
@@ -137,7 +137,7 @@
         return f"{tenant.name} has {good} without {away}"
 
     def look(self) -> None:
-        """At each second: who is held out, by whom, and whether that may be."""
+        """Check, each second, which servers are kept out by which members, and whether that is allowed."""
         held_by = dict[str, list[Member]]()
         for member in self.members:
             for server in self.held_by(member):
@@ -149,14 +149,14 @@
                     (not tenant.zones or zone in tenant.zones)
                     and not self.open_for(tenant)
                     and any(abs(member.offset) <= 1 for member in held_by[server])
-                ):  # Alone, one can't tell.
+                ):  # A member with a skewed clock that is alone can't notice it.
                     self.wrong.append(f"{self.at - OPENS}: {server} is out while {tenant.name} is closed")
         if self.fault_at == 0:
             for tenant in self.state.declared.tenants:
                 if held_by and (lack := self.lack(tenant, set(held_by))):
                     self.wrong.append(f"{self.at - OPENS}: {lack}")
         for held in self.state.permits.values():
-            # Under work, and not ended by any clock: whoever is up to date and not apart keeps it out.
+            # Under work and not ended by any clock: members that are up to date and not skewed keep it out.
             permit = held.permit
             if permit.phase is Phase.OUT and self.at + 2 < permit.ends // S - 1:
                 for member in self.members:
@@ -172,7 +172,7 @@
                         )
 
     def open_for(self, tenant: Tenant) -> bool:
-        """Every window of these worlds opens daily in UTC; closed days by the date."""
+        """Return whether a window is open; every window of these groups opens daily in UTC."""
         now = datetime.fromtimestamp(self.at, UTC)
         for window in tenant.windows:
             start = datetime.fromisoformat(window.start).replace(tzinfo=UTC)
@@ -182,7 +182,7 @@
                 return now.date().isoformat() not in tenant.agreement.closed_days
         return False
 
-    # How it goes on
+    # Simulation
 
     def is_apart(self, member: Member) -> bool:
         heard = [
@@ -210,7 +210,7 @@
                 self.wire.remove((due, number, command))
                 self.write(command, (self.at + self.members[number].offset) * S)
         self.work()
-        heard = self.heard()
+        reports = self.reports()
         for number, member in enumerate(self.members):
             if member.alive and member.leads:
                 clock = (self.at + member.offset) * S
@@ -226,7 +226,7 @@
                     for one in self.servers.values()
                     if one.listed
                 }
-                own = heard._replace(
+                own = reports._replace(
                     steering={
                         one.name: SteeringReport(
                             one.proxies,
@@ -248,7 +248,7 @@
         for _ in range(self.rng.choice([0, 1, 1, 1, 1, 2])):
             self.wire.append((self.at + self.rng.randint(0, 2), number, encode_command(command)))
 
-    def heard(self) -> MemberReports:
+    def reports(self) -> MemberReports:
         drained, let_in = dict[str, set[str]](), dict[str, set[str]]()
         for member in self.members:
             if not member.alive:
@@ -265,7 +265,7 @@
         return MemberReports(tuple(one.name for one in self.members), {}, drained, let_in)
 
     def work(self) -> None:
-        """Whoever does the work stops the machine once the permit says OUT, and starts it before its end."""
+        """Stop servers once their permits are OUT, and start them before the end."""
         for held in self.state.permits.values():
             permit = held.permit
             if permit.phase is Phase.OUT and permit.id not in self.restarting:
--- a/tests/coordinator/maintenance/test_maintenance.py
+++ b/tests/coordinator/maintenance/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Windows, agreements, plans and settings against plain models of them, and tables of what is hard."""
+"""Windows, agreements, plans and settings: checked against simple models, and tables of hard cases."""
 
 import random
 from datetime import UTC, datetime, timedelta
@@ -105,17 +105,17 @@
         ("Pacific/Apia", "2011-12-01T02:00:00", "2011-12-30", "2011-12-30T12:00Z", "a whole day left out"),
     ],
 )
-def test_openings_over_changes_of_clocks(zone: str, start: str, day: str, opens: str, why: str) -> None:
+def test_openings_across_clock_changes(zone: str, start: str, day: str, opens: str, why: str) -> None:
     one = window(zone, start)
     local = datetime.fromisoformat(day + start[10:])
     assert instant(local, ZoneInfo(zone)) == moment(opens), why
     found = openings(one)
     assert found is not None
-    # Its length is time that passes, whatever the clocks on the wall do meanwhile.
+    # The length is elapsed time, whatever local clocks do meanwhile.
     assert Span(moment(opens), moment(opens) + 2 * H) in found.spans(moment(opens), moment(opens) + 1)
 
 
-def test_a_repeated_hour_does_not_close_a_window_early_nor_open_it_twice() -> None:
+def test_a_repeated_hour_neither_closes_a_window_early_nor_opens_it_twice() -> None:
     tenant = Tenant(
         "t",
         (),
@@ -128,13 +128,15 @@
         ),
     )
     spans = tenant_spans(tenant, moment("2026-10-24T22:00Z"), moment("2026-10-25T12:00Z"))
-    # 02:30 to 03:00 the first time round; the later one begins an hour after that ends.
+    # 02:30 to 03:00 of the first pass; the later window starts an hour after that ends.
     assert spans == [
         Span(moment("2026-10-25T00:30Z"), moment("2026-10-25T01:00Z")),
         Span(moment("2026-10-25T02:00Z"), moment("2026-10-25T03:00Z")),
     ]
     spans = tenant_spans(tenant, moment("2026-10-23T22:00Z"), moment("2026-10-24T12:00Z"))
-    assert spans == [Span(moment("2026-10-24T00:30Z"), moment("2026-10-24T02:00Z"))]  # They touch: one.
+    assert spans == [
+        Span(moment("2026-10-24T00:30Z"), moment("2026-10-24T02:00Z"))
+    ]  # They touch, and are merged.
 
 
 SPANS = st.lists(
@@ -144,7 +146,7 @@
 
 @settings(derandomize=True, max_examples=400)
 @given(SPANS, SPANS)
-def test_spans_are_the_sets_of_their_moments(first: list[Span], second: list[Span]) -> None:
+def test_span_operations_are_set_operations_on_their_moments(first: list[Span], second: list[Span]) -> None:
     def moments(spans: list[Span]) -> set[int]:
         return {at for span in spans for at in range(span.opens, span.closes)}
 
@@ -174,7 +176,7 @@
     st.lists(st.integers(20, 40), max_size=3),
     st.integers(0, 400),
 )
-def test_a_tenants_spans_against_a_walk_over_minutes(
+def test_the_spans_of_a_tenant_equal_a_check_of_every_ten_minutes(
     zone: str, rrule: str, hour: int, minute: int, halves: int, closed: list[int], later: int
 ) -> None:
     first = datetime(2026, 10, 20, hour, minute)
@@ -230,13 +232,13 @@
         ("FREQ=DAILY;UNTIL=20270101T000000Z", "UNTIL"),
     ],
 )
-def test_rules_that_are_none_or_would_cost_without_bound_are_refused(rrule: str, what: str) -> None:
+def test_invalid_and_unboundedly_expensive_rules_are_refused(rrule: str, what: str) -> None:
     with pytest.raises(InvalidWindowError, match=what):
         occurrences(window(rrule=rrule))
     assert tenant_spans(Tenant("t", (), (), (), Agreement(0, 1, 0, ()), (window(rrule=rrule),)), 0, H) == []
 
 
-# Plans, against a plain model that goes through every second.
+# Plans, against a model that checks every second.
 
 LIMITS = Limits(clock_bound_ns=0, drain_ns=2 * S, warmup_ns=3 * S, planning_horizon_ns=3 * 24 * H)
 START = moment("2026-12-02T01:59:00+00:00")
@@ -296,7 +298,7 @@
 
 @pytest.mark.parametrize("seed", range(150))
 def test_plans_keep_every_agreement_at_every_second(seed: int) -> None:
-    """From the words of the agreements alone: no room, no spans, no order of the planner's."""
+    """Checked from the agreements alone, without the planner's capacity, spans and order."""
     rng = random.Random(seed)
     found, servers, plan, jobs = some_plan(rng)
     assert sorted([(one.work, one.server) for one in (*plan.scheduled, *plan.unscheduled)]) == sorted(
@@ -308,7 +310,7 @@
     works = {work.name: work for work in found.works}
     for one in plan.scheduled:
         assert one.back == one.at + LIMITS.total_time(works[one.work].duration_ns) <= works[one.work].deadline
-    # Whoever is out is so from its start until it is back; what changes, changes at these moments only.
+    # Servers are out from their start until they are back, so violations can begin only at these times.
     moments = sorted({one.at for one in plan.scheduled})
     for at in moments:
         here = [one for one in plan.scheduled if one.at <= at < one.back]
@@ -343,7 +345,7 @@
         for one in plan.scheduled:
             if tenant.zones and servers[one.server].zone not in tenant.zones:
                 continue
-            for at in range(one.at // S, one.back // S):  # Every second of it lies in an opening.
+            for at in range(one.at // S, one.back // S):  # Every second of a drain lies in an opening.
                 day = datetime.fromtimestamp(at, UTC)
                 assert day.date().isoformat() not in tenant.agreement.closed_days
                 assert any(
@@ -352,7 +354,7 @@
                     < w.length_ns
                     for w in tenant.windows
                 )
-    # What is told as the nearest time that would do does: with it, the server has its place.
+    # With the nearest sufficient deadline more servers are scheduled.
     for one in plan.unscheduled:
         if one.nearest:
             longer = [
@@ -375,7 +377,7 @@
     assert len(plan_rows(plan)) <= len(jobs) * 2
 
 
-def test_the_plain_order_is_worst_interfered_then_first_due() -> None:
+def test_the_order_is_by_interference_and_then_by_deadline() -> None:
     servers = {
         name: Standing(name, "z", 1.0, None, 0, hurt) for name, hurt in {"a": 0.0, "b": 0.4, "c": 0.1}.items()
     }
@@ -412,7 +414,7 @@
         (Agreement(0, 3, 0, ()), (window(),), 0.005, Refusal.TOO_LATE),
     ],
 )
-def test_what_binds_is_named_with_whose_it_is(
+def test_the_constraint_is_reported_with_its_tenant(
     agreement: Agreement, windows: tuple[Window, ...], before: float, reason: Refusal
 ) -> None:
     servers = {name: Standing(name, "z", 1.0, None, 0) for name in "abc"}
@@ -434,7 +436,7 @@
     ),
     st.lists(st.integers(0, 9), max_size=30),
 )
-def test_room_kept_up_to_date_is_the_room_summed_anew(
+def test_capacity_updated_in_steps_equals_capacity_summed_at_once(
     rows: list[tuple[Trouble | None, float, float]], shifts: list[int]
 ) -> None:
     servers = {
@@ -445,21 +447,21 @@
         Tenant(name, (), zones, (), Agreement(2.0, 2, 0, ()), ())
         for name, zones in (("all", ()), ("one", ("z1",)))
     ]
-    room = CapacityTracker(tenants, servers, 3)
+    tracker = CapacityTracker(tenants, servers, 3)
     for shift in shifts:
         name = f"s{shift}"
-        if name in room.out:
-            room.restore(name)
+        if name in tracker.out:
+            tracker.restore(name)
         else:
-            room.violation_without(name)
-            room.remove(name)
-        anew = CapacityTracker(tenants, servers, 3)
-        for one in room.out:
-            anew.remove(one)
-        assert (room.capacity, room.out_counts) == (anew.capacity, anew.out_counts)
+            tracker.violation_without(name)
+            tracker.remove(name)
+        summed = CapacityTracker(tenants, servers, 3)
+        for one in tracker.out:
+            summed.remove(one)
+        assert (tracker.capacity, tracker.out_counts) == (summed.capacity, summed.out_counts)
 
 
-def test_a_clock_is_apart_from_the_middle_of_all() -> None:
+def test_a_clock_is_skewed_if_it_is_too_far_from_the_median() -> None:
     assert not is_clock_skewed([0, 5, -9], 5) and not is_clock_skewed([0], 1) and not is_clock_skewed([], 1)
     assert (
         is_clock_skewed([0, 6, 7], 5)
@@ -504,7 +506,7 @@
 """
 
 
-def test_settings_are_declared_as_they_stand() -> None:
+def test_settings_are_declared_as_written() -> None:
     found = declared(read_text(FILE, "f").blocks)
     assert found == Declared(
         3,
@@ -566,11 +568,13 @@
         ),
     ],
 )
-def test_a_contradiction_names_file_line_and_key(old: str, new: str, line: int, words: str) -> None:
+def test_an_invalid_setting_is_reported_with_file_line_and_key(
+    old: str, new: str, line: int, words: str
+) -> None:
     with pytest.raises(SettingsError, match=f"f:{line}: .*{words}"):
         read_text(FILE.replace(old, new, 1), "f")
 
 
-def test_maintenance_takes_a_group() -> None:
+def test_maintenance_requires_a_group() -> None:
     with pytest.raises(SettingsError, match="key 'maintenance': takes a group"):
         read_text(FILE.partition("tenant")[1] + FILE.partition("tenant")[2], "f")
--- a/tests/coordinator/maintenance/test_maintenance_faults.py
+++ b/tests/coordinator/maintenance/test_maintenance_faults.py
@@ -1,4 +1,4 @@
-"""The steward over members, clocks and servers that fail, beside the plain rules of `simulated_permits`."""
+"""The permit controller with failing members, clocks and servers, checked by `simulated_permits`."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 def lead(group: Group, number: int) -> None:
-    """A leader starts with nothing but what is committed and it knows."""
+    """Make a member the leader; a new leader has only the committed state that it knows."""
     for at, member in enumerate(group.members):
         member.leads = at == number
         if at == number:
@@ -22,7 +22,7 @@
 
 
 def settle(group: Group, until: int = 4500) -> None:
-    """The faults end; everything that is out comes back, and nothing is forgotten."""
+    """End the faults; every server must come back and every permit be closed."""
     for member in group.members:
         member.alive, member.lag, member.slow = True, 0, 5
     lead(group, next(at for at, member in enumerate(group.members) if abs(member.offset) <= 1))
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_without_faults_no_agreement_is_ever_broken_and_the_plan_is_kept(seed: int) -> None:
+def test_without_faults_all_agreements_hold_and_the_plan_is_followed(seed: int) -> None:
     rng = random.Random(seed)
     group = some_world(rng, rng.choice(CLOCKS))
     lead(group, 0)
@@ -52,13 +52,13 @@
         - late
         - {key for key, past in group.state.history.items() if past.done}
     )
-    # Real waves lag behind the plan by lost commands; what was laid with room to spare is done.
+    # Lost commands delay the waves; at least half of what was planned with time to spare is done.
     assert len(missed) <= max(1, len(planned.scheduled) // 2), missed
     assert all(one.constraint.reason for one in planned.unscheduled)
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_waves_go_on_through_faults_and_the_rules_hold(seed: int) -> None:
+def test_waves_continue_through_faults_and_the_rules_hold(seed: int) -> None:
     rng = random.Random(1000 + seed)
     group = some_world(rng, rng.choice([*CLOCKS, [0, 0, 9], [9, 0, 0], [-7, 0, 1]]))
     lead(group, 0)
@@ -87,7 +87,7 @@
                 case 3:
                     server.interfered = rng.choice([0.0, 0.4])
                 case 4:
-                    name = f"r{group.at - OPENS}"  # Replaced by another one, under another name.
+                    name = f"r{group.at - OPENS}"  # Replaced by a server with another id.
                     server.listed = False
                     group.servers[name] = Server(name, server.zone, server.weight)
                     group.servers[name].since = group.at
@@ -110,8 +110,8 @@
 
 
 @pytest.mark.parametrize("step", range(12))
-def test_a_new_leader_at_each_step_goes_on_with_the_same_wave(step: int) -> None:
-    """The leader is lost right behind the n-th entry of a wave; the next has only what is committed."""
+def test_a_new_leader_at_each_step_continues_the_same_wave(step: int) -> None:
+    """The leader fails right after the n-th entry of a wave; the next has only the committed state."""
     rng = random.Random(7)
     group = some_world(rng, [0, 1, -1])
     lead(group, 0)
@@ -123,12 +123,12 @@
         group.step()
     tries = [past.tries for past in group.state.history.values()]
     assert tries and done(group) >= len(tries) - 1
-    # What was draining when the leader went is not drained anew: its permit goes on.
+    # What was draining when the leader failed isn't drained again: its permit continues.
     assert sum(tries) <= done(group) + 1 and not group.wrong, group.wrong
     settle(group)
 
 
-def test_a_leader_whose_clock_is_apart_grants_none_and_says_so() -> None:
+def test_a_leader_with_a_skewed_clock_grants_nothing_and_reports_it() -> None:
     group = some_world(random.Random(3), [5, 0, 0])
     lead(group, 0)
     while group.at < OPENS + 300:
@@ -142,8 +142,8 @@
     assert len(group.state.history)
 
 
-def test_a_fault_in_mid_wave_breaks_off_drains_and_stops_further_waves() -> None:
-    broke_off = 0
+def test_a_failure_during_a_wave_aborts_drains_and_stops_further_waves() -> None:
+    aborted = 0
     for seed in range(8):
         group = some_world(random.Random(seed), [0, 0, 0])
         for member in group.members:
@@ -160,16 +160,16 @@
         group.fault_at = group.at
         for _ in range(12):
             group.step()
-        # Broken off are as many as the agreements need, and no more of them than that.
+        # As many drains are aborted as the agreements need, and no more.
         out = {held.permit.server for held in group.state.permits.values() if held.permit.phase <= Phase.OUT}
         for held in group.state.permits.values():
             for tenant in group.state.declared.tenants:
                 if held.permit.phase is Phase.DRAINING and tenant.name in held.permit.tenants:
                     assert not group.lack(tenant, out)
-        broke_off += len(out) < len(draining)
+        aborted += len(out) < len(draining)
         for _ in range(200):
-            group.step()  # Whatever is granted now is granted against what is left.
+            group.step()  # Further grants must respect the remaining capacity.
         for server in group.servers.values():
             server.ill = False
         settle(group)
-    assert broke_off > 2
+    assert aborted > 2
--- a/tests/coordinator/promises/test_steward.py
+++ b/tests/coordinator/promises/test_permit_controller.py
@@ -1,6 +1,4 @@
-"""The steward at one moment after the other: each case sets what the leader hears, and looks at what it
-does.
-"""
+"""The permit controller step by step: each case sets the members' reports and checks the commands."""
 
 from datetime import UTC, datetime
 
@@ -42,7 +40,7 @@
 
 
 class Leader:
-    """One that leads from `at` on, with an hour that opens at OPENS."""
+    """A leader from time `at` on, with a window of one hour that opens at OPENS."""
 
     def __init__(
         self,
@@ -101,7 +99,7 @@
         return {row.reason for row in self.controller.rows(self.state, self.at) if row.reason}
 
 
-def test_one_server_from_its_permit_to_its_end_and_the_next() -> None:
+def test_one_server_passes_all_phases_before_the_next_is_granted() -> None:
     leader = Leader(OPENS + 2 * S)
     assert leader.go() and leader.phases == {"a": "draining"} and not leader.look(2 * S)
     leader.drained = {"n1"}
@@ -112,9 +110,9 @@
     assert not leader.go(5 * M - S) and leader.go(S) and leader.phases == {"a": "returning"}
     assert not leader.go(S)
     leader.let_in = {"n1", "n2"}
-    assert not leader.go(S)  # It looks well, as nobody has tried it yet.
+    assert not leader.go(S)  # It looks healthy only because no request has reached it yet.
     leader.servers["a"] = Standing("a", "z", 1.0, Trouble.COLD, leader.at + 15 * S)
-    assert not leader.go(14 * S)  # It is in, and cold: it counts as out, so that no other goes.
+    assert not leader.go(14 * S)  # It is in service but cold, and counts as out: no other server is granted.
     leader.servers["a"] = FOUR["a"]
     assert leader.go(S) and not leader.phases and leader.state.history["k", "a"].done
     assert leader.go(S) and leader.phases == {"b": "draining"}
@@ -132,8 +130,8 @@
         (61 * M, 0),
     ],
 )
-def test_a_wave_is_granted_only_where_drain_work_and_warming_fit(at: int, granted: int) -> None:
-    """An opening of an hour; 1 min drain, 5 min work, 15 s warm, bounds of 1 s: three of them."""
+def test_a_wave_is_granted_only_if_drain_work_and_warm_up_fit_the_window(at: int, granted: int) -> None:
+    """The window is an hour: 1 min drain, 5 min work, 15 s warm-up, and three clock bounds of 1 s."""
     assert len(Leader(OPENS + at).look()) == granted
 
 
@@ -150,7 +148,9 @@
         (Agreement(2.0, 1, 0, ("2026-12-02", "2026-12-03")), {}, "closed-day"),
     ],
 )
-def test_no_wave_against_an_agreement(agreement: Agreement, servers: dict[str, Trouble], reason: str) -> None:
+def test_no_wave_violates_an_agreement(
+    agreement: Agreement, servers: dict[str, Trouble], reason: str
+) -> None:
     leader = Leader(OPENS + M, agreement)
     for name, trouble in servers.items():
         leader.servers[name] = Standing(name, "z", 1.0, trouble, 0)
@@ -158,7 +158,7 @@
     assert not reason or reason in leader.bound
 
 
-def test_a_cold_server_and_an_interfered_one_are_no_room() -> None:
+def test_cold_and_interfered_servers_do_not_count_as_full_capacity() -> None:
     leader = Leader(OPENS + M, Agreement(3.0, 2, 0, ()))
     leader.servers["d"] = Standing("d", "z", 1.0, Trouble.COLD, leader.at + 10 * S)
     assert not leader.look()
@@ -168,26 +168,28 @@
     assert leader.look(2 * S)
 
 
-def test_the_worst_interfered_goes_first_and_apart_drains_one_by_one() -> None:
+def test_the_most_interfered_goes_first_and_drains_keep_their_minimum_interval() -> None:
     leader = Leader(OPENS + M, Agreement(1.0, 3, 10 * M, ()))
     leader.servers["b"] = Standing("b", "z", 1.0, None, 0, 0.3)
     leader.go()
     assert leader.phases == {"b": "draining"}
     leader.drained = {"n1", "n2"}
-    leader.go(S)  # It counts from here on: now it is seen to stand.
+    leader.go(S)  # The interval starts here, when the leader sees the grant committed.
     assert not any(isinstance(one, Grant) for _ in range(60) for one in leader.go(10 * S))
     assert not leader.phases
     leader.go(3 * S)
     assert leader.phases == {"a": "draining"}
 
 
-def test_a_drain_counts_from_when_it_was_seen_to_stand_and_for_a_new_leader_from_its_start() -> None:
+def test_a_drain_counts_from_its_commit_as_seen_and_for_a_new_leader_from_its_start() -> None:
     leader = Leader(OPENS + M, Agreement(1.0, 3, 10 * M, ()))
-    leader.look()  # It has looked before, at nothing.
+    leader.look()  # So that it isn't new at its next decision.
     (grant,) = leader.look(4 * S)
     granted = leader.at
     leader.at += 9 * S
-    assert leader.put(grant).done and not leader.look()  # It lay in the log for nine seconds.
+    assert (
+        leader.put(grant).done and not leader.look()
+    )  # The grant was committed nine seconds after the decision.
     leader.drained = leader.let_in = {"n1", "n2"}
     while leader.at < granted + 10 * M + 9 * S:
         assert not any(isinstance(one, Grant) for one in leader.go(S))
@@ -202,7 +204,7 @@
     assert "c" in leader.phases
 
 
-def test_a_slow_drain_gets_more_time_while_it_fits_and_not_for_ever() -> None:
+def test_a_slow_drain_is_extended_while_it_fits_and_at_most_four_times_as_long() -> None:
     leader = Leader(OPENS + 2 * S)
     leader.go()
     ends = leader.state.permits["k/a/1"].permit.ends
@@ -210,15 +212,15 @@
     renewed = [at for at in range(40) if leader.go(10 * S) and leader.phases == {"a": "draining"}]
     assert renewed and leader.state.history["k", "a"].tries == 1
     assert ends + 3 * M <= leader.state.permits["k/a/1"].permit.ends <= ends + 4 * M
-    assert leader.phases == {"a": "returning"}  # After four times what a drain should take.
-    for drained in (set[str](), {"n1", "n2"}):  # Nor is it out where the work would end behind the window.
+    assert leader.phases == {"a": "returning"}  # After four times the expected time of a drain.
+    for drained in (set[str](), {"n1", "n2"}):  # Neither if the work would end after the window.
         late = Leader(OPENS + 53 * M + 40 * S)
         assert late.go() and not late.go(59 * S)
         late.drained = drained
         assert late.go(6 * S) and late.phases == {"a": "returning"}
 
 
-def test_a_member_that_is_silent_is_not_waited_for_to_drain_but_is_until_it_can_hold_nothing() -> None:
+def test_a_silent_member_need_not_drain_but_the_permit_stays_until_it_has_ended_by_its_clock() -> None:
     leader = Leader(OPENS + 2 * S)
     leader.controller = PermitController(LIMITS._replace(warmup_ns=0))
     leader.go()
@@ -229,13 +231,11 @@
     assert leader.go(2 * S) and leader.phases == {"a": "out"}
     held = leader.state.permits["k/a/1"]
     assert leader.go(held.permit.ends - leader.at) and leader.phases == {"a": "returning"}
-    assert not leader.go(
-        held.latest_end + S - leader.at
-    )  # By the clock of the silent one it may be out still.
+    assert not leader.go(held.latest_end + S - leader.at)  # The silent member may still keep it out.
     assert leader.go(S) and not leader.phases
 
 
-def test_a_member_that_has_not_heard_of_a_sooner_end_holds_it_out_to_the_one_that_it_knows() -> None:
+def test_a_permit_with_a_sooner_end_stays_until_its_latest_end_if_a_member_may_not_know() -> None:
     leader = Leader(OPENS + 2 * S)
     leader.controller = PermitController(LIMITS._replace(warmup_ns=0))
     leader.go()
@@ -247,7 +247,7 @@
     assert leader.go(S) and not leader.phases and leader.at == first + 2 * S
 
 
-def test_what_does_not_come_back_is_closed_and_counts_as_ill() -> None:
+def test_the_permit_of_a_server_that_does_not_come_back_is_closed_and_it_counts_as_ill() -> None:
     leader = Leader(OPENS + 2 * S, Agreement(2.0, 1, 0, ()))
     leader.go()
     leader.drained = leader.let_in = {"n1", "n2"}
@@ -260,7 +260,7 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.OUT])
-def test_a_server_that_the_list_loses_in_mid_wave_counts_to_the_end_of_its_permit(phase: Phase) -> None:
+def test_a_server_that_leaves_the_list_counts_as_out_until_its_permit_ends(phase: Phase) -> None:
     leader = Leader(OPENS + 2 * S)
     leader.go()
     if phase is Phase.OUT:
@@ -274,10 +274,10 @@
         leader.go(3 * S)
         assert len(leader.phases) <= 1
     assert leader.state.history["k", "a"].done and leader.state.history["k", "b"].done
-    assert "no-such-server" not in leader.bound  # It is done; nobody asks for it again.
+    assert "no-such-server" not in leader.bound  # Its work is done, so it isn't planned again.
 
 
-def test_a_fault_calls_back_the_drain_that_helps_most_and_no_more() -> None:
+def test_a_failure_aborts_only_the_drain_that_restores_the_most_capacity() -> None:
     leader = Leader(OPENS + 2 * S, Agreement(2.0, 3, 0, ()))
     leader.servers["b"] = Standing("b", "z", 1.5, None, 0)
     leader.go()
@@ -289,7 +289,7 @@
     for _ in range(20):
         leader.go(2 * S)
     assert leader.phases == {"a": "draining"} and leader.state.history["k", "b"] == (1, False, OPENS + 2 * S)
-    # A new leader that has heard of nobody yet calls nothing back, and grants nothing.
+    # A new leader without reports about servers aborts nothing and grants nothing.
     leader.controller = PermitController(LIMITS)
     leader.servers = {
         name: Standing(name, "z", 1.0, Trouble.UNKNOWN if name != "a" else None, 0) for name in "abcd"
@@ -297,7 +297,7 @@
     assert not leader.go(2 * S)
     leader.servers = dict(FOUR)
     for _ in range(120):
-        leader.go(10 * S)  # It is tried again, but not within the half hour.
+        leader.go(10 * S)  # It is tried again, but not within the retry delay of half an hour.
     assert leader.state.history["k", "b"].tries == 1
     leader.controller = PermitController(LIMITS)
     for _ in range(120):
@@ -305,7 +305,7 @@
     assert leader.state.history["k", "b"].tries == 2
 
 
-def test_work_that_is_declared_away_gives_its_servers_back() -> None:
+def test_servers_of_a_work_that_is_no_longer_declared_return() -> None:
     leader = Leader(OPENS + 2 * S)
     leader.go()
     leader.drained = leader.let_in = {"n1", "n2"}
@@ -315,7 +315,7 @@
     assert leader.go(S) and not leader.phases and not len(leader.state.history) and not leader.go(S)
 
 
-def test_a_lost_command_is_sent_again_and_a_leader_apart_sends_none() -> None:
+def test_a_lost_command_is_sent_again_and_a_leader_with_a_skewed_clock_sends_none() -> None:
     leader = Leader(OPENS + 2 * S)
     (first,) = leader.look()
     assert not leader.look(2 * S)
@@ -324,17 +324,17 @@
     leader.steering["n2"] = SteeringReport(5, 9 * S, 0)
     leader.drained = {"n1", "n2"}
     assert not leader.look(9 * M) and leader.bound == {"clock-apart"}
-    leader.steering["n3"] = SteeringReport(0, 0, 0)  # With a third the middle is ours.
+    leader.steering["n3"] = SteeringReport(0, 0, 0)  # With a third member this clock is the median.
     assert leader.look(S)
 
 
-def test_an_operators_word_ends_the_wait_for_a_server_to_warm() -> None:
+def test_an_operators_wish_ends_the_wait_for_a_server_to_warm_up() -> None:
     leader = Leader(OPENS + 2 * S)
     leader.go()
     leader.drained = leader.let_in = {"n1", "n2"}
     leader.go(S)
     leader.servers["a"] = Standing("a", "z", 1.0, Trouble.WISHED_OUT, 0)
-    assert not leader.go(M) and leader.phases == {"a": "out"}  # The permit holds, whatever else is said.
+    assert not leader.go(M) and leader.phases == {"a": "out"}  # The permit is kept beside the wish.
     leader.go(4 * M)
     assert leader.go(S) and not leader.phases
-    assert not leader.go(2 * S)  # It is out by the operator now, and counts so.
+    assert not leader.go(2 * S)  # It counts as out because of the operator.
--- a/tests/coordinator/promises/test_promises.py
+++ b/tests/coordinator/promises/test_promises.py
@@ -1,4 +1,4 @@
-"""The state machine of the group's log: the same on every member, whatever stands in an entry."""
+"""The state machine of the group's log: deterministic for any content of an entry."""
 
 import random
 
@@ -68,14 +68,16 @@
     return Wishes("cli", "text", changes)
 
 
-def test_wishes_stand_as_at_the_desk_with_who_when_and_which() -> None:
+def test_wishes_are_kept_with_who_when_and_number() -> None:
     log = Log()
     assert log.write(wishes(WishOne("a", 2), WishOne("b", weight=(0.5, True)))) == Outcome(
         True, number=1, changed=("a", "b")
     )
     assert log.state.wish("a").origin == ("cli", 1000, 1) and log.state.wish("b").weight == Weight(0.5, True)
     before = log.state
-    assert log.write(wishes(WishOne("a", 2))) == Outcome(True, number=1)  # Again: no change, no new origin.
+    assert log.write(wishes(WishOne("a", 2))) == Outcome(
+        True, number=1
+    )  # Repeated: no change, no new origin.
     assert log.state == before
     # All of its changes or none.
     assert (
@@ -85,7 +87,7 @@
     assert log.write(wishes(WishOne("a", 0), WishOne("a", 2), WishOne("c", 1))).changed == ("c",)
     assert log.state.wish("a").origin.number == 1
     assert log.write(wishes(WishOne("b", as_listed=True))).changed == ("b",) and "b" not in log.state.wishes
-    assert before.wish("c") == AS_LISTED  # Whoever holds a state sees no later change.
+    assert before.wish("c") == AS_LISTED  # States are immutable.
     for bad in (WishOne("a", 9), WishOne("a", health=7), WishOne("", 1)):
         assert log.write(wishes(bad)).reason == CommandRefusal.BAD_WISH
     assert log.write(wishes(WishOne("a", weight=(float("nan"), False)))).reason == "weight-out-of-range"
@@ -93,7 +95,7 @@
     assert log.write(many).reason == CommandRefusal.TOO_MANY_WISHES
 
 
-def test_declared_goes_up_and_the_same_revision_has_one_meaning() -> None:
+def test_revisions_only_increase_and_each_has_one_content() -> None:
     log = Log()
     assert log.write(Declare(declared(2))).done and log.state.last_permit_entry == 1
     assert log.write(Declare(declared(2))).done and log.state.last_permit_entry == 1
@@ -122,9 +124,7 @@
         ({}, {"name": ""}),
     ],
 )
-def test_what_no_leader_could_judge_by_is_not_declared(
-    tenant: dict[str, object], work: dict[str, object]
-) -> None:
+def test_an_invalid_declaration_is_refused(tenant: dict[str, object], work: dict[str, object]) -> None:
     log, whole = Log(), declared()
     bad = Declared(
         1, (msgspec.structs.replace(whole.tenants[0], **tenant),), (msgspec.structs.replace(WORK, **work),)
@@ -136,10 +136,10 @@
     )
 
 
-def test_of_two_leaders_that_judged_by_one_state_one_is_refused() -> None:
+def test_of_two_leaders_that_decided_on_the_same_state_one_is_refused() -> None:
     log = Log()
     log.write(Declare(declared()))
-    assert log.write(Grant(1, (permit("a"),)), 10_000_000_000).reason == Refusal.CHANGED_MEANWHILE  # Stale.
+    assert log.write(Grant(1, (permit("a"),)), 10_000_000_000).reason == Refusal.CHANGED_MEANWHILE  # Too old.
     assert log.write(Grant(1, (permit("a"),))).changed == ("kernel/a/1",)
     assert log.write(Grant(1, (permit("b"),))).reason == Refusal.CHANGED_MEANWHILE
     assert log.write(Grant(3, (permit("a", 2),))).reason == Refusal.ALREADY_OUT
@@ -147,7 +147,7 @@
     assert log.write(Grant(3, (permit("z"),))).reason == CommandRefusal.NO_SUCH_WORK
     assert log.write(Grant(3, (permit("b", ends=100),))).reason == CommandRefusal.PHASE
     assert log.write(Grant(3, (permit("b"),))).done
-    # Moves of two permits judged by one state both stand; two of the same permit do not.
+    # Moves of two permits based on one state both take effect; two moves of the same permit don't.
     based = log.state.last_permit_entry
     assert log.write(Move(based, "kernel/a/1", Phase.OUT, 900)).done
     assert log.write(Move(based, "kernel/b/1", Phase.OUT, 900)).done
@@ -163,7 +163,7 @@
     assert log.write(Move(99, "kernel/a/1", Phase.CLOSED, 0)).reason == CommandRefusal.NO_SUCH_PERMIT
 
 
-def test_newer_and_torn_commands_are_kept_and_answered_never_raised() -> None:
+def test_newer_and_malformed_commands_are_kept_and_refused_without_an_exception() -> None:
     log, rng = Log(), random.Random(1)
     newer = msgspec.msgpack.encode(["later-kind", 1, {"x": 2}])
     assert log.write(newer).reason == CommandRefusal.UNKNOWN and log.state.unreadable[0].command == newer
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_every_member_makes_the_same_of_the_same_log_through_snapshots(seed: int) -> None:
+def test_members_build_the_same_state_from_the_same_log_and_snapshots(seed: int) -> None:
     rng, log, other = random.Random(seed), Log(), Log()
     for _ in range(120):
         command = some_command(rng, log.state)
@@ -228,7 +228,7 @@
         assert len(set(servers)) == len(servers)
 
 
-def test_a_guard_is_asked_at_the_leader_only_and_not_for_what_changes_nothing() -> None:
+def test_a_guard_is_called_only_by_the_leader_and_not_for_commands_without_change() -> None:
     asked = list[Command]()
 
     def guard(state: GroupState, at: int, command: Command) -> Outcome | None:
@@ -238,13 +238,13 @@
     machine, command = GroupStateMachine(guard), wishes(WishOne("b", 1, int(Health.UP)))
     answer = machine.validate(EMPTY, 5, encode_command(command))
     assert answer is not None and decode_outcome(answer).reason == "zone-without-warm-server"
-    state, told = machine.apply(EMPTY, Entry(1, 1, 5, "", encode_command(command)))
-    assert decode_outcome(told).done and state.wish("b").state is State.DRAIN and asked == [command]
+    state, outcome = machine.apply(EMPTY, Entry(1, 1, 5, "", encode_command(command)))
+    assert decode_outcome(outcome).done and state.wish("b").state is State.DRAIN and asked == [command]
     assert machine.validate(state, 6, encode_command(command)) is None and asked == [command]
     assert decode_command(encode_command(command)) == command
 
 
-def test_a_packed_state_of_another_version_or_torn_is_refused_by_name() -> None:
+def test_a_packed_state_of_another_version_or_malformed_is_refused() -> None:
     whole = pack(EMPTY)
     for bad in (b"", b"\x01", whole[:-1], msgspec.msgpack.encode([2, "later"]), msgspec.msgpack.encode({})):
         with pytest.raises(UnreadableStateError):
