--- a/tests/coordinator/promises/test_promises.py
+++ b/tests/coordinator/promises/test_promises.py
@@ -1,4 +1,4 @@
-"""The state machine of the group's log: the same on every member, whatever stands in an entry."""
+"""The state machine of the group's log: deterministic for any content of an entry."""
 
 import random
 
@@ -30,11 +30,15 @@
     Grant,
     Move,
     Nothing,
-    ServerWish,
     Wishes,
+    WishOne,
 )
 from ambershift.coordinator.promises.state import EMPTY, GroupState, UnreadableStateError, pack, unpack
-from ambershift.coordinator.promises.state_machine import KEPT_MOST, WISHES_MOST, GroupStateMachine
+from ambershift.coordinator.promises.state_machine import (
+    MAX_UNREADABLE_COMMANDS,
+    MAX_WISHES,
+    GroupStateMachine,
+)
 from ambershift.coordinator.replication.types import Entry
 
 WORK = Work("kernel", ("a", "b", "c"), 600, 10_000, 0)
@@ -60,41 +64,38 @@
         return decode_outcome(answer)
 
 
-def wishes(*changes: ServerWish) -> Wishes:
+def wishes(*changes: WishOne) -> Wishes:
     return Wishes("cli", "text", changes)
 
 
-def test_wishes_stand_as_at_the_desk_with_who_when_and_which() -> None:
+def test_wishes_are_kept_with_who_when_and_number() -> None:
     log = Log()
-    assert log.write(wishes(ServerWish("a", 2), ServerWish("b", weight=(0.5, True)))) == Outcome(
+    assert log.write(wishes(WishOne("a", 2), WishOne("b", weight=(0.5, True)))) == Outcome(
         True, number=1, changed=("a", "b")
     )
     assert log.state.wish("a").origin == ("cli", 1000, 1) and log.state.wish("b").weight == Weight(0.5, True)
     before = log.state
-    assert log.write(wishes(ServerWish("a", 2))) == Outcome(
+    assert log.write(wishes(WishOne("a", 2))) == Outcome(
         True, number=1
-    )  # Again: no change, no new origin.
+    )  # Repeated: no change, no new origin.
     assert log.state == before
     # All of its changes or none.
     assert (
-        log.write(wishes(ServerWish("a", 0), ServerWish("b", weight=(1.5, True)))).reason
-        == "weight-out-of-range"
+        log.write(wishes(WishOne("a", 0), WishOne("b", weight=(1.5, True)))).reason == "weight-out-of-range"
         and log.state == before
     )
-    assert log.write(wishes(ServerWish("a", 0), ServerWish("a", 2), ServerWish("c", 1))).changed == ("c",)
+    assert log.write(wishes(WishOne("a", 0), WishOne("a", 2), WishOne("c", 1))).changed == ("c",)
     assert log.state.wish("a").origin.number == 1
-    assert (
-        log.write(wishes(ServerWish("b", as_listed=True))).changed == ("b",) and "b" not in log.state.wishes
-    )
-    assert before.wish("c") == AS_LISTED  # Whoever holds a state sees no later change.
-    for bad in (ServerWish("a", 9), ServerWish("a", health=7), ServerWish("", 1)):
+    assert log.write(wishes(WishOne("b", as_listed=True))).changed == ("b",) and "b" not in log.state.wishes
+    assert before.wish("c") == AS_LISTED  # States are immutable.
+    for bad in (WishOne("a", 9), WishOne("a", health=7), WishOne("", 1)):
         assert log.write(wishes(bad)).reason == CommandRefusal.BAD_WISH
-    assert log.write(wishes(ServerWish("a", weight=(float("nan"), False)))).reason == "weight-out-of-range"
-    many = wishes(*[ServerWish(f"s{i}", 1) for i in range(WISHES_MOST)])
+    assert log.write(wishes(WishOne("a", weight=(float("nan"), False)))).reason == "weight-out-of-range"
+    many = wishes(*[WishOne(f"s{i}", 1) for i in range(MAX_WISHES)])
     assert log.write(many).reason == CommandRefusal.TOO_MANY_WISHES
 
 
-def test_declared_goes_up_and_the_same_revision_has_one_meaning() -> None:
+def test_revisions_only_increase_and_each_has_one_content() -> None:
     log = Log()
     assert log.write(Declare(declared(2))).done and log.state.last_permit_entry == 1
     assert log.write(Declare(declared(2))).done and log.state.last_permit_entry == 1
@@ -104,8 +105,8 @@
         log.write(Grant(1, (permit("a"),))).done
         and log.write(Move(5, "kernel/a/1", Phase.CLOSED, 0, True)).done
     )
-    assert log.state.past["kernel", "a"] == (1, True, 100)
-    assert log.write(Declare(declared(3, ()))).done and not len(log.state.past)
+    assert log.state.history["kernel", "a"] == (1, True, 100)
+    assert log.write(Declare(declared(3, ()))).done and not len(log.state.history)
 
 
 @pytest.mark.parametrize(
@@ -123,9 +124,7 @@
         ({}, {"name": ""}),
     ],
 )
-def test_what_no_leader_could_judge_by_is_not_declared(
-    tenant: dict[str, object], work: dict[str, object]
-) -> None:
+def test_an_invalid_declaration_is_refused(tenant: dict[str, object], work: dict[str, object]) -> None:
     log, whole = Log(), declared()
     bad = Declared(
         1, (msgspec.structs.replace(whole.tenants[0], **tenant),), (msgspec.structs.replace(WORK, **work),)
@@ -137,10 +136,10 @@
     )
 
 
-def test_of_two_leaders_that_judged_by_one_state_one_is_refused() -> None:
+def test_of_two_leaders_that_decided_on_the_same_state_one_is_refused() -> None:
     log = Log()
     log.write(Declare(declared()))
-    assert log.write(Grant(1, (permit("a"),)), 10_000_000_000).reason == Refusal.CHANGED_MEANWHILE  # Stale.
+    assert log.write(Grant(1, (permit("a"),)), 10_000_000_000).reason == Refusal.CHANGED_MEANWHILE  # Too old.
     assert log.write(Grant(1, (permit("a"),))).changed == ("kernel/a/1",)
     assert log.write(Grant(1, (permit("b"),))).reason == Refusal.CHANGED_MEANWHILE
     assert log.write(Grant(3, (permit("a", 2),))).reason == Refusal.ALREADY_OUT
@@ -148,7 +147,7 @@
     assert log.write(Grant(3, (permit("z"),))).reason == CommandRefusal.NO_SUCH_WORK
     assert log.write(Grant(3, (permit("b", ends=100),))).reason == CommandRefusal.PHASE
     assert log.write(Grant(3, (permit("b"),))).done
-    # Moves of two permits judged by one state both stand; two of the same permit do not.
+    # Moves of two permits based on one state both take effect; two moves of the same permit don't.
     based = log.state.last_permit_entry
     assert log.write(Move(based, "kernel/a/1", Phase.OUT, 900)).done
     assert log.write(Move(based, "kernel/b/1", Phase.OUT, 900)).done
@@ -159,12 +158,12 @@
     assert log.state.held_out(899) == {"b": log.state.permits["kernel/b/1"].permit}
     assert log.state.held_out(900) == {} and log.state.next_end(899) == 900
     assert log.write(Move(log.state.last_permit_entry, "kernel/a/1", Phase.CLOSED, 0)).done
-    assert log.state.past["kernel", "a"] == (1, True, 100)
-    assert log.state.past["kernel", "b"] == (1, False, 100)
+    assert log.state.history["kernel", "a"] == (1, True, 100)
+    assert log.state.history["kernel", "b"] == (1, False, 100)
     assert log.write(Move(99, "kernel/a/1", Phase.CLOSED, 0)).reason == CommandRefusal.NO_SUCH_PERMIT
 
 
-def test_newer_and_torn_commands_are_kept_and_answered_never_raised() -> None:
+def test_newer_and_malformed_commands_are_kept_and_refused_without_an_exception() -> None:
     log, rng = Log(), random.Random(1)
     newer = msgspec.msgpack.encode(["later-kind", 1, {"x": 2}])
     assert log.write(newer).reason == CommandRefusal.UNKNOWN and log.state.unreadable[0].command == newer
@@ -178,7 +177,7 @@
                 torn[rng.randrange(len(torn))] = rng.randrange(256)
         log.write(bytes(torn))
     assert log.write(bytes(2 << 20)).reason == CommandRefusal.TOO_LARGE
-    assert len(log.state.unreadable) == KEPT_MOST < log.state.unreadable_count
+    assert len(log.state.unreadable) == MAX_UNREADABLE_COMMANDS < log.state.unreadable_count
     assert decode_outcome(b"\xc1").reason == CommandRefusal.UNKNOWN
 
 
@@ -189,7 +188,7 @@
         case 0:
             return wishes(
                 *[
-                    ServerWish(
+                    WishOne(
                         rng.choice("abc"),
                         rng.choice([None, 0, 1, 2]),
                         rng.choice([None, 0, 2]),
@@ -213,7 +212,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_every_member_makes_the_same_of_the_same_log_through_snapshots(seed: int) -> None:
+def test_members_build_the_same_state_from_the_same_log_and_snapshots(seed: int) -> None:
     rng, log, other = random.Random(seed), Log(), Log()
     for _ in range(120):
         command = some_command(rng, log.state)
@@ -229,23 +228,23 @@
         assert len(set(servers)) == len(servers)
 
 
-def test_a_guard_is_asked_at_the_leader_only_and_not_for_what_changes_nothing() -> None:
+def test_a_guard_is_called_only_by_the_leader_and_not_for_commands_without_change() -> None:
     asked = list[Command]()
 
     def guard(state: GroupState, at: int, command: Command) -> Outcome | None:
         asked.append(command)
         return refused("zone-without-warm-server", "b")
 
-    machine, command = GroupStateMachine(guard), wishes(ServerWish("b", 1, int(Health.UP)))
+    machine, command = GroupStateMachine(guard), wishes(WishOne("b", 1, int(Health.UP)))
     answer = machine.validate(EMPTY, 5, encode_command(command))
     assert answer is not None and decode_outcome(answer).reason == "zone-without-warm-server"
-    state, told = machine.apply(EMPTY, Entry(1, 1, 5, "", encode_command(command)))
-    assert decode_outcome(told).done and state.wish("b").state is State.DRAIN and asked == [command]
+    state, outcome = machine.apply(EMPTY, Entry(1, 1, 5, "", encode_command(command)))
+    assert decode_outcome(outcome).done and state.wish("b").state is State.DRAIN and asked == [command]
     assert machine.validate(state, 6, encode_command(command)) is None and asked == [command]
     assert decode_command(encode_command(command)) == command
 
 
-def test_a_packed_state_of_another_version_or_torn_is_refused_by_name() -> None:
+def test_a_packed_state_of_another_version_or_malformed_is_refused() -> None:
     whole = pack(EMPTY)
     for bad in (b"", b"\x01", whole[:-1], msgspec.msgpack.encode([2, "later"]), msgspec.msgpack.encode({})):
         with pytest.raises(UnreadableStateError):
