--- a/ambershift/coordinator/group/command_validator.py
+++ b/ambershift/coordinator/group/command_validator.py
@@ -71,7 +71,7 @@
                 )
             case Grant():
                 if self._is_clock_skewed():
-                    return refused(Refusal.CLOCK_APART, "the leader's clock is apart from the others'")
+                    return refused(Refusal.CLOCK_SKEWED, "the leader's clock is apart from the others'")
                 before = self._world_under(state)
                 granted = {
                     index: permit.ends
--- a/ambershift/coordinator/maintenance/agreements.py
+++ b/ambershift/coordinator/maintenance/agreements.py
@@ -119,7 +119,7 @@
         if self.capacity[tenant.name] < self._required[tenant.name]:
             return Constraint(Refusal.CAPACITY, tenant.name)
         if self.out_counts[tenant.name] > tenant.agreement.max_out:
-            return Constraint(Refusal.OUT_MOST, tenant.name)
+            return Constraint(Refusal.TOO_MANY_OUT, tenant.name)
         return None
 
     def violation_without(self, server: str) -> Constraint | None:
--- a/ambershift/coordinator/maintenance/wave_selection.py
+++ b/ambershift/coordinator/maintenance/wave_selection.py
@@ -202,7 +202,7 @@
         elif start > at:
             group.constraint, group.retry_at = Constraint(Refusal.NO_WINDOW), start
         elif work.max_concurrent and self._out_counts.get(work.name, 0) >= work.max_concurrent:
-            group.constraint = Constraint(Refusal.OUT_MOST)
+            group.constraint = Constraint(Refusal.TOO_MANY_OUT)
         else:
             group.constraint = None
             for tenant in group.tenants:
@@ -212,7 +212,10 @@
                     self._last_drains.get(tenant.name, 0) + interval + 2 * self._limits.clock_bound_ns
                 )
                 if interval and at < allowed_at and (group.retry_at is None or allowed_at > group.retry_at):
-                    group.constraint, group.retry_at = Constraint(Refusal.APART, tenant.name), allowed_at
+                    group.constraint, group.retry_at = (
+                        Constraint(Refusal.DRAIN_TOO_RECENT, tenant.name),
+                        allowed_at,
+                    )
         return group.constraint is None
 
     def select(self, at: int, groups: Sequence[JobGroup]) -> list[Job]:
--- a/ambershift/coordinator/promises/maintenance_rows.py
+++ b/ambershift/coordinator/promises/maintenance_rows.py
@@ -12,15 +12,15 @@
 MAX_SERVERS_NAMED = 8
 REFUSAL_TEXTS = {
     Refusal.CAPACITY: "the remaining warm capacity would be below the agreement",
-    Refusal.OUT_MOST: "as many servers are out as allowed",
-    Refusal.APART: "the last drain was too recent",
+    Refusal.TOO_MANY_OUT: "as many servers are out as allowed",
+    Refusal.DRAIN_TOO_RECENT: "the last drain was too recent",
     Refusal.CLOSED_DAY: "it would fit only on closed days",
     Refusal.NO_WINDOW: "no window opens in time",
     Refusal.WINDOW_TOO_SHORT: "drain, work and warm-up fit into no window",
     Refusal.TOO_LATE: "it can't be done before its deadline",
     Refusal.ALREADY_OUT: "the server is out for another work",
     Refusal.NO_SUCH_SERVER: "the server isn't listed",
-    Refusal.CLOCK_APART: "the clock of this leader is too far from the others'; it grants nothing",
+    Refusal.CLOCK_SKEWED: "the clock of this leader is too far from the others'; it grants nothing",
     Refusal.CHANGED_MEANWHILE: "another command came first",
 }
 
@@ -116,5 +116,5 @@
 
 def stopped_row() -> Row:
     """Return the row of a leader that grants nothing because its clock is skewed."""
-    reason = Refusal.CLOCK_APART
+    reason = Refusal.CLOCK_SKEWED
     return Row("", "", (), "stopped", reason=reason.value, text=REFUSAL_TEXTS[reason])
--- a/tests/coordinator/maintenance/test_maintenance.py
+++ b/tests/coordinator/maintenance/test_maintenance.py
@@ -405,8 +405,8 @@
     ("agreement", "windows", "before", "reason"),
     [
         (Agreement(2.5, 1, 0, ()), (window(),), 30, Refusal.CAPACITY),
-        (Agreement(0, 0, 0, ()), (window(),), 30, Refusal.OUT_MOST),
-        (Agreement(0, 3, 3 * H, ()), (window(),), 3, Refusal.APART),
+        (Agreement(0, 0, 0, ()), (window(),), 30, Refusal.TOO_MANY_OUT),
+        (Agreement(0, 3, 3 * H, ()), (window(),), 3, Refusal.DRAIN_TOO_RECENT),
         (Agreement(0, 3, 0, ("2026-12-02",)), (window(),), 20, Refusal.CLOSED_DAY),
         (Agreement(0, 3, 0, ()), (), 30, Refusal.NO_WINDOW),
         (Agreement(0, 3, 0, ()), (window(start="2026-12-05T02:00:00"),), 30, Refusal.NO_WINDOW),
--- a/tests/coordinator/maintenance/test_maintenance_faults.py
+++ b/tests/coordinator/maintenance/test_maintenance_faults.py
@@ -135,7 +135,7 @@
         group.step()
     assert not len(group.state.permits)
     rows = group.members[0].controller.rows(group.state, group.at * S)
-    assert [row.reason for row in rows] == [Refusal.CLOCK_APART.value]
+    assert [row.reason for row in rows] == [Refusal.CLOCK_SKEWED.value]
     lead(group, 1)
     while group.at < OPENS + 600:
         group.step()
