--- a/ambershift/coordinator/admin/pace.py
+++ b/ambershift/coordinator/admin/batching.py
@@ -11,16 +11,16 @@
 
 MS = 1_000_000
 # Told once no further change has come for QUIET, or GATHER_MOST after the first. A person notices neither.
-QUIET, GATHER_MOST = 20 * MS, 250 * MS
+BATCH_QUIET_NS, MAX_BATCH_DELAY_NS = 20 * MS, 250 * MS
 # While so many changes are gathered already, somebody scripts, and what is told would soon be void: up to
 # FLOOD_MOST after the first then.
-FLOOD, FLOOD_MOST = 64, 2_000 * MS
+FLOOD_CHANGES, MAX_FLOOD_DELAY_NS = 64, 2_000 * MS
 # A step of the module over thousands of servers is longer than QUIET: behind more than a FEW changes more
 # may lie unread, and their quiet must outlast a step.
-FEW, QUIET_OF_MANY = 8, 150 * MS
+FEW_CHANGES, MANY_CHANGES_QUIET_NS = 8, 150 * MS
 # A server told of is told of again this much later at the earliest, doubled with each flip up to the most:
 # what flips on and on would fill the channel by itself. Its count is forgotten after a calm spell.
-FLIP_LEAST, FLIP_MOST, FLIP_CALM = 500 * MS, 8_000 * MS, 30_000 * MS
+MIN_FLIP_DELAY_NS, MAX_FLIP_DELAY_NS, FLIP_RESET_NS = 500 * MS, 8_000 * MS, 30_000 * MS
 
 
 class Flips:
@@ -32,18 +32,18 @@
         self.count, self.told = 0, 0
 
     def earliest(self) -> int:
-        return self.told + min(FLIP_MOST, FLIP_LEAST << self.count - 1) if self.count else 0
+        return self.told + min(MAX_FLIP_DELAY_NS, MIN_FLIP_DELAY_NS << self.count - 1) if self.count else 0
 
 
-class Pace:
+class ChangeBatcher:
     """`lowers` tells whether what waits for a server takes something away from proxies, as things are now.
 
     Only that is held back by flips: each round of in and out has one such word, so that the rest need not
     wait, and a server that others were given up for must not.
     """
 
-    def __init__(self, lowers: Callable[[int], bool]) -> None:
-        self.lowers = lowers
+    def __init__(self, would_reduce: Callable[[int], bool]) -> None:
+        self.would_reduce = would_reduce
         self.waiting = dict[int, int]()  # Server, and when its first untold change came.
         self.held = set[int]()  # Of these, what waits for something else than time.
         self.last, self.gathered = 0, 0
@@ -58,11 +58,11 @@
         self.held.clear()
 
     def due_at(self, server: int) -> int:
-        most = FLOOD_MOST if self.gathered > FLOOD else GATHER_MOST
-        quiet = QUIET if self.gathered <= FEW else QUIET_OF_MANY
+        most = MAX_FLOOD_DELAY_NS if self.gathered > FLOOD_CHANGES else MAX_BATCH_DELAY_NS
+        quiet = BATCH_QUIET_NS if self.gathered <= FEW_CHANGES else MANY_CHANGES_QUIET_NS
         gathered = min(self.last + quiet, self.waiting[server] + most)
         flips = self.flips.get(server)
-        if flips is not None and flips.earliest() > gathered and self.lowers(server):
+        if flips is not None and flips.earliest() > gathered and self.would_reduce(server):
             return flips.earliest()
         return gathered
 
@@ -86,11 +86,11 @@
     def told(self, server: int, now: int) -> None:
         """The module has been told of it what takes something away."""
         flips = self.flips.setdefault(server, Flips())
-        if flips.told + FLIP_CALM < now:
+        if flips.told + FLIP_RESET_NS < now:
             flips.count = 0
         flips.count, flips.told = min(flips.count + 1, 16), now
         if len(self.flips) > 4096:  # Against ids that come and go for years; the calm ones are of no use.
-            self.flips = {one: kept for one, kept in self.flips.items() if kept.told + FLIP_CALM > now}
+            self.flips = {one: kept for one, kept in self.flips.items() if kept.told + FLIP_RESET_NS > now}
 
     def flush(self) -> list[int]:
         """All that waits, whatever its time: the program ends."""
--- a/ambershift/coordinator/admin/wants.py
+++ b/ambershift/coordinator/admin/changes.py
@@ -1,14 +1,14 @@
-"""What a wish makes of the one that stood before; the desk and the promises of a group judge by the same."""
+"""How a change alters an override; the admin controller and the group's state machine share these rules."""
 
 from __future__ import annotations
 
-from ambershift.coordinator.admin.words import Change, Standing
+from ambershift.coordinator.admin.types import Change, ServerOverride
 
 # HAProxy's bounds: 0 to 256, of the listed weight 0 to 100 percent.
-WEIGHT_MOST, PART_MOST = 256.0, 1.0
+MAX_WEIGHT, MAX_RELATIVE_WEIGHT = 256.0, 1.0
 
 
-def wanted(old: Standing, change: Change) -> Standing:
+def apply_change(old: ServerOverride, change: Change) -> ServerOverride:
     """What stands after a change. Ready takes back drain and maintenance, as in HAProxy, but no weight."""
     new = old
     if change.state is not None:
@@ -22,7 +22,7 @@
     return new
 
 
-def weighable(change: Change) -> bool:
+def is_weight_in_range(change: Change) -> bool:
     """Whether its weight, if it has one, lies within the bounds; what is no number does not."""
-    most = PART_MOST if change.weight and change.weight.relative else WEIGHT_MOST
+    most = MAX_RELATIVE_WEIGHT if change.weight and change.weight.relative else MAX_WEIGHT
     return change.weight is None or 0 <= change.weight.figure <= most
--- a/ambershift/coordinator/admin/coverage.py
+++ b/ambershift/coordinator/admin/coverage.py
@@ -12,12 +12,12 @@
 from rpds import HashTrieMap
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.words import Reason, Refused
-from ambershift.coordinator.admin.world import World
+from ambershift.coordinator.admin.inventory import ServerInventory
+from ambershift.coordinator.admin.types import Reason, Refused
 
 # Lent servers go back only once others have carried the traffic for so long: a list that flaps would else
 # have each proxy told twice for every flap.
-LENT_SPELL = 5_000_000_000
+LENT_RETURN_DELAY_NS = 5_000_000_000
 
 
 class Warmth:
@@ -43,24 +43,24 @@
     return there(entry) and warmth.warm(entry, now)
 
 
-def serves(world: World, server: int, warmth: Warmth, now: int) -> bool:
+def serves(inventory: ServerInventory, server: int, warmth: Warmth, now: int) -> bool:
     """By list and operator together; what is lent does not count, as it shall go back."""
-    wish = world.wish(server)
-    return not wish.severity and available(world.listed[server], warmth, now)
+    override = inventory.override(server)
+    return not override.severity and available(inventory.listed[server], warmth, now)
 
 
-def starts(world: World, server: int) -> bool:
+def starts(inventory: ServerInventory, server: int) -> bool:
     """Whether it is let in by list and operator, cold or warm."""
-    return not world.wish(server).severity and there(world.listed[server])
+    return not inventory.override(server).severity and there(inventory.listed[server])
 
 
-def loses(world: World, server: int) -> bool:
+def loses(inventory: ServerInventory, server: int) -> bool:
     """Whether the list has it ready and the operator wants no flow there."""
-    return there(world.listed[server]) and world.wish(server).severity > 0
+    return there(inventory.listed[server]) and inventory.override(server).severity > 0
 
 
 def uncovered(
-    before: World, after: World, changed: Iterable[int], warmth: Warmth, now: int
+    before: ServerInventory, after: ServerInventory, changed: Iterable[int], warmth: Warmth, now: int
 ) -> Refused | None:
     """What a command would leave without a ready warm server: a zone, or with the last one all traffic
     groups.
@@ -80,15 +80,17 @@
     return None
 
 
-def heir_is_away(world: World, server: int, in_use: Callable[[int], bool], warmth: Warmth, now: int) -> bool:
+def awaits_replacement(
+    inventory: ServerInventory, server: int, in_use: Callable[[int], bool], warmth: Warmth, now: int
+) -> bool:
     """Whether those that shall carry on for a server that goes are wanted, but not let in yet at any proxy.
 
     Orders that shut out go ahead of those that let in, so that told together the one would leave first. It
     waits for one heir of its zone, or of all where the zone has none; where nobody is wanted there is
     nothing to wait for.
     """
-    for group in (world.members(world.listed[server].zone), world.listed):
-        heirs = [one for one in group if one != server and serves(world, one, warmth, now)]
+    for group in (inventory.members(inventory.listed[server].zone), inventory.listed):
+        heirs = [one for one in group if one != server and serves(inventory, one, warmth, now)]
         if heirs:
             return not any(map(in_use, heirs))
     return False
@@ -103,51 +105,53 @@
         self.warmth = warmth
         self.covered_since: int | None = None
 
-    def lend(self, world: World, now: int) -> World:
+    def lend(self, inventory: ServerInventory, now: int) -> ServerInventory:
         """Those kept out most mildly go first, what is under maintenance only where nothing else is there.
 
         Warm ones go before cold ones, and cold ones only where not even a cold one is let in.
         """
-        if any(serves(world, server, self.warmth, now) for server in world.listed):
+        if any(serves(inventory, server, self.warmth, now) for server in inventory.listed):
             if self.covered_since is None:
                 self.covered_since = now
-            if world.lent and now >= self.covered_since + LENT_SPELL:
-                return world._replace(lent=HashTrieMap())
+            if inventory.lent and now >= self.covered_since + LENT_RETURN_DELAY_NS:
+                return inventory._replace(lent=HashTrieMap())
             # One that the operator wants ready again, or that the list took away, is lent no more.
-            return self.keep(world, now)
+            return self.keep(inventory, now)
         self.covered_since = None
-        world = self.keep(world, now)
-        if any(available(world.listed[server], self.warmth, now) for server in world.lent):
-            return world
+        inventory = self.keep(inventory, now)
+        if any(available(inventory.listed[server], self.warmth, now) for server in inventory.lent):
+            return inventory
         kept_out = [
             server
-            for server in world.wished()
-            if world.wish(server).severity and there(world.listed[server]) and server not in world.lent
+            for server in inventory.overridden()
+            if inventory.override(server).severity
+            and there(inventory.listed[server])
+            and server not in inventory.lent
         ]
-        warm = [server for server in kept_out if available(world.listed[server], self.warmth, now)]
-        if not warm and (world.lent or any(map(partial(starts, world), world.listed))):
-            return world  # Cold ones are at work, each with its part; more of them only in need.
+        warm = [server for server in kept_out if available(inventory.listed[server], self.warmth, now)]
+        if not warm and (inventory.lent or any(map(partial(starts, inventory), inventory.listed))):
+            return inventory  # Cold ones are at work, each with its part; more of them only in need.
         if not (chosen := warm or kept_out):
-            return world
-        mildest = min(world.wish(server).severity for server in chosen)
-        fresh = {server: now for server in sorted(chosen) if world.wish(server).severity == mildest}
-        return world._replace(lent=world.lent.update(fresh))
-
-    def keep(self, world: World, now: int) -> World:
-        for server in world.lent:
-            if not world.wish(server).severity or not there(world.listed[server]):
-                world = world._replace(lent=world.lent.remove(server))
-        return world
-
-    def next_at(self, world: World, now: int) -> int | None:
+            return inventory
+        mildest = min(inventory.override(server).severity for server in chosen)
+        fresh = {server: now for server in sorted(chosen) if inventory.override(server).severity == mildest}
+        return inventory._replace(lent=inventory.lent.update(fresh))
+
+    def keep(self, inventory: ServerInventory, now: int) -> ServerInventory:
+        for server in inventory.lent:
+            if not inventory.override(server).severity or not there(inventory.listed[server]):
+                inventory = inventory._replace(lent=inventory.lent.remove(server))
+        return inventory
+
+    def next_at(self, inventory: ServerInventory, now: int) -> int | None:
         """When to look again though nothing comes: a lent server may go back, or a cold one turn warm."""
-        if not world.standing and not world.permitted:
+        if not inventory.overrides and not inventory.held_out:
             return None
-        if world.lent and self.covered_since is not None:
-            return self.covered_since + LENT_SPELL
+        if inventory.lent and self.covered_since is not None:
+            return self.covered_since + LENT_RETURN_DELAY_NS
         if self.covered_since is None:
             return min(
-                (at for entry in world.listed.values() if (at := self.warmth.warm_at(entry)) > now),
+                (at for entry in inventory.listed.values() if (at := self.warmth.warm_at(entry)) > now),
                 default=None,
             )
         return None
--- a/ambershift/coordinator/admin/mirror.py
+++ b/ambershift/coordinator/admin/data_plane.py
@@ -16,7 +16,7 @@
 
 from ambershift import interface as api
 
-MARKS_MOST = 5_000
+MAX_MARKS = 5_000
 # In place of a table's number: proxies that hold none of ours; and nobody, where the relay's answer is all.
 UNBOUND, NOBODY = -1, -2
 
@@ -26,7 +26,7 @@
     reply: int
 
 
-class Shut(NamedTuple):
+class Withdrawal(NamedTuple):
     """Whether a server is shut out, by which reply, and when that was ordered."""
 
     out: bool
@@ -34,10 +34,10 @@
     at: int
 
 
-NEVER_SHUT = Shut(False, 0, 0)
+NEVER_WITHDRAWN = Withdrawal(False, 0, 0)
 
 
-class Seat(NamedTuple):
+class JoinedProxy(NamedTuple):
     """A joined proxy: its table, and the last reply that it is known to have applied."""
 
     zone: int
@@ -46,22 +46,22 @@
     since: int
 
 
-class Tally(NamedTuple):
+class ServerTraffic(NamedTuple):
     """What proxies met at a server since we know of it; times in ns."""
 
-    tries: int
-    bad: int
-    good_time: int
-    met_at: int
-    tried_at: int
+    attempts: int
+    failures: int
+    success_time: int
+    reported_at: int
+    last_attempt_at: int
     loads: tuple[float, ...]
 
 
-NOTHING_MET = Tally(0, 0, 0, 0, 0, ())
+NO_TRAFFIC = ServerTraffic(0, 0, 0, 0, 0, ())
 
 
 @dataclass(frozen=True)
-class Picture:
+class DataPlaneState:
     """One whole state. `shut` has each server ever withdrawn.
 
     What is worked out from it is kept with it: thousands of wishes are measured by the same picture.
@@ -70,17 +70,17 @@
     reply: int
     settled: int
     tables: HashTrieMap[int, HashTrieMap[int, Line]]
-    shut: HashTrieMap[int, Shut]
+    withdrawals: HashTrieMap[int, Withdrawal]
     levels: HashTrieMap[tuple[int, int], tuple[api.RetryPolicy, float]]
-    seats: HashTrieMap[int, Seat]
-    met: HashTrieMap[int, Tally]
+    proxies: HashTrieMap[int, JoinedProxy]
+    traffic: HashTrieMap[int, ServerTraffic]
 
     @cached_property
     def answered(self) -> dict[int, int]:
         """For each table in use, the last reply that all its users are known to have applied."""
         found = dict[int, int]()
-        for seat in self.seats.values():
-            found[seat.table] = min(found.get(seat.table, seat.answered), seat.answered)
+        for proxy in self.proxies.values():
+            found[proxy.table] = min(found.get(proxy.table, proxy.answered), proxy.answered)
         return found
 
     def concerned(self, server: int, reply: int) -> list[int]:
@@ -109,48 +109,57 @@
 
 
 NO_LINES: HashTrieMap[int, Line] = HashTrieMap()
-BLANK = Picture(0, 0, HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap())
+EMPTY_DATA_PLANE = DataPlaneState(
+    0, 0, HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap()
+)
 
 
-class Mirror:
+class DataPlaneTracker:
     def __init__(self) -> None:
-        self.picture = BLANK
+        self.data_plane = EMPTY_DATA_PLANE
         # Which reply a mark stands in. Numbers come round, so the oldest go.
         self.marks = OrderedDict[int, int]()
 
     def hear(self, now: int, events: Sequence[api.Event]) -> None:
-        picture = self.picture
-        seats, met = picture.seats, picture.met
+        data_plane = self.data_plane
+        proxies, traffic = data_plane.proxies, data_plane.traffic
         for event in events:
             match event:
                 case api.Joined():
                     # It holds nothing of ours, so that nothing ordered before concerns it.
-                    seats = seats.insert(event.proxy, Seat(event.zone, UNBOUND, picture.reply, now))
+                    proxies = proxies.insert(
+                        event.proxy, JoinedProxy(event.zone, UNBOUND, data_plane.reply, now)
+                    )
                 case api.Left():
-                    seats = seats.discard(event.proxy)
+                    proxies = proxies.discard(event.proxy)
                 case api.Applied():
-                    seat, reply = seats.get(event.proxy), self.marks.get(event.mark, 0)
-                    if seat is not None and reply > seat.answered:
-                        seats = seats.insert(event.proxy, seat._replace(answered=reply))
+                    proxy, reply = proxies.get(event.proxy), self.marks.get(event.mark, 0)
+                    if proxy is not None and reply > proxy.answered:
+                        proxies = proxies.insert(event.proxy, proxy._replace(answered=reply))
                 case api.ServerReport():
-                    tally = met.get(event.server, NOTHING_MET)
-                    met = met.insert(
+                    tally = traffic.get(event.server, NO_TRAFFIC)
+                    traffic = traffic.insert(
                         event.server,
-                        Tally(
-                            tally.tries + event.attempts,
-                            tally.bad + event.failures,
-                            tally.good_time + event.mean_latency * (event.attempts - event.failures),
+                        ServerTraffic(
+                            tally.attempts + event.attempts,
+                            tally.failures + event.failures,
+                            tally.success_time + event.mean_latency * (event.attempts - event.failures),
                             now,
-                            now if event.attempts else tally.tried_at,
+                            now if event.attempts else tally.last_attempt_at,
                             event.loads or tally.loads,
                         ),
                     )
-        if seats is not picture.seats or met is not picture.met:
-            self.picture = replace(picture, seats=seats, met=met)
+        if proxies is not data_plane.proxies or traffic is not data_plane.traffic:
+            self.data_plane = replace(data_plane, proxies=proxies, traffic=traffic)
 
     def order(self, now: int, reply: int, orders: Sequence[api.Order]) -> None:
-        picture = self.picture
-        tables, shut, levels, seats = picture.tables, picture.shut, picture.levels, picture.seats
+        data_plane = self.data_plane
+        tables, withdrawals, levels, proxies = (
+            data_plane.tables,
+            data_plane.withdrawals,
+            data_plane.levels,
+            data_plane.proxies,
+        )
         for order in orders:
             match order:
                 case api.SetWeight():
@@ -159,19 +168,21 @@
                 case api.ClearTable():
                     tables = tables.discard(order.table)
                 case api.Withdraw():
-                    shut = shut.insert(order.server, Shut(order.out, reply, now))
+                    withdrawals = withdrawals.insert(order.server, Withdrawal(order.out, reply, now))
                 case api.Level():
                     levels = levels.insert((order.table, order.mask), (order.retry, order.allowance))
                 case api.Bind():
-                    if (seat := seats.get(order.proxy)) is not None:
-                        seats = seats.insert(order.proxy, seat._replace(table=order.table))
+                    if (proxy := proxies.get(order.proxy)) is not None:
+                        proxies = proxies.insert(order.proxy, proxy._replace(table=order.table))
                 case api.Mark():
                     self.marks.pop(order.mark, None)
                     self.marks[order.mark] = reply
-                    if len(self.marks) > MARKS_MOST:
+                    if len(self.marks) > MAX_MARKS:
                         self.marks.popitem(last=False)
-        self.picture = replace(picture, reply=reply, tables=tables, shut=shut, levels=levels, seats=seats)
+        self.data_plane = replace(
+            data_plane, reply=reply, tables=tables, withdrawals=withdrawals, levels=levels, proxies=proxies
+        )
 
     def settle(self, reply: int) -> None:
-        if reply > self.picture.settled:
-            self.picture = replace(self.picture, settled=reply)
+        if reply > self.data_plane.settled:
+            self.data_plane = replace(self.data_plane, settled=reply)
--- a/ambershift/coordinator/admin/world.py
+++ b/ambershift/coordinator/admin/inventory.py
@@ -12,10 +12,10 @@
 from rpds import HashTrieMap, HashTrieSet
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.words import AS_LISTED, Origin, Standing, State
+from ambershift.coordinator.admin.types import NO_OVERRIDE, Origin, ServerOverride, State
 
 
-class World(NamedTuple):
+class ServerInventory(NamedTuple):
     """`lent` holds the servers that serve against the operator's word, and since when; `permitted` those that
     a group's permits keep out, and until when; `eased` what part of its weight a server keeps that neighbours
     slow down.
@@ -23,30 +23,30 @@
 
     listed: HashTrieMap[int, api.Entry]
     zones: HashTrieMap[int, HashTrieSet[int]]
-    standing: HashTrieMap[int, Standing]
+    overrides: HashTrieMap[int, ServerOverride]
     lent: HashTrieMap[int, int]
-    permitted: HashTrieMap[int, int]
-    eased: HashTrieMap[int, float]
+    held_out: HashTrieMap[int, int]
+    weight_factors: HashTrieMap[int, float]
 
-    def own(self, server: int) -> Standing:
+    def operator_override(self, server: int) -> ServerOverride:
         """The operator's word alone."""
-        return self.standing.get(server, AS_LISTED)
+        return self.overrides.get(server, NO_OVERRIDE)
 
-    def wish(self, server: int) -> Standing:
+    def override(self, server: int) -> ServerOverride:
         """The operator's word and a permit's: the stricter holds."""
-        wish = self.standing.get(server, AS_LISTED)
-        if self.permitted and server in self.permitted and wish.state is not State.MAINT:
-            return wish._replace(state=State.MAINT, origin=PERMIT)
-        return wish
+        override = self.overrides.get(server, NO_OVERRIDE)
+        if self.held_out and server in self.held_out and override.state is not State.MAINT:
+            return override._replace(state=State.MAINT, origin=PERMIT)
+        return override
 
-    def wished(self) -> set[int]:
+    def overridden(self) -> set[int]:
         """All of which something is wanted."""
-        return {*self.standing, *self.permitted}
+        return {*self.overrides, *self.held_out}
 
     def members(self, zone: int) -> Iterable[int]:
-        return self.zones.get(zone, EMPTY_ZONE)
+        return self.zones.get(zone, NO_SERVERS)
 
-    def with_list(self, whole: bool, entries: Iterable[api.Entry]) -> World:
+    def with_list(self, whole: bool, entries: Iterable[api.Entry]) -> ServerInventory:
         """The list as told: changes, or the whole, in which those that it leaves out are gone."""
         listed, zones, named = self.listed, self.zones, set[int]()
         for entry in entries:
@@ -57,7 +57,7 @@
             if known is None or known.zone != entry.zone:
                 if known is not None:
                     zones = zones.insert(known.zone, zones[known.zone].discard(entry.server))
-                zones = zones.insert(entry.zone, zones.get(entry.zone, EMPTY_ZONE).insert(entry.server))
+                zones = zones.insert(entry.zone, zones.get(entry.zone, NO_SERVERS).insert(entry.server))
             listed = listed.insert(entry.server, entry)
         if whole:
             for server, entry in listed.items():
@@ -65,15 +65,17 @@
                     listed = listed.insert(server, entry._replace(phase=api.Phase.GONE))
         return self._replace(listed=listed, zones=zones)
 
-    def with_permits(self, until: Mapping[int, int]) -> World:
+    def with_permits(self, until: Mapping[int, int]) -> ServerInventory:
         """Those of them that are listed, in place of all before."""
-        permitted = {server: at for server, at in until.items() if server in self.listed}
-        return self if permitted == dict(self.permitted) else self._replace(permitted=HashTrieMap(permitted))
+        held_out = {server: at for server, at in until.items() if server in self.listed}
+        return self if held_out == dict(self.held_out) else self._replace(held_out=HashTrieMap(held_out))
 
-    def with_wish(self, server: int, wish: Standing) -> World:
-        return self._replace(standing=self.standing.insert(server, wish))
+    def with_override(self, server: int, override: ServerOverride) -> ServerInventory:
+        return self._replace(overrides=self.overrides.insert(server, override))
 
 
-EMPTY_ZONE: HashTrieSet[int] = HashTrieSet()
+NO_SERVERS: HashTrieSet[int] = HashTrieSet()
 PERMIT = Origin("permit", 0, 0)
-EMPTY = World(HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap())
+EMPTY_INVENTORY = ServerInventory(
+    HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap(), HashTrieMap()
+)
--- a/ambershift/coordinator/admin/overlay.py
+++ b/ambershift/coordinator/admin/overlay.py
@@ -4,24 +4,24 @@
 
 from ambershift import interface as api
 from ambershift.coordinator.admin.coverage import Warmth
-from ambershift.coordinator.admin.world import World
+from ambershift.coordinator.admin.inventory import ServerInventory
 
 
-def effective(world: World, server: int, warmth: Warmth, now: int) -> api.Entry:
+def effective_entry(inventory: ServerInventory, server: int, warmth: Warmth, now: int) -> api.Entry:
     """The stricter word holds: who drains or is gone by the list is never made ready by an operator.
 
     An operator's drain is told as one of the list is, so that it has the same way past the ordinary budget,
     the same grace and the same bound of the channel. What is lent counts as listed.
     """
-    entry, wish = world.listed[server], world.wish(server)
-    lent = server in world.lent
-    if wish.out and not lent:
+    entry, override = inventory.listed[server], inventory.override(server)
+    lent = server in inventory.lent
+    if override.out and not lent:
         return entry._replace(phase=api.Phase.DRAINING)
-    if server in world.eased and not lent:
-        entry = entry._replace(weight=entry.weight * world.eased[server])
-    if wish.weight is None:
+    if server in inventory.weight_factors and not lent:
+        entry = entry._replace(weight=entry.weight * inventory.weight_factors[server])
+    if override.weight is None:
         return entry
-    weight = wish.weight.of(entry.weight)
+    weight = override.weight.of(entry.weight)
     # A cold server carries its part of the listed weight at the most: the module takes that part of what it
     # is told, and an operator's larger figure would push the server over.
     if not warmth.warm(entry, now):
@@ -31,14 +31,14 @@
     return entry._replace(weight=weight)
 
 
-def warms_at(world: World, server: int, warmth: Warmth, now: int) -> int | None:
+def warms_at(inventory: ServerInventory, server: int, warmth: Warmth, now: int) -> int | None:
     """When a cold server may have the larger weight that an operator wants for it."""
-    wish, entry = world.wish(server), world.listed[server]
-    if wish.weight is None or warmth.warm(entry, now) or wish.weight.of(entry.weight) <= entry.weight:
+    override, entry = inventory.override(server), inventory.listed[server]
+    if override.weight is None or warmth.warm(entry, now) or override.weight.of(entry.weight) <= entry.weight:
         return None
     return warmth.warm_at(entry)
 
 
-def lower(entry: api.Entry, known: api.Entry) -> bool:
+def is_reduction(entry: api.Entry, known: api.Entry) -> bool:
     """Whether the first, told after the second, takes something away from proxies."""
     return known.phase == api.Phase.READY and (entry.phase != api.Phase.READY or entry.weight < known.weight)
--- a/ambershift/coordinator/admin/pending.py
+++ b/ambershift/coordinator/admin/pending.py
@@ -11,15 +11,15 @@
 from rpds import HashTrieMap
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.mirror import NEVER_SHUT, NOTHING_MET, Picture
-from ambershift.coordinator.admin.words import Stage
+from ambershift.coordinator.admin.data_plane import NEVER_WITHDRAWN, NO_TRAFFIC, DataPlaneState
+from ambershift.coordinator.admin.types import Stage
 
 # A server counts as drained once no report of the last so many report periods tells of a try there.
 QUIET_PERIODS = 2
 SAME = 1e-6
 
 
-class Told(NamedTuple):
+class PendingChange(NamedTuple):
     """A wish on its way: since when; what the module was told of it, None before; the last reply before that;
     and whether the weight told was another than before, so that every line must be laid anew.
     """
@@ -30,7 +30,7 @@
     scaled: bool = False
 
 
-Waiting: TypeAlias = "HashTrieMap[int, Told]"
+PendingChanges: TypeAlias = "HashTrieMap[int, PendingChange]"
 
 
 class Need(NamedTuple):
@@ -40,24 +40,26 @@
     table: int
 
 
-def needs(picture: Picture, server: int, told: Told) -> list[Need] | None:
+def needs(data_plane: DataPlaneState, server: int, told: PendingChange) -> list[Need] | None:
     """What must be applied for the wish to be; None where something of it is not ordered yet."""
     entry = told.entry
     if entry is None:
         return None
-    out, reply, _ = picture.shut.get(server, NEVER_SHUT)
+    out, reply, _ = data_plane.withdrawals.get(server, NEVER_WITHDRAWN)
     if entry.phase == api.Phase.DRAINING:
-        return [Need(reply, table) for table in picture.concerned(server, reply)] if out else None
+        return [Need(reply, table) for table in data_plane.concerned(server, reply)] if out else None
     if entry.phase == api.Phase.READY and out:
         return None
     # A server may have got its reply long ago, and none was needed now.
-    found = [Need(reply, table) for table in picture.concerned(server, reply)] if reply > told.reply else []
-    lines = picture.lines(server)
+    found = (
+        [Need(reply, table) for table in data_plane.concerned(server, reply)] if reply > told.reply else []
+    )
+    lines = data_plane.lines(server)
     if (
         entry.phase == api.Phase.READY
         and told.scaled
         and entry.weight
-        and picture.seats
+        and data_plane.proxies
         and not any(line.weight for line in lines.values())
     ):
         return None  # It had weight 0, and no proxy has a line of it again.
@@ -74,29 +76,29 @@
     return found
 
 
-def stage(picture: Picture, server: int, told: Told) -> Stage:
+def stage(data_plane: DataPlaneState, server: int, told: PendingChange) -> Stage:
     if told.entry is None:
         return Stage.GATHERED
-    found = needs(picture, server, told)
+    found = needs(data_plane, server, told)
     if found is None:
         return Stage.TOLD
-    if any(need.reply > picture.settled for need in found):
+    if any(need.reply > data_plane.settled for need in found):
         return Stage.ORDERED
-    return Stage.APPLIED if all(picture.applied(*need) for need in found) else Stage.CARRIED
+    return Stage.APPLIED if all(data_plane.applied(*need) for need in found) else Stage.CARRIED
 
 
-def drained(picture: Picture, server: int, period: int, now: int) -> bool:
+def drained(data_plane: DataPlaneState, server: int, period: int, now: int) -> bool:
     """Shut out at every joined proxy, and no try told for a while; a server without a line counts as
     shut out.
     """
-    out, reply, at = picture.shut.get(server, NEVER_SHUT)
-    if not out and any(line.weight for line in picture.lines(server).values()):
+    out, reply, at = data_plane.withdrawals.get(server, NEVER_WITHDRAWN)
+    if not out and any(line.weight for line in data_plane.lines(server).values()):
         return False
     if out and (
-        reply > picture.settled
-        or not all(picture.applied(reply, table) for table in picture.concerned(server, reply))
+        reply > data_plane.settled
+        or not all(data_plane.applied(reply, table) for table in data_plane.concerned(server, reply))
     ):
         return False
     # Also where no report comes at all: flows that were under way must have had their time.
-    tried_at = picture.met.get(server, NOTHING_MET).tried_at
-    return now >= max(at, tried_at) + QUIET_PERIODS * period
+    last_attempt_at = data_plane.traffic.get(server, NO_TRAFFIC).last_attempt_at
+    return now >= max(at, last_attempt_at) + QUIET_PERIODS * period
--- a/ambershift/coordinator/admin/words.py
+++ b/ambershift/coordinator/admin/types.py
@@ -43,7 +43,7 @@
     number: int
 
 
-class Standing(NamedTuple):
+class ServerOverride(NamedTuple):
     """All that an operator wants of one server; `origin` tells of the last change."""
 
     state: State
@@ -63,8 +63,8 @@
         return int(self.out or (self.weight is not None and self.weight.figure == 0))
 
 
-NEVER = Origin("", 0, 0)
-AS_LISTED = Standing(State.READY, Health.UP, None, NEVER)
+NO_ORIGIN = Origin("", 0, 0)
+NO_OVERRIDE = ServerOverride(State.READY, Health.UP, None, NO_ORIGIN)
 
 
 class Change(NamedTuple):
--- a/ambershift/coordinator/admin/view.py
+++ b/ambershift/coordinator/admin/view.py
@@ -1,13 +1,13 @@
-"""View: one whole state of the desk at one time, for those who read."""
+"""View: one whole state of the controller at one time, for those who read."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from ambershift.coordinator.admin.mirror import Picture
-from ambershift.coordinator.admin.pending import Waiting, stage
-from ambershift.coordinator.admin.words import Stage
-from ambershift.coordinator.admin.world import World
+from ambershift.coordinator.admin.data_plane import DataPlaneState
+from ambershift.coordinator.admin.inventory import ServerInventory
+from ambershift.coordinator.admin.pending import PendingChanges, stage
+from ambershift.coordinator.admin.types import Stage
 
 
 class View(NamedTuple):
@@ -15,10 +15,10 @@
 
     now: int
     version: int
-    world: World
-    picture: Picture
-    waiting: Waiting
+    inventory: ServerInventory
+    data_plane: DataPlaneState
+    pending: PendingChanges
 
     def stage(self, server: int) -> Stage | None:
-        told = self.waiting.get(server)
-        return None if told is None else stage(self.picture, server, told)
+        told = self.pending.get(server)
+        return None if told is None else stage(self.data_plane, server, told)
--- a/ambershift/coordinator/group/command_validator.py
+++ b/ambershift/coordinator/group/command_validator.py
@@ -1,4 +1,4 @@
-"""The leader's check of a command, by its own desk, before it writes the command to the log.
+"""The leader's check of a command, by its own controller, before it writes the command to the log.
 
 Two operators at two members, each draining one of the last two warm servers of a zone, would each pass a
 check at their own member. So only the leader checks, against the wishes in its log, committed or not.
@@ -10,11 +10,11 @@
 
 from rpds import HashTrieMap
 
+from ambershift.coordinator.admin.controller import AdminController
 from ambershift.coordinator.admin.coverage import uncovered
-from ambershift.coordinator.admin.desk import Desk
-from ambershift.coordinator.admin.weigh import weigh
-from ambershift.coordinator.admin.words import NEVER, Refused
-from ambershift.coordinator.admin.world import World
+from ambershift.coordinator.admin.evaluation import evaluate
+from ambershift.coordinator.admin.inventory import ServerInventory
+from ambershift.coordinator.admin.types import NO_ORIGIN, Refused
 from ambershift.coordinator.maintenance.types import Phase, Refusal
 from ambershift.coordinator.promises.codec import Outcome, refused
 from ambershift.coordinator.promises.commands import Command, Grant, Wishes
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        desk: Desk,
+        controller: AdminController,
         server_index: IdIndex[str],
         now: Callable[[], int],
         describe: Callable[[Refused], str],
@@ -37,13 +37,13 @@
         """Prepare.
 
         Args:
-            desk: This member's desk.
-            server_index: Maps server ids to the desk's indices.
-            now: The desk's clock, ns.
-            describe: Returns a refusal of the desk in words.
+            controller: This member's controller.
+            server_index: Maps server ids to the controller's indices.
+            now: The controller's clock, ns.
+            describe: Returns a refusal of the controller in words.
             is_clock_skewed: Whether this member's clock is too far from the others'.
         """
-        self._desk = desk
+        self._controller = controller
         self._server_index = server_index
         self._now = now
         self._describe = describe
@@ -65,7 +65,7 @@
                     for index, wish in listed
                     if (change := to_desk_change(wish)) is not None
                 ]
-                verdict = weigh(self._world_under(state), changes, NEVER, self._desk.warmth, now)
+                verdict = evaluate(self._world_under(state), changes, NO_ORIGIN, self._controller.warmth, now)
                 return (
                     refused(verdict.reason, self._describe(verdict)) if isinstance(verdict, Refused) else None
                 )
@@ -78,33 +78,35 @@
                     for permit in command.permits
                     if (index := self._listed_index(permit.server)) is not None
                 }
-                after = before._replace(permitted=before.permitted.update(granted))
-                refusal = uncovered(before, after, list(granted), self._desk.warmth, now)
+                after = before._replace(held_out=before.held_out.update(granted))
+                refusal = uncovered(before, after, list(granted), self._controller.warmth, now)
                 return refused(refusal.reason, self._describe(refusal)) if refusal else None
         return None
 
     def _listed_index(self, server: str) -> int | None:
         index = self._server_index.lookup(server)
-        return index if index is not None and index in self._desk.world.listed else None
+        return index if index is not None and index in self._controller.inventory.listed else None
 
-    def _world_under(self, state: GroupState) -> World:
+    def _world_under(self, state: GroupState) -> ServerInventory:
         """Return this member's list under the wishes and permits of a state.
 
         A permit counts until it is closed, whatever this clock says: the clocks of others may be behind.
         """
-        world, wishes = self._desk.world, state.wishes
-        standing = world.standing
-        # The desk holds most wishes already, as the very same objects.
+        inventory, wishes = self._controller.inventory, state.wishes
+        overrides = inventory.overrides
+        # The controller holds most wishes already, as the very same objects.
         for server, wish in wishes.items():
-            if (index := self._listed_index(server)) is not None and world.standing.get(index) is not wish:
-                standing = standing.insert(index, wish)
-        for index in world.standing:
+            if (index := self._listed_index(server)) is not None and inventory.overrides.get(
+                index
+            ) is not wish:
+                overrides = overrides.insert(index, wish)
+        for index in inventory.overrides:
             if self._server_index.ids.get(index, "") not in wishes:
-                standing = standing.remove(index)
-        permitted = {
+                overrides = overrides.remove(index)
+        held_out = {
             index: held.permit.ends
             for held in state.permits.values()
             if held.permit.phase <= Phase.OUT
             and (index := self._listed_index(held.permit.server)) is not None
         }
-        return world._replace(standing=standing, permitted=HashTrieMap(permitted))
+        return inventory._replace(overrides=overrides, held_out=HashTrieMap(held_out))
--- a/ambershift/coordinator/group/desk_applier.py
+++ b/ambershift/coordinator/group/desk_applier.py
@@ -1,19 +1,19 @@
-"""Applies at this coordinator's desk, for its proxies, what the group has committed."""
+"""Applies at this coordinator's controller, for its proxies, what the group has committed."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Sequence
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.desk import Desk
-from ambershift.coordinator.admin.words import AS_LISTED, Standing
+from ambershift.coordinator.admin.controller import AdminController
+from ambershift.coordinator.admin.types import NO_OVERRIDE, ServerOverride
 from ambershift.coordinator.promises.state import EMPTY, GroupState
 from ambershift.coordinator.promises.uncommitted_ends import UncommittedEnd
 from ambershift.id_index import IdIndex
 
 
 class DeskApplier:
-    """Hands the desk wishes and permits, which the log holds by server id.
+    """Hands the controller wishes and permits, which the log holds by server id.
 
     Those of a server that no list has named yet take effect once one does.
 
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        desk: Desk,
+        controller: AdminController,
         server_index: IdIndex[str],
         now: Callable[[], int],
         clock_ahead: int,
@@ -35,13 +35,13 @@
         """Start with an empty state.
 
         Args:
-            desk: The desk.
-            server_index: Maps server ids to the desk's indices.
-            now: The desk's clock, ns.
-            clock_ahead: How far the member's wall clock is ahead of the desk's, ns.
-            on_change: Called when the desk may have something new to tell.
+            controller: The controller.
+            server_index: Maps server ids to the controller's indices.
+            now: The controller's clock, ns.
+            clock_ahead: How far the member's wall clock is ahead of the controller's, ns.
+            on_change: Called when the controller may have something new to tell.
         """
-        self.desk = desk
+        self.controller = controller
         self._server_index = server_index
         self._now = now
         self._clock_ahead = clock_ahead
@@ -76,25 +76,25 @@
             commands: Who changed them, and by which command.
         """
         self.state = state
-        wishes = dict[int, Standing]()
+        wishes = dict[int, ServerOverride]()
         for server in servers:
             index = self._server_index.lookup(server)
             if index is not None:
                 wishes[index] = state.wish(server)
-        self.desk.adopt(self._now(), wishes, commands)
+        self.controller.apply_group_overrides(self._now(), wishes, commands)
         self._on_change()
 
     def apply_permits(self, state: GroupState) -> None:
         """Apply the permits of a state."""
         self.state = state
-        self.desk.permit(self._now(), self.permit_deadlines())
+        self.controller.set_permits(self._now(), self.permit_deadlines())
         self._on_change()
 
     def apply_snapshot(self, state: GroupState) -> None:
         """Apply all of a state that replaces what was known."""
         wished_here = [
             self._server_index.ids[index]
-            for index in self.desk.world.standing
+            for index in self.controller.inventory.overrides
             if index in self._server_index.ids
         ]
         servers = dict.fromkeys((*wished_here, *state.wishes))
@@ -102,17 +102,19 @@
         self.apply_permits(state)
 
     def prepare_list(self, event: api.Listed) -> None:
-        """Give the desk, ahead of a list, the wishes and permits for servers that are new in it."""
-        new = [entry.server for entry in event.entries if entry.server not in self.desk.world.listed]
+        """Give the controller, ahead of a list, the wishes and permits for servers that are new in it."""
+        new = [
+            entry.server for entry in event.entries if entry.server not in self.controller.inventory.listed
+        ]
         for server in new if self.state.wishes else ():
-            if (wish := self.state.wish(self._server_index.ids[server])) != AS_LISTED:
-                self.desk.ahead[server] = wish
+            if (wish := self.state.wish(self._server_index.ids[server])) != NO_OVERRIDE:
+                self.controller.unlisted_overrides[server] = wish
         if new and self.state.permits:
-            self.desk.permits = self.permit_deadlines()
+            self.controller.permits = self.permit_deadlines()
 
     def ease(self, factors: dict[str, float]) -> None:
         """Reduce the weights of servers that suffer interference, by server id; of all others undo it."""
-        self.desk.ease(
+        self.controller.set_weight_factors(
             self._now(),
             {
                 index: factor
@@ -137,7 +139,7 @@
             self.apply_permits(self.state)
 
     def permit_deadlines(self) -> dict[int, int]:
-        """Return the servers that permits keep out, and until when by the desk's clock."""
+        """Return the servers that permits keep out, and until when by the controller's clock."""
         if not self.permits_enabled:
             return {}
         wall = self._now() + self._clock_ahead
@@ -152,15 +154,19 @@
     def is_drained(self, server: str) -> bool:
         """Return whether a server is shut out at all proxies of this coordinator, and no try is reported."""
         index = self._server_index.lookup(server)
-        return index is None or index not in self.desk.world.listed or self.desk.drained([index], self._now())
+        return (
+            index is None
+            or index not in self.controller.inventory.listed
+            or self.controller.drained([index], self._now())
+        )
 
     def is_held_out(self, server: str) -> bool:
         """Return whether a permit keeps that server out here."""
         index = self._server_index.lookup(server)
-        return index is not None and index in self.desk.permits
+        return index is not None and index in self.controller.permits
 
 
 def summarize_command(text: str) -> str:
-    """Return a command as one line for the ledger: of its payload only the number of lines."""
+    """Return a command as one line for the audit log: of its payload only the number of lines."""
     first, *payload = text.split("\n")
     return f"{first} of {len(payload)} lines" if payload else first
--- a/ambershift/coordinator/group/group_commands.py
+++ b/ambershift/coordinator/group/group_commands.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ambershift.coordinator.admin.words import Change
+from ambershift.coordinator.admin.types import Change
 from ambershift.coordinator.group.member import Member
 from ambershift.coordinator.group.status_rows import member_rows, permit_rows
 from ambershift.coordinator.promises.codec import Outcome, decode_outcome
--- a/ambershift/coordinator/group/member.py
+++ b/ambershift/coordinator/group/member.py
@@ -1,4 +1,4 @@
-"""A member of a group: joins replica, links, disk and desk.
+"""A member of a group: joins replica, links, disk and controller.
 
 It carries out the replica's effects in order, and decides nothing.
 """
--- a/ambershift/coordinator/group/observation_exchange.py
+++ b/ambershift/coordinator/group/observation_exchange.py
@@ -1,9 +1,9 @@
 """What a coordinator publishes of its servers, and how it uses what other members publish. No I/O.
 
-It stands between the server list and the desk, and between the proxies' reports and the decision module. What
-other members say only ever makes the module more careful, and only where it knows nothing itself: a server is
-at most colder than the list says, and others' attempts count only where no proxy of this coordinator made
-one lately. All rules, and the bound of the channel, remain the module's.
+It stands between the server list and the controller, and between the proxies' reports and the decision
+module. What other members say only ever makes the module more careful, and only where it knows nothing
+itself: a server is at most colder than the list says, and others' attempts count only where no proxy of this
+coordinator made one lately. All rules, and the bound of the channel, remain the module's.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import msgspec
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.mirror import Picture
+from ambershift.coordinator.admin.data_plane import DataPlaneState
 from ambershift.coordinator.group.observations import (
     KEY_SEPARATOR,
     SECOND,
@@ -115,7 +115,7 @@
             self.listed.pop(entry.server, None)
             self.later_starts.pop(entry.server, None)
             return entry
-        if later is None or entry.since != later:  # Else the desk repeats what it was told.
+        if later is None or entry.since != later:  # Else the controller repeats what it was told.
             self.listed[entry.server] = entry
             self._publish_start(now, entry)
         since = self._latest_start(now, self.listed[entry.server])
@@ -171,12 +171,12 @@
 
     # What is published and delivered, every second or so.
 
-    def exchange(self, now: int, picture: Picture) -> list[api.Event]:
+    def exchange(self, now: int, data_plane: DataPlaneState) -> list[api.Event]:
         """Publish what is due, and return events for the module, to be put like any other."""
         if now >= self._published_at + PUBLISH_INTERVAL_NS:
             self._published_at = now
             self.publish_traffic(now)
-            self._publish_levels_and_shares(now, picture)
+            self._publish_levels_and_shares(now, data_plane)
         self.failing, self.failing_for_some = failing_servers(self.store, now, MAX_OBSERVATION_AGE_NS)
         events: list[api.Event] = []
         if self._changed_starts:
@@ -268,21 +268,21 @@
             body = msgspec.msgpack.encode(observations)
             self._publish(now, RecordKind.ATTEMPT_STATS, f"{key}{KEY_SEPARATOR}{name}", body)
 
-    def _publish_levels_and_shares(self, now: int, picture: Picture) -> None:
+    def _publish_levels_and_shares(self, now: int, data_plane: DataPlaneState) -> None:
         """Publish the levels and shares of each zone, by the tables that its proxies use."""
         tables_by_zone = dict[int, set[int]]()
-        for seat in picture.seats.values():
-            if seat.table in picture.tables:
-                tables_by_zone.setdefault(seat.zone, set()).add(seat.table)
+        for proxy in data_plane.proxies.values():
+            if proxy.table in data_plane.tables:
+                tables_by_zone.setdefault(proxy.zone, set()).add(proxy.table)
         for zone, tables in tables_by_zone.items():
             if (name := self.names.zone(zone)) is None:
                 continue
-            levels = [level for (table, _), level in picture.levels.items() if table in tables]
+            levels = [level for (table, _), level in data_plane.levels.items() if table in tables]
             if levels:
                 lowest = min(int(again) for again, _ in levels), min(part for _, part in levels)
                 self._publish_if_new(now, RecordKind.ZONE_LEVEL, name, msgspec.msgpack.encode(lowest))
             weights = [
-                line.weight for table in tables for line in picture.tables[table].values() if line.weight
+                line.weight for table in tables for line in data_plane.tables[table].values() if line.weight
             ]
             share = msgspec.msgpack.encode((len(weights), round(sum(weights), 2)))
             self._publish_if_new(now, RecordKind.ZONE_SHARE, name, share)
--- a/ambershift/coordinator/group/service.py
+++ b/ambershift/coordinator/group/service.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ambershift.coordinator.admin.words import Refused
+from ambershift.coordinator.admin.types import Refused
 from ambershift.coordinator.group.command_validator import CommandValidator
 from ambershift.coordinator.group.desk_applier import DeskApplier
 from ambershift.coordinator.group.group_commands import GroupCommands
@@ -76,14 +76,18 @@
         server_index = coordinator.admission.server_index
         note = coordinator.event_log.record
         start = coordinator.config
-        self.desk_applier = DeskApplier(self.desk, server_index, self.now, spec.clock_ahead, self.moved)
+        self.desk_applier = DeskApplier(self.controller, server_index, self.now, spec.clock_ahead, self.moved)
         validator = CommandValidator(
-            self.desk, server_index, self.now, partial(_describe_refusal, self.scene), self._is_clock_skewed
+            self.controller,
+            server_index,
+            self.now,
+            partial(_describe_refusal, self.scene),
+            self._is_clock_skewed,
         )
         seed = start.seed ^ _stable_hash(spec.name)
         self.member = Member(spec, GroupStateMachine(validator), self.desk_applier, self.now, note, seed)
         gossip = self.member.gossip
-        gossip.count_steered = lambda: len(self.desk.mirror.picture.seats)
+        gossip.count_steered = lambda: len(self.controller.tracker.data_plane.proxies)
         self.observation_exchange = ObservationExchange(
             gossip.store, AdmittedNames(coordinator.admission), start.policy_settings.cold, self.now()
         )
@@ -93,7 +97,9 @@
         gossip.round_listeners.append(self._exchange_observations)
         self.commands = GroupCommands(self.member, server_index.ids.__getitem__)
         self.scene.common = self.commands
-        self.tap = GroupTap(self.desk, self.now, self.moved, self.desk_applier, self.observation_exchange)
+        self.tap = GroupTap(
+            self.controller, self.now, self.moved, self.desk_applier, self.observation_exchange
+        )
         limits = Limits(clock_bound_ns=spec.clock_bound, warmup_ns=start.policy_settings.cold)
         if isinstance(root.maintenance, MaintenanceBlock):
             limits = limits._replace(drain_ns=duration(root.maintenance.drain) or limits.drain_ns)
@@ -119,14 +125,14 @@
         )
 
     def _exchange_observations(self, now: int) -> None:
-        if now >= self._exchanged_at + EXCHANGE_INTERVAL_NS and not self.desk.stopping:
+        if now >= self._exchanged_at + EXCHANGE_INTERVAL_NS and not self.controller.stopping:
             self._exchanged_at = now
-            for event in self.observation_exchange.exchange(now, self.desk.mirror.picture):
+            for event in self.observation_exchange.exchange(now, self.controller.tracker.data_plane):
                 self.coordinator.policy_driver.submit(event)
 
     def _server_standings(self) -> dict[str, Standing]:
         return standings(
-            self.desk,
+            self.controller,
             self.coordinator.admission.server_index,
             self.scene.zone_name,
             self.now(),
--- a/ambershift/coordinator/group/standings.py
+++ b/ambershift/coordinator/group/standings.py
@@ -1,4 +1,4 @@
-"""How each listed server stands for maintenance, by this member's desk and by the others' records."""
+"""How each listed server stands for maintenance, by this member's controller and by the others' records."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.desk import Desk
-from ambershift.coordinator.admin.mirror import NEVER_SHUT
+from ambershift.coordinator.admin.controller import AdminController
+from ambershift.coordinator.admin.data_plane import NEVER_WITHDRAWN
 from ambershift.coordinator.maintenance.types import Standing, Trouble
 from ambershift.id_index import IdIndex
 
@@ -27,7 +27,7 @@
 
 
 def standings(
-    desk: Desk,
+    controller: AdminController,
     server_index: IdIndex[str],
     zone_name: Callable[[int], str],
     now: int,
@@ -35,11 +35,11 @@
 ) -> dict[str, Standing]:
     """Return the standing of each listed server by its id; being kept out by a permit alone is no trouble."""
     result = dict[str, Standing]()
-    for server, entry in desk.world.listed.items():
+    for server, entry in controller.inventory.listed.items():
         name = server_index.ids.get(server)
         if name is None:
             continue
-        trouble, warm_at = _local_trouble(desk, server, entry, now), desk.warmth.warm_at(entry)
+        trouble, warm_at = _local_trouble(controller, server, entry, now), controller.warmth.warm_at(entry)
         if trouble in (None, Trouble.COLD):
             if observations.failing(name):
                 trouble = Trouble.ILL
@@ -48,7 +48,7 @@
         result[name] = Standing(
             name,
             zone_name(entry.zone),
-            _weight(desk, server, entry),
+            _weight(controller, server, entry),
             trouble,
             warm_at if warm_at > now else 0,
             observations.interfered(name),
@@ -56,25 +56,25 @@
     return result
 
 
-def _local_trouble(desk: Desk, server: int, entry: api.Entry, now: int) -> Trouble | None:
-    """Return the trouble of a server by this member's desk alone."""
+def _local_trouble(controller: AdminController, server: int, entry: api.Entry, now: int) -> Trouble | None:
+    """Return the trouble of a server by this member's controller alone."""
     if entry.phase != api.Phase.READY or entry.weight <= 0:
         return Trouble.LISTED_OUT
-    if desk.world.own(server).severity:
+    if controller.inventory.operator_override(server).severity:
         return Trouble.WISHED_OUT
-    told = desk.told.get(server)
+    told = controller.sent_entries.get(server)
     if told is None:
         return Trouble.UNKNOWN
     # The module was told that it is ready, and shut it out: it does so with servers that fail.
     if (
         told.phase == api.Phase.READY
-        and desk.mirror.picture.shut.get(server, NEVER_SHUT).out
-        and (server not in desk.waiting)
+        and controller.tracker.data_plane.withdrawals.get(server, NEVER_WITHDRAWN).out
+        and (server not in controller.pending)
     ):
         return Trouble.ILL
-    return None if desk.warmth.warm(entry, now) else Trouble.COLD
+    return None if controller.warmth.warm(entry, now) else Trouble.COLD
 
 
-def _weight(desk: Desk, server: int, entry: api.Entry) -> float:
-    wish = desk.world.own(server)
+def _weight(controller: AdminController, server: int, entry: api.Entry) -> float:
+    wish = controller.inventory.operator_override(server)
     return entry.weight if wish.weight is None else wish.weight.of(entry.weight)
--- a/ambershift/coordinator/group/tap.py
+++ b/ambershift/coordinator/group/tap.py
@@ -1,11 +1,11 @@
-"""Passes a coordinator's events through the observation exchange, and then to the desk."""
+"""Passes a coordinator's events through the observation exchange, and then to the controller."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.admin.controller import AdminController
 from ambershift.coordinator.group.desk_applier import DeskApplier
 from ambershift.coordinator.group.observation_exchange import ObservationExchange
 from ambershift.coordinator.routing.admission import Admission
@@ -13,29 +13,30 @@
 
 
 class GroupTap(DeskTap):
-    """The desk's tap in a coordinator with a group.
+    """The controller's tap in a coordinator with a group.
 
-    Of a server that no list had before, the desk learns the group's wishes and permits before it is listed.
+    Of a server that no list had before, the controller learns the group's wishes and permits before it is
+    listed.
     """
 
     def __init__(
         self,
-        desk: Desk,
+        controller: AdminController,
         now: Callable[[], int],
         on_change: Callable[[], None],
         applier: DeskApplier,
         exchange: ObservationExchange,
     ) -> None:
-        """Join the desk, the applier of the group's state and the exchange.
+        """Join the controller, the applier of the group's state and the exchange.
 
         Args:
-            desk: The desk.
+            controller: The controller.
             now: Its clock, ns.
-            on_change: Called when the desk may have something new to tell.
-            applier: Hands the desk the group's wishes and permits.
+            on_change: Called when the controller may have something new to tell.
+            applier: Hands the controller the group's wishes and permits.
             exchange: Adds what other members know to lists, and counts reports.
         """
-        super().__init__(desk, now, on_change)
+        super().__init__(controller, now, on_change)
         self._applier = applier
         self._exchange = exchange
 
--- a/ambershift/coordinator/promises/state.py
+++ b/ambershift/coordinator/promises/state.py
@@ -7,7 +7,7 @@
 import msgspec
 from rpds import HashTrieMap
 
-from ambershift.coordinator.admin.words import AS_LISTED, Health, Origin, Standing, State, Weight
+from ambershift.coordinator.admin.types import NO_OVERRIDE, Health, Origin, ServerOverride, State, Weight
 from ambershift.coordinator.maintenance.types import Declared, Permit, Phase
 
 FORMAT_VERSION = 1
@@ -72,7 +72,7 @@
         unreadable_count: How many there were.
     """
 
-    wishes: HashTrieMap[str, Standing]
+    wishes: HashTrieMap[str, ServerOverride]
     declared: Declared
     permits: HashTrieMap[str, OpenPermit]
     history: HashTrieMap[tuple[str, str], ServerHistory]
@@ -82,9 +82,9 @@
     unreadable: tuple[UnreadableCommand, ...]
     unreadable_count: int
 
-    def wish(self, server: str) -> Standing:
+    def wish(self, server: str) -> ServerOverride:
         """Return what operators want of a server."""
-        return self.wishes.get(server, AS_LISTED)
+        return self.wishes.get(server, NO_OVERRIDE)
 
     def held_out(self, at: int) -> dict[str, Permit]:
         """Return the servers that permits keep out for a member whose wall clock shows `at`, sorted by id.
@@ -178,7 +178,7 @@
     try:
         packed = _DECODER.decode(data)
         wishes = {
-            server: Standing(State(state), Health(health), weight and Weight(*weight), Origin(*origin))
+            server: ServerOverride(State(state), Health(health), weight and Weight(*weight), Origin(*origin))
             for server, state, health, weight, origin in packed.wishes
         }
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
--- a/ambershift/coordinator/promises/state_machine.py
+++ b/ambershift/coordinator/promises/state_machine.py
@@ -8,8 +8,17 @@
 import msgspec
 from rpds import HashTrieMap
 
-from ambershift.coordinator.admin.wants import wanted, weighable
-from ambershift.coordinator.admin.words import AS_LISTED, NEVER, Change, Health, Origin, Reason, State, Weight
+from ambershift.coordinator.admin.changes import apply_change, is_weight_in_range
+from ambershift.coordinator.admin.types import (
+    NO_ORIGIN,
+    NO_OVERRIDE,
+    Change,
+    Health,
+    Origin,
+    Reason,
+    State,
+    Weight,
+)
 from ambershift.coordinator.maintenance.types import Phase, Refusal
 from ambershift.coordinator.maintenance.validation import find_declaration_error
 from ambershift.coordinator.promises.codec import (
@@ -41,14 +50,14 @@
 )
 from ambershift.coordinator.replication.types import Entry
 
-MAX_WISHES = 20_000  # As many as the desk lets wait; a fleet has fewer servers.
+MAX_WISHES = 20_000  # As many as the controller lets wait; a fleet has fewer servers.
 MAX_UNREADABLE_COMMANDS = 256  # Kept in the state; the count goes on.
 # A grant that was decided longer ago is refused: servers may have failed meanwhile.
 MAX_GRANT_AGE_NS = 10_000_000_000
 NO_HISTORY = ServerHistory(0, False, 0)
 
 # Called only by the leader, before it appends a command, for checks that need more than the log, such as
-# those of the desk. Returns a refusal, or None to accept.
+# those of the controller. Returns a refusal, or None to accept.
 Guard = Callable[[GroupState, int, Command], Outcome | None]
 
 
@@ -152,7 +161,7 @@
 
 
 def to_desk_change(server_wish: WishOne) -> Change | None:
-    """Return the change for the desk, without its server; None if a value is invalid."""
+    """Return the change for the controller, without its server; None if a value is invalid."""
     try:
         state = None if server_wish.state is None else State(server_wish.state)
         health = None if server_wish.health is None else Health(server_wish.health)
@@ -172,22 +181,23 @@
             return state, refused(
                 CommandRefusal.BAD_WISH, f"no wish that a server can have: {server_wish!r:.200}"
             )
-        if not weighable(change):
+        if not is_weight_in_range(change):
             return state, refused(Reason.WEIGHT_OUT_OF_RANGE, server_wish.server)
-        old = wishes.get(server_wish.server, AS_LISTED)
-        wishes = wishes.insert(server_wish.server, wanted(old, change)._replace(origin=origin))
+        old = wishes.get(server_wish.server, NO_OVERRIDE)
+        wishes = wishes.insert(server_wish.server, apply_change(old, change)._replace(origin=origin))
     # An equal wish is no change, so that a command that is sent twice takes effect once.
     named = dict.fromkeys(server_wish.server for server_wish in command.changes)
     changed = tuple(
         server
         for server in named
-        if wishes.get(server, AS_LISTED)._replace(origin=NEVER) != state.wish(server)._replace(origin=NEVER)
+        if wishes.get(server, NO_OVERRIDE)._replace(origin=NO_ORIGIN)
+        != state.wish(server)._replace(origin=NO_ORIGIN)
     )
     for server in named:
         old = state.wish(server)
-        new = wishes.get(server, AS_LISTED) if server in changed else old
+        new = wishes.get(server, NO_OVERRIDE) if server in changed else old
         # Wishes that are as listed are removed: over years, ids come and go.
-        is_as_listed = new._replace(origin=NEVER) == AS_LISTED
+        is_as_listed = new._replace(origin=NO_ORIGIN) == NO_OVERRIDE
         wishes = wishes.discard(server) if is_as_listed else wishes.insert(server, new)
     if not changed:
         return state, Outcome(True, number=state.command_count)
--- a/ambershift/coordinator/runtime/changes.py
+++ b/ambershift/coordinator/runtime/changes.py
@@ -4,9 +4,9 @@
 
 import re
 
+from ambershift.coordinator.admin.changes import MAX_RELATIVE_WEIGHT, MAX_WEIGHT
+from ambershift.coordinator.admin.types import Change, Health, Reason, Refused, State, Weight
 from ambershift.coordinator.admin.view import View
-from ambershift.coordinator.admin.wants import PART_MOST, WEIGHT_MOST
-from ambershift.coordinator.admin.words import Change, Health, Reason, Refused, State, Weight
 from ambershift.coordinator.runtime.scene import Scene
 
 STATES = {"ready": State.READY, "drain": State.DRAIN, "maint": State.MAINT}
@@ -46,7 +46,7 @@
             raise BadCommandError(f"No servers in backend '{backend}'.")
         return members
     server = scene.door.lookup(name)
-    if server is None or server not in view.world.listed or view.world.listed[server].zone != zone:
+    if server is None or server not in view.inventory.listed or view.inventory.listed[server].zone != zone:
         raise BadCommandError(f"No such server '{name}' in backend '{backend}'.")
     return [server]
 
@@ -65,10 +65,10 @@
     if not FIGURE.fullmatch(digits) or len(digits) > FIGURE_LONGEST:
         raise BadCommandError(f"Trailing garbage in weight string '{text[:40]}'.")
     if relative:
-        if float(digits) / 100 > PART_MOST:
+        if float(digits) / 100 > MAX_RELATIVE_WEIGHT:
             raise BadCommandError("Relative weight can only be between 0 and 100% inclusive.")
         return None if float(digits) / 100 == 1 else Weight(float(digits) / 100, True)
-    if float(digits) > WEIGHT_MOST:
+    if float(digits) > MAX_WEIGHT:
         raise BadCommandError("Absolute weight can only be between 0 and 256 inclusive.")
     return Weight(float(digits), False)
 
@@ -125,7 +125,7 @@
 
 
 def why_refused(scene: Scene, view: View, refused: Refused) -> str:
-    known = refused.server in view.world.listed
+    known = refused.server in view.inventory.listed
     server = scene.title(view, refused.server) if known else f"server {refused.server}"
     texts = {
         Reason.NO_SUCH_SERVER: "no such server",
--- a/ambershift/coordinator/runtime/changing.py
+++ b/ambershift/coordinator/runtime/changing.py
@@ -7,8 +7,8 @@
 import orjson
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.ledger import Reused
-from ambershift.coordinator.admin.words import Change, Refused
+from ambershift.coordinator.admin.audit_log import TokenReused
+from ambershift.coordinator.admin.types import Change, Refused
 from ambershift.coordinator.runtime import lookup
 from ambershift.coordinator.runtime.changes import BadCommandError, named, read_changes, tell_refused
 from ambershift.coordinator.runtime.common import Common
@@ -42,7 +42,7 @@
     def carry_out(self, session: Session, command: Command, text: str, changes: list[Change]) -> Outcome:
         """`text` is for records; a group is told the whole, as a token must come with the same again."""
         scene = self.scene
-        if scene.common is not None and not scene.desk.stopping:
+        if scene.common is not None and not scene.controller.stopping:
             return Promise(
                 partial(
                     scene.common.promise,
@@ -53,7 +53,7 @@
                     session.idle or WAIT,
                 )
             )
-        outcome = scene.desk.command(scene.now(), session.who, text, changes)
+        outcome = scene.controller.command(scene.now(), session.who, text, changes)
         if isinstance(outcome, Refused):
             return error(tell_refused(scene, scene.view(), outcome))
         return DONE
@@ -83,20 +83,23 @@
             raise BadCommandError("'once' is for commands that change servers.")
         if session.level < found[0].level:
             return error("Permission denied")
-        ledger, inner = self.scene.desk.ledger, Command(words, " ".join(words), command.payload, token)
-        if self.scene.common is not None and not self.scene.desk.stopping:
+        audit_log, inner = (
+            self.scene.controller.audit_log,
+            Command(words, " ".join(words), command.payload, token),
+        )
+        if self.scene.common is not None and not self.scene.controller.stopping:
             return self.once_in_group(self.scene.common, session, inner)
         key = orjson.dumps([*words, command.payload]).decode()
         try:
-            known = ledger.answered(token, key)
-        except Reused:
+            known = audit_log.earlier_answer(token, key)
+        except TokenReused:
             raise BadCommandError("this token was used for another command.") from None
         if known is not None:
             return error(known) if known else DONE
         outcome = self.run(session, inner)
         assert isinstance(outcome, Answer)
         text = "\n".join(outcome.lines)
-        ledger.keep(token, key, text)
+        audit_log.remember_answer(token, key, text)
         return error(text) if text else DONE
 
     def once_in_group(self, common: Common, session: Session, inner: Command) -> Outcome:
@@ -126,17 +129,17 @@
             return Wait(until, None)
         if len(rest) != 3:
             raise BadCommandError("'wait <delay> <condition>' takes one backend/server.")
-        servers, desk = named(scene, view, rest[2]), scene.desk
+        servers, controller = named(scene, view, rest[2]), scene.controller
         match rest[1]:
             case "srv-applied":
-                return Wait(until, lambda: desk.applied(servers))
+                return Wait(until, lambda: controller.applied(servers))
             case "srv-drained":
-                return Wait(until, lambda: desk.drained(servers, scene.now()))
+                return Wait(until, lambda: controller.drained(servers, scene.now()))
             case "srv-removable":
                 return Wait(
                     until,
                     lambda: (
-                        desk.drained(servers, scene.now())
+                        controller.drained(servers, scene.now())
                         and all(
                             scene.entry(scene.view(), server).phase != api.Phase.READY for server in servers
                         )
@@ -149,7 +152,9 @@
     def do_clear_counters(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
         scene = self.scene
         scene.base = dict(scene.counts)
-        scene.met_base = {server: (met.tries, met.bad) for server, met in scene.view().picture.met.items()}
+        scene.met_base = {
+            server: (met.attempts, met.failures) for server, met in scene.view().data_plane.traffic.items()
+        }
         return DONE
 
 
--- a/ambershift/coordinator/runtime/common.py
+++ b/ambershift/coordinator/runtime/common.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Sequence
 from typing import Any, Protocol
 
-from ambershift.coordinator.admin.words import Change
+from ambershift.coordinator.admin.types import Change
 from ambershift.coordinator.runtime.outcomes import Answer
 
 Rows = list[dict[str, Any]]
--- a/ambershift/coordinator/runtime/front.py
+++ b/ambershift/coordinator/runtime/front.py
@@ -1,4 +1,4 @@
-"""The front: joins the desk to a running coordinator, and serves the sockets. It decides nothing."""
+"""The front: joins the controller to a running coordinator, and serves the sockets. It decides nothing."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from functools import partial
 
-from ambershift.coordinator.admin.desk import Desk
+from ambershift.coordinator.admin.controller import AdminController
 from ambershift.coordinator.program.assembly import Coordinator
 from ambershift.coordinator.program.configuration import ConfigurationError
 from ambershift.coordinator.routing.tap import Tap
@@ -39,11 +39,11 @@
     ) -> None:
         self.coordinator, self.spots, self.idle = coordinator, spots, idle
         start, admit, self.now = coordinator.config, coordinator.admission, coordinator.clock.now
-        self.desk = Desk(start.policy_settings.cold, start.policy_settings.report_period)
-        self.tap: Tap = DeskTap(self.desk, self.now, self.moved)
+        self.controller = AdminController(start.policy_settings.cold, start.policy_settings.report_period)
+        self.tap: Tap = DeskTap(self.controller, self.now, self.moved)
         relay = coordinator.relay_client
         self.scene = Scene(
-            self.desk,
+            self.controller,
             start.front_settings,
             admit.server_index,
             admit.addresses,
@@ -96,7 +96,7 @@
         self.listener.stop_accepting()
         if self.timer:
             self.timer.cancel()
-        if (event := self.desk.flush(self.now())) is not None:
+        if (event := self.controller.flush(self.now())) is not None:
             self.coordinator.policy_driver.submit(event)
         self.wake()
         clock = asyncio.get_running_loop().time
@@ -118,12 +118,12 @@
             one.remove()
             one.socket.close()
 
-    # What moves the desk
+    # What moves the controller
 
     def moved(self) -> None:
-        """Something came that answers may wait for, or that changes when the desk wants to be heard."""
+        """Something came that answers may wait for, or that changes when the controller wants to be heard."""
         self.wake()
-        if (at := self.desk.next_at(self.now())) is not None:
+        if (at := self.controller.next_at(self.now())) is not None:
             self.arm(at)
 
     def arm(self, at: int) -> None:
@@ -136,11 +136,11 @@
 
     def ring(self) -> None:
         self.timer = None
-        if self.desk.stopping:
+        if self.controller.stopping:
             return
-        if (event := self.desk.due(self.now())) is not None:
+        if (event := self.controller.due(self.now())) is not None:
             self.coordinator.policy_driver.submit(event)
-        if (at := self.desk.next_at(self.now())) is not None:
+        if (at := self.controller.next_at(self.now())) is not None:
             self.arm(at)
 
     def wake(self) -> None:
--- a/ambershift/coordinator/runtime/reading.py
+++ b/ambershift/coordinator/runtime/reading.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from ambershift.coordinator.admin.ledger import Record
+from ambershift.coordinator.admin.audit_log import AuditRecord
 from ambershift.coordinator.admin.view import View
 from ambershift.coordinator.runtime import figures, show, stat
 from ambershift.coordinator.runtime.changes import BadCommandError, named
@@ -111,7 +111,7 @@
         return Answer(
             [
                 f"{figures.figure(self.scene.entry(view, server).weight)} "
-                f"(initial {figures.figure(view.world.listed[server].weight)})"
+                f"(initial {figures.figure(view.inventory.listed[server].weight)})"
                 for server in named(self.scene, view, rest[0])
             ]
         )
@@ -140,8 +140,8 @@
 
     def do_show_tables(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
         view, words, json = self.scene.view(), [word for word in rest if word != "json"], "json" in rest
-        tables = sorted(view.picture.tables) if not words else [self.number(words[0])]
-        if len(words) > 1 or any(table not in view.picture.tables for table in tables):
+        tables = sorted(view.data_plane.tables) if not words else [self.number(words[0])]
+        if len(words) > 1 or any(table not in view.data_plane.tables for table in tables):
             return error("No such table.")
         names = ("table", "proxies", "server", "weight", "shut", "reply", "settled")
         return Answer(figures.rows(show.table_rows(self.scene, view, tables), names, json))
@@ -170,25 +170,25 @@
             return Answer(
                 (
                     "Supported events sinks are listed below. Add -w (wait), -n (new). Any key to stop.",
-                    f"    admin          : {self.scene.desk.ledger.count} records, 0 dropped",
+                    f"    admin          : {self.scene.controller.audit_log.count} records, 0 dropped",
                 )
             )
         if flags - {"w", "n"} or words not in ([], ["admin"]):
             return error("'show events' knows the sink 'admin' and the flags -w and -n.")
-        ledger = self.scene.desk.ledger
+        audit_log = self.scene.controller.audit_log
         if "w" in flags:
-            return Stream(ledger.count if "n" in flags else 0)
-        return Answer(() if "n" in flags else [self.record(one) for one in ledger.records])
+            return Stream(audit_log.count if "n" in flags else 0)
+        return Answer(() if "n" in flags else [self.record(one) for one in audit_log.records])
 
     def do_show_errors(self, session: Session, command: Command, rest: tuple[str, ...]) -> Answer:
-        errors = list(self.scene.desk.ledger.errors)
+        errors = list(self.scene.controller.audit_log.errors)
         if len(rest) > 1:
             raise BadCommandError("At most a count may stand here.")
         if rest:
             errors = errors[-max(1, self.number(rest[0])) :]
         return Answer([self.record(one) for one in errors])
 
-    def record(self, one: Record) -> str:
+    def record(self, one: AuditRecord) -> str:
         text = one.text
         if one.kind in ("lent", "returned"):
             text = self.scene.title(self.scene.view(), int(text.removeprefix("server ")))
--- a/ambershift/coordinator/runtime/serving.py
+++ b/ambershift/coordinator/runtime/serving.py
@@ -6,9 +6,9 @@
 import contextlib
 from collections.abc import Callable, Iterable
 
-from ambershift.coordinator.admin.desk import Desk
-from ambershift.coordinator.admin.ledger import Ledger
-from ambershift.coordinator.admin.pace import QUIET
+from ambershift.coordinator.admin.audit_log import AuditLog
+from ambershift.coordinator.admin.batching import BATCH_QUIET_NS
+from ambershift.coordinator.admin.controller import AdminController
 from ambershift.coordinator.runtime import places
 from ambershift.coordinator.runtime.execute import Executor
 from ambershift.coordinator.runtime.grammar import Command, GrammarError
@@ -28,7 +28,7 @@
 class Serving:
     """`idle` is how many nanoseconds a connection may say nothing."""
 
-    desk: Desk
+    controller: AdminController
     scene: Scene
     executor: Executor
     listener: Listener
@@ -52,7 +52,7 @@
         self.scene.connections = len(self.sessions)
         self.scene.accepted += 1
         try:
-            while not self.desk.stopping:
+            while not self.controller.stopping:
                 for line in await link.read_lines((session.idle or self.idle) / SECOND):
                     if not await self.line(link, session, line):
                         await self.linger(link)
@@ -110,8 +110,8 @@
                 await self.stream(link, session, outcome)
                 return False
             case Answer():
-                if self.desk.pace.waiting:
-                    self.arm(self.now() + QUIET)
+                if self.controller.batcher.waiting:
+                    self.arm(self.now() + BATCH_QUIET_NS)
                 await self.send(link, session, outcome)
         return True
 
@@ -119,7 +119,7 @@
         while self.now() < wait.until:
             if wait.done is not None and wait.done():
                 return Answer(("Done.",), Severity.INFO)
-            if self.desk.stopping:
+            if self.controller.stopping:
                 return Answer(("Interrupted: the coordinator ends.",), Severity.ERROR)
             if link.writer.is_closing() or (session.interactive and link.closed_by_peer()):
                 raise DisconnectedError(DisconnectReason.IDLE)
@@ -134,21 +134,21 @@
         )
 
     async def stream(self, link: Link, session: Session, stream: Stream) -> None:
-        after, ledger = stream.after, self.desk.ledger
+        after, audit_log = stream.after, self.controller.audit_log
         # Any key ends it; one-shot clients may have closed their side and still listen.
         key = asyncio.ensure_future(link.read_lines(None)) if session.interactive else None
         try:
-            await self.follow(link, ledger, after, key)
+            await self.follow(link, audit_log, after, key)
         finally:
             if key is not None:
                 key.cancel()
                 await asyncio.gather(key, return_exceptions=True)
 
     async def follow(
-        self, link: Link, ledger: Ledger, after: int, key: asyncio.Future[list[bytes]] | None
+        self, link: Link, audit_log: AuditLog, after: int, key: asyncio.Future[list[bytes]] | None
     ) -> None:
-        while not (self.desk.stopping or link.writer.is_closing() or (key and key.done())):
-            fresh = [one for one in ledger.records if one.number > after]
+        while not (self.controller.stopping or link.writer.is_closing() or (key and key.done())):
+            fresh = [one for one in audit_log.records if one.number > after]
             if fresh:
                 if fresh[0].number > after + 1 and after:
                     await link.write(
--- a/ambershift/coordinator/runtime/show.py
+++ b/ambershift/coordinator/runtime/show.py
@@ -8,9 +8,9 @@
 import orjson
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.mirror import NEVER_SHUT
+from ambershift.coordinator.admin.data_plane import NEVER_WITHDRAWN
+from ambershift.coordinator.admin.types import Health, Stage
 from ambershift.coordinator.admin.view import View
-from ambershift.coordinator.admin.words import Health, Stage
 from ambershift.coordinator.runtime.figures import (
     SECOND,
     Field,
@@ -25,7 +25,7 @@
 def info(scene: Scene) -> list[Field]:
     view, relaying = scene.view(), scene.relaying()
     uptime = (view.now - scene.started) // SECOND
-    phases = [scene.entry(view, server).phase for server in view.world.listed]
+    phases = [scene.entry(view, server).phase for server in view.inventory.listed]
     return [
         Field("Name", "POS", "ambershift"),
         Field("Version", "POS", scene.version),
@@ -42,27 +42,27 @@
         Field("Memmax_MB", "CLP", scene.memory_mb),
         Field("CurrConns", "MGP", scene.connections),
         Field("CumConns", "MCP", scene.accepted),
-        Field("Stopping", "SGP", int(scene.desk.stopping)),
+        Field("Stopping", "SGP", int(scene.controller.stopping)),
         Field("node", "CGS", scene.node),
         Field("Zones", "CGS", len(scene.names.zones)),
         Field("Traffic_groups", "CGS", scene.groups),
         Field("Servers", "SGP", len(phases)),
         Field("Servers_ready", "SGP", sum(phase == api.Phase.READY for phase in phases)),
         Field("Servers_draining", "SGP", sum(phase == api.Phase.DRAINING for phase in phases)),
-        Field("Servers_lent", "SGP", len(view.world.lent)),
-        Field("Proxies_joined", "SGP", len(view.picture.seats)),
+        Field("Servers_lent", "SGP", len(view.inventory.lent)),
+        Field("Proxies_joined", "SGP", len(view.data_plane.proxies)),
         Field(
             "Wishes_standing",
             "SGP",
-            sum(bool(one.severity) or one.weight is not None for one in view.world.standing.values()),
+            sum(bool(one.severity) or one.weight is not None for one in view.inventory.overrides.values()),
         ),
-        Field("Wishes_pending", "SGP", len(scene.desk.sweep(view.now))),
-        Field("Commands_accepted", "MCP", scene.desk.commands),
+        Field("Wishes_pending", "SGP", len(scene.controller.sweep(view.now))),
+        Field("Commands_accepted", "MCP", scene.controller.commands),
         Field("State_version", "SCP", view.version),
         Field("Relay_address", "CGS", relaying.address),
         Field("Relay_calls_waiting", "SGP", relaying.calls),
-        Field("Replies_ordered", "MCP", view.picture.reply),
-        Field("Replies_settled", "MCP", view.picture.settled),
+        Field("Replies_ordered", "MCP", view.data_plane.reply),
+        Field("Replies_settled", "MCP", view.data_plane.settled),
         Field("Steps", "MCP", scene.count("steps")),
         Field("Slow_steps", "MCP", scene.count("slow_step")),
     ]
@@ -82,10 +82,10 @@
 
 def pending_rows(scene: Scene, view: View, servers: list[int]) -> Iterator[dict[str, Any]]:
     for server in servers:
-        told, reached = view.waiting.get(server), view.stage(server)
+        told, reached = view.pending.get(server), view.stage(server)
         if told is None or reached in (None, Stage.APPLIED):
             continue
-        origin = view.world.wish(server).origin
+        origin = view.inventory.override(server).origin
         yield {
             "server": scene.title(view, server),
             "stage": Stage(reached or 0).name.lower(),
@@ -97,7 +97,7 @@
 
 
 def wish_words(view: View, server: int) -> str:
-    wish = view.world.wish(server)
+    wish = view.inventory.override(server)
     parts = [wish.state.name.lower()]
     if wish.health is not Health.UP:
         parts.append(f"health={wish.health.name.lower()}")
@@ -109,7 +109,7 @@
 
 def standing_rows(scene: Scene, view: View, servers: list[int]) -> Iterator[dict[str, Any]]:
     for server in servers:
-        wish, lent = view.world.standing.get(server), view.world.lent.get(server)
+        wish, lent = view.inventory.overrides.get(server), view.inventory.lent.get(server)
         if wish is not None:
             yield {
                 "server": scene.title(view, server),
@@ -123,16 +123,16 @@
 
 
 def table_rows(scene: Scene, view: View, tables: list[int]) -> Iterator[dict[str, Any]]:
-    used = [seat.table for seat in view.picture.seats.values()]
+    used = [proxy.table for proxy in view.data_plane.proxies.values()]
     for table in tables:
-        for server, line in sorted(view.picture.tables[table].items()):
+        for server, line in sorted(view.data_plane.tables[table].items()):
             if line.weight:
                 yield {
                     "table": table,
                     "proxies": used.count(table),
                     "server": scene.title(view, server),
                     "weight": line.weight,
-                    "shut": view.picture.shut.get(server, NEVER_SHUT).out,
+                    "shut": view.data_plane.withdrawals.get(server, NEVER_WITHDRAWN).out,
                     "reply": line.reply,
-                    "settled": line.reply <= view.picture.settled,
+                    "settled": line.reply <= view.data_plane.settled,
                 }
--- a/ambershift/coordinator/runtime/stat.py
+++ b/ambershift/coordinator/runtime/stat.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.mirror import NEVER_SHUT, NOTHING_MET
+from ambershift.coordinator.admin.data_plane import NEVER_WITHDRAWN, NO_TRAFFIC
+from ambershift.coordinator.admin.types import Health, State
 from ambershift.coordinator.admin.view import View
-from ambershift.coordinator.admin.words import Health, State
 from ambershift.coordinator.runtime.figures import (
     SECOND,
     Field,
@@ -112,21 +112,21 @@
 
 def tally(scene: Scene, view: View, server: int) -> tuple[int, int, int]:
     """Tries, bad ones and mean time in ms, since counters were cleared."""
-    met, (tries, bad) = view.picture.met.get(server, NOTHING_MET), scene.met_base.get(server, (0, 0))
-    good = met.tries - met.bad
-    return met.tries - tries, met.bad - bad, met.good_time // good // 1_000_000 if good else 0
+    met, (tries, bad) = view.data_plane.traffic.get(server, NO_TRAFFIC), scene.met_base.get(server, (0, 0))
+    good = met.attempts - met.failures
+    return met.attempts - tries, met.failures - bad, met.success_time // good // 1_000_000 if good else 0
 
 
 def last_change(view: View, server: int) -> int:
     """Seconds since the operator's word on this server changed last; -1 where it never did."""
-    at = view.world.wish(server).origin.at
+    at = view.inventory.override(server).origin.at
     return max(0, view.now - at) // SECOND if at else -1
 
 
 def server_row(scene: Scene, view: View, server: int) -> dict[str, Value]:
-    listed, entry = view.world.listed[server], scene.entry(view, server)
+    listed, entry = view.inventory.listed[server], scene.entry(view, server)
     tries, bad, mean = tally(scene, view, server)
-    met = view.picture.met.get(server, NOTHING_MET)
+    met = view.data_plane.traffic.get(server, NO_TRAFFIC)
     row: dict[str, Value] = {
         "pxname": scene.zone_name(listed.zone),
         "svname": scene.door.ids[server],
@@ -145,8 +145,8 @@
     }
     if (part := scene.warm_part(view, server)) < 1.0:
         row["throttle"] = int(100 * part)
-    if met.tried_at:
-        row["lastsess"] = (view.now - met.tried_at) // SECOND
+    if met.last_attempt_at:
+        row["lastsess"] = (view.now - met.last_attempt_at) // SECOND
     if (since := last_change(view, server)) >= 0:
         row["lastchg"] = since
     return row
@@ -235,14 +235,20 @@
     """HAProxy's operational state (0 stopped, 1 starting, 2 running, 3 stopping) and its administrative
     bits.
     """
-    listed, wish, entry = view.world.listed[server], view.world.wish(server), scene.entry(view, server)
+    listed, wish, entry = (
+        view.inventory.listed[server],
+        view.inventory.override(server),
+        scene.entry(view, server),
+    )
     bits = (
         FORCED_MAINT * (wish.state is State.MAINT)
         | FORCED_DRAIN * (wish.state is State.DRAIN)
         | LIST_DRAIN * (listed.phase == api.Phase.DRAINING)
         | LIST_GONE * (listed.phase == api.Phase.GONE)
     )
-    if (bits & (FORCED_MAINT | LIST_GONE) and server not in view.world.lent) or wish.health is Health.DOWN:
+    if (
+        bits & (FORCED_MAINT | LIST_GONE) and server not in view.inventory.lent
+    ) or wish.health is Health.DOWN:
         return 0, bits
     if entry.phase != api.Phase.READY:
         return 3, bits
@@ -258,7 +264,7 @@
             running, bits = states(scene, view, server)
             host, _, port = scene.addresses.get(server, "").rpartition(":")
             weight = figure(scene.entry(view, server).weight)
-            listed = figure(view.world.listed[server].weight)
+            listed = figure(view.inventory.listed[server].weight)
             yield (
                 f"{zone + 2} {scene.zone_name(zone)} {server + 1} {scene.door.ids[server]} {host or '-'} "
                 f"{running} "
@@ -274,11 +280,11 @@
     for zone in zones:
         for server in scene.servers(view, zone):
             tries, bad, mean = tally(scene, view, server)
-            met = view.picture.met.get(server, NOTHING_MET)
+            met = view.data_plane.traffic.get(server, NO_TRAFFIC)
             host, _, port = scene.addresses.get(server, "").rpartition(":")
-            out = view.picture.shut.get(server, NEVER_SHUT).out
-            lines = sum(bool(line.weight) for line in view.picture.lines(server).values())
-            last = (view.now - met.tried_at) // SECOND if met.tried_at else -1
+            out = view.data_plane.withdrawals.get(server, NEVER_WITHDRAWN).out
+            lines = sum(bool(line.weight) for line in view.data_plane.lines(server).values())
+            last = (view.now - met.last_attempt_at) // SECOND if met.last_attempt_at else -1
             yield (
                 f"{scene.title(view, server)} {zone + 2}/{server + 1} {host or '-'} {port or 0} - "
                 f"{tries} {bad} "
--- a/ambershift/modelcheck/models/admin.py
+++ b/ambershift/modelcheck/models/admin.py
@@ -1,5 +1,5 @@
-"""The operator's desk, the row and a relay that is cut off, with two clients, repeats and a list that loses
-servers.
+"""The operator's controller, the row and a relay that is cut off, with two clients, repeats and a list that
+loses servers.
 
 Driven: all of `admin/`, and `coordinator/routing/row.py`. The module between them is a plain one that
 orders what its entries say, at once; the real one is in the world `policy`.
@@ -12,8 +12,8 @@
 from typing import Any, NamedTuple
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.desk import Desk
-from ambershift.coordinator.admin.words import Accepted, Change, State
+from ambershift.coordinator.admin.controller import AdminController
+from ambershift.coordinator.admin.types import Accepted, Change, State
 from ambershift.coordinator.protocol import relay as codec
 from ambershift.coordinator.routing.call_queue import Call, CallQueue
 from ambershift.modelcheck.model import Base, Step, prop
@@ -24,13 +24,13 @@
 
 
 class World(NamedTuple):
-    """`desk` is the machine itself, pickled; `shape` what of it counts. `shut` is what the module was told
-    last,
+    """`controller` is the machine itself, pickled; `shape` what of it counts. `shut` is what the module was
+    told last,
     `held` what the relay holds. `wishes` is the last accepted word for each server, `flips` how often it
     changed.
     """
 
-    desk: bytes
+    controller: bytes
     shape: str
     now: int
     calls: tuple[Call, ...]
@@ -50,37 +50,42 @@
     wrong: str
 
 
-def load(world: World) -> Desk:
-    desk: Desk = pickle.loads(world.desk)
-    return desk
+def load(world: World) -> AdminController:
+    controller: AdminController = pickle.loads(world.controller)
+    return controller
 
 
-def shape(desk: Desk, now: int) -> str:
-    """The desk as it will act from now on: times count from now, and who said what does not."""
+def shape(controller: AdminController, now: int) -> str:
+    """The controller as it will act from now on: times count from now, and who said what does not."""
     waiting = sorted(
-        (server, told.entry is None, told.reply, told.scaled) for server, told in desk.waiting.items()
+        (server, told.entry is None, told.reply, told.scaled) for server, told in controller.pending.items()
     )
     flips = sorted(
-        (server, one.count, max(0, one.earliest() - now)) for server, one in desk.pace.flips.items()
+        (server, one.count, max(0, one.earliest() - now)) for server, one in controller.batcher.flips.items()
     )
     return repr(
         (
-            sorted((server, wish[:3]) for server, wish in desk.world.standing.items()),
-            sorted((server, entry.phase) for server, entry in desk.world.listed.items()),
-            sorted(desk.world.lent.keys()),
-            sorted(desk.told.items()),
-            sorted(desk.urgent),
+            sorted((server, wish[:3]) for server, wish in controller.inventory.overrides.items()),
+            sorted((server, entry.phase) for server, entry in controller.inventory.listed.items()),
+            sorted(controller.inventory.lent.keys()),
+            sorted(controller.sent_entries.items()),
+            sorted(controller.urgent),
             waiting,
             flips,
-            sorted((server, now - at) for server, at in desk.pace.waiting.items()),
-            sorted(desk.pace.held),
-            now - desk.pace.last if desk.pace.waiting else 0,
-            desk.pace.gathered,
-            None if desk.lender.covered_since is None else min(now - desk.lender.covered_since, 10 * SECOND),
-            sorted((server, one.out, one.reply) for server, one in desk.mirror.picture.shut.items()),
-            desk.mirror.picture.reply,
-            desk.mirror.picture.settled,
-            desk.commands,
+            sorted((server, now - at) for server, at in controller.batcher.waiting.items()),
+            sorted(controller.batcher.held),
+            now - controller.batcher.last if controller.batcher.waiting else 0,
+            controller.batcher.gathered,
+            None
+            if controller.lender.covered_since is None
+            else min(now - controller.lender.covered_since, 10 * SECOND),
+            sorted(
+                (server, one.out, one.reply)
+                for server, one in controller.tracker.data_plane.withdrawals.items()
+            ),
+            controller.tracker.data_plane.reply,
+            controller.tracker.data_plane.settled,
+            controller.commands,
         )
     )
 
@@ -156,9 +161,9 @@
     commands, losses, cuts = 3, 1, 1
 
     def initial(self) -> World:
-        desk = Desk(0, SECOND)
+        controller = AdminController(0, SECOND)
         entries = tuple(api.Entry(server, 0, api.Phase.READY, 1.0, 0) for server in range(SERVERS))
-        desk.listed(START, api.Listed(True, True, entries))
+        controller.listed(START, api.Listed(True, True, entries))
         none = (0,) * SERVERS
         return self.after(
             World(
@@ -181,14 +186,14 @@
                 False,
                 "",
             ),
-            desk,
+            controller,
         )
 
     def key(self, world: World) -> Any:
-        return world._replace(desk=b"", now=0)
+        return world._replace(controller=b"", now=0)
 
-    def after(self, world: World, desk: Desk) -> World:
-        return world._replace(desk=pickle.dumps(desk), shape=shape(desk, world.now))
+    def after(self, world: World, controller: AdminController) -> World:
+        return world._replace(controller=pickle.dumps(controller), shape=shape(controller, world.now))
 
     def steps(self, world: World) -> Iterator[Step[World]]:
         if world.commands:
@@ -205,18 +210,18 @@
             if world.listed[server] != api.Phase.READY:
                 yield self.lists(world, server, api.Phase.READY)
         yield from self.relay_acts(world)
-        desk = load(world)
-        if (at := desk.next_at(world.now)) is not None:
-            yield self.rings(world._replace(now=max(at, world.now)), desk)
+        controller = load(world)
+        if (at := controller.next_at(world.now)) is not None:
+            yield self.rings(world._replace(now=max(at, world.now)), controller)
 
     def commands_it(self, world: World, server: int, state: State) -> Step[World]:
-        desk = load(world)
-        outcome = desk.command(world.now, "client", "a command", [Change(server, state=state)])
+        controller = load(world)
+        outcome = controller.command(world.now, "client", "a command", [Change(server, state=state)])
         name = f"client: wants server {server} {state.name.lower()}"
         if not isinstance(outcome, Accepted):
             return Step(
                 f"{name}, is refused: {outcome.reason.value}",
-                self.after(world._replace(commands=world.commands - 1), desk),
+                self.after(world._replace(commands=world.commands - 1), controller),
             )
         flips, wishes = list(world.flips), list(world.wishes)
         flips[server] += wishes[server] != state
@@ -224,7 +229,8 @@
         return Step(
             name,
             self.after(
-                world._replace(commands=world.commands - 1, flips=tuple(flips), wishes=tuple(wishes)), desk
+                world._replace(commands=world.commands - 1, flips=tuple(flips), wishes=tuple(wishes)),
+                controller,
             ),
         )
 
@@ -237,15 +243,15 @@
             self.hears(world._replace(listed=tuple(listed)), load(world), event),
         )
 
-    def rings(self, world: World, desk: Desk) -> Step[World]:
-        event = desk.due(world.now)
+    def rings(self, world: World, controller: AdminController) -> Step[World]:
+        event = controller.due(world.now)
         if event is None:
-            return Step("time: the desk looks, and tells nothing", self.after(world, desk), "time")
-        return Step("time: the desk tells the module", self.hears(world, desk, event), "time")
+            return Step("time: the desk looks, and tells nothing", self.after(world, controller), "time")
+        return Step("time: the desk tells the module", self.hears(world, controller, event), "time")
 
-    def hears(self, world: World, desk: Desk, event: api.Listed) -> World:
+    def hears(self, world: World, controller: AdminController, event: api.Listed) -> World:
         """The module orders what its entries say, what shuts out ahead, as the real one does."""
-        seen, told = desk.listed(world.now, event), list(world.told)
+        seen, told = controller.listed(world.now, event), list(world.told)
         orders = list[api.Withdraw]()
         for out in (True, False):
             for entry in seen.entries:
@@ -256,11 +262,11 @@
         world = world._replace(told=tuple(told))
         if orders:
             row = CallQueue.restore((world.calls, world.replies))
-            desk.ordered(world.now, row.reply_count + 1, orders)
+            controller.ordered(world.now, row.reply_count + 1, orders)
             row.push([codec.OrderEncoder(lambda server: f"s{server}", ()).encode(order) for order in orders])
             calls, replies = row.snapshot()
             world = world._replace(calls=calls, replies=replies)
-        return self.after(world, desk)
+        return self.after(world, controller)
 
     def relay_acts(self, world: World) -> Iterator[Step[World]]:
         if not world.calls:
@@ -279,29 +285,29 @@
         carried = world._replace(held=tuple(sorted(held)), acted=tuple(acted), bare=bare)
         if world.cuts:
             yield Step("relay: carries the call out and is cut off", carried._replace(cuts=world.cuts - 1))
-        outcome, desk = row.on_answer(codec.Done(len(orders))), load(world)
+        outcome, controller = row.on_answer(codec.Done(len(orders))), load(world)
         assert outcome is not None
         if outcome.settled_reply is not None:
-            desk.settled(outcome.settled_reply)
+            controller.settled(outcome.settled_reply)
         calls, replies = row.snapshot()
         after = carried._replace(calls=calls, replies=replies)
         wrong = [
             server
             for server in range(SERVERS)
-            if desk.applied([server])
+            if controller.applied([server])
             and world.wishes[server]
             and f"s{server}" not in after.held
-            and server not in desk.world.lent
+            and server not in controller.inventory.lent
         ]
         if wrong:
             after = after._replace(
                 wrong=f"server {wrong[0]} shows as applied, the relay has {after.held} shut out"
             )
-        yield Step(f"relay: carries out {';'.join(orders)}", self.after(after, desk), "relay")
+        yield Step(f"relay: carries out {';'.join(orders)}", self.after(after, controller), "relay")
 
     def show(self, world: World) -> list[str]:
         return [
             f"{name}: {value}"
             for name, value in zip(world._fields, world, strict=True)
-            if name not in ("desk", "shape")
+            if name not in ("controller", "shape")
         ]
--- a/ambershift/modelcheck/mutants/admin.py
+++ b/ambershift/modelcheck/mutants/admin.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ambershift.coordinator.admin import coverage, desk, pace, weigh
-from ambershift.coordinator.admin.words import Stage
+from ambershift.coordinator.admin import batching, controller, coverage, evaluation
+from ambershift.coordinator.admin.types import Stage
 from ambershift.coordinator.routing.call_queue import CallQueue
 from ambershift.modelcheck.mutants.words import Mutant
 
@@ -32,7 +32,7 @@
 
 
 def applied_once_told(real: Any) -> Any:
-    return lambda picture, server, told: Stage.APPLIED if told.entry is not None else Stage.GATHERED
+    return lambda data_plane, server, told: Stage.APPLIED if told.entry is not None else Stage.GATHERED
 
 
 def a_cut_drops_the_row(real: Any) -> Any:
@@ -51,7 +51,7 @@
         "admin",
         "an-accepted-command-is-never-lost",
         "the last server may be taken away",
-        weigh,
+        evaluation,
         "uncovered",
         refuses_nothing,
     ),
@@ -60,8 +60,8 @@
         "admin",
         "commands-leave-no-proxy-with-nothing",
         "a server leaves before its heir is let in",
-        desk,
-        "heir_is_away",
+        controller,
+        "awaits_replacement",
         heirs_are_here,
     ),
     Mutant(
@@ -78,7 +78,7 @@
         "admin",
         "an-accepted-command-is-never-lost",
         "a wish that must wait is forgotten",
-        pace.Pace,
+        batching.ChangeBatcher,
         "hold",
         held_is_dropped,
     ),
@@ -87,8 +87,8 @@
         "admin",
         "an-accepted-command-is-never-lost",
         "the list's word alone is told",
-        desk,
-        "effective",
+        controller,
+        "effective_entry",
         wishes_are_passed_over,
     ),
     Mutant(
@@ -96,7 +96,7 @@
         "admin",
         "what-is-shown-as-applied-is",
         "a wish shows as applied once it is told",
-        desk,
+        controller,
         "stage",
         applied_once_told,
     ),
@@ -114,8 +114,8 @@
         "admin",
         "",
         "wishes are gathered for twice as long",
-        pace,
-        "QUIET",
+        batching,
+        "BATCH_QUIET_NS",
         lambda real: 2 * real,
     ),
 )
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -149,7 +149,9 @@
         self.now += S
         self.exchange(alive)
         for side in alive:
-            heard = side.learned.exchange(side.now, side.desk.view(side.now).picture) if side.use else []
+            heard = (
+                side.learned.exchange(side.now, side.controller.view(side.now).data_plane) if side.use else []
+            )
             side.run(S, *self.reports(side, count), *heard, *extra)
             side.now = self.now
 
--- a/benchmarks/timed_run.py
+++ b/benchmarks/timed_run.py
@@ -16,7 +16,7 @@
 from hdrh.histogram import HdrHistogram
 
 from ambershift import interface as api
-from ambershift.coordinator.admin import pace
+from ambershift.coordinator.admin import batching
 from ambershift.coordinator.cli.commands import main
 from ambershift.policy import TableManager
 
@@ -49,6 +49,8 @@
 if __name__ == "__main__":
     TableManager.step = timed  # type: ignore[method-assign]
     if sys.argv[2] == "plain":
-        pace.QUIET = pace.GATHER_MOST = pace.FLIP_LEAST = pace.FLIP_MOST = 0
+        batching.BATCH_QUIET_NS = batching.MAX_BATCH_DELAY_NS = batching.MIN_FLIP_DELAY_NS = (
+            batching.MAX_FLIP_DELAY_NS
+        ) = 0
     signal.signal(signal.SIGUSR1, tell)
     sys.exit(main(sys.argv[3:]))
--- a/tests/coordinator/admin/test_admin.py
+++ b/tests/coordinator/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The operator's desk beside the module on generated days, and a case for each thing that it guards."""
+"""The operator's controller beside the module on generated days, and a case for each thing that it guards."""
 
 import random
 from collections.abc import Callable
@@ -6,13 +6,13 @@
 import pytest
 
 from ambershift import interface as api
-from ambershift.coordinator.admin import pace
-from ambershift.coordinator.admin.coverage import LENT_SPELL
-from ambershift.coordinator.admin.desk import WAITING_MOST
-from ambershift.coordinator.admin.ledger import Ledger, Reused
-from ambershift.coordinator.admin.overlay import effective
-from ambershift.coordinator.admin.pending import Told
-from ambershift.coordinator.admin.words import Accepted, Change, Health, Reason, Refused, Stage, State, Weight
+from ambershift.coordinator.admin import batching
+from ambershift.coordinator.admin.audit_log import AuditLog, TokenReused
+from ambershift.coordinator.admin.controller import MAX_PENDING_CHANGES
+from ambershift.coordinator.admin.coverage import LENT_RETURN_DELAY_NS
+from ambershift.coordinator.admin.overlay import effective_entry
+from ambershift.coordinator.admin.pending import PendingChange
+from ambershift.coordinator.admin.types import Accepted, Change, Health, Reason, Refused, Stage, State, Weight
 from tests.support.operator_model import Operated, some_changes
 from tests.support.policy_model import S, entry, make_terms
 
@@ -65,9 +65,9 @@
     held.tell(*[api.Joined(proxy, proxy % zones, 3.0, True) for proxy in range(8)])
     for _ in range(30):
         held.run(S, *[api.ServerReport(0, server, 5, 0, 50_000_000, S, ()) for server in range(count)])
-    view = held.desk.view(held.now)
-    for server in view.world.listed:
-        wanted = effective(view.world, server, held.desk.warmth, held.now)
+    view = held.controller.view(held.now)
+    for server in view.inventory.listed:
+        wanted = effective_entry(view.inventory, server, held.controller.warmth, held.now)
         if wanted.phase != api.Phase.GONE:  # Where gone does not bind, the module keeps what it had.
             assert told(held, server).weight == wanted.weight, server
         if wanted.phase == api.Phase.DRAINING:
@@ -77,7 +77,7 @@
             for proxy in held.proxies:
                 for table in set(held.proxies[proxy].values()):
                     assert held.tables[table].get(server, 0.0) <= wanted.weight + 1e-6
-    assert not [one for one in view.waiting if view.stage(one) not in (Stage.APPLIED, Stage.CARRIED)]
+    assert not [one for one in view.pending if view.stage(one) not in (Stage.APPLIED, Stage.CARRIED)]
 
 
 @pytest.mark.parametrize("times", [2, 50])
@@ -89,8 +89,8 @@
         held.run(S // 10)
     held.run(3 * S)
     out = [order for order in held.ordered if isinstance(order, api.Withdraw)]
-    assert held.shut == {0} and held.desk.commands == 1 and out == [api.Withdraw(0, True)]
-    assert held.desk.view(held.now).world.wish(0).origin.who == "client 0"
+    assert held.shut == {0} and held.controller.commands == 1 and out == [api.Withdraw(0, True)]
+    assert held.controller.view(held.now).inventory.override(0).origin.who == "client 0"
 
 
 def test_contrary_wishes_that_come_together_cost_no_line() -> None:
@@ -100,7 +100,7 @@
     for state in (DRAIN, READY, MAINT, READY):
         held.operate(Change(0, state=state))
     held.run(2 * S)
-    assert held.reply == before and held.desk.applied([0])
+    assert held.reply == before and held.controller.applied([0])
 
 
 def test_a_server_that_flips_on_and_on_is_told_of_ever_more_seldom() -> None:
@@ -110,7 +110,7 @@
         held.operate(Change(0, state=(DRAIN, READY)[turn % 2]))
         held.run(S // 10)
     # Doubling gaps: 0.5, 1, 2, 4 s and then 8 s; in 20 s that is at most seven tellings, not a hundred.
-    assert held.now - first >= 19 * S and held.desk.pace.flips[0].count <= 7
+    assert held.now - first >= 19 * S and held.controller.batcher.flips[0].count <= 7
     held.run(10 * S)
     assert held.shut == set() and told(held, 0).phase == api.Phase.READY
 
@@ -119,7 +119,7 @@
     held = small()
     for state in (DRAIN, READY, DRAIN):
         held.operate(Change(0, state=state))
-        held.run(pace.FLIP_CALM + S)
+        held.run(batching.FLIP_RESET_NS + S)
     held.operate(Change(0, state=READY))
     held.run(S // 2)
     assert held.shut == set()
@@ -133,9 +133,11 @@
     held.operate(Change(0, state=DRAIN))
     while held.shut != {0}:
         held.run(S // 10)
-    assert held.desk.pace.flips[0].earliest() > held.now + 5 * S  # Taken out again it would be much later.
+    assert (
+        held.controller.batcher.flips[0].earliest() > held.now + 5 * S
+    )  # Taken out again it would be much later.
     held.operate(Change(0, state=READY))
-    held.run(2 * pace.GATHER_MOST)
+    held.run(2 * batching.MAX_BATCH_DELAY_NS)
     assert held.shut == set()
 
 
@@ -151,7 +153,7 @@
         Reason.GROUP_WITHOUT_WARM, 1, 1
     )
     assert isinstance(held.operate(Change(0, state=READY), Change(2, state=DRAIN)), Accepted)
-    assert held.desk.commands == 2
+    assert held.controller.commands == 2
 
 
 def test_a_cold_server_does_not_stand_in_for_a_warm_one() -> None:
@@ -176,15 +178,15 @@
     held.tell(listed(2, phase, 0), listed(3, phase, 1))
     # The milder wish yields, the stricter one does not as long as there is another; at once, not after a
     # beat.
-    assert set(held.desk.world.lent) == {1} and told(held, 1).phase == api.Phase.READY
+    assert set(held.controller.inventory.lent) == {1} and told(held, 1).phase == api.Phase.READY
     held.run(4 * S)
     assert 1 not in held.shut and 0 in held.shut
     held.tell(listed(3, api.Phase.READY, 1))
     held.run(S)
     assert 1 not in held.shut  # Not for a moment's flapping.
-    held.run(LENT_SPELL + S)
-    assert 1 in held.shut and not held.desk.world.lent
-    kinds = [record.kind for record in held.desk.ledger.records]
+    held.run(LENT_RETURN_DELAY_NS + S)
+    assert 1 in held.shut and not held.controller.inventory.lent
+    kinds = [record.kind for record in held.controller.audit_log.records]
     assert kinds == ["command", "command", "lent", "returned"]
 
 
@@ -264,11 +266,11 @@
 )
 def test_what_is_refused_changes_nothing(changes: list[Change], reason: Reason) -> None:
     held = small()
-    world = held.desk.world
+    inventory = held.controller.inventory
     outcome = held.operate(*changes)
     assert isinstance(outcome, Refused) and outcome.reason is reason
-    assert held.desk.world is world and held.desk.next_at(held.now) is None
-    assert held.desk.ledger.errors[-1].kind == "refused"
+    assert held.controller.inventory is inventory and held.controller.next_at(held.now) is None
+    assert held.controller.audit_log.errors[-1].kind == "refused"
 
 
 def test_weights_are_parts_or_figures_and_go_back_to_the_list() -> None:
@@ -278,7 +280,7 @@
         held.run(2 * S)
         assert told(held, 2).weight == due
         assert {table[2] for table in held.tables.values() if 2 in table} == {due}
-        assert held.desk.applied([2])
+        assert held.controller.applied([2])
     held.operate(Change(2, as_listed=True))
     held.run(2 * S)
     assert told(held, 2) == held.true[2]
@@ -289,15 +291,15 @@
     held.run(20 * S)
     held.operate(Change(2, weight=Weight(0.0, False)))
     held.run(S)
-    assert held.desk.applied([2]) and not any(table.get(2) for table in held.tables.values())
+    assert held.controller.applied([2]) and not any(table.get(2) for table in held.tables.values())
     for server in (0, 1, 4):  # These use up the messages that ordinary edits may use.
         held.operate(Change(server, state=DRAIN))
         held.run(3 * S // 2)
     held.operate(Change(2, weight=Weight(0.5, True)))
     held.run(S)
-    assert held.desk.view(held.now).stage(2) is Stage.TOLD
+    assert held.controller.view(held.now).stage(2) is Stage.TOLD
     held.run(20 * S)
-    assert held.desk.applied([2]) and any(table.get(2) for table in held.tables.values())
+    assert held.controller.applied([2]) and any(table.get(2) for table in held.tables.values())
 
 
 def test_stages_follow_what_is_told_ordered_answered_and_applied() -> None:
@@ -307,21 +309,21 @@
     held.operate(Change(0, state=DRAIN))
 
     def stage() -> Stage | None:
-        return held.desk.view(held.now).stage(0)
+        return held.controller.view(held.now).stage(0)
 
     assert stage() is Stage.GATHERED
     held.run(S // 5)
-    assert stage() is Stage.ORDERED and not held.desk.applied([0])
+    assert stage() is Stage.ORDERED and not held.controller.applied([0])
     held.away = False
-    held.desk.settled(held.reply)
+    held.controller.settled(held.reply)
     assert stage() is Stage.CARRIED
     held.run(3 * S)
-    assert stage() is None and held.desk.applied([0])
-    assert held.desk.drained([0], held.now)
+    assert stage() is None and held.controller.applied([0])
+    assert held.controller.drained([0], held.now)
     held.run(S, api.ServerReport(0, 0, 3, 0, 50_000_000, S, ()))
-    assert not held.desk.drained([0], held.now)  # Proxies still report tries there.
+    assert not held.controller.drained([0], held.now)  # Proxies still report tries there.
     held.run(4 * S)
-    assert held.desk.drained([0], held.now) and not held.desk.drained([2], held.now)
+    assert held.controller.drained([0], held.now) and not held.controller.drained([2], held.now)
 
 
 def test_a_wish_waits_until_proxies_may_get_a_message_and_says_so() -> None:
@@ -332,48 +334,50 @@
         held.run(3 * S // 2)
     held.operate(Change(2, weight=Weight(0.5, True)))
     held.run(S)
-    view = held.desk.view(held.now)
+    view = held.controller.view(held.now)
     assert view.stage(2) is Stage.TOLD
     held.run(20 * S)
-    assert held.desk.applied([0, 1, 2, 4, 5, 6])
+    assert held.controller.applied([0, 1, 2, 4, 5, 6])
 
 
 def test_so_many_wishes_may_wait_and_no_more() -> None:
     held = Operated(make_terms(zones=1), [entry(i, 0) for i in range(3)])
-    held.desk.waiting = held.desk.waiting.update({at + 10: Told(0) for at in range(WAITING_MOST)})
+    held.controller.pending = held.controller.pending.update(
+        {at + 10: PendingChange(0) for at in range(MAX_PENDING_CHANGES)}
+    )
     assert held.operate(Change(0, state=DRAIN)) == Refused(Reason.TOO_MANY_WAIT)
 
 
 def test_at_the_end_what_was_taken_is_told_and_nothing_more_is_taken() -> None:
     held = small()
     held.operate(Change(0, state=DRAIN))
-    event = held.desk.flush(held.now)
+    event = held.controller.flush(held.now)
     assert event is not None and [one.server for one in event.entries] == [0]
     assert held.operate(Change(1, state=DRAIN)) == Refused(Reason.STOPPING)
 
 
 def test_a_reader_holds_one_whole_state_while_changes_go_on() -> None:
     held = small()
-    view = held.desk.view(held.now)
-    before = {server: view.world.wish(server) for server in view.world.listed}
-    lines = dict(view.picture.tables.items())
+    view = held.controller.view(held.now)
+    before = {server: view.inventory.override(server) for server in view.inventory.listed}
+    lines = dict(view.data_plane.tables.items())
     held.operate(Change(0, state=DRAIN), Change(1, weight=Weight(0.5, True)))
     held.run(3 * S)
-    assert {server: view.world.wish(server) for server in view.world.listed} == before
-    assert dict(view.picture.tables.items()) == lines
-    assert held.desk.view(held.now).world.wish(0).state is DRAIN
+    assert {server: view.inventory.override(server) for server in view.inventory.listed} == before
+    assert dict(view.data_plane.tables.items()) == lines
+    assert held.controller.view(held.now).inventory.override(0).state is DRAIN
 
 
 def test_a_token_answers_the_same_command_once_more_and_no_other() -> None:
-    ledger = Ledger()
-    assert ledger.answered("a", "x") is None
-    ledger.keep("a", "x", "no")
-    assert ledger.answered("a", "x") == "no"
-    with pytest.raises(Reused):
-        ledger.answered("a", "y")
+    audit_log = AuditLog()
+    assert audit_log.earlier_answer("a", "x") is None
+    audit_log.remember_answer("a", "x", "no")
+    assert audit_log.earlier_answer("a", "x") == "no"
+    with pytest.raises(TokenReused):
+        audit_log.earlier_answer("a", "y")
     for at in range(5000):
-        ledger.keep(f"t{at}", "x", "")
-    assert len(ledger.answers) == 4096 and ledger.answered("t0", "x") is None
+        audit_log.remember_answer(f"t{at}", "x", "")
+    assert len(audit_log.answers) == 4096 and audit_log.earlier_answer("t0", "x") is None
 
 
 @pytest.mark.parametrize(
@@ -398,4 +402,4 @@
         for order in held.ordered
     )
     assert lines == len(changed)
-    assert held.desk.applied(range(30))
+    assert held.controller.applied(range(30))
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -1,4 +1,4 @@
-"""The committed state of a group at the desk, the leader's validation, clock skew, settings and processes."""
+"""A group's committed state at the controller, the leader's validation, clock skew, settings, processes."""
 
 import asyncio
 import random
@@ -13,7 +13,16 @@
 import pytest
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.words import NEVER, Change, Health, Origin, Reason, Standing, State, Weight
+from ambershift.coordinator.admin.types import (
+    NO_ORIGIN,
+    Change,
+    Health,
+    Origin,
+    Reason,
+    ServerOverride,
+    State,
+    Weight,
+)
 from ambershift.coordinator.group.clock_skew import SAMPLE_LIFETIME_NS, ClockSkew
 from ambershift.coordinator.group.command_validator import CommandValidator
 from ambershift.coordinator.group.desk_applier import DeskApplier
@@ -60,9 +69,13 @@
     def __init__(self, count: int = 6, zones: int = 2, ahead: int = 0, **terms: Any) -> None:
         self.door, self.state, self.number, self.answers = IdIndex[str](), EMPTY, 0, list[bytes]()
         super().__init__(make_terms(zones=zones, **terms), [])
-        self.desk_applier = DeskApplier(self.desk, self.door, lambda: self.now, ahead, lambda: None)
+        self.desk_applier = DeskApplier(self.controller, self.door, lambda: self.now, ahead, lambda: None)
         self.validator = CommandValidator(
-            self.desk, self.door, lambda: self.now, lambda one: one.reason.value, lambda: self.clock_skewed
+            self.controller,
+            self.door,
+            lambda: self.now,
+            lambda one: one.reason.value,
+            lambda: self.clock_skewed,
         )
         self.machine, self.clock_skewed, self.ahead = GroupStateMachine(self.validator), False, ahead
         self.tell(*[api.Joined(proxy, proxy % zones, 5.0, True) for proxy in range(2 * zones)])
@@ -126,21 +139,23 @@
         member.apply(again)
     member.desk_applier.apply_snapshot(member.state)
     member.settle()
-    assert member.shut_out_orders() == [0] and member.desk.commands == 1
+    assert member.shut_out_orders() == [0] and member.controller.commands == 1
     # The same wish with another origin, as after it was withdrawn and set again while this member was away.
     again = member.state.wish("s0")._replace(origin=Origin("z", 7, 7))
     member.desk_applier.apply_snapshot(member.state._replace(wishes=member.state.wishes.insert("s0", again)))
-    assert not member.desk.waiting and member.desk.world.own(0).origin.who == "z"
+    assert (
+        not member.controller.pending and member.controller.inventory.operator_override(0).origin.who == "z"
+    )
     member.desk_applier.apply_snapshot(
         EMPTY._replace(
-            wishes=member.state.wishes.insert("s2", Standing(DRAIN, Health.UP, None, Origin("x", 1, 2)))
+            wishes=member.state.wishes.insert("s2", ServerOverride(DRAIN, Health.UP, None, Origin("x", 1, 2)))
         )
     )
     member.settle()
     assert member.shut_out_orders() == [0, 2]
     member.desk_applier.apply_snapshot(EMPTY)  # A wish that a snapshot lacks is withdrawn.
     member.settle()
-    assert not member.shut and member.desk.world.wish(0).state is READY
+    assert not member.shut and member.controller.inventory.override(0).state is READY
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -178,27 +193,28 @@
         member.list_servers(range(8))
         member.settle(20)
     for member in (*members, fresh):
-        assert member.desk.waiting.keys() <= set(), member.desk.waiting
+        assert member.controller.pending.keys() <= set(), member.controller.pending
         for one in range(8):
             index = member.door.lookup(f"s{one}")
             assert index is not None
-            assert member.desk.world.own(index)._replace(origin=NEVER) == member.state.wish(
-                f"s{one}"
-            )._replace(origin=NEVER), one
+            assert member.controller.inventory.operator_override(index)._replace(
+                origin=NO_ORIGIN
+            ) == member.state.wish(f"s{one}")._replace(origin=NO_ORIGIN), one
             assert (index in member.shut) == (
-                member.desk.world.wish(index).out and index not in member.desk.world.lent
+                member.controller.inventory.override(index).out
+                and index not in member.controller.inventory.lent
             ), one
 
 
 def test_wishes_for_unlisted_servers_apply_before_the_server_is_listed() -> None:
     member = SimulatedMember(count=4)
     member.apply(member.wish(*out(4), (5, {"weight": (0.5, True)})))
-    assert not member.desk.waiting
+    assert not member.controller.pending
     member.list_servers([4, 5])
     member.settle()
     four, five = member.door.lookup("s4"), member.door.lookup("s5")
-    assert member.desk.told[four].phase == api.Phase.DRAINING  # type: ignore[index]
-    assert member.desk.told[five].weight == pytest.approx(0.5 * entry(5, 1).weight)  # type: ignore[index]
+    assert member.controller.sent_entries[four].phase == api.Phase.DRAINING  # type: ignore[index]
+    assert member.controller.sent_entries[five].weight == pytest.approx(0.5 * entry(5, 1).weight)  # type: ignore[index]
     assert not any(
         isinstance(one, api.SetWeight) and one.server == four and one.weight for one in member.ordered
     ), "it had a weight before it was shut out"
@@ -206,7 +222,7 @@
     member.list_servers([4], api.Phase.GONE)
     member.door.forget(four)  # type: ignore[arg-type]
     member.list_servers([4])
-    assert member.desk.world.wish(member.door.lookup("s4")).state is MAINT  # type: ignore[arg-type]
+    assert member.controller.inventory.override(member.door.lookup("s4")).state is MAINT  # type: ignore[arg-type]
 
 
 def test_the_leader_refuses_to_drain_the_last_two_servers_of_a_zone() -> None:
@@ -218,7 +234,7 @@
         leader.state,
         leader.machine.apply(leader.state, Entry(1, 1, 1, "", encode_command(first)))[0],
     )
-    assert leader.desk.world.own(0).state is READY and committed is EMPTY
+    assert leader.controller.inventory.operator_override(0).state is READY and committed is EMPTY
     answer = leader.machine.validate(log, leader.now, encode_command(second))
     assert answer is not None and Reason.ZONE_WITHOUT_WARM.value.encode() in answer
     # A server that the log enables again, committed or not, counts again.
@@ -234,7 +250,9 @@
     leader.apply(declare(0, 2))
     leader.apply(Grant(leader.state.last_permit_entry, (permit(leader, 0, leader.now + S),)))
     leader.settle()
-    assert not leader.shut and not leader.desk.world.permitted  # By its own clock the permit has ended.
+    assert (
+        not leader.shut and not leader.controller.inventory.held_out
+    )  # By its own clock the permit has ended.
     assert leader.validate(second) is not None
     grant = leader.validate(Grant(leader.state.last_permit_entry, (permit(leader, 2, leader.now + S),)))
     assert grant is not None and b"zone-without-warm" in grant
@@ -264,14 +282,14 @@
     member.apply(Grant(member.state.last_permit_entry, (permit(member, 0, ends), permit(member, 1, ends))))
     member.apply(member.wish(*out(1, state=DRAIN)))
     member.settle(4)
-    assert member.shut >= {0, 1} and member.desk.world.wish(1).state is MAINT
-    assert member.desk.world.own(1).state is DRAIN
+    assert member.shut >= {0, 1} and member.controller.inventory.override(1).state is MAINT
+    assert member.controller.inventory.operator_override(1).state is DRAIN
     # A wish that enables a server doesn't override the permit, and one that disables it outlives the permit.
     member.apply(member.wish(*out(0, state=READY)))
     member.settle(2)
     assert 0 in member.shut and member.desk_applier.is_held_out("s0")
     while member.now + ahead < ends:
-        assert 0 in member.shut and member.desk.next_at(member.now) is not None
+        assert 0 in member.shut and member.controller.next_at(member.now) is not None
         member.run(S)
     member.settle(3)
     assert 0 not in member.shut and 1 in member.shut and not member.desk_applier.is_held_out("s0")
@@ -339,7 +357,7 @@
         "s1",
         "s2",
     }
-    assert member.desk_applier.permit_deadlines() == member.desk.permits
+    assert member.desk_applier.permit_deadlines() == member.controller.permits
 
 
 @pytest.mark.parametrize(("durable", "word"), [(6, NEITHER), (7, LET_IN)])
@@ -363,12 +381,12 @@
     member.settle()
     member.list_servers([2, 3], api.Phase.GONE)
     member.run(S)
-    assert member.desk.world.lent and not member.ready() <= member.shut
-    lent = set(member.desk.world.lent)
+    assert member.controller.inventory.lent and not member.ready() <= member.shut
+    lent = set(member.controller.inventory.lent)
     assert lent == {0, 1}  # Both are under maintenance, so neither is preferred.
     member.list_servers([2, 3])
     member.settle(10)
-    assert not member.desk.world.lent and member.shut >= {0, 1}
+    assert not member.controller.inventory.lent and member.shut >= {0, 1}
 
 
 def test_an_eased_server_has_its_weight_reduced_and_restored() -> None:
@@ -378,7 +396,7 @@
     member.settle()
 
     def parts() -> list[float]:
-        return [member.desk.told[one].weight / entry(one, one % 2).weight for one in (0, 1, 2)]
+        return [member.controller.sent_entries[one].weight / entry(one, one % 2).weight for one in (0, 1, 2)]
 
     assert parts() == pytest.approx([0.8, 1.0, 0.4])
     assert 4 in member.shut
@@ -402,7 +420,7 @@
     member.tell(*[api.ServerReport(0, 4, 40, 40, 0, S, ()) for _ in range(3)])
     member.settle(3)
     found = standings(
-        member.desk,
+        member.controller,
         member.door,
         str,
         member.now,
--- a/tests/coordinator/group/test_member.py
+++ b/tests/coordinator/group/test_member.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from ambershift.coordinator.admin.words import State, Weight
+from ambershift.coordinator.admin.types import State, Weight
 from ambershift.coordinator.group.disk.folder import DiskError, Folder
 from ambershift.coordinator.group.gossip import MemberStatus
 from ambershift.coordinator.group.interference_worker import InterferenceWorker
@@ -33,7 +33,7 @@
 
 
 def is_under_maintenance(simulated: SimulatedMember) -> bool:
-    return simulated.desk.world.own(0).state is State.MAINT
+    return simulated.controller.inventory.operator_override(0).state is State.MAINT
 
 
 def run_scenario(
@@ -234,9 +234,11 @@
             return []
 
     async def scenario(member: Member, simulated: SimulatedMember, log: Any) -> None:
-        eased = list[dict[str, float]]()
+        weight_factors = list[dict[str, float]]()
         servers = ["s0", "s1"]
-        worker = InterferenceWorker(member.gossip, FakeEngine, lambda: servers, eased.append, member.note)  # type: ignore
+        worker = InterferenceWorker(
+            member.gossip, FakeEngine, lambda: servers, weight_factors.append, member.note
+        )  # type: ignore
         worker.open()
         sample = ["n", "m", "s0", "t", 1, 1, 1.0, 1.0, 1.0, 1.0, 1.0]
         assert not FakeEngine.made
@@ -245,14 +247,14 @@
                 worker.on_counters("perf", bad)
         assert not FakeEngine.made
         worker.on_counters("perf", msgspec.msgpack.encode([sample]))
-        await until(lambda: eased == [{"s0": 0.8}])
+        await until(lambda: weight_factors == [{"s0": 0.8}])
         assert worker.scores.interfered == {"s0": 0.5} and FakeEngine.made == 1
         assert member.gossip.own_body(RecordKind.INTERFERENCE_EVIDENCE, "k") == b"body"
         worker.on_counters("perf", msgspec.msgpack.encode([sample] * 2))
         await until(lambda: any(event == "failure" for event, _ in log))
         worker.on_counters("perf", msgspec.msgpack.encode([sample]))  # It goes on after an error.
         await until(lambda: not member.gossip.own_body(RecordKind.INTERFERENCE_EVIDENCE, "k"))
-        assert eased == [{"s0": 0.8}]
+        assert weight_factors == [{"s0": 0.8}]
         worker.close()
 
     run_scenario(scenario)
@@ -280,10 +282,10 @@
         state, answer = member.machine.apply(state, entry)
         effects.append(Applied(entry, answer, state))
         member.perform([*effects[:200], Note("x", {}), *effects[200:]])
-        assert calls == [200, 201] and simulated.desk.commands == 401
-        texts = [record.text for record in simulated.desk.ledger.records]
-        assert texts[-1] == "apply of 2 lines"  # A ledger record is one line.
-        assert simulated.desk.world.own(4).weight == Weight(0.4, True)
+        assert calls == [200, 201] and simulated.controller.commands == 401
+        texts = [record.text for record in simulated.controller.audit_log.records]
+        assert texts[-1] == "apply of 2 lines"  # A audit log record is one line.
+        assert simulated.controller.inventory.operator_override(4).weight == Weight(0.4, True)
 
     run_scenario(scenario)
 
--- a/tests/coordinator/group/test_observation_exchange.py
+++ b/tests/coordinator/group/test_observation_exchange.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.mirror import BLANK
+from ambershift.coordinator.admin.data_plane import EMPTY_DATA_PLANE
 from ambershift.coordinator.group.observation_exchange import (
     MAX_DELIVERED_ATTEMPTS,
     MAX_DELIVERED_SERVERS,
@@ -84,10 +84,10 @@
         a.store.put(NOW, RecordKind.SERVER_START, "s3", b"x", heard_age * S)
     exchange_records(a, b, NOW, there)
     if list_first and told != own:
-        events = b.exchange(there, BLANK)
+        events = b.exchange(there, EMPTY_DATA_PLANE)
         assert [one.entries[0].server for one in events if isinstance(one, api.Listed)] == [103]
     else:
-        assert not b.exchange(there, BLANK)
+        assert not b.exchange(there, EMPTY_DATA_PLANE)
     assert list_server(b, there, 103, own) == told
     # A start that was told once stays until the own list has a newer one, and isn't published as one's own.
     assert list_server(b, there + S, 103, told) == told == list_server(b, there + S, 103, own)
@@ -129,7 +129,7 @@
 def delivered_reports(one: ObservationExchange, now: int) -> dict[int, tuple[int, int, int]]:
     return {
         event.server: (event.attempts, event.failures, event.zone)
-        for event in one.exchange(now, BLANK)
+        for event in one.exchange(now, EMPTY_DATA_PLANE)
         if isinstance(event, api.ServerReport)
     }
 
@@ -162,9 +162,9 @@
     assert not delivered_reports(b, NOW + 4 * S), "each observation once"
     # Delivered reports that pass are neither published nor counted as own.
     b.delivered.clear()
-    events = b.exchange(NOW + 4 * S, BLANK)
+    events = b.exchange(NOW + 4 * S, EMPTY_DATA_PLANE)
     assert b.process_events(NOW + 4 * S, [*events, report(104, 7, 7)]) == [report(104, 7, 7)]
-    b.exchange(NOW + 6 * S, BLANK)
+    b.exchange(NOW + 6 * S, EMPTY_DATA_PLANE)
     told = [
         row.server
         for one in b.store.all(NOW + 6 * S, RecordKind.ATTEMPT_STATS)
@@ -182,7 +182,7 @@
     assert not delivered_reports(b, NOW + 2 * S + MAX_OBSERVATION_AGE_NS + 1)
     # An outlier that does well again where it was tried is withdrawn.
     a.process_events(NOW + 8 * S, [report(0, 9, 0), report(1, 9, 0), report(2, 9, 0)])
-    a.exchange(NOW + 8 * S, BLANK)
+    a.exchange(NOW + 8 * S, EMPTY_DATA_PLANE)
     ill = {
         one.key
         for one in a.store.all(NOW + 8 * S, RecordKind.ATTEMPT_STATS)
@@ -190,7 +190,7 @@
     }
     assert ill == {f"s3{KEY_SEPARATOR}z1"}
     a.process_events(NOW + 10 * S, [report(3, 9, 0, 1), report(1, 9, 0)])
-    a.exchange(NOW + 10 * S, BLANK)
+    a.exchange(NOW + 10 * S, EMPTY_DATA_PLANE)
     assert all(
         one.key.startswith(KEY_SEPARATOR) for one in a.store.all(NOW + 10 * S, RecordKind.ATTEMPT_STATS)
     )
@@ -214,12 +214,12 @@
         NOW, [report(5, 9, 9, 1), report(6, 9, 9, 0), *[report(at, 9, 0, 1) for at in range(10, 20)]]
     )
     for one in (a, b):
-        one.exchange(NOW + 2 * S, BLANK)
+        one.exchange(NOW + 2 * S, EMPTY_DATA_PLANE)
     exchange_records(a, b, NOW + 2 * S, NOW + 2 * S)
-    b.exchange(NOW + 2 * S, BLANK)
+    b.exchange(NOW + 2 * S, EMPTY_DATA_PLANE)
     # 6 does well and fails for the same zone: which is right isn't known, and failing is the careful choice.
     assert (b.failing, b.failing_for_some) == ({"s0", "s6"}, {"s1", "s5"})
-    b.exchange(NOW + 18 * S, BLANK)
+    b.exchange(NOW + 18 * S, EMPTY_DATA_PLANE)
     assert not b.failing and not b.failing_for_some
 
 
@@ -265,7 +265,7 @@
     a.store.put(NOW, RecordKind.SERVER_START, "s9999", b"x")
     b.names = KnownZonesOnly(2)
     exchange_records(a, b, NOW, NOW)
-    assert b.exchange(NOW, BLANK) == []
+    assert b.exchange(NOW, EMPTY_DATA_PLANE) == []
     for start in range(0, 3000, 100):
         body = msgspec.msgpack.encode([ServerObservation(f"s{start + at}", 5, 5, 1, S) for at in range(100)])
         a.store.put(NOW, RecordKind.ATTEMPT_STATS, f"x{start}{KEY_SEPARATOR}z0", body)
@@ -310,7 +310,7 @@
     side.tell(*[api.Joined(proxy, proxy % 2, 5.0, True) for proxy in range(4)])
     for _ in range(4):
         side.run(S)
-        side.learned.exchange(side.now, side.desk.view(side.now).picture)
+        side.learned.exchange(side.now, side.controller.view(side.now).data_plane)
     told = {
         (one.kind, one.key): msgspec.msgpack.decode(one.body)
         for kind in (RecordKind.ZONE_LEVEL, RecordKind.ZONE_SHARE)
@@ -321,7 +321,7 @@
     }
     assert told[RecordKind.ZONE_LEVEL, "z0"] == [1, 1.0] and told[RecordKind.ZONE_SHARE, "z0"][0] >= 4
     version = side.store.origins["a"].last_version
-    side.learned.exchange(side.now + 2 * S, side.desk.view(side.now).picture)
+    side.learned.exchange(side.now + 2 * S, side.controller.view(side.now).data_plane)
     assert side.store.origins["a"].last_version == version, (
         "an unchanged record is not published again at once"
     )
@@ -347,5 +347,5 @@
         news = store.receive(side.now, liar.delta(side.now, known))[1]
         side.learned.process_records(side.now, news)
         # A run checks the rules of the decision module.
-        side.run(S, *side.learned.exchange(side.now, side.desk.view(side.now).picture))
+        side.run(S, *side.learned.exchange(side.now, side.controller.view(side.now).data_plane))
     assert all(side.proxies.values())
--- a/tests/coordinator/promises/test_promises.py
+++ b/tests/coordinator/promises/test_promises.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from ambershift.coordinator.admin.words import AS_LISTED, NEVER, Health, State, Weight
+from ambershift.coordinator.admin.types import NO_ORIGIN, NO_OVERRIDE, Health, State, Weight
 from ambershift.coordinator.maintenance.types import (
     Agreement,
     Declared,
@@ -87,7 +87,7 @@
     assert log.write(wishes(WishOne("a", 0), WishOne("a", 2), WishOne("c", 1))).changed == ("c",)
     assert log.state.wish("a").origin.number == 1
     assert log.write(wishes(WishOne("b", as_listed=True))).changed == ("b",) and "b" not in log.state.wishes
-    assert before.wish("c") == AS_LISTED  # States are immutable.
+    assert before.wish("c") == NO_OVERRIDE  # States are immutable.
     for bad in (WishOne("a", 9), WishOne("a", health=7), WishOne("", 1)):
         assert log.write(wishes(bad)).reason == CommandRefusal.BAD_WISH
     assert log.write(wishes(WishOne("a", weight=(float("nan"), False)))).reason == "weight-out-of-range"
@@ -223,7 +223,7 @@
         if rng.random() < 0.2:
             other.state = unpack(pack(other.state))
         assert pack(log.state) == pack(other.state) and log.state == other.state
-        assert not any(wish._replace(origin=NEVER) == AS_LISTED for wish in log.state.wishes.values())
+        assert not any(wish._replace(origin=NO_ORIGIN) == NO_OVERRIDE for wish in log.state.wishes.values())
         servers = [held.permit.server for held in log.state.permits.values()]
         assert len(set(servers)) == len(servers)
 
--- a/tests/support/operator_model.py
+++ b/tests/support/operator_model.py
@@ -1,12 +1,12 @@
-"""The model of the policy tests with an operator's desk between the list and the module, in virtual time."""
+"""The model of the policy tests with an admin controller between the list and the module, in virtual time."""
 
 from __future__ import annotations
 
 import random
 
 from ambershift import interface as api
-from ambershift.coordinator.admin.desk import Desk
-from ambershift.coordinator.admin.words import Accepted, Change, Refused
+from ambershift.coordinator.admin.controller import AdminController
+from ambershift.coordinator.admin.types import Accepted, Change, Refused
 from tests.support.policy_model import PolicyModel, S
 
 RELAYED = (api.SetWeight, api.ClearTable, api.Withdraw, api.Level, api.Bind, api.Mark)
@@ -16,7 +16,7 @@
     """`away` holds the relay's answers back, as a cut does; what was ordered goes on in the model."""
 
     def __init__(self, terms: api.PolicySettings, servers: list[api.Entry], now: int = 100 * S) -> None:
-        self.desk, self.reply, self.away = Desk(terms.cold, terms.report_period), 0, False
+        self.controller, self.reply, self.away = AdminController(terms.cold, terms.report_period), 0, False
         self.true: dict[int, api.Entry] = {}
         self.ordered: list[api.Order] = []  # All that the module has ordered.
         super().__init__(terms, servers, now)
@@ -28,24 +28,24 @@
                 if event.whole:
                     self.true = {i: one._replace(phase=api.Phase.GONE) for i, one in self.true.items()}
                 self.true.update({one.server: one for one in event.entries})
-                event = self.desk.listed(self.now, event)
+                event = self.controller.listed(self.now, event)
             seen.append(event)
-        due = self.desk.due(self.now)
+        due = self.controller.due(self.now)
         if due is not None:
-            seen.append(self.desk.listed(self.now, due))
-        self.desk.stepped(self.now, seen)
+            seen.append(self.controller.listed(self.now, due))
+        self.controller.stepped(self.now, seen)
         orders = super().tell(*seen)
         self.ordered += orders
         relayed = [order for order in orders if isinstance(order, RELAYED)]
         if relayed:
             self.reply += 1
-            self.desk.ordered(self.now, self.reply, relayed)
+            self.controller.ordered(self.now, self.reply, relayed)
         if not self.away:
-            self.desk.settled(self.reply)
+            self.controller.settled(self.reply)
         return orders
 
     def operate(self, *changes: Change, who: str = "op") -> Accepted | Refused:
-        return self.desk.command(self.now, who, "a command", changes)
+        return self.controller.command(self.now, who, "a command", changes)
 
     def full_weight(self, server: int) -> float:
         return self.true[server].weight
@@ -59,7 +59,7 @@
 
 def some_changes(rng: random.Random, count: int) -> list[Change]:
     """One to three changes of servers below `count`, as an operator in a hurry makes them."""
-    from ambershift.coordinator.admin.words import Health, State, Weight
+    from ambershift.coordinator.admin.types import Health, State, Weight
 
     makers = [
         lambda s: Change(s, state=rng.choice(list(State))),
