--- a/ambershift/coordinator/admin/__init__.py
+++ b/ambershift/coordinator/admin/__init__.py
@@ -1,3 +1,1 @@
-"""The operator's standing word on each server: what a command changes, what it may not, and what came
-of it.
-"""
+"""Operators' overrides of listed servers: validation, merging with the server list, and their progress."""
--- a/ambershift/coordinator/admin/changes.py
+++ b/ambershift/coordinator/admin/changes.py
@@ -4,12 +4,13 @@
 
 from ambershift.coordinator.admin.types import Change, ServerOverride
 
-# HAProxy's bounds: 0 to 256, of the listed weight 0 to 100 percent.
-MAX_WEIGHT, MAX_RELATIVE_WEIGHT = 256.0, 1.0
+# HAProxy's bounds: 0 to 256, or 0 to 100 percent of the listed weight.
+MAX_WEIGHT = 256.0
+MAX_RELATIVE_WEIGHT = 1.0
 
 
 def apply_change(old: ServerOverride, change: Change) -> ServerOverride:
-    """What stands after a change. Ready takes back drain and maintenance, as in HAProxy, but no weight."""
+    """Return the override after a change; as in HAProxy, ready ends drain and maintenance, not a weight."""
     new = old
     if change.state is not None:
         new = new._replace(state=change.state)
@@ -23,6 +24,6 @@
 
 
 def is_weight_in_range(change: Change) -> bool:
-    """Whether its weight, if it has one, lies within the bounds; what is no number does not."""
-    most = MAX_RELATIVE_WEIGHT if change.weight and change.weight.relative else MAX_WEIGHT
-    return change.weight is None or 0 <= change.weight.figure <= most
+    """Return whether the weight of a change, if it has one, is within the bounds; NaN is not."""
+    maximum = MAX_RELATIVE_WEIGHT if change.weight and change.weight.relative else MAX_WEIGHT
+    return change.weight is None or 0 <= change.weight.figure <= maximum
--- a/ambershift/coordinator/admin/evaluation.py
+++ b/ambershift/coordinator/admin/evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluates a command against an inventory: what it would make of it, and whether it is allowed.
+"""Evaluates a command against an inventory, without applying it.
 
 The admin controller evaluates a command before it accepts it, the leader of a group before it appends it to
 the log.
@@ -17,7 +17,7 @@
 def evaluate(
     before: ServerInventory, changes: Sequence[Change], origin: Origin, warmth: Warmth, now: int
 ) -> tuple[ServerInventory, tuple[int, ...]] | Refused:
-    """The world after all of a command's changes and the servers that it changes, or why it must not be."""
+    """Return the inventory after all changes of a command and the servers changed, or a refusal."""
     inventory, changed = before, dict[int, None]()
     for change in changes:
         if change.server not in inventory.listed:
@@ -26,14 +26,14 @@
             return Refused(Reason.WEIGHT_OUT_OF_RANGE, change.server)
         old = inventory.operator_override(change.server)
         new = apply_change(old, change)
-        # The same wish again is no change: a command sent twice acts once.
+        # An equal override is no change, so that a command that is sent twice takes effect once.
         if new != old:
             inventory = inventory.with_override(change.server, new._replace(origin=origin))
             changed[change.server] = None
     servers = tuple(
-        one
-        for one in changed
-        if inventory.operator_override(one)._replace(origin=NO_OVERRIDE.origin)
-        != before.operator_override(one)._replace(origin=NO_OVERRIDE.origin)
+        server
+        for server in changed
+        if inventory.operator_override(server)._replace(origin=NO_OVERRIDE.origin)
+        != before.operator_override(server)._replace(origin=NO_OVERRIDE.origin)
     )
     return uncovered(before, inventory, servers, warmth, now) or (inventory, servers)
--- a/ambershift/coordinator/admin/types.py
+++ b/ambershift/coordinator/admin/types.py
@@ -1,6 +1,7 @@
-"""The words in which an operator's wish stands: types only, no decision.
+"""The types of operators' commands and overrides. They hold no logic beyond their own fields.
 
-Times are whole nanoseconds, servers and zones the small indices of the door, weights figures of the list.
+Times are integer nanoseconds; servers and zones are the small indices that the coordinator assigns to their
+names; weights are on the scale of the server list.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 
 class State(IntEnum):
-    """What an operator wants of a server, the milder wish first."""
+    """The administrative state that an operator sets for a server, mildest first."""
 
     READY = 0
     DRAIN = 1
@@ -18,7 +19,7 @@
 
 
 class Health(IntEnum):
-    """What an operator says of a server's health."""
+    """The health that an operator sets for a server."""
 
     UP = 0
     STOPPING = 1
@@ -26,17 +27,18 @@
 
 
 class Weight(NamedTuple):
-    """A weight in place of the listed one: a figure of its own, or a part of what is listed."""
+    """A weight that replaces the listed one: absolute, or relative to the listed one."""
 
     figure: float
     relative: bool
 
     def of(self, listed: float) -> float:
+        """Return the weight that results for a server with this listed weight."""
         return self.figure * listed if self.relative else self.figure
 
 
 class Origin(NamedTuple):
-    """Who changed something, when, and by which command, counted from 1."""
+    """Who made a change, when, and by which command, counted from 1."""
 
     who: str
     at: int
@@ -44,7 +46,7 @@
 
 
 class ServerOverride(NamedTuple):
-    """All that an operator wants of one server; `origin` tells of the last change."""
+    """All that an operator has set for one server; `origin` is that of the last change."""
 
     state: State
     health: Health
@@ -53,11 +55,16 @@
 
     @property
     def out(self) -> bool:
+        """Whether the server is to get no new traffic, its weight aside."""
         return self.state is not State.READY or self.health is not Health.UP
 
     @property
     def severity(self) -> int:
-        """How hard a server is kept out: 0 not at all, 1 it may still be asked for help, 2 better not."""
+        """How strictly the server is kept out.
+
+        0: not at all; 1: it may be lent if no other server is left; 2: it is lent only after those of
+        severity 1.
+        """
         if self.state is State.MAINT or self.health is Health.DOWN:
             return 2
         return int(self.out or (self.weight is not None and self.weight.figure == 0))
@@ -68,7 +75,7 @@
 
 
 class Change(NamedTuple):
-    """One wish for one server; what is None stays as it is. `as_listed` takes back a weight."""
+    """A change of one server's override; None leaves a field as it is, `as_listed` clears the weight."""
 
     server: int
     state: State | None = None
@@ -78,7 +85,7 @@
 
 
 class Reason(StrEnum):
-    """Why a command is refused. The value is the name that answers, events and docs use."""
+    """Why a command is refused. The value is the name in answers, events and documentation."""
 
     NO_SUCH_SERVER = "no-such-server"
     ZONE_WITHOUT_WARM = "zone-without-warm-server"
@@ -89,7 +96,7 @@
 
 
 class Refused(NamedTuple):
-    """A command that changes nothing, as it must not; server and zone are -1 where none is meant."""
+    """The refusal of a command, which changes nothing; server and zone are -1 if the reason has none."""
 
     reason: Reason
     server: int = -1
@@ -97,17 +104,17 @@
 
 
 class Accepted(NamedTuple):
-    """A command that stands; `changed` is empty where it wanted what stood already."""
+    """The acceptance of a command; `changed` is empty if its overrides were in force already."""
 
     number: int
     changed: tuple[int, ...]
 
 
 class Stage(IntEnum):
-    """How far the last wish for a server has come."""
+    """The progress of the last change of a server's override."""
 
-    GATHERED = 0  # Taken; the module hears of it with others.
-    TOLD = 1  # The module knows; its orders wait for room in the channel.
-    ORDERED = 2  # The orders wait for the relay, or for its answer.
-    CARRIED = 3  # The relay has them; not all proxies have answered yet.
+    GATHERED = 0  # Accepted; it waits in a batch for the decision module.
+    TOLD = 1  # The decision module has it; its orders wait for room in the channel.
+    ORDERED = 2  # The orders wait for the relay or for its answer.
+    CARRIED = 3  # The relay has the orders; some proxies have not confirmed them yet.
     APPLIED = 4  # Every joined proxy has applied them.
--- a/ambershift/coordinator/admin/view.py
+++ b/ambershift/coordinator/admin/view.py
@@ -1,4 +1,4 @@
-"""View: one whole state of the controller at one time, for those who read."""
+"""An immutable view of the admin controller's state, for readers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class View(NamedTuple):
-    """Whoever holds it sees no later change."""
+    """The whole state at one time; later changes do not show in it."""
 
     now: int
     version: int
@@ -20,5 +20,6 @@
     pending: PendingChanges
 
     def stage(self, server: int) -> Stage | None:
-        told = self.pending.get(server)
-        return None if told is None else stage(self.data_plane, server, told)
+        """Return the progress of a server's last change, None if none is pending."""
+        change = self.pending.get(server)
+        return None if change is None else stage(self.data_plane, server, change)
