--- a/ambershift/coordinator/admin/data_plane.py
+++ b/ambershift/coordinator/admin/data_plane.py
@@ -1,7 +1,7 @@
-"""Mirror: what the module has ordered, what the relay has answered for, and what proxies have applied.
+"""What the decision module has ordered, what the relay has answered, and what proxies have applied.
 
-Built from the orders as they pass, so that every answer to an operator agrees with what relays are told, and
-persistent, so that a reader holds one whole state.
+The state is built from the orders as they pass, so that every answer to an operator agrees with what the
+relay is sent. It is persistent, so that a reader keeps one consistent state.
 """
 
 from __future__ import annotations
@@ -17,17 +17,22 @@
 from ambershift import interface as api
 
 MAX_MARKS = 5_000
-# In place of a table's number: proxies that hold none of ours; and nobody, where the relay's answer is all.
-UNBOUND, NOBODY = -1, -2
+
+# In place of a table's number: the proxies that hold no table of this coordinator.
+UNBOUND = -1
+# In place of a table's number: no proxy, where the relay's answer alone matters.
+NOBODY = -2
 
 
 class Line(NamedTuple):
+    """A server's weight in a table, and the reply that set it."""
+
     weight: float
     reply: int
 
 
 class Withdrawal(NamedTuple):
-    """Whether a server is shut out, by which reply, and when that was ordered."""
+    """Whether a server is withdrawn, by which reply, and when that was ordered."""
 
     out: bool
     reply: int
@@ -38,7 +43,7 @@
 
 
 class JoinedProxy(NamedTuple):
-    """A joined proxy: its table, and the last reply that it is known to have applied."""
+    """A joined proxy: its zone and table, the last reply that it confirmed, and when it joined."""
 
     zone: int
     table: int
@@ -47,7 +52,7 @@
 
 
 class ServerTraffic(NamedTuple):
-    """What proxies met at a server since we know of it; times in ns."""
+    """What proxies have reported of a server since it is known; times in ns."""
 
     attempts: int
     failures: int
@@ -62,9 +67,18 @@
 
 @dataclass(frozen=True)
 class DataPlaneState:
-    """One whole state. `shut` has each server ever withdrawn.
-
-    What is worked out from it is kept with it: thousands of wishes are measured by the same picture.
+    """The state of the relay and the proxies at one time.
+
+    What is derived from it is cached with it, as the progress of thousands of changes is read from one state.
+
+    Attributes:
+        reply: The number of the last reply.
+        settled: The last reply that the relay has answered.
+        tables: By table, the lines of its servers.
+        withdrawals: Of each server that was ever withdrawn, the last order.
+        levels: By table and mask, the retry policy and the allowance.
+        proxies: The joined proxies.
+        traffic: By server, what proxies have reported.
     """
 
     reply: int
@@ -77,15 +91,17 @@
 
     @cached_property
     def answered(self) -> dict[int, int]:
-        """For each table in use, the last reply that all its users are known to have applied."""
+        """By table in use, the last reply that all its proxies have confirmed."""
         found = dict[int, int]()
         for proxy in self.proxies.values():
             found[proxy.table] = min(found.get(proxy.table, proxy.answered), proxy.answered)
         return found
 
     def concerned(self, server: int, reply: int) -> list[int]:
-        """Tables whose users a reply that shuts the server out, or lets it in, was a message to. Others are
-        told nothing and answer nothing; what a proxy not yet bound holds is not known.
+        """Return the tables whose proxies got a message by a reply that withdraws or restores the server.
+
+        Proxies of other tables get nothing and confirm nothing. Proxies without a table are included, as it
+        is not known what they hold.
         """
         lines = self.lines(server)
         return [
@@ -95,7 +111,7 @@
         ]
 
     def lines(self, server: int) -> dict[int, Line]:
-        """The server's lines in tables that a joined proxy uses, also those emptied."""
+        """Return the server's lines by table in use, also those of weight 0."""
         found = {}
         for table in self.answered:
             lines = self.tables.get(table)
@@ -104,7 +120,7 @@
         return found
 
     def applied(self, reply: int, table: int) -> bool:
-        """Whether every joined proxy that uses the table has told that it applied the reply."""
+        """Return whether every joined proxy that uses the table has confirmed the reply."""
         return self.answered.get(table, reply) >= reply
 
 
@@ -115,18 +131,25 @@
 
 
 class DataPlaneTracker:
+    """Follows the data plane's state by events, orders and the relay's answers.
+
+    Attributes:
+        data_plane: The current state.
+        marks: The reply that each mark was sent in. Numbers of marks recur, so the oldest are dropped.
+    """
+
     def __init__(self) -> None:
         self.data_plane = EMPTY_DATA_PLANE
-        # Which reply a mark stands in. Numbers come round, so the oldest go.
         self.marks = OrderedDict[int, int]()
 
     def hear(self, now: int, events: Sequence[api.Event]) -> None:
+        """Apply what proxies did and reported."""
         data_plane = self.data_plane
         proxies, traffic = data_plane.proxies, data_plane.traffic
         for event in events:
             match event:
                 case api.Joined():
-                    # It holds nothing of ours, so that nothing ordered before concerns it.
+                    # It holds no table of this coordinator, so that no earlier order concerns it.
                     proxies = proxies.insert(
                         event.proxy, JoinedProxy(event.zone, UNBOUND, data_plane.reply, now)
                     )
@@ -137,29 +160,26 @@
                     if proxy is not None and reply > proxy.answered:
                         proxies = proxies.insert(event.proxy, proxy._replace(answered=reply))
                 case api.ServerReport():
-                    tally = traffic.get(event.server, NO_TRAFFIC)
+                    known = traffic.get(event.server, NO_TRAFFIC)
                     traffic = traffic.insert(
                         event.server,
                         ServerTraffic(
-                            tally.attempts + event.attempts,
-                            tally.failures + event.failures,
-                            tally.success_time + event.mean_latency * (event.attempts - event.failures),
+                            known.attempts + event.attempts,
+                            known.failures + event.failures,
+                            known.success_time + event.mean_latency * (event.attempts - event.failures),
                             now,
-                            now if event.attempts else tally.last_attempt_at,
-                            event.loads or tally.loads,
+                            now if event.attempts else known.last_attempt_at,
+                            event.loads or known.loads,
                         ),
                     )
         if proxies is not data_plane.proxies or traffic is not data_plane.traffic:
             self.data_plane = replace(data_plane, proxies=proxies, traffic=traffic)
 
     def order(self, now: int, reply: int, orders: Sequence[api.Order]) -> None:
+        """Apply the orders of a reply."""
         data_plane = self.data_plane
-        tables, withdrawals, levels, proxies = (
-            data_plane.tables,
-            data_plane.withdrawals,
-            data_plane.levels,
-            data_plane.proxies,
-        )
+        tables, withdrawals = data_plane.tables, data_plane.withdrawals
+        levels, proxies = data_plane.levels, data_plane.proxies
         for order in orders:
             match order:
                 case api.SetWeight():
@@ -184,5 +204,6 @@
         )
 
     def settle(self, reply: int) -> None:
+        """Note that the relay has answered all replies up to this one."""
         if reply > self.data_plane.settled:
             self.data_plane = replace(self.data_plane, settled=reply)
--- a/ambershift/coordinator/admin/pending.py
+++ b/ambershift/coordinator/admin/pending.py
@@ -1,7 +1,7 @@
-"""Pending: how far each wish has come, worked out from what was told, ordered, answered and applied.
+"""How far each change of an override has come, derived from what was sent, ordered, answered and applied.
 
-Nothing here is counted down by hand: a stage follows from the picture alone, so that a lost answer, a relay
-that is away or a proxy that joins anew can leave no wish marked wrongly for good.
+No counter is kept: the stage follows from the data plane's state alone, so that a lost answer, a relay that
+is away or a proxy that joins again can't leave a change with a wrong stage for good.
 """
 
 from __future__ import annotations
@@ -14,14 +14,20 @@
 from ambershift.coordinator.admin.data_plane import NEVER_WITHDRAWN, NO_TRAFFIC, DataPlaneState
 from ambershift.coordinator.admin.types import Stage
 
-# A server counts as drained once no report of the last so many report periods tells of a try there.
+# A server is drained once so many report periods have passed without a reported attempt.
 QUIET_PERIODS = 2
-SAME = 1e-6
+# Weights that differ by no more than this are equal.
+WEIGHT_TOLERANCE = 1e-6
 
 
 class PendingChange(NamedTuple):
-    """A wish on its way: since when; what the module was told of it, None before; the last reply before that;
-    and whether the weight told was another than before, so that every line must be laid anew.
+    """A change that proxies have not all applied yet.
+
+    Attributes:
+        at: Since when.
+        entry: The entry that the module got for it, None before.
+        reply: The last reply before that.
+        scaled: Whether that entry changed the weight, so that every line must be set again.
     """
 
     at: int
@@ -34,15 +40,15 @@
 
 
 class Need(NamedTuple):
-    """A reply that carries a part of the wish, and the table whose users it concerns."""
+    """A reply that carries a part of the change, and the table whose proxies must apply it."""
 
     reply: int
     table: int
 
 
-def needs(data_plane: DataPlaneState, server: int, told: PendingChange) -> list[Need] | None:
-    """What must be applied for the wish to be; None where something of it is not ordered yet."""
-    entry = told.entry
+def needs(data_plane: DataPlaneState, server: int, change: PendingChange) -> list[Need] | None:
+    """Return what must be applied for the change to be; None if a part of it is not ordered yet."""
+    entry = change.entry
     if entry is None:
         return None
     out, reply, _ = data_plane.withdrawals.get(server, NEVER_WITHDRAWN)
@@ -50,36 +56,37 @@
         return [Need(reply, table) for table in data_plane.concerned(server, reply)] if out else None
     if entry.phase == api.Phase.READY and out:
         return None
-    # A server may have got its reply long ago, and none was needed now.
+    # If the last reply on the server came before the change, the change needed none.
     found = (
-        [Need(reply, table) for table in data_plane.concerned(server, reply)] if reply > told.reply else []
+        [Need(reply, table) for table in data_plane.concerned(server, reply)] if reply > change.reply else []
     )
     lines = data_plane.lines(server)
     if (
         entry.phase == api.Phase.READY
-        and told.scaled
+        and change.scaled
         and entry.weight
         and data_plane.proxies
         and not any(line.weight for line in lines.values())
     ):
-        return None  # It had weight 0, and no proxy has a line of it again.
+        return None  # Its weight was 0, and no proxy has a line of it again yet.
     for table, line in lines.items():
-        if line.reply > told.reply:
+        if line.reply > change.reply:
             found.append(Need(line.reply, table))
         elif (
             entry.phase == api.Phase.READY
-            and told.scaled
+            and change.scaled
             and line.weight
-            and (abs(line.weight - entry.weight) > SAME)
+            and (abs(line.weight - entry.weight) > WEIGHT_TOLERANCE)
         ):
-            return None  # The line as it was before; the module has not found room for its edit.
+            return None  # The line is the earlier one; the module has found no room to update it.
     return found
 
 
-def stage(data_plane: DataPlaneState, server: int, told: PendingChange) -> Stage:
-    if told.entry is None:
+def stage(data_plane: DataPlaneState, server: int, change: PendingChange) -> Stage:
+    """Return how far a change has come."""
+    if change.entry is None:
         return Stage.GATHERED
-    found = needs(data_plane, server, told)
+    found = needs(data_plane, server, change)
     if found is None:
         return Stage.TOLD
     if any(need.reply > data_plane.settled for need in found):
@@ -88,8 +95,9 @@
 
 
 def drained(data_plane: DataPlaneState, server: int, period: int, now: int) -> bool:
-    """Shut out at every joined proxy, and no try told for a while; a server without a line counts as
-    shut out.
+    """Return whether a server is withdrawn at every joined proxy and no attempt was reported lately.
+
+    A server without a line of some weight counts as withdrawn.
     """
     out, reply, at = data_plane.withdrawals.get(server, NEVER_WITHDRAWN)
     if not out and any(line.weight for line in data_plane.lines(server).values()):
@@ -99,6 +107,6 @@
         or not all(data_plane.applied(reply, table) for table in data_plane.concerned(server, reply))
     ):
         return False
-    # Also where no report comes at all: flows that were under way must have had their time.
+    # Required without any report too: flows that were in flight need time to end.
     last_attempt_at = data_plane.traffic.get(server, NO_TRAFFIC).last_attempt_at
     return now >= max(at, last_attempt_at) + QUIET_PERIODS * period
