--- a/ambershift/coordinator/admin/coverage.py
+++ b/ambershift/coordinator/admin/coverage.py
@@ -1,7 +1,7 @@
-"""Coverage: which servers carry traffic, what a command would leave bare, and who is lent back in need.
+"""Which servers carry traffic, what a command would leave without one, and which servers to lend.
 
-The rule that it guards: no joined proxy is left without a line to pick. Commands are refused before they
-do harm; what the list takes away afterwards can't be refused, so there the operator's word yields.
+The invariant: every joined proxy has a server to choose. A command that would break it is refused. What the
+server list takes away can't be refused, so there the operator's override gives way.
 """
 
 from __future__ import annotations
@@ -15,58 +15,63 @@
 from ambershift.coordinator.admin.inventory import ServerInventory
 from ambershift.coordinator.admin.types import Reason, Refused
 
-# Lent servers go back only once others have carried the traffic for so long: a list that flaps would else
-# have each proxy told twice for every flap.
+# Lent servers are taken back only after others have carried the traffic for this long. Otherwise a flapping
+# list would cost two messages to each proxy for every flap.
 LENT_RETURN_DELAY_NS = 5_000_000_000
 
 
 class Warmth:
-    """Whether a server has been up for as long as the settings call cold."""
+    """Whether a server has been up for the period during which the settings call it cold.
+
+    Attributes:
+        cold: That period, ns; 0 if no server is ever cold.
+    """
 
     def __init__(self, cold: int) -> None:
         self.cold = cold
 
     def warm_at(self, entry: api.Entry) -> int:
+        """Return when the server is warm; 0 if it always is."""
         return entry.since + self.cold if entry.since and self.cold else 0
 
     def warm(self, entry: api.Entry, now: int) -> bool:
+        """Return whether the server is warm."""
         return now >= self.warm_at(entry)
 
 
 def there(entry: api.Entry) -> bool:
-    """By the list alone: ready and of some weight, cold or warm."""
+    """Return whether the server is ready and has a weight by the list alone, cold or warm."""
     return entry.phase == api.Phase.READY and entry.weight > 0
 
 
 def available(entry: api.Entry, warmth: Warmth, now: int) -> bool:
-    """By the list alone: ready, of some weight, and warm."""
+    """Return whether the server is ready, has a weight and is warm by the list alone."""
     return there(entry) and warmth.warm(entry, now)
 
 
 def serves(inventory: ServerInventory, server: int, warmth: Warmth, now: int) -> bool:
-    """By list and operator together; what is lent does not count, as it shall go back."""
+    """Return whether list and operator let a warm server serve; lent ones, which go back, don't count."""
     override = inventory.override(server)
     return not override.severity and available(inventory.listed[server], warmth, now)
 
 
 def starts(inventory: ServerInventory, server: int) -> bool:
-    """Whether it is let in by list and operator, cold or warm."""
+    """Return whether list and operator let a server serve, cold or warm."""
     return not inventory.override(server).severity and there(inventory.listed[server])
 
 
 def loses(inventory: ServerInventory, server: int) -> bool:
-    """Whether the list has it ready and the operator wants no flow there."""
+    """Return whether the operator keeps out a server that the list has as ready."""
     return there(inventory.listed[server]) and inventory.override(server).severity > 0
 
 
 def uncovered(
     before: ServerInventory, after: ServerInventory, changed: Iterable[int], warmth: Warmth, now: int
 ) -> Refused | None:
-    """What a command would leave without a ready warm server: a zone, or with the last one all traffic
-    groups.
+    """Return the refusal of a command that leaves a zone, or all traffic, without a ready warm server.
 
-    Only what the command itself takes away counts. A zone that had none before, say as all its servers are
-    cold, is told in the same way: the ones that it has are needed the more.
+    Only servers that the command itself takes away count. A zone that had no such server before, for example
+    as all its servers are cold, leads to a refusal too: it needs those that it has the more.
     """
     lost = [server for server in changed if loses(after, server) and not loses(before, server)]
     if not lost:
@@ -83,22 +88,26 @@
 def awaits_replacement(
     inventory: ServerInventory, server: int, in_use: Callable[[int], bool], warmth: Warmth, now: int
 ) -> bool:
-    """Whether those that shall carry on for a server that goes are wanted, but not let in yet at any proxy.
+    """Return whether a server that leaves has replacements, none of which is in use at the proxies yet.
 
-    Orders that shut out go ahead of those that let in, so that told together the one would leave first. It
-    waits for one heir of its zone, or of all where the zone has none; where nobody is wanted there is
-    nothing to wait for.
+    Orders that withdraw servers precede those that restore them, so that in one batch the server would leave
+    first. It waits for one replacement of its zone, or of all zones if its zone has none; without any
+    replacement there is nothing to wait for.
     """
-    for group in (inventory.members(inventory.listed[server].zone), inventory.listed):
-        heirs = [one for one in group if one != server and serves(inventory, one, warmth, now)]
-        if heirs:
-            return not any(map(in_use, heirs))
+    for candidates in (inventory.members(inventory.listed[server].zone), inventory.listed):
+        replacements = [
+            other for other in candidates if other != server and serves(inventory, other, warmth, now)
+        ]
+        if replacements:
+            return not any(map(in_use, replacements))
     return False
 
 
 class Lender:
-    """Lends servers back where nobody else is left, and takes them out again once others have come to
-    stay.
+    """Lends servers that are kept out while no other is left, and takes them back once others stay.
+
+    Attributes:
+        covered_since: Since when servers that aren't lent carry the traffic; None if none does.
     """
 
     def __init__(self, warmth: Warmth) -> None:
@@ -106,16 +115,17 @@
         self.covered_since: int | None = None
 
     def lend(self, inventory: ServerInventory, now: int) -> ServerInventory:
-        """Those kept out most mildly go first, what is under maintenance only where nothing else is there.
+        """Return the inventory with the servers lent that are needed now.
 
-        Warm ones go before cold ones, and cold ones only where not even a cold one is let in.
+        Servers of the mildest override are lent first, those under maintenance only if there is no other.
+        Warm ones precede cold ones; cold ones are lent only if not even a cold server is let in.
         """
         if any(serves(inventory, server, self.warmth, now) for server in inventory.listed):
             if self.covered_since is None:
                 self.covered_since = now
             if inventory.lent and now >= self.covered_since + LENT_RETURN_DELAY_NS:
                 return inventory._replace(lent=HashTrieMap())
-            # One that the operator wants ready again, or that the list took away, is lent no more.
+            # A server that the operator made ready again, or that the list took away, is lent no more.
             return self.keep(inventory, now)
         self.covered_since = None
         inventory = self.keep(inventory, now)
@@ -130,21 +140,24 @@
         ]
         warm = [server for server in kept_out if available(inventory.listed[server], self.warmth, now)]
         if not warm and (inventory.lent or any(map(partial(starts, inventory), inventory.listed))):
-            return inventory  # Cold ones are at work, each with its part; more of them only in need.
+            return inventory  # Cold servers serve, each with its share; no more cold ones are needed.
         if not (chosen := warm or kept_out):
             return inventory
         mildest = min(inventory.override(server).severity for server in chosen)
-        fresh = {server: now for server in sorted(chosen) if inventory.override(server).severity == mildest}
-        return inventory._replace(lent=inventory.lent.update(fresh))
+        newly_lent = {
+            server: now for server in sorted(chosen) if inventory.override(server).severity == mildest
+        }
+        return inventory._replace(lent=inventory.lent.update(newly_lent))
 
     def keep(self, inventory: ServerInventory, now: int) -> ServerInventory:
+        """Return the inventory with only those servers lent that are still kept out and ready by the list."""
         for server in inventory.lent:
             if not inventory.override(server).severity or not there(inventory.listed[server]):
                 inventory = inventory._replace(lent=inventory.lent.remove(server))
         return inventory
 
     def next_at(self, inventory: ServerInventory, now: int) -> int | None:
-        """When to look again though nothing comes: a lent server may go back, or a cold one turn warm."""
+        """Return when to decide again without an event: lent servers may go back, or a cold one gets warm."""
         if not inventory.overrides and not inventory.held_out:
             return None
         if inventory.lent and self.covered_since is not None:
