--- a/ambershift/coordinator/admin/batching.py
+++ b/ambershift/coordinator/admin/batching.py
@@ -1,8 +1,8 @@
-"""Pace: when the module hears of changed wishes, so that a flood of commands costs the lines of its last
-words.
+"""Decides when the decision module gets changed overrides, in batches.
 
-Each wish that the module hears of may cost a line to every proxy, and a message to each that got none in that
-turn. So wishes are gathered for a moment, and a server whose wish flips goes by its last word only.
+Each change that the module gets may cost a line to every proxy, and a message to each proxy that got none in
+that turn. So changes are gathered for a short time, and of a server that changes repeatedly only the last
+state is sent.
 """
 
 from __future__ import annotations
@@ -10,46 +10,77 @@
 from collections.abc import Callable
 
 MS = 1_000_000
-# Told once no further change has come for QUIET, or GATHER_MOST after the first. A person notices neither.
-BATCH_QUIET_NS, MAX_BATCH_DELAY_NS = 20 * MS, 250 * MS
-# While so many changes are gathered already, somebody scripts, and what is told would soon be void: up to
-# FLOOD_MOST after the first then.
-FLOOD_CHANGES, MAX_FLOOD_DELAY_NS = 64, 2_000 * MS
-# A step of the module over thousands of servers is longer than QUIET: behind more than a FEW changes more
-# may lie unread, and their quiet must outlast a step.
-FEW_CHANGES, MANY_CHANGES_QUIET_NS = 8, 150 * MS
-# A server told of is told of again this much later at the earliest, doubled with each flip up to the most:
-# what flips on and on would fill the channel by itself. Its count is forgotten after a calm spell.
-MIN_FLIP_DELAY_NS, MAX_FLIP_DELAY_NS, FLIP_RESET_NS = 500 * MS, 8_000 * MS, 30_000 * MS
+
+# A batch is due once no change has come for the quiet time, or the maximum delay after its first change. Both
+# are too short for a person to notice.
+BATCH_QUIET_NS = 20 * MS
+MAX_BATCH_DELAY_NS = 250 * MS
+
+# With more changes gathered than this, they come from a script and would soon supersede what is sent: the
+# maximum delay is longer then.
+FLOOD_CHANGES = 64
+MAX_FLOOD_DELAY_NS = 2_000 * MS
+
+# A step of the module over thousands of servers takes longer than the quiet time. After more than a few
+# changes further ones may be unread still, and the quiet time must outlast a step.
+FEW_CHANGES = 8
+MANY_CHANGES_QUIET_NS = 150 * MS
+
+# The least time between two reductions of one server, doubled with each up to the maximum: a server that
+# flaps would fill the channel alone. The count restarts after a calm period.
+MIN_FLIP_DELAY_NS = 500 * MS
+MAX_FLIP_DELAY_NS = 8_000 * MS
+FLIP_RESET_NS = 30_000 * MS
+MAX_FLIP_COUNT = 16
+# Bounds the memory for ids that come and go over years.
+MAX_FLIP_RECORDS = 4096
 
 
 class Flips:
-    """How often and when a server was told of."""
+    """How often a server was reduced lately, and when last."""
 
-    __slots__ = ("count", "told")
+    __slots__ = ("count", "last_at")
 
     def __init__(self) -> None:
-        self.count, self.told = 0, 0
+        self.count = 0
+        self.last_at = 0
 
     def earliest(self) -> int:
-        return self.told + min(MAX_FLIP_DELAY_NS, MIN_FLIP_DELAY_NS << self.count - 1) if self.count else 0
+        """Return when the server may be reduced again."""
+        if not self.count:
+            return 0
+        return self.last_at + min(MAX_FLIP_DELAY_NS, MIN_FLIP_DELAY_NS << self.count - 1)
 
 
 class ChangeBatcher:
-    """`lowers` tells whether what waits for a server takes something away from proxies, as things are now.
+    """Gathers servers with changed overrides and releases them in batches.
+
+    Flips delay reductions only: each cycle of out and in contains one, so that the rest need not wait, and a
+    server that replaces others that were given up must not.
 
-    Only that is held back by flips: each round of in and out has one such word, so that the rest need not
-    wait, and a server that others were given up for must not.
+    Attributes:
+        waiting: By server, when its first change that was not sent came.
+        held: Those of them that wait for an event instead of a time.
+        last: When the last change came.
+        gathered: How many changes the batch has.
+        flips: By server, its recent reductions.
     """
 
     def __init__(self, would_reduce: Callable[[int], bool]) -> None:
+        """Create an empty batcher.
+
+        Args:
+            would_reduce: Returns whether what waits for a server would reduce it, as things are now.
+        """
         self.would_reduce = would_reduce
-        self.waiting = dict[int, int]()  # Server, and when its first untold change came.
-        self.held = set[int]()  # Of these, what waits for something else than time.
-        self.last, self.gathered = 0, 0
+        self.waiting = dict[int, int]()
+        self.held = set[int]()
+        self.last = 0
+        self.gathered = 0
         self.flips = dict[int, Flips]()
 
     def note(self, server: int, now: int) -> None:
+        """Add a change of a server, and release the held ones to be examined again."""
         if not self.waiting:
             self.gathered = 0
         self.gathered += 1
@@ -58,19 +89,21 @@
         self.held.clear()
 
     def due_at(self, server: int) -> int:
-        most = MAX_FLOOD_DELAY_NS if self.gathered > FLOOD_CHANGES else MAX_BATCH_DELAY_NS
+        """Return when a waiting server is due."""
+        max_delay = MAX_FLOOD_DELAY_NS if self.gathered > FLOOD_CHANGES else MAX_BATCH_DELAY_NS
         quiet = BATCH_QUIET_NS if self.gathered <= FEW_CHANGES else MANY_CHANGES_QUIET_NS
-        gathered = min(self.last + quiet, self.waiting[server] + most)
+        batch_at = min(self.last + quiet, self.waiting[server] + max_delay)
         flips = self.flips.get(server)
-        if flips is not None and flips.earliest() > gathered and self.would_reduce(server):
+        if flips is not None and flips.earliest() > batch_at and self.would_reduce(server):
             return flips.earliest()
-        return gathered
+        return batch_at
 
     def next_at(self) -> int | None:
+        """Return when the next server is due, None if none waits for a time."""
         return min((self.due_at(server) for server in self.waiting if server not in self.held), default=None)
 
     def take(self, now: int) -> list[int]:
-        """The servers to tell of now, in the order in which their changes came."""
+        """Remove and return the servers that are due, in the order in which their changes came."""
         due = [server for server in self.waiting if server not in self.held and self.due_at(server) <= now]
         for server in due:
             del self.waiting[server]
@@ -79,21 +112,24 @@
         return due
 
     def hold(self, server: int, since: int) -> None:
-        """Not yet, and no time is known: until something was ordered, listed or wished."""
+        """Let a server wait for no known time: until something is ordered, listed or changed."""
         self.waiting[server] = since
         self.held.add(server)
 
-    def told(self, server: int, now: int) -> None:
-        """The module has been told of it what takes something away."""
+    def note_reduction(self, server: int, now: int) -> None:
+        """Count a reduction of a server that was sent to the module."""
         flips = self.flips.setdefault(server, Flips())
-        if flips.told + FLIP_RESET_NS < now:
+        if flips.last_at + FLIP_RESET_NS < now:
             flips.count = 0
-        flips.count, flips.told = min(flips.count + 1, 16), now
-        if len(self.flips) > 4096:  # Against ids that come and go for years; the calm ones are of no use.
-            self.flips = {one: kept for one, kept in self.flips.items() if kept.told + FLIP_RESET_NS > now}
+        flips.count = min(flips.count + 1, MAX_FLIP_COUNT)
+        flips.last_at = now
+        if len(self.flips) > MAX_FLIP_RECORDS:  # A record whose calm period is over has no effect any more.
+            self.flips = {
+                other: kept for other, kept in self.flips.items() if kept.last_at + FLIP_RESET_NS > now
+            }
 
     def flush(self) -> list[int]:
-        """All that waits, whatever its time: the program ends."""
+        """Remove and return all waiting servers, due or not, as the program ends."""
         due, self.waiting = list(self.waiting), {}
         self.held.clear()
         return due
--- a/ambershift/coordinator/admin/group_decisions.py
+++ b/ambershift/coordinator/admin/group_decisions.py
@@ -19,7 +19,7 @@
 
 
 class GroupDecisions:
-    """The part of a controller that a group speaks to."""
+    """The part of the admin controller that a group calls; `AdminController` describes the attributes."""
 
     inventory: ServerInventory
     audit_log: AuditLog
@@ -32,16 +32,27 @@
     commands: int
 
     def set_inventory(self, inventory: ServerInventory) -> None:
+        """Replace the inventory."""
         raise NotImplementedError
 
     def update_lent(self, inventory: ServerInventory, now: int) -> ServerInventory:
+        """Return the inventory with the servers lent that are needed now."""
         raise NotImplementedError
 
     def apply_group_overrides(
-        self, now: int, overrides: Mapping[int, ServerOverride], said: Sequence[tuple[str, str]]
+        self, now: int, overrides: Mapping[int, ServerOverride], commands: Sequence[tuple[str, str]]
     ) -> tuple[int, ...]:
-        """Take over wishes that stand. Of servers that are not listed yet `ahead` must tell when they come.
-        `said` has who said what, command by command.
+        """Apply committed overrides of listed servers.
+
+        Those of servers that aren't listed yet belong into `unlisted_overrides`.
+
+        Args:
+            now: The time, ns.
+            overrides: The overrides by server.
+            commands: The originator and the text of each command behind them, for the audit log.
+
+        Returns:
+            The servers whose override changed in more than its origin.
         """
         inventory, changed = self.inventory, list[int]()
         for server, override in overrides.items():
@@ -50,18 +61,19 @@
                 if old._replace(origin=override.origin) != override:
                     changed.append(server)
         if changed:
-            self.commands += len(said)
-            for who, text in said:
+            self.commands += len(commands)
+            for who, text in commands:
                 self.audit_log.note(now, "command", who, text)
         self.mark_pending(now, changed)
         if not self.tracker.data_plane.proxies:
-            # A member that catches up: no proxy costs a line yet, and the first to come must find all told.
+            # A member that catches up: without proxies no change costs a line yet, and the module must have
+            # all of them before the first proxy joins.
             self.urgent.update(changed)
         self.set_inventory(self.update_lent(inventory, now))
         return tuple(changed)
 
     def set_permits(self, now: int, until: Mapping[int, int]) -> None:
-        """Keep these out as under maintenance, each until its end by the local clock, and no others."""
+        """Keep exactly these servers out as under maintenance, each until its end by the local clock."""
         self.permits = dict(until)
         inventory = self.inventory.with_permits(self.permits)
         self.mark_pending(
@@ -74,10 +86,12 @@
         )
         self.set_inventory(self.update_lent(inventory, now))
 
-    def set_weight_factors(self, now: int, parts: Mapping[int, float]) -> None:
-        """What part of its weight each of these keeps; all others keep all."""
+    def set_weight_factors(self, now: int, factors: Mapping[int, float]) -> None:
+        """Set by which part of its weight each of these servers is weighted; all others have their whole."""
         before = self.inventory.weight_factors
-        weight_factors = {server: part for server, part in parts.items() if server in self.inventory.listed}
+        weight_factors = {
+            server: factor for server, factor in factors.items() if server in self.inventory.listed
+        }
         if weight_factors != dict(before):
             self.mark_pending(
                 now,
@@ -90,9 +104,11 @@
             self.set_inventory(self.inventory._replace(weight_factors=HashTrieMap(weight_factors)))
 
     def mark_pending(self, now: int, servers: Sequence[int]) -> None:
-        """What is wanted of these is another now, and on its way."""
+        """Queue these servers for the module, as their overrides have changed."""
         for server in servers:
             self.batcher.note(server, now)
-            told = self.pending.get(server)
-            scaled = told.scaled if told else False
-            self.pending = self.pending.insert(server, PendingChange(told.at if told else now, scaled=scaled))
+            earlier = self.pending.get(server)
+            scaled = earlier.scaled if earlier else False
+            self.pending = self.pending.insert(
+                server, PendingChange(earlier.at if earlier else now, scaled=scaled)
+            )
