--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -17,7 +17,7 @@
 from ambershift.coordinator.group.observation_exchange import ObservationExchange
 from ambershift.coordinator.replication.gossip.messages import Message, decode, encode
 from ambershift.coordinator.replication.gossip.store import GossipStore
-from tests.support.operator_model import Operated
+from tests.support.operator_model import OperatedModel
 from tests.support.policy_model import S, entry, make_terms
 
 RATE = 10.0  # Flows a second of each proxy.
@@ -44,7 +44,7 @@
         return int(zone[1:])
 
 
-class Side(Operated):
+class Side(OperatedModel):
     def __init__(
         self, terms: api.PolicySettings, servers: list[api.Entry], store: GossipStore, use: bool, now: int
     ) -> None:
--- a/tests/coordinator/group/test_group.py
+++ b/tests/coordinator/group/test_group.py
@@ -57,13 +57,13 @@
 from ambershift.coordinator.standins.rig import Rig
 from ambershift.coordinator.standins.world import until
 from ambershift.id_index import IdIndex
-from tests.support.operator_model import Operated, some_changes
+from tests.support.operator_model import OperatedModel, some_changes
 from tests.support.policy_model import S, entry, make_terms
 
 READY, DRAIN, MAINT = State.READY, State.DRAIN, State.MAINT
 
 
-class SimulatedMember(Operated):
+class SimulatedMember(OperatedModel):
     """A coordinator of a group in virtual time; `state` is the committed state."""
 
     def __init__(self, count: int = 6, zones: int = 2, ahead: int = 0, **terms: Any) -> None:
--- a/tests/support/operator_model.py
+++ b/tests/support/operator_model.py
@@ -1,4 +1,4 @@
-"""The model of the policy tests with an admin controller between the list and the module, in virtual time."""
+"""The model of the policy tests with the admin controller in front of the module, in virtual time."""
 
 from __future__ import annotations
 
@@ -12,13 +12,19 @@
 RELAYED = (api.SetWeight, api.ClearTable, api.Withdraw, api.Level, api.Bind, api.Mark)
 
 
-class Operated(PolicyModel):
-    """`away` holds the relay's answers back, as a cut does; what was ordered goes on in the model."""
+class OperatedModel(PolicyModel):
+    """The policy model with operators' commands.
+
+    Attributes:
+        away: Whether the relay's answers are held back, as by a cut; the model still applies orders.
+        true: The entries of the server list, before overrides.
+        ordered: All orders of the module.
+    """
 
     def __init__(self, terms: api.PolicySettings, servers: list[api.Entry], now: int = 100 * S) -> None:
         self.controller, self.reply, self.away = AdminController(terms.cold, terms.report_period), 0, False
         self.true: dict[int, api.Entry] = {}
-        self.ordered: list[api.Order] = []  # All that the module has ordered.
+        self.ordered: list[api.Order] = []
         super().__init__(terms, servers, now)
 
     def tell(self, *events: api.Event) -> list[api.Order]:
@@ -51,14 +57,12 @@
         return self.true[server].weight
 
     def ready(self) -> set[int]:
-        """By the true list, whatever the operator wants: while one is here, no proxy may be left with
-        nothing.
-        """
+        """Return the servers ready by the list: each proxy must have a server while there is one."""
         return {i for i, one in self.true.items() if one.phase == api.Phase.READY and one.weight > 0}
 
 
 def some_changes(rng: random.Random, count: int) -> list[Change]:
-    """One to three changes of servers below `count`, as an operator in a hurry makes them."""
+    """Return one to three random changes of servers below `count`."""
     from ambershift.coordinator.admin.types import Health, State, Weight
 
     makers = [
