--- a/ambershift/coordinator/admin/view.py
+++ b/ambershift/coordinator/admin/view.py
@@ -1,24 +1,25 @@
-"""View: one whole state of the desk at one time, for those who read."""
+"""An immutable view of the admin controller's state, for readers."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from ambershift.coordinator.admin.mirror import Picture
-from ambershift.coordinator.admin.pending import Waiting, stage
-from ambershift.coordinator.admin.words import Stage
-from ambershift.coordinator.admin.world import World
+from ambershift.coordinator.admin.data_plane import DataPlaneState
+from ambershift.coordinator.admin.inventory import ServerInventory
+from ambershift.coordinator.admin.pending import PendingChanges, stage
+from ambershift.coordinator.admin.types import Stage
 
 
 class View(NamedTuple):
-    """Whoever holds it sees no later change."""
+    """The whole state at one time; later changes do not show in it."""
 
     now: int
     version: int
-    world: World
-    picture: Picture
-    waiting: Waiting
+    inventory: ServerInventory
+    data_plane: DataPlaneState
+    pending: PendingChanges
 
     def stage(self, server: int) -> Stage | None:
-        told = self.waiting.get(server)
-        return None if told is None else stage(self.picture, server, told)
+        """Return the progress of a server's last change, None if none is pending."""
+        change = self.pending.get(server)
+        return None if change is None else stage(self.data_plane, server, change)
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -17,7 +17,7 @@
 from ambershift.coordinator.group.observation_exchange import ObservationExchange
 from ambershift.coordinator.replication.gossip.messages import Message, decode, encode
 from ambershift.coordinator.replication.gossip.store import GossipStore
-from tests.support.operator_model import Operated
+from tests.support.operator_model import OperatedModel
 from tests.support.policy_model import S, entry, make_terms
 
 RATE = 10.0  # Flows a second of each proxy.
@@ -44,7 +44,7 @@
         return int(zone[1:])
 
 
-class Side(Operated):
+class Side(OperatedModel):
     def __init__(
         self, terms: api.PolicySettings, servers: list[api.Entry], store: GossipStore, use: bool, now: int
     ) -> None:
@@ -149,7 +149,9 @@
         self.now += S
         self.exchange(alive)
         for side in alive:
-            heard = side.learned.exchange(side.now, side.desk.view(side.now).picture) if side.use else []
+            heard = (
+                side.learned.exchange(side.now, side.controller.view(side.now).data_plane) if side.use else []
+            )
             side.run(S, *self.reports(side, count), *heard, *extra)
             side.now = self.now
 
